--- a/api/rpc.go
+++ b/api/rpc.go
@@ -18,8 +18,8 @@
 	"google.golang.org/grpc/encoding/gzip"
 	"google.golang.org/grpc/status"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/keys"
+	"example.org/elmspan/raft"
 )
 
 const (
@@ -151,17 +151,17 @@
 // Join asks to become a member of the agreement, or says that a member is leaving: its
 // process is about to end.
 type Join struct {
-	ID      agreement.ID `cbor:"1,keyasint"`
-	Addr    string       `cbor:"2,keyasint"`
-	Leaving bool         `cbor:"3,keyasint,omitempty"`
-	Joint   bool         `cbor:"4,keyasint,omitempty"` // it understands joint changes of members
+	ID      raft.ID `cbor:"1,keyasint"`
+	Addr    string  `cbor:"2,keyasint"`
+	Leaving bool    `cbor:"3,keyasint,omitempty"`
+	Joint   bool    `cbor:"4,keyasint,omitempty"` // it understands joint changes of members
 }
 
 // Deliver carries messages of the agreement.
 type Deliver struct {
-	Messages []agreement.Message `cbor:"1,keyasint"`
-	From     agreement.ID        `cbor:"2,keyasint,omitempty"`
-	Addr     string              `cbor:"3,keyasint,omitempty"` // of the sender: one that just joins knows no other
+	Messages []raft.Message `cbor:"1,keyasint"`
+	From     raft.ID        `cbor:"2,keyasint,omitempty"`
+	Addr     string         `cbor:"3,keyasint,omitempty"` // of the sender: one that just joins knows no other
 	// Part is there in place of messages that are too large for one call, for a receiver
 	// that has said that it takes parts. One of before would take it for an empty call.
 	Part *Part `cbor:"4,keyasint,omitempty"`
--- a/cmd/elmspan-lab/core.go
+++ b/cmd/elmspan-lab/core.go
@@ -4,11 +4,11 @@
 	"context"
 	"os"
 
-	"example.org/elmspan/coreload"
+	"example.org/elmspan/lab/controlbench"
 )
 
 type coreCmd struct {
-	coreload.Spec
+	controlbench.Spec
 	Program string `help:"The program whose processes are measured." default:"target/elmspan" type:"existingfile"`
 	Dir     string `help:"Folder for settings, data and logs; a new one below the system's for such where left out." placeholder:"DIR"`
 }
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := coreload.Run(ctx, c.Spec, []string{c.Program, "gateway"}, dir)
+	r, err := controlbench.Run(ctx, c.Spec, []string{c.Program, "gateway"}, dir)
 	if r != nil && len(r.Phases) > 0 {
 		r.Write(os.Stdout) // what was measured before it failed, too
 	}
@@ -27,7 +27,7 @@
 }
 
 type addedCmd struct {
-	coreload.AddedSpec
+	controlbench.AddedSpec
 	Program string `help:"The program whose processes are measured." default:"target/elmspan" type:"existingfile"`
 	Dir     string `help:"Folder for settings, data and logs; a new one below the system's for such where left out." placeholder:"DIR"`
 }
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := coreload.Added(ctx, c.AddedSpec, []string{c.Program, "gateway"}, dir)
+	r, err := controlbench.Added(ctx, c.AddedSpec, []string{c.Program, "gateway"}, dir)
 	if err == nil {
 		r.Write(os.Stdout)
 	}
--- a/cmd/elmspan-lab/hollow.go
+++ b/cmd/elmspan-lab/hollow.go
@@ -3,7 +3,7 @@
 import (
 	"os"
 
-	"example.org/elmspan/coreload/hollow"
+	"example.org/elmspan/lab/controlbench/hollow"
 )
 
 type hollowCmd struct{ hollow.Spec }
--- a/cmd/elmspan-lab/load.go
+++ b/cmd/elmspan-lab/load.go
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
-	"example.org/elmspan/emulator"
 	"example.org/elmspan/internal/backoff"
-	"example.org/elmspan/judge"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/emulator"
+	"example.org/elmspan/lab/scenario"
 )
 
 // Target is a running system.
@@ -135,8 +135,8 @@
 // send sends what is due, each at its time, and reports.
 func (t *Target) send(ctx context.Context, day *scenario.Day, all []sending) error {
 	begun := time.Now()
-	ledger := judge.New(scenario.Retries{}, func() time.Duration { return time.Since(begun) })
-	tally := judge.NewTally(day)
+	ledger := checker.New(scenario.Retries{}, func() time.Duration { return time.Since(begun) })
+	tally := checker.NewTally(day)
 	client := emulator.NewClient(t.Host, t.Front, day.Seed)
 	defer client.Close()
 	var tasks sync.WaitGroup
--- a/cmd/elmspan-lab/main.go
+++ b/cmd/elmspan-lab/main.go
@@ -22,9 +22,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"example.org/elmspan/plots"
-	"example.org/elmspan/scenario"
-	"example.org/elmspan/simulation"
+	"example.org/elmspan/lab/plots"
+	"example.org/elmspan/lab/scenario"
+	"example.org/elmspan/lab/simulation"
 )
 
 type commands struct {
--- a/cmd/elmspan/check.go
+++ b/cmd/elmspan/check.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/scenario"
 	"example.org/elmspan/settings"
 )
 
--- a/cmd/elmspan/config.go
+++ b/cmd/elmspan/config.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/internal/durable"
+	"example.org/elmspan/internal/atomicfile"
 )
 
 type configCmd struct {
@@ -68,7 +68,7 @@
 		return err
 	}
 	if c.Out != "" {
-		return durable.WriteFile(c.Out, data, 0o600) // it holds keys
+		return atomicfile.WriteFile(c.Out, data, 0o600) // it holds keys
 	}
 	var any map[string]any
 	m, err := cbor.DecOptions{DefaultMapType: nil}.DecMode()
--- a/cmd/elmspan/main.go
+++ b/cmd/elmspan/main.go
@@ -21,7 +21,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/willabides/kongplete"
 
-	"example.org/elmspan/internal/logbound"
+	"example.org/elmspan/internal/loglimit"
 	"example.org/elmspan/process"
 	"example.org/elmspan/settings"
 	"example.org/elmspan/telemetry"
@@ -112,7 +112,7 @@
 	if c.LogJSON || tune.Log.Format == "json" {
 		handler = slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level})
 	}
-	handler = logbound.New(handler, time.Duration(tune.Log.RepeatS*float64(time.Second)), time.Now)
+	handler = loglimit.New(handler, time.Duration(tune.Log.RepeatS*float64(time.Second)), time.Now)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	p, err := process.New(process.Options{Settings: c.Settings, Tuning: c.Tuning, Tune: tune, Log: slog.New(handler), Level: follow})
--- a/cmd/elmspan/state.go
+++ b/cmd/elmspan/state.go
@@ -7,9 +7,9 @@
 	"os"
 	"path/filepath"
 
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/controlplane"
-	"example.org/elmspan/internal/durable"
+	"example.org/elmspan/internal/atomicfile"
+	"example.org/elmspan/raft/storage"
 	"example.org/elmspan/settings"
 )
 
@@ -33,7 +33,7 @@
 	if c.Control != "" {
 		data, err = c.call(http.MethodGet, c.Control, "/v1/State.Export", nil, nil)
 	} else {
-		err = withStore(c.Data, func(s *logstore.Store) error {
+		err = withStore(c.Data, func(s *storage.Store) error {
 			_, _, state, err := controlplane.Inspect(s)
 			if err == nil {
 				data, err = controlplane.Export(state)
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	if err := durable.WriteFile(c.Out, data, 0o600); err != nil {
+	if err := atomicfile.WriteFile(c.Out, data, 0o600); err != nil {
 		return err
 	}
 	fmt.Printf("%s: revision %d, %d versions\n", c.Out, state.Revision, len(state.Versions()))
@@ -77,7 +77,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	err = withStore(node.DataDir, func(s *logstore.Store) error {
+	err = withStore(node.DataDir, func(s *storage.Store) error {
 		return controlplane.Restore(s, node.InternalAddr(), node.SeedAddrs(), state)
 	})
 	if err == nil {
@@ -107,7 +107,7 @@
 		}
 		return err
 	}
-	return withStore(c.Path, func(s *logstore.Store) error {
+	return withStore(c.Path, func(s *storage.Store) error {
 		id, st, state, err := controlplane.Inspect(s)
 		if err != nil {
 			return err
@@ -127,8 +127,8 @@
 }
 
 // withStore opens the log in a data folder.
-func withStore(dir string, do func(*logstore.Store) error) error {
-	s, err := logstore.Open(filepath.Join(dir, "log"))
+func withStore(dir string, do func(*storage.Store) error) error {
+	s, err := storage.Open(filepath.Join(dir, "log"))
 	if err != nil {
 		return err
 	}
--- a/cmd/elmspan/state_test.go
+++ b/cmd/elmspan/state_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
 	"example.org/elmspan/controlplane"
+	"example.org/elmspan/raft/storage"
 )
 
 // What one machine's disk holds is exported, checked, and begins a core on an
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	_, first := node("first", "127.0.0.1", true)
-	err = withStore(first, func(s *logstore.Store) error {
+	err = withStore(first, func(s *storage.Store) error {
 		return controlplane.Restore(s, "127.0.0.1:7000", []string{"127.0.0.1:7000"}, &controlplane.State{Revision: 5, Plain: conf})
 	})
 	if err != nil {
@@ -67,7 +67,7 @@
 	if (&stateImport{File: file, Settings: none}).Run() == nil {
 		t.Error("at a machine that is none of the core")
 	}
-	err = withStore(empty, func(s *logstore.Store) error {
+	err = withStore(empty, func(s *storage.Store) error {
 		if id, err := s.Identity(); err != nil || id != 0 {
 			t.Errorf("something was written: %x, %v", uint64(id), err)
 		}
--- a/cmd/elmspan/tools.go
+++ b/cmd/elmspan/tools.go
@@ -11,8 +11,8 @@
 	"runtime/debug"
 	"syscall"
 
-	"example.org/elmspan/emulator"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/emulator"
+	"example.org/elmspan/lab/scenario"
 	"example.org/elmspan/telemetry"
 )
 
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -13,10 +13,10 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement"
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
+	"example.org/elmspan/raft"
+	"example.org/elmspan/raft/storage"
+	"example.org/elmspan/versioned"
 )
 
 const (
@@ -38,28 +38,28 @@
 	Seed      uint64
 }
 
-// Store keeps a member's promises: a [logstore.Store], which says what each error means.
+// Store keeps a member's promises: a [storage.Store], which says what each error means.
 type Store interface {
-	Identity() (agreement.ID, error)
-	Begin(agreement.ID, agreement.Snapshot) error
-	Load() (agreement.Stored, error)
-	Save(agreement.Ready) error
-	Compact(agreement.Snapshot) error
+	Identity() (raft.ID, error)
+	Begin(raft.ID, raft.Snapshot) error
+	Load() (raft.Stored, error)
+	Save(raft.Ready) error
+	Compact(raft.Snapshot) error
 }
 
-// Core is one member of the core: the host of an [agreement.Node].
+// Core is one member of the core: the host of an [raft.Node].
 type Core struct {
 	cfg CoreConfig
-	id  agreement.ID
+	id  raft.ID
 
 	mu sync.Mutex
 	register
 	changed chan struct{} // closed at news for limiters
 	heard   chan struct{} // closed when a round of heartbeats is confirmed
 	rounds  uint64        // confirmed when heard was last closed
-	role    agreement.Role
-	leader  agreement.ID
-	configs changes.Table    // the rows of the configuration
+	role    raft.Role
+	leader  raft.ID
+	configs versioned.Table  // the rows of the configuration
 	split   *api.ConfigSplit // ... as they stood in it; nil: none was taken yet
 	checked *checked         // what an operator brought last
 	servers serverList
@@ -71,7 +71,7 @@
 	carrying bool
 	writing  bool
 	writes   int
-	withheld []agreement.Message // until what they promise is on disk
+	withheld []raft.Message // until what they promise is on disk
 	// diskDown: nothing is promised or answered, as the disk takes no writes or, where
 	// halted says why, as this member can't carry on what the others agreed on.
 	diskDown bool
@@ -83,16 +83,16 @@
 	encoded  int      // snapshots made
 	lanes    map[laneKey]*lane
 	within   func(bytes int) time.Duration // how long a call with so much may take
-	parted   map[agreement.ID]bool         // members that take messages in parts
-	partly   map[agreement.ID]*parts       // what has come of some
-	addrs    map[agreement.ID]string       // of those who sent something, for answers to them
+	parted   map[raft.ID]bool              // members that take messages in parts
+	partly   map[raft.ID]*parts            // what has come of some
+	addrs    map[raft.ID]string            // of those who sent something, for answers to them
 	ctx      context.Context
 	tasks    sync.WaitGroup
 }
 
 // BootstrapID is the id of a first voter: all derive it from its address.
-func BootstrapID(addr string) agreement.ID {
-	return agreement.ID(xxhash.Sum64String("bootstrap/"+addr) | 1)
+func BootstrapID(addr string) raft.ID {
+	return raft.ID(xxhash.Sum64String("bootstrap/"+addr) | 1)
 }
 
 // NewCore opens the state on disk, or begins one: as a first voter where the
@@ -104,13 +104,13 @@
 		return nil, err
 	}
 	if id == 0 {
-		var first agreement.Snapshot
+		var first raft.Snapshot
 		if cfg.Bootstrap {
 			for _, a := range cfg.Seeds {
-				first.Members = append(first.Members, agreement.Member{ID: BootstrapID(a), Addr: a, Voter: true})
+				first.Members = append(first.Members, raft.Member{ID: BootstrapID(a), Addr: a, Voter: true})
 			}
 		}
-		if id = agreement.ID(rand.Uint64() &^ 1); cfg.Bootstrap && slices.Contains(cfg.Seeds, cfg.Addr) {
+		if id = raft.ID(rand.Uint64() &^ 1); cfg.Bootstrap && slices.Contains(cfg.Seeds, cfg.Addr) {
 			id = BootstrapID(cfg.Addr)
 		}
 		if err := cfg.Store.Begin(id, first); err != nil {
@@ -122,13 +122,13 @@
 		return nil, err
 	}
 	c := &Core{cfg: cfg, id: id, register: register{calls: map[uint64]*pending{}}, keeper: keeper{wanted: cfg.Voters}, changed: make(chan struct{}), heard: make(chan struct{}),
-		lanes: map[laneKey]*lane{}, within: deliverWithin, parted: map[agreement.ID]bool{}, partly: map[agreement.ID]*parts{}, addrs: map[agreement.ID]string{}}
+		lanes: map[laneKey]*lane{}, within: deliverWithin, parted: map[raft.ID]bool{}, partly: map[raft.ID]*parts{}, addrs: map[raft.ID]string{}}
 	d, err := decode(&st.Snapshot)
 	if err != nil {
-		return nil, fmt.Errorf("%w: snapshot: %v", logstore.ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: snapshot: %v", storage.ErrCorrupt, err)
 	}
 	c.takeOver(d)
-	c.node = agreement.New(agreement.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: cfg.Seed, Check: c.check}, st)
+	c.node = raft.New(raft.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: cfg.Seed, Check: c.check}, st)
 	cfg.Log.Info("core member", "id", fmt.Sprintf("%x", uint64(id)), "entries", len(st.Entries), "term", st.Hard.Term,
 		"revision", c.state.Revision, "members", len(st.Snapshot.Members))
 	return c, nil
@@ -150,7 +150,7 @@
 }
 
 // decode reads a snapshot whole, down to what limiters are told of it.
-func decode(s *agreement.Snapshot) (d *decoded, err error) {
+func decode(s *raft.Snapshot) (d *decoded, err error) {
 	d = &decoded{index: s.Index, term: s.Term}
 	if len(s.Data) == 0 {
 		return d, nil
@@ -191,7 +191,7 @@
 
 // check tells whether a snapshot can be taken over. A member that went on without
 // would answer from an older state, and might lead with it.
-func (c *Core) check(s *agreement.Snapshot) error {
+func (c *Core) check(s *raft.Snapshot) error {
 	d, err := decode(s)
 	if err != nil {
 		if c.unread != s.Index {
@@ -230,7 +230,7 @@
 // amnesia ends this member's part where an error tells that its store has lost what was
 // promised.
 func (c *Core) amnesia(err error) bool {
-	if !errors.Is(err, logstore.ErrCorrupt) {
+	if !errors.Is(err, storage.ErrCorrupt) {
 		return false
 	}
 	c.lost = err
@@ -239,7 +239,7 @@
 }
 
 // Run takes part until the context ends; then it hands leadership on. Where the store
-// loses something meanwhile it returns [logstore.ErrCorrupt] at once: the member must
+// loses something meanwhile it returns [storage.ErrCorrupt] at once: the member must
 // not go on, as it can't tell what it has promised, and one with a new id begins in its
 // place.
 func (c *Core) Run(ctx context.Context) error {
@@ -276,7 +276,7 @@
 			c.tasks.Wait()
 			return err
 		}
-		stray := c.node.Leader() == 0 || !slices.ContainsFunc(c.node.Members(), func(m agreement.Member) bool { return m.ID == c.id })
+		stray := c.node.Leader() == 0 || !slices.ContainsFunc(c.node.Members(), func(m raft.Member) bool { return m.ID == c.id })
 		ask := stray && !c.diskDown && c.ticks%8 == 0
 		c.mu.Unlock()
 		if ask {
@@ -289,7 +289,7 @@
 // disk: a candidate would begin another election before its vote for itself is stored.
 func (c *Core) tick() {
 	c.watchDisk()
-	if !c.diskDown && (!c.writing || c.node.Role() == agreement.Leader) {
+	if !c.diskDown && (!c.writing || c.node.Role() == raft.Leader) {
 		c.node.Tick()
 	}
 }
@@ -306,7 +306,7 @@
 // disk or is to be applied is left to a task; see carry.
 func (c *Core) process() {
 	if c.halted == "" && c.node.Forgot() {
-		c.amnesia(fmt.Errorf("%w: it is one of earlier, and lacks what was acknowledged to the leader", logstore.ErrCorrupt))
+		c.amnesia(fmt.Errorf("%w: it is one of earlier, and lacks what was acknowledged to the leader", storage.ErrCorrupt))
 	}
 	for c.halted == "" && (c.ctx == nil || c.ctx.Err() == nil) {
 		r := c.node.Ready()
@@ -341,7 +341,7 @@
 	}
 }
 
-func (c *Core) enqueueAll(ms []agreement.Message) {
+func (c *Core) enqueueAll(ms []raft.Message) {
 	for _, m := range ms {
 		c.enqueue(m)
 	}
@@ -350,18 +350,18 @@
 // sendFree sends of what a Ready has those messages that promise nothing which is not on
 // disk yet; the others are kept until what comes with them is. A leader's own messages
 // are free: it counts toward a majority only what it has stored itself.
-func (c *Core) sendFree(r *agreement.Ready) {
+func (c *Core) sendFree(r *raft.Ready) {
 	unsaved := r.Hard != nil || r.Snapshot != nil
 	for _, m := range r.Messages {
-		free := c.node.Role() == agreement.Leader ||
-			m.Kind == agreement.AppendReply && (m.Reject || len(r.Entries) == 0 || m.Index < r.Entries[0].Index)
+		free := c.node.Role() == raft.Leader ||
+			m.Kind == raft.AppendReply && (m.Reject || len(r.Entries) == 0 || m.Index < r.Entries[0].Index)
 		if free && !unsaved {
 			c.enqueue(m)
 		} else {
 			c.withheld = append(c.withheld, m)
 		}
 	}
-	c.node.Advance(agreement.Ready{Messages: r.Messages})
+	c.node.Advance(raft.Ready{Messages: r.Messages})
 }
 
 // carry carries out what the node has ready, one batch after the other: store, then send,
@@ -388,7 +388,7 @@
 }
 
 // carryOut carries out one batch; false: it goes no further now.
-func (c *Core) carryOut(r agreement.Ready) bool {
+func (c *Core) carryOut(r raft.Ready) bool {
 	c.sendFree(&r)
 	due := c.withheld // with this batch on disk all of them hold
 	c.withheld = nil
@@ -414,7 +414,7 @@
 	if r.Snapshot != nil && !c.restore(r.Snapshot) {
 		return false
 	}
-	c.node.Advance(agreement.Ready{Hard: r.Hard, Snapshot: r.Snapshot, Entries: r.Entries})
+	c.node.Advance(raft.Ready{Hard: r.Hard, Snapshot: r.Snapshot, Entries: r.Entries})
 	return len(r.Committed) == 0 || c.applyAll(r.Committed)
 }
 
@@ -448,7 +448,7 @@
 }
 
 // restore takes a snapshot over that the node has installed, and tells those who wait.
-func (c *Core) restore(s *agreement.Snapshot) bool {
+func (c *Core) restore(s *raft.Snapshot) bool {
 	d := c.decoded
 	if d == nil || d.index != s.Index || d.term != s.Term {
 		var err error
@@ -477,7 +477,7 @@
 // of several at once, as after a start, the last alone. Its rows are made before, with
 // the mutex given up, and the batch is applied in one step. false: the configuration
 // can't be told; then nothing of the batch is applied, and this member is halted.
-func (c *Core) applyAll(es []agreement.Entry) bool {
+func (c *Core) applyAll(es []raft.Entry) bool {
 	split, delta, err := c.prepare(es)
 	if err != nil { // it was checked before it was proposed, by a member that could tell it
 		c.halt("a configuration that was agreed on can't be told", err)
@@ -491,14 +491,14 @@
 		c.configs.Apply(split.Revision, split.Rows, delta)
 		c.signal()
 	}
-	c.node.Advance(agreement.Ready{Committed: es})
+	c.node.Advance(raft.Ready{Committed: es})
 	c.hear()
 	return true
 }
 
 // prepare returns the configuration that there will be with entries applied, and how its
 // rows differ from those before; nil where they bring none. It gives the mutex up.
-func (c *Core) prepare(es []agreement.Entry) (split *api.ConfigSplit, delta changes.Delta, err error) {
+func (c *Core) prepare(es []raft.Entry) (split *api.ConfigSplit, delta versioned.Delta, err error) {
 	state, before, rows, known := c.state, c.split, c.configs.Rows(), c.checked
 	c.mu.Unlock()
 	defer c.mu.Lock()
@@ -516,12 +516,12 @@
 	} else if split, err = tabulate(&state, before); err != nil {
 		return nil, delta, fmt.Errorf("revision %d: %w", state.Revision, err)
 	}
-	return split, changes.Compare(rows, split.Rows), nil
+	return split, versioned.Compare(rows, split.Rows), nil
 }
 
 // apply carries out an entry that was agreed on, and tells whether it brought a
 // configuration.
-func (c *Core) apply(e agreement.Entry) (news bool) {
+func (c *Core) apply(e raft.Entry) (news bool) {
 	called := c.calls[e.Index] != nil
 	if news = c.register.apply(e); news {
 		c.cfg.Log.Info("configuration taken", "revision", c.state.Revision, "index", e.Index)
@@ -561,12 +561,12 @@
 		c.role, c.leader = c.node.Role(), c.node.Leader()
 		clear(c.partly) // another leader begins anew
 		c.cfg.Log.Info("role", "role", c.role.String(), "term", c.node.Term(), "leader", fmt.Sprintf("%x", uint64(c.leader)))
-		if c.role == agreement.Leader {
+		if c.role == raft.Leader {
 			c.servers.lead()
 		}
 		c.signal()
 	}
-	if k := c.node.Confirmed(); c.role == agreement.Leader && k != c.rounds {
+	if k := c.node.Confirmed(); c.role == raft.Leader && k != c.rounds {
 		c.rounds = k
 		c.hear()
 	}
--- a/controlplane/core_test.go
+++ b/controlplane/core_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement"
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
+	"example.org/elmspan/raft/storage"
 )
 
 const patience = 30 * time.Second // of the bubble's clock
@@ -37,7 +37,7 @@
 
 func (c *cluster) startOn(addr, dir string, l net.Listener, bootstrap bool) {
 	c.t.Helper()
-	store, err := logstore.Open(dir)
+	store, err := storage.Open(dir)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -161,8 +161,8 @@
 		back.mu.Lock()
 		defer back.mu.Unlock()
 		ms := back.node.Members()
-		votes := slices.ContainsFunc(ms, func(m agreement.Member) bool { return m.ID == back.id && m.Voter })
-		old := slices.ContainsFunc(ms, func(m agreement.Member) bool { return m.ID == l0 })
+		votes := slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == back.id && m.Voter })
+		old := slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == l0 })
 		return votes && !old && back.state.Revision == 9
 	})
 	c.stops[c.addrs[1]]() // the other two go on
--- a/controlplane/corehistory_test.go
+++ b/controlplane/corehistory_test.go
@@ -18,9 +18,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"google.golang.org/grpc"
 
-	"example.org/elmspan/agreement"
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
+	"example.org/elmspan/raft/storage"
 )
 
 var coreSeeds = flag.Uint64("core.seeds", 24, "runs of TestCoresUnderFaults")
@@ -44,7 +44,7 @@
 	links   map[[2]string]*trouble
 	told    map[uint64]map[uint64]uint64 // by the leader of a term: the terms of entries
 	agreed  uint64                       // the highest index that a leader has told to be
-	stores  map[agreement.ID]*platter    // all that ever were
+	stores  map[raft.ID]*platter         // all that ever were
 	chain   []taken
 	orders  map[fingerprint]input
 	refused map[fingerprint]bool
@@ -75,8 +75,8 @@
 
 // platter is what a store keeps over a loss of power.
 type platter struct {
-	id     agreement.ID
-	stored agreement.Stored
+	id     raft.ID
+	stored raft.Stored
 }
 
 // holds tells whether an entry is stored.
@@ -96,7 +96,7 @@
 	core    *Core
 	ctx     context.Context
 	over    context.CancelFunc // power is lost
-	pending *agreement.Stored  // what a write is to leave, while it is under way
+	pending *raft.Stored       // what a write is to leave, while it is under way
 	ended   chan struct{}      // Run has returned
 	err     error              // ... with this
 	stop    func()
@@ -106,7 +106,7 @@
 
 func newCoreWorld(t *testing.T, seed uint64, machines int) *coreWorld {
 	w := &coreWorld{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 21)), net: newNetwork(), links: map[[2]string]*trouble{},
-		told: map[uint64]map[uint64]uint64{}, stores: map[agreement.ID]*platter{}, orders: map[fingerprint]input{}, refused: map[fingerprint]bool{}}
+		told: map[uint64]map[uint64]uint64{}, stores: map[raft.ID]*platter{}, orders: map[fingerprint]input{}, refused: map[fingerprint]bool{}}
 	for i := range machines {
 		w.machines = append(w.machines, &coreMachine{addr: w.net.addr(), rng: rand.New(rand.NewPCG(seed, 100+uint64(i))), platter: &platter{}})
 	}
@@ -157,7 +157,7 @@
 	}
 	if w.seed%2 == 0 { // snapshots, often
 		st, _ := l.Load()
-		core.node = agreement.New(agreement.Config{ID: core.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: cfg.Seed,
+		core.node = raft.New(raft.Config{ID: core.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: cfg.Seed,
 			Check: core.check, LogEntries: 12, TailEntries: 3}, st)
 	}
 	l.core = core
@@ -210,18 +210,18 @@
 // Called under the mutex.
 func (w *coreWorld) forget(m *coreMachine) {
 	w.seen.lost++
-	m.corrupt, m.platter = false, &platter{id: agreement.ID(w.seed<<20 + uint64(w.seen.lost)*2 + 1<<40)}
+	m.corrupt, m.platter = false, &platter{id: raft.ID(w.seed<<20 + uint64(w.seen.lost)*2 + 1<<40)}
 }
 
 // ---- The store ----
 
-func (l *life) Identity() (agreement.ID, error) {
+func (l *life) Identity() (raft.ID, error) {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
 	return l.p.id, nil
 }
 
-func (l *life) Load() (agreement.Stored, error) {
+func (l *life) Load() (raft.Stored, error) {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
 	st := l.p.stored
@@ -229,11 +229,11 @@
 	return st, nil
 }
 
-func (l *life) Begin(id agreement.ID, first agreement.Snapshot) error {
-	return l.write(func(p *platter) { *p = platter{id: id, stored: agreement.Stored{Snapshot: first}} })
+func (l *life) Begin(id raft.ID, first raft.Snapshot) error {
+	return l.write(func(p *platter) { *p = platter{id: id, stored: raft.Stored{Snapshot: first}} })
 }
 
-func (l *life) Save(r agreement.Ready) error {
+func (l *life) Save(r raft.Ready) error {
 	return l.write(func(p *platter) {
 		s := &p.stored
 		if r.Hard != nil {
@@ -249,7 +249,7 @@
 	})
 }
 
-func (l *life) Compact(snap agreement.Snapshot) error {
+func (l *life) Compact(snap raft.Snapshot) error {
 	return l.write(func(p *platter) {
 		if s := &p.stored; snap.Index > s.Snapshot.Index {
 			s.Entries, s.Snapshot = slices.Clone(s.Entries[snap.Index-s.Snapshot.Index:]), snap
@@ -286,7 +286,7 @@
 	case l.ctx.Err() != nil: // powerOff has decided what is kept
 		return errPower
 	case corrupt && m.corrupt:
-		return fmt.Errorf("%w: something promised is gone", logstore.ErrCorrupt)
+		return fmt.Errorf("%w: something promised is gone", storage.ErrCorrupt)
 	case fails && !kept:
 		return errDisk
 	}
@@ -357,11 +357,11 @@
 		if l.pending != nil {
 			w.seen.beside++
 		}
-		if why := w.promises(l.p, m, role == agreement.Candidate && m.Term == term); why != "" {
+		if why := w.promises(l.p, m, role == raft.Candidate && m.Term == term); why != "" {
 			w.failed("%x: %s leaves, and its store holds term %d, vote %x, up to %d: %+v", uint64(l.p.id), why,
 				l.p.stored.Hard.Term, uint64(l.p.stored.Hard.Vote), l.p.stored.Snapshot.Index+uint64(len(l.p.stored.Entries)), m)
 		}
-		if m.Kind == agreement.Append && m.Commit > w.agreed && role == agreement.Leader && m.Term == term {
+		if m.Kind == raft.Append && m.Commit > w.agreed && role == raft.Leader && m.Term == term {
 			w.majority(m, sets)
 		}
 	}
@@ -371,9 +371,9 @@
 // an earlier term than the stored one is none any more: its batch may hold what came after.
 // Nor is the log of one that is no candidate any more: it counts no votes, and the leader
 // of its term may have had it cut off its log's end in the same batch.
-func (w *coreWorld) promises(p *platter, m *agreement.Message, stands bool) (why string) {
+func (w *coreWorld) promises(p *platter, m *raft.Message, stands bool) (why string) {
 	hard := p.stored.Hard
-	if m.Kind != agreement.PreVote && (m.Kind != agreement.PreVoteReply || m.Reject) && m.Term > hard.Term {
+	if m.Kind != raft.PreVote && (m.Kind != raft.PreVoteReply || m.Reject) && m.Term > hard.Term {
 		return "a term"
 	}
 	terms := w.told[m.Term]
@@ -388,24 +388,24 @@
 		terms[index] = term
 	}
 	switch m.Kind {
-	case agreement.Append:
+	case raft.Append:
 		if m.LogTerm > 0 {
 			tell(m.Index, m.LogTerm)
 		}
 		for _, e := range m.Entries {
 			tell(e.Index, e.Term)
 		}
-	case agreement.Piece, agreement.Install:
+	case raft.Piece, raft.Install:
 		tell(m.Snapshot.Index, m.Snapshot.Term)
-	case agreement.Vote:
+	case raft.Vote:
 		if m.Term == hard.Term && (hard.Vote != m.From || stands && !p.holds(m.Index, m.LogTerm)) {
 			return "a candidate's word"
 		}
-	case agreement.VoteReply:
+	case raft.VoteReply:
 		if !m.Reject && m.Term == hard.Term && hard.Vote != m.To {
 			return "a vote"
 		}
-	case agreement.AppendReply:
+	case raft.AppendReply:
 		if m.Reject || m.Term != hard.Term || m.Index == 0 {
 			return ""
 		}
@@ -420,7 +420,7 @@
 }
 
 // majority holds what a leader tells to be agreed, for the first time, against the stores.
-func (w *coreWorld) majority(m *agreement.Message, members []agreement.Member) {
+func (w *coreWorld) majority(m *raft.Message, members []raft.Member) {
 	t, known := w.told[m.Term][m.Commit]
 	if !known {
 		return
@@ -614,7 +614,7 @@
 		w.look(l)
 		select {
 		case <-l.ended:
-			if !errors.Is(l.err, logstore.ErrCorrupt) {
+			if !errors.Is(l.err, storage.ErrCorrupt) {
 				w.fail("Run ends with %v, %s", l.err, l.core.halted)
 				return
 			}
@@ -632,7 +632,7 @@
 
 // whole tells that all members are there and at one on who they are: a store can be lost.
 func (w *coreWorld) whole() bool {
-	var ids []agreement.ID
+	var ids []raft.ID
 	var lives []*life
 	w.mu.Lock()
 	ok := true
@@ -647,13 +647,13 @@
 	if !ok {
 		return false
 	}
-	var leader agreement.ID
+	var leader raft.ID
 	for _, l := range lives {
 		l.core.mu.Lock()
 		ms, of, changing := l.core.node.Members(), l.core.node.Leader(), l.core.node.Changing()
 		l.core.mu.Unlock()
 		if of == 0 || leader != 0 && of != leader || changing || len(ms) != len(w.machines) ||
-			slices.ContainsFunc(ms, func(x agreement.Member) bool { return !x.Voter || !slices.Contains(ids, x.ID) }) {
+			slices.ContainsFunc(ms, func(x raft.Member) bool { return !x.Voter || !slices.Contains(ids, x.ID) }) {
 			return false
 		}
 		leader = of
--- a/controlplane/cutoff_test.go
+++ b/controlplane/cutoff_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft/storage"
 )
 
 const (
@@ -145,7 +145,7 @@
 
 func (c *cutCore) start(addr string) {
 	c.t.Helper()
-	store, err := logstore.Open(c.dirs[addr])
+	store, err := storage.Open(c.dirs[addr])
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/controlplane/disk_test.go
+++ b/controlplane/disk_test.go
@@ -6,8 +6,8 @@
 	"errors"
 	"testing"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
 )
 
 // slowDisk is a member whose writes wait until the test lets them go on; what it sends is
@@ -22,7 +22,7 @@
 }
 
 // Save waits for the test.
-func (d *slowDisk) Save(r agreement.Ready) error {
+func (d *slowDisk) Save(r raft.Ready) error {
 	select {
 	case d.entered <- struct{}{}:
 	case <-d.over:
@@ -39,14 +39,14 @@
 }
 
 func newSlowDisk(t *testing.T) *slowDisk {
-	c, store, err := openMember(t, agreement.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, store, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &slowDisk{c, store, t, make(chan struct{}), make(chan error), make(chan struct{})}
 	c.cfg.Store = d
 	c.ctx = t.Context()
-	for _, to := range []agreement.ID{2, 3} {
+	for _, to := range []raft.ID{2, 3} {
 		for _, bulk := range []bool{false, true} {
 			c.lanes[laneKey{to, bulk}] = &lane{q: queue{bulk: bulk}, wake: make(chan struct{}, 1)}
 		}
@@ -59,7 +59,7 @@
 }
 
 // get has messages of member 2 come.
-func (d *slowDisk) get(ms ...agreement.Message) {
+func (d *slowDisk) get(ms ...raft.Message) {
 	d.t.Helper()
 	for i := range ms {
 		ms[i].From, ms[i].To, ms[i].Term = 2, 1, cmp.Or(ms[i].Term, 4)
@@ -70,7 +70,7 @@
 }
 
 // sent takes what waits to be sent to member 2.
-func (d *slowDisk) sent() (out []agreement.Message) {
+func (d *slowDisk) sent() (out []raft.Message) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, bulk := range []bool{false, true} {
@@ -100,8 +100,8 @@
 	}
 }
 
-func entry(index, term uint64, data []byte) agreement.Message {
-	return agreement.Message{Kind: agreement.Append, Index: index - 1, LogTerm: 1, Entries: []agreement.Entry{{Index: index, Term: term, Data: data}}}
+func entry(index, term uint64, data []byte) raft.Message {
+	return raft.Message{Kind: raft.Append, Index: index - 1, LogTerm: 1, Entries: []raft.Entry{{Index: index, Term: term, Data: data}}}
 }
 
 // While a follower waits for its disk it answers heartbeats and callers; what it has been
@@ -109,7 +109,7 @@
 func TestHeartbeatsDoNotWaitForTheDisk(t *testing.T) {
 	t.Parallel()
 	d := newSlowDisk(t)
-	beat := agreement.Message{Kind: agreement.Append, Index: 5, LogTerm: 1, Round: 3}
+	beat := raft.Message{Kind: raft.Append, Index: 5, LogTerm: 1, Round: 3}
 	d.get(beat)
 	d.write(nil) // its new term
 	d.rest()
@@ -119,7 +119,7 @@
 	beat.Round = 4
 	d.get(beat)
 	out := d.sent()
-	if len(out) != 1 || out[0].Kind != agreement.AppendReply || out[0].Round != 4 || out[0].Index != 5 {
+	if len(out) != 1 || out[0].Kind != raft.AppendReply || out[0].Round != 4 || out[0].Index != 5 {
 		t.Errorf("while the disk writes: %+v", out)
 	}
 	if s := d.Status(); s.Revision != 3 || s.DiskFails {
@@ -133,7 +133,7 @@
 	// A vote is a promise as well.
 	d.tick(2 * electionTicks) // else it stays with its leader
 	d.sent()
-	d.get(agreement.Message{Kind: agreement.Vote, Term: 9, Index: 6, LogTerm: 4, Force: true})
+	d.get(raft.Message{Kind: raft.Vote, Term: 9, Index: 6, LogTerm: 4, Force: true})
 	<-d.entered
 	if out = d.sent(); len(out) != 0 {
 		t.Errorf("before its vote is on disk: %+v", out)
@@ -146,7 +146,7 @@
 	d.tick(1)
 	d.write(nil)
 	d.rest()
-	if out = d.sent(); len(out) == 0 || out[0].Kind != agreement.VoteReply || out[0].Reject || d.Status().DiskFails {
+	if out = d.sent(); len(out) == 0 || out[0].Kind != raft.VoteReply || out[0].Reject || d.Status().DiskFails {
 		t.Errorf("when it has taken it: %+v", out)
 	}
 }
@@ -154,15 +154,15 @@
 // lead makes the member the leader of a term.
 func (d *slowDisk) lead() uint64 {
 	d.t.Helper()
-	for d.node.Role() != agreement.Candidate {
+	for d.node.Role() != raft.Candidate {
 		d.tick(1)
 	}
 	term := d.node.Term() + 1
-	d.get(agreement.Message{Kind: agreement.PreVoteReply, Term: term})
+	d.get(raft.Message{Kind: raft.PreVoteReply, Term: term})
 	d.write(nil)
 	d.rest()
-	d.get(agreement.Message{Kind: agreement.VoteReply, Term: term})
-	if d.node.Role() != agreement.Leader {
+	d.get(raft.Message{Kind: raft.VoteReply, Term: term})
+	if d.node.Role() != raft.Leader {
 		d.t.Fatal("it does not lead")
 	}
 	return term
@@ -180,7 +180,7 @@
 	for range 3 {
 		d.tick(heartbeatTicks)
 		for _, m := range d.sent() {
-			if m.Kind == agreement.Append && len(m.Entries) == 0 {
+			if m.Kind == raft.Append && len(m.Entries) == 0 {
 				beats++
 			}
 		}
@@ -189,7 +189,7 @@
 		t.Errorf("%d heartbeats while the disk writes", beats)
 	}
 	// Agreed on by the two others with it: the other's disk and, later, this one's.
-	reply := agreement.Message{Kind: agreement.AppendReply, Term: term, Index: 6, Round: 1 << 20}
+	reply := raft.Message{Kind: raft.AppendReply, Term: term, Index: 6, Round: 1 << 20}
 	d.get(reply)
 	if d.node.Applied() >= 6 {
 		t.Fatal("applied before it is on disk")
@@ -200,7 +200,7 @@
 		t.Errorf("answered before it is applied: %+v, %v", n, err)
 	}
 	d.tick(stallTicks)
-	if d.Leads() || d.node.Role() == agreement.Leader || !d.Status().DiskFails {
+	if d.Leads() || d.node.Role() == raft.Leader || !d.Status().DiskFails {
 		t.Error("it leads though its disk doesn't answer")
 	}
 	d.sent()
@@ -220,17 +220,17 @@
 func TestCandidateWaitsForItsDisk(t *testing.T) {
 	t.Parallel()
 	d := newSlowDisk(t)
-	for d.node.Role() != agreement.Candidate {
+	for d.node.Role() != raft.Candidate {
 		d.tick(1)
 	}
 	d.sent()
 	term := d.node.Term() + 1
-	d.get(agreement.Message{Kind: agreement.PreVoteReply, Term: term})
+	d.get(raft.Message{Kind: raft.PreVoteReply, Term: term})
 	<-d.entered
 	d.tick(stallTicks - 1)
 	d.result <- nil
 	d.rest()
-	if out := d.sent(); len(out) != 1 || out[0].Kind != agreement.Vote || out[0].Term != term || d.node.Term() != term {
+	if out := d.sent(); len(out) != 1 || out[0].Kind != raft.Vote || out[0].Term != term || d.node.Term() != term {
 		t.Errorf("term %d, not %d: %+v", d.node.Term(), term, out)
 	}
 }
--- a/controlplane/export.go
+++ b/controlplane/export.go
@@ -9,9 +9,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement"
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
+	"example.org/elmspan/raft/storage"
 )
 
 // An export is what the core agrees on, in one file: a line that names the format
@@ -88,7 +88,7 @@
 // Restore begins the state of a member in an empty store: as one of the first
 // voters, with a state that all of them begin with. The core that had it before
 // must be gone for good.
-func Restore(store *logstore.Store, addr string, seeds []string, s *State) error {
+func Restore(store *storage.Store, addr string, seeds []string, s *State) error {
 	if id, err := store.Identity(); err != nil {
 		return err
 	} else if id != 0 {
@@ -98,10 +98,10 @@
 	if err != nil {
 		return fmt.Errorf("controlplane: %w", err)
 	}
-	first := agreement.Snapshot{Index: 1, Term: 1, Data: data}
+	first := raft.Snapshot{Index: 1, Term: 1, Data: data}
 	is := false
 	for _, a := range seeds {
-		first.Members = append(first.Members, agreement.Member{ID: BootstrapID(a), Addr: a, Voter: true})
+		first.Members = append(first.Members, raft.Member{ID: BootstrapID(a), Addr: a, Voter: true})
 		is = is || a == addr
 	}
 	if !is {
@@ -112,7 +112,7 @@
 
 // Inspect reads what a member's store holds: its id, its members, and the state
 // with all of the log applied, which may have changes that were not acknowledged.
-func Inspect(store *logstore.Store) (id agreement.ID, st agreement.Stored, s *State, err error) {
+func Inspect(store *storage.Store) (id raft.ID, st raft.Stored, s *State, err error) {
 	if id, err = store.Identity(); err != nil {
 		return id, st, nil, err
 	}
@@ -122,7 +122,7 @@
 	s = &State{}
 	if len(st.Snapshot.Data) > 0 {
 		if err := cbor.Unmarshal(st.Snapshot.Data, s); err != nil {
-			return id, st, nil, fmt.Errorf("%w: snapshot: %v", logstore.ErrCorrupt, err)
+			return id, st, nil, fmt.Errorf("%w: snapshot: %v", storage.ErrCorrupt, err)
 		}
 	}
 	for _, e := range st.Entries {
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement"
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
+	"example.org/elmspan/raft/storage"
 )
 
 // bringVersions has versions 1 to n taken, each on top of the one before.
@@ -83,7 +83,7 @@
 	}
 	for _, a := range c.addrs {
 		dir := memory(t)
-		store, err := logstore.Open(dir)
+		store, err := storage.Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 	if _, err := Import(whole[:len(whole)-1]); !errors.Is(err, ErrExport) {
 		t.Errorf("a part of it: %v", err)
 	}
-	store, err := logstore.Open(memory(t))
+	store, err := storage.Open(memory(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,13 +172,13 @@
 	if err := os.Mkdir(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	store, err := logstore.Open(dir)
+	store, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
-	if err := errors.Join(store.Begin(7, agreement.Snapshot{Index: 3, Term: 2, Data: snapshot}),
-		store.Save(agreement.Ready{Hard: &agreement.HardState{Term: 2}, Entries: []agreement.Entry{{Index: 4, Term: 2, Data: old(4, 6)}}})); err != nil {
+	if err := errors.Join(store.Begin(7, raft.Snapshot{Index: 3, Term: 2, Data: snapshot}),
+		store.Save(raft.Ready{Hard: &raft.HardState{Term: 2}, Entries: []raft.Entry{{Index: 4, Term: 2, Data: old(4, 6)}}})); err != nil {
 		t.Fatal(err)
 	}
 	_, _, s, err := Inspect(store)
--- a/controlplane/faults_test.go
+++ b/controlplane/faults_test.go
@@ -11,21 +11,21 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement"
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
-	"example.org/elmspan/internal/pack"
+	"example.org/elmspan/internal/compression"
+	"example.org/elmspan/raft"
+	"example.org/elmspan/raft/storage"
 )
 
 // member opens a core member on a disk that holds a snapshot; its two peers are played by the test.
-func openMember(t *testing.T, first agreement.Snapshot) (*Core, *logstore.Store, error) {
+func openMember(t *testing.T, first raft.Snapshot) (*Core, *storage.Store, error) {
 	t.Helper()
-	store, err := logstore.Open(memory(t))
+	store, err := storage.Open(memory(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { store.Close() })
-	first.Members = []agreement.Member{{ID: 1, Addr: "a", Voter: true}, {ID: 2, Addr: "b", Voter: true}, {ID: 3, Addr: "c", Voter: true}}
+	first.Members = []raft.Member{{ID: 1, Addr: "a", Voter: true}, {ID: 2, Addr: "b", Voter: true}, {ID: 3, Addr: "c", Voter: true}}
 	if err := store.Begin(1, first); err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 // bad is a state that is well formed and can't be told to limiters: its configuration is cut off.
 func bad(t *testing.T, revision uint64) []byte {
 	t.Helper()
-	packed, err := pack.Pack(config(t, revision)[:10])
+	packed, err := compression.Pack(config(t, revision)[:10])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,11 +66,11 @@
 func TestUnreadableStateOnDisk(t *testing.T) {
 	t.Parallel()
 	for name, data := range map[string][]byte{"not CBOR": {0xff, 1, 2}, "no configuration in it": bad(t, 3), "cut off": good(t, 3)[:20]} {
-		if _, _, err := openMember(t, agreement.Snapshot{Index: 5, Term: 1, Data: data}); !errors.Is(err, logstore.ErrCorrupt) {
+		if _, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: data}); !errors.Is(err, storage.ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	c, _, err := openMember(t, agreement.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
 	if err != nil || c.state.Revision != 3 || c.configs.Version() != 3 {
 		t.Errorf("one that can be read: %v", err)
 	}
@@ -81,11 +81,11 @@
 // state, stored the snapshot, and went on.)
 func TestUnreadableSnapshotIsRefused(t *testing.T) {
 	t.Parallel()
-	c, store, err := openMember(t, agreement.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, store, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	deliver := func(ms ...agreement.Message) {
+	deliver := func(ms ...raft.Message) {
 		t.Helper()
 		for i := range ms {
 			ms[i].From, ms[i].To, ms[i].Term = 2, 1, 4
@@ -95,16 +95,16 @@
 		}
 	}
 	install := func(index uint64, data []byte, inPieces bool) {
-		s := agreement.Snapshot{Index: index, Term: 4, Members: c.node.Members(), Data: data}
+		s := raft.Snapshot{Index: index, Term: 4, Members: c.node.Members(), Data: data}
 		if !inPieces {
-			deliver(agreement.Message{Kind: agreement.Install, Snapshot: &s})
+			deliver(raft.Message{Kind: raft.Install, Snapshot: &s})
 			return
 		}
 		half := len(data) / 2
 		for _, r := range [][2]int{{0, half}, {half, len(data)}} {
 			p := s
 			p.Data = data[r[0]:r[1]]
-			deliver(agreement.Message{Kind: agreement.Piece, Snapshot: &p, Offset: uint64(r[0]), Size: uint64(len(data)), Sum: xxhash.Sum64(data)})
+			deliver(raft.Message{Kind: raft.Piece, Snapshot: &p, Offset: uint64(r[0]), Size: uint64(len(data)), Sum: xxhash.Sum64(data)})
 		}
 	}
 	for i, inPieces := range []bool{false, true} {
@@ -128,11 +128,11 @@
 // gave limiters the older rows under a lease, and could lead.)
 func TestMemberThatCanNotApplyHalts(t *testing.T) {
 	t.Parallel()
-	c, _, err := openMember(t, agreement.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	packed, err := pack.Pack(config(t, 7)[:10])
+	packed, err := compression.Pack(config(t, 7)[:10])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,22 +140,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	step := func(m agreement.Message) {
+	step := func(m raft.Message) {
 		m.From, m.To, m.Term = 2, 1, 4
-		if _, err := c.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: []agreement.Message{m}}); err != nil {
+		if _, err := c.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: []raft.Message{m}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	step(agreement.Message{Kind: agreement.Append, Index: 5, LogTerm: 1, Commit: 6, Entries: []agreement.Entry{{Index: 6, Term: 4, Data: data}}})
+	step(raft.Message{Kind: raft.Append, Index: 5, LogTerm: 1, Commit: 6, Entries: []raft.Entry{{Index: 6, Term: 4, Data: data}}})
 	s := c.Status()
-	if s.Halted == "" || s.Revision != 3 || s.Role == agreement.Leader.String() || c.node.Applied() != 5 {
+	if s.Halted == "" || s.Revision != 3 || s.Role == raft.Leader.String() || c.node.Applied() != 5 {
 		t.Errorf("%+v", s)
 	}
-	step(agreement.Message{Kind: agreement.Campaign})
+	step(raft.Message{Kind: raft.Campaign})
 	for range 100 {
 		c.process()
 	}
-	if c.node.Role() == agreement.Leader || c.node.Term() != 4 || c.halted == "" {
+	if c.node.Role() == raft.Leader || c.node.Term() != 4 || c.halted == "" {
 		t.Errorf("%v of term %d, %q", c.node.Role(), c.node.Term(), c.halted)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -196,15 +196,15 @@
 // entries it stands for: what came of them is not told, they are made again elsewhere.
 func TestSnapshotsWakeThoseWhoWait(t *testing.T) {
 	t.Parallel()
-	c, _, err := openMember(t, agreement.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &pending{index: 7, term: 1}
 	c.calls[7] = p
 	changed := c.changed
-	if _, err := c.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: []agreement.Message{{Kind: agreement.Install, From: 2, To: 1, Term: 4,
-		Snapshot: &agreement.Snapshot{Index: 9, Term: 4, Members: c.node.Members(), Data: good(t, 8)}}}}); err != nil {
+	if _, err := c.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: []raft.Message{{Kind: raft.Install, From: 2, To: 1, Term: 4,
+		Snapshot: &raft.Snapshot{Index: 9, Term: 4, Members: c.node.Members(), Data: good(t, 8)}}}}); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/controlplane/history_test.go
+++ b/controlplane/history_test.go
@@ -15,8 +15,8 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
 )
 
 var historySeeds = flag.Uint64("history.seeds", 150, "runs of each test of histories")
@@ -28,15 +28,15 @@
 	shape
 	fault   string // planted
 	rng     *rand.Rand
-	slots   []agreement.ID // of each machine, the member on it
-	next    agreement.ID   // of the next empty disk
-	members map[agreement.ID]*member
-	disks   map[agreement.ID]*agreement.Stored
-	net     []agreement.Message
-	deaf    map[[2]agreement.ID]bool // one way
-	slow    map[[2]agreement.ID]bool
-	cut     map[agreement.ID]int64 // off from all others until then, in steps
-	frozen  map[agreement.ID]int
+	slots   []raft.ID // of each machine, the member on it
+	next    raft.ID   // of the next empty disk
+	members map[raft.ID]*member
+	disks   map[raft.ID]*raft.Stored
+	net     []raft.Message
+	deaf    map[[2]raft.ID]bool // one way
+	slow    map[[2]raft.ID]bool
+	cut     map[raft.ID]int64 // off from all others until then, in steps
+	frozen  map[raft.ID]int
 	now     int64 // steps of a tick of 50 ms
 	clock   int64 // rises with each thing that happens
 	calm    bool
@@ -63,7 +63,7 @@
 type member struct {
 	register
 	keeper   keeper
-	unsynced []agreement.Ready // of one that promises before the disk has it
+	unsynced []raft.Ready // of one that promises before the disk has it
 }
 
 // version is one that was taken: at is when some member first applied it.
@@ -79,7 +79,7 @@
 	seen    uint64 // the newest version that it knows
 	in      input
 	begun   int64
-	at      agreement.ID
+	at      raft.ID
 	p       *pending
 	patient int // steps until it asks another member
 	tries   int
@@ -111,17 +111,17 @@
 )
 
 func newWorld(seed uint64, s shape, fault string) *world {
-	w := &world{shape: s, fault: fault, rng: rand.New(rand.NewPCG(seed, 9)), next: 100, members: map[agreement.ID]*member{},
-		disks: map[agreement.ID]*agreement.Stored{}, deaf: map[[2]agreement.ID]bool{}, slow: map[[2]agreement.ID]bool{},
-		cut: map[agreement.ID]int64{}, frozen: map[agreement.ID]int{}}
-	var first agreement.Snapshot
+	w := &world{shape: s, fault: fault, rng: rand.New(rand.NewPCG(seed, 9)), next: 100, members: map[raft.ID]*member{},
+		disks: map[raft.ID]*raft.Stored{}, deaf: map[[2]raft.ID]bool{}, slow: map[[2]raft.ID]bool{},
+		cut: map[raft.ID]int64{}, frozen: map[raft.ID]int{}}
+	var first raft.Snapshot
 	for i := range coreSize {
-		first.Members = append(first.Members, agreement.Member{ID: agreement.ID(i + 1), Addr: fmt.Sprint(i), Voter: true})
+		first.Members = append(first.Members, raft.Member{ID: raft.ID(i + 1), Addr: fmt.Sprint(i), Voter: true})
 	}
 	for i := range s.machines {
-		id := agreement.ID(i + 1)
+		id := raft.ID(i + 1)
 		w.slots = append(w.slots, id)
-		w.disks[id] = &agreement.Stored{}
+		w.disks[id] = &raft.Stored{}
 		if i < coreSize {
 			w.disks[id].Snapshot = first
 		}
@@ -135,11 +135,11 @@
 
 func (w *world) tick() int64 { w.clock++; return w.clock }
 
-func (w *world) start(id agreement.ID) {
+func (w *world) start(id raft.ID) {
 	d := w.disks[id]
 	m := &member{register: register{calls: map[uint64]*pending{},
-		node: agreement.New(agreement.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.rng.Uint64()},
-			agreement.Stored{Hard: d.Hard, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})}}
+		node: raft.New(raft.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.rng.Uint64()},
+			raft.Stored{Hard: d.Hard, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})}}
 	w.restore(m, d.Snapshot.Data)
 	w.members[id] = m
 }
@@ -155,7 +155,7 @@
 }
 
 // save is what the disk has after a Save of the log's store: all of it or nothing.
-func (w *world) save(id agreement.ID, r agreement.Ready) {
+func (w *world) save(id raft.ID, r raft.Ready) {
 	d := w.disks[id]
 	if r.Hard != nil {
 		d.Hard = *r.Hard
@@ -169,7 +169,7 @@
 	}
 }
 
-func (w *world) die(id agreement.ID) {
+func (w *world) die(id raft.ID) {
 	delete(w.members, id)
 	delete(w.frozen, id)
 }
@@ -178,7 +178,7 @@
 func (w *world) chance(of int) bool { return !w.calm && w.rng.IntN(of) == 0 }
 
 // carry has a member store, send and apply what is ready.
-func (w *world) carry(id agreement.ID) {
+func (w *world) carry(id raft.ID) {
 	m := w.members[id]
 	for {
 		r := m.node.Ready()
@@ -209,7 +209,7 @@
 			news = w.apply(m, e) || news
 		}
 		m.node.Advance(r)
-		if news && m.node.Role() == agreement.Leader && w.chance(30) {
+		if news && m.node.Role() == raft.Leader && w.chance(30) {
 			w.answer(id) // what was acknowledged was acknowledged; then power is lost
 			if w.members[id] == m {
 				w.closing(id)
@@ -236,7 +236,7 @@
 }
 
 // closing is a fault right after an acknowledgement at a leader.
-func (w *world) closing(id agreement.ID) {
+func (w *world) closing(id raft.ID) {
 	if !w.losses {
 		w.die(id)
 		return
@@ -263,14 +263,14 @@
 	old := w.slots[slot]
 	w.die(old)
 	if w.fault == "a wiped member under its old id" {
-		*w.disks[old] = agreement.Stored{Snapshot: agreement.Snapshot{Members: w.disks[w.slots[(slot+1)%coreSize]].Snapshot.Members}}
+		*w.disks[old] = raft.Stored{Snapshot: raft.Snapshot{Members: w.disks[w.slots[(slot+1)%coreSize]].Snapshot.Members}}
 		w.start(old)
 		return
 	}
 	delete(w.disks, old)
 	w.next++
 	w.slots[slot] = w.next
-	w.disks[w.next] = &agreement.Stored{}
+	w.disks[w.next] = &raft.Stored{}
 	w.start(w.next)
 }
 
@@ -293,8 +293,8 @@
 func (w *world) tend(l *member) {
 	ms := l.node.Members()
 	for slot, id := range w.slots {
-		if w.members[id] != nil && !slices.ContainsFunc(ms, func(m agreement.Member) bool { return m.ID == id }) {
-			l.node.Change(append(slices.Clone(ms), agreement.Member{ID: id, Addr: fmt.Sprint(slot), Joint: true}))
+		if w.members[id] != nil && !slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == id }) {
+			l.node.Change(append(slices.Clone(ms), raft.Member{ID: id, Addr: fmt.Sprint(slot), Joint: true}))
 			return
 		}
 	}
@@ -305,7 +305,7 @@
 }
 
 // apply is the register's, or that of one with a fault in it. It notes what was taken.
-func (w *world) apply(m *member, e agreement.Entry) bool {
+func (w *world) apply(m *member, e raft.Entry) bool {
 	before := m.state.Revision
 	if w.fault == "judged before it is proposed, and not again" && len(e.Data) > 0 {
 		var p proposal
@@ -361,11 +361,11 @@
 	return slices.BinarySearchFunc(w.chain, revision, func(v version, r uint64) int { return cmp.Compare(v.revision, r) })
 }
 
-func (w *world) ids() []agreement.ID { return slices.Sorted(maps.Keys(w.members)) }
+func (w *world) ids() []raft.ID { return slices.Sorted(maps.Keys(w.members)) }
 
-func (w *world) leader() agreement.ID {
+func (w *world) leader() raft.ID {
 	for _, id := range w.ids() {
-		if n := w.members[id].node; n.Role() == agreement.Leader && n.Serves() {
+		if n := w.members[id].node; n.Role() == raft.Leader && n.Serves() {
 			return id
 		}
 	}
@@ -373,11 +373,11 @@
 }
 
 // isolate cuts a member off: what it says, what it hears, or both.
-func (w *world) isolate(id agreement.ID, says, hears bool) {
+func (w *world) isolate(id raft.ID, says, hears bool) {
 	for _, o := range w.slots {
 		if o != id {
-			w.deaf[[2]agreement.ID{id, o}] = says
-			w.deaf[[2]agreement.ID{o, id}] = hears
+			w.deaf[[2]raft.ID{id, o}] = says
+			w.deaf[[2]raft.ID{o, id}] = hears
 		}
 	}
 }
@@ -390,10 +390,10 @@
 	case 0:
 		w.die(one)
 	case 1, 2, 3:
-		w.deaf[[2]agreement.ID{one, other}] = true
+		w.deaf[[2]raft.ID{one, other}] = true
 	case 4: // a leader is cut off
 		for _, id := range w.ids() {
-			if w.members[id].node.Role() == agreement.Leader {
+			if w.members[id].node.Role() == raft.Leader {
 				w.isolate(id, w.rng.IntN(2) == 0, true)
 			}
 		}
@@ -414,7 +414,7 @@
 		}
 	case 13:
 		if w.losses {
-			w.slow[[2]agreement.ID{one, other}] = true
+			w.slow[[2]raft.ID{one, other}] = true
 		}
 	case 14: // for 20 s, the leader rather than another
 		if l := w.leader(); l != 0 && w.rng.IntN(2) == 0 {
@@ -451,7 +451,7 @@
 		m := w.members[id]
 		m.node.Tick()
 		m.keeper.ticks++
-		if w.losses && m.node.Role() == agreement.Leader {
+		if w.losses && m.node.Role() == raft.Leader {
 			w.tend(m)
 		}
 		w.carry(id)
@@ -460,7 +460,7 @@
 	w.net = nil
 	w.rng.Shuffle(len(msgs), func(i, j int) { msgs[i], msgs[j] = msgs[j], msgs[i] })
 	for _, x := range msgs {
-		m, way := w.members[x.To], [2]agreement.ID{x.From, x.To}
+		m, way := w.members[x.To], [2]raft.ID{x.From, x.To}
 		switch {
 		case m == nil || w.deaf[way] || w.cut[x.From] > 0 || w.cut[x.To] > 0 || w.chance(40):
 			continue
@@ -530,7 +530,7 @@
 }
 
 // answer has a member go on with the calls that are at it.
-func (w *world) answer(id agreement.ID) {
+func (w *world) answer(id raft.ID) {
 	m := w.members[id]
 	if m == nil || w.frozen[id] > 0 {
 		return
@@ -566,7 +566,7 @@
 }
 
 // drive carries a call on at a member.
-func (w *world) drive(id agreement.ID, p *pending) (r api.Result, done bool) {
+func (w *world) drive(id raft.ID, p *pending) (r api.Result, done bool) {
 	m := w.members[id]
 	r, done, beat := w.nextOf(m, p)
 	if beat {
@@ -580,7 +580,7 @@
 
 // nextOf is the register's next, or that of one with a fault in it.
 func (w *world) nextOf(m *member, p *pending) (r api.Result, done, beat bool) {
-	if m.node.Role() == agreement.Leader && p.index == 0 {
+	if m.node.Role() == raft.Leader && p.index == 0 {
 		switch {
 		case w.fault == "reads without a confirmation" && p.get && m.state.Revision != 0:
 			return api.Result{Status: http.StatusOK}, true, false
@@ -636,7 +636,7 @@
 		}
 	}
 	var read *pending
-	at := agreement.ID(0)
+	at := raft.ID(0)
 	for range settleIn {
 		w.step()
 		l := w.leader()
--- a/controlplane/lanes.go
+++ b/controlplane/lanes.go
@@ -5,8 +5,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
 )
 
 const (
@@ -32,20 +32,20 @@
 // laneKey names one of the two lanes to a member. Heartbeats, votes and answers never
 // wait for a call that carries entries or pieces of snapshots.
 type laneKey struct {
-	to   agreement.ID
+	to   raft.ID
 	bulk bool
 }
 
 // queue is what waits in one lane, and what is on its way: one call at a time.
 type queue struct {
 	bulk    bool
-	waiting []agreement.Message
-	out     []agreement.Message
+	waiting []raft.Message
+	out     []raft.Message
 	held    int // bytes of both
 }
 
 // put has a message wait; false: it is dropped.
-func (q *queue) put(m agreement.Message) bool {
+func (q *queue) put(m raft.Message) bool {
 	if !q.bulk {
 		if len(q.waiting) >= sendQueue { // the newest say most
 			q.waiting = append(q.waiting[:0], q.waiting[1:]...)
@@ -57,7 +57,7 @@
 	if len(q.waiting) >= sendQueue || q.held > 0 && q.held+w > mostHeld {
 		return false
 	}
-	for _, s := range [][]agreement.Message{q.out, q.waiting} {
+	for _, s := range [][]raft.Message{q.out, q.waiting} {
 		for i := range s {
 			if sameLoad(&s[i], &m) {
 				return false // on its way already
@@ -69,7 +69,7 @@
 }
 
 // sameLoad tells that two messages carry the same.
-func sameLoad(a, b *agreement.Message) bool {
+func sameLoad(a, b *raft.Message) bool {
 	if a.Kind != b.Kind || a.Term != b.Term || a.Index != b.Index || a.Offset != b.Offset || len(a.Entries) != len(b.Entries) {
 		return false
 	}
@@ -77,7 +77,7 @@
 }
 
 // take returns what the next call carries, nothing while one is out.
-func (q *queue) take() []agreement.Message {
+func (q *queue) take() []raft.Message {
 	if len(q.out) > 0 || len(q.waiting) == 0 {
 		return nil
 	}
@@ -136,7 +136,7 @@
 }
 
 // load is what messages have of entries and pieces, in bytes.
-func load(ms []agreement.Message) (bytes int) {
+func load(ms []raft.Message) (bytes int) {
 	for i := range ms {
 		bytes += ms[i].Weight()
 	}
--- a/controlplane/lanes_test.go
+++ b/controlplane/lanes_test.go
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
 )
 
 // The lane of what is large has one call out at a time, of 17 KB or one message; holds a
@@ -22,8 +22,8 @@
 // their bytes on a link of 1 Mbit/s. The other lane keeps the newest.
 func TestLanesAreBounded(t *testing.T) {
 	q := &queue{bulk: true}
-	piece := func(at uint64, size int) agreement.Message {
-		return agreement.Message{Kind: agreement.Piece, Term: 1, Offset: at, Snapshot: &agreement.Snapshot{Index: 9, Data: make([]byte, size)}}
+	piece := func(at uint64, size int) raft.Message {
+		return raft.Message{Kind: raft.Piece, Term: 1, Offset: at, Snapshot: &raft.Snapshot{Index: 9, Data: make([]byte, size)}}
 	}
 	if !q.put(piece(0, 400<<10)) || q.put(piece(1, 1)) {
 		t.Error("one message goes whatever its size, and no more beside it")
@@ -54,7 +54,7 @@
 	}
 	small := &queue{}
 	for i := range uint64(sendQueue + 10) {
-		small.put(agreement.Message{Kind: agreement.Append, Round: i})
+		small.put(raft.Message{Kind: raft.Append, Round: i})
 	}
 	if ms := small.take(); len(ms) != sendQueue || ms[len(ms)-1].Round != sendQueue+9 {
 		t.Errorf("%d messages, the last of round %d", len(ms), ms[len(ms)-1].Round)
@@ -129,7 +129,7 @@
 func TestWhoGetsParts(t *testing.T) { inBubble(t, testWhoGetsParts) }
 
 func testWhoGetsParts(t *testing.T) {
-	ms := []agreement.Message{{Kind: agreement.Append, Term: 4, Entries: []agreement.Entry{{Index: 1, Term: 4, Data: bytes.Repeat([]byte("0123456789"), 10<<10)}}}}
+	ms := []raft.Message{{Kind: raft.Append, Term: 4, Entries: []raft.Entry{{Index: 1, Term: 4, Data: bytes.Repeat([]byte("0123456789"), 10<<10)}}}}
 	want, err := cbor.Marshal(ms)
 	if err != nil {
 		t.Fatal(err)
@@ -141,15 +141,15 @@
 		api.RegisterControl(srv, r)
 		go srv.Serve(n.listen(addr))
 		t.Cleanup(srv.Stop)
-		c, _, err := openMember(t, agreement.Snapshot{})
+		c, _, err := openMember(t, raft.Snapshot{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.cfg.Conns = n.conns()
 		c.ctx = t.Context()
 		t.Cleanup(c.cfg.Conns.Close)
-		send := func(ms ...agreement.Message) error { return c.send(2, addr, ms) }
-		if err := send(agreement.Message{Kind: agreement.Append, Term: 4}); err != nil {
+		send := func(ms ...raft.Message) error { return c.send(2, addr, ms) }
+		if err := send(raft.Message{Kind: raft.Append, Term: 4}); err != nil {
 			t.Fatal(err)
 		}
 		forgets := r.forget
--- a/controlplane/leave_test.go
+++ b/controlplane/leave_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 // members are the members as the leader has them, nil without one that serves.
-func (c *cluster) members() (leader *Core, ms []agreement.Member) {
+func (c *cluster) members() (leader *Core, ms []raft.Member) {
 	for _, k := range c.cores {
 		k.mu.Lock()
 		if k.node.Serves() && !k.node.Changing() {
@@ -42,7 +42,7 @@
 				}
 				leader.mu.Lock()
 				defer leader.mu.Unlock()
-				return !slices.ContainsFunc(ms, func(m agreement.Member) bool {
+				return !slices.ContainsFunc(ms, func(m raft.Member) bool {
 					return m.ID != leader.id && !leader.keeper.ready(leader.node, m.ID) || !m.Joint
 				})
 			}
--- a/controlplane/links_test.go
+++ b/controlplane/links_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 // linked is a core whose members are joined by links with a bandwidth and a delay: the
@@ -22,26 +22,26 @@
 	rng   *rand.Rand
 	now   time.Duration
 	queue events
-	nodes map[agreement.ID]*agreement.Node
-	disks map[agreement.ID]*agreement.Stored
+	nodes map[raft.ID]*raft.Node
+	disks map[raft.ID]*raft.Stored
 	lanes map[way]*queue
-	life  map[agreement.ID]int
-	busy  map[[2]agreement.ID]time.Duration // until when a link carries what was put on it
-	link  func(from, to agreement.ID) (bytesPerS float64, delay time.Duration)
+	life  map[raft.ID]int
+	busy  map[[2]raft.ID]time.Duration // until when a link carries what was put on it
+	link  func(from, to raft.ID) (bytesPerS float64, delay time.Duration)
 	lossy float64 // share of requests and answers that a slow link loses
-	cut   map[agreement.ID]bool
+	cut   map[raft.ID]bool
 	size  int // bytes of the state
 
 	asked    int // pre-votes sent: elections that somebody would have liked
 	snapshot int // installed
 	encoded  int
 	gap      time.Duration // the longest that a member heard nothing of a leader in these links
-	heard    map[agreement.ID]time.Duration
+	heard    map[raft.ID]time.Duration
 }
 
 // way is one lane from one member to another.
 type way struct {
-	from agreement.ID
+	from raft.ID
 	laneKey
 }
 
@@ -69,16 +69,16 @@
 }
 
 func newLinked(t *testing.T, seed uint64, size int) *linked {
-	w := &linked{t: t, rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[agreement.ID]*agreement.Node{}, disks: map[agreement.ID]*agreement.Stored{},
-		lanes: map[way]*queue{}, busy: map[[2]agreement.ID]time.Duration{}, cut: map[agreement.ID]bool{}, size: size,
-		life: map[agreement.ID]int{}, heard: map[agreement.ID]time.Duration{},
-		link: func(_, _ agreement.ID) (float64, time.Duration) { return 12.5e6, time.Millisecond }}
-	var first agreement.Snapshot
+	w := &linked{t: t, rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[raft.ID]*raft.Node{}, disks: map[raft.ID]*raft.Stored{},
+		lanes: map[way]*queue{}, busy: map[[2]raft.ID]time.Duration{}, cut: map[raft.ID]bool{}, size: size,
+		life: map[raft.ID]int{}, heard: map[raft.ID]time.Duration{},
+		link: func(_, _ raft.ID) (float64, time.Duration) { return 12.5e6, time.Millisecond }}
+	var first raft.Snapshot
 	for i := range coreSize {
-		first.Members = append(first.Members, agreement.Member{ID: agreement.ID(i + 1), Voter: true})
+		first.Members = append(first.Members, raft.Member{ID: raft.ID(i + 1), Voter: true})
 	}
 	for _, m := range first.Members {
-		w.disks[m.ID] = &agreement.Stored{Snapshot: first}
+		w.disks[m.ID] = &raft.Stored{Snapshot: first}
 	}
 	return w
 }
@@ -111,14 +111,14 @@
 	return w.now - begun
 }
 
-func (w *linked) start(id agreement.ID) {
+func (w *linked) start(id raft.ID) {
 	if w.nodes[id] != nil {
 		return
 	}
 	w.life[id]++
 	life, d := w.life[id], *w.disks[id]
 	d.Entries = slices.Clone(d.Entries)
-	w.nodes[id] = agreement.New(agreement.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.rng.Uint64()}, d)
+	w.nodes[id] = raft.New(raft.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.rng.Uint64()}, d)
 	w.heard[id] = w.now
 	var tick func()
 	tick = func() {
@@ -133,7 +133,7 @@
 }
 
 // end has a process end with all that it had in hand; its disk stays.
-func (w *linked) end(id agreement.ID) {
+func (w *linked) end(id raft.ID) {
 	delete(w.nodes, id)
 	for k := range w.lanes {
 		if k.from == id {
@@ -151,7 +151,7 @@
 }
 
 // carry is the host of a member, as [Core] is.
-func (w *linked) carry(id agreement.ID) {
+func (w *linked) carry(id raft.ID) {
 	n, d := w.nodes[id], w.disks[id]
 	for r := n.Ready(); !r.Empty(); r = n.Ready() {
 		if r.Hard != nil {
@@ -181,8 +181,8 @@
 	}
 }
 
-func (w *linked) send(m agreement.Message) {
-	if m.Kind == agreement.PreVote {
+func (w *linked) send(m raft.Message) {
+	if m.Kind == raft.PreVote {
 		w.asked++
 	}
 	k := way{m.From, laneKey{m.To, m.Bulk()}}
@@ -224,7 +224,7 @@
 			return
 		}
 		for _, m := range ms {
-			if m.Kind == agreement.Append || m.Kind == agreement.Piece {
+			if m.Kind == raft.Append || m.Kind == raft.Piece {
 				w.gap = max(w.gap, w.now-w.heard[k.to])
 				w.heard[k.to] = w.now
 			}
@@ -254,18 +254,18 @@
 }
 
 // put has a link carry so many bytes after those before them.
-func (w *linked) put(from, to agreement.ID, size int, do func()) {
+func (w *linked) put(from, to raft.ID, size int, do func()) {
 	speed, delay := w.link(from, to)
 	if w.cut[from] || w.cut[to] || speed <= mbit && w.rng.Float64() < w.lossy {
 		return
 	}
-	pair := [2]agreement.ID{from, to}
+	pair := [2]raft.ID{from, to}
 	w.busy[pair] = max(w.now, w.busy[pair]) + time.Duration(float64(size)/speed*float64(time.Second))
 	w.after(w.busy[pair]+delay-w.now, do)
 }
 
-func (w *linked) leader() *agreement.Node {
-	for id := range agreement.ID(coreSize) {
+func (w *linked) leader() *raft.Node {
+	for id := range raft.ID(coreSize) {
 		if n := w.nodes[id+1]; n != nil && n.Serves() {
 			return n
 		}
@@ -322,7 +322,7 @@
 				w.propose(2 << 10)
 				w.run(10 * time.Millisecond)
 			}
-			w.link = func(from, to agreement.ID) (float64, time.Duration) {
+			w.link = func(from, to raft.ID) (float64, time.Duration) {
 				if c.all || from == 3 || to == 3 {
 					return mbit, 20 * time.Millisecond
 				}
@@ -365,11 +365,11 @@
 	installed := 0
 	for seed := range *linkSeeds {
 		w := newLinked(t, seed, 300<<10)
-		w.link = func(_, _ agreement.ID) (float64, time.Duration) { return 5 * mbit, 5 * time.Millisecond }
-		for id := range agreement.ID(coreSize) {
+		w.link = func(_, _ raft.ID) (float64, time.Duration) { return 5 * mbit, 5 * time.Millisecond }
+		for id := range raft.ID(coreSize) {
 			w.start(id + 1)
 		}
-		proposed, away := 0, agreement.ID(0)
+		proposed, away := 0, raft.ID(0)
 		var trouble func()
 		trouble = func() {
 			switch {
@@ -380,7 +380,7 @@
 				delete(w.cut, away)
 				away = 0
 			case w.together():
-				if away = agreement.ID(1 + w.rng.IntN(coreSize)); w.rng.IntN(3) == 0 {
+				if away = raft.ID(1 + w.rng.IntN(coreSize)); w.rng.IntN(3) == 0 {
 					w.cut[away] = true
 				} else {
 					w.end(away)
@@ -400,7 +400,7 @@
 			t.Fatalf("seed %d: %d changes in %v", seed, proposed, w.now)
 		}
 		clear(w.cut)
-		for id := range agreement.ID(coreSize) {
+		for id := range raft.ID(coreSize) {
 			w.start(id + 1)
 		}
 		w.run(40 * tickEvery)
@@ -423,8 +423,8 @@
 func TestLargeEntriesOverSlowLinks(t *testing.T) {
 	t.Parallel()
 	w := newLinked(t, 1, 1<<20)
-	w.link = func(_, _ agreement.ID) (float64, time.Duration) { return mbit, 10 * time.Millisecond }
-	for id := range agreement.ID(coreSize) {
+	w.link = func(_, _ raft.ID) (float64, time.Duration) { return mbit, 10 * time.Millisecond }
+	for id := range raft.ID(coreSize) {
 		w.start(id + 1)
 	}
 	w.until("a leader", 3*time.Second, func() bool { return w.leader() != nil && w.together() })
@@ -447,7 +447,7 @@
 	t.Parallel()
 	for missed, want := range map[int]int{20: 0, 200: 1} {
 		w := newLinked(t, uint64(missed), 1<<20)
-		for id := range agreement.ID(coreSize) {
+		for id := range raft.ID(coreSize) {
 			w.start(id + 1)
 		}
 		w.until("a leader", 3*time.Second, func() bool { return w.leader() != nil && w.together() })
@@ -463,7 +463,7 @@
 			w.run(10 * time.Millisecond)
 		}
 		w.run(20 * time.Second)
-		if w.nodes[away].Term() != term || w.nodes[away].Role() == agreement.Leader {
+		if w.nodes[away].Term() != term || w.nodes[away].Role() == raft.Leader {
 			t.Errorf("cut off it went to term %d from %d", w.nodes[away].Term(), term)
 		}
 		if w.encoded == 0 {
@@ -483,7 +483,7 @@
 func TestIdleCoreEncodesNothing(t *testing.T) {
 	t.Parallel()
 	w := newLinked(t, 1, 1<<10)
-	for id := range agreement.ID(coreSize) {
+	for id := range raft.ID(coreSize) {
 		w.start(id + 1)
 	}
 	w.until("a leader", 3*time.Second, func() bool { return w.leader() != nil })
--- a/controlplane/lost_test.go
+++ b/controlplane/lost_test.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"testing"
 
-	"example.org/elmspan/agreement"
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
+	"example.org/elmspan/raft/storage"
 )
 
 // forgetful is a store that is found corrupt by a Save or a Compact.
@@ -16,14 +16,14 @@
 	save, compact error
 }
 
-func (s *forgetful) Save(r agreement.Ready) error {
+func (s *forgetful) Save(r raft.Ready) error {
 	if s.save != nil {
 		return s.save
 	}
 	return s.Store.Save(r)
 }
 
-func (s *forgetful) Compact(snap agreement.Snapshot) error {
+func (s *forgetful) Compact(snap raft.Snapshot) error {
 	if s.compact != nil {
 		return s.compact
 	}
@@ -35,7 +35,7 @@
 // of the disk ends nothing. (Before, Run went on, and the member was silent.)
 func TestStoreLostEndsTheMember(t *testing.T) {
 	t.Parallel()
-	lost := fmt.Errorf("opening it again: %w", logstore.ErrCorrupt)
+	lost := fmt.Errorf("opening it again: %w", storage.ErrCorrupt)
 	for name, c := range map[string]struct {
 		disk forgetful
 		ends bool
@@ -45,19 +45,19 @@
 		"the disk is full": {forgetful{save: errors.New("no space")}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, _, err := openMember(t, agreement.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+			m, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
 			if err != nil {
 				t.Fatal(err)
 			}
 			disk := c.disk
 			disk.Store = m.cfg.Store
 			m.cfg.Store = &disk
-			var es []agreement.Entry
+			var es []raft.Entry
 			for i := range uint64(200) { // a snapshot is due
-				es = append(es, agreement.Entry{Index: 6 + i, Term: 4})
+				es = append(es, raft.Entry{Index: 6 + i, Term: 4})
 			}
-			if _, err := m.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: []agreement.Message{
-				{Kind: agreement.Append, From: 2, To: 1, Term: 4, Index: 5, LogTerm: 1, Commit: 205, Entries: es}}}); err != nil {
+			if _, err := m.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: []raft.Message{
+				{Kind: raft.Append, From: 2, To: 1, Term: 4, Index: 5, LogTerm: 1, Commit: 205, Entries: es}}}); err != nil {
 				t.Fatal(err)
 			}
 			if m.diskDown != (c.disk.save != nil || c.ends) {
@@ -69,10 +69,10 @@
 				}
 				return
 			}
-			if s := m.Status(); s.Halted == "" || s.DiskFails || m.node.Role() == agreement.Leader {
+			if s := m.Status(); s.Halted == "" || s.DiskFails || m.node.Role() == raft.Leader {
 				t.Errorf("%+v", s)
 			}
-			if err := m.Run(t.Context()); !errors.Is(err, logstore.ErrCorrupt) {
+			if err := m.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) {
 				t.Errorf("Run ends with %v", err)
 			}
 			if k, err := m.Confirm(t.Context(), &api.None{}); err != nil || k.OK {
@@ -86,23 +86,23 @@
 // disk is one of earlier. Nobody but its leader is believed.
 func TestOlderDiskEndsTheMember(t *testing.T) {
 	t.Parallel()
-	m, _, err := openMember(t, agreement.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	m, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	deliver := func(msg agreement.Message) {
+	deliver := func(msg raft.Message) {
 		t.Helper()
 		msg.To, msg.Term = 1, 4
-		if _, err := m.Deliver(t.Context(), &api.Deliver{From: msg.From, Addr: "b", Messages: []agreement.Message{msg}}); err != nil {
+		if _, err := m.Deliver(t.Context(), &api.Deliver{From: msg.From, Addr: "b", Messages: []raft.Message{msg}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	deliver(agreement.Message{Kind: agreement.Append, From: 2, Index: 9, LogTerm: 4, Round: 3})
-	if deliver(agreement.Message{Kind: agreement.Forgotten, From: 3}); m.lost != nil {
+	deliver(raft.Message{Kind: raft.Append, From: 2, Index: 9, LogTerm: 4, Round: 3})
+	if deliver(raft.Message{Kind: raft.Forgotten, From: 3}); m.lost != nil {
 		t.Error("it believes another than its leader")
 	}
-	deliver(agreement.Message{Kind: agreement.Forgotten, From: 2})
-	if err := m.Run(t.Context()); !errors.Is(err, logstore.ErrCorrupt) || m.halted == "" {
+	deliver(raft.Message{Kind: raft.Forgotten, From: 2})
+	if err := m.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) || m.halted == "" {
 		t.Errorf("Run ends with %v, %q", err, m.halted)
 	}
 }
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
 )
 
 const (
@@ -63,11 +63,11 @@
 func (c *Core) Join(_ context.Context, q *api.Join) (*api.Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.node.Role() != agreement.Leader {
+	if c.node.Role() != raft.Leader {
 		return &api.Result{Leader: c.leaderAddr()}, nil
 	}
 	ms := c.node.Members()
-	known := slices.ContainsFunc(ms, func(m agreement.Member) bool { return m.ID == q.ID })
+	known := slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == q.ID })
 	switch {
 	case q.Leaving && known:
 		c.keeper.mark(q.ID)
@@ -79,7 +79,7 @@
 	case known, q.Leaving:
 		return &api.Result{Status: http.StatusOK}, nil
 	}
-	err := c.node.Change(append(slices.Clone(ms), agreement.Member{ID: q.ID, Addr: q.Addr, Joint: q.Joint}))
+	err := c.node.Change(append(slices.Clone(ms), raft.Member{ID: q.ID, Addr: q.Addr, Joint: q.Joint}))
 	c.process()
 	if err != nil {
 		return &api.Result{Why: err.Error()}, nil
@@ -95,7 +95,7 @@
 		return
 	}
 	if err := c.node.Change(next); err != nil {
-		if !errors.Is(err, agreement.ErrPending) {
+		if !errors.Is(err, raft.ErrPending) {
 			c.cfg.Log.Warn("members", "change", what, "err", err)
 		}
 		return
@@ -115,26 +115,26 @@
 type keeper struct {
 	wanted  int // voters
 	ticks   int
-	leaving map[agreement.ID]int // the tick until which a member counts as one that leaves
+	leaving map[raft.ID]int // the tick until which a member counts as one that leaves
 }
 
 // mark notes that a member has said that it leaves.
-func (k *keeper) mark(id agreement.ID) {
+func (k *keeper) mark(id raft.ID) {
 	if k.leaving == nil || len(k.leaving) > mostSenders {
-		k.leaving = map[agreement.ID]int{}
+		k.leaving = map[raft.ID]int{}
 	}
 	k.leaving[id] = k.ticks + leavingTicks
 }
 
 // ready tells that a member may be given a vote: it was heard of, has all that is
 // agreed and doesn't leave.
-func (k *keeper) ready(n *agreement.Node, id agreement.ID) bool {
+func (k *keeper) ready(n *raft.Node, id raft.ID) bool {
 	return n.Quiet(id) < electionTicks && n.CaughtUp(id) && k.leaving[id] <= k.ticks
 }
 
 // standsBy tells that a member without a vote is there, caught up or not.
-func (k *keeper) standsBy(n *agreement.Node) bool {
-	return slices.ContainsFunc(n.Members(), func(m agreement.Member) bool {
+func (k *keeper) standsBy(n *raft.Node) bool {
+	return slices.ContainsFunc(n.Members(), func(m raft.Member) bool {
 		return !m.Voter && !m.Old && n.Quiet(m.ID) < electionTicks && k.leaving[m.ID] <= k.ticks
 	})
 }
@@ -150,17 +150,17 @@
 // patience is how long a voter may be silent. One that has not answered this leader at
 // all was silent when it was elected as well: to count its silence anew from each
 // election would let leaders that are lost one after the other put off its replacement.
-func (k *keeper) patience(n *agreement.Node, id agreement.ID) int {
+func (k *keeper) patience(n *raft.Node, id raft.ID) int {
 	if answered, _ := n.Heard(id); !answered {
 		return electionTicks
 	}
 	return replaceTicks
 }
 
-func (k *keeper) why(n *agreement.Node, ms []agreement.Member, i int) int {
+func (k *keeper) why(n *raft.Node, ms []raft.Member, i int) int {
 	m := &ms[i]
 	switch {
-	case slices.ContainsFunc(ms[i+1:], func(o agreement.Member) bool { return o.Addr == m.Addr }):
+	case slices.ContainsFunc(ms[i+1:], func(o raft.Member) bool { return o.Addr == m.Addr }):
 		return replaced
 	case n.Quiet(m.ID) > k.patience(n, m.ID):
 		return silent
@@ -176,7 +176,7 @@
 // decision with the loss of another's. Where nobody stands by, whoever is silent or
 // leaves keeps its vote: with it gone the others would bear no loss either, and its
 // return would be none.
-func (k *keeper) next(n *agreement.Node) (what string, next []agreement.Member) {
+func (k *keeper) next(n *raft.Node) (what string, next []raft.Member) {
 	if !n.Serves() || n.Changing() {
 		return "", nil
 	}
@@ -199,7 +199,7 @@
 			in = i
 		}
 	}
-	vote := func(i int, has bool) []agreement.Member {
+	vote := func(i int, has bool) []raft.Member {
 		set := slices.Clone(ms)
 		set[i].Voter = has
 		return set
@@ -240,8 +240,8 @@
 }
 
 // voter tells whether a member counts toward a majority.
-func voter(ms []agreement.Member, id agreement.ID) bool {
-	return slices.ContainsFunc(ms, func(m agreement.Member) bool { return m.ID == id && (m.Voter || m.Old) })
+func voter(ms []raft.Member, id raft.ID) bool {
+	return slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == id && (m.Voter || m.Old) })
 }
 
 // Leave has this member hand on what others count on before its process ends: its
@@ -280,7 +280,7 @@
 func (c *Core) sayLeaving(ctx context.Context) (done bool) {
 	c.HandOver()
 	c.mu.Lock()
-	leader, needed, alone := c.leaderAddr(), c.node.Needed(), c.node.Role() == agreement.Leader
+	leader, needed, alone := c.leaderAddr(), c.node.Needed(), c.node.Role() == raft.Leader
 	for _, m := range c.node.Members() {
 		alone = alone && (m.ID == c.id || !m.Voter || c.node.Quiet(m.ID) > electionTicks)
 	}
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -3,15 +3,15 @@
 import (
 	"net/http"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
 )
 
 // register is what a member makes of the operator's calls: one configuration
 // that is read and replaced by compare and swap. It does no I/O, reads no clock
 // and starts no goroutine; [Core] hosts it, and a simulation of histories does.
 type register struct {
-	node  *agreement.Node
+	node  *raft.Node
 	state State
 	calls map[uint64]*pending // proposed, by their place in the log
 }
@@ -36,7 +36,7 @@
 		return *p.answer, true, false
 	case p.index != 0: // its entry may still be agreed on, whoever leads
 		return r, false, false
-	case g.node.Role() != agreement.Leader:
+	case g.node.Role() != raft.Leader:
 		return r, true, false
 	case p.need == 0:
 		p.term, p.need = g.node.Term(), g.node.NextRound()
@@ -79,7 +79,7 @@
 
 // apply carries out an entry that was agreed on, and tells whether it brought a
 // configuration.
-func (g *register) apply(e agreement.Entry) (news bool) {
+func (g *register) apply(e raft.Entry) (news bool) {
 	var r api.Result
 	if len(e.Data) > 0 {
 		before := g.state.Revision
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"testing"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
 )
 
 // order is a call that replaces the configuration.
@@ -38,7 +38,7 @@
 }
 
 // ends has a call end at a member, and returns its status.
-func (w *world) ends(t *testing.T, at agreement.ID, p *pending) (r api.Result) {
+func (w *world) ends(t *testing.T, at raft.ID, p *pending) (r api.Result) {
 	t.Helper()
 	w.until(t, "the call's end", func() (done bool) {
 		r, done = w.drive(at, p)
@@ -48,11 +48,11 @@
 }
 
 // others is the leader of those who are not cut off.
-func (w *world) others(t *testing.T, off agreement.ID) (at agreement.ID) {
+func (w *world) others(t *testing.T, off raft.ID) (at raft.ID) {
 	t.Helper()
 	w.until(t, "another leader", func() bool {
 		for _, id := range w.slots {
-			if n := w.members[id].node; id != off && n.Role() == agreement.Leader && n.Serves() {
+			if n := w.members[id].node; id != off && n.Role() == raft.Leader && n.Serves() {
 				at = id
 			}
 		}
--- a/controlplane/repair_test.go
+++ b/controlplane/repair_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"testing"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 var repairSeeds = flag.Uint64("repair.seeds", 60, "runs of TestSecondLossAfterRepair, each of six losses")
@@ -24,10 +24,10 @@
 type site struct {
 	rng      *rand.Rand
 	machines []*machine
-	net      []agreement.Message
+	net      []raft.Message
 	agreed   map[uint64]string
 	wanted   int
-	next     agreement.ID
+	next     raft.ID
 	now      int
 	value    int
 	last     int    // step at which something was agreed on
@@ -37,17 +37,17 @@
 	seed     uint64
 	bad      error
 	story    []string
-	see      func([]agreement.Member) // of each agreed change
-	mixed    bool                     // some machines are of an older version
-	hard     bool                     // it is the leader each time, for good, and its successor is there at once
+	see      func([]raft.Member) // of each agreed change
+	mixed    bool                // some machines are of an older version
+	hard     bool                // it is the leader each time, for good, and its successor is there at once
 }
 
 // machine is one disk, and the process on it.
 type machine struct {
-	id       agreement.ID
+	id       raft.ID
 	addr     string
-	disk     agreement.Stored
-	node     *agreement.Node // nil: down
+	disk     raft.Stored
+	node     *raft.Node // nil: down
 	keeper   keeper
 	cut      bool
 	ledSince int
@@ -62,12 +62,12 @@
 
 func newSite(seed uint64, voters, standBy int, fault string) *site {
 	s := &site{rng: rand.New(rand.NewPCG(seed, 3)), agreed: map[uint64]string{}, wanted: voters, next: 100, fault: fault, seed: seed}
-	var first []agreement.Member
+	var first []raft.Member
 	for i := range voters {
-		first = append(first, agreement.Member{ID: agreement.ID(i + 1), Addr: fmt.Sprint("a", i), Voter: true})
+		first = append(first, raft.Member{ID: raft.ID(i + 1), Addr: fmt.Sprint("a", i), Voter: true})
 	}
 	for i := range voters + standBy {
-		m := &machine{id: agreement.ID(i + 1), addr: fmt.Sprint("a", i)}
+		m := &machine{id: raft.ID(i + 1), addr: fmt.Sprint("a", i)}
 		if i < voters {
 			m.disk.Snapshot.Members = first
 		}
@@ -81,13 +81,13 @@
 	m.leaving, m.cut = false, false
 	m.keeper = keeper{wanted: s.wanted, ticks: s.now}
 	m.disk.Entries = slices.Clone(m.disk.Entries)
-	m.node = agreement.New(agreement.Config{ID: m.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: s.rng.Uint64()}, m.disk)
+	m.node = raft.New(raft.Config{ID: m.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: s.rng.Uint64()}, m.disk)
 }
 
 // empty has a machine start with nothing on its disk.
 func (s *site) empty(m *machine) {
 	s.next++
-	m.id, m.disk = s.next, agreement.Stored{}
+	m.id, m.disk = s.next, raft.Stored{}
 	s.start(m)
 }
 
@@ -165,7 +165,7 @@
 		}
 		m.node.Tick()
 		m.keeper.ticks = s.now
-		if m.node.Role() != agreement.Leader {
+		if m.node.Role() != raft.Leader {
 			m.ledSince = s.now
 		}
 		if s.fault == "two steps" || m.older {
@@ -206,17 +206,17 @@
 // call is what a member asks the leader by calls: to be taken in, or let go.
 func (s *site) call(m, l *machine) {
 	ms := l.node.Members()
-	known := slices.ContainsFunc(ms, func(x agreement.Member) bool { return x.ID == m.id })
+	known := slices.ContainsFunc(ms, func(x raft.Member) bool { return x.ID == m.id })
 	switch {
 	case m.leaving && s.now%4 == 0 && s.fault != "two steps":
 		l.keeper.mark(m.id)
 	case !known && s.now%8 == 0:
-		l.node.Change(append(slices.Clone(ms), agreement.Member{ID: m.id, Addr: m.addr, Joint: !m.older}))
+		l.node.Change(append(slices.Clone(ms), raft.Member{ID: m.id, Addr: m.addr, Joint: !m.older}))
 		s.carry(l)
 	}
 }
 
-func (s *site) by(id agreement.ID) *machine {
+func (s *site) by(id raft.ID) *machine {
 	for _, m := range s.machines {
 		if m.id == id {
 			return m
@@ -328,7 +328,7 @@
 	return nil
 }
 
-func voterCount(ms []agreement.Member) (n int) {
+func voterCount(ms []raft.Member) (n int) {
 	for _, m := range ms {
 		if m.Voter {
 			n++
@@ -339,14 +339,14 @@
 
 // twoSteps is how voters were replaced once: by one more and, 0.2 s later, one less;
 // silent ones after 3 s, as a leader counts them from its election on.
-func twoSteps(n *agreement.Node, wanted, ledFor int) {
+func twoSteps(n *raft.Node, wanted, ledFor int) {
 	if !n.Serves() {
 		return
 	}
 	ms := n.Members()
 	ready, gone, voters := -1, -1, 0
 	for i, m := range ms {
-		after := slices.ContainsFunc(ms[i+1:], func(o agreement.Member) bool { return o.Addr == m.Addr })
+		after := slices.ContainsFunc(ms[i+1:], func(o raft.Member) bool { return o.Addr == m.Addr })
 		switch quiet := min(n.Quiet(m.ID), ledFor); {
 		case m.Voter:
 			voters++
@@ -465,7 +465,7 @@
 		s := newSite(seed, 3, 1, "")
 		s.mixed = true
 		s.machines[1].older = true
-		s.see = func(ms []agreement.Member) {
+		s.see = func(ms []raft.Member) {
 			if voterCount(ms)%2 == 0 {
 				even++
 			}
@@ -484,7 +484,7 @@
 		if err := s.days(2, 1); err != nil {
 			t.Fatal(err)
 		}
-		if l := s.leader(); slices.ContainsFunc(l.node.Members(), func(m agreement.Member) bool { return !m.Joint && s.by(m.ID) != nil }) {
+		if l := s.leader(); slices.ContainsFunc(l.node.Members(), func(m raft.Member) bool { return !m.Joint && s.by(m.ID) != nil }) {
 			t.Fatalf("seed %d: not all are known to understand joint changes: %v", seed, l.node.Members())
 		}
 	}
--- a/controlplane/serve.go
+++ b/controlplane/serve.go
@@ -6,7 +6,7 @@
 	"net/http"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
+	"example.org/elmspan/versioned"
 )
 
 // checked is a configuration that an operator brought, with all that was made of it: it is
@@ -160,7 +160,7 @@
 	defer c.mu.Unlock()
 	s := CoreStatus{ID: fmt.Sprintf("%x", uint64(c.id)), Role: c.node.Role().String(), Leader: c.leaderAddr(), Term: c.node.Term(),
 		Commit: c.node.Commit(), Revision: c.state.Revision, DiskFails: c.diskDown && c.halted == "", Halted: c.halted, Watches: c.asks.waiting,
-		NewsBytes: c.configs.Held() + c.servers.table.Held(), NewsBytesMost: 4*changes.MostHeld + mostWatches*api.PieceSize}
+		NewsBytes: c.configs.Held() + c.servers.table.Held(), NewsBytesMost: 4*versioned.MostHeld + mostWatches*api.PieceSize}
 	for _, m := range c.node.Members() {
 		kind := "learner"
 		if m.Voter {
--- a/controlplane/servers.go
+++ b/controlplane/servers.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
 	"example.org/elmspan/discovery"
+	"example.org/elmspan/versioned"
 )
 
 // serverList is the list of servers at one member of the core: the leader's own,
@@ -14,7 +14,7 @@
 // seen draining or gone stays so (discovery.Latch).
 type serverList struct {
 	roster discovery.Roster
-	table  changes.Table
+	table  versioned.Table
 	start  time.Time
 	skew   float64 // of the table's clock, which is the first leader's, against this member's
 	at     time.Time
@@ -58,7 +58,7 @@
 }
 
 // told takes in what the leader tells; clockMs was the time on its clock then.
-func (l *serverList) told(p *changes.Reader, clockMs float64) error {
+func (l *serverList) told(p *versioned.Reader, clockMs float64) error {
 	rows, err := p.Onto(l.table.Version(), l.table.Rows())
 	if err != nil {
 		return err
--- a/controlplane/servers_test.go
+++ b/controlplane/servers_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
+	"example.org/elmspan/versioned"
 )
 
 // A new leader that was told the list goes on from it: limiters are told what has changed
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := changes.Open(b.Data)
+	p, err := versioned.Open(b.Data)
 	if err == nil {
 		err = next.told(p, first.clockMs()+60_000)
 	}
--- a/controlplane/state.go
+++ b/controlplane/state.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/internal/pack"
+	"example.org/elmspan/internal/compression"
 )
 
 const (
@@ -91,7 +91,7 @@
 
 // newProposal returns the entry that brings a configuration.
 func newProposal(base, revision uint64, config []byte) ([]byte, error) {
-	packed, err := pack.Pack(config)
+	packed, err := compression.Pack(config)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 	case len(p.Digest) == len(fingerprint{}.Digest):
 		return fingerprint{p.Hash, [16]byte(p.Digest)}
 	}
-	config, err := pack.Unpack(p.Packed, api.MaxConfig)
+	config, err := compression.Unpack(p.Packed, api.MaxConfig)
 	if err != nil { // it was read before it was proposed; members without digests would take it too
 		return fingerprint{Hash: p.Hash}
 	}
@@ -121,7 +121,7 @@
 	if s.Packed == nil {
 		return s.Plain, nil
 	}
-	return pack.Unpack(s.Packed, api.MaxConfig)
+	return compression.Unpack(s.Packed, api.MaxConfig)
 }
 
 // Version returns a configuration that is remembered, as it was sent.
@@ -132,7 +132,7 @@
 	}
 	for _, p := range s.Past {
 		if p.Revision == revision {
-			data, err := pack.Unpack(p.Packed, api.MaxConfig)
+			data, err := compression.Unpack(p.Packed, api.MaxConfig)
 			return data, err == nil, err
 		}
 	}
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -11,8 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
+	"example.org/elmspan/raft"
 )
 
 const (
@@ -29,7 +29,7 @@
 	wake chan struct{}
 }
 
-func (l *lane) put(m agreement.Message) {
+func (l *lane) put(m raft.Message) {
 	l.mu.Lock()
 	l.q.put(m)
 	l.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-func (l *lane) take() []agreement.Message {
+func (l *lane) take() []raft.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.q.take())
@@ -52,7 +52,7 @@
 }
 
 // enqueue puts a message on its way. Called under the mutex.
-func (c *Core) enqueue(m agreement.Message) {
+func (c *Core) enqueue(m raft.Message) {
 	key := laneKey{m.To, m.Bulk()}
 	l := c.lanes[key]
 	if l == nil {
@@ -117,7 +117,7 @@
 
 // send carries messages to a member: in one call or, where they are large and it takes
 // parts, in several, so that no heartbeat waits for more than one of them.
-func (c *Core) send(to agreement.ID, addr string, ms []agreement.Message) error {
+func (c *Core) send(to raft.ID, addr string, ms []raft.Message) error {
 	conn, err := c.cfg.Conns.To(addr)
 	if err != nil {
 		return err
--- a/controlplane/watch.go
+++ b/controlplane/watch.go
@@ -6,10 +6,10 @@
 	"math"
 	"time"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
 	"example.org/elmspan/internal/backoff"
+	"example.org/elmspan/raft"
+	"example.org/elmspan/versioned"
 )
 
 // Every member answers limiters that ask for news, so that no one process serves
@@ -30,7 +30,7 @@
 
 var errParcel = errors.New("controlplane: a difference is not to be had any more")
 
-func (c *Core) leads() bool { return c.node.Role() == agreement.Leader && !c.diskDown }
+func (c *Core) leads() bool { return c.node.Role() == raft.Leader && !c.diskDown }
 
 // Leads tells whether this member leads now.
 func (c *Core) Leads() bool {
@@ -254,7 +254,7 @@
 }
 
 // parcel is the difference to a table's newest version, with its first piece.
-func parcel(t *changes.Table, from uint64) (*api.Parcel, error) {
+func parcel(t *versioned.Table, from uint64) (*api.Parcel, error) {
 	b, err := t.Since(from)
 	if err != nil {
 		return nil, err
@@ -317,13 +317,13 @@
 	if c.leads() || c.leaderAddr() != addr {
 		return false
 	}
-	p, err := changes.Open(data)
+	p, err := versioned.Open(data)
 	if err == nil {
 		err = c.servers.told(p, n.ClockMs)
 	}
 	if err != nil {
 		c.cfg.Log.Warn("the leader's list of servers is asked for whole", "err", err)
-		c.servers.table = changes.Table{}
+		c.servers.table = versioned.Table{}
 		return false
 	}
 	c.signal()
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
+	"example.org/elmspan/versioned"
 )
 
 func (c *cluster) leader() *Core {
@@ -43,7 +43,7 @@
 	if err != nil || !n.Lease || n.List == nil {
 		return nil
 	}
-	r, err := changes.Open(n.List.Data)
+	r, err := versioned.Open(n.List.Data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 // its work. docs/incidents/0006)
 func TestMemoryOfNewsIsBounded(t *testing.T) {
 	t.Parallel()
-	var configs changes.Table
+	var configs versioned.Table
 	rows := map[string][]byte{}
 	for i := range 10_000 {
 		row, err := cbor.Marshal(api.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%x.example", i*7919), Prefix: fmt.Sprintf("/%x/", i*104729), TimeoutMs: 100, Upstream: "a"})
@@ -218,7 +218,7 @@
 			}
 			inFlight += len(p.Data)
 		}
-		if inFlight > 300*api.PieceSize || configs.Held() > 2*changes.MostHeld {
+		if inFlight > 300*api.PieceSize || configs.Held() > 2*versioned.MostHeld {
 			t.Fatalf("version %d: %d bytes on their way, %d held", version, inFlight, configs.Held())
 		}
 	}
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -17,12 +17,12 @@
 	"github.com/cespare/xxhash/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/dataplane/h1"
-	"example.org/elmspan/dataplane/words"
 	"example.org/elmspan/membership"
 	"example.org/elmspan/settings"
 	"example.org/elmspan/telemetry"
+	"example.org/elmspan/versioned"
 )
 
 // patience is for what hangs. No verdict hangs on it.
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	g.open = 0
-	bring(t, g, &changes.Table{}, &api.Config{Revision: 1, Upstreams: []api.Upstream{{Name: "s"}},
+	bring(t, g, &versioned.Table{}, &api.Config{Revision: 1, Upstreams: []api.Upstream{{Name: "s"}},
 		Routes: []api.Route{
 			{Host: "h", Prefix: "/get/", Type: api.Idempotent, TimeoutMs: timeout, TargetMs: 2000, Upstream: "s", Retries: 2},
 			{Host: "h", Prefix: "/once/", Type: "non_idempotent", TimeoutMs: timeout, TargetMs: 2000, Upstream: "s", Retries: 2},
@@ -115,7 +115,7 @@
 	for i, b := range backends {
 		list = append(list, api.Server{ID: "i-" + strconv.Itoa(i), Upstream: "s", Addr: b.addr, Zone: "z", Capacity: 20, State: "in_service"})
 	}
-	tell(t, g, &changes.Table{}, 1, list)
+	tell(t, g, &versioned.Table{}, 1, list)
 	g.Grant(g.Since())
 	if m, ok := t.(inMemory); ok {
 		m.serve(g)
@@ -450,7 +450,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { errors.Join(g.front.Close(), g.readyOn.Close(), g.udp.Close()) })
-	w := words.Word{From: 7, Life: 1}
+	w := gossip.Word{From: 7, Life: 1}
 	for range sent {
 		if err := g.udp.Send(w.Append(nil), g.udp.Addr()); err != nil {
 			t.Fatal(err)
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"example.org/elmspan/dataplane/words"
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/internal/datagram"
 	"example.org/elmspan/keys"
 )
@@ -17,10 +17,10 @@
 // until the context ends. What comes between two ticks waits for the next: in a large
 // fleet hundreds of words come in a second, and each would wake the process.
 func (g *Gateway) gossip(ctx context.Context) {
-	every := words.TickMs
+	every := gossip.TickMs
 	t := time.NewTicker(millis(every))
 	defer t.Stop()
-	buf, sealed := make([]byte, 0, words.MaxSize), []byte(nil)
+	buf, sealed := make([]byte, 0, gossip.MaxSize), []byte(nil)
 	sealer := g.sealer()
 	in := newEar(g)
 	for {
@@ -31,7 +31,7 @@
 		}
 		in.hear()
 		g.mu.Lock()
-		g.limiter.Tick(inMs(g.now()), func(to uint64, w *words.Word) {
+		g.limiter.Tick(inMs(g.now()), func(to uint64, w *gossip.Word) {
 			buf = w.Append(buf[:0])
 			out := buf
 			if sealer != nil {
@@ -67,12 +67,12 @@
 type ear struct {
 	g         *Gateway
 	buf, open []byte
-	word      words.Word
+	word      gossip.Word
 	sealer    *keys.Sealer
 }
 
 func newEar(g *Gateway) *ear {
-	return &ear{g: g, buf: make([]byte, words.MaxSize+keys.Overhead+1), sealer: g.sealer()}
+	return &ear{g: g, buf: make([]byte, gossip.MaxSize+keys.Overhead+1), sealer: g.sealer()}
 }
 
 // hear takes in what has come.
--- a/dataplane/words/teller.go
+++ b/dataplane/gossip/teller.go
@@ -1,4 +1,4 @@
-package words
+package gossip
 
 import (
 	"cmp"
--- a/dataplane/words/word.go
+++ b/dataplane/gossip/word.go
@@ -1,8 +1,8 @@
-// Package words is what limiters tell each other by datagrams, and who tells
+// Package gossip is what limiters tell each other by datagrams, and who tells
 // whom and when: units that were let through, what is out at servers and how
 // long answers took. It does no I/O and reads no clock; times are in
 // milliseconds on the host's steady clock.
-package words
+package gossip
 
 import (
 	"encoding/binary"
@@ -50,7 +50,7 @@
 }
 
 // ErrWord tells that a datagram is no whole word.
-var ErrWord = errors.New("words: a datagram can't be read")
+var ErrWord = errors.New("gossip: a datagram can't be read")
 
 // Append adds the word in bytes.
 func (w *Word) Append(b []byte) []byte {
--- a/dataplane/limiter/cuts_test.go
+++ b/dataplane/limiter/cuts_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/dataplane/words"
 )
 
 // step is how often limiters of a large fleet tick, in milliseconds.
@@ -16,7 +16,7 @@
 // ask has some of the fleet asked in turn, for so many requests a second in all,
 // and returns when requests were admitted.
 func (f *fleet) ask(fromMs, toMs, perS float64, of []uint64) (at []float64) {
-	every := words.TickMs
+	every := gossip.TickMs
 	if len(f.ids) > quota.Together {
 		every = step
 	}
@@ -29,7 +29,7 @@
 		}
 		for _, id := range f.ids {
 			if !f.dead[id] {
-				f.at[id].Tick(now, func(to uint64, w *words.Word) {
+				f.at[id].Tick(now, func(to uint64, w *gossip.Word) {
 					if !f.dead[to] && !f.lost(id, to) {
 						f.at[to].Hear(now, w)
 					}
--- a/dataplane/limiter/delay_test.go
+++ b/dataplane/limiter/delay_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/dataplane/words"
 )
 
 // askDelayed has the fleet asked, words taking so long on their way.
@@ -16,9 +16,9 @@
 		b   []byte
 	}
 	var onWay []letter
-	for now := fromMs; now < toMs; now += words.TickMs {
+	for now := fromMs; now < toMs; now += gossip.TickMs {
 		for len(onWay) > 0 && onWay[0].due <= now {
-			var w words.Word
+			var w gossip.Word
 			if err := w.Decode(onWay[0].b); err != nil {
 				panic(err)
 			}
@@ -27,12 +27,12 @@
 		}
 		for _, id := range f.ids {
 			l := f.at[id]
-			if f.rng.Float64() < perS*words.TickMs/1000/float64(len(f.ids)) {
+			if f.rng.Float64() < perS*gossip.TickMs/1000/float64(len(f.ids)) {
 				if _, ok := l.Admit(now, tenantID); ok {
 					at = append(at, now)
 				}
 			}
-			l.Tick(now, func(to uint64, w *words.Word) {
+			l.Tick(now, func(to uint64, w *gossip.Word) {
 				onWay = append(onWay, letter{now + delayMs, to, w.Append(nil)})
 			})
 		}
--- a/dataplane/limiter/growth_test.go
+++ b/dataplane/limiter/growth_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"example.org/elmspan/api"
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/dataplane/words"
 )
 
 // BenchmarkSecond is what one limiter of n does in a second, without sockets:
@@ -25,11 +25,11 @@
 				f.at[id].Servers(0, list)
 			}
 			one := f.at[f.ids[0]]
-			var in []*words.Word // what comes to one limiter in 150 ms
+			var in []*gossip.Word // what comes to one limiter in 150 ms
 			var copies [][]byte
-			for now := 0.0; now < 300; now += words.TickMs {
+			for now := 0.0; now < 300; now += gossip.TickMs {
 				for _, id := range f.ids {
-					f.at[id].Tick(now, func(to uint64, w *words.Word) {
+					f.at[id].Tick(now, func(to uint64, w *gossip.Word) {
 						if to == f.ids[0] && now >= 150 {
 							copies = append(copies, w.Append(nil))
 						}
@@ -37,7 +37,7 @@
 				}
 			}
 			for _, c := range copies {
-				w := &words.Word{}
+				w := &gossip.Word{}
 				if err := w.Decode(c); err != nil {
 					b.Fatal(err)
 				}
@@ -46,12 +46,12 @@
 			sent, now := 0, 300.0
 			b.ResetTimer()
 			for range b.N {
-				for end := now + 1000; now < end; now += words.TickMs {
-					one.Tick(now, func(uint64, *words.Word) { sent++ })
+				for end := now + 1000; now < end; now += gossip.TickMs {
+					one.Tick(now, func(uint64, *gossip.Word) { sent++ })
 					for k := 0; k < len(in)*6/150+1 && len(in) > 0; k++ {
 						one.Hear(now, in[(int(now)+k)%len(in)])
 					}
-					if int(now)%33 < int(words.TickMs) {
+					if int(now)%33 < int(gossip.TickMs) {
 						one.Admit(now, tenantID)
 						c := one.NewFlight(Request{Service: "s", Repeatable: true, Held: true, Tries: 2, ArrivedMs: now, DeadlineMs: now + 1000, AimMs: 300})
 						if m, _, _ := c.Launch(now, false); m != nil {
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -8,8 +8,8 @@
 import (
 	"example.org/elmspan/api"
 	"example.org/elmspan/dataplane/balance"
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/dataplane/words"
 )
 
 const (
@@ -38,7 +38,7 @@
 	RetryRatio, RetrySlack float64
 	// The machine's link in bytes a second, where long answers can fill it; 0: they can't.
 	LinkPerS float64
-	Words    words.Budget
+	Words    gossip.Budget
 }
 
 // Limiter is one limiter. It is not safe for concurrent use.
@@ -46,7 +46,7 @@
 	cfg     Config
 	quota   *quota.Set
 	balance *balance.Set
-	teller  *words.Teller
+	teller  *gossip.Teller
 	retries map[string]float64 // further tries saved up, by service
 	peers   map[uint64]bool
 	berths  berths
@@ -56,7 +56,7 @@
 func New(now float64, cfg Config) *Limiter {
 	self := quota.Member{ID: cfg.Self, Zone: cfg.Zone}
 	return &Limiter{cfg: cfg, quota: quota.New(now, self), balance: balance.New(cfg.Zone, cfg.Self, cfg.Seed),
-		teller: words.NewTeller(self, cfg.Life, cfg.Words), retries: map[string]float64{}, peers: map[uint64]bool{},
+		teller: gossip.NewTeller(self, cfg.Life, cfg.Words), retries: map[string]float64{}, peers: map[uint64]bool{},
 		berths: newBerths(cfg.LinkPerS / 1000)}
 }
 
@@ -87,7 +87,7 @@
 		}
 	}
 	l.quota.Members(now, peers)
-	l.balance.Peers(zone, len(peers) >= words.MostHinted)
+	l.balance.Peers(zone, len(peers) >= gossip.MostHinted)
 	l.teller.Peers(peers, l.quota.Level())
 }
 
@@ -151,7 +151,7 @@
 
 // Tick hands out the words to other limiters that are due. The host calls it
 // every [Limiter.TickMs].
-func (l *Limiter) Tick(now float64, send func(to uint64, w *words.Word)) {
+func (l *Limiter) Tick(now float64, send func(to uint64, w *gossip.Word)) {
 	l.teller.Tick(now, l.quota, l.balance, send)
 }
 
@@ -159,7 +159,7 @@
 func (l *Limiter) TickMs() float64 { return l.teller.TickMs() }
 
 // Hear takes in a word of another limiter. A stranger's is passed over: false.
-func (l *Limiter) Hear(now float64, w *words.Word) (known bool) {
+func (l *Limiter) Hear(now float64, w *gossip.Word) (known bool) {
 	if !l.peers[w.From] {
 		return false
 	}
--- a/dataplane/limiter/limiter_test.go
+++ b/dataplane/limiter/limiter_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"testing"
 
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/dataplane/words"
 )
 
 const tenantID = 9
@@ -54,18 +54,18 @@
 
 // play has the fleet asked so often and returns when requests were admitted.
 func (f *fleet) play(fromMs, toMs, perS float64) (at []float64) {
-	for now := fromMs; now < toMs; now += words.TickMs {
+	for now := fromMs; now < toMs; now += gossip.TickMs {
 		for _, id := range f.ids {
 			l := f.at[id]
 			if f.dead[id] {
 				continue
 			}
-			if f.rng.Float64() < perS*words.TickMs/1000/float64(len(f.ids)) {
+			if f.rng.Float64() < perS*gossip.TickMs/1000/float64(len(f.ids)) {
 				if _, ok := l.Admit(now, tenantID); ok {
 					at = append(at, now)
 				}
 			}
-			l.Tick(now, func(to uint64, w *words.Word) {
+			l.Tick(now, func(to uint64, w *gossip.Word) {
 				f.sent++
 				if !f.dead[to] && !f.lost(id, to) {
 					f.at[to].Hear(now, w)
--- a/dataplane/limiter/vast_test.go
+++ b/dataplane/limiter/vast_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/dataplane/words"
 )
 
 // A tenant of any size that is asked for at many times its rate all of a sudden, at all
@@ -16,9 +16,9 @@
 	for _, c := range []struct {
 		n           int
 		rate, times float64
-		budget      words.Budget
-	}{{100, 10, 4, words.Budget{}}, {100, 60, 4, words.Budget{}}, {300, 6, 10, words.Budget{}}, {300, 30, 4, words.Budget{}},
-		{300, 100, 4, words.Budget{}}, {300, 600, 3, words.Budget{}}, {300, 100, 4, words.Budget{BytesPerS: 4950, WordsPerS: 320}}} {
+		budget      gossip.Budget
+	}{{100, 10, 4, gossip.Budget{}}, {100, 60, 4, gossip.Budget{}}, {300, 6, 10, gossip.Budget{}}, {300, 30, 4, gossip.Budget{}},
+		{300, 100, 4, gossip.Budget{}}, {300, 600, 3, gossip.Budget{}}, {300, 100, 4, gossip.Budget{BytesPerS: 4950, WordsPerS: 320}}} {
 		t.Run(fmt.Sprint(c.n, " limiters, ", c.times, " x ", c.rate, ", ", c.budget), func(t *testing.T) {
 			t.Parallel()
 			p := quota.Plan{Rate: c.rate, Burst: c.rate}
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -19,11 +19,11 @@
 	"time"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
 	"example.org/elmspan/dataplane/attempt"
 	"example.org/elmspan/dataplane/balance"
 	"example.org/elmspan/dataplane/h1"
 	"example.org/elmspan/settings"
+	"example.org/elmspan/versioned"
 )
 
 // The gateway is put before three servers that do, with the request of each id, what a
@@ -203,7 +203,7 @@
 	g       *Gateway
 	scripts sync.Map // by id
 	timeUp  sync.Map // ids of requests whose time was up in the middle of a long answer
-	table   changes.Table
+	table   versioned.Table
 	servers []*backend
 	n       int
 	c       *client
--- a/dataplane/news.go
+++ b/dataplane/news.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
 	"example.org/elmspan/discovery"
+	"example.org/elmspan/versioned"
 )
 
 // servers is the list of servers as it is held here. The limiter in it decides
@@ -23,7 +23,7 @@
 
 // ChangeConfig takes over what changed in the configuration. Nothing of it holds
 // where it does not fit the version that is held.
-func (g *Gateway) ChangeConfig(r *changes.Reader) error {
+func (g *Gateway) ChangeConfig(r *versioned.Reader) error {
 	begun := time.Now()
 	v, plans, err := g.view.Load().with(r)
 	if err != nil {
@@ -63,7 +63,7 @@
 
 // ChangeServers takes over what changed in the list of servers, at a time on the
 // list's clock. What was seen draining or gone here stays so.
-func (g *Gateway) ChangeServers(r *changes.Reader, clockMs float64) error {
+func (g *Gateway) ChangeServers(r *versioned.Reader, clockMs float64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := &g.servers
@@ -98,11 +98,11 @@
 		if err != nil {
 			return err
 		}
-		put, marks[row.Key] = append(put, m), changes.Mark(row.Key, row.Value)
+		put, marks[row.Key] = append(put, m), versioned.Mark(row.Key, row.Value)
 		sum ^= marks[row.Key]
 	}
 	if sum != r.Sum {
-		return changes.ErrSum
+		return versioned.ErrSum
 	}
 	var missing []string
 	if r.From == 0 {
--- a/dataplane/news_test.go
+++ b/dataplane/news_test.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
+	"example.org/elmspan/versioned"
 )
 
 // rowsOf are the rows of a configuration.
@@ -30,13 +30,13 @@
 	return split.Rows
 }
 
-func since(t testing.TB, table *changes.Table, from uint64) *changes.Reader {
+func since(t testing.TB, table *versioned.Table, from uint64) *versioned.Reader {
 	t.Helper()
 	b, err := table.Since(from)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := changes.Open(b.Data)
+	r, err := versioned.Open(b.Data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 }
 
 // bring has a gateway take over a configuration, as what changed in a table.
-func bring(t testing.TB, g *Gateway, table *changes.Table, c *api.Config) {
+func bring(t testing.TB, g *Gateway, table *versioned.Table, c *api.Config) {
 	t.Helper()
 	table.Replace(c.Revision, rowsOf(t, c))
 	if err := g.ChangeConfig(since(t, table, g.Revision())); err != nil {
@@ -53,7 +53,7 @@
 }
 
 // tell has a gateway take over a list of servers, likewise.
-func tell(t testing.TB, g *Gateway, table *changes.Table, version uint64, list []api.Server) {
+func tell(t testing.TB, g *Gateway, table *versioned.Table, version uint64, list []api.Server) {
 	t.Helper()
 	rows := map[string][]byte{}
 	for _, s := range list {
@@ -85,7 +85,7 @@
 func TestViewsByDifference(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		var table changes.Table
+		var table versioned.Table
 		var v *view
 		conf := configOf(1, 12)
 		type old struct {
@@ -152,7 +152,7 @@
 
 // A difference that does not fit is not taken, in no part.
 func TestDifferencesThatDoNotFit(t *testing.T) {
-	var a, b changes.Table
+	var a, b versioned.Table
 	a.Replace(1, rowsOf(t, configOf(1, 3)))
 	b.Replace(1, rowsOf(t, configOf(1, 4)))
 	v, _, err := (*view)(nil).with(since(t, &a, 0))
@@ -188,7 +188,7 @@
 		}
 		return out
 	}
-	var first, second changes.Table
+	var first, second versioned.Table
 	tell(t, g, &first, 10, list)
 	tell(t, g, &first, 11, drained)
 	const want = "a:draining b:in_service "
@@ -211,7 +211,7 @@
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{10, 1600, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var table changes.Table
+			var table versioned.Table
 			table.Replace(1, rowsOf(b, configOf(1, n)))
 			v, _, err := (*view)(nil).with(since(b, &table, 0))
 			if err != nil {
@@ -232,7 +232,7 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, n := range []int{10, 1600, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var table changes.Table
+			var table versioned.Table
 			c := configOf(1, n)
 			table.Replace(1, rowsOf(b, c))
 			v, _, err := (*view)(nil).with(since(b, &table, 0))
@@ -248,7 +248,7 @@
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(blob.Data)), "bytes/change")
 			for b.Loop() {
-				r, err := changes.Open(blob.Data)
+				r, err := versioned.Open(blob.Data)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/dataplane/view.go
+++ b/dataplane/view.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/internal/pmap"
+	"example.org/elmspan/internal/persistentmap"
+	"example.org/elmspan/versioned"
 )
 
 const (
@@ -35,11 +35,11 @@
 // costs what changed, not what there is.
 type view struct {
 	revision uint64
-	sum      uint64 // over all rows; see changes.Mark
-	marks    pmap.Map[string, uint64]
-	hosts    pmap.Map[string, *host] // by name, in lower case
-	keys     pmap.Map[keySum, *tenant]
-	tenants  pmap.Map[string, *tenant]
+	sum      uint64 // over all rows; see versioned.Mark
+	marks    persistentmap.Map[string, uint64]
+	hosts    persistentmap.Map[string, *host] // by name, in lower case
+	keys     persistentmap.Map[keySum, *tenant]
+	tenants  persistentmap.Map[string, *tenant]
 	maxHead  int
 	maxBody  int64
 	headFor  time.Duration
@@ -83,7 +83,7 @@
 
 // with returns the view that a difference makes of this one (nil: of none), and
 // what it says of quotas.
-func (v *view) with(r *changes.Reader) (*view, plans, error) {
+func (v *view) with(r *versioned.Reader) (*view, plans, error) {
 	p := plans{put: map[uint64]quota.Plan{}}
 	switch {
 	case v != nil && r.To <= v.revision:
@@ -115,7 +115,7 @@
 		}
 	}
 	if next.sum != r.Sum {
-		return nil, p, changes.ErrSum
+		return nil, p, versioned.ErrSum
 	}
 	p.drop = slices.DeleteFunc(p.drop, func(id uint64) bool { _, is := p.put[id]; return is })
 	next.revision = r.To
@@ -126,15 +126,15 @@
 // edit is a view in the making.
 type edit struct {
 	*view
-	marks   *pmap.Edit[string, uint64]
-	hosts   *pmap.Edit[string, *host]
-	keys    *pmap.Edit[keySum, *tenant]
-	tenants *pmap.Edit[string, *tenant]
+	marks   *persistentmap.Edit[string, uint64]
+	hosts   *persistentmap.Edit[string, *host]
+	keys    *persistentmap.Edit[keySum, *tenant]
+	tenants *persistentmap.Edit[string, *tenant]
 	plans   *plans
 	fresh   map[string]bool // hosts that are this edit's own
 }
 
-func (e *edit) row(row changes.Row) error {
+func (e *edit) row(row versioned.Row) error {
 	x, err := api.ParseConfigRow(row.Key, row.Value)
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 		e.marks.Delete(row.Key)
 	}
 	if !x.Gone {
-		mark := changes.Mark(row.Key, row.Value)
+		mark := versioned.Mark(row.Key, row.Value)
 		e.sum ^= mark
 		e.marks.Put(row.Key, mark)
 	}
--- a/internal/durable/data_linux.go
+++ b/internal/atomicfile/data_linux.go
@@ -1,4 +1,4 @@
-package durable
+package atomicfile
 
 import (
 	"os"
--- a/internal/durable/data_other.go
+++ b/internal/atomicfile/data_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package durable
+package atomicfile
 
 import "os"
 
--- a/internal/durable/durable.go
+++ b/internal/atomicfile/durable.go
@@ -1,8 +1,8 @@
-// Package durable writes files so that they outlive a loss of power: the bytes
+// Package atomicfile writes files so that they outlive a loss of power: the bytes
 // are synced before the name is given, and the folder after it. A file's own
 // sync does not make its name last (see fsync(2)), and a rename that lasts
 // before the bytes do leaves an empty file under the good name.
-package durable
+package atomicfile
 
 import (
 	"errors"
--- a/internal/pack/pack.go
+++ b/internal/compression/pack.go
@@ -1,6 +1,6 @@
-// Package pack makes bytes shorter where that pays: deflate (RFC 1951) at its
+// Package compression makes bytes shorter where that pays: deflate (RFC 1951) at its
 // fastest, behind a byte that says whether it was used. It keeps nothing between calls.
-package pack
+package compression
 
 import (
 	"bytes"
@@ -21,7 +21,7 @@
 )
 
 // ErrUnreadable tells that bytes were not packed here, or are not whole.
-var ErrUnreadable = errors.New("pack: bytes can't be unpacked")
+var ErrUnreadable = errors.New("compression: bytes can't be unpacked")
 
 // Pack returns the packed form of bytes.
 func Pack(data []byte) ([]byte, error) {
@@ -30,13 +30,13 @@
 		out.WriteByte(deflated)
 		w, err := flate.NewWriter(&out, flate.BestSpeed)
 		if err != nil {
-			return nil, fmt.Errorf("pack: %w", err)
+			return nil, fmt.Errorf("compression: %w", err)
 		}
 		if _, err := w.Write(data); err != nil {
-			return nil, fmt.Errorf("pack: %w", err)
+			return nil, fmt.Errorf("compression: %w", err)
 		}
 		if err := w.Close(); err != nil {
-			return nil, fmt.Errorf("pack: %w", err)
+			return nil, fmt.Errorf("compression: %w", err)
 		}
 		if out.Len() < len(data) {
 			return bytes.Clone(out.Bytes()), nil
--- a/internal/pack/pack_test.go
+++ b/internal/compression/pack_test.go
@@ -1,4 +1,4 @@
-package pack
+package compression
 
 import (
 	"bytes"
--- a/internal/logbound/logbound.go
+++ b/internal/loglimit/logbound.go
@@ -1,5 +1,5 @@
-// Package logbound bounds what a fault that repeats writes to the log.
-package logbound
+// Package loglimit bounds what a fault that repeats writes to the log.
+package loglimit
 
 import (
 	"context"
--- a/internal/logbound/logbound_test.go
+++ b/internal/loglimit/logbound_test.go
@@ -1,4 +1,4 @@
-package logbound
+package loglimit
 
 import (
 	"bytes"
--- a/internal/pmap/pmap.go
+++ b/internal/persistentmap/pmap.go
@@ -1,7 +1,7 @@
-// Package pmap is a map that does not change: an edit of it makes a new one that
+// Package persistentmap is a map that does not change: an edit of it makes a new one that
 // shares with it all that stays as it is, so that readers need no lock and one
 // change costs a small part of the whole.
-package pmap
+package persistentmap
 
 import (
 	"hash/maphash"
--- a/internal/pmap/pmap_test.go
+++ b/internal/persistentmap/pmap_test.go
@@ -1,4 +1,4 @@
-package pmap
+package persistentmap
 
 import (
 	"maps"
--- a/keys/authority.go
+++ b/keys/authority.go
@@ -24,7 +24,7 @@
 	"strings"
 	"time"
 
-	"example.org/elmspan/internal/durable"
+	"example.org/elmspan/internal/atomicfile"
 )
 
 // Files of an authority's folder, and of a machine's.
@@ -48,7 +48,7 @@
 	if _, err := os.Stat(filepath.Join(dir, caKeyFile)); !errors.Is(err, fs.ErrNotExist) {
 		return errors.Join(ErrExists, err)
 	}
-	if err := durable.MkdirAll(dir, 0o700); err != nil {
+	if err := atomicfile.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	cert, key, err := newCA(now)
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	if err := durable.MkdirAll(out, 0o700); err != nil {
+	if err := atomicfile.MkdirAll(out, 0o700); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	return write(out, named{caFile, caPEM}, named{wordsFile, words}, named{certFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}, named{keyFile, keyPEM})
@@ -166,7 +166,7 @@
 		if err := write(dir, named{caKeyFile, next}, named{caFile, ca}, named{wordsFile, w}); err != nil {
 			return "", err
 		}
-		return InUse, durable.Remove(filepath.Join(dir, nextFile))
+		return InUse, atomicfile.Remove(filepath.Join(dir, nextFile))
 	}
 	return Dropped, write(dir, named{caFile, blocks[0]}, named{wordsFile, []byte(lines[0] + "\n")})
 }
@@ -268,7 +268,7 @@
 // survive a loss of power.
 func write(dir string, files ...named) error {
 	for _, f := range files {
-		if err := durable.WriteFile(filepath.Join(dir, f.name), f.data, 0o600); err != nil {
+		if err := atomicfile.WriteFile(filepath.Join(dir, f.name), f.data, 0o600); err != nil {
 			return fmt.Errorf("keys: %w", err)
 		}
 	}
--- a/judge/judge_test.go
+++ b/lab/checker/judge_test.go
@@ -1,11 +1,11 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/scenario"
 )
 
 var (
--- a/judge/ledger.go
+++ b/lab/checker/ledger.go
@@ -1,7 +1,7 @@
-// Package judge checks a day by the system's rules, from what the day's own
+// Package checker checks a day by the system's rules, from what the day's own
 // parties saw: clients, servers, platform and operator. It knows nothing of how
 // the system works. Emulator and simulation share it.
-package judge
+package checker
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/scenario"
 )
 
 // Figures of the rules, as in the settings that the processes get.
--- a/judge/report.go
+++ b/lab/checker/report.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"encoding/csv"
@@ -14,7 +14,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/scenario"
 )
 
 // Report is what came of a day.
--- a/coreload/added.go
+++ b/lab/controlbench/added.go
@@ -1,4 +1,4 @@
-package coreload
+package controlbench
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"example.org/elmspan/api"
 	"example.org/elmspan/dataplane/h1"
-	"example.org/elmspan/judge"
+	"example.org/elmspan/lab/checker"
 )
 
 // AddedSpec says at what size to measure what a gateway adds to a request.
@@ -80,7 +80,7 @@
 	for i := range standIns {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, fmt.Errorf("coreload: %w", err)
+			return nil, fmt.Errorf("controlbench: %w", err)
 		}
 		defer l.Close()
 		m := api.Server{ID: fmt.Sprint("stand-in-", i), Upstream: "stand-in", Addr: l.Addr().String(), Zone: "z", Revision: "v1", Capacity: standInSlot, State: api.InService}
@@ -173,7 +173,7 @@
 			last = fmt.Errorf("status %d", status)
 		}
 	}
-	return fmt.Errorf("coreload: the gateway does not serve: %w", last)
+	return fmt.Errorf("controlbench: the gateway does not serve: %w", last)
 }
 
 // serveAtOnce answers each request at once, as a server of the system does.
@@ -198,7 +198,7 @@
 				}
 				try := h.Get("Attempt-Id")
 				if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nMember-Id: %s\r\nServer-Seal: %s\r\nKeep-Alive: timeout=60\r\nContent-Length: %d\r\n\r\n%s",
-					try, id, judge.SealOf(id, try, body), n, body); err != nil {
+					try, id, checker.SealOf(id, try, body), n, body); err != nil {
 					return
 				}
 			}
--- a/coreload/coreload.go
+++ b/lab/controlbench/coreload.go
@@ -1,10 +1,10 @@
-// Package coreload measures the core at a size that no emulated fleet has: three
+// Package controlbench measures the core at a size that no emulated fleet has: three
 // or five real processes on loopback that lead and follow, with hundreds or thousands
 // of hollow watchers that ask as limiters do over links of a limiter's speed, while
 // routes, quotas and servers change, watchers start all at once and members are lost.
 // It reports, for the leader and its followers apart, processor time, memory, bytes
 // and what goes to disk, and how long the last watcher waits for what was acknowledged.
-package coreload
+package controlbench
 
 import (
 	"context"
@@ -123,7 +123,7 @@
 	for i := range r.ports {
 		l, err := net.Listen("tcp", net.JoinHostPort(ip(0), "0"))
 		if err != nil {
-			return fmt.Errorf("coreload: %w", err)
+			return fmt.Errorf("controlbench: %w", err)
 		}
 		held = append(held, l)
 		r.ports[i] = l.Addr().(*net.TCPAddr).Port
@@ -199,7 +199,7 @@
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		log.Close()
-		return nil, fmt.Errorf("coreload: %w", err)
+		return nil, fmt.Errorf("controlbench: %w", err)
 	}
 	p := &proc{cmd: cmd, log: log, pid: cmd.Process.Pid, home: home, ends: make(chan error, 1)}
 	go func() { p.ends <- cmd.Wait() }() // ends with the process, which end kills
@@ -253,5 +253,5 @@
 		}
 		time.Sleep(lead)
 	}
-	return time.Time{}, fmt.Errorf("coreload: revision %d was not acknowledged: %s", r.config.Revision, last)
+	return time.Time{}, fmt.Errorf("controlbench: revision %d was not acknowledged: %s", r.config.Revision, last)
 }
--- a/coreload/held_test.go
+++ b/lab/controlbench/held_test.go
@@ -1,4 +1,4 @@
-package coreload
+package controlbench
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
 	"example.org/elmspan/controlplane"
-	"example.org/elmspan/coreload/hollow"
+	"example.org/elmspan/lab/controlbench/hollow"
+	"example.org/elmspan/raft/storage"
 )
 
 // What a member of the core holds for 300 watchers, of which none takes a byte: with
@@ -124,7 +124,7 @@
 // oneCore starts a core of one member in this process.
 func oneCore(t *testing.T) (*controlplane.Core, context.Context) {
 	t.Helper()
-	store, err := logstore.Open(t.TempDir())
+	store, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/coreload/hollow/hollow.go
+++ b/lab/controlbench/hollow/hollow.go
@@ -17,10 +17,10 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
 	"example.org/elmspan/dataplane"
 	"example.org/elmspan/membership"
 	"example.org/elmspan/settings"
+	"example.org/elmspan/versioned"
 )
 
 // Spec is a size.
@@ -137,7 +137,7 @@
 	log := slog.New(slog.DiscardHandler)
 	config := func(data []byte) func(i int) error {
 		return func(i int) error {
-			r, err := changes.Open(data)
+			r, err := versioned.Open(data)
 			if err != nil {
 				return err
 			}
@@ -146,7 +146,7 @@
 	}
 	servers := func(data []byte) func(i int) error {
 		return func(i int) error {
-			r, err := changes.Open(data)
+			r, err := versioned.Open(data)
 			if err != nil {
 				return err
 			}
@@ -227,8 +227,8 @@
 		return nil, fmt.Errorf("hollow: %w", err)
 	}
 	w.peerBytes = len(data)
-	var table changes.Table
-	take := func(t *changes.Table, c *api.Config) ([]byte, error) {
+	var table versioned.Table
+	take := func(t *versioned.Table, c *api.Config) ([]byte, error) {
 		data, err := cbor.Marshal(c)
 		if err != nil {
 			return nil, err
@@ -259,7 +259,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow: %w", err)
 	}
-	var list changes.Table
+	var list versioned.Table
 	rows := map[string][]byte{}
 	add := func(i int) error {
 		m := Server(i, s.Services, s.Zones)
--- a/coreload/hollow/quota.go
+++ b/lab/controlbench/hollow/quota.go
@@ -7,9 +7,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/dataplane/limiter"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/dataplane/words"
 	"example.org/elmspan/settings"
 )
 
@@ -65,7 +65,7 @@
 				for range asked*(k+1)/ticks - asked*k/ticks {
 					l.Admit(at, ids[rng.IntN(len(ids))])
 				}
-				l.Tick(at, func(_ uint64, w *words.Word) {
+				l.Tick(at, func(_ uint64, w *gossip.Word) {
 					sentWords++
 					sentBytes += len(w.Append(nil)) + 28 // IP and UDP
 					sentTold += len(w.Spent) + len(w.Group.Spent)
@@ -93,7 +93,7 @@
 	err = add("told of every tenant by all who tell it", func(i int) error {
 		self := members[i]
 		reporters := map[quota.Group]int{}
-		var w words.Word
+		var w gossip.Word
 		for k, m := range members {
 			g := level.Group(m)
 			own := g == level.Group(self)
@@ -107,7 +107,7 @@
 					for _, id := range ids[at:min(len(ids), at+48)] {
 						spent = append(spent, quota.Spent{Tenant: id, Units: uint64(round)})
 					}
-					w = words.Word{From: m.ID, Life: 1, AgeMs: now, Spent: spent}
+					w = gossip.Word{From: m.ID, Life: 1, AgeMs: now, Spent: spent}
 					if !own {
 						w.Spent, w.Group = nil, quota.Digest{Level: level, First: reporters[g] == 1, Heard: 1, Spent: spent}
 					}
--- a/coreload/measure.go
+++ b/lab/controlbench/measure.go
@@ -1,4 +1,4 @@
-package coreload
+package controlbench
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
 	"example.org/elmspan/controlplane"
+	"example.org/elmspan/raft"
 )
 
 // measure plays one phase after the other.
@@ -235,7 +235,7 @@
 				after = append(after, max(0, n.at.Sub(since)))
 			}
 		case <-t.C:
-			return fmt.Errorf("coreload: %d of %d watchers have what was told at revision %d after %v", len(after), len(r.watchers), r.config.Revision, takesIn)
+			return fmt.Errorf("controlbench: %d of %d watchers have what was told at revision %d after %v", len(after), len(r.watchers), r.config.Revision, takesIn)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -253,7 +253,7 @@
 		c, err := api.Dial(r.addr((i+k)%r.spec.Members, 0), nil)
 		if err != nil {
 			cancel()
-			return fmt.Errorf("coreload: %w", err)
+			return fmt.Errorf("controlbench: %w", err)
 		}
 		w.conns = append(w.conns, c)
 	}
@@ -280,7 +280,7 @@
 		var s struct{ Core *controlplane.CoreStatus }
 		err = json.NewDecoder(resp.Body).Decode(&s)
 		resp.Body.Close()
-		if err == nil && s.Core != nil && s.Core.Role == agreement.Leader.String() {
+		if err == nil && s.Core != nil && s.Core.Role == raft.Leader.String() {
 			return i
 		}
 	}
--- a/coreload/platform.go
+++ b/lab/controlbench/platform.go
@@ -1,4 +1,4 @@
-package coreload
+package controlbench
 
 import (
 	"fmt"
@@ -38,7 +38,7 @@
 func startPlatform(n, services int, perS float64) (*platform, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("coreload: the platform: %w", err)
+		return nil, fmt.Errorf("controlbench: the platform: %w", err)
 	}
 	p := &platform{addr: l.Addr().String(), services: services, perS: perS, credit: perS, at: time.Now(), ends: map[string]time.Time{}}
 	for range n {
--- a/coreload/race_test.go
+++ b/lab/controlbench/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package coreload
+package controlbench
 
 const raced = true
--- a/coreload/report.go
+++ b/lab/controlbench/report.go
@@ -1,4 +1,4 @@
-package coreload
+package controlbench
 
 import (
 	"fmt"
--- a/coreload/watcher.go
+++ b/lab/controlbench/watcher.go
@@ -1,4 +1,4 @@
-package coreload
+package controlbench
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"google.golang.org/grpc"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
 	"example.org/elmspan/controlplane"
+	"example.org/elmspan/versioned"
 )
 
 const (
@@ -156,7 +156,7 @@
 	if err != nil {
 		return false
 	}
-	if _, err := changes.Open(data); err != nil {
+	if _, err := versioned.Open(data); err != nil {
 		return false
 	}
 	version.Store(p.To)
--- a/emulator/ask.go
+++ b/lab/emulator/ask.go
@@ -14,7 +14,7 @@
 
 	"example.org/elmspan/dataplane/h1"
 	"example.org/elmspan/internal/backoff"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/scenario"
 )
 
 const (
--- a/emulator/client.go
+++ b/lab/emulator/client.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"example.org/elmspan/judge"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
 )
 
 const (
@@ -21,7 +21,7 @@
 	f     *Fleet
 	mu    sync.Mutex
 	rng   *rand.Rand
-	tally *judge.Tally
+	tally *checker.Tally
 	hot   string  // this tenant sends ...
 	hotX  float64 // ... so many times its usual
 	tasks sync.WaitGroup
@@ -31,7 +31,7 @@
 }
 
 func newLoad(f *Fleet) *load {
-	l := &load{f: f, rng: rand.New(rand.NewPCG(f.spec.Seed, 9)), tally: judge.NewTally(f.spec),
+	l := &load{f: f, rng: rand.New(rand.NewPCG(f.spec.Seed, 9)), tally: checker.NewTally(f.spec),
 		client: newClient("emulator.example")}
 	return l
 }
@@ -70,7 +70,7 @@
 		id:  func(try int) string { return fmt.Sprintf("%08x%04x%04x", n, try, l.f.spec.Seed&0xffff) },
 		key: func() string { return l.f.key(t.Name) },
 		sent: func(id, key string, body []byte) {
-			l.f.ledger.Sent(id, &judge.Try{Class: c, Tenant: t.Name, Key: key, Body: crc32.ChecksumIEEE(body)})
+			l.f.ledger.Sent(id, &checker.Try{Class: c, Tenant: t.Name, Key: key, Body: crc32.ChecksumIEEE(body)})
 		},
 		answered: l.f.ledger.Answered,
 	})
--- a/emulator/fleet.go
+++ b/lab/emulator/fleet.go
@@ -16,9 +16,9 @@
 	"syscall"
 	"time"
 
-	"example.org/elmspan/judge"
 	"example.org/elmspan/keys"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
 	"example.org/elmspan/settings"
 )
 
@@ -39,7 +39,7 @@
 	program  []string // the gateway and its arguments
 	dir      string
 	log      io.Writer
-	ledger   *judge.Ledger
+	ledger   *checker.Ledger
 	start    atomic.Int64 // of traffic, in ns since epoch
 	platform *platform
 	nodes    []*node
@@ -81,7 +81,7 @@
 	}
 	f := &Fleet{spec: spec, program: program, dir: dir, log: log, rng: rand.New(rand.NewPCG(spec.Seed, 3))}
 	f.begin()
-	f.ledger = judge.New(spec.Retries, f.sinceStart)
+	f.ledger = checker.New(spec.Retries, f.sinceStart)
 	base, err := freePorts()
 	if err != nil {
 		return nil, err
@@ -190,7 +190,7 @@
 address = %q
 rate_per_s = %v
 `, n.name, n.ip, n.zone, f.ports.internal, f.ports.internal+10, strings.Join(seeds, ", "), bootstrap, quorum, data,
-		n.front, n.ready, n.control, judge.DrainMs, judge.ConfigApplyMs, judge.RevokeMs, judge.QuotaWindowS, judge.QuotaOvershoot, judge.QuotaSlack,
+		n.front, n.ready, n.control, checker.DrainMs, checker.ConfigApplyMs, checker.RevokeMs, checker.QuotaWindowS, checker.QuotaOvershoot, checker.QuotaSlack,
 		f.spec.Retries.Ratio, f.spec.Retries.WindowS, f.spec.Retries.Slack, f.platform.addr, cloudPerS)
 	if err := os.WriteFile(filepath.Join(n.dir, "node.toml"), []byte(text), 0o644); err != nil {
 		return fmt.Errorf("emulator: %w", err)
@@ -269,7 +269,7 @@
 }
 
 // Run plays the day and returns its report.
-func (f *Fleet) Run(ctx context.Context) (*judge.Report, error) {
+func (f *Fleet) Run(ctx context.Context) (*checker.Report, error) {
 	for _, n := range f.nodes {
 		if err := f.settings(n, true); err != nil {
 			return nil, err
@@ -382,7 +382,7 @@
 
 func (f *Fleet) sinceStart() time.Duration { return f.since(time.Now()) }
 
-func (f *Fleet) report() *judge.Report {
+func (f *Fleet) report() *checker.Report {
 	r := f.load.tally.Report(f.ledger)
 	f.platform.mu.Lock()
 	r.Notes = append(r.Notes, fmt.Sprintf("%d calls to the platform; %d lives of servers", f.platform.calls, f.lives))
--- a/emulator/fleet_test.go
+++ b/lab/emulator/fleet_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/scenario"
 )
 
 // A small fleet of real processes serves a day with a lost process, a changed
@@ -17,10 +17,10 @@
 func TestFleet(t *testing.T) {
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "elmspan")
-	if out, err := exec.Command("go", "build", "-o", bin, "../cmd/elmspan").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/elmspan").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	s, err := scenario.Read("../docs/fleet.toml")
+	s, err := scenario.Read("../../docs/fleet.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/emulator/operator.go
+++ b/lab/emulator/operator.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/judge"
+	"example.org/elmspan/lab/checker"
 )
 
 const (
@@ -180,7 +180,7 @@
 	if !o.bring(ctx) {
 		return
 	}
-	time.Sleep(judge.ConfigApplyMs * time.Millisecond) // clients change over
+	time.Sleep(checker.ConfigApplyMs * time.Millisecond) // clients change over
 	o.mu.Lock()
 	o.keys[name] = o.keys[name][len(o.keys[name])-1:]
 	o.mu.Unlock()
--- a/emulator/platform.go
+++ b/lab/emulator/platform.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/judge"
+	"example.org/elmspan/lab/checker"
 )
 
 const (
@@ -22,7 +22,7 @@
 // platform keeps the list of servers and knows which limiters get connections.
 type platform struct {
 	addr   string
-	ledger *judge.Ledger
+	ledger *checker.Ledger
 
 	mu      sync.Mutex
 	servers []*server
@@ -33,7 +33,7 @@
 	misses  map[string]int // of limiters, by ready address
 }
 
-func startPlatform(addr string, l *judge.Ledger) (*platform, error) {
+func startPlatform(addr string, l *checker.Ledger) (*platform, error) {
 	p := &platform{ledger: l, tokens: cloudPerS, at: time.Now(), misses: map[string]int{}}
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -118,11 +118,11 @@
 	return out
 }
 
-var checker = &http.Client{Timeout: 800 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+var readinessClient = &http.Client{Timeout: 800 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // check asks a limiter whether it is ready.
 func (p *platform) check(ready string) {
-	resp, err := checker.Get("http://" + ready + "/v1/readiness")
+	resp, err := readinessClient.Get("http://" + ready + "/v1/readiness")
 	ok := err == nil && resp.StatusCode == http.StatusOK
 	if err == nil {
 		resp.Body.Close()
--- a/emulator/server.go
+++ b/lab/emulator/server.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"example.org/elmspan/dataplane/h1"
-	"example.org/elmspan/judge"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
 )
 
 const (
@@ -28,7 +28,7 @@
 	id, service, addr, zone string
 	spec                    *scenario.Service
 	classes                 map[string]*scenario.Class // by path prefix
-	ledger                  *judge.Ledger
+	ledger                  *checker.Ledger
 	slots                   chan struct{}
 	born                    time.Time
 
@@ -50,7 +50,7 @@
 	owed sync.Map // by connection: the second answer of a stutter, due with the next
 }
 
-func startServer(id, addr, zone string, spec *scenario.Service, classes map[string]*scenario.Class, l *judge.Ledger, seed uint64) (*server, error) {
+func startServer(id, addr, zone string, spec *scenario.Service, classes map[string]*scenario.Class, l *checker.Ledger, seed uint64) (*server, error) {
 	s := &server{id: id, service: spec.Name, addr: addr, zone: zone, spec: spec, classes: classes, ledger: l,
 		slots: make(chan struct{}, spec.Slots), born: time.Now(), rng: rand.New(rand.NewPCG(seed, 5)), slow: 1, conns: map[net.Conn]bool{}}
 	var err error
@@ -181,7 +181,7 @@
 		return refuse(503, "late")
 	}
 	defer func() { <-s.slots }()
-	s.ledger.Ran(id, judge.Run{Service: s.service, Member: s.id, Tenant: h.Get("Tenant-Name"), Body: crc32.ChecksumIEEE(body)}, h.Get("Authorization") != "")
+	s.ledger.Ran(id, checker.Run{Service: s.service, Member: s.id, Tenant: h.Get("Tenant-Name"), Body: crc32.ChecksumIEEE(body)}, h.Get("Authorization") != "")
 	s.mu.Lock()
 	work := class.Work(s.rng, s.slow, time.Since(s.born).Seconds() < s.spec.ColdS)
 	lost, dead, draining := s.rng.Float64() < s.lose, s.dead, s.draining
@@ -212,7 +212,7 @@
 		closes = "Connection: close\r\n"
 	}
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: %s\r\nKeep-Alive: timeout=8\r\n%sContent-Length: %d\r\n\r\n", id, judge.SealOf(s.id, id, out), closes, len(out))
+	fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: %s\r\nKeep-Alive: timeout=8\r\n%sContent-Length: %d\r\n\r\n", id, checker.SealOf(s.id, id, out), closes, len(out))
 	b.Write(out)
 	if stutters && !late { // in one piece with the next answer, or while the connection rests
 		b.Write(b.Bytes())
--- a/emulator/trouble.go
+++ b/lab/emulator/trouble.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"example.org/elmspan/internal/backoff"
-	"example.org/elmspan/judge"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
 )
 
 // strike has a trouble happen at its time.
@@ -125,7 +125,7 @@
 // leader is the machine whose process leads the core, nil where none says so.
 func (f *Fleet) leader() *node {
 	for _, n := range f.nodes {
-		resp, err := checker.Get("http://" + n.control + "/v1/Status")
+		resp, err := readinessClient.Get("http://" + n.control + "/v1/Status")
 		if err != nil {
 			continue
 		}
@@ -180,7 +180,7 @@
 		fmt.Fprintln(f.log, err)
 	}
 	f.platform.drain(s)
-	if !backoff.Sleep(ctx, (judge.DrainMs+500)*time.Millisecond) {
+	if !backoff.Sleep(ctx, (checker.DrainMs+500)*time.Millisecond) {
 		return
 	}
 	f.platform.gone(s)
--- a/explore/explore.go
+++ b/lab/modelcheck/explore.go
@@ -1,8 +1,8 @@
-// Package explore walks all states that a small world can come to: every order of
+// Package modelcheck walks all states that a small world can come to: every order of
 // its events within stated bounds. Seeds find faults that are likely; a walk finds
 // those that need five unlikely things in a row, and shows that within the bounds
 // there is none. Worlds hold the real state machines, cloned at each step.
-package explore
+package modelcheck
 
 import (
 	"context"
@@ -49,7 +49,7 @@
 func (f *Fault) Unwrap() error { return f.Err }
 
 // ErrBound tells that a walk has not seen all states.
-var ErrBound = errors.New("explore: more states than were to be seen")
+var ErrBound = errors.New("modelcheck: more states than were to be seen")
 
 // shards is into how many parts the states seen are split, so that those who walk
 // seldom wait for each other.
--- a/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestFaults(t *testing.T) {
-	s, err := Read("../docs/fleet.toml")
+	s, err := Read("../../docs/fleet.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -14,7 +14,7 @@
 		"trouble too late": func(s *Day) { s.Troubles[0].At = 1e6 },
 		"nobody asks":      func(s *Day) { s.Tenants = nil },
 	} {
-		s, err = Read("../docs/fleet.toml")
+		s, err = Read("../../docs/fleet.toml")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/simulation/bytes_test.go
+++ b/lab/simulation/bytes_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/scenario"
 )
 
 // What a limiter of a vast fleet sends is bounded, and choice stays as good. Fails where each unit of a small tenant is a word and
 // loads go out each 35 ms: 80,454 bytes and 383 words a second. Of the words 140 tell each 230 ms that it is there.
 func TestBytesInVastFleets(t *testing.T) {
 	t.Parallel()
-	d, err := scenario.Read("../docs/days/target.toml")
+	d, err := scenario.Read("../../docs/days/target.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/simulation/client.go
+++ b/lab/simulation/client.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/judge"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
 )
 
 // request is one request of a client, with its further tries.
@@ -105,7 +105,7 @@
 			f.engine.after(f.delay(r.zone, n.zone), func() { answer(0, 0, false) })
 			return
 		}
-		f.ledger.Sent(id, &judge.Try{Class: r.class, Tenant: r.tenant.Name})
+		f.ledger.Sent(id, &checker.Try{Class: r.class, Tenant: r.tenant.Name})
 		x := &flight{id: id, tenant: r.tenant.Name, class: r.class, from: r.zone, until: r.deadline, reply: answer}
 		n.whenAwake(func() {
 			if f.engine.now < r.deadline {
--- a/simulation/fleet.go
+++ b/lab/simulation/fleet.go
@@ -13,8 +13,8 @@
 
 	"example.org/elmspan/api"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/judge"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
 )
 
 const (
@@ -36,7 +36,7 @@
 
 // Result is what came of a day.
 type Result struct {
-	*judge.Report
+	*checker.Report
 	Policy   string
 	Limiters int
 	// Means over the limiters and the time of traffic.
@@ -51,8 +51,8 @@
 	day     *scenario.Day
 	policy  string
 	rng     *rand.Rand
-	ledger  *judge.Ledger
-	tally   *judge.Tally
+	ledger  *checker.Ledger
+	tally   *checker.Tally
 	nodes   []*node
 	byID    map[uint64]*node
 	byName  map[string]*node
@@ -73,10 +73,10 @@
 
 // Run simulates a day.
 func Run(ctx context.Context, day *scenario.Day, o Options) (*Result, error) {
-	f := &fleet{day: day, policy: cmp.Or(o.Policy, Elmspan), rng: rand.New(rand.NewPCG(day.Seed, 0x51)), tally: judge.NewTally(day),
+	f := &fleet{day: day, policy: cmp.Or(o.Policy, Elmspan), rng: rand.New(rand.NewPCG(day.Seed, 0x51)), tally: checker.NewTally(day),
 		byID: map[uint64]*node{}, byName: map[string]*node{}, servers: map[string]*server{}}
 	f.engine.now = -settleMs
-	f.ledger = judge.New(day.Retries, func() time.Duration { return time.Duration(f.engine.now * float64(time.Millisecond)) })
+	f.ledger = checker.New(day.Retries, func() time.Duration { return time.Duration(f.engine.now * float64(time.Millisecond)) })
 	if err := f.build(); err != nil {
 		return nil, err
 	}
--- a/simulation/node.go
+++ b/lab/simulation/node.go
@@ -8,12 +8,12 @@
 
 	"example.org/elmspan/api"
 	"example.org/elmspan/dataplane/balance"
+	"example.org/elmspan/dataplane/gossip"
 	"example.org/elmspan/dataplane/limiter"
 	"example.org/elmspan/dataplane/quota"
-	"example.org/elmspan/dataplane/words"
-	"example.org/elmspan/judge"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
 	"example.org/elmspan/membership"
-	"example.org/elmspan/scenario"
 	"example.org/elmspan/settings"
 )
 
@@ -81,7 +81,7 @@
 		}
 		f.engine.after(beatMs*(1+beatSpread*(2*f.rng.Float64()-1)), beat)
 	}
-	f.engine.after(words.TickMs*f.rng.Float64(), tick)
+	f.engine.after(gossip.TickMs*f.rng.Float64(), tick)
 	f.engine.after(beatMs*f.rng.Float64(), beat)
 	return nil
 }
@@ -102,7 +102,7 @@
 }
 
 // tell sends a word.
-func (n *node) tell(to uint64, w *words.Word) {
+func (n *node) tell(to uint64, w *gossip.Word) {
 	f := n.f
 	b := w.Append(nil)
 	n.traffic.word(w, len(b))
@@ -114,7 +114,7 @@
 		if !o.up {
 			return
 		}
-		var got words.Word
+		var got gossip.Word
 		if err := got.Decode(b); err != nil {
 			f.ledger.Breaks("WORDS", "a word of %s can't be read: %v", n.name, err)
 			return
@@ -328,7 +328,7 @@
 	}
 	seal := ""
 	if status == 200 {
-		seal = judge.SealOf(by, x.id, nil)
+		seal = checker.SealOf(by, x.id, nil)
 	}
 	f.engine.after(f.delay(n.zone, x.from), func() {
 		f.ledger.Answered(x.id, status, seal, nil)
--- a/simulation/server.go
+++ b/lab/simulation/server.go
@@ -3,8 +3,8 @@
 import (
 	"example.org/elmspan/api"
 	"example.org/elmspan/dataplane/balance"
-	"example.org/elmspan/judge"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
 )
 
 // server is one life of a server: so many slots, a queue, and no more. Its
@@ -78,7 +78,7 @@
 			continue
 		}
 		s.busy++
-		s.f.ledger.Ran(j.id, judge.Run{Service: s.spec.Name, Member: s.id, Tenant: j.tenant}, false)
+		s.f.ledger.Ran(j.id, checker.Run{Service: s.spec.Name, Member: s.id, Tenant: j.tenant}, false)
 		work := j.class.Work(s.f.rng, s.slow, e.now-s.bornMs < 1000*s.spec.ColdS)
 		lost := s.f.rng.Float64() < s.lose
 		e.after(work, func() {
--- a/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -7,12 +7,12 @@
 	"sync"
 	"testing"
 
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/scenario"
 )
 
 func day(t *testing.T) *scenario.Day {
 	t.Helper()
-	d, err := scenario.Read("../docs/fleet.toml")
+	d, err := scenario.Read("../../docs/fleet.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/simulation/sweep.go
+++ b/lab/simulation/sweep.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/scenario"
 )
 
 // Vary sets a parameter of a day. The machines' number takes the load and the
--- a/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/dataplane/words"
+	"example.org/elmspan/dataplane/gossip"
 )
 
 // Bytes below what is ours: of a datagram, IP and UDP; of a call in gRPC, the
@@ -52,11 +52,11 @@
 }
 
 // size is a word's length in bytes.
-func size(w *words.Word) float64 { return float64(len(w.Append(nil))) }
+func size(w *gossip.Word) float64 { return float64(len(w.Append(nil))) }
 
 // word counts a word of so many bytes, part by part: each is what the word would be
 // shorter without it.
-func (t *Traffic) word(w *words.Word, n int) {
+func (t *Traffic) word(w *gossip.Word, n int) {
 	rest := *w
 	part := func(of *float64, leaveOut func()) {
 		before := size(&rest)
--- a/simulation/trouble.go
+++ b/lab/simulation/trouble.go
@@ -1,8 +1,8 @@
 package simulation
 
 import (
-	"example.org/elmspan/judge"
-	"example.org/elmspan/scenario"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
 )
 
 // strike has a trouble happen.
@@ -53,7 +53,7 @@
 			f.startServer(s.spec, s.zone)
 			s.draining = true
 			f.ledger.Drains(s.id)
-			f.engine.after(judge.DrainMs+500, func() {
+			f.engine.after(checker.DrainMs+500, func() {
 				s.stop()
 				delete(f.servers, s.id)
 			})
--- a/operators/book.go
+++ b/operators/book.go
@@ -22,7 +22,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"example.org/elmspan/internal/durable"
+	"example.org/elmspan/internal/atomicfile"
 )
 
 // Role is what an operator may do.
@@ -136,7 +136,7 @@
 	if _, err := Parse(b.Bytes()); err != nil {
 		return fmt.Errorf("operators: %w", err)
 	}
-	if err := durable.WriteFile(path, b.Bytes(), 0o600); err != nil {
+	if err := atomicfile.WriteFile(path, b.Bytes(), 0o600); err != nil {
 		return fmt.Errorf("operators: %w", err)
 	}
 	return nil
--- a/process/damaged_test.go
+++ b/process/damaged_test.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"testing"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/controlplane"
+	"example.org/elmspan/raft"
 	"example.org/elmspan/settings"
 )
 
@@ -63,7 +63,7 @@
 			if err := os.WriteFile(m.path(), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			begin := func() (id agreement.ID) {
+			begin := func() (id raft.ID) {
 				t.Helper()
 				p, err := New(Options{Settings: m.path(), Tune: settings.DefaultTuning(), Log: slog.New(slog.DiscardHandler)})
 				if err != nil {
--- a/process/founding.go
+++ b/process/founding.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
 	"example.org/elmspan/internal/backoff"
+	"example.org/elmspan/raft/storage"
 )
 
 const (
@@ -106,7 +106,7 @@
 			if !backoff.Sleep(ctx, anewEvery) {
 				return
 			}
-			if errors.Is(err, logstore.ErrCorrupt) {
+			if errors.Is(err, storage.ErrCorrupt) {
 				err = h.anew()
 			} else {
 				err = h.member(v == firstVoter)
@@ -158,7 +158,7 @@
 
 // toFound tells whether the store is empty and the machine is to be one of several
 // first voters.
-func (h *host) toFound(store *logstore.Store, bootstrap bool) (bool, error) {
+func (h *host) toFound(store *storage.Store, bootstrap bool) (bool, error) {
 	if !bootstrap || len(h.cfg.Seeds) < 2 || !slices.Contains(h.cfg.Seeds, h.cfg.Addr) {
 		return false, nil
 	}
--- a/process/host.go
+++ b/process/host.go
@@ -10,10 +10,10 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
 	"example.org/elmspan/controlplane"
 	"example.org/elmspan/internal/backoff"
+	"example.org/elmspan/raft/storage"
 )
 
 // anewEvery is the pause between two tries to begin a member anew on a disk that fails.
@@ -28,9 +28,9 @@
 	log    *slog.Logger
 
 	// between, where set, stands between a member and its store, in tests.
-	between func(*logstore.Store) controlplane.Store
+	between func(*storage.Store) controlplane.Store
 
-	store *logstore.Store // of the member; nil before the first
+	store *storage.Store // of the member; nil before the first
 	now   atomic.Pointer[controlplane.Core]
 	// why no member takes part, for operators; nil: one does, or is about to begin.
 	out atomic.Pointer[string]
@@ -62,14 +62,14 @@
 // newer program wrote the store, none takes part and the files stay as they are: to
 // begin anew would lose what is confirmed if the whole core were rolled back.
 func (h *host) begin(bootstrap bool) error {
-	err := h.open(logstore.Open, bootstrap)
+	err := h.open(storage.Open, bootstrap)
 	switch {
-	case errors.Is(err, logstore.ErrNewer):
+	case errors.Is(err, storage.ErrNewer):
 		why := err.Error()
 		h.out.Store(&why)
 		h.log.Error("this machine takes no part in the core: start it with the program that the state on disk is of", "dir", h.dir, "err", err)
 		return h.close()
-	case errors.Is(err, logstore.ErrCorrupt):
+	case errors.Is(err, storage.ErrCorrupt):
 		h.log.Error("the state on disk can't be used: starting without it, as a new member", "dir", h.dir, "err", err)
 		return h.anew()
 	}
@@ -81,10 +81,10 @@
 	if err := h.close(); err != nil {
 		h.log.Warn("closing the store", "err", err) // it is removed next
 	}
-	return h.open(logstore.Reset, false)
+	return h.open(storage.Reset, false)
 }
 
-func (h *host) open(open func(string) (*logstore.Store, error), bootstrap bool) (err error) {
+func (h *host) open(open func(string) (*storage.Store, error), bootstrap bool) (err error) {
 	if h.store, err = open(h.dir); err != nil {
 		h.store = nil
 		return err
--- a/process/host_test.go
+++ b/process/host_test.go
@@ -20,10 +20,10 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/agreement"
-	"example.org/elmspan/agreement/logstore"
 	"example.org/elmspan/api"
 	"example.org/elmspan/controlplane"
+	"example.org/elmspan/raft"
+	"example.org/elmspan/raft/storage"
 )
 
 // newer has a member's store say that a newer program wrote it, in a format that none of
@@ -112,14 +112,14 @@
 
 // lossy is a store that loses, when told to, what it has promised.
 type lossy struct {
-	*logstore.Store
+	*storage.Store
 	lost chan struct{}
 }
 
-func (s *lossy) Save(r agreement.Ready) error {
+func (s *lossy) Save(r raft.Ready) error {
 	select {
 	case <-s.lost:
-		return fmt.Errorf("opening it again: %w", logstore.ErrCorrupt)
+		return fmt.Errorf("opening it again: %w", storage.ErrCorrupt)
 	default:
 		return s.Store.Save(r)
 	}
@@ -134,9 +134,9 @@
 	c := newCore3(t)
 	disk := &lossy{lost: make(chan struct{})}
 	for i := range c.hosts {
-		var between func(*logstore.Store) controlplane.Store
+		var between func(*storage.Store) controlplane.Store
 		if i == 1 {
-			between = func(s *logstore.Store) controlplane.Store {
+			between = func(s *storage.Store) controlplane.Store {
 				if disk.Store != nil {
 					return s // of the new member: it loses nothing
 				}
@@ -189,7 +189,7 @@
 var cores3 atomic.Int32
 
 // start starts a machine.
-func (c *core3) start(i int, between func(*logstore.Store) controlplane.Store) {
+func (c *core3) start(i int, between func(*storage.Store) controlplane.Store) {
 	c.t.Helper()
 	conns, log := api.NewConns(nil), slog.New(slog.DiscardHandler)
 	h := &host{dir: c.dirs[i], client: &controlplane.Client{Conns: conns, Log: log}, log: log, between: between,
--- a/process/news.go
+++ b/process/news.go
@@ -10,9 +10,9 @@
 	"google.golang.org/grpc"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/changes"
 	"example.org/elmspan/controlplane"
 	"example.org/elmspan/internal/backoff"
+	"example.org/elmspan/versioned"
 )
 
 const (
@@ -166,13 +166,13 @@
 
 // take takes in what is new.
 func (p *Process) take(ctx context.Context, m member, n *api.News) bool {
-	return p.table(ctx, m, api.ConfigTable, n.Config, func(r *changes.Reader) error { return p.gateway.ChangeConfig(r) }) &&
-		p.table(ctx, m, api.ServerTable, n.List, func(r *changes.Reader) error { return p.gateway.ChangeServers(r, n.ClockMs) })
+	return p.table(ctx, m, api.ConfigTable, n.Config, func(r *versioned.Reader) error { return p.gateway.ChangeConfig(r) }) &&
+		p.table(ctx, m, api.ServerTable, n.List, func(r *versioned.Reader) error { return p.gateway.ChangeServers(r, n.ClockMs) })
 }
 
 // table takes in the difference of one table. Where it does not fit what is held
 // here, the whole is asked for next time.
-func (p *Process) table(ctx context.Context, m member, table uint8, parcel *api.Parcel, take func(*changes.Reader) error) bool {
+func (p *Process) table(ctx context.Context, m member, table uint8, parcel *api.Parcel, take func(*versioned.Reader) error) bool {
 	if parcel == nil {
 		return true
 	}
@@ -183,7 +183,7 @@
 		p.log.Debug("a difference was not had", "table", table, "to", parcel.To, "err", err)
 		return false
 	}
-	r, err := changes.Open(data)
+	r, err := versioned.Open(data)
 	if err == nil {
 		err = take(r)
 	}
--- a/process/process.go
+++ b/process/process.go
@@ -22,12 +22,12 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/grpc"
 
-	"example.org/elmspan/agreement"
 	"example.org/elmspan/api"
 	"example.org/elmspan/controlplane"
 	"example.org/elmspan/dataplane"
 	"example.org/elmspan/keys"
 	"example.org/elmspan/membership"
+	"example.org/elmspan/raft"
 	"example.org/elmspan/settings"
 	"example.org/elmspan/telemetry"
 )
@@ -299,7 +299,7 @@
 		})
 	}
 	truth := map[bool]float64{true: 1}
-	core("elmspan_core_leader", func(s controlplane.CoreStatus) float64 { return truth[s.Role == agreement.Leader.String()] })
+	core("elmspan_core_leader", func(s controlplane.CoreStatus) float64 { return truth[s.Role == raft.Leader.String()] })
 	core("elmspan_core_term", func(s controlplane.CoreStatus) float64 { return float64(s.Term) })
 	core("elmspan_core_commit_index", func(s controlplane.CoreStatus) float64 { return float64(s.Commit) })
 	core("elmspan_core_disk_fails", func(s controlplane.CoreStatus) float64 { return truth[s.DiskFails] })
--- a/agreement/fuzz_test.go
+++ b/raft/fuzz_test.go
@@ -1,4 +1,4 @@
-package agreement
+package raft
 
 import (
 	"testing"
--- a/agreement/model/model_test.go
+++ b/raft/model/model_test.go
@@ -5,7 +5,7 @@
 	"flag"
 	"testing"
 
-	"example.org/elmspan/explore"
+	"example.org/elmspan/lab/modelcheck"
 )
 
 // small are worlds that can be walked through in seconds. docs/model.md names larger ones.
@@ -24,7 +24,7 @@
 }
 
 // deep are worlds in which some guards are needed, too large to be walked through each
-// time: go test ./agreement/model -run TestDeepWorlds -world NAME -timeout 0.
+// time: go test ./raft/model -run TestDeepWorlds -world NAME -timeout 0.
 var deep = map[string]Bounds{
 	"three elections": {Members: 3, Elections: 3, Candidates: 2, InFlight: 1},
 	"leaps":           {Members: 3, Elections: 2, Candidates: 2, Changes: 1, Beats: 1, InFlight: 1},
@@ -48,7 +48,7 @@
 	for name, b := range small {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, err := explore.Walk(t.Context(), New(b), 0, 2)
+			r, err := modelcheck.Walk(t.Context(), New(b), 0, 2)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -65,7 +65,7 @@
 	if !is {
 		t.Skip("no -world")
 	}
-	r, err := explore.Walk(t.Context(), New(b), 0, 4)
+	r, err := modelcheck.Walk(t.Context(), New(b), 0, 4)
 	t.Log(b, ":", r)
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 
 // A walk finds what is wrong, and how the world came to it.
 func TestWalksEnd(t *testing.T) {
-	if _, err := explore.Walk(t.Context(), New(small["elections"]), 100, 1); !errors.Is(err, explore.ErrBound) {
+	if _, err := modelcheck.Walk(t.Context(), New(small["elections"]), 100, 1); !errors.Is(err, modelcheck.ErrBound) {
 		t.Errorf("with a bound of 100: %v", err)
 	}
 }
--- a/agreement/model/mutants_test.go
+++ b/raft/model/mutants_test.go
@@ -19,7 +19,7 @@
 // mutants are the guards of docs/invariants.md that keep the log. The worlds have
 // no clocks, so that pre-votes and calm, which only keep the peace, are not among them.
 // A vote that is on disk before it is given is the host's part; that changes of voters
-// follow on each other takes five members to break (agreement.TestOneChangeAtATime).
+// follow on each other takes five members to break (raft.TestOneChangeAtATime).
 var mutants = []mutant{
 	{"one vote a term", "step.go", "(n.hard.Vote == 0 || n.hard.Vote == m.From) && n.leader == 0", "n.leader == 0 || true", "elections", false},
 	{"a candidate's log must be up to date", "step.go", "return m.LogTerm > t || m.LogTerm == t && m.Index >= n.last()", "return t >= 0", "values and elections", false},
--- a/agreement/model/world.go
+++ b/raft/model/world.go
@@ -11,8 +11,8 @@
 	"fmt"
 	"slices"
 
-	"example.org/elmspan/agreement"
-	"example.org/elmspan/explore"
+	"example.org/elmspan/lab/modelcheck"
+	"example.org/elmspan/raft"
 )
 
 // Bounds are how often things may happen in a world. What is on its way from one
@@ -57,50 +57,50 @@
 type world struct {
 	left    Bounds // what may still happen
 	members []*member
-	net     []agreement.Message
-	agreed  []agreement.Entry // from place 1 on, as it was first applied anywhere
-	leaders []agreement.ID    // by term
+	net     []raft.Message
+	agreed  []raft.Entry // from place 1 on, as it was first applied anywhere
+	leaders []raft.ID    // by term
 	rounds  []round
 	damaged bool // something was, on its way
 	bad     error
 }
 
 type member struct {
-	id   agreement.ID
+	id   raft.ID
 	most int // entries in a message
 	tail int // entries behind a snapshot
-	node *agreement.Node
-	disk agreement.Stored
+	node *raft.Node
+	disk raft.Stored
 	// applied is the furthest that it ever had, of which the disk holds all.
 	applied uint64
 }
 
 // round is a round of heartbeats, and how much was agreed when it began.
 type round struct {
-	leader agreement.ID
+	leader raft.ID
 	term   uint64
 	round  uint64
 	agreed int
 }
 
 // New returns the world's first state: members with empty disks.
-func New(b Bounds) explore.State {
-	var ms []agreement.Member
+func New(b Bounds) modelcheck.State {
+	var ms []raft.Member
 	for i := range b.Members {
-		ms = append(ms, agreement.Member{ID: agreement.ID(i + 1), Voter: true, Joint: true})
+		ms = append(ms, raft.Member{ID: raft.ID(i + 1), Voter: true, Joint: true})
 	}
 	for i := range b.Swaps { // learners, known to understand joint changes
-		ms = append(ms, agreement.Member{ID: agreement.ID(b.Members + i + 1), Joint: true})
+		ms = append(ms, raft.Member{ID: raft.ID(b.Members + i + 1), Joint: true})
 	}
 	w := &world{left: b}
 	for i := range b.Members + b.Changes + b.Swaps { // those that are not voters yet stand by
-		m := &member{id: agreement.ID(i + 1), most: b.Entries, tail: b.Tail, disk: agreement.Stored{Snapshot: agreement.Snapshot{Members: ms}}}
+		m := &member{id: raft.ID(i + 1), most: b.Entries, tail: b.Tail, disk: raft.Stored{Snapshot: raft.Snapshot{Members: ms}}}
 		m.start()
 		w.members = append(w.members, m)
 	}
 	if b.Led {
 		first := w.members[0].node
-		first.Step(agreement.Message{Kind: agreement.Campaign, From: 2, To: 1, Term: first.Term()})
+		first.Step(raft.Message{Kind: raft.Campaign, From: 2, To: 1, Term: first.Term()})
 		for w.host(0); len(w.net) > 0; {
 			m := w.net[0]
 			w.net = w.net[1:]
@@ -112,9 +112,9 @@
 }
 
 func (m *member) start() {
-	m.node = agreement.New(agreement.Config{ID: m.id, ElectionTicks: never, HeartbeatTicks: heartbeat, MostEntries: m.most,
+	m.node = raft.New(raft.Config{ID: m.id, ElectionTicks: never, HeartbeatTicks: heartbeat, MostEntries: m.most,
 		TailEntries: cmp.Or(m.tail, -1), PieceBytes: 1, Window: 1},
-		agreement.Stored{Hard: m.disk.Hard, Snapshot: m.disk.Snapshot, Entries: slices.Clone(m.disk.Entries)})
+		raft.Stored{Hard: m.disk.Hard, Snapshot: m.disk.Snapshot, Entries: slices.Clone(m.disk.Entries)})
 }
 
 func (w *world) clone() *world {
@@ -136,8 +136,8 @@
 // state is what stands for the log up to an index, in so many pieces.
 func state(index uint64, pieces int) []byte { return bytes.Repeat([]byte{byte(index)}, max(1, pieces)) }
 
-// Next implements [explore.State].
-func (w *world) Next(yield func(string, explore.State) bool) {
+// Next implements [modelcheck.State].
+func (w *world) Next(yield func(string, modelcheck.State) bool) {
 	// try plays one event at a member; false ends the walk.
 	try := func(i int, event string, spend *int, do func(c *world, m *member) bool) bool {
 		if spend != nil && *spend == 0 {
@@ -159,7 +159,7 @@
 			m.node.Step(msg)
 			return true
 		}
-		if msg.Kind == agreement.Piece && !try(i, fmt.Sprint("arrives damaged: ", describe(msg)), &w.left.Damaged, func(c *world, m *member) bool {
+		if msg.Kind == raft.Piece && !try(i, fmt.Sprint("arrives damaged: ", describe(msg)), &w.left.Damaged, func(c *world, m *member) bool {
 			c.net = slices.Delete(c.net, k, k+1)
 			s := *msg.Snapshot
 			s.Data = []byte{0xff}
@@ -180,14 +180,14 @@
 	}
 	for i, m := range w.members {
 		id, n := m.id, m.node
-		leads := n.Role() == agreement.Leader
+		leads := n.Role() == raft.Leader
 		ok := try(i, fmt.Sprint("election begun by ", id), &w.left.Elections, func(_ *world, m *member) bool {
-			other := agreement.ID(1)
+			other := raft.ID(1)
 			if id == 1 {
 				other = 2
 			}
-			m.node.Step(agreement.Message{Kind: agreement.Campaign, From: other, To: id, Term: m.node.Term()})
-			return !leads && m.node.Role() != agreement.Follower && (w.left.Candidates == 0 || i < w.left.Candidates)
+			m.node.Step(raft.Message{Kind: raft.Campaign, From: other, To: id, Term: m.node.Term()})
+			return !leads && m.node.Role() != raft.Follower && (w.left.Candidates == 0 || i < w.left.Candidates)
 		}) && try(i, fmt.Sprint("crash of ", id), &w.left.Crashes, func(_ *world, m *member) bool {
 			m.start()
 			return true
@@ -247,32 +247,32 @@
 }
 
 // changes are the sets of voters one step away, and one that is further.
-func changes(now []agreement.Member, most int) (out [][]agreement.Member) {
-	for id := agreement.ID(1); int(id) <= most; id++ {
-		set := slices.DeleteFunc(slices.Clone(now), func(m agreement.Member) bool { return m.ID == id })
+func changes(now []raft.Member, most int) (out [][]raft.Member) {
+	for id := raft.ID(1); int(id) <= most; id++ {
+		set := slices.DeleteFunc(slices.Clone(now), func(m raft.Member) bool { return m.ID == id })
 		if len(set) == len(now) {
-			set = append(set, agreement.Member{ID: id, Voter: true})
+			set = append(set, raft.Member{ID: id, Voter: true})
 		}
 		if len(set) > 0 {
 			out = append(out, set)
 		}
 	}
-	if last := agreement.ID(most); !slices.ContainsFunc(now, func(m agreement.Member) bool { return m.ID == last }) {
-		out = append(out, []agreement.Member{{ID: 1, Voter: true}, {ID: last, Voter: true}}) // a leap: not to be taken
+	if last := raft.ID(most); !slices.ContainsFunc(now, func(m raft.Member) bool { return m.ID == last }) {
+		out = append(out, []raft.Member{{ID: 1, Voter: true}, {ID: last, Voter: true}}) // a leap: not to be taken
 	}
 	return out
 }
 
 // swaps are the sets with one voter less and another more; the one that loses its
 // vote, out or any, stays.
-func swaps(now []agreement.Member, most, out int) (sets [][]agreement.Member) {
-	for id := agreement.ID(1); int(id) <= most; id++ {
-		in := slices.IndexFunc(now, func(m agreement.Member) bool { return m.ID == id })
+func swaps(now []raft.Member, most, out int) (sets [][]raft.Member) {
+	for id := raft.ID(1); int(id) <= most; id++ {
+		in := slices.IndexFunc(now, func(m raft.Member) bool { return m.ID == id })
 		if in >= 0 && now[in].Voter {
 			continue
 		}
 		for i := range now {
-			if !now[i].Voter || out != 0 && now[i].ID != agreement.ID(out) {
+			if !now[i].Voter || out != 0 && now[i].ID != raft.ID(out) {
 				continue
 			}
 			set := slices.Clone(now)
@@ -280,7 +280,7 @@
 			if in >= 0 {
 				set[in].Voter = true
 			} else {
-				set = append(set, agreement.Member{ID: id, Voter: true, Joint: true})
+				set = append(set, raft.Member{ID: id, Voter: true, Joint: true})
 			}
 			sets = append(sets, set)
 		}
@@ -288,7 +288,7 @@
 	return sets
 }
 
-func voters(ms []agreement.Member) (ids []agreement.ID) {
+func voters(ms []raft.Member) (ids []raft.ID) {
 	for _, m := range ms {
 		if m.Voter {
 			ids = append(ids, m.ID)
@@ -328,7 +328,7 @@
 		m.node.Advance(r)
 		m.applied = m.node.Applied()
 	}
-	if m.node.Role() == agreement.Leader {
+	if m.node.Role() == raft.Leader {
 		term := int(m.node.Term())
 		for len(w.leaders) <= term {
 			w.leaders = append(w.leaders, 0)
@@ -342,8 +342,8 @@
 }
 
 // send puts a message on its way, and loses the oldest of too many.
-func (w *world) send(msg agreement.Message) {
-	same := func(m agreement.Message) bool { return m.From == msg.From && m.To == msg.To }
+func (w *world) send(msg raft.Message) {
+	same := func(m raft.Message) bool { return m.From == msg.From && m.To == msg.To }
 	if int(msg.To) > len(w.members) {
 		return
 	}
@@ -361,7 +361,7 @@
 }
 
 // apply checks that all agree on each place of the log.
-func (w *world) apply(id agreement.ID, e agreement.Entry) {
+func (w *world) apply(id raft.ID, e raft.Entry) {
 	at := int(e.Index) - 1
 	switch {
 	case at == len(w.agreed):
@@ -379,7 +379,7 @@
 	}
 }
 
-// Check implements [explore.State].
+// Check implements [modelcheck.State].
 func (w *world) Check() error {
 	if w.bad != nil {
 		return w.bad
@@ -404,7 +404,7 @@
 	return nil
 }
 
-// AppendKey implements [explore.State].
+// AppendKey implements [modelcheck.State].
 func (w *world) AppendKey(b []byte) []byte {
 	l := w.left
 	for _, v := range []int{l.Elections, l.Values, l.Beats, l.Crashes, l.Resigns, l.Doubled, l.Changes, l.Swaps, l.Snapshots, l.Damaged, len(w.agreed), len(w.net)} {
@@ -434,7 +434,7 @@
 	return b
 }
 
-func describe(m agreement.Message) string {
+func describe(m raft.Message) string {
 	kind := [...]string{"", "pre-vote", "answer to a pre-vote", "vote?", "vote", "append", "appended", "snapshot", "campaign", "piece", "piece taken", "forgotten"}[m.Kind]
 	if m.Reject {
 		kind = "no: " + kind
--- a/agreement/node.go
+++ b/raft/node.go
@@ -1,4 +1,4 @@
-package agreement
+package raft
 
 import (
 	"cmp"
@@ -45,10 +45,10 @@
 
 // The errors of Propose and Change.
 var (
-	ErrNotLeader = errors.New("agreement: not the leader")
-	ErrPending   = errors.New("agreement: a change of members is not through yet")
-	ErrStep      = errors.New("agreement: a change may add one voter and take the vote of one at most")
-	ErrJoint     = errors.New("agreement: not all voters are known to understand joint changes")
+	ErrNotLeader = errors.New("raft: not the leader")
+	ErrPending   = errors.New("raft: a change of members is not through yet")
+	ErrStep      = errors.New("raft: a change may add one voter and take the vote of one at most")
+	ErrJoint     = errors.New("raft: not all voters are known to understand joint changes")
 )
 
 // Node is one member. It is not safe for concurrent use.
--- a/agreement/snapshot.go
+++ b/raft/snapshot.go
@@ -1,4 +1,4 @@
-package agreement
+package raft
 
 import "github.com/cespare/xxhash/v2"
 
--- a/agreement/step.go
+++ b/raft/step.go
@@ -1,4 +1,4 @@
-package agreement
+package raft
 
 // Step takes in a message of another member.
 func (n *Node) Step(m Message) {
--- a/agreement/logstore/bench_test.go
+++ b/raft/storage/bench_test.go
@@ -1,11 +1,11 @@
-package logstore
+package storage
 
 import (
 	"fmt"
 	"sync/atomic"
 	"testing"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 // counting counts the syncs of the machine's disk.
@@ -49,7 +49,7 @@
 				b.Fatal(err)
 			}
 			defer s.Close()
-			if err := s.Begin(7, agreement.Snapshot{}); err != nil {
+			if err := s.Begin(7, raft.Snapshot{}); err != nil {
 				b.Fatal(err)
 			}
 			data := make([]byte, size)
@@ -59,11 +59,11 @@
 			i := uint64(0)
 			for b.Loop() {
 				i++
-				if err := s.Save(agreement.Ready{Entries: []agreement.Entry{{Index: i, Term: 1, Data: data}}}); err != nil {
+				if err := s.Save(raft.Ready{Entries: []raft.Entry{{Index: i, Term: 1, Data: data}}}); err != nil {
 					b.Fatal(err)
 				}
 				if i%64 == 0 { // as a member does
-					if err := s.Compact(agreement.Snapshot{Index: i, Term: 1, Data: data}); err != nil {
+					if err := s.Compact(raft.Snapshot{Index: i, Term: 1, Data: data}); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/agreement/logstore/damage_test.go
+++ b/raft/storage/damage_test.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"encoding/binary"
@@ -13,13 +13,13 @@
 
 	"github.com/syndtr/goleveldb/leveldb"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 // worn makes a disk with a store on it that was in use for a while, and returns
 // it as it is and as it was at some earlier moment.
 func worn(r *rand.Rand) (h *host, now, older *disk, err error) {
-	h = &host{r: r, id: agreement.ID(r.Uint64() | 1), big: r.IntN(3) > 0}
+	h = &host{r: r, id: raft.ID(r.Uint64() | 1), big: r.IntN(3) > 0}
 	now = newDisk()
 	older = now
 	for range 1 + r.IntN(3) {
@@ -234,8 +234,8 @@
 	none(t, seeds(*diskSeeds, func(seed uint64) error {
 		r := rand.New(rand.NewPCG(seed, 5))
 		h := &host{r: r, id: 7}
-		h.has = held{ID: 7, Stored: agreement.Stored{Hard: agreement.HardState{Term: 4, Vote: 7},
-			Snapshot: agreement.Snapshot{Index: 5, Term: 3}, Entries: []agreement.Entry{entry(6, 3, "a"), entry(7, 4, "b")}}}
+		h.has = held{ID: 7, Stored: raft.Stored{Hard: raft.HardState{Term: 4, Vote: 7},
+			Snapshot: raft.Snapshot{Index: 5, Term: 3}, Entries: []raft.Entry{entry(6, 3, "a"), entry(7, 4, "b")}}}
 		d := newDisk()
 		if err := former(d, h.has); err != nil {
 			return err
@@ -296,12 +296,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(s.Begin(7, agreement.Snapshot{}), s.Save(agreement.Ready{Hard: &agreement.HardState{Term: 1},
-			Entries: []agreement.Entry{entry(1, 1, "a"), entry(2, 1, "b")}})); err != nil {
+		if err := errors.Join(s.Begin(7, raft.Snapshot{}), s.Save(raft.Ready{Hard: &raft.HardState{Term: 1},
+			Entries: []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b")}})); err != nil {
 			t.Fatal(err)
 		}
 		before := s.promised
-		if err := s.Save(agreement.Ready{Hard: &agreement.HardState{Term: 2}}); err != nil {
+		if err := s.Save(raft.Ready{Hard: &raft.HardState{Term: 2}}); err != nil {
 			t.Fatal(err)
 		}
 		if gone != nil {
--- a/agreement/logstore/format.go
+++ b/raft/storage/format.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 // this one can't read. Nothing was changed on the disk. It isn't damage: the
 // member must not begin anew, as all of them would where a whole core is rolled
 // back, and everything confirmed would be gone.
-var ErrNewer = errors.New("logstore: a newer program wrote the data on disk, in a format that this one can't read")
+var ErrNewer = errors.New("storage: a newer program wrote the data on disk, in a format that this one can't read")
 
 // version says in which format a store is, and which programs may use it. It
 // speaks of all that a member stores: the files here, and what others encode into
--- a/agreement/logstore/format_test.go
+++ b/raft/storage/format_test.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"slices"
 	"testing"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 // write puts a file on a disk, to last.
@@ -107,7 +107,7 @@
 			d.dieAt = at
 			s, err := openAt(d, dir)
 			if err == nil {
-				err = s.Begin(7, agreement.Snapshot{})
+				err = s.Begin(7, raft.Snapshot{})
 				ended = err == nil
 				s.Close()
 			}
--- a/agreement/logstore/fs.go
+++ b/raft/storage/fs.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"syscall"
 
-	"example.org/elmspan/internal/durable"
+	"example.org/elmspan/internal/atomicfile"
 )
 
 // fileSystem is all that the store asks of a disk. Paths are the system's. The
@@ -42,7 +42,7 @@
 
 type osFile struct{ *os.File }
 
-func (f osFile) Sync() error { return durable.SyncData(f.File) }
+func (f osFile) Sync() error { return atomicfile.SyncData(f.File) }
 
 func osOpen(path string, flag int) (file, error) {
 	f, err := os.OpenFile(path, flag, 0o644)
@@ -59,7 +59,7 @@
 func (osFS) Update(path string) (file, error) { return osOpen(path, os.O_RDWR) }
 func (osFS) Remove(path string) error         { return os.RemoveAll(path) }
 func (osFS) Mkdir(dir string) error           { return os.Mkdir(dir, 0o755) }
-func (osFS) SyncDir(dir string) error         { return durable.SyncDir(dir) }
+func (osFS) SyncDir(dir string) error         { return atomicfile.SyncDir(dir) }
 
 func (osFS) Names(dir string) ([]string, error) {
 	f, err := os.Open(dir)
--- a/agreement/logstore/fuzz_test.go
+++ b/raft/storage/fuzz_test.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 
 	"github.com/syndtr/goleveldb/leveldb"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 // A record on disk is read as it was written, or known to be corrupt: one byte
@@ -15,12 +15,12 @@
 	f.Add([]byte("a configuration"), uint64(7), uint16(9), byte(1))
 	f.Add([]byte{}, uint64(1<<63), uint16(0), byte(0x80))
 	f.Fuzz(func(t *testing.T, data []byte, index uint64, at uint16, flip byte) {
-		var raw agreement.Entry
+		var raw raft.Entry
 		if err := decode(data, &raw); err != nil && !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("%v is no ErrCorrupt", err)
 		}
 		var b leveldb.Batch
-		record, err := encode([]byte("k"), agreement.Entry{Index: index, Data: data})
+		record, err := encode([]byte("k"), raft.Entry{Index: index, Data: data})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,7 +29,7 @@
 		if err := b.Replay(&got); err != nil {
 			t.Fatal(err)
 		}
-		var e agreement.Entry
+		var e raft.Entry
 		if err := decode(got, &e); err != nil || e.Index != index || string(e.Data) != string(data) {
 			t.Fatalf("read %+v, %v", e, err)
 		}
--- a/agreement/logstore/image.go
+++ b/raft/storage/image.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/syndtr/goleveldb/leveldb"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 // image is a digest of everything that is stored: a hash of each record. It is
@@ -83,11 +83,11 @@
 	return recordHash(key, data)
 }
 
-func (c *change) identity(id agreement.ID)   { c.next.identity = c.put(keyIdentity, id) }
-func (c *change) hard(h agreement.HardState) { c.next.hard = c.put(keyHard, h) }
+func (c *change) identity(id raft.ID)   { c.next.identity = c.put(keyIdentity, id) }
+func (c *change) hard(h raft.HardState) { c.next.hard = c.put(keyHard, h) }
 
 // snapshot puts a snapshot; the entries that stay follow it.
-func (c *change) snapshot(s agreement.Snapshot) {
+func (c *change) snapshot(s raft.Snapshot) {
 	c.next.snapshot, c.next.base = c.put(keySnapshot, s), s.Index
 }
 
@@ -109,7 +109,7 @@
 }
 
 // add puts entries, in place of all from the first of them on.
-func (c *change) add(entries []agreement.Entry) {
+func (c *change) add(entries []raft.Entry) {
 	for len(entries) > 0 && entries[0].Index <= c.next.base { // the snapshot stands for it
 		entries = entries[1:]
 	}
@@ -120,7 +120,7 @@
 	c.next.entries = slices.Clip(c.next.entries)
 	for _, e := range entries {
 		if want := c.next.last() + 1; e.Index != want && c.err == nil {
-			c.err = fmt.Errorf("logstore: entry %d in place of %d", e.Index, want)
+			c.err = fmt.Errorf("storage: entry %d in place of %d", e.Index, want)
 		}
 		c.next.entries = append(c.next.entries, c.put(entryKey(e.Index), e))
 	}
--- a/agreement/logstore/logstore.go
+++ b/raft/storage/logstore.go
@@ -1,4 +1,4 @@
-// Package logstore keeps a member's log, vote and identity on disk, in
+// Package storage keeps a member's log, vote and identity on disk, in
 // goleveldb. What Begin, Save and Compact have returned from without an error
 // survives a loss of power, and a store that has lost any of it knows: it is
 // ErrCorrupt, and the member comes back as a new one.
@@ -9,7 +9,7 @@
 // to the seal, then the promise out. So at the next start the database stands at
 // the seal's number, or one further (written, not promised). Anything else, or
 // contents that don't have the digest, has lost something.
-package logstore
+package storage
 
 import (
 	"bytes"
@@ -28,7 +28,7 @@
 	"github.com/syndtr/goleveldb/leveldb/opt"
 	"github.com/syndtr/goleveldb/leveldb/util"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 const (
@@ -50,7 +50,7 @@
 
 // ErrCorrupt tells that what is on disk isn't all that was promised from it. The
 // member must not vote with it: it starts again, as a new one, see [Reset].
-var ErrCorrupt = errors.New("logstore: the data on disk is corrupt")
+var ErrCorrupt = errors.New("storage: the data on disk is corrupt")
 
 var (
 	keyIdentity = []byte("identity")
@@ -125,14 +125,14 @@
 }
 
 // Identity returns the member's id, 0 where the disk has none yet.
-func (s *Store) Identity() (id agreement.ID, err error) {
+func (s *Store) Identity() (id raft.ID, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return id, s.get(keyIdentity, s.image.identity, &id)
 }
 
 // Begin writes the identity and the first state of a member.
-func (s *Store) Begin(id agreement.ID, first agreement.Snapshot) error {
+func (s *Store) Begin(id raft.ID, first raft.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.ready(); err != nil {
@@ -146,14 +146,14 @@
 		return err
 	}
 	if err := errors.Join(s.fs.Remove(s.dir+lostSuffix), s.fs.SyncDir(filepath.Dir(s.dir))); err != nil {
-		return fmt.Errorf("logstore: %w", err)
+		return fmt.Errorf("storage: %w", err)
 	}
 	s.marked = false
 	return nil
 }
 
 // Load reads all that is there. What isn't as it was written is [ErrCorrupt].
-func (s *Store) Load() (st agreement.Stored, err error) {
+func (s *Store) Load() (st raft.Stored, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err = s.get(keyHard, s.image.hard, &st.Hard); err != nil {
@@ -174,7 +174,7 @@
 		if i == len(s.image.entries) || !bytes.Equal(it.Key(), entryKey(index)) || recordHash(it.Key(), it.Value()) != s.image.entries[i] {
 			return st, fmt.Errorf("%w: entry %d isn't what was written", ErrCorrupt, index)
 		}
-		var e agreement.Entry
+		var e raft.Entry
 		if err := decode(it.Value(), &e); err != nil {
 			return st, err
 		}
@@ -184,7 +184,7 @@
 		st.Entries = append(st.Entries, e)
 	}
 	if err := it.Error(); err != nil {
-		return st, fmt.Errorf("logstore: reading the log: %w", s.blame(err))
+		return st, fmt.Errorf("storage: reading the log: %w", s.blame(err))
 	}
 	if len(st.Entries) < len(s.image.entries) {
 		return st, fmt.Errorf("%w: entry %d is missing", ErrCorrupt, s.image.base+1+uint64(len(st.Entries)))
@@ -197,7 +197,7 @@
 // opens the store again and goes on from what it reads there. So a member whose
 // disk was full comes back by itself once it takes writes. ErrCorrupt stays: what
 // was promised is gone from the disk, and nothing is promised any more.
-func (s *Store) Save(r agreement.Ready) error {
+func (s *Store) Save(r raft.Ready) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.ready(); err != nil {
@@ -216,7 +216,7 @@
 }
 
 // Compact writes a snapshot and drops the entries that it stands for.
-func (s *Store) Compact(snap agreement.Snapshot) error {
+func (s *Store) Compact(snap raft.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.ready(); err != nil {
@@ -243,14 +243,14 @@
 		return nil
 	}
 	if s.lock == nil || errors.Is(s.broken, ErrCorrupt) || time.Since(s.tried) < s.pause {
-		return fmt.Errorf("logstore: %w", s.broken)
+		return fmt.Errorf("storage: %w", s.broken)
 	}
 	s.tried = time.Now()
 	if err := s.load(); err != nil {
 		s.broken = err
 	}
 	if s.broken != nil {
-		return fmt.Errorf("logstore: opening %s again: %w", s.dir, s.broken)
+		return fmt.Errorf("storage: opening %s again: %w", s.dir, s.broken)
 	}
 	return nil
 }
@@ -271,7 +271,7 @@
 	}
 	if err != nil {
 		s.broken = err
-		return fmt.Errorf("logstore: writing: %w", err)
+		return fmt.Errorf("storage: writing: %w", err)
 	}
 	s.image, s.promised = c.next, m
 	return nil
@@ -280,14 +280,14 @@
 // get reads a record whose hash is known; 0: there is none.
 func (s *Store) get(key []byte, hash uint64, v any) error {
 	if s.db == nil {
-		return fmt.Errorf("logstore: reading %s: %w", key, cmp.Or(s.broken, errClosed))
+		return fmt.Errorf("storage: reading %s: %w", key, cmp.Or(s.broken, errClosed))
 	}
 	if hash == 0 {
 		return nil
 	}
 	data, err := s.db.Get(key, nil)
 	if err != nil {
-		return fmt.Errorf("logstore: reading %s: %w", key, s.blame(err))
+		return fmt.Errorf("storage: reading %s: %w", key, s.blame(err))
 	}
 	if recordHash(key, data) != hash {
 		return fmt.Errorf("%w: the record %q isn't what was written", ErrCorrupt, key)
@@ -302,7 +302,7 @@
 func encode(key []byte, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
-		return nil, fmt.Errorf("logstore: encoding %s: %w", key, err)
+		return nil, fmt.Errorf("storage: encoding %s: %w", key, err)
 	}
 	data := make([]byte, headerSize, headerSize+len(body))
 	data[0] = format
--- a/agreement/logstore/logstore_test.go
+++ b/raft/storage/logstore_test.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 
 	"github.com/syndtr/goleveldb/leveldb"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 func open(t *testing.T, dir string) *Store {
@@ -24,8 +24,8 @@
 	return s
 }
 
-func entry(i, term uint64, data string) agreement.Entry {
-	return agreement.Entry{Index: i, Term: term, Data: []byte(data)}
+func entry(i, term uint64, data string) raft.Entry {
+	return raft.Entry{Index: i, Term: term, Data: []byte(data)}
 }
 
 // What Save has stored is there after the process ends, with later entries in
@@ -33,13 +33,13 @@
 func TestSaveAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	if err := s.Begin(7, agreement.Snapshot{Members: []agreement.Member{{ID: 7, Addr: "a", Voter: true}}}); err != nil {
+	if err := s.Begin(7, raft.Snapshot{Members: []raft.Member{{ID: 7, Addr: "a", Voter: true}}}); err != nil {
 		t.Fatal(err)
 	}
-	h := agreement.HardState{Term: 2, Vote: 7}
-	for _, r := range []agreement.Ready{
-		{Entries: []agreement.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}},
-		{Hard: &h, Entries: []agreement.Entry{entry(2, 2, "d")}},
+	h := raft.HardState{Term: 2, Vote: 7}
+	for _, r := range []raft.Ready{
+		{Entries: []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}},
+		{Hard: &h, Entries: []raft.Entry{entry(2, 2, "d")}},
 	} {
 		if err := s.Save(r); err != nil {
 			t.Fatal(err)
@@ -52,10 +52,10 @@
 		t.Errorf("id %v, %v", id, err)
 	}
 	st, err := s.Load()
-	if err != nil || st.Hard != h || !reflect.DeepEqual(st.Entries, []agreement.Entry{entry(1, 1, "a"), entry(2, 2, "d")}) {
+	if err != nil || st.Hard != h || !reflect.DeepEqual(st.Entries, []raft.Entry{entry(1, 1, "a"), entry(2, 2, "d")}) {
 		t.Errorf("%+v, %v", st, err)
 	}
-	if err := s.Compact(agreement.Snapshot{Index: 1, Term: 1}); err != nil {
+	if err := s.Compact(raft.Snapshot{Index: 1, Term: 1}); err != nil {
 		t.Fatal(err)
 	}
 	if st, err = s.Load(); err != nil || st.Snapshot.Index != 1 || len(st.Entries) != 1 {
@@ -67,10 +67,10 @@
 // corrupt: the member must not vote with it.
 func TestCorruptIsTold(t *testing.T) {
 	s := open(t, t.TempDir())
-	if err := s.Begin(7, agreement.Snapshot{}); err != nil {
+	if err := s.Begin(7, raft.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Save(agreement.Ready{Entries: []agreement.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}}); err != nil {
+	if err := s.Save(raft.Ready{Entries: []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.db.Delete(entryKey(2), nil); err != nil {
@@ -94,10 +94,10 @@
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	if err := s.Begin(7, agreement.Snapshot{}); err != nil {
+	if err := s.Begin(7, raft.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Save(agreement.Ready{Entries: []agreement.Entry{entry(1, 1, "a")}}); err != nil {
+	if err := s.Save(raft.Ready{Entries: []raft.Entry{entry(1, 1, "a")}}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -127,7 +127,7 @@
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
-	if err := s.Save(agreement.Ready{Hard: &agreement.HardState{Term: 1}}); err == nil {
+	if err := s.Save(raft.Ready{Hard: &raft.HardState{Term: 1}}); err == nil {
 		t.Error("saved in a store that is closed")
 	}
 	open(t, dir)
@@ -141,8 +141,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := agreement.HardState{Term: 2, Vote: 7}
-	if err := errors.Join(s.Begin(7, agreement.Snapshot{}), s.Save(agreement.Ready{Hard: &h})); err != nil {
+	h := raft.HardState{Term: 2, Vote: 7}
+	if err := errors.Join(s.Begin(7, raft.Snapshot{}), s.Save(raft.Ready{Hard: &h})); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -155,15 +155,15 @@
 	if got, err := read(s); err != nil || got.ID != 7 || got.Hard != h {
 		t.Errorf("%v, %v", got, err)
 	}
-	next := agreement.HardState{Term: 3, Vote: 8}
+	next := raft.HardState{Term: 3, Vote: 8}
 	for range 5 {
-		if err := s.Save(agreement.Ready{Hard: &next}); !errors.Is(err, syscall.ENOSPC) {
+		if err := s.Save(raft.Ready{Hard: &next}); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatalf("%v", err)
 		}
 	}
 	files := len(d.dirs[dir].now)
 	d.full = false
-	if err := s.Save(agreement.Ready{Hard: &next}); err != nil {
+	if err := s.Save(raft.Ready{Hard: &next}); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := read(s); err != nil || got.Hard != next {
@@ -182,11 +182,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Begin(7, agreement.Snapshot{}); err != nil {
+	if err := s.Begin(7, raft.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
 	d.failSyncs = 1
-	if err := s.Save(agreement.Ready{Hard: &agreement.HardState{Term: 9, Vote: 9}}); !errors.Is(err, syscall.EIO) {
+	if err := s.Save(raft.Ready{Hard: &raft.HardState{Term: 9, Vote: 9}}); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("%v", err)
 	}
 	s.Close() // the process ends; the machine goes on
--- a/agreement/logstore/open.go
+++ b/raft/storage/open.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"bytes"
@@ -19,14 +19,14 @@
 		f.Close()
 		return nil, fmt.Errorf("%w: %s tells that it was found so before, and no member has begun in its place", ErrCorrupt, dir+lostSuffix)
 	} else if !errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("logstore: opening %s: %w", dir, err)
+		return nil, fmt.Errorf("storage: opening %s: %w", dir, err)
 	}
 	return enter(fs, dir, false)
 }
 
 func resetAt(fs fileSystem, dir string) (*Store, error) {
 	if err := discard(fs, dir); err != nil {
-		return nil, fmt.Errorf("logstore: removing %s: %w", dir, err)
+		return nil, fmt.Errorf("storage: removing %s: %w", dir, err)
 	}
 	return enter(fs, dir, true)
 }
@@ -61,16 +61,16 @@
 
 func enter(fs fileSystem, dir string, marked bool) (s *Store, err error) {
 	if err := makeDir(fs, dir); err != nil {
-		return nil, fmt.Errorf("logstore: making %s: %w", dir, err)
+		return nil, fmt.Errorf("storage: making %s: %w", dir, err)
 	}
 	lock, err := fs.Lock(filepath.Join(dir, lockName))
 	if err != nil {
-		return nil, fmt.Errorf("logstore: opening %s: %w", dir, err)
+		return nil, fmt.Errorf("storage: opening %s: %w", dir, err)
 	}
 	s = &Store{fs: fs, dir: dir, lock: lock, marked: marked, pause: retryEvery}
 	if err := s.load(); err != nil {
 		s.Close()
-		return nil, fmt.Errorf("logstore: opening %s: %w", dir, err)
+		return nil, fmt.Errorf("storage: opening %s: %w", dir, err)
 	}
 	return s, nil
 }
--- a/agreement/logstore/power_test.go
+++ b/raft/storage/power_test.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"sync"
 	"testing"
 
-	"example.org/elmspan/agreement"
+	"example.org/elmspan/raft"
 )
 
 var diskSeeds = flag.Int("disk.seeds", 40, "seeds of each test on the simulated disk; 10000 for a long run")
@@ -20,8 +20,8 @@
 
 // held is what a member has been told is stored.
 type held struct {
-	ID agreement.ID
-	agreement.Stored
+	ID raft.ID
+	raft.Stored
 }
 
 func read(s *Store) (h held, err error) {
@@ -34,7 +34,7 @@
 
 func (h held) same(o held) bool {
 	return h.ID == o.ID && h.Hard == o.Hard && h.Snapshot.Index == o.Snapshot.Index && h.Snapshot.Term == o.Snapshot.Term &&
-		slices.Equal(h.Snapshot.Data, o.Snapshot.Data) && slices.EqualFunc(h.Entries, o.Entries, func(a, b agreement.Entry) bool {
+		slices.Equal(h.Snapshot.Data, o.Snapshot.Data) && slices.EqualFunc(h.Entries, o.Entries, func(a, b raft.Entry) bool {
 		return a.Index == b.Index && a.Term == b.Term && slices.Equal(a.Data, b.Data)
 	})
 }
@@ -47,7 +47,7 @@
 // again until it goes through.
 type host struct {
 	r    *rand.Rand
-	id   agreement.ID
+	id   raft.ID
 	has  held // acknowledged by the store
 	goal held // and with the call that is under way
 	big  bool // entries as long as configurations
@@ -60,21 +60,21 @@
 	last := h.has.Snapshot.Index + uint64(len(h.has.Entries))
 	switch k := h.r.IntN(20); {
 	case h.has.ID == 0:
-		h.goal.ID, h.goal.Snapshot = h.id, agreement.Snapshot{Data: h.data()}
+		h.goal.ID, h.goal.Snapshot = h.id, raft.Snapshot{Data: h.data()}
 		return func(s *Store) error { return s.Begin(h.goal.ID, h.goal.Snapshot) }
 	case k == 0: // a snapshot from the leader
-		snap := agreement.Snapshot{Index: last + 3, Term: h.has.Hard.Term, Data: h.data()}
+		snap := raft.Snapshot{Index: last + 3, Term: h.has.Hard.Term, Data: h.data()}
 		h.goal.Snapshot, h.goal.Entries = snap, nil
-		return func(s *Store) error { return s.Save(agreement.Ready{Snapshot: &snap}) }
+		return func(s *Store) error { return s.Save(raft.Ready{Snapshot: &snap}) }
 	case k <= 2 && len(h.has.Entries) > 0:
 		n := 1 + h.r.IntN(len(h.has.Entries))
-		snap := agreement.Snapshot{Index: h.has.Snapshot.Index + uint64(n), Term: h.has.Hard.Term, Data: h.data()}
+		snap := raft.Snapshot{Index: h.has.Snapshot.Index + uint64(n), Term: h.has.Hard.Term, Data: h.data()}
 		h.goal.Snapshot, h.goal.Entries = snap, h.goal.Entries[n:]
 		return func(s *Store) error { return s.Compact(snap) }
 	}
-	var ready agreement.Ready
+	var ready raft.Ready
 	if h.r.IntN(3) == 0 {
-		h.goal.Hard = agreement.HardState{Term: h.has.Hard.Term + 1, Vote: h.id}
+		h.goal.Hard = raft.HardState{Term: h.has.Hard.Term + 1, Vote: h.id}
 		ready.Hard = &h.goal.Hard
 	}
 	if ready.Hard == nil || h.r.IntN(2) == 0 {
@@ -83,7 +83,7 @@
 		}
 		at := len(h.goal.Entries)
 		for range 1 + h.r.IntN(3) {
-			h.goal.Entries = append(h.goal.Entries, agreement.Entry{
+			h.goal.Entries = append(h.goal.Entries, raft.Entry{
 				Index: h.has.Snapshot.Index + uint64(len(h.goal.Entries)) + 1, Term: h.goal.Hard.Term, Data: h.data()})
 		}
 		ready.Entries = slices.Clone(h.goal.Entries[at:])
@@ -168,7 +168,7 @@
 // lives plays a member whose power goes a few times, at any step of anything.
 func lives(seed uint64, faults bool, plant func(*disk)) error {
 	r := rand.New(rand.NewPCG(seed, 1))
-	h := &host{r: r, id: agreement.ID(r.Uint64() | 1), big: r.IntN(3) > 0}
+	h := &host{r: r, id: raft.ID(r.Uint64() | 1), big: r.IntN(3) > 0}
 	d := newDisk()
 	plant(d)
 	for life := range 4 {
--- a/agreement/logstore/race_test.go
+++ b/raft/storage/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package logstore
+package storage
 
 // slowdown divides the numbers of seeds under the race detector.
 const slowdown = 5
--- a/agreement/logstore/seal.go
+++ b/raft/storage/seal.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"encoding/binary"
--- a/agreement/logstore/storage.go
+++ b/raft/storage/storage.go
@@ -1,4 +1,4 @@
-package logstore
+package storage
 
 import (
 	"encoding/binary"
@@ -49,7 +49,7 @@
 
 const currentName = "CURRENT"
 
-var errClosed = errors.New("logstore: the files are closed")
+var errClosed = errors.New("storage: the files are closed")
 
 func (s *files) path(fd storage.FileDesc) string { return filepath.Join(s.dir, fd.String()) }
 
--- a/agreement/types.go
+++ b/raft/types.go
@@ -1,4 +1,4 @@
-// Package agreement is the replicated log of the control plane: a Raft state
+// Package raft is the replicated log of the control plane: a Raft state
 // machine (Ongaro and Ousterhout, "In Search of an Understandable Consensus
 // Algorithm") with pre-vote, check-quorum, snapshots, leadership transfer and
 // membership changes of one voter at a time.
@@ -7,7 +7,7 @@
 // steady pace, Step for each message, and then carries out [Node.Ready]: it
 // stores first, sends and applies afterwards, and calls Advance. Equal seeds
 // and equal calls give equal results.
-package agreement
+package raft
 
 import "slices"
 
--- a/settings/tuning.go
+++ b/settings/tuning.go
@@ -13,7 +13,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"example.org/elmspan/dataplane/words"
+	"example.org/elmspan/dataplane/gossip"
 )
 
 // TuningEnv is the variable that may hold the path of the tuning file.
@@ -76,8 +76,8 @@
 
 // Budget is what words may use of a machine with a link of so many Mbit/s and a
 // share of a processor.
-func (t *LinkTuning) Budget(linkMbps, cpuShare float64) words.Budget {
-	return words.Budget{BytesPerS: linkMbps * 1e6 / 8 * t.Words, WordsPerS: cpuShare * 1000 / wordMs * t.Work}
+func (t *LinkTuning) Budget(linkMbps, cpuShare float64) gossip.Budget {
+	return gossip.Budget{BytesPerS: linkMbps * 1e6 / 8 * t.Words, WordsPerS: cpuShare * 1000 / wordMs * t.Work}
 }
 
 // Connect and Idle are the times as durations.
