--- a/changes/changes.go
+++ b/versioned/changes.go
@@ -1,8 +1,8 @@
-// Package changes keeps the newest version of a table and what changed on the
+// Package versioned keeps the newest version of a table and what changed on the
 // way to it, so that whoever holds an older version is told the difference, and
 // the whole only where it is too far behind. A difference is encoded once for
 // all that hold the same version, and is read a row at a time.
-package changes
+package versioned
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"example.org/elmspan/internal/pack"
+	"example.org/elmspan/internal/compression"
 )
 
 const (
@@ -38,7 +38,7 @@
 }
 
 // ErrUnreadable tells that bytes are no difference.
-var ErrUnreadable = errors.New("changes: a difference can't be read")
+var ErrUnreadable = errors.New("delta: a difference can't be read")
 
 // Mark is a row's part in the sum over a table: the sum is the exclusive or of
 // all marks. Who applies a difference keeps the marks of what it holds and
@@ -56,16 +56,16 @@
 	var b bytes.Buffer
 	e := cbor.NewEncoder(&b)
 	if err := e.Encode(h); err != nil {
-		return nil, fmt.Errorf("changes: %w", err)
+		return nil, fmt.Errorf("delta: %w", err)
 	}
 	for r := range rows {
 		if err := e.Encode(r); err != nil {
-			return nil, fmt.Errorf("changes: %w", err)
+			return nil, fmt.Errorf("delta: %w", err)
 		}
 	}
-	out, err := pack.Pack(b.Bytes())
+	out, err := compression.Pack(b.Bytes())
 	if err != nil {
-		return nil, fmt.Errorf("changes: %w", err)
+		return nil, fmt.Errorf("delta: %w", err)
 	}
 	return out, nil
 }
@@ -87,7 +87,7 @@
 
 // Open reads the head of an encoded difference.
 func Open(data []byte) (*Reader, error) {
-	from, err := pack.Reader(data, mostWhole)
+	from, err := compression.Reader(data, mostWhole)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
 	}
@@ -120,9 +120,9 @@
 func (r *Reader) Onto(version uint64, rows map[string][]byte) (map[string][]byte, error) {
 	switch {
 	case r.To <= version:
-		return nil, fmt.Errorf("changes: version %d is not above %d", r.To, version)
+		return nil, fmt.Errorf("delta: version %d is not above %d", r.To, version)
 	case r.From != 0 && r.From != version:
-		return nil, fmt.Errorf("changes: a difference on version %d, not %d", r.From, version)
+		return nil, fmt.Errorf("delta: a difference on version %d, not %d", r.From, version)
 	case r.From == 0:
 		rows = nil
 	}
@@ -156,4 +156,4 @@
 
 // ErrSum tells that a difference does not lead to the table that it speaks of:
 // the whole is wanted.
-var ErrSum = errors.New("changes: another sum than the difference says")
+var ErrSum = errors.New("delta: another sum than the difference says")
--- a/changes/table.go
+++ b/versioned/table.go
@@ -1,4 +1,4 @@
-package changes
+package versioned
 
 import (
 	"bytes"
