--- /dev/null
+++ b/api/golden_test.go
@@ -0,0 +1,209 @@
+package api
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"google.golang.org/grpc"
+
+	"example.org/elmspan/raft"
+)
+
+// goldenRow is one row of a table of rows in a golden file.
+type goldenRow struct {
+	Key   string          `cbor:"key"`
+	Value cbor.RawMessage `cbor:"value"`
+}
+
+func goldenConfig() *Config {
+	return &Config{
+		Revision: 12,
+		Routes: []Route{
+			{Name: "r", Host: "Example.org", Prefix: "/x/", Type: Idempotent, TimeoutMs: 1500.5, TargetMs: 80, Priority: 3,
+				Upstream: "a", Retries: 2, Anonymous: true},
+			{Name: "s", Host: "*", Prefix: "/x/y/", Type: Download, TimeoutMs: 100, Split: []Split{{"a", 90}, {"b", 10}}},
+		},
+		Upstreams: []Upstream{
+			{Name: "a", HealthCheck: "/health", MaxConnections: 40, Protocol: "http1", TLS: true},
+			{Name: "b"},
+		},
+		Limits: RequestLimits{MaxHeaderBytes: 8192, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 2500, IdleTimeoutMs: 60000},
+		Tenants: []Tenant{
+			{Name: "t", Keys: []string{"k1", "k2"}, Priority: 1, Rate: 5.5, Burst: 20},
+			{Name: "u", Keys: []string{"k3"}},
+		},
+	}
+}
+
+func goldenMessages() []raft.Message {
+	members := []raft.Member{{ID: 7, Addr: "10.0.0.7:9", Voter: true, Joint: true}, {ID: 8, Addr: "10.0.0.8:9", Old: true}}
+	return []raft.Message{
+		{Kind: raft.Append, From: 7, To: 8, Term: 3, Index: 40, LogTerm: 2, Commit: 39, Round: 11,
+			Entries: []raft.Entry{{Index: 41, Term: 3, Data: []byte("entry")}, {Index: 42, Term: 3, Members: members}}},
+		{Kind: raft.AppendReply, From: 8, To: 7, Term: 3, Index: 42, Reject: true, Force: true, Joint: true, Tried: 41},
+		{Kind: raft.Piece, From: 7, To: 8, Term: 3, Offset: 16384, Size: 40000, Sum: 0xfedcba9876543210,
+			Snapshot: &raft.Snapshot{Index: 30, Term: 2, Members: members, Data: []byte("bytes")}},
+	}
+}
+
+// goldenForms are the encoded forms by the name of their file: what it holds.
+func goldenForms() map[string]any {
+	peer := Peer{Name: "n1", Addr: "10.0.0.1:9", Zone: "z1", Life: 0x1122334455667788, Incarnation: 5, State: 1, Edge: true, Core: true}
+	other := Peer{Name: "n2", Addr: "10.0.0.2:9", Zone: "z2", Life: 9, Incarnation: 1}
+	config := &Parcel{From: 11, To: 12, Size: 20000, Data: []byte("first bytes")}
+	list := &Parcel{To: 900, Size: 4, Data: []byte("list")}
+	return map[string]any{
+		"config": goldenConfig(),
+		"server": &Server{ID: "i-1", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Revision: "v2", Capacity: 8,
+			State: Draining, WarmupMs: 1250.5},
+		"watch": &Watch{Name: "n1", Revision: 11, Servers: 899, WaitMs: 2000},
+		"news": &News{Lease: true, HeldMs: 730, Revision: 12, Servers: 900, Config: config, List: list, ClockMs: 123456.5,
+			Leader: "10.0.0.7:9", Core: []string{"10.0.0.7:9", "10.0.0.8:9"}},
+		"news-empty":   &News{},
+		"parcel":       config,
+		"fetch":        &Fetch{Table: ServerTable, From: 899, To: 900, Offset: 16384},
+		"piece":        &Piece{Data: []byte("piece")},
+		"piece-empty":  &Piece{},
+		"confirmation": &Confirmation{OK: true, Index: 42, Servers: 900, ClockMs: 99.5},
+		"replace":      &Replace{Base: 11, Config: []byte{0xa0}},
+		"result": &Result{Status: 409, Why: "another came first", Leader: "10.0.0.7:9", Config: []byte{0xa0},
+			Versions: []uint64{10, 11, 12}},
+		"read":              &Read{Revision: 10, Versions: true, State: true},
+		"join":              &Join{ID: 8, Addr: "10.0.0.8:9", Leaving: true, Joint: true},
+		"deliver":           &Deliver{Messages: goldenMessages(), From: 7, Addr: "10.0.0.7:9"},
+		"deliver-part":      &Deliver{From: 7, Addr: "10.0.0.7:9", Part: &Part{Offset: 5, Size: 11, Sum: 77, Data: []byte("part")}},
+		"delivered":         &Delivered{Parts: true, Held: 9},
+		"peer":              &peer,
+		"beat":              &Beat{From: peer, Digest: 0xaabb, Peers: []Peer{other}, Want: 1 << 63},
+		"beat-reply":        &BeatReply{Digest: 0xaabb, Peers: []Peer{peer, other}, Buckets: []uint32{1, 2, 1 << 31}},
+		"none":              &None{},
+		"past":              &Past{TookPart: true},
+		"server-row":        &serverRow{"a", "10.1.0.1:80", "z1", 8, Draining, 4500},
+		"server-row-steady": &serverRow{Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8},
+	}
+}
+
+func goldenFile(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", "golden", name+".cbor"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// Each form that an earlier version (f96d826) wrote is read with the same meaning and
+// written as the same bytes: members and limiters of both versions work together.
+func TestGoldenFormsKeepTheirBytes(t *testing.T) {
+	forms := goldenForms()
+	for name, want := range forms {
+		t.Run(name, func(t *testing.T) {
+			data := goldenFile(t, name)
+			got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
+			if err := (codec{}).Unmarshal(data, got); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("decoded %+v, want %+v", got, want)
+			}
+			again, err := codec{}.Marshal(got)
+			if err != nil || !bytes.Equal(again, data) {
+				t.Errorf("encoded %x (%v), want %x", again, err, data)
+			}
+		})
+	}
+	files, err := filepath.Glob(filepath.Join("testdata", "golden", "*.cbor"))
+	if err != nil || len(files) != len(forms)+1 { // and the rows of the configuration
+		t.Errorf("%d golden files of %d forms, %v", len(files), len(forms), err)
+	}
+}
+
+// The rows of a configuration have the keys and the bytes that an earlier version gave
+// them, and are read back as what they were made of.
+func TestGoldenConfigRows(t *testing.T) {
+	var want []goldenRow
+	if err := cbor.Unmarshal(goldenFile(t, "config-rows"), &want); err != nil {
+		t.Fatal(err)
+	}
+	s, err := CheckConfig(goldenFile(t, "config"), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.Revision != 12 || len(s.Rows) != len(want) || len(want) != 7 {
+		t.Fatalf("revision %d, %d rows, want %d", s.Revision, len(s.Rows), len(want))
+	}
+	c := goldenConfig()
+	c.Routes[0].Host = "example.org" // as its key has it; the row has the bytes as they came
+	for _, w := range want {
+		if !bytes.Equal(s.Rows[w.Key], w.Value) {
+			t.Errorf("row %q: %x, want %x", w.Key, s.Rows[w.Key], w.Value)
+		}
+		row, err := ParseConfigRow(w.Key, w.Value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var found bool
+		switch {
+		case row.Route != nil:
+			found = slices.ContainsFunc(goldenConfig().Routes, func(r Route) bool { return reflect.DeepEqual(r, *row.Route) })
+		case row.Tenant != nil:
+			found = slices.ContainsFunc(c.Tenants, func(x Tenant) bool { return reflect.DeepEqual(x, *row.Tenant) })
+		case row.Upstream != nil:
+			found = slices.Contains(c.Upstreams, *row.Upstream)
+		case row.Limits != nil:
+			found = *row.Limits == c.Limits
+		}
+		if !found {
+			t.Errorf("row %q is read as %+v", w.Key, row)
+		}
+	}
+}
+
+// A server's row is made and read as an earlier version did it.
+func TestGoldenServerRows(t *testing.T) {
+	for name, s := range map[string]Server{
+		"server-row":        {ID: "i-1", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8, State: Draining, WarmupMs: 500},
+		"server-row-steady": {ID: "i-2", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8, State: InService},
+	} {
+		data := goldenFile(t, name)
+		warmAt := map[string]float64{"server-row": 4500.9}[name] // told in whole milliseconds
+		if got, err := ServerRow(s, warmAt); err != nil || !bytes.Equal(got, data) {
+			t.Errorf("%s: %x (%v), want %x", name, got, err, data)
+		}
+		if got, err := ParseServerRow(s.ID, data, 4000); err != nil || got != s {
+			t.Errorf("%s: read as %+v (%v), want %+v", name, got, err, s)
+		}
+	}
+}
+
+// The names of services and methods are part of the wire.
+func TestGoldenMethodNames(t *testing.T) {
+	s := grpc.NewServer()
+	s.RegisterService(&controlDesc, nil)
+	s.RegisterService(&bootstrapDesc, nil)
+	s.RegisterService(&membershipDesc, nil)
+	var got []string
+	for service, info := range s.GetServiceInfo() {
+		for _, m := range info.Methods {
+			got = append(got, service+"/"+m.Name)
+		}
+	}
+	slices.Sort(got)
+	want := []string{
+		"elmspan.Bootstrap/Past",
+		"elmspan.Control/Confirm", "elmspan.Control/Deliver", "elmspan.Control/Fetch", "elmspan.Control/Get",
+		"elmspan.Control/Join", "elmspan.Control/Replace", "elmspan.Control/Watch",
+		"elmspan.Membership/Beat",
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("methods %q, want %q", got, want)
+	}
+	if name := (codec{}).Name(); name != "cbor" {
+		t.Errorf("the codec is called %q", name)
+	}
+}
--- /dev/null
+++ b/membership/golden_test.go
@@ -0,0 +1,68 @@
+package membership
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"example.org/elmspan/api"
+)
+
+// goldenViews are two views that differ: each was told of processes that the other does
+// not know, and one of them is leaving.
+func goldenViews() (a, b *View, now time.Duration) {
+	now = 10 * time.Second
+	peer := func(i int, state uint8) api.Peer {
+		return api.Peer{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("10.0.0.", i, ":9"), Zone: "z", Life: uint64(1000 + i),
+			Incarnation: uint64(i), State: state, Edge: i%2 == 0, Core: i%3 == 0}
+	}
+	a, b = NewView(peer(1, Alive)), NewView(peer(2, Alive))
+	for i := 3; i < 30; i++ {
+		a.Merge(now-time.Minute, []api.Peer{peer(i, Alive)})
+		if i%2 == 0 {
+			b.Merge(now-time.Minute, []api.Peer{peer(i, Alive)})
+		}
+	}
+	a.Merge(now-time.Second, []api.Peer{peer(40, Alive), peer(6, Leaving)})
+	b.Merge(now-time.Second, []api.Peer{peer(41, Alive)})
+	b.Leave()
+	return a, b, now
+}
+
+// Two views exchange the same heartbeats, byte for byte, as they did in an earlier
+// version (f96d826): digests, parts and order included.
+func TestGoldenHeartbeatExchange(t *testing.T) {
+	a, b, now := goldenViews()
+	first := a.Beat(now)
+	reply := b.Answer(now, first)
+	second := a.Answered(now, reply)
+	if second == nil {
+		t.Fatal("there is no second round")
+	}
+	last := b.Answer(now, second)
+	if again := a.Answered(now, last); again != nil {
+		t.Errorf("a third round: %+v", again)
+	}
+	if a.Digest() != b.Digest() || len(a.All()) != 31 {
+		t.Errorf("the views differ after the exchange; %d processes", len(a.All()))
+	}
+	for name, message := range map[string]any{"1-heartbeat": first, "2-reply": reply, "3-heartbeat": second, "4-reply": last} {
+		want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".cbor"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, err := cbor.Marshal(message); err != nil || !bytes.Equal(got, want) {
+			t.Errorf("%s: %x (%v), want %x", name, got, err, want)
+		}
+		read := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+		if err := cbor.Unmarshal(want, read); err != nil || !reflect.DeepEqual(read, message) {
+			t.Errorf("%s is read as %+v (%v)", name, read, err)
+		}
+	}
+}
--- /dev/null
+++ b/versioned/golden_test.go
@@ -0,0 +1,75 @@
+package versioned
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// goldenRows are the rows of two versions of a table: a row that stays, one that changes,
+// one that goes, and one that comes; with more rows the encoded form is compressed.
+func goldenRows(t testing.TB, more int) (first, second map[string][]byte) {
+	t.Helper()
+	first = map[string][]byte{"stays": value(t, 1), "changes": value(t, "old"), "goes": value(t, []int{1, 2})}
+	for i := range more {
+		first[fmt.Sprint("row-", i)] = value(t, fmt.Sprint("value of row ", i))
+	}
+	second = maps.Clone(first)
+	second["changes"] = value(t, "new")
+	second["comes"] = value(t, map[string]int{"a": 1})
+	delete(second, "goes")
+	for i := range more / 2 {
+		second[fmt.Sprint("row-", i)] = value(t, fmt.Sprint("another value of row ", i))
+	}
+	return first, second
+}
+
+// Encoded deltas of an earlier version (f96d826) are read as the same rows, and the same
+// table encodes them to the same bytes: complete and as a difference, plain and compressed.
+func TestGoldenDeltasKeepTheirBytes(t *testing.T) {
+	const from, to = 5, 7
+	for name, more := range map[string]int{"small": 0, "compressed": 400} {
+		first, second := goldenRows(t, more)
+		for kind, since := range map[string]uint64{"whole": 0, "difference": from} {
+			t.Run(name+"-"+kind, func(t *testing.T) {
+				data, err := os.ReadFile(filepath.Join("testdata", "golden", name+"-"+kind+".delta"))
+				if err != nil {
+					t.Fatal(err)
+				}
+				if compressed := data[0] == 1; compressed != (more > 0) {
+					t.Fatalf("first byte %d", data[0])
+				}
+				r, err := Open(data)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if r.From != since || r.To != to {
+					t.Errorf("from %d to %d, want %d and %d", r.From, r.To, since, to)
+				}
+				rows, err := r.Onto(from, first)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if !maps.EqualFunc(rows, second, bytes.Equal) {
+					t.Errorf("%d rows, want %d", len(rows), len(second))
+				}
+				var table Table
+				table.Replace(from, first)
+				table.Replace(to, rows)
+				if b, err := table.Since(since); err != nil || !bytes.Equal(b.Data, data) {
+					t.Errorf("%d bytes (%v), want %d", len(b.Data), err, len(data))
+				}
+			})
+		}
+	}
+}
+
+// A row's part of the checksum is part of the wire.
+func TestGoldenRowChecksum(t *testing.T) {
+	if got, want := Mark("key", []byte("value")), uint64(0x710243b4fb44bb7f); got != want {
+		t.Errorf("%#x, want %#x", got, want)
+	}
+}
