--- /dev/null
+++ b/keys/golden_test.go
@@ -0,0 +1,166 @@
+package keys
+
+import (
+	"bytes"
+	"crypto/ecdsa"
+	"errors"
+	"fmt"
+	"io/fs"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// The golden files were written by an earlier release at 2000-01-01, when the clock of a
+// synctest bubble starts: in a bubble their certificates are valid whenever the test runs.
+
+const goldenDir = "testdata/golden"
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join(goldenDir, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// copyGolden copies a golden folder to where it may be changed.
+func copyGolden(t *testing.T, name string) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join(goldenDir, name))); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+func expectFile(t *testing.T, dir, name string, want []byte) {
+	t.Helper()
+	if got, err := os.ReadFile(filepath.Join(dir, name)); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("%s: %q, %v, want %q", name, got, err, want)
+	}
+}
+
+// Keys that an earlier release wrote are read and encoded again to the same bytes.
+func TestGoldenKeyFiles(t *testing.T) {
+	for _, name := range []string{"authority/ca.key", "node/node.key", "rotating/ca.key", "rotating/next.key"} {
+		k, err := readKey(filepath.Join(goldenDir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		key, ok := k.(*ecdsa.PrivateKey)
+		if !ok {
+			t.Fatalf("%s holds a %T", name, k)
+		}
+		again, err := pemKey(key)
+		if golden := readGolden(t, name); err != nil || !bytes.Equal(again, golden) {
+			t.Errorf("%s is written as %q, %v, want %q", name, again, err, golden)
+		}
+	}
+}
+
+// A machine's folder is opened, with the certificate's end and the keys in it.
+func TestGoldenNodeFolder(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ring, err := Open(filepath.Join(goldenDir, "node"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if want := time.Now().AddDate(0, 0, 3650); !ring.Expires().Equal(want) {
+			t.Errorf("the certificate ends at %v, want %v", ring.Expires(), want)
+		}
+		if err := shake(t, ring, ring, net.ParseIP("10.1.0.13")); err != nil {
+			t.Error(err)
+		}
+		if shake(t, ring, ring, net.ParseIP("10.1.0.14")) == nil {
+			t.Error("a certificate for another address is taken")
+		}
+	})
+}
+
+// An authority of an earlier release issues folders. What a machine trusts is copied
+// byte for byte; its certificate and key are drawn at random, so that only their fields
+// can be compared.
+func TestGoldenAuthority(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		dir, out := copyGolden(t, "authority"), t.TempDir()
+		if err := Issue(dir, out, "edge-a-1", net.ParseIP("10.1.0.13"), 3650, time.Now()); err != nil {
+			t.Fatal(err)
+		}
+		expectFile(t, out, "ca.pem", readGolden(t, "node/ca.pem"))
+		expectFile(t, out, "words.key", readGolden(t, "node/words.key"))
+		issued, err := Open(out)
+		if err != nil {
+			t.Fatal(err)
+		}
+		ring, err := Open(filepath.Join(goldenDir, "node"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		ip := net.ParseIP("10.1.0.13")
+		if err := errors.Join(shake(t, ring, issued, ip), shake(t, issued, ring, ip)); err != nil {
+			t.Error(err)
+		}
+		had, has := ring.now.Load().cert.Leaf, issued.now.Load().cert.Leaf
+		if had.Subject.String() != has.Subject.String() || had.Issuer.String() != has.Issuer.String() ||
+			!had.NotBefore.Equal(has.NotBefore) || !had.NotAfter.Equal(has.NotAfter) || had.KeyUsage != has.KeyUsage ||
+			fmt.Sprint(had.ExtKeyUsage, had.IPAddresses) != fmt.Sprint(has.ExtKeyUsage, has.IPAddresses) {
+			t.Errorf("issued %v, before %v", has, had)
+		}
+	})
+}
+
+// A rotation that an earlier release began is gone on with.
+func TestGoldenRotation(t *testing.T) {
+	dir := copyGolden(t, "rotating")
+	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+	if stage, err := Rotate(dir, now); err != nil || stage != InUse {
+		t.Fatalf("%s, %v", stage, err)
+	}
+	blocks, lines := pemBlocks(readGolden(t, "rotating/ca.pem")), strings.Fields(string(readGolden(t, "rotating/words.key")))
+	if len(blocks) != 2 || len(lines) != 2 {
+		t.Fatalf("%d certificates and %d keys", len(blocks), len(lines))
+	}
+	expectFile(t, dir, "ca.key", readGolden(t, "rotating/next.key"))
+	expectFile(t, dir, "ca.pem", bytes.Join([][]byte{blocks[1], blocks[0]}, nil))
+	expectFile(t, dir, "words.key", []byte(lines[1]+"\n"+lines[0]+"\n"))
+	if _, err := os.Stat(filepath.Join(dir, "next.key")); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("next.key: %v", err)
+	}
+	if stage, err := Rotate(dir, now); err != nil || stage != Dropped {
+		t.Fatalf("%s, %v", stage, err)
+	}
+	expectFile(t, dir, "ca.pem", blocks[1])
+	expectFile(t, dir, "words.key", []byte(lines[1]+"\n"))
+}
+
+// Datagrams that an earlier release sealed are opened, and sealed again to the same bytes:
+// the nonce is the number of the datagram in its sender's incarnation.
+func TestGoldenSealedDatagrams(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ring, err := Open(filepath.Join(goldenDir, "node"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		sender, receiver := ring.Sealer(0x0102030405060708, 0x1112131415161718), ring.Sealer(9, 9)
+		for i := range 3 {
+			text := readGolden(t, fmt.Sprintf("datagram%d.txt", i+1))
+			golden := readGolden(t, fmt.Sprintf("datagram%d.bin", i+1))
+			if got, err := receiver.Open(nil, golden); err != nil || !bytes.Equal(got, text) {
+				t.Errorf("datagram %d holds %q, %v, want %q", i+1, got, err, text)
+			}
+			if got, err := sender.Seal(nil, text); err != nil || !bytes.Equal(got, golden) {
+				t.Errorf("datagram %d is sealed as %x, %v, want %x", i+1, got, err, golden)
+			}
+			head := fmt.Sprintf("S1\x01\x02\x03\x04\x05\x06\x07\x08\x11\x12\x13\x14\x15\x16\x17\x18\x00\x00\x00\x00\x00\x00\x00%c", i+1)
+			if !bytes.HasPrefix(golden, []byte(head)) {
+				t.Errorf("datagram %d begins with %x", i+1, golden[:26])
+			}
+		}
+	})
+}
--- /dev/null
+++ b/operators/golden_test.go
@@ -0,0 +1,86 @@
+package operators
+
+import (
+	"bytes"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// readGolden returns a file that an earlier release wrote.
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// A file that an earlier release wrote is read, and written again to the same bytes. Its
+// tokens authenticate their operators until they expire.
+func TestGoldenOperatorsFile(t *testing.T) {
+	golden := readGolden(t, "operators.toml")
+	list, err := Parse(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	expires := time.Date(2027, 1, 2, 3, 4, 5, 0, time.UTC)
+	if len(list) != 2 || list[0].Name != "ops@example" || list[0].Role != Read || !list[0].Expires.IsZero() ||
+		list[1].Name != "ci" || list[1].Role != Change || !list[1].Expires.Equal(expires) {
+		t.Fatalf("decoded %+v", list)
+	}
+	path := filepath.Join(t.TempDir(), "operators.toml")
+	if err := Save(path, list); err != nil {
+		t.Fatal(err)
+	}
+	if got, err := os.ReadFile(path); err != nil || !bytes.Equal(got, golden) {
+		t.Errorf("written again:\n%s\n%v, want\n%s", got, err, golden)
+	}
+	book, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, token := range strings.Fields(string(readGolden(t, "tokens.txt"))) {
+		o, ok := book.Who(expires.Add(-time.Second), token)
+		if !ok || o.Name != list[i].Name {
+			t.Errorf("the token of %s belongs to %+v, %v", list[i].Name, o, ok)
+		}
+		if _, ok := book.Who(expires, token); ok != list[i].Expires.IsZero() {
+			t.Errorf("the token of %s once it expires: %v", list[i].Name, ok)
+		}
+	}
+}
+
+// The audit line of a change is the one of earlier releases, but for its time.
+func TestGoldenAuditLine(t *testing.T) {
+	book, err := Open(filepath.Join("testdata", "golden", "operators.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var line bytes.Buffer
+	withoutTime := func(groups []string, a slog.Attr) slog.Attr {
+		if len(groups) == 0 && a.Key == slog.TimeKey {
+			return slog.Attr{}
+		}
+		return a
+	}
+	log := slog.New(slog.NewTextHandler(&line, &slog.HandlerOptions{ReplaceAttr: withoutTime}))
+	now := func() time.Time { return time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC) }
+	guard := &Guard{Book: book, Log: log, Now: now}
+	handler := guard.Handler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusPreconditionFailed)
+	}))
+	r := httptest.NewRequest("POST", "/v1/Config.Replace", strings.NewReader("config"))
+	r.Header.Set("Authorization", "Bearer "+strings.Fields(string(readGolden(t, "tokens.txt")))[1])
+	r.Header.Set("Base-Revision", "6")
+	handler.ServeHTTP(httptest.NewRecorder(), r)
+	if golden := readGolden(t, "audit.log"); !bytes.Equal(line.Bytes(), golden) {
+		t.Errorf("%s, want %s", line.Bytes(), golden)
+	}
+}
