--- /dev/null
+++ b/raft/golden_test.go
@@ -0,0 +1,132 @@
+package raft
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+var updateGolden = flag.Bool("update", false, "write the golden files anew; only for a new kind of message or record")
+
+// goldenValues returns one value for each file of testdata/golden: every kind of message
+// that members send, and every record that they store. All fields of each type are set in
+// one of them at least.
+func goldenValues() map[string]any {
+	members := []Member{
+		{ID: 0x1234567890abcdef, Addr: "10.1.2.3:7001", Voter: true, Old: true, Joint: true},
+		{ID: 2, Addr: "10.1.2.4:7001", Voter: true, Joint: true},
+		{ID: 3, Addr: "10.1.2.5:7001"},
+	}
+	command := Entry{Index: 41, Term: 6, Data: []byte("set quota")}
+	change := Entry{Index: 42, Term: 7, Members: members}
+	snapshot := Snapshot{Index: 40, Term: 6, Members: members, Data: []byte("the state of the service")}
+	chunk := snapshot
+	chunk.Data = []byte("state of")
+	return map[string]any{
+		"member":                  members[0],
+		"member_learner":          members[2],
+		"entry_command":           command,
+		"entry_members":           change,
+		"entry_empty":             Entry{Index: 43, Term: 7},
+		"snapshot":                snapshot,
+		"snapshot_without_data":   Snapshot{Index: 40, Term: 6, Members: members},
+		"hard_state":              HardState{Term: 7, Vote: 2},
+		"hard_state_without_vote": HardState{Term: 7},
+
+		"message_01_pre_vote":               Message{Kind: PreVote, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7},
+		"message_02_pre_vote_reply":         Message{Kind: PreVoteReply, From: 2, To: 1, Term: 8},
+		"message_02_pre_vote_reply_reject":  Message{Kind: PreVoteReply, From: 2, To: 1, Term: 8, Reject: true},
+		"message_03_vote":                   Message{Kind: Vote, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7},
+		"message_03_vote_transfer":          Message{Kind: Vote, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7, Force: true},
+		"message_04_vote_reply":             Message{Kind: VoteReply, From: 2, To: 1, Term: 8},
+		"message_04_vote_reply_reject":      Message{Kind: VoteReply, From: 2, To: 1, Term: 8, Reject: true},
+		"message_05_append":                 Message{Kind: Append, From: 1, To: 2, Term: 8, Index: 40, LogTerm: 6, Commit: 39, Round: 1001, Entries: []Entry{command, change}},
+		"message_05_append_heartbeat":       Message{Kind: Append, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7, Commit: 42, Round: 1002},
+		"message_06_append_reply":           Message{Kind: AppendReply, From: 2, To: 1, Term: 8, Index: 42, Round: 1002, Joint: true},
+		"message_06_append_reply_reject":    Message{Kind: AppendReply, From: 2, To: 1, Term: 8, Index: 39, Round: 1002, Reject: true, Joint: true, Tried: 41},
+		"message_07_install":                Message{Kind: Install, From: 1, To: 3, Term: 8, Round: 1002, Snapshot: &snapshot},
+		"message_08_campaign":               Message{Kind: Campaign, From: 1, To: 2, Term: 8},
+		"message_09_snapshot_chunk":         Message{Kind: Piece, From: 1, To: 3, Term: 8, Round: 1003, Snapshot: &chunk, Offset: 4, Size: 24, Sum: 0xfedcba9876543210},
+		"message_10_snapshot_chunk_reply":   Message{Kind: PieceReply, From: 3, To: 1, Term: 8, Round: 1003, Index: 40, Offset: 12, Sum: 0xfedcba9876543210},
+		"message_10_snapshot_chunk_refused": Message{Kind: PieceReply, From: 3, To: 1, Term: 8, Round: 1003, Index: 40, Reject: true, Sum: 0xfedcba9876543210},
+		"message_11_forgotten":              Message{Kind: Forgotten, From: 1, To: 2, Term: 8},
+	}
+}
+
+// Every message and record that a member of another version may have written is decoded
+// to the same fields, and encoded to the same bytes.
+func TestGoldenBytesAreStable(t *testing.T) {
+	values := goldenValues()
+	for name, want := range values {
+		t.Run(name, func(t *testing.T) {
+			file := filepath.Join("testdata", "golden", name+".cbor")
+			if *updateGolden {
+				data, err := cbor.Marshal(want)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if err := os.WriteFile(file, data, 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}
+			data, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			decoded := reflect.New(reflect.TypeOf(want))
+			if err := cbor.Unmarshal(data, decoded.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, want) {
+				t.Errorf("decoded %+v, want %+v", got, want)
+			}
+			again, err := cbor.Marshal(decoded.Elem().Interface())
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(again) != string(data) {
+				t.Errorf("encoded to %x, want %x", again, data)
+			}
+		})
+	}
+	files, err := os.ReadDir(filepath.Join("testdata", "golden"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		if name := strings.TrimSuffix(file.Name(), ".cbor"); values[name] == nil {
+			t.Errorf("no value for the file %s", file.Name())
+		}
+	}
+}
+
+// A message of each kind has a golden file, and each field of a message is set in one.
+func TestGoldenFilesCoverMessages(t *testing.T) {
+	kinds, set := map[Kind]bool{}, map[string]bool{}
+	for _, v := range goldenValues() {
+		m, ok := v.(Message)
+		if !ok {
+			continue
+		}
+		kinds[m.Kind] = true
+		fields := reflect.ValueOf(m)
+		for i := range fields.NumField() {
+			if !fields.Field(i).IsZero() {
+				set[fields.Type().Field(i).Name] = true
+			}
+		}
+	}
+	for kind := PreVote; kind <= Forgotten; kind++ {
+		if !kinds[kind] {
+			t.Errorf("no golden message of kind %d", kind)
+		}
+	}
+	if fields := reflect.TypeOf(Message{}); len(set) != fields.NumField() {
+		t.Errorf("%d of %d fields of a message are set", len(set), fields.NumField())
+	}
+}
