--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -41,7 +41,7 @@
 // Store keeps a member's promises: a [storage.Store], which says what each error means.
 type Store interface {
 	Identity() (raft.ID, error)
-	Begin(raft.ID, raft.Snapshot) error
+	Initialize(raft.ID, raft.Snapshot) error
 	Load() (raft.Stored, error)
 	Save(raft.Ready) error
 	Compact(raft.Snapshot) error
@@ -113,7 +113,7 @@
 		if id = raft.ID(rand.Uint64() &^ 1); cfg.Bootstrap && slices.Contains(cfg.Seeds, cfg.Addr) {
 			id = BootstrapID(cfg.Addr)
 		}
-		if err := cfg.Store.Begin(id, first); err != nil {
+		if err := cfg.Store.Initialize(id, first); err != nil {
 			return nil, err
 		}
 	}
--- a/controlplane/coresim_disk_test.go
+++ b/controlplane/coresim_disk_test.go
@@ -38,7 +38,7 @@
 	return st, nil
 }
 
-func (l *life) Begin(id raft.ID, first raft.Snapshot) error {
+func (l *life) Initialize(id raft.ID, first raft.Snapshot) error {
 	return l.write(func(p *platter) { *p = platter{id: id, stored: raft.Stored{Snapshot: first}} })
 }
 
--- a/controlplane/export.go
+++ b/controlplane/export.go
@@ -107,7 +107,7 @@
 	if !is {
 		return fmt.Errorf("controlplane: %s is none of the seeds %v: it joins with an empty folder by itself", addr, seeds)
 	}
-	return store.Begin(BootstrapID(addr), first)
+	return store.Initialize(BootstrapID(addr), first)
 }
 
 // Inspect reads what a member's store holds: its id, its members, and the state
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	if err := errors.Join(store.Begin(7, raft.Snapshot{Index: 3, Term: 2, Data: snapshot}),
+	if err := errors.Join(store.Initialize(7, raft.Snapshot{Index: 3, Term: 2, Data: snapshot}),
 		store.Save(raft.Ready{Hard: &raft.HardState{Term: 2}, Entries: []raft.Entry{{Index: 4, Term: 2, Data: old(4, 6)}}})); err != nil {
 		t.Fatal(err)
 	}
--- a/controlplane/faults_test.go
+++ b/controlplane/faults_test.go
@@ -26,7 +26,7 @@
 	}
 	t.Cleanup(func() { store.Close() })
 	first.Members = []raft.Member{{ID: 1, Addr: "a", Voter: true}, {ID: 2, Addr: "b", Voter: true}, {ID: 3, Addr: "c", Voter: true}}
-	if err := store.Begin(1, first); err != nil {
+	if err := store.Initialize(1, first); err != nil {
 		t.Fatal(err)
 	}
 	c, err := NewCore(CoreConfig{Addr: "a", Voters: 3, Store: store, Conns: api.NewConns(nil), Log: slog.New(slog.DiscardHandler), Seed: 1})
--- a/process/host.go
+++ b/process/host.go
@@ -64,7 +64,7 @@
 func (h *host) begin(bootstrap bool) error {
 	err := h.open(storage.Open, bootstrap)
 	switch {
-	case errors.Is(err, storage.ErrNewer):
+	case errors.Is(err, storage.ErrNewerFormat):
 		why := err.Error()
 		h.out.Store(&why)
 		h.log.Error("this machine takes no part in the core: start it with the program that the state on disk is of", "dir", h.dir, "err", err)
--- a/raft/storage/bench_test.go
+++ b/raft/storage/bench_test.go
@@ -49,7 +49,7 @@
 				b.Fatal(err)
 			}
 			defer s.Close()
-			if err := s.Begin(7, raft.Snapshot{}); err != nil {
+			if err := s.Initialize(7, raft.Snapshot{}); err != nil {
 				b.Fatal(err)
 			}
 			data := make([]byte, size)
--- a/raft/storage/damage_test.go
+++ b/raft/storage/damage_test.go
@@ -296,7 +296,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(s.Begin(7, raft.Snapshot{}), s.Save(raft.Ready{Hard: &raft.HardState{Term: 1},
+		if err := errors.Join(s.Initialize(7, raft.Snapshot{}), s.Save(raft.Ready{Hard: &raft.HardState{Term: 1},
 			Entries: []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b")}})); err != nil {
 			t.Fatal(err)
 		}
--- a/raft/storage/format.go
+++ b/raft/storage/format.go
@@ -13,11 +13,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrNewer tells that the store was written by a newer program, in a format that
+// ErrNewerFormat tells that the store was written by a newer program, in a format that
 // this one can't read. Nothing was changed on the disk. It isn't damage: the
 // member must not begin anew, as all of them would where a whole core is rolled
 // back, and everything confirmed would be gone.
-var ErrNewer = errors.New("storage: a newer program wrote the data on disk, in a format that this one can't read")
+var ErrNewerFormat = errors.New("storage: a newer program wrote the data on disk, in a format that this one can't read")
 
 // version says in which format a store is, and which programs may use it. It
 // speaks of all that a member stores: the files here, and what others encode into
@@ -95,7 +95,7 @@
 func (s *Store) admit() error {
 	v, _, err := readVersion(s.fs, s.dir)
 	if err == nil && v.Reader > ours.Format {
-		err = fmt.Errorf("%w: its format is %d and needs a program that reads %d, this one reads up to %d", ErrNewer, v.Format, v.Reader, ours.Format)
+		err = fmt.Errorf("%w: its format is %d and needs a program that reads %d, this one reads up to %d", ErrNewerFormat, v.Format, v.Reader, ours.Format)
 	}
 	return err
 }
--- a/raft/storage/format_test.go
+++ b/raft/storage/format_test.go
@@ -52,7 +52,7 @@
 		d.write(filepath.Join(dir, "FORMAT.2"), version{Format: 2, Reader: 2}.text())
 		was := d.contents()
 		for range 2 {
-			if _, err := openAt(d, dir); !errors.Is(err, ErrNewer) || errors.Is(err, ErrCorrupt) {
+			if _, err := openAt(d, dir); !errors.Is(err, ErrNewerFormat) || errors.Is(err, ErrCorrupt) {
 				return fmt.Errorf("a newer one: %w", err)
 			}
 		}
@@ -107,7 +107,7 @@
 			d.dieAt = at
 			s, err := openAt(d, dir)
 			if err == nil {
-				err = s.Begin(7, raft.Snapshot{})
+				err = s.Initialize(7, raft.Snapshot{})
 				ended = err == nil
 				s.Close()
 			}
--- a/raft/storage/golden_test.go
+++ b/raft/storage/golden_test.go
@@ -196,7 +196,7 @@
 		}
 	}
 	run(
-		func(s *Store) error { return s.Begin(goldenIdentity, raft.Snapshot{Members: goldenMembers()[:1]}) },
+		func(s *Store) error { return s.Initialize(goldenIdentity, raft.Snapshot{Members: goldenMembers()[:1]}) },
 		func(s *Store) error {
 			return s.Save(raft.Ready{Hard: &raft.HardState{Term: 2, Vote: 7}, Entries: []raft.Entry{
 				{Index: 1, Term: 1, Data: []byte("first")}, {Index: 2, Term: 2, Data: []byte("second")},
--- a/raft/storage/logstore.go
+++ b/raft/storage/logstore.go
@@ -1,5 +1,5 @@
 // Package storage keeps a member's log, vote and identity on disk, in
-// goleveldb. What Begin, Save and Compact have returned from without an error
+// goleveldb. What Initialize, Save and Compact have returned from without an error
 // survives a loss of power, and a store that has lost any of it knows: it is
 // ErrCorrupt, and the member comes back as a new one.
 //
@@ -88,7 +88,7 @@
 func Open(dir string) (*Store, error) { return openAt(osFS{}, dir) }
 
 // Reset removes what is in a folder and opens it empty, for a member that begins
-// anew under another id. Until Begin has returned the folder counts as corrupt,
+// anew under another id. Until Initialize has returned the folder counts as corrupt,
 // whatever a crash leaves of it: it is never taken for one that was never used.
 func Reset(dir string) (*Store, error) { return resetAt(osFS{}, dir) }
 
@@ -131,8 +131,8 @@
 	return id, s.get(keyIdentity, s.image.identity, &id)
 }
 
-// Begin writes the identity and the first state of a member.
-func (s *Store) Begin(id raft.ID, first raft.Snapshot) error {
+// Initialize writes the identity and the first state of a member.
+func (s *Store) Initialize(id raft.ID, first raft.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.ready(); err != nil {
--- a/raft/storage/logstore_test.go
+++ b/raft/storage/logstore_test.go
@@ -33,7 +33,7 @@
 func TestSaveAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	if err := s.Begin(7, raft.Snapshot{Members: []raft.Member{{ID: 7, Addr: "a", Voter: true}}}); err != nil {
+	if err := s.Initialize(7, raft.Snapshot{Members: []raft.Member{{ID: 7, Addr: "a", Voter: true}}}); err != nil {
 		t.Fatal(err)
 	}
 	h := raft.HardState{Term: 2, Vote: 7}
@@ -67,7 +67,7 @@
 // corrupt: the member must not vote with it.
 func TestCorruptIsTold(t *testing.T) {
 	s := open(t, t.TempDir())
-	if err := s.Begin(7, raft.Snapshot{}); err != nil {
+	if err := s.Initialize(7, raft.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Save(raft.Ready{Entries: []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}}); err != nil {
@@ -94,7 +94,7 @@
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	if err := s.Begin(7, raft.Snapshot{}); err != nil {
+	if err := s.Initialize(7, raft.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Save(raft.Ready{Entries: []raft.Entry{entry(1, 1, "a")}}); err != nil {
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	h := raft.HardState{Term: 2, Vote: 7}
-	if err := errors.Join(s.Begin(7, raft.Snapshot{}), s.Save(raft.Ready{Hard: &h})); err != nil {
+	if err := errors.Join(s.Initialize(7, raft.Snapshot{}), s.Save(raft.Ready{Hard: &h})); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -182,7 +182,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Begin(7, raft.Snapshot{}); err != nil {
+	if err := s.Initialize(7, raft.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
 	d.failSyncs = 1
--- a/raft/storage/power_test.go
+++ b/raft/storage/power_test.go
@@ -61,7 +61,7 @@
 	switch k := h.r.IntN(20); {
 	case h.has.ID == 0:
 		h.goal.ID, h.goal.Snapshot = h.id, raft.Snapshot{Data: h.data()}
-		return func(s *Store) error { return s.Begin(h.goal.ID, h.goal.Snapshot) }
+		return func(s *Store) error { return s.Initialize(h.goal.ID, h.goal.Snapshot) }
 	case k == 0: // a snapshot from the leader
 		snap := raft.Snapshot{Index: last + 3, Term: h.has.Hard.Term, Data: h.data()}
 		h.goal.Snapshot, h.goal.Entries = snap, nil
