--- a/cmd/elmspan/state.go
+++ b/cmd/elmspan/state.go
@@ -51,7 +51,7 @@
 	if err := atomicfile.WriteFile(c.Out, data, 0o600); err != nil {
 		return err
 	}
-	fmt.Printf("%s: revision %d, %d versions\n", c.Out, state.Revision, len(state.Versions()))
+	fmt.Printf("%s: revision %d, %d versions\n", c.Out, state.Revision, len(state.Revisions()))
 	return nil
 }
 
@@ -123,7 +123,7 @@
 }
 
 func describe(s *controlplane.State) {
-	fmt.Printf("revision    %d\nversions    %v\n", s.Revision, s.Versions())
+	fmt.Printf("revision    %d\nversions    %v\n", s.Revision, s.Revisions())
 }
 
 // withStore opens the log in a data folder.
--- a/cmd/elmspan/state_test.go
+++ b/cmd/elmspan/state_test.go
@@ -38,7 +38,7 @@
 	}
 	_, first := node("first", "127.0.0.1", true)
 	err = withStore(first, func(s *storage.Store) error {
-		return controlplane.Restore(s, "127.0.0.1:7000", []string{"127.0.0.1:7000"}, &controlplane.State{Revision: 5, Plain: conf})
+		return controlplane.Restore(s, "127.0.0.1:7000", []string{"127.0.0.1:7000"}, &controlplane.State{Revision: 5, Uncompressed: conf})
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/controlplane/coresim_checks_test.go
+++ b/controlplane/coresim_checks_test.go
@@ -124,7 +124,7 @@
 // look holds what a member has taken against what others have.
 func (w *coreWorld) look(l *life) {
 	l.core.mu.Lock()
-	has := slices.Clone(l.core.state.Taken)
+	has := slices.Clone(l.core.state.Applied)
 	l.core.mu.Unlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -156,7 +156,7 @@
 	for _, m := range w.machines {
 		c := m.life.core
 		c.mu.Lock()
-		k, n := len(c.state.Taken), c.node
+		k, n := len(c.state.Applied), c.node
 		ok := n.Leader() != 0 && !n.Changing() && n.Applied() == n.Commit()
 		if n.Serves() {
 			led++
@@ -179,7 +179,7 @@
 	w.seen.taken = len(w.chain)
 	for _, op := range w.history {
 		in, out := op.Input.(input), op.Output.(output)
-		is := slices.ContainsFunc(w.chain, func(v taken) bool { return v.fingerprint == in.print })
+		is := slices.ContainsFunc(w.chain, func(v appliedRevision) bool { return v.fingerprint == in.print })
 		if !in.get && out.status == http.StatusOK && !is {
 			w.failed("revision %d on %d was acknowledged and is gone", in.revision, in.base)
 		}
--- a/controlplane/coresim_test.go
+++ b/controlplane/coresim_test.go
@@ -38,7 +38,7 @@
 	told    map[uint64]map[uint64]uint64 // by the leader of a term: the terms of entries
 	agreed  uint64                       // the highest index that a leader has told to be
 	stores  map[raft.ID]*platter         // all that ever were
-	chain   []taken
+	chain   []appliedRevision
 	orders  map[fingerprint]input
 	refused map[fingerprint]bool
 	acked   uint64 // the highest revision that was acknowledged
--- a/controlplane/export.go
+++ b/controlplane/export.go
@@ -21,8 +21,8 @@
 	exportHead  = len(exportMagic) + 4
 )
 
-// ErrExport tells that a file is no export, or not a whole one.
-var ErrExport = errors.New("controlplane: this is no whole export of a state")
+// ErrInvalidExport tells that a file is no export, or not a whole one.
+var ErrInvalidExport = errors.New("controlplane: this is no whole export of a state")
 
 // Export writes a state.
 func Export(s *State) ([]byte, error) {
@@ -38,30 +38,30 @@
 // Import reads and checks an export, down to the configuration in it.
 func Import(data []byte) (*State, error) {
 	if len(data) < exportHead || !bytes.HasPrefix(data, []byte(exportMagic)) {
-		return nil, ErrExport
+		return nil, ErrInvalidExport
 	}
 	body := data[exportHead:]
 	if binary.BigEndian.Uint32(data[len(exportMagic):]) != crc32.ChecksumIEEE(body) {
-		return nil, fmt.Errorf("%w: its checksum is off", ErrExport)
+		return nil, fmt.Errorf("%w: its checksum is off", ErrInvalidExport)
 	}
 	s := &State{}
 	if err := cbor.Unmarshal(body, s); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrExport, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidExport, err)
 	}
 	if s.Revision == 0 {
 		return s, nil
 	}
 	conf, err := s.Config()
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrExport, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidExport, err)
 	}
 	if c, err := api.ParseConfig(conf); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrExport, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidExport, err)
 	} else if c.Revision != s.Revision {
-		return nil, fmt.Errorf("%w: it says revision %d and holds %d", ErrExport, s.Revision, c.Revision)
+		return nil, fmt.Errorf("%w: it says revision %d and holds %d", ErrInvalidExport, s.Revision, c.Revision)
 	}
 	if err := s.checkTaken(conf); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrExport, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidExport, err)
 	}
 	return s, nil
 }
@@ -69,17 +69,17 @@
 // checkTaken tells what is wrong with the versions that are remembered, if
 // anything: a core that begins with them answers orders that are sent again by them.
 func (s *State) checkTaken(newest []byte) error {
-	if len(s.Taken) > mostTaken {
-		return fmt.Errorf("%d versions are remembered, %d is the most", len(s.Taken), mostTaken)
+	if len(s.Applied) > maxAppliedRevisions {
+		return fmt.Errorf("%d versions are remembered, %d is the most", len(s.Applied), maxAppliedRevisions)
 	}
-	below := s.oldest() - 1
-	for _, t := range s.Taken {
+	below := s.oldestRemembered() - 1
+	for _, t := range s.Applied {
 		if t.Revision <= below {
 			return fmt.Errorf("revision %d is remembered after %d", t.Revision, below)
 		}
 		below = t.Revision
 	}
-	if k := len(s.Taken); k > 0 && (below != s.Revision || !s.Taken[k-1].same(fingerprintOf(newest))) {
+	if k := len(s.Applied); k > 0 && (below != s.Revision || !s.Applied[k-1].matches(fingerprintOf(newest))) {
 		return fmt.Errorf("revision %d is not the one that is remembered as the newest", s.Revision)
 	}
 	return nil
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -49,14 +49,14 @@
 	}
 	var s State
 	for i := range uint64(200) {
-		data, err := newProposal(i, i+1, fmt.Append(nil, strings.Repeat("x", int(i)), i))
+		data, err := encodeReplaceCommand(i, i+1, fmt.Append(nil, strings.Repeat("x", int(i)), i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Apply(data)
 	}
-	if len(s.Past) > mostPast || len(s.Past) < mostPast-1 {
-		t.Errorf("%d versions are remembered", len(s.Past))
+	if len(s.Previous) > maxPreviousRevisions || len(s.Previous) < maxPreviousRevisions-1 {
+		t.Errorf("%d versions are remembered", len(s.Previous))
 	}
 }
 
@@ -109,7 +109,7 @@
 // What is no whole export, or would be put where something is, is refused.
 func TestRestoreRefuses(t *testing.T) {
 	var s State
-	data, err := newProposal(0, 3, config(t, 3))
+	data, err := encodeReplaceCommand(0, 3, config(t, 3))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 			t.Fatalf("byte %d of %d changed, and it is taken", i, len(whole))
 		}
 	}
-	if _, err := Import(whole[:len(whole)-1]); !errors.Is(err, ErrExport) {
+	if _, err := Import(whole[:len(whole)-1]); !errors.Is(err, ErrInvalidExport) {
 		t.Errorf("a part of it: %v", err)
 	}
 	store, err := storage.Open(memory(t))
@@ -185,14 +185,14 @@
 	if err != nil || s.Revision != 6 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	next, err := newProposal(6, 8, config(t, 8))
+	next, err := encodeReplaceCommand(6, 8, config(t, 8))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := s.Apply(next); r.Status != http.StatusOK {
+	if r := s.Apply(next); r.Outcome != OutcomeApplied {
 		t.Fatalf("%+v", r)
 	}
-	if got, err := s.Config(); err != nil || string(got) != string(config(t, 8)) || s.Plain != nil {
+	if got, err := s.Config(); err != nil || string(got) != string(config(t, 8)) || s.Uncompressed != nil {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
 }
--- a/controlplane/faults_test.go
+++ b/controlplane/faults_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"log/slog"
-	"net/http"
 	"strings"
 	"testing"
 
@@ -40,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := cbor.Marshal(State{Revision: revision, Packed: packed})
+	data, err := cbor.Marshal(State{Revision: revision, Compressed: packed})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,8 +49,8 @@
 func good(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	var s State
-	p, err := newProposal(0, revision, config(t, revision))
-	if err != nil || s.Apply(p).Status != http.StatusOK {
+	p, err := encodeReplaceCommand(0, revision, config(t, revision))
+	if err != nil || s.Apply(p).Outcome != OutcomeApplied {
 		t.Fatal("no state", err)
 	}
 	data, err := cbor.Marshal(s)
@@ -136,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := cbor.Marshal(proposal{Base: 3, Revision: 7, Packed: packed, Hash: 1})
+	data, err := cbor.Marshal(replaceCommand{Base: 3, Revision: 7, Compressed: packed, Hash: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/controlplane/fingerprint.go
@@ -0,0 +1,40 @@
+package controlplane
+
+import (
+	"crypto/sha256"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// fingerprint identifies the bytes of a configuration as they were sent. With the revision
+// it is the idempotency key of a replace command: a command that is sent again has both.
+type fingerprint struct {
+	// Hash is the XXH64, which anybody can make collide. Members of a version without
+	// digests compare it, so it is stored as long as there may be any.
+	Hash uint64 `cbor:"2,keyasint"`
+	// Digest is the first half of the SHA-256. Nobody can find other bytes with the digest of
+	// a command that another operator sent; an operator who makes two commands of one digest,
+	// in 2^64 trials, deceives only themselves. All zero: unknown, as it comes from an entry
+	// or a snapshot of a member without digests.
+	Digest [digestSize]byte `cbor:"3,keyasint"`
+}
+
+// digestSize is the size of a digest in bytes.
+const digestSize = sha256.Size / 2
+
+func fingerprintOf(config []byte) fingerprint {
+	sum := sha256.Sum256(config)
+	return fingerprint{
+		Hash:   xxhash.Sum64(config),
+		Digest: [digestSize]byte(sum[:digestSize]),
+	}
+}
+
+// matches tells whether two fingerprints are of the same bytes.
+func (f fingerprint) matches(other fingerprint) bool {
+	var unknown [digestSize]byte
+	if f.Digest == unknown || other.Digest == unknown {
+		return f.Hash == other.Hash
+	}
+	return f.Digest == other.Digest
+}
--- a/controlplane/golden_test.go
+++ b/controlplane/golden_test.go
@@ -74,15 +74,15 @@
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			data, sent := golden(t, c.file), golden(t, c.config)
-			entry := decodeAs[proposal](t, data)
+			entry := decodeAs[replaceCommand](t, data)
 			if entry.Base != c.base || entry.Revision != c.revision {
 				t.Errorf("revision %d on %d, want %d on %d", entry.Revision, entry.Base, c.revision, c.base)
 			}
 			if got := entry.fingerprint(); got != fingerprintOf(sent) {
 				t.Errorf("fingerprint %x, want %x", got, fingerprintOf(sent))
 			}
-			if (entry.Plain != nil) != c.plain || c.plain && !bytes.Equal(entry.Plain, sent) {
-				t.Errorf("stored as it was sent: %t, want %t", entry.Plain != nil, c.plain)
+			if (entry.Uncompressed != nil) != c.plain || c.plain && !bytes.Equal(entry.Uncompressed, sent) {
+				t.Errorf("stored as it was sent: %t, want %t", entry.Uncompressed != nil, c.plain)
 			}
 			if (entry.Digest != nil) != c.digest {
 				t.Errorf("with a digest: %t, want %t", entry.Digest != nil, c.digest)
@@ -90,7 +90,7 @@
 			if !c.digest {
 				return
 			}
-			if made, err := newProposal(c.base, c.revision, sent); err != nil || !bytes.Equal(made, data) {
+			if made, err := encodeReplaceCommand(c.base, c.revision, sent); err != nil || !bytes.Equal(made, data) {
 				t.Errorf("the same order makes the entry\n%x, %v, want\n%x", made, err, data)
 			}
 		})
@@ -102,7 +102,7 @@
 	results := decodeAs[[]api.Result](t, golden(t, "results.cbor"))
 	var s State
 	for i, name := range goldenLog {
-		if got := s.Apply(golden(t, name)); !reflect.DeepEqual(got, results[i]) {
+		if got := s.Apply(golden(t, name)).result(); !reflect.DeepEqual(got, results[i]) {
 			t.Errorf("%s: %+v, want %+v", name, got, results[i])
 		}
 		if i == 2 {
@@ -139,11 +139,11 @@
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			s := decodeAs[State](t, golden(t, c.file))
-			if got := s.Versions(); !slices.Equal(got, c.versions) {
+			if got := s.Revisions(); !slices.Equal(got, c.versions) {
 				t.Errorf("versions %v, want %v", got, c.versions)
 			}
-			if len(s.Taken) != c.taken {
-				t.Errorf("%d versions are remembered, want %d", len(s.Taken), c.taken)
+			if len(s.Applied) != c.taken {
+				t.Errorf("%d versions are remembered, want %d", len(s.Applied), c.taken)
 			}
 			sent, err := s.Config()
 			if err != nil {
@@ -170,7 +170,7 @@
 	requireEncoding(t, s, "snapshot-hash-only-stored-again.cbor")
 	results := decodeAs[[]api.Result](t, golden(t, "results.cbor"))
 	want := results[len(results)-1]
-	if got := s.Apply(golden(t, "entry-forgotten.cbor")); !reflect.DeepEqual(got, want) {
+	if got := s.Apply(golden(t, "entry-forgotten.cbor")).result(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
--- a/controlplane/history_test.go
+++ b/controlplane/history_test.go
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d calls, %d changes taken, %d disks lost", len(w.history), len(w.chain), w.next-100)
-	if len(w.chain) < 3*oldMostTaken {
+	if len(w.chain) < 3*maxAppliedBeforeDigests {
 		t.Errorf("%d changes taken: too few to show anything", len(w.chain))
 	}
 }
--- a/controlplane/linearizability_test.go
+++ b/controlplane/linearizability_test.go
@@ -126,7 +126,7 @@
 	}
 	if l := w.members[w.leader()]; l != nil {
 		for _, v := range w.chain { // sent again now
-			if r := l.state.Judge(v.base, v.revision, v.print); r.Status != http.StatusOK && (w.remembered == mostTaken || r.Status != http.StatusServiceUnavailable) {
+			if r := l.state.Evaluate(v.base, v.revision, v.print).result(); r.Status != http.StatusOK && (w.remembered == maxAppliedRevisions || r.Status != http.StatusServiceUnavailable) {
 				return fmt.Errorf("revision %d was taken and is answered %d", v.revision, r.Status)
 			}
 		}
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -59,9 +59,9 @@
 	if !g.node.Serves() {
 		return r, false, true
 	}
-	if r = g.state.Judge(p.base, p.revision, p.print); r.Status != 0 {
+	if d := g.state.Evaluate(p.base, p.revision, p.print); d.Outcome != OutcomeAcceptable {
 		if sure {
-			return r, true, false
+			return d.result(), true, false
 		}
 		return api.Result{}, false, true
 	}
@@ -83,7 +83,7 @@
 	var r api.Result
 	if len(e.Data) > 0 {
 		before := g.state.Revision
-		r = g.state.Apply(e.Data)
+		r = g.state.Apply(e.Data).result()
 		news = g.state.Revision != before
 	}
 	if p := g.calls[e.Index]; p != nil {
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -12,7 +12,7 @@
 // order is a call that replaces the configuration.
 func order(t *testing.T, base, revision uint64, config string) *pending {
 	t.Helper()
-	data, err := newProposal(base, revision, []byte(config))
+	data, err := encodeReplaceCommand(base, revision, []byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 
 // calmWorld is a world without clients in which nothing happens by itself.
 func calmWorld(seed uint64) *world {
-	w := newWorld(seed, shape{machines: coreSize, remembered: mostTaken}, "")
+	w := newWorld(seed, shape{machines: coreSize, remembered: maxAppliedRevisions}, "")
 	w.calm = true
 	return w
 }
@@ -146,7 +146,7 @@
 			t.Errorf("revision %d on %d: %+v, want %d", c.p.revision, c.p.base, r, c.want)
 		}
 	}
-	if got := fmt.Sprint(m.state.Versions()); got != "[2 4]" {
+	if got := fmt.Sprint(m.state.Revisions()); got != "[2 4]" {
 		t.Errorf("taken: %s", got)
 	}
 }
--- a/controlplane/serve.go
+++ b/controlplane/serve.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 
@@ -20,8 +21,8 @@
 
 // brings tells whether a state's newest configuration is this one.
 func (k *checked) brings(s *State) bool {
-	n := len(s.Taken)
-	return n > 0 && s.Revision == k.split.Revision && s.Taken[n-1] == taken{s.Revision, k.print}
+	n := len(s.Applied)
+	return n > 0 && s.Revision == k.split.Revision && s.Applied[n-1] == appliedRevision{s.Revision, k.print}
 }
 
 // checkConfig returns a configuration that follows on another, as it is proposed.
@@ -40,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	entry, err := newProposal(q.Base, split.Revision, q.Config)
+	entry, err := encodeReplaceCommand(q.Base, split.Revision, q.Config)
 	if err != nil {
 		return nil, err
 	}
@@ -77,13 +78,12 @@
 	var err error
 	switch {
 	case q.Versions:
-		r.Versions = state.Versions()
+		r.Versions = state.Revisions()
 	case q.State:
 		r.Config, err = Export(&state)
 	case q.Revision != 0:
-		var known bool
-		if r.Config, known, err = state.Version(q.Revision); err == nil && !known {
-			return &api.Result{Status: http.StatusNotFound, Why: fmt.Sprintf("revision %d is not remembered; there are %v", q.Revision, state.Versions())}, nil
+		if r.Config, err = state.ConfigAt(q.Revision); errors.Is(err, ErrRevisionNotKept) {
+			return &api.Result{Status: http.StatusNotFound, Why: fmt.Sprintf("revision %d is not remembered; there are %v", q.Revision, state.Revisions())}, nil
 		}
 	default:
 		r.Config, err = state.Config()
--- a/controlplane/sim_client_test.go
+++ b/controlplane/sim_client_test.go
@@ -42,7 +42,7 @@
 	p := &pending{get: c.in.get, base: c.in.base, revision: c.in.revision, print: c.in.print}
 	if !p.get {
 		var err error
-		if p.data, err = newProposal(p.base, p.revision, c.in.config); err != nil {
+		if p.data, err = encodeReplaceCommand(p.base, p.revision, c.in.config); err != nil {
 			panic(err)
 		}
 	}
@@ -112,8 +112,8 @@
 			continue
 		}
 		out := output{status: r.Status, revision: m.state.Revision}
-		if k := len(m.state.Taken); k > 0 {
-			out.print = m.state.Taken[k-1].fingerprint
+		if k := len(m.state.Applied); k > 0 {
+			out.print = m.state.Applied[k-1].fingerprint
 		}
 		w.end(c, out, false)
 	}
@@ -139,12 +139,12 @@
 		case w.fault == "reads without a confirmation" && p.get && m.state.Revision != 0:
 			return api.Result{Status: http.StatusOK}, true, false
 		case w.fault == "turned down without a confirmation" && !p.get:
-			if r := m.state.Judge(p.base, p.revision, p.print); r.Status != 0 {
-				return r, true, false
+			if d := m.state.Evaluate(p.base, p.revision, p.print); d.Outcome != OutcomeAcceptable {
+				return d.result(), true, false
 			}
 		case w.fault == "told apart by number alone" && !p.get:
-			if i := slices.IndexFunc(m.state.Taken, func(t taken) bool { return t.Revision == p.revision }); i >= 0 {
-				p.print = m.state.Taken[i].fingerprint
+			if i := slices.IndexFunc(m.state.Applied, func(t appliedRevision) bool { return t.Revision == p.revision }); i >= 0 {
+				p.print = m.state.Applied[i].fingerprint
 			}
 		case w.fault == "confirmed before it is agreed" && !p.get:
 			if r, done, beat = m.next(p); p.index != 0 {
--- a/controlplane/sim_member_test.go
+++ b/controlplane/sim_member_test.go
@@ -99,12 +99,12 @@
 func (w *world) apply(m *member, e raft.Entry) bool {
 	before := m.state.Revision
 	if w.fault == "judged before it is proposed, and not again" && len(e.Data) > 0 {
-		var p proposal
+		var p replaceCommand
 		if err := cbor.Unmarshal(e.Data, &p); err != nil {
 			panic(err)
 		}
-		m.state.Revision, m.state.Packed = p.Revision, p.Packed
-		m.state.Taken = append(m.state.Taken, taken{p.Revision, p.fingerprint()})
+		m.state.Revision, m.state.Compressed = p.Revision, p.Compressed
+		m.state.Applied = append(m.state.Applied, appliedRevision{p.Revision, p.fingerprint()})
 		if c := m.calls[e.Index]; c != nil && c.term == e.Term {
 			delete(m.calls, e.Index)
 			c.answer = &api.Result{Status: http.StatusOK}
@@ -120,13 +120,13 @@
 	if m.state.Revision == before {
 		return false
 	}
-	t := m.state.Taken[len(m.state.Taken)-1]
+	t := m.state.Applied[len(m.state.Applied)-1]
 	w.note(version{before, t.Revision, t.fingerprint, w.tick()})
 	switch {
 	case w.fault == "four versions remembered":
-		m.state.Taken = slices.Clone(m.state.Taken[max(0, len(m.state.Taken)-4):])
+		m.state.Applied = slices.Clone(m.state.Applied[max(0, len(m.state.Applied)-4):])
 	default:
-		m.state.forget(w.remembered)
+		m.state.trimApplied(w.remembered)
 	}
 	return true
 }
--- a/controlplane/sim_world_test.go
+++ b/controlplane/sim_world_test.go
@@ -47,8 +47,8 @@
 // The worlds: small ones for the checker of linearizability, and ones at size, of
 // 55 s, for the check that takes time in proportion to the history.
 var (
-	small  = shape{clients: 4, machines: 3, steps: 700, remembered: mostTaken}
-	atSize = shape{clients: 8, machines: 4, steps: 1100, losses: true, remembered: mostTaken}
+	small  = shape{clients: 4, machines: 3, steps: 700, remembered: maxAppliedRevisions}
+	atSize = shape{clients: 8, machines: 4, steps: 1100, losses: true, remembered: maxAppliedRevisions}
 )
 
 type member struct {
@@ -245,7 +245,7 @@
 			w.end(c, output{}, true)
 		}
 	}
-	if w.remembered < mostTaken && w.leader() != 0 && w.level() { // what is forgotten has no clear answer
+	if w.remembered < maxAppliedRevisions && w.leader() != 0 && w.level() { // what is forgotten has no clear answer
 		return nil
 	}
 	return fmt.Errorf("the core has not settled after %d steps", settleIn)
@@ -261,7 +261,7 @@
 		}
 		if first == nil {
 			first = &m.state
-		} else if m.state.Revision != first.Revision || !slices.Equal(m.state.Taken, first.Taken) {
+		} else if m.state.Revision != first.Revision || !slices.Equal(m.state.Applied, first.Applied) {
 			return false
 		}
 	}
--- a/controlplane/state_test.go
+++ b/controlplane/state_test.go
@@ -8,7 +8,6 @@
 	"math"
 	"math/bits"
 	"math/rand/v2"
-	"net/http"
 	"slices"
 	"testing"
 
@@ -16,14 +15,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// bring applies an order and returns its status.
-func bring(t *testing.T, s *State, base, revision uint64, config []byte) int {
+// bring applies an order and returns its outcome.
+func bring(t *testing.T, s *State, base, revision uint64, config []byte) Outcome {
 	t.Helper()
-	data, err := newProposal(base, revision, config)
+	data, err := encodeReplaceCommand(base, revision, config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s.Apply(data).Status
+	return s.Apply(data).Outcome
 }
 
 // An order whose answer was lost is sent again after days of changes: it is
@@ -32,16 +31,16 @@
 	var s State
 	const days = 2000 // changes; a day at size has 720
 	for i := range uint64(days) {
-		if got := bring(t, &s, i, i+1, fmt.Append(nil, i)); got != http.StatusOK {
+		if got := bring(t, &s, i, i+1, fmt.Append(nil, i)); got != OutcomeApplied {
 			t.Fatalf("version %d: %d", i+1, got)
 		}
 	}
 	for i := range uint64(days) {
-		if got := bring(t, &s, i, i+1, fmt.Append(nil, i)); got != http.StatusOK {
+		if got := bring(t, &s, i, i+1, fmt.Append(nil, i)); got != OutcomeApplied {
 			t.Fatalf("version %d of %d sent again: %d", i+1, days, got)
 		}
 	}
-	if got := bring(t, &s, 7, 8, []byte("another")); got != http.StatusPreconditionFailed {
+	if got := bring(t, &s, 7, 8, []byte("another")); got != OutcomeConflict {
 		t.Errorf("another configuration under a number that was taken: %d", got)
 	}
 }
@@ -74,13 +73,13 @@
 func TestOrdersAreToldApart(t *testing.T) {
 	a, b := colliding(t)
 	var s State
-	if got := bring(t, &s, 0, 5, a); got != http.StatusOK {
+	if got := bring(t, &s, 0, 5, a); got != OutcomeApplied {
 		t.Fatal(got)
 	}
-	if got := bring(t, &s, 0, 5, b); got != http.StatusPreconditionFailed {
+	if got := bring(t, &s, 0, 5, b); got != OutcomeConflict {
 		t.Errorf("the other one under the same number: %d", got)
 	}
-	if got := bring(t, &s, 0, 5, a); got != http.StatusOK {
+	if got := bring(t, &s, 0, 5, a); got != OutcomeApplied {
 		t.Errorf("the first one sent again: %d", got)
 	}
 }
@@ -89,26 +88,26 @@
 // what was never taken, for sure, is refused as ever.
 func TestWhatIsForgottenIsNotRefused(t *testing.T) {
 	var s State
-	last := uint64(mostTaken + 10)
+	last := uint64(maxAppliedRevisions + 10)
 	for i := range last {
 		bring(t, &s, 2*i, 2*i+2, fmt.Append(nil, i))
 	}
 	for _, o := range []struct {
 		base, revision uint64
 		config         string
-		want           int
+		want           Outcome
 		why            string
 	}{
-		{0, 2, "0", http.StatusServiceUnavailable, "taken, and forgotten"},
-		{18, 20, "9", http.StatusServiceUnavailable, "the last that is forgotten"},
-		{20, 22, "10", http.StatusOK, "the first that is remembered"},
-		{16, 20, "another", http.StatusServiceUnavailable, "it can't be told from one that was taken"},
-		{20, 22, "another", http.StatusPreconditionFailed, "lost against one that is remembered"},
-		{20, 23, "another", http.StatusPreconditionFailed, "lost, of a number that none has"},
-		{8, 7, "another", http.StatusPreconditionFailed, "never to be taken: not above what it builds on"},
-		{2 * last, 7, "another", http.StatusBadRequest, "not above the current one"},
-		{2*last - 2, 2 * last, fmt.Sprint(last - 1), http.StatusOK, "the newest"},
-		{2*last - 4, 2 * last, fmt.Sprint(last - 1), http.StatusOK, "the same configuration, said to build on another version"},
+		{0, 2, "0", OutcomeUnknown, "taken, and forgotten"},
+		{18, 20, "9", OutcomeUnknown, "the last that is forgotten"},
+		{20, 22, "10", OutcomeApplied, "the first that is remembered"},
+		{16, 20, "another", OutcomeUnknown, "it can't be told from one that was taken"},
+		{20, 22, "another", OutcomeConflict, "lost against one that is remembered"},
+		{20, 23, "another", OutcomeConflict, "lost, of a number that none has"},
+		{8, 7, "another", OutcomeConflict, "never to be taken: not above what it builds on"},
+		{2 * last, 7, "another", OutcomeInvalid, "not above the current one"},
+		{2*last - 2, 2 * last, fmt.Sprint(last - 1), OutcomeApplied, "the newest"},
+		{2*last - 4, 2 * last, fmt.Sprint(last - 1), OutcomeApplied, "the same configuration, said to build on another version"},
 	} {
 		if got := bring(t, &s, o.base, o.revision, []byte(o.config)); got != o.want {
 			t.Errorf("%s: base %d, revision %d: %d, want %d", o.why, o.base, o.revision, got, o.want)
@@ -117,26 +116,26 @@
 	if s.Revision != 2*last {
 		t.Errorf("revision %d", s.Revision)
 	}
-	s.Taken[0].Revision = math.MaxUint64 // the longest to write
-	if data, err := cbor.Marshal(s.Taken); err != nil || len(s.Taken) != mostTaken || len(data) > 39*mostTaken+3 {
-		t.Errorf("%d versions take %d bytes, %v", len(s.Taken), len(data), err)
+	s.Applied[0].Revision = math.MaxUint64 // the longest to write
+	if data, err := cbor.Marshal(s.Applied); err != nil || len(s.Applied) != maxAppliedRevisions || len(data) > 39*maxAppliedRevisions+3 {
+		t.Errorf("%d versions take %d bytes, %v", len(s.Applied), len(data), err)
 	}
 }
 
 // From which version on all are remembered is known, not guessed from how many are.
 func TestOldestRemembered(t *testing.T) {
-	before := State{Revision: 4, Plain: []byte("four")} // written before any were remembered
-	if got := bring(t, &before, 4, 6, []byte("six")); got != http.StatusOK {
+	before := State{Revision: 4, Uncompressed: []byte("four")} // written before any were remembered
+	if got := bring(t, &before, 4, 6, []byte("six")); got != OutcomeApplied {
 		t.Fatal(got)
 	}
-	if got := bring(t, &before, 3, 4, []byte("four")); got != http.StatusServiceUnavailable {
+	if got := bring(t, &before, 3, 4, []byte("four")); got != OutcomeUnknown {
 		t.Errorf("what was taken before any were remembered: %d", got)
 	}
 	var whole State
-	for i := range uint64(2 * oldMostTaken) {
+	for i := range uint64(2 * maxAppliedBeforeDigests) {
 		bring(t, &whole, whole.Revision, 5+i, fmt.Append(nil, i))
 	}
-	if got := bring(t, &whole, 0, 3, []byte("lost")); got != http.StatusPreconditionFailed {
+	if got := bring(t, &whole, 0, 3, []byte("lost")); got != OutcomeConflict {
 		t.Errorf("a number below the first, where all are remembered: %d", got)
 	}
 }
@@ -145,19 +144,19 @@
 func TestRememberedVersionsAreChecked(t *testing.T) {
 	for name, spoil := range map[string]func(*State){
 		"":                           func(*State) {},
-		"the newest is another one":  func(s *State) { s.Taken[2].fingerprint = fingerprintOf([]byte("another")) },
-		"the newest is missing":      func(s *State) { s.Taken = s.Taken[:2] },
-		"out of order":               func(s *State) { s.Taken[0], s.Taken[1] = s.Taken[1], s.Taken[0] },
-		"from before the oldest one": func(s *State) { s.Since = 3 },
+		"the newest is another one":  func(s *State) { s.Applied[2].fingerprint = fingerprintOf([]byte("another")) },
+		"the newest is missing":      func(s *State) { s.Applied = s.Applied[:2] },
+		"out of order":               func(s *State) { s.Applied[0], s.Applied[1] = s.Applied[1], s.Applied[0] },
+		"from before the oldest one": func(s *State) { s.AppliedFrom = 3 },
 		"too many": func(s *State) {
-			for range mostTaken {
-				s.Taken = append(s.Taken, taken{Revision: s.Taken[len(s.Taken)-1].Revision + 1})
+			for range maxAppliedRevisions {
+				s.Applied = append(s.Applied, appliedRevision{Revision: s.Applied[len(s.Applied)-1].Revision + 1})
 			}
 		},
 	} {
 		var s State
 		for i := range uint64(3) {
-			if got := bring(t, &s, 2*i, 2*i+2, config(t, 2*i+2)); got != http.StatusOK {
+			if got := bring(t, &s, 2*i, 2*i+2, config(t, 2*i+2)); got != OutcomeApplied {
 				t.Fatal(got)
 			}
 		}
@@ -166,7 +165,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Import(data); (err == nil) != (name == "") || err != nil && !errors.Is(err, ErrExport) {
+		if _, err := Import(data); (err == nil) != (name == "") || err != nil && !errors.Is(err, ErrInvalidExport) {
 			t.Errorf("%q: %v", name, err)
 		}
 	}
@@ -180,39 +179,39 @@
 		Hash     uint64 `cbor:"2,keyasint"`
 	}
 	oldState struct {
-		Revision uint64     `cbor:"1,keyasint"`
-		Plain    []byte     `cbor:"2,keyasint,omitempty"`
-		Taken    []oldTaken `cbor:"3,keyasint,omitempty"`
-		Packed   []byte     `cbor:"4,keyasint,omitempty"`
-		Past     []past     `cbor:"5,keyasint,omitempty"`
+		Revision     uint64         `cbor:"1,keyasint"`
+		Uncompressed []byte         `cbor:"2,keyasint,omitempty"`
+		Applied      []oldTaken     `cbor:"3,keyasint,omitempty"`
+		Compressed   []byte         `cbor:"4,keyasint,omitempty"`
+		Previous     []storedConfig `cbor:"5,keyasint,omitempty"`
 	}
 	oldEntry struct {
-		Base     uint64 `cbor:"1,keyasint"`
-		Revision uint64 `cbor:"2,keyasint"`
-		Plain    []byte `cbor:"3,keyasint,omitempty"`
-		Packed   []byte `cbor:"4,keyasint,omitempty"`
-		Hash     uint64 `cbor:"5,keyasint,omitempty"`
+		Base         uint64 `cbor:"1,keyasint"`
+		Revision     uint64 `cbor:"2,keyasint"`
+		Uncompressed []byte `cbor:"3,keyasint,omitempty"`
+		Compressed   []byte `cbor:"4,keyasint,omitempty"`
+		Hash         uint64 `cbor:"5,keyasint,omitempty"`
 	}
 )
 
-func (s *oldState) apply(t *testing.T, data []byte) int {
+func (s *oldState) apply(t *testing.T, data []byte) Outcome {
 	t.Helper()
 	var p oldEntry
 	if err := cbor.Unmarshal(data, &p); err != nil {
 		t.Fatal(err)
 	}
 	switch {
-	case slices.Contains(s.Taken, oldTaken{p.Revision, p.Hash}):
-		return http.StatusOK
+	case slices.Contains(s.Applied, oldTaken{p.Revision, p.Hash}):
+		return OutcomeApplied
 	case p.Base != s.Revision:
-		return http.StatusPreconditionFailed
+		return OutcomeConflict
 	case p.Revision <= s.Revision:
-		return http.StatusBadRequest
+		return OutcomeInvalid
 	}
-	s.Revision, s.Packed = p.Revision, p.Packed
-	s.Taken = append(s.Taken, oldTaken{p.Revision, p.Hash})
-	s.Taken = s.Taken[max(0, len(s.Taken)-oldMostTaken):]
-	return http.StatusOK
+	s.Revision, s.Compressed = p.Revision, p.Compressed
+	s.Applied = append(s.Applied, oldTaken{p.Revision, p.Hash})
+	s.Applied = s.Applied[max(0, len(s.Applied)-maxAppliedBeforeDigests):]
+	return OutcomeApplied
 }
 
 // copyOf has a state go through a snapshot, from one program to the other or to itself.
@@ -250,7 +249,7 @@
 			case rng.IntN(8) == 0:
 				o.base -= min(o.base, rng.Uint64N(4))
 			}
-			data, err := newProposal(o.base, o.revision, o.config)
+			data, err := encodeReplaceCommand(o.base, o.revision, o.config)
 			if err == nil && rng.IntN(2) == 0 { // a member without digests brings it
 				data, err = cbor.Marshal(copyOf[oldEntry](t, cbor.RawMessage(data)))
 			}
@@ -259,10 +258,10 @@
 			}
 			before := with[0].Revision
 			for i, s := range with {
-				switch got := s.Apply(data).Status; {
-				case o.taken && got != http.StatusOK && got != http.StatusServiceUnavailable:
+				switch got := s.Apply(data).Outcome; {
+				case o.taken && got != OutcomeApplied && got != OutcomeUnknown:
 					t.Fatalf("seed %d step %d: member %d answers %d to revision %d, which was taken", seed, step, i, got, o.revision)
-				case !o.taken && got == http.StatusOK && s.Revision == before:
+				case !o.taken && got == OutcomeApplied && s.Revision == before:
 					t.Fatalf("seed %d step %d: member %d confirms revision %d, which was not taken", seed, step, i, o.revision)
 				}
 			}
@@ -272,8 +271,8 @@
 			for _, got := range []struct {
 				revision uint64
 				packed   []byte
-			}{{with[1].Revision, with[1].Packed}, {without[0].Revision, without[0].Packed}, {without[1].Revision, without[1].Packed}} {
-				if got.revision != with[0].Revision || !bytes.Equal(got.packed, with[0].Packed) {
+			}{{with[1].Revision, with[1].Compressed}, {without[0].Revision, without[0].Compressed}, {without[1].Revision, without[1].Compressed}} {
+				if got.revision != with[0].Revision || !bytes.Equal(got.packed, with[0].Compressed) {
 					t.Fatalf("seed %d step %d: revision %d here, %d there", seed, step, got.revision, with[0].Revision)
 				}
 			}
@@ -301,13 +300,13 @@
 func FuzzEntries(f *testing.F) {
 	var entries [][]byte
 	for i := range uint64(3) {
-		data, err := newProposal(2*i, 2*i+2, fmt.Append(nil, i))
+		data, err := encodeReplaceCommand(2*i, 2*i+2, fmt.Append(nil, i))
 		if err != nil {
 			f.Fatal(err)
 		}
 		entries = append(entries, data)
 		f.Add(data)
-		if data, err = cbor.Marshal(oldEntry{Base: 4, Revision: 9 + i, Packed: []byte{byte(i), 'x'}, Hash: i}); err != nil {
+		if data, err = cbor.Marshal(oldEntry{Base: 4, Revision: 9 + i, Compressed: []byte{byte(i), 'x'}, Hash: i}); err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
@@ -321,14 +320,14 @@
 		before := s.Revision
 		first := s.Apply(data)
 		after := s.Revision
-		if took := after != before; took && (first.Status != http.StatusOK || after < before) || first.Status == 0 {
+		if took := after != before; took && (first.Outcome != OutcomeApplied || after < before) || first.Outcome == OutcomeAcceptable {
 			t.Fatalf("revision %d after %d: %+v", after, before, first)
 		}
 		again := s.Apply(data)
-		if s.Revision != after || first.Status == http.StatusOK && again.Status != http.StatusOK {
+		if s.Revision != after || first.Outcome == OutcomeApplied && again.Outcome != OutcomeApplied {
 			t.Fatalf("again: revision %d after %d: %+v", s.Revision, after, again)
 		}
-		if r := s.Apply(entries[0]); r.Status != http.StatusOK || s.Revision != after {
+		if r := s.Apply(entries[0]); r.Outcome != OutcomeApplied || s.Revision != after {
 			t.Fatalf("the first version sent again: %+v", r)
 		}
 	})
