--- a/api/compress_test.go
+++ b/api/compress_test.go
@@ -32,9 +32,9 @@
 func (*before) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 func (*before) HandleConn(context.Context, stats.ConnStats)                       {}
 
-func (b *before) Replace(context.Context, *Replace) (*Result, error) {
+func (b *before) Replace(context.Context, *ReplaceRequest) (*ControlResponse, error) {
 	b.asked++
-	return &Result{Status: 200}, nil
+	return &ControlResponse{Status: 200}, nil
 }
 
 // In a change of versions an order reaches a leader of the program before, once.
@@ -54,13 +54,13 @@
 	RegisterControl(s, b)
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
-	conns := NewConns(nil)
+	conns := NewConnPool(nil)
 	t.Cleanup(conns.Close)
-	conn, err := conns.To(l.Addr().String())
+	conn, err := conns.Conn(l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := CallReplace(t.Context(), conn, &Replace{Base: 1, Config: []byte("configuration")})
+	r, err := CallReplace(t.Context(), conn, &ReplaceRequest{Base: 1, Config: []byte("configuration")})
 	if err != nil || r.Status != 200 || b.asked != 1 {
 		t.Errorf("%+v, %v, read %d times", r, err, b.asked)
 	}
--- a/api/config.go
+++ b/api/config.go
@@ -12,7 +12,7 @@
 )
 
 // MaxConfig bounds a configuration's bytes.
-const MaxConfig = 8 << 20
+const MaxConfigBytes = 8 << 20
 
 // mostFaults bounds the faults that are named of one configuration.
 const mostFaults = 20
@@ -28,21 +28,21 @@
 
 // Route sends requests of a host and path to a service.
 type Route struct {
-	Name      string  `cbor:"name"`
-	Host      string  `cbor:"host_match"`
-	Prefix    string  `cbor:"path_prefix"`
-	Type      string  `cbor:"route_type"`
-	TimeoutMs float64 `cbor:"timeout_ms"`
-	TargetMs  float64 `cbor:"target_latency_ms"`
-	Priority  int     `cbor:"priority"`
-	Upstream  string  `cbor:"upstream"`
-	Split     []Split `cbor:"traffic_split"`
-	Retries   int     `cbor:"retry_count"` // the most servers that one try may be sent to
-	Anonymous bool    `cbor:"anonymous"`
+	Name         string             `cbor:"name"`
+	Host         string             `cbor:"host_match"`
+	Prefix       string             `cbor:"path_prefix"`
+	Type         string             `cbor:"route_type"`
+	TimeoutMs    float64            `cbor:"timeout_ms"`
+	TargetMs     float64            `cbor:"target_latency_ms"`
+	Priority     int                `cbor:"priority"`
+	Upstream     string             `cbor:"upstream"`
+	TrafficSplit []WeightedUpstream `cbor:"traffic_split"`
+	Retries      int                `cbor:"retry_count"` // the most servers that one try may be sent to
+	Anonymous    bool               `cbor:"anonymous"`
 }
 
 // Split is one service of a route and its weight.
-type Split struct {
+type WeightedUpstream struct {
 	Upstream string  `cbor:"upstream"`
 	Weight   float64 `cbor:"weight"`
 }
@@ -80,7 +80,7 @@
 )
 
 // Repeatable tells whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool { return r.Type == Idempotent || r.Type == Download }
+func (r *Route) IsIdempotent() bool { return r.Type == Idempotent || r.Type == Download }
 
 var strict = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 16,
@@ -143,14 +143,14 @@
 		if r.Retries < 0 {
 			fault("%s.retry_count: %d is below 0", at, r.Retries)
 		}
-		if len(r.Split) == 0 {
+		if len(r.TrafficSplit) == 0 {
 			if !services[r.Upstream] {
 				fault("%s.upstream: %q is no service of upstream_table", at, r.Upstream)
 			}
 			continue
 		}
 		sum := 0.0
-		for k, s := range r.Split {
+		for k, s := range r.TrafficSplit {
 			if !services[s.Upstream] {
 				fault("%s.traffic_split.%d.upstream: %q is no service of upstream_table", at, k, s.Upstream)
 			}
--- a/api/config_test.go
+++ b/api/config_test.go
@@ -10,7 +10,7 @@
 func valid() *Config {
 	return &Config{Revision: 3, Upstreams: []Upstream{{Name: "a"}, {Name: "b"}},
 		Routes: []Route{{Name: "r", Host: "h", Prefix: "/x/", Type: Idempotent, TimeoutMs: 100, Upstream: "a", Retries: 2},
-			{Name: "s", Host: "h", Prefix: "/x/y/", TimeoutMs: 100, Split: []Split{{"a", 90}, {"b", 10}}}},
+			{Name: "s", Host: "h", Prefix: "/x/y/", TimeoutMs: 100, TrafficSplit: []WeightedUpstream{{"a", 90}, {"b", 10}}}},
 		Tenants: []Tenant{{Name: "t", Keys: []string{"k1", "k2"}, Rate: 5, Burst: 5}, {Name: "u", Keys: []string{"k3"}}}}
 }
 
@@ -22,9 +22,9 @@
 	for want, spoil := range map[string]func(*Config){
 		"revision":                       func(c *Config) { c.Revision = 0 },
 		"route_table.0 (r).upstream":     func(c *Config) { c.Routes[0].Upstream = "z" },
-		"route_table.1 (s).traffic_spl":  func(c *Config) { c.Routes[1].Split[1].Upstream = "z" },
-		"the weights sum to 0":           func(c *Config) { c.Routes[1].Split = []Split{{"a", 0}} },
-		"is below 0":                     func(c *Config) { c.Routes[1].Split[0].Weight = -1 },
+		"route_table.1 (s).traffic_spl":  func(c *Config) { c.Routes[1].TrafficSplit[1].Upstream = "z" },
+		"the weights sum to 0":           func(c *Config) { c.Routes[1].TrafficSplit = []WeightedUpstream{{"a", 0}} },
+		"is below 0":                     func(c *Config) { c.Routes[1].TrafficSplit[0].Weight = -1 },
 		"route_table.0 (r).timeout_ms":   func(c *Config) { c.Routes[0].TimeoutMs = 0 },
 		"shares host_match":              func(c *Config) { c.Routes[1].Prefix = "/x/" },
 		"route_table.0 (r).path_prefix":  func(c *Config) { c.Routes[0].Prefix = "/x" },
@@ -79,7 +79,7 @@
 			t.Error("an invalid configuration was taken")
 		}
 		// What is taken must be tellable to limiters: a member of the core halts where it isn't.
-		if split, err := SplitConfig(b, nil); err != nil || split.Revision != c.Revision {
+		if split, err := BuildConfigRows(b, nil); err != nil || split.Revision != c.Revision {
 			t.Fatalf("%x is sound and can't be split: %v", b, err)
 		}
 		if revision, _, err := configRows(b); err != nil || revision != c.Revision {
--- a/api/conns.go
+++ b/api/conns.go
@@ -28,7 +28,7 @@
 )
 
 // Conns keeps one connection to each process that is called.
-type Conns struct {
+type ConnPool struct {
 	ring  *keys.Ring
 	opts  []grpc.DialOption
 	clock func() time.Time
@@ -40,12 +40,12 @@
 
 // NewConns returns an empty set. With keys (nil: none) only processes of the
 // same authority are spoken to. Options are as for [Dial].
-func NewConns(ring *keys.Ring, opts ...grpc.DialOption) *Conns {
-	return &Conns{ring: ring, opts: opts, clock: time.Now, byAddr: map[string]*grpc.ClientConn{}, used: map[string]time.Time{}}
+func NewConnPool(ring *keys.Ring, opts ...grpc.DialOption) *ConnPool {
+	return &ConnPool{ring: ring, opts: opts, clock: time.Now, byAddr: map[string]*grpc.ClientConn{}, used: map[string]time.Time{}}
 }
 
 // To returns the connection to an address.
-func (s *Conns) To(addr string) (*grpc.ClientConn, error) {
+func (s *ConnPool) Conn(addr string) (*grpc.ClientConn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
@@ -69,7 +69,7 @@
 
 // Reaches waits for a connection to be there, for so long at most. It goes on being
 // made after that: who was not reached in time may be at the next call.
-func Reaches(ctx context.Context, c *grpc.ClientConn, within time.Duration) bool {
+func WaitReady(ctx context.Context, c *grpc.ClientConn, within time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *Conns) drop(addr string) {
+func (s *ConnPool) drop(addr string) {
 	if c := s.byAddr[addr]; c != nil {
 		c.Close()
 	}
@@ -92,7 +92,7 @@
 }
 
 // Close closes all connections.
-func (s *Conns) Close() {
+func (s *ConnPool) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for addr := range s.byAddr {
--- a/api/conns_test.go
+++ b/api/conns_test.go
@@ -51,12 +51,12 @@
 // Connections to processes that are gone for good do not pile up; those in use stay.
 func TestUnusedConnectionsAreClosed(t *testing.T) {
 	now := time.Unix(0, 0)
-	s := NewConns(nil)
+	s := NewConnPool(nil)
 	s.clock = func() time.Time { return now }
 	defer s.Close()
 	to := func(addr string) *grpc.ClientConn {
 		t.Helper()
-		c, err := s.To(addr) // connects only when it is used
+		c, err := s.Conn(addr) // connects only when it is used
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/api/fuzz_test.go
+++ b/api/fuzz_test.go
@@ -9,8 +9,8 @@
 // sent on and means the same.
 func FuzzMessages(f *testing.F) {
 	c := codec{}
-	for _, v := range []any{&Watch{Name: "a", Revision: 3}, &News{Lease: true, List: &Parcel{To: 3, Size: 1, Data: []byte{0}}, Core: []string{"x"}},
-		&Beat{From: Peer{Name: "a", Life: 9}, Peers: []Peer{{Name: "b"}}}, &Result{Status: 409, Why: "x"}, &Join{ID: 7, Addr: "a"}} {
+	for _, v := range []any{&WatchRequest{Name: "a", Revision: 3}, &WatchResponse{Lease: true, ServersDelta: &EncodedDelta{To: 3, Size: 1, Data: []byte{0}}, Members: []string{"x"}},
+		&HeartbeatRequest{From: Peer{Name: "a", StartID: 9}, Peers: []Peer{{Name: "b"}}}, &ControlResponse{Status: 409, Reason: "x"}, &JoinRequest{ID: 7, Addr: "a"}} {
 		data, err := c.Marshal(v)
 		if err != nil {
 			f.Fatal(err)
@@ -18,9 +18,9 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for _, v := range []func() any{func() any { return new(Watch) }, func() any { return new(News) }, func() any { return new(Beat) },
-			func() any { return new(BeatReply) }, func() any { return new(Result) }, func() any { return new(Join) },
-			func() any { return new(Replace) }, func() any { return new(Deliver) }} {
+		for _, v := range []func() any{func() any { return new(WatchRequest) }, func() any { return new(WatchResponse) }, func() any { return new(HeartbeatRequest) },
+			func() any { return new(HeartbeatResponse) }, func() any { return new(ControlResponse) }, func() any { return new(JoinRequest) },
+			func() any { return new(ReplaceRequest) }, func() any { return new(DeliverRequest) }} {
 			a := v()
 			if c.Unmarshal(data, a) != nil {
 				continue
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -26,7 +26,7 @@
 		Routes: []Route{
 			{Name: "r", Host: "Example.org", Prefix: "/x/", Type: Idempotent, TimeoutMs: 1500.5, TargetMs: 80, Priority: 3,
 				Upstream: "a", Retries: 2, Anonymous: true},
-			{Name: "s", Host: "*", Prefix: "/x/y/", Type: Download, TimeoutMs: 100, Split: []Split{{"a", 90}, {"b", 10}}},
+			{Name: "s", Host: "*", Prefix: "/x/y/", Type: Download, TimeoutMs: 100, TrafficSplit: []WeightedUpstream{{"a", 90}, {"b", 10}}},
 		},
 		Upstreams: []Upstream{
 			{Name: "a", HealthCheck: "/health", MaxConnections: 40, Protocol: "http1", TLS: true},
@@ -53,36 +53,36 @@
 
 // goldenForms are the encoded forms by the name of their file: what it holds.
 func goldenForms() map[string]any {
-	peer := Peer{Name: "n1", Addr: "10.0.0.1:9", Zone: "z1", Life: 0x1122334455667788, Incarnation: 5, State: 1, Edge: true, Core: true}
-	other := Peer{Name: "n2", Addr: "10.0.0.2:9", Zone: "z2", Life: 9, Incarnation: 1}
-	config := &Parcel{From: 11, To: 12, Size: 20000, Data: []byte("first bytes")}
-	list := &Parcel{To: 900, Size: 4, Data: []byte("list")}
+	peer := Peer{Name: "n1", Addr: "10.0.0.1:9", Zone: "z1", StartID: 0x1122334455667788, Incarnation: 5, State: 1, Edge: true, Core: true}
+	other := Peer{Name: "n2", Addr: "10.0.0.2:9", Zone: "z2", StartID: 9, Incarnation: 1}
+	config := &EncodedDelta{From: 11, To: 12, Size: 20000, Data: []byte("first bytes")}
+	list := &EncodedDelta{To: 900, Size: 4, Data: []byte("list")}
 	return map[string]any{
 		"config": goldenConfig(),
 		"server": &Server{ID: "i-1", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Revision: "v2", Capacity: 8,
 			State: Draining, WarmupMs: 1250.5},
-		"watch": &Watch{Name: "n1", Revision: 11, Servers: 899, WaitMs: 2000},
-		"news": &News{Lease: true, HeldMs: 730, Revision: 12, Servers: 900, Config: config, List: list, ClockMs: 123456.5,
-			Leader: "10.0.0.7:9", Core: []string{"10.0.0.7:9", "10.0.0.8:9"}},
-		"news-empty":   &News{},
+		"watch": &WatchRequest{Name: "n1", Revision: 11, ServersVersion: 899, WaitMs: 2000},
+		"news": &WatchResponse{Lease: true, LeaseDelayMs: 730, Revision: 12, ServersVersion: 900, ConfigDelta: config, ServersDelta: list, ClockMs: 123456.5,
+			Leader: "10.0.0.7:9", Members: []string{"10.0.0.7:9", "10.0.0.8:9"}},
+		"news-empty":   &WatchResponse{},
 		"parcel":       config,
-		"fetch":        &Fetch{Table: ServerTable, From: 899, To: 900, Offset: 16384},
-		"piece":        &Piece{Data: []byte("piece")},
-		"piece-empty":  &Piece{},
-		"confirmation": &Confirmation{OK: true, Index: 42, Servers: 900, ClockMs: 99.5},
-		"replace":      &Replace{Base: 11, Config: []byte{0xa0}},
-		"result": &Result{Status: 409, Why: "another came first", Leader: "10.0.0.7:9", Config: []byte{0xa0},
+		"fetch":        &FetchRequest{Table: ServerTable, From: 899, To: 900, Offset: 16384},
+		"piece":        &Chunk{Data: []byte("piece")},
+		"piece-empty":  &Chunk{},
+		"confirmation": &ReadIndexResponse{OK: true, Index: 42, ServersVersion: 900, ClockMs: 99.5},
+		"replace":      &ReplaceRequest{Base: 11, Config: []byte{0xa0}},
+		"result": &ControlResponse{Status: 409, Reason: "another came first", Leader: "10.0.0.7:9", Config: []byte{0xa0},
 			Versions: []uint64{10, 11, 12}},
-		"read":              &Read{Revision: 10, Versions: true, State: true},
-		"join":              &Join{ID: 8, Addr: "10.0.0.8:9", Leaving: true, Joint: true},
-		"deliver":           &Deliver{Messages: goldenMessages(), From: 7, Addr: "10.0.0.7:9"},
-		"deliver-part":      &Deliver{From: 7, Addr: "10.0.0.7:9", Part: &Part{Offset: 5, Size: 11, Sum: 77, Data: []byte("part")}},
-		"delivered":         &Delivered{Parts: true, Held: 9},
+		"read":              &GetRequest{Revision: 10, Versions: true, State: true},
+		"join":              &JoinRequest{ID: 8, Addr: "10.0.0.8:9", Leaving: true, Joint: true},
+		"deliver":           &DeliverRequest{Messages: goldenMessages(), From: 7, Addr: "10.0.0.7:9"},
+		"deliver-part":      &DeliverRequest{From: 7, Addr: "10.0.0.7:9", Chunk: &MessageChunk{Offset: 5, Size: 11, Checksum: 77, Data: []byte("part")}},
+		"delivered":         &DeliverResponse{AcceptsChunks: true, ReceivedBytes: 9},
 		"peer":              &peer,
-		"beat":              &Beat{From: peer, Digest: 0xaabb, Peers: []Peer{other}, Want: 1 << 63},
-		"beat-reply":        &BeatReply{Digest: 0xaabb, Peers: []Peer{peer, other}, Buckets: []uint32{1, 2, 1 << 31}},
-		"none":              &None{},
-		"past":              &Past{TookPart: true},
+		"beat":              &HeartbeatRequest{From: peer, Digest: 0xaabb, Peers: []Peer{other}, RequestedBuckets: 1 << 63},
+		"beat-reply":        &HeartbeatResponse{Digest: 0xaabb, Peers: []Peer{peer, other}, BucketDigests: []uint32{1, 2, 1 << 31}},
+		"none":              &Empty{},
+		"past":              &HistoryResponse{MayHaveParticipated: true},
 		"server-row":        &serverRow{"a", "10.1.0.1:80", "z1", 8, Draining, 4500},
 		"server-row-steady": &serverRow{Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8},
 	}
@@ -130,7 +130,7 @@
 	if err := cbor.Unmarshal(goldenFile(t, "config-rows"), &want); err != nil {
 		t.Fatal(err)
 	}
-	s, err := CheckConfig(goldenFile(t, "config"), nil)
+	s, err := ValidateConfig(goldenFile(t, "config"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 	} {
 		data := goldenFile(t, name)
 		warmAt := map[string]float64{"server-row": 4500.9}[name] // told in whole milliseconds
-		if got, err := ServerRow(s, warmAt); err != nil || !bytes.Equal(got, data) {
+		if got, err := EncodeServerRow(s, warmAt); err != nil || !bytes.Equal(got, data) {
 			t.Errorf("%s: %x (%v), want %x", name, got, err, data)
 		}
 		if got, err := ParseServerRow(s.ID, data, 4000); err != nil || got != s {
--- a/api/reaches_test.go
+++ b/api/reaches_test.go
@@ -30,7 +30,7 @@
 	server := NewServer(nil)
 	go server.Serve(l)
 	defer server.Stop()
-	conns := NewConns(nil)
+	conns := NewConnPool(nil)
 	defer conns.Close()
 	for _, c := range []struct {
 		name, addr string
@@ -41,11 +41,11 @@
 		{"serving", l.Addr().String(), time.Minute, true},
 		{"serving, connected", l.Addr().String(), time.Minute, true},
 	} {
-		conn, err := conns.To(c.addr)
+		conn, err := conns.Conn(c.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := Reaches(ctx, conn, c.within); got != c.want {
+		if got := WaitReady(ctx, conn, c.within); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -58,19 +58,19 @@
 // to the last: then, and not before, it is not reached.
 func TestReachesWaitsNoLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		conns := NewConns(nil, grpc.WithContextDialer(func(context.Context, string) (net.Conn, error) {
+		conns := NewConnPool(nil, grpc.WithContextDialer(func(context.Context, string) (net.Conn, error) {
 			here, there := net.Pipe()
 			go io.Copy(io.Discard, there) // taken, kept open, and never answered
 			return here, nil
 		}))
 		defer conns.Close()
-		conn, err := conns.To("10.0.0.1:1")
+		conn, err := conns.Conn("10.0.0.1:1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 2 {
 			begun := time.Now()
-			if got, took := Reaches(t.Context(), conn, 20*time.Millisecond), time.Since(begun); got || took != 20*time.Millisecond {
+			if got, took := WaitReady(t.Context(), conn, 20*time.Millisecond), time.Since(begun); got || took != 20*time.Millisecond {
 				t.Errorf("%v after %v", got, took)
 			}
 		}
--- a/api/rows.go
+++ b/api/rows.go
@@ -28,7 +28,7 @@
 // ConfigRow is one row of a configuration: one of the fields is set. Of a row
 // that went, Gone is and the others hold their names alone.
 type ConfigRow struct {
-	Gone     bool
+	Removed  bool
 	Route    *Route
 	Tenant   *Tenant
 	Upstream *Upstream
@@ -37,7 +37,7 @@
 
 // ParseConfigRow reads a row; a value of nil is one that went.
 func ParseConfigRow(key string, value []byte) (ConfigRow, error) {
-	row := ConfigRow{Gone: value == nil}
+	row := ConfigRow{Removed: value == nil}
 	if key == "" {
 		return row, ErrRow
 	}
@@ -86,7 +86,7 @@
 
 // ServerRow is a server's row in the table of servers. warmAtMs is until when it
 // is slow from its start, on the clock that the table's versions are told with.
-func ServerRow(s Server, warmAtMs float64) ([]byte, error) {
+func EncodeServerRow(s Server, warmAtMs float64) ([]byte, error) {
 	r := serverRow{s.Upstream, s.Addr, s.Zone, s.Capacity, s.State, float64(int64(warmAtMs))}
 	if r.State == InService {
 		r.State = ""
--- a/api/rpc.go
+++ b/api/rpc.go
@@ -26,7 +26,7 @@
 	codecName = "cbor"
 	// Buffers are small, as memory is dear and messages are.
 	ioBuffer   = 4 << 10
-	maxMessage = MaxConfig + 1<<20
+	maxMessage = MaxConfigBytes + 1<<20
 	// window is what may be under way to a process that has not read it yet. It is fixed:
 	// gRPC's own estimate of it sends a ping, which is answered, with each message that
 	// comes, and nearly all of ours are shorter than the smallest window. A megabyte fills
@@ -59,32 +59,32 @@
 const Draining = "draining"
 
 // Watch asks for news with what the asker has.
-type Watch struct {
-	Name     string `cbor:"1,keyasint"`
-	Revision uint64 `cbor:"2,keyasint"` // of the configuration that it has; 0: none
-	Servers  uint64 `cbor:"3,keyasint"` // version of the list of servers; 0: none
-	WaitMs   int64  `cbor:"4,keyasint"` // how long the answer may wait for news
+type WatchRequest struct {
+	Name           string `cbor:"1,keyasint"`
+	Revision       uint64 `cbor:"2,keyasint"` // of the configuration that it has; 0: none
+	ServersVersion uint64 `cbor:"3,keyasint"` // version of the list of servers; 0: none
+	WaitMs         int64  `cbor:"4,keyasint"` // how long the answer may wait for news
 }
 
 // News answers a Watch. Lease tells that a majority confirmed who leads, after
 // the call came in and HeldMs at least after it, and that no newer configuration
 // than Revision had been acknowledged then.
-type News struct {
-	Lease    bool     `cbor:"1,keyasint,omitempty"`
-	HeldMs   int64    `cbor:"2,keyasint,omitempty"`
-	Revision uint64   `cbor:"3,keyasint,omitempty"`
-	Servers  uint64   `cbor:"4,keyasint,omitempty"`
-	Config   *Parcel  `cbor:"5,keyasint,omitempty"` // where newer than asked with
-	List     *Parcel  `cbor:"6,keyasint,omitempty"` // likewise
-	ClockMs  float64  `cbor:"7,keyasint,omitempty"` // now, on the clock of the list
-	Leader   string   `cbor:"8,keyasint,omitempty"` // empty: unknown
-	Core     []string `cbor:"9,keyasint,omitempty"` // addresses of the members
+type WatchResponse struct {
+	Lease          bool          `cbor:"1,keyasint,omitempty"`
+	LeaseDelayMs   int64         `cbor:"2,keyasint,omitempty"`
+	Revision       uint64        `cbor:"3,keyasint,omitempty"`
+	ServersVersion uint64        `cbor:"4,keyasint,omitempty"`
+	ConfigDelta    *EncodedDelta `cbor:"5,keyasint,omitempty"` // where newer than asked with
+	ServersDelta   *EncodedDelta `cbor:"6,keyasint,omitempty"` // likewise
+	ClockMs        float64       `cbor:"7,keyasint,omitempty"` // now, on the clock of the list
+	Leader         string        `cbor:"8,keyasint,omitempty"` // empty: unknown
+	Members        []string      `cbor:"9,keyasint,omitempty"` // addresses of the members
 }
 
 // Parcel is an encoded difference (package changes). A long one comes in pieces:
 // Data is the first, the others are asked for with Fetch, one at a time, so that
 // who answers holds no more than a piece for each that asks.
-type Parcel struct {
+type EncodedDelta struct {
 	From uint64 `cbor:"1,keyasint,omitempty"`
 	To   uint64 `cbor:"2,keyasint"`
 	Size int    `cbor:"3,keyasint"` // of all pieces, in bytes
@@ -92,7 +92,7 @@
 }
 
 // PieceSize is the most bytes of a piece.
-const PieceSize = 16 << 10
+const ChunkSize = 16 << 10
 
 // The tables whose differences are told.
 const (
@@ -101,7 +101,7 @@
 )
 
 // Fetch asks for the piece of a difference that begins at Offset.
-type Fetch struct {
+type FetchRequest struct {
 	Table  uint8  `cbor:"1,keyasint"`
 	From   uint64 `cbor:"2,keyasint"`
 	To     uint64 `cbor:"3,keyasint"`
@@ -109,31 +109,31 @@
 }
 
 // Piece answers a Fetch. Without Data: that difference is not to be had any more.
-type Piece struct {
+type Chunk struct {
 	Data []byte `cbor:"1,keyasint,omitempty"`
 }
 
 // Confirmation answers a member that asks the leader, for all who wait there,
 // whether it still leads. Index is how far the log was agreed on at least, after
 // the call came in; Servers the version of the list.
-type Confirmation struct {
-	OK      bool    `cbor:"1,keyasint,omitempty"`
-	Index   uint64  `cbor:"2,keyasint,omitempty"`
-	Servers uint64  `cbor:"3,keyasint,omitempty"`
-	ClockMs float64 `cbor:"4,keyasint,omitempty"`
+type ReadIndexResponse struct {
+	OK             bool    `cbor:"1,keyasint,omitempty"`
+	Index          uint64  `cbor:"2,keyasint,omitempty"`
+	ServersVersion uint64  `cbor:"3,keyasint,omitempty"`
+	ClockMs        float64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Replace brings a configuration to the leader.
-type Replace struct {
+type ReplaceRequest struct {
 	Base   uint64 `cbor:"1,keyasint"`
 	Config []byte `cbor:"2,keyasint"`
 }
 
 // Result is what came of a call: an HTTP status and one plain line of why. 0:
 // this process can't say; Leader may tell who can.
-type Result struct {
+type ControlResponse struct {
 	Status int    `cbor:"1,keyasint"`
-	Why    string `cbor:"2,keyasint,omitempty"`
+	Reason string `cbor:"2,keyasint,omitempty"`
 	Leader string `cbor:"3,keyasint,omitempty"`
 	Config []byte `cbor:"4,keyasint,omitempty"`
 	// Versions answers a Read that asks for them, the newest last.
@@ -142,7 +142,7 @@
 
 // Read asks for the newest configuration, or for one before it, or for which
 // versions are remembered, or for all that the core agrees on.
-type Read struct {
+type GetRequest struct {
 	Revision uint64 `cbor:"1,keyasint,omitempty"` // 0: the newest
 	Versions bool   `cbor:"2,keyasint,omitempty"`
 	State    bool   `cbor:"3,keyasint,omitempty"` // in Result.Config, as [controlplane.Export] writes it
@@ -150,7 +150,7 @@
 
 // Join asks to become a member of the agreement, or says that a member is leaving: its
 // process is about to end.
-type Join struct {
+type JoinRequest struct {
 	ID      raft.ID `cbor:"1,keyasint"`
 	Addr    string  `cbor:"2,keyasint"`
 	Leaving bool    `cbor:"3,keyasint,omitempty"`
@@ -158,27 +158,27 @@
 }
 
 // Deliver carries messages of the agreement.
-type Deliver struct {
+type DeliverRequest struct {
 	Messages []raft.Message `cbor:"1,keyasint"`
 	From     raft.ID        `cbor:"2,keyasint,omitempty"`
 	Addr     string         `cbor:"3,keyasint,omitempty"` // of the sender: one that just joins knows no other
 	// Part is there in place of messages that are too large for one call, for a receiver
 	// that has said that it takes parts. One of before would take it for an empty call.
-	Part *Part `cbor:"4,keyasint,omitempty"`
+	Chunk *MessageChunk `cbor:"4,keyasint,omitempty"`
 }
 
 // Part is some of the bytes of a list of messages in CBOR.
-type Part struct {
-	Offset int    `cbor:"1,keyasint"`
-	Size   int    `cbor:"2,keyasint"` // of the whole, in bytes
-	Sum    uint64 `cbor:"3,keyasint"` // xxhash of the whole
-	Data   []byte `cbor:"4,keyasint"`
+type MessageChunk struct {
+	Offset   int    `cbor:"1,keyasint"`
+	Size     int    `cbor:"2,keyasint"` // of the whole, in bytes
+	Checksum uint64 `cbor:"3,keyasint"` // xxhash of the whole
+	Data     []byte `cbor:"4,keyasint"`
 }
 
 // Delivered answers a Deliver.
-type Delivered struct {
-	Parts bool `cbor:"1,keyasint,omitempty"` // this process takes parts; one of before says nothing
-	Held  int  `cbor:"2,keyasint,omitempty"` // of the whole that a part was of, bytes from its beginning
+type DeliverResponse struct {
+	AcceptsChunks bool `cbor:"1,keyasint,omitempty"` // this process takes parts; one of before says nothing
+	ReceivedBytes int  `cbor:"2,keyasint,omitempty"` // of the whole that a part was of, bytes from its beginning
 }
 
 // Peer is what is known of one process of the system.
@@ -186,7 +186,7 @@
 	Name        string `cbor:"1,keyasint"`
 	Addr        string `cbor:"2,keyasint"` // internal address
 	Zone        string `cbor:"3,keyasint"`
-	Life        uint64 `cbor:"4,keyasint"` // one start of the process
+	StartID     uint64 `cbor:"4,keyasint"` // one start of the process
 	Incarnation uint64 `cbor:"5,keyasint"` // of what is said of it: the higher one counts
 	State       uint8  `cbor:"6,keyasint"`
 	Edge        bool   `cbor:"7,keyasint"`
@@ -195,49 +195,49 @@
 
 // Beat is a heartbeat. Peers are what has changed of late or, in the second
 // round of an exchange, all in the buckets of Want; see [membership.View].
-type Beat struct {
-	From   Peer   `cbor:"1,keyasint"`
-	Digest uint64 `cbor:"2,keyasint"`
-	Peers  []Peer `cbor:"3,keyasint,omitempty"`
-	Want   uint64 `cbor:"4,keyasint,omitempty"` // buckets whose peers are asked for
+type HeartbeatRequest struct {
+	From             Peer   `cbor:"1,keyasint"`
+	Digest           uint64 `cbor:"2,keyasint"`
+	Peers            []Peer `cbor:"3,keyasint,omitempty"`
+	RequestedBuckets uint64 `cbor:"4,keyasint,omitempty"` // buckets whose peers are asked for
 }
 
 // BeatReply answers a Beat. Buckets is there only where the views differ.
-type BeatReply struct {
-	Digest  uint64   `cbor:"1,keyasint"`
-	Peers   []Peer   `cbor:"2,keyasint,omitempty"`
-	Buckets []uint32 `cbor:"3,keyasint,omitempty"` // digests of the parts of the view
+type HeartbeatResponse struct {
+	Digest        uint64   `cbor:"1,keyasint"`
+	Peers         []Peer   `cbor:"2,keyasint,omitempty"`
+	BucketDigests []uint32 `cbor:"3,keyasint,omitempty"` // digests of the parts of the view
 }
 
 // None is an empty message.
-type None struct{}
+type Empty struct{}
 
 // Control is what a core process answers.
 type Control interface {
-	Watch(context.Context, *Watch) (*News, error)
-	Replace(context.Context, *Replace) (*Result, error)
-	Get(context.Context, *Read) (*Result, error)
-	Join(context.Context, *Join) (*Result, error)
-	Deliver(context.Context, *Deliver) (*Delivered, error)
-	Fetch(context.Context, *Fetch) (*Piece, error)
-	Confirm(context.Context, *None) (*Confirmation, error)
+	Watch(context.Context, *WatchRequest) (*WatchResponse, error)
+	Replace(context.Context, *ReplaceRequest) (*ControlResponse, error)
+	Get(context.Context, *GetRequest) (*ControlResponse, error)
+	Join(context.Context, *JoinRequest) (*ControlResponse, error)
+	Deliver(context.Context, *DeliverRequest) (*DeliverResponse, error)
+	Fetch(context.Context, *FetchRequest) (*Chunk, error)
+	ReadIndex(context.Context, *Empty) (*ReadIndexResponse, error)
 }
 
 // Past answers a machine that starts with an empty disk: whether the member in this
 // process may have taken part in an agreement, of which that machine may have been a
 // part before it lost its disk.
-type Past struct {
-	TookPart bool `cbor:"1,keyasint,omitempty"`
+type HistoryResponse struct {
+	MayHaveParticipated bool `cbor:"1,keyasint,omitempty"`
 }
 
 // Bootstrap is what a core process answers machines that are to be first voters.
 type Bootstrap interface {
-	Past(context.Context, *None) (*Past, error)
+	History(context.Context, *Empty) (*HistoryResponse, error)
 }
 
 // Membership is what every process answers.
 type Membership interface {
-	Beat(context.Context, *Beat) (*BeatReply, error)
+	Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error)
 }
 
 func method[S, Q, R any](service, name string, call func(S, context.Context, *Q) (*R, error)) grpc.MethodDesc {
@@ -261,14 +261,14 @@
 	method(controlService, "Watch", Control.Watch), method(controlService, "Replace", Control.Replace),
 	method(controlService, "Get", Control.Get), method(controlService, "Join", Control.Join),
 	method(controlService, "Deliver", Control.Deliver),
-	method(controlService, "Fetch", Control.Fetch), method(controlService, "Confirm", Control.Confirm),
+	method(controlService, "Fetch", Control.Fetch), method(controlService, "Confirm", Control.ReadIndex),
 }}
 
 var bootstrapDesc = grpc.ServiceDesc{ServiceName: bootstrapService, HandlerType: (*Bootstrap)(nil),
-	Methods: []grpc.MethodDesc{method(bootstrapService, "Past", Bootstrap.Past)}}
+	Methods: []grpc.MethodDesc{method(bootstrapService, "Past", Bootstrap.History)}}
 
 var membershipDesc = grpc.ServiceDesc{ServiceName: membershipService, HandlerType: (*Membership)(nil),
-	Methods: []grpc.MethodDesc{method(membershipService, "Beat", Membership.Beat)}}
+	Methods: []grpc.MethodDesc{method(membershipService, "Beat", Membership.Heartbeat)}}
 
 // NewServer returns a gRPC server with small buffers, for the system's own
 // processes: with keys, for those alone that have keys of the same authority.
@@ -339,51 +339,51 @@
 }
 
 // CallWatch, and the others, call a process. The context's deadline bounds them.
-func CallWatch(ctx context.Context, c *grpc.ClientConn, q *Watch) (*News, error) {
-	return invoke[News](ctx, c, "/"+controlService+"/Watch", q)
+func CallWatch(ctx context.Context, c *grpc.ClientConn, q *WatchRequest) (*WatchResponse, error) {
+	return invoke[WatchResponse](ctx, c, "/"+controlService+"/Watch", q)
 }
 
 // CallReplace calls Replace.
-func CallReplace(ctx context.Context, c *grpc.ClientConn, q *Replace) (*Result, error) {
-	return invoke[Result](ctx, c, "/"+controlService+"/Replace", q, packed)
+func CallReplace(ctx context.Context, c *grpc.ClientConn, q *ReplaceRequest) (*ControlResponse, error) {
+	return invoke[ControlResponse](ctx, c, "/"+controlService+"/Replace", q, packed)
 }
 
 // CallGet calls Get.
-func CallGet(ctx context.Context, c *grpc.ClientConn, q *Read) (*Result, error) {
-	return invoke[Result](ctx, c, "/"+controlService+"/Get", q, packed)
+func CallGet(ctx context.Context, c *grpc.ClientConn, q *GetRequest) (*ControlResponse, error) {
+	return invoke[ControlResponse](ctx, c, "/"+controlService+"/Get", q, packed)
 }
 
 // CallJoin calls Join.
-func CallJoin(ctx context.Context, c *grpc.ClientConn, q *Join) (*Result, error) {
-	return invoke[Result](ctx, c, "/"+controlService+"/Join", q)
+func CallJoin(ctx context.Context, c *grpc.ClientConn, q *JoinRequest) (*ControlResponse, error) {
+	return invoke[ControlResponse](ctx, c, "/"+controlService+"/Join", q)
 }
 
 // CallDeliver calls Deliver.
-func CallDeliver(ctx context.Context, c *grpc.ClientConn, q *Deliver) (*Delivered, error) {
-	return invoke[Delivered](ctx, c, "/"+controlService+"/Deliver", q)
+func CallDeliver(ctx context.Context, c *grpc.ClientConn, q *DeliverRequest) (*DeliverResponse, error) {
+	return invoke[DeliverResponse](ctx, c, "/"+controlService+"/Deliver", q)
 }
 
 // CallFetch calls Fetch.
-func CallFetch(ctx context.Context, c *grpc.ClientConn, q *Fetch) (*Piece, error) {
-	return invoke[Piece](ctx, c, "/"+controlService+"/Fetch", q)
+func CallFetch(ctx context.Context, c *grpc.ClientConn, q *FetchRequest) (*Chunk, error) {
+	return invoke[Chunk](ctx, c, "/"+controlService+"/Fetch", q)
 }
 
 // CallConfirm calls Confirm.
-func CallConfirm(ctx context.Context, c *grpc.ClientConn) (*Confirmation, error) {
-	return invoke[Confirmation](ctx, c, "/"+controlService+"/Confirm", &None{})
+func CallReadIndex(ctx context.Context, c *grpc.ClientConn) (*ReadIndexResponse, error) {
+	return invoke[ReadIndexResponse](ctx, c, "/"+controlService+"/Confirm", &Empty{})
 }
 
 // CallPast asks whether a machine's member may have taken part in an agreement. A
 // program of before, which can't say, may have.
-func CallPast(ctx context.Context, c *grpc.ClientConn) (*Past, error) {
-	r, err := invoke[Past](ctx, c, "/"+bootstrapService+"/Past", &None{})
+func CallHistory(ctx context.Context, c *grpc.ClientConn) (*HistoryResponse, error) {
+	r, err := invoke[HistoryResponse](ctx, c, "/"+bootstrapService+"/Past", &Empty{})
 	if status.Code(err) == codes.Unimplemented {
-		return &Past{TookPart: true}, nil
+		return &HistoryResponse{MayHaveParticipated: true}, nil
 	}
 	return r, err
 }
 
 // CallBeat calls Beat.
-func CallBeat(ctx context.Context, c *grpc.ClientConn, q *Beat) (*BeatReply, error) {
-	return invoke[BeatReply](ctx, c, "/"+membershipService+"/Beat", q)
+func CallHeartbeat(ctx context.Context, c *grpc.ClientConn, q *HeartbeatRequest) (*HeartbeatResponse, error) {
+	return invoke[HeartbeatResponse](ctx, c, "/"+membershipService+"/Beat", q)
 }
--- a/api/split.go
+++ b/api/split.go
@@ -10,7 +10,7 @@
 // ConfigSplit is a configuration split into rows, that remembers in which order they
 // stood: the next one differs from it in a few rows, and takes all the
 // others over, compared by their bytes alone. It is not changed once it is made.
-type ConfigSplit struct {
+type ConfigRows struct {
 	Revision uint64
 	Rows     map[string][]byte // may be shared with other versions; not to be changed
 
@@ -25,14 +25,14 @@
 
 // SplitConfig splits a configuration that was checked. Rows that before has too are
 // taken over from it; before may be nil.
-func SplitConfig(data []byte, before *ConfigSplit) (*ConfigSplit, error) {
+func BuildConfigRows(data []byte, before *ConfigRows) (*ConfigRows, error) {
 	s, _, err := split(data, before, false)
 	return s, err
 }
 
 // CheckConfig splits a configuration and checks all that [ParseConfig] does. Where
 // before was checked, rows that it has too are not checked again.
-func CheckConfig(data []byte, before *ConfigSplit) (*ConfigSplit, error) {
+func ValidateConfig(data []byte, before *ConfigRows) (*ConfigRows, error) {
 	if before != nil && before.sound {
 		if s, next, err := split(data, before, true); err == nil && s.soundAfter(before, next) {
 			s.sound = true
@@ -42,7 +42,7 @@
 	if _, err := ParseConfig(data); err != nil { // which names each fault by its place
 		return nil, err
 	}
-	s, err := SplitConfig(data, before)
+	s, err := BuildConfigRows(data, before)
 	if err == nil {
 		s.sound = true
 	}
@@ -51,7 +51,7 @@
 
 // soundAfter tells whether a configuration is sound given that the one before was: it
 // checks the rows that differ. False: it isn't, or that can't be told from them alone.
-func (s *ConfigSplit) soundAfter(before *ConfigSplit, news *Config) bool {
+func (s *ConfigRows) soundAfter(before *ConfigRows, news *Config) bool {
 	if len(s.Rows) != len(s.routes)+len(s.upstreams)+len(s.tenants)+s.limits() {
 		return false // two of one name
 	}
@@ -63,7 +63,7 @@
 	return news.Validate() == nil
 }
 
-func (s *ConfigSplit) limits() int {
+func (s *ConfigRows) limits() int {
 	if _, has := s.Rows[limitsRow]; has {
 		return 1
 	}
@@ -72,7 +72,7 @@
 
 // split returns the rows and, where they are to be checked, a configuration with what is to be
 // of them: routes that differ, all services, and all tenants where one of them differs.
-func split(data []byte, before *ConfigSplit, check bool) (*ConfigSplit, *Config, error) {
+func split(data []byte, before *ConfigRows, check bool) (*ConfigRows, *Config, error) {
 	var c struct {
 		Revision  uint64            `cbor:"revision"`
 		Routes    []cbor.RawMessage `cbor:"route_table"`
@@ -84,9 +84,9 @@
 		return nil, nil, fmt.Errorf("api: %w", err)
 	}
 	if before == nil {
-		before = &ConfigSplit{}
+		before = &ConfigRows{}
 	}
-	s := &ConfigSplit{Revision: c.Revision, Rows: make(map[string][]byte, len(c.Routes)+len(c.Upstreams)+len(c.Tenants)+1)}
+	s := &ConfigRows{Revision: c.Revision, Rows: make(map[string][]byte, len(c.Routes)+len(c.Upstreams)+len(c.Tenants)+1)}
 	news := &Config{Revision: c.Revision}
 	// What only names a row is read where nothing is checked: a member need not know the rest.
 	into := func(raw []byte, name, whole any) error {
@@ -163,7 +163,7 @@
 
 // take makes rows of raws. What stands at the same place of before, seen from the
 // beginning or from the end, is not read again; read reads what differs.
-func (s *ConfigSplit) take(raws []cbor.RawMessage, before []splitRow, read func(raw []byte) (key string, err error)) ([]splitRow, error) {
+func (s *ConfigRows) take(raws []cbor.RawMessage, before []splitRow, read func(raw []byte) (key string, err error)) ([]splitRow, error) {
 	out := make([]splitRow, len(raws))
 	head, tail := 0, 0
 	for head < min(len(raws), len(before)) && bytes.Equal(raws[head], before[head].raw) {
--- a/api/split_test.go
+++ b/api/split_test.go
@@ -23,7 +23,7 @@
 			c.Routes = append(c.Routes, Route{Name: "r", Host: fmt.Sprint("h", i), Prefix: "/", TimeoutMs: 1, Upstream: "a"})
 			c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i)}})
 		}
-		var last *ConfigSplit
+		var last *ConfigRows
 		for range 30 {
 			next := &Config{Revision: c.Revision + 1, Limits: c.Limits,
 				Routes: slices.Clone(c.Routes), Upstreams: slices.Clone(c.Upstreams), Tenants: slices.Clone(c.Tenants)}
@@ -62,7 +62,7 @@
 				t.Fatal(err)
 			}
 			_, want := ParseConfig(data)
-			s, err := CheckConfig(data, last)
+			s, err := ValidateConfig(data, last)
 			if fmt.Sprint(err) != fmt.Sprint(want) {
 				t.Fatalf("by difference: %v; on its own: %v", err, want)
 			}
@@ -85,12 +85,12 @@
 	for i := range 2000 {
 		c.Routes = append(c.Routes, Route{Host: fmt.Sprint("h", i), Prefix: "/", TimeoutMs: 1, Upstream: "a"})
 	}
-	split := func(before *ConfigSplit) *ConfigSplit {
+	split := func(before *ConfigRows) *ConfigRows {
 		data, err := cbor.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := CheckConfig(data, before)
+		s, err := ValidateConfig(data, before)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,7 +115,7 @@
 	}
 }
 
-func split3(data []byte, before *ConfigSplit) (*ConfigSplit, *Config, error) {
+func split3(data []byte, before *ConfigRows) (*ConfigRows, *Config, error) {
 	return split(data, before, true)
 }
 
--- a/api/window_test.go
+++ b/api/window_test.go
@@ -29,7 +29,9 @@
 
 type answering struct{}
 
-func (answering) Beat(context.Context, *Beat) (*BeatReply, error) { return &BeatReply{Digest: 1}, nil }
+func (answering) Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
+	return &HeartbeatResponse{Digest: 1}, nil
+}
 
 // A call costs the frames that carry it: no pings that measure the way.
 func TestCallsBringNoPings(t *testing.T) {
@@ -68,7 +70,7 @@
 	t.Cleanup(func() { conn.Close() })
 	const calls = 20
 	for range calls {
-		if _, err := CallBeat(context.Background(), conn, &Beat{Digest: 1}); err != nil {
+		if _, err := CallHeartbeat(context.Background(), conn, &HeartbeatRequest{Digest: 1}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/elmspan/call.go
+++ b/cmd/elmspan/call.go
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(resp.Body, api.MaxConfig))
+	got, err := io.ReadAll(io.LimitReader(resp.Body, api.MaxConfigBytes))
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("%s answered %d: %s", control, resp.StatusCode, bytes.TrimSpace(got))
 	}
--- a/controlplane/apply.go
+++ b/controlplane/apply.go
@@ -57,8 +57,8 @@
 }
 
 // result returns a decision as operators are answered with it.
-func (d Decision) result() api.Result {
-	return api.Result{Status: d.Outcome.httpStatus(), Why: d.Reason}
+func (d Decision) result() api.ControlResponse {
+	return api.ControlResponse{Status: d.Outcome.httpStatus(), Reason: d.Reason}
 }
 
 // Evaluate decides, without applying it, about the command to replace revision base by a
--- a/controlplane/bubble_test.go
+++ b/controlplane/bubble_test.go
@@ -60,7 +60,7 @@
 type links interface {
 	addr() string // that no other machine has
 	listen(addr string) net.Listener
-	conns() *api.Conns
+	conns() *api.ConnPool
 }
 
 var errRefused = errors.New("nobody listens there")
@@ -149,7 +149,7 @@
 }
 
 // conns are a machine's connections to the others.
-func (n *network) conns() *api.Conns { return api.NewConns(nil, grpc.WithContextDialer(n.dial)) }
+func (n *network) conns() *api.ConnPool { return api.NewConnPool(nil, grpc.WithContextDialer(n.dial)) }
 
 // loopback is a network of real sockets: it says nothing of time.
 type loopback struct {
@@ -168,7 +168,7 @@
 
 func (n *loopback) listen(addr string) net.Listener { return n.new[addr] }
 
-func (n *loopback) conns() *api.Conns { return api.NewConns(nil) }
+func (n *loopback) conns() *api.ConnPool { return api.NewConnPool(nil) }
 
 // delayed gives what is written at either end of a connection its time on the way.
 type delayed struct{ net.Listener }
--- a/controlplane/client.go
+++ b/controlplane/client.go
@@ -39,7 +39,7 @@
 // Client calls the core, from any process: the leader with what the operator
 // wants, and for news whichever member comes first for this process.
 type Client struct {
-	Conns *api.Conns
+	Conns *api.ConnPool
 	Local *Core // where this process is a member; else nil. While calls are made: SetLocal
 	Log   *slog.Logger
 	Name  string // of this process: which member serves it first depends on it
@@ -79,9 +79,9 @@
 // the past. One that gives no lease may have been out of touch for long, or have
 // left the core: what it says is only tried where all else has failed, and never
 // leads back from what was said under a lease.
-func (c *Client) Heard(n *api.News) {
+func (c *Client) Heard(n *api.WatchResponse) {
 	if n.Lease {
-		c.Learn(n.Leader, n.Core)
+		c.Learn(n.Leader, n.Members)
 		return
 	}
 	c.mu.Lock()
@@ -89,7 +89,7 @@
 	if c.leader == "" {
 		c.leader = n.Leader // it answers itself whether it leads
 	}
-	c.hint(n.Core)
+	c.hint(n.Members)
 }
 
 // hint remembers members that may be asked where all else has failed.
@@ -188,16 +188,16 @@
 }
 
 // toLeader calls until a process can say what came of it, or the context ends.
-func (c *Client) toLeader(ctx context.Context, local func(*Core) (*api.Result, error),
-	remote func(context.Context, *grpc.ClientConn) (*api.Result, error)) api.Result {
+func (c *Client) toLeader(ctx context.Context, local func(*Core) (*api.ControlResponse, error),
+	remote func(context.Context, *grpc.ClientConn) (*api.ControlResponse, error)) api.ControlResponse {
 	for ctx.Err() == nil {
 		if l := c.local(); l != nil && l.Leads() {
 			if r, err := local(l); err == nil && r.Status != 0 {
 				return *r
 			}
 		} else if addr := c.Next(); addr != "" {
-			conn, err := c.Conns.To(addr)
-			var r *api.Result
+			conn, err := c.Conns.Conn(addr)
+			var r *api.ControlResponse
 			if err == nil {
 				call, cancel := context.WithTimeout(ctx, callTimeout)
 				r, err = remote(call, conn)
@@ -217,21 +217,21 @@
 		case <-time.After(callPause):
 		}
 	}
-	return api.Result{Status: http.StatusServiceUnavailable, Why: "the core has no leader that answers; try again"}
+	return api.ControlResponse{Status: http.StatusServiceUnavailable, Reason: "the core has no leader that answers; try again"}
 }
 
 // Replace brings a configuration to the leader.
-func (c *Client) Replace(ctx context.Context, q *api.Replace) api.Result {
-	return c.toLeader(ctx, func(l *Core) (*api.Result, error) { return l.Replace(ctx, q) },
-		func(ctx context.Context, conn *grpc.ClientConn) (*api.Result, error) {
+func (c *Client) Replace(ctx context.Context, q *api.ReplaceRequest) api.ControlResponse {
+	return c.toLeader(ctx, func(l *Core) (*api.ControlResponse, error) { return l.Replace(ctx, q) },
+		func(ctx context.Context, conn *grpc.ClientConn) (*api.ControlResponse, error) {
 			return api.CallReplace(ctx, conn, q)
 		})
 }
 
 // Get reads what the core agrees on.
-func (c *Client) Get(ctx context.Context, q *api.Read) api.Result {
-	return c.toLeader(ctx, func(l *Core) (*api.Result, error) { return l.Get(ctx, q) },
-		func(ctx context.Context, conn *grpc.ClientConn) (*api.Result, error) {
+func (c *Client) Get(ctx context.Context, q *api.GetRequest) api.ControlResponse {
+	return c.toLeader(ctx, func(l *Core) (*api.ControlResponse, error) { return l.Get(ctx, q) },
+		func(ctx context.Context, conn *grpc.ClientConn) (*api.ControlResponse, error) {
 			return api.CallGet(ctx, conn, q)
 		})
 }
@@ -258,7 +258,7 @@
 		left := operatorWait - time.Since(came)
 		// A recorder in a test has no deadline; a connection always has.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyWait))
-		body, err := readBody(http.MaxBytesReader(w, r.Body, api.MaxConfig), r.ContentLength)
+		body, err := readBody(http.MaxBytesReader(w, r.Body, api.MaxConfigBytes), r.ContentLength)
 		if err != nil {
 			status := http.StatusBadRequest
 			if _, ok := err.(*http.MaxBytesError); ok {
@@ -267,8 +267,8 @@
 			http.Error(w, "the configuration can't be read whole: "+err.Error(), status)
 			return
 		}
-		c.answer(w, r, left, func(ctx context.Context) api.Result {
-			return c.Replace(ctx, &api.Replace{Base: base, Config: body})
+		c.answer(w, r, left, func(ctx context.Context) api.ControlResponse {
+			return c.Replace(ctx, &api.ReplaceRequest{Base: base, Config: body})
 		})
 	})
 	mux.HandleFunc("GET /v1/Status", func(w http.ResponseWriter, _ *http.Request) {
@@ -281,11 +281,11 @@
 		e.SetIndent("", "  ")
 		e.Encode(v) // a caller that is gone needs no answer
 	})
-	read := func(w http.ResponseWriter, r *http.Request, q *api.Read) {
-		c.answer(w, r, operatorWait, func(ctx context.Context) api.Result { return c.Get(ctx, q) })
+	read := func(w http.ResponseWriter, r *http.Request, q *api.GetRequest) {
+		c.answer(w, r, operatorWait, func(ctx context.Context) api.ControlResponse { return c.Get(ctx, q) })
 	}
 	mux.HandleFunc("GET /v1/Config.Get", func(w http.ResponseWriter, r *http.Request) {
-		q := &api.Read{}
+		q := &api.GetRequest{}
 		if text := r.URL.Query().Get("revision"); text != "" {
 			var err error
 			if q.Revision, err = strconv.ParseUint(text, 10, 64); err != nil || q.Revision == 0 {
@@ -295,15 +295,15 @@
 		}
 		read(w, r, q)
 	})
-	mux.HandleFunc("GET /v1/Config.History", func(w http.ResponseWriter, r *http.Request) { read(w, r, &api.Read{Versions: true}) })
-	mux.HandleFunc("GET /v1/State.Export", func(w http.ResponseWriter, r *http.Request) { read(w, r, &api.Read{State: true}) })
+	mux.HandleFunc("GET /v1/Config.History", func(w http.ResponseWriter, r *http.Request) { read(w, r, &api.GetRequest{Versions: true}) })
+	mux.HandleFunc("GET /v1/State.Export", func(w http.ResponseWriter, r *http.Request) { read(w, r, &api.GetRequest{State: true}) })
 	return mux
 }
 
 // readBody reads a body whose length is told, if it is, at once: to let a buffer grow
 // to a large configuration takes several times its memory.
 func readBody(r io.Reader, length int64) ([]byte, error) {
-	if length < 0 || length > api.MaxConfig {
+	if length < 0 || length > api.MaxConfigBytes {
 		return io.ReadAll(r)
 	}
 	body := make([]byte, length)
@@ -312,11 +312,11 @@
 }
 
 // answer answers an operator's call with what comes of it within a time.
-func (c *Client) answer(w http.ResponseWriter, r *http.Request, within time.Duration, call func(context.Context) api.Result) {
+func (c *Client) answer(w http.ResponseWriter, r *http.Request, within time.Duration, call func(context.Context) api.ControlResponse) {
 	ctx, cancel := context.WithTimeout(r.Context(), within)
 	defer cancel()
 	res := call(ctx)
-	c.Log.Info("operator", "call", r.URL.Path, "base", r.Header.Get("Base-Revision"), "status", res.Status, "why", res.Why)
+	c.Log.Info("operator", "call", r.URL.Path, "base", r.Header.Get("Base-Revision"), "status", res.Status, "why", res.Reason)
 	switch {
 	case res.Status == http.StatusOK && res.Versions != nil:
 		w.Header().Set("Content-Type", "application/json")
@@ -332,6 +332,6 @@
 		if res.Status == http.StatusServiceUnavailable {
 			w.Header().Set("Retry-After", "0.2")
 		}
-		http.Error(w, res.Why, res.Status)
+		http.Error(w, res.Reason, res.Status)
 	}
 }
--- a/controlplane/client_test.go
+++ b/controlplane/client_test.go
@@ -46,7 +46,7 @@
 	e := &endless{make(chan struct{}), make(chan struct{})}
 	ended := make(chan int)
 	for range bodiesInHand {
-		go func() { ended <- call(e, api.MaxConfig) }()
+		go func() { ended <- call(e, api.MaxConfigBytes) }()
 		<-e.read
 	}
 	if code := call(bytes.NewReader([]byte("x")), 1); code != http.StatusServiceUnavailable {
@@ -58,7 +58,7 @@
 			t.Errorf("one that breaks off is answered %d", code)
 		}
 	}
-	if code := call(bytes.NewReader(make([]byte, api.MaxConfig+1)), -1); code != http.StatusRequestEntityTooLarge {
+	if code := call(bytes.NewReader(make([]byte, api.MaxConfigBytes+1)), -1); code != http.StatusRequestEntityTooLarge {
 		t.Errorf("one that is too long is answered %d", code)
 	}
 }
@@ -104,18 +104,18 @@
 			for ; asked < 40; asked++ {
 				at := c.Helper()
 				if slices.Contains(now, at) {
-					c.Heard(&api.News{Lease: true, Leader: "d:1", Core: now})
+					c.Heard(&api.WatchResponse{Lease: true, Leader: "d:1", Members: now})
 					break
 				}
 				if at == "x:1" {
-					c.Heard(&api.News{Leader: "a:1", Core: old})
+					c.Heard(&api.WatchResponse{Leader: "a:1", Members: old})
 				}
 				c.HelperFailed(at)
 			}
 			if at := c.Helper(); !slices.Contains(now, at) {
 				t.Errorf("seeds %v, spare %v: after %d calls %s is asked", seeds, spare, asked, at)
 			}
-			c.Heard(&api.News{Leader: "a:1", Core: old}) // late
+			c.Heard(&api.WatchResponse{Leader: "a:1", Members: old}) // late
 			if at := c.Helper(); !slices.Contains(now, at) || c.Next() != "d:1" {
 				t.Errorf("seeds %v, spare %v: led back to %s by a late answer", seeds, spare, at)
 			}
@@ -134,7 +134,7 @@
 			return
 		}
 		if at == "x:1" {
-			c.Heard(&api.News{Core: []string{"x:1", "a:1"}})
+			c.Heard(&api.WatchResponse{Members: []string{"x:1", "a:1"}})
 		}
 		c.HelperFailed(at)
 	}
--- a/controlplane/command.go
+++ b/controlplane/command.go
@@ -53,7 +53,7 @@
 	case len(c.Digest) == digestSize:
 		return fingerprint{Hash: c.Hash, Digest: [digestSize]byte(c.Digest)}
 	}
-	config, err := compression.Unpack(c.Compressed, api.MaxConfig)
+	config, err := compression.Unpack(c.Compressed, api.MaxConfigBytes)
 	if err != nil {
 		// It was decoded before it was proposed. Members of a version without digests would
 		// apply it too, so it is no error here.
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -33,7 +33,7 @@
 	Bootstrap bool
 	Voters    int // wanted
 	Store     Store
-	Conns     *api.Conns
+	Conns     *api.ConnPool
 	Log       *slog.Logger
 	Seed      uint64
 }
@@ -59,9 +59,9 @@
 	rounds  uint64        // confirmed when heard was last closed
 	role    raft.Role
 	leader  raft.ID
-	configs versioned.Table  // the rows of the configuration
-	split   *api.ConfigSplit // ... as they stood in it; nil: none was taken yet
-	checked *checked         // what an operator brought last
+	configs versioned.Table // the rows of the configuration
+	split   *api.ConfigRows // ... as they stood in it; nil: none was taken yet
+	checked *checked        // what an operator brought last
 	servers serverList
 	asks    asks
 	ticks   int
@@ -146,7 +146,7 @@
 type decoded struct {
 	index, term uint64
 	state       State
-	split       *api.ConfigSplit // nil: no configuration was taken yet
+	split       *api.ConfigRows // nil: no configuration was taken yet
 }
 
 // decode reads a snapshot whole, down to what limiters are told of it.
@@ -164,7 +164,7 @@
 
 // tabulate returns the newest configuration as limiters are told it, nil where there is
 // none. What it shares with the one before is taken over from that.
-func tabulate(s *State, before *api.ConfigSplit) (*api.ConfigSplit, error) {
+func tabulate(s *State, before *api.ConfigRows) (*api.ConfigRows, error) {
 	if s.Revision == 0 {
 		return nil, nil
 	}
@@ -172,7 +172,7 @@
 	if err != nil {
 		return nil, err
 	}
-	split, err := api.SplitConfig(data, before)
+	split, err := api.BuildConfigRows(data, before)
 	if err == nil && split.Revision != s.Revision {
 		err = fmt.Errorf("revision %d holds one that says %d", s.Revision, split.Revision)
 	}
@@ -183,8 +183,8 @@
 // is agreed on: it could not be unpacked again. That its rows can be read follows from its
 // soundness (api.FuzzParseConfig); to read them here too would cost a leader some MB.
 func tellable(config []byte) error {
-	if len(config) > api.MaxConfig {
-		return fmt.Errorf("%d bytes, %d at most", len(config), api.MaxConfig)
+	if len(config) > api.MaxConfigBytes {
+		return fmt.Errorf("%d bytes, %d at most", len(config), api.MaxConfigBytes)
 	}
 	return nil
 }
@@ -465,7 +465,7 @@
 	for at, p := range c.calls {
 		if at <= s.Index { // what came of them is not told: they are asked again
 			delete(c.calls, at)
-			p.answer = &api.Result{}
+			p.answer = &api.ControlResponse{}
 		}
 	}
 	c.cfg.Log.Info("snapshot taken over", "index", s.Index, "bytes", len(s.Data), "revision", c.state.Revision)
@@ -498,7 +498,7 @@
 
 // prepare returns the configuration that there will be with entries applied, and how its
 // rows differ from those before; nil where they bring none. It gives the mutex up.
-func (c *Core) prepare(es []raft.Entry) (split *api.ConfigSplit, delta versioned.Delta, err error) {
+func (c *Core) prepare(es []raft.Entry) (split *api.ConfigRows, delta versioned.Delta, err error) {
 	state, before, rows, known := c.state, c.split, c.configs.Rows(), c.checked
 	c.mu.Unlock()
 	defer c.mu.Lock()
--- a/controlplane/core_test.go
+++ b/controlplane/core_test.go
@@ -124,7 +124,7 @@
 func replace(cl *Client, base uint64, data []byte) int {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	return cl.Replace(ctx, &api.Replace{Base: base, Config: data}).Status
+	return cl.Replace(ctx, &api.ReplaceRequest{Base: base, Config: data}).Status
 }
 
 // A version is taken once, is kept through a loss, and a member that has lost
@@ -171,7 +171,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if r := cl.Get(ctx, &api.Read{}); r.Status != 200 || string(r.Config) != string(config(t, 10)) {
+	if r := cl.Get(ctx, &api.GetRequest{}); r.Status != 200 || string(r.Config) != string(config(t, 10)) {
 		t.Errorf("read back: %d", r.Status)
 	}
 }
@@ -216,7 +216,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	c.until("a lease", func() bool {
-		n, err := leader.Watch(ctx, &api.Watch{})
+		n, err := leader.Watch(ctx, &api.WatchRequest{})
 		return err == nil && n.Lease
 	})
 	for _, a := range c.addrs {
@@ -224,7 +224,7 @@
 			c.stops[a]()
 		}
 	}
-	if n, err := leader.Watch(ctx, &api.Watch{}); err != nil || n.Lease {
+	if n, err := leader.Watch(ctx, &api.WatchRequest{}); err != nil || n.Lease {
 		t.Errorf("a lease without a majority: %+v, %v", n, err)
 	}
 	if got := leader.Addrs(); len(got) != 3 {
@@ -306,7 +306,7 @@
 	if got := replace(cl, 0, config(t, 1)); got != http.StatusOK { // sent until there is a leader
 		t.Fatalf("the first is answered %d", got)
 	}
-	conn, err := cl.Conns.To(addr)
+	conn, err := cl.Conns.Conn(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -314,10 +314,10 @@
 	defer cancel()
 	in, out := l.in.Load(), l.out.Load()
 	// One call each, as long as it may take: what a client sends again on a slow machine is not counted here.
-	if r, err := api.CallReplace(ctx, conn, &api.Replace{Base: 1, Config: data}); err != nil || r.Status != http.StatusOK {
+	if r, err := api.CallReplace(ctx, conn, &api.ReplaceRequest{Base: 1, Config: data}); err != nil || r.Status != http.StatusOK {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if r, err := api.CallGet(ctx, conn, &api.Read{}); err != nil || r.Status != http.StatusOK || string(r.Config) != string(data) {
+	if r, err := api.CallGet(ctx, conn, &api.GetRequest{}); err != nil || r.Status != http.StatusOK || string(r.Config) != string(data) {
 		t.Errorf("read back: %+v, %v", r, err)
 	}
 	in, out = l.in.Load()-in, l.out.Load()-out
--- a/controlplane/coresim_checks_test.go
+++ b/controlplane/coresim_checks_test.go
@@ -13,7 +13,7 @@
 )
 
 // leave holds what leaves a member against what its store holds at this moment.
-func (l *life) leave(d *api.Deliver) {
+func (l *life) leave(d *api.DeliverRequest) {
 	w := l.w
 	l.core.mu.Lock()
 	role, term, sets := l.core.node.Role(), l.core.node.Term(), l.core.node.Members()
@@ -23,7 +23,7 @@
 	if l.ctx.Err() != nil {
 		return
 	}
-	if d.Part != nil {
+	if d.Chunk != nil {
 		w.failed("a message in parts: it is not looked at")
 	}
 	for i := range d.Messages {
--- a/controlplane/coresim_network_test.go
+++ b/controlplane/coresim_network_test.go
@@ -13,7 +13,7 @@
 // carryCall is on the way of each call that the member makes.
 func (l *life) carryCall(ctx context.Context, method string, q, r any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 	to := strings.TrimPrefix(conn.Target(), "passthrough:///")
-	if d, ok := q.(*api.Deliver); ok {
+	if d, ok := q.(*api.DeliverRequest); ok {
 		l.leave(d)
 	}
 	if err := l.w.pass(ctx, l, l.m.addr, to); err != nil {
--- a/controlplane/coresim_operators_test.go
+++ b/controlplane/coresim_operators_test.go
@@ -67,14 +67,14 @@
 		if over {
 			return out, false
 		}
-		r := &api.Result{}
+		r := &api.ControlResponse{}
 		if l != nil {
 			ctx, cancel := context.WithTimeout(l.ctx, time.Duration(200+rng.IntN(1500))*time.Millisecond)
 			var err error
 			if in.get {
-				r, err = l.core.Get(ctx, &api.Read{})
+				r, err = l.core.Get(ctx, &api.GetRequest{})
 			} else {
-				r, err = l.core.Replace(ctx, &api.Replace{Base: in.base, Config: in.config})
+				r, err = l.core.Replace(ctx, &api.ReplaceRequest{Base: in.base, Config: in.config})
 			}
 			cancel()
 			if err != nil {
@@ -82,7 +82,7 @@
 				return out, false
 			}
 			if l.ctx.Err() != nil {
-				r = &api.Result{} // it died with the answer
+				r = &api.ControlResponse{} // it died with the answer
 			}
 		}
 		if r.Status != 0 && r.Status != http.StatusServiceUnavailable && rng.IntN(12) > 0 { // else: the answer is lost
--- a/controlplane/coresim_test.go
+++ b/controlplane/coresim_test.go
@@ -126,7 +126,7 @@
 	w.mu.Unlock()
 	l := &life{w: w, m: m, p: m.platter, ended: make(chan struct{})}
 	l.ctx, l.over = context.WithCancel(context.Background())
-	conns := api.NewConns(nil, grpc.WithContextDialer(w.net.dial), grpc.WithUnaryInterceptor(l.carryCall))
+	conns := api.NewConnPool(nil, grpc.WithContextDialer(w.net.dial), grpc.WithUnaryInterceptor(l.carryCall))
 	cfg := CoreConfig{Addr: m.addr, Seeds: w.seeds(), Bootstrap: bootstrap, Voters: len(w.machines), Store: l, Conns: conns,
 		Log: slog.New(slog.DiscardHandler), Seed: w.seed<<16 + w.starts}
 	core, err := NewCore(cfg)
--- a/controlplane/disk_test.go
+++ b/controlplane/disk_test.go
@@ -64,7 +64,7 @@
 	for i := range ms {
 		ms[i].From, ms[i].To, ms[i].Term = 2, 1, cmp.Or(ms[i].Term, 4)
 	}
-	if _, err := d.Deliver(d.t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: ms}); err != nil {
+	if _, err := d.Deliver(d.t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: ms}); err != nil {
 		d.t.Fatal(err)
 	}
 }
@@ -196,7 +196,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if n, err := d.Watch(ctx, &api.Watch{}); err != nil || n.Lease || n.Config != nil {
+	if n, err := d.Watch(ctx, &api.WatchRequest{}); err != nil || n.Lease || n.ConfigDelta != nil {
 		t.Errorf("answered before it is applied: %+v, %v", n, err)
 	}
 	d.tick(stallTicks)
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -38,14 +38,14 @@
 	bringVersions(t, cl, 4)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if r := cl.Get(ctx, &api.Read{Versions: true}); !slices.Equal(r.Versions, []uint64{1, 2, 3, 4}) {
+	if r := cl.Get(ctx, &api.GetRequest{Versions: true}); !slices.Equal(r.Versions, []uint64{1, 2, 3, 4}) {
 		t.Errorf("%+v", r)
 	}
-	if r := cl.Get(ctx, &api.Read{Revision: 2}); r.Status != http.StatusOK || string(r.Config) != string(config(t, 2)) {
+	if r := cl.Get(ctx, &api.GetRequest{Revision: 2}); r.Status != http.StatusOK || string(r.Config) != string(config(t, 2)) {
 		t.Errorf("revision 2: %d", r.Status)
 	}
-	if r := cl.Get(ctx, &api.Read{Revision: 9}); r.Status != http.StatusNotFound || !strings.Contains(r.Why, "[1 2 3 4]") {
-		t.Errorf("revision 9: %d %s", r.Status, r.Why)
+	if r := cl.Get(ctx, &api.GetRequest{Revision: 9}); r.Status != http.StatusNotFound || !strings.Contains(r.Reason, "[1 2 3 4]") {
+		t.Errorf("revision 9: %d %s", r.Status, r.Reason)
 	}
 	var s State
 	for i := range uint64(200) {
@@ -70,7 +70,7 @@
 	bringVersions(t, cl, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	export := cl.Get(ctx, &api.Read{State: true})
+	export := cl.Get(ctx, &api.GetRequest{State: true})
 	if export.Status != http.StatusOK {
 		t.Fatalf("%+v", export)
 	}
@@ -94,8 +94,8 @@
 	}
 	cl = c.client()
 	for i := range uint64(3) {
-		if r := cl.Get(ctx, &api.Read{Revision: i + 1}); r.Status != http.StatusOK || string(r.Config) != string(config(t, i+1)) {
-			t.Errorf("revision %d after the restore: %d %s", i+1, r.Status, r.Why)
+		if r := cl.Get(ctx, &api.GetRequest{Revision: i + 1}); r.Status != http.StatusOK || string(r.Config) != string(config(t, i+1)) {
+			t.Errorf("revision %d after the restore: %d %s", i+1, r.Status, r.Reason)
 		}
 	}
 	if got := replace(cl, 2, config(t, 3)); got != http.StatusOK {
--- a/controlplane/faults_test.go
+++ b/controlplane/faults_test.go
@@ -28,7 +28,7 @@
 	if err := store.Initialize(1, first); err != nil {
 		t.Fatal(err)
 	}
-	c, err := NewCore(CoreConfig{Addr: "a", Voters: 3, Store: store, Conns: api.NewConns(nil), Log: slog.New(slog.DiscardHandler), Seed: 1})
+	c, err := NewCore(CoreConfig{Addr: "a", Voters: 3, Store: store, Conns: api.NewConnPool(nil), Log: slog.New(slog.DiscardHandler), Seed: 1})
 	return c, store, err
 }
 
@@ -89,7 +89,7 @@
 		for i := range ms {
 			ms[i].From, ms[i].To, ms[i].Term = 2, 1, 4
 		}
-		if _, err := c.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: ms}); err != nil {
+		if _, err := c.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: ms}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -141,7 +141,7 @@
 	}
 	step := func(m raft.Message) {
 		m.From, m.To, m.Term = 2, 1, 4
-		if _, err := c.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: []raft.Message{m}}); err != nil {
+		if _, err := c.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: []raft.Message{m}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -159,16 +159,16 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if n, err := c.Watch(ctx, &api.Watch{}); err != nil || n.Lease || n.Config != nil {
+	if n, err := c.Watch(ctx, &api.WatchRequest{}); err != nil || n.Lease || n.ConfigDelta != nil {
 		t.Errorf("a limiter is answered: %+v, %v", n, err)
 	}
-	if r, err := c.Get(t.Context(), &api.Read{}); err != nil || r.Status != 0 {
+	if r, err := c.Get(t.Context(), &api.GetRequest{}); err != nil || r.Status != 0 {
 		t.Errorf("a read is answered: %+v, %v", r, err)
 	}
-	if r, err := c.Replace(t.Context(), &api.Replace{Base: 3, Config: config(t, 9)}); err != nil || r.Status != 0 {
+	if r, err := c.Replace(t.Context(), &api.ReplaceRequest{Base: 3, Config: config(t, 9)}); err != nil || r.Status != 0 {
 		t.Errorf("a change is answered: %+v, %v", r, err)
 	}
-	if k, err := c.Confirm(t.Context(), &api.None{}); err != nil || k.OK {
+	if k, err := c.ReadIndex(t.Context(), &api.Empty{}); err != nil || k.OK {
 		t.Errorf("a member is answered: %+v, %v", k, err)
 	}
 }
@@ -176,7 +176,7 @@
 // What can't be told to limiters is turned down before it is proposed.
 func TestWhatCanNotBeToldIsNotProposed(t *testing.T) {
 	t.Parallel()
-	long, err := cbor.Marshal(&api.Config{Revision: 3, Upstreams: []api.Upstream{{Name: strings.Repeat("a", api.MaxConfig)}}})
+	long, err := cbor.Marshal(&api.Config{Revision: 3, Upstreams: []api.Upstream{{Name: strings.Repeat("a", api.MaxConfigBytes)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,7 +202,7 @@
 	p := &pending{index: 7, term: 1}
 	c.calls[7] = p
 	changed := c.changed
-	if _, err := c.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: []raft.Message{{Kind: raft.Install, From: 2, To: 1, Term: 4,
+	if _, err := c.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: []raft.Message{{Kind: raft.Install, From: 2, To: 1, Term: 4,
 		Snapshot: &raft.Snapshot{Index: 9, Term: 4, Members: c.node.Members(), Data: good(t, 8)}}}}); err != nil {
 		t.Fatal(err)
 	}
--- a/controlplane/golden_test.go
+++ b/controlplane/golden_test.go
@@ -99,7 +99,7 @@
 
 func TestGoldenLogGivesTheGoldenSnapshot(t *testing.T) {
 	t.Parallel()
-	results := decodeAs[[]api.Result](t, golden(t, "results.cbor"))
+	results := decodeAs[[]api.ControlResponse](t, golden(t, "results.cbor"))
 	var s State
 	for i, name := range goldenLog {
 		if got := s.Apply(golden(t, name)).result(); !reflect.DeepEqual(got, results[i]) {
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	requireEncoding(t, s, "snapshot-hash-only-stored-again.cbor")
-	results := decodeAs[[]api.Result](t, golden(t, "results.cbor"))
+	results := decodeAs[[]api.ControlResponse](t, golden(t, "results.cbor"))
 	want := results[len(results)-1]
 	if got := s.Apply(golden(t, "entry-forgotten.cbor")).result(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
--- a/controlplane/lanes.go
+++ b/controlplane/lanes.go
@@ -23,7 +23,7 @@
 	// behind one comes within 400 ms on 1 Mbit/s, and a part waits for an answer less often.
 	partBytes = 32 << 10
 	// mostParts bounds the bytes of messages that come in parts.
-	mostParts = api.MaxConfig + 1<<20
+	mostParts = api.MaxConfigBytes + 1<<20
 	// slowestLink is the speed in bytes a second that time-outs of large calls allow for,
 	// half of it, as the link has more to carry: 1 Mbit/s.
 	slowestLink = 125_000
@@ -103,12 +103,12 @@
 }
 
 // put takes a part in and returns how many bytes are held, and the whole once it is there.
-func (p *parts) put(q *api.Part) (held int, whole []byte) {
-	if q.Size != p.size || q.Sum != p.sum || p.data == nil {
+func (p *parts) put(q *api.MessageChunk) (held int, whole []byte) {
+	if q.Size != p.size || q.Checksum != p.sum || p.data == nil {
 		if q.Offset != 0 || q.Size < len(q.Data) || q.Size > mostParts {
 			return 0, nil // its beginning is not here, as after a restart
 		}
-		*p = parts{make([]byte, 0, q.Size), q.Size, q.Sum}
+		*p = parts{make([]byte, 0, q.Size), q.Size, q.Checksum}
 	}
 	if q.Offset == len(p.data) && len(q.Data) <= p.size-len(p.data) { // else doubled: it is told what is held
 		p.data = append(p.data, q.Data...)
@@ -118,7 +118,7 @@
 	}
 	whole = p.data
 	*p = parts{}
-	if xxhash.Sum64(whole) != q.Sum {
+	if xxhash.Sum64(whole) != q.Checksum {
 		return 0, nil
 	}
 	return held, whole
--- a/controlplane/lanes_test.go
+++ b/controlplane/lanes_test.go
@@ -67,12 +67,12 @@
 	t.Parallel()
 	body := []byte("what is large goes in parts")
 	sum := xxhash.Sum64(body)
-	part := func(from, to int) *api.Part {
-		return &api.Part{Offset: from, Size: len(body), Sum: sum, Data: body[from:to]}
+	part := func(from, to int) *api.MessageChunk {
+		return &api.MessageChunk{Offset: from, Size: len(body), Checksum: sum, Data: body[from:to]}
 	}
 	p := &parts{}
 	for i, c := range []struct {
-		q     *api.Part
+		q     *api.MessageChunk
 		held  int
 		whole bool
 	}{
@@ -80,13 +80,13 @@
 		{part(0, 5), 5, false},
 		{part(0, 5), 5, false}, // doubled
 		{part(9, 12), 5, false},
-		{&api.Part{Size: 3, Sum: 1, Offset: 1, Data: body[:2]}, 0, false}, // of another, without a beginning
+		{&api.MessageChunk{Size: 3, Checksum: 1, Offset: 1, Data: body[:2]}, 0, false}, // of another, without a beginning
 		{part(5, 27), 27, true},
 		{part(0, 20), 20, false},
-		{&api.Part{Offset: 20, Size: len(body), Sum: sum, Data: make([]byte, 7)}, 0, false}, // damaged
+		{&api.MessageChunk{Offset: 20, Size: len(body), Checksum: sum, Data: make([]byte, 7)}, 0, false}, // damaged
 		{part(0, 27), 27, true},
-		{&api.Part{Size: mostParts + 1, Sum: 1, Data: body}, 0, false},
-		{&api.Part{Size: 3, Sum: 1, Data: body}, 0, false},
+		{&api.MessageChunk{Size: mostParts + 1, Checksum: 1, Data: body}, 0, false},
+		{&api.MessageChunk{Size: 3, Checksum: 1, Data: body}, 0, false},
 	} {
 		held, whole := p.put(c.q)
 		if held != c.held || (whole != nil) != c.whole || c.whole && !bytes.Equal(whole, body) {
@@ -101,26 +101,26 @@
 	before bool
 	p      parts
 	forget bool // once: it has lost what it held
-	calls  []*api.Deliver
+	calls  []*api.DeliverRequest
 	whole  []byte
 }
 
-func (r *receiver) Deliver(_ context.Context, d *api.Deliver) (*api.Delivered, error) {
+func (r *receiver) Deliver(_ context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
 	r.calls = append(r.calls, d)
 	if r.before {
-		return &api.Delivered{}, nil
+		return &api.DeliverResponse{}, nil
 	}
-	if d.Part == nil {
-		return &api.Delivered{Parts: true}, nil
+	if d.Chunk == nil {
+		return &api.DeliverResponse{AcceptsChunks: true}, nil
 	}
-	if r.forget && d.Part.Offset > 0 {
+	if r.forget && d.Chunk.Offset > 0 {
 		r.p, r.forget = parts{}, false
 	}
-	held, whole := r.p.put(d.Part)
+	held, whole := r.p.put(d.Chunk)
 	if whole != nil {
 		r.whole = whole
 	}
-	return &api.Delivered{Parts: true, Held: held}, nil
+	return &api.DeliverResponse{AcceptsChunks: true, ReceivedBytes: held}, nil
 }
 
 // What is large goes in parts of 32 KB at most to a member that has said that it takes
@@ -162,14 +162,14 @@
 			}
 		}
 		if r.before {
-			if len(r.calls) != 2 || len(r.calls[1].Messages) != 1 || r.calls[1].Part != nil {
+			if len(r.calls) != 2 || len(r.calls[1].Messages) != 1 || r.calls[1].Chunk != nil {
 				t.Errorf("one of before gets %d calls", len(r.calls))
 			}
 			continue
 		}
 		for _, d := range r.calls {
-			if load(d.Messages) > 0 || d.Part != nil && len(d.Part.Data) > partBytes {
-				t.Errorf("a call of %d and %+v bytes", load(d.Messages), d.Part)
+			if load(d.Messages) > 0 || d.Chunk != nil && len(d.Chunk.Data) > partBytes {
+				t.Errorf("a call of %d and %+v bytes", load(d.Messages), d.Chunk)
 			}
 		}
 		if !bytes.Equal(r.whole, want) {
@@ -230,7 +230,7 @@
 	c.until("it is taken", func() bool { // by whoever leads: how soon is not asked here
 		for _, k := range c.cores {
 			if k.Leads() {
-				if r, err := k.Replace(ctx, &api.Replace{Config: data}); err == nil && r.Status == http.StatusOK {
+				if r, err := k.Replace(ctx, &api.ReplaceRequest{Config: data}); err == nil && r.Status == http.StatusOK {
 					return true
 				}
 			}
--- a/controlplane/lost_test.go
+++ b/controlplane/lost_test.go
@@ -56,7 +56,7 @@
 			for i := range uint64(200) { // a snapshot is due
 				es = append(es, raft.Entry{Index: 6 + i, Term: 4})
 			}
-			if _, err := m.Deliver(t.Context(), &api.Deliver{From: 2, Addr: "b", Messages: []raft.Message{
+			if _, err := m.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: []raft.Message{
 				{Kind: raft.Append, From: 2, To: 1, Term: 4, Index: 5, LogTerm: 1, Commit: 205, Entries: es}}}); err != nil {
 				t.Fatal(err)
 			}
@@ -75,7 +75,7 @@
 			if err := m.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) {
 				t.Errorf("Run ends with %v", err)
 			}
-			if k, err := m.Confirm(t.Context(), &api.None{}); err != nil || k.OK {
+			if k, err := m.ReadIndex(t.Context(), &api.Empty{}); err != nil || k.OK {
 				t.Errorf("a member is answered: %+v, %v", k, err)
 			}
 		})
@@ -93,7 +93,7 @@
 	deliver := func(msg raft.Message) {
 		t.Helper()
 		msg.To, msg.Term = 1, 4
-		if _, err := m.Deliver(t.Context(), &api.Deliver{From: msg.From, Addr: "b", Messages: []raft.Message{msg}}); err != nil {
+		if _, err := m.Deliver(t.Context(), &api.DeliverRequest{From: msg.From, Addr: "b", Messages: []raft.Message{msg}}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -32,12 +32,12 @@
 		if addr == c.cfg.Addr {
 			continue
 		}
-		conn, err := c.cfg.Conns.To(addr)
+		conn, err := c.cfg.Conns.Conn(addr)
 		if err != nil {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, deliverTimeout)
-		r, err := api.CallJoin(call, conn, &api.Join{ID: c.id, Addr: c.cfg.Addr, Joint: true})
+		r, err := api.CallJoin(call, conn, &api.JoinRequest{ID: c.id, Addr: c.cfg.Addr, Joint: true})
 		cancel()
 		if err == nil && r.Status == http.StatusOK {
 			return
@@ -60,11 +60,11 @@
 // Join takes a process in, at first without a vote. One that is leaving is marked as
 // such: it is given no vote, and its vote goes to a member that stands by. Status is
 // 200, or 409 where a voter leaves and nobody stands by; 0 who can't say.
-func (c *Core) Join(_ context.Context, q *api.Join) (*api.Result, error) {
+func (c *Core) Join(_ context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.node.Role() != raft.Leader {
-		return &api.Result{Leader: c.leaderAddr()}, nil
+		return &api.ControlResponse{Leader: c.leaderAddr()}, nil
 	}
 	ms := c.node.Members()
 	known := slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == q.ID })
@@ -73,19 +73,19 @@
 		c.keeper.mark(q.ID)
 		c.tend()
 		if !c.node.Changing() && !c.keeper.standsBy(c.node) && voter(c.node.Members(), q.ID) {
-			return &api.Result{Status: http.StatusConflict, Why: "no other member stands by"}, nil
+			return &api.ControlResponse{Status: http.StatusConflict, Reason: "no other member stands by"}, nil
 		}
-		return &api.Result{Status: http.StatusOK}, nil
+		return &api.ControlResponse{Status: http.StatusOK}, nil
 	case known, q.Leaving:
-		return &api.Result{Status: http.StatusOK}, nil
+		return &api.ControlResponse{Status: http.StatusOK}, nil
 	}
 	err := c.node.Change(append(slices.Clone(ms), raft.Member{ID: q.ID, Addr: q.Addr, Joint: q.Joint}))
 	c.process()
 	if err != nil {
-		return &api.Result{Why: err.Error()}, nil
+		return &api.ControlResponse{Reason: err.Error()}, nil
 	}
 	c.cfg.Log.Info("a member joins", "id", fmt.Sprintf("%x", uint64(q.ID)), "addr", q.Addr)
-	return &api.Result{Status: http.StatusOK}, nil
+	return &api.ControlResponse{Status: http.StatusOK}, nil
 }
 
 // tend has a leader change the members where the keeper says so.
@@ -288,13 +288,13 @@
 	if leader == "" || leader == c.cfg.Addr {
 		return !needed || alone
 	}
-	conn, err := c.cfg.Conns.To(leader)
+	conn, err := c.cfg.Conns.Conn(leader)
 	if err != nil {
 		return !needed
 	}
 	call, cancel := context.WithTimeout(ctx, deliverTimeout)
 	defer cancel()
-	r, err := api.CallJoin(call, conn, &api.Join{ID: c.id, Addr: c.cfg.Addr, Leaving: true})
+	r, err := api.CallJoin(call, conn, &api.JoinRequest{ID: c.id, Addr: c.cfg.Addr, Leaving: true})
 	return !needed || err == nil && r.Status == http.StatusConflict
 }
 
--- a/controlplane/partition_harness_test.go
+++ b/controlplane/partition_harness_test.go
@@ -57,12 +57,12 @@
 	return nil, ctx.Err()
 }
 
-func (c *cuttable) Deliver(ctx context.Context, d *api.Deliver) (*api.Delivered, error) {
+func (c *cuttable) Deliver(ctx context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
 	c.cuts.mu.Lock()
 	lost := c.cuts.off != "" && (d.Addr == c.cuts.off && !c.cuts.says || c.addr == c.cuts.off && !c.cuts.hears)
 	c.cuts.mu.Unlock()
 	if lost {
-		return silence[api.Delivered](ctx)
+		return silence[api.DeliverResponse](ctx)
 	}
 	return c.Core.Deliver(ctx, d)
 }
@@ -75,44 +75,44 @@
 	return c.cuts.off != "" && !c.cuts.calls
 }
 
-func (c *cuttable) Watch(ctx context.Context, q *api.Watch) (*api.News, error) {
+func (c *cuttable) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
 	if c.cut() {
-		return silence[api.News](ctx)
+		return silence[api.WatchResponse](ctx)
 	}
 	return c.Core.Watch(ctx, q)
 }
 
-func (c *cuttable) Confirm(ctx context.Context, q *api.None) (*api.Confirmation, error) {
+func (c *cuttable) ReadIndex(ctx context.Context, q *api.Empty) (*api.ReadIndexResponse, error) {
 	if c.cut() {
-		return silence[api.Confirmation](ctx)
+		return silence[api.ReadIndexResponse](ctx)
 	}
-	return c.Core.Confirm(ctx, q)
+	return c.Core.ReadIndex(ctx, q)
 }
 
-func (c *cuttable) Join(ctx context.Context, q *api.Join) (*api.Result, error) {
+func (c *cuttable) Join(ctx context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
 	if c.cut() {
-		return silence[api.Result](ctx)
+		return silence[api.ControlResponse](ctx)
 	}
 	return c.Core.Join(ctx, q)
 }
 
-func (c *cuttable) Get(ctx context.Context, q *api.Read) (*api.Result, error) {
+func (c *cuttable) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
 	if c.cut() {
-		return silence[api.Result](ctx)
+		return silence[api.ControlResponse](ctx)
 	}
 	return c.Core.Get(ctx, q)
 }
 
-func (c *cuttable) Replace(ctx context.Context, q *api.Replace) (*api.Result, error) {
+func (c *cuttable) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
 	if c.cut() {
-		return silence[api.Result](ctx)
+		return silence[api.ControlResponse](ctx)
 	}
 	r, err := c.Core.Replace(ctx, q)
 	c.cuts.mu.Lock()
 	mute := c.cuts.mute
 	c.cuts.mu.Unlock()
 	if mute && err == nil && r.Status == http.StatusOK {
-		return silence[api.Result](ctx)
+		return silence[api.ControlResponse](ctx)
 	}
 	return r, err
 }
@@ -231,7 +231,7 @@
 	all.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		if n, err := c.cores[off].Watch(ctx, &api.Watch{}); err != nil || n.Lease || n.Config != nil || n.List != nil {
+		if n, err := c.cores[off].Watch(ctx, &api.WatchRequest{}); err != nil || n.Lease || n.ConfigDelta != nil || n.ServersDelta != nil {
 			c.t.Errorf("%s: a limiter is told %+v, %v", when, n, err)
 		}
 	})
--- a/controlplane/partition_test.go
+++ b/controlplane/partition_test.go
@@ -185,7 +185,7 @@
 				default:
 				}
 				before := acked.Load()
-				n, err := k.Watch(ctx, &api.Watch{Revision: before, Servers: math.MaxUint64})
+				n, err := k.Watch(ctx, &api.WatchRequest{Revision: before, ServersVersion: math.MaxUint64})
 				if err != nil {
 					t.Error(err)
 					return
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -25,12 +25,12 @@
 
 	term, need uint64 // the term it came in, and the round that confirms it
 	index      uint64 // of its entry, 0 before
-	answer     *api.Result
+	answer     *api.ControlResponse
 }
 
 // next carries a call on as far as it goes. done: r came of it; a Status of 0 is
 // that this member can't say. beat: a round of heartbeats is waited for.
-func (g *register) next(p *pending) (r api.Result, done, beat bool) {
+func (g *register) next(p *pending) (r api.ControlResponse, done, beat bool) {
 	switch {
 	case p.answer != nil:
 		return *p.answer, true, false
@@ -52,9 +52,9 @@
 			return r, false, true
 		}
 		if g.state.Revision == 0 {
-			return api.Result{Status: http.StatusNotFound, Why: "no configuration was taken yet"}, true, false
+			return api.ControlResponse{Status: http.StatusNotFound, Reason: "no configuration was taken yet"}, true, false
 		}
-		return api.Result{Status: http.StatusOK}, true, false
+		return api.ControlResponse{Status: http.StatusOK}, true, false
 	}
 	if !g.node.Serves() {
 		return r, false, true
@@ -63,24 +63,24 @@
 		if sure {
 			return d.result(), true, false
 		}
-		return api.Result{}, false, true
+		return api.ControlResponse{}, false, true
 	}
 	index, term, err := g.node.Propose(p.data)
 	if err != nil {
-		return api.Result{}, true, false
+		return api.ControlResponse{}, true, false
 	}
 	p.index, p.term = index, term
 	if o := g.calls[index]; o != nil { // its entry was cut off here; whether it was agreed on elsewhere is not known
-		o.answer = &api.Result{}
+		o.answer = &api.ControlResponse{}
 	}
 	g.calls[index] = p
-	return api.Result{}, false, false
+	return api.ControlResponse{}, false, false
 }
 
 // apply carries out an entry that was agreed on, and tells whether it brought a
 // configuration.
 func (g *register) apply(e raft.Entry) (news bool) {
-	var r api.Result
+	var r api.ControlResponse
 	if len(e.Data) > 0 {
 		before := g.state.Revision
 		r = g.state.Apply(e.Data).result()
@@ -89,7 +89,7 @@
 	if p := g.calls[e.Index]; p != nil {
 		delete(g.calls, e.Index)
 		if p.term != e.Term { // another entry took its place
-			r = api.Result{}
+			r = api.ControlResponse{}
 		}
 		p.answer = &r
 	}
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -38,7 +38,7 @@
 }
 
 // ends has a call end at a member, and returns its status.
-func (w *world) ends(t *testing.T, at raft.ID, p *pending) (r api.Result) {
+func (w *world) ends(t *testing.T, at raft.ID, p *pending) (r api.ControlResponse) {
 	t.Helper()
 	w.until(t, "the call's end", func() (done bool) {
 		r, done = w.drive(at, p)
--- a/controlplane/serve.go
+++ b/controlplane/serve.go
@@ -14,7 +14,7 @@
 // often brought again, and it is told to limiters once it is agreed on.
 type checked struct {
 	print fingerprint
-	split *api.ConfigSplit
+	split *api.ConfigRows
 	base  uint64
 	entry []byte
 }
@@ -26,7 +26,7 @@
 }
 
 // checkConfig returns a configuration that follows on another, as it is proposed.
-func (c *Core) checkConfig(q *api.Replace) (*checked, error) {
+func (c *Core) checkConfig(q *api.ReplaceRequest) (*checked, error) {
 	print := fingerprintOf(q.Config)
 	c.mu.Lock()
 	last, before := c.checked, c.split
@@ -34,7 +34,7 @@
 	if last != nil && last.print == print && last.base == q.Base {
 		return last, nil
 	}
-	split, err := api.CheckConfig(q.Config, before)
+	split, err := api.ValidateConfig(q.Config, before)
 	if err == nil {
 		err = tellable(q.Config)
 	}
@@ -55,10 +55,10 @@
 }
 
 // Replace takes a configuration that follows on another.
-func (c *Core) Replace(ctx context.Context, q *api.Replace) (*api.Result, error) {
+func (c *Core) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
 	k, err := c.checkConfig(q)
 	if err != nil {
-		return &api.Result{Status: http.StatusBadRequest, Why: err.Error()}, nil
+		return &api.ControlResponse{Status: http.StatusBadRequest, Reason: err.Error()}, nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // Get reads what the core agrees on, as of after the call.
-func (c *Core) Get(ctx context.Context, q *api.Read) (*api.Result, error) {
+func (c *Core) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
 	c.mu.Lock()
 	r := c.call(ctx, &pending{get: true})
 	state := c.state
@@ -83,7 +83,7 @@
 		r.Config, err = Export(&state)
 	case q.Revision != 0:
 		if r.Config, err = state.ConfigAt(q.Revision); errors.Is(err, ErrRevisionNotKept) {
-			return &api.Result{Status: http.StatusNotFound, Why: fmt.Sprintf("revision %d is not remembered; there are %v", q.Revision, state.Revisions())}, nil
+			return &api.ControlResponse{Status: http.StatusNotFound, Reason: fmt.Sprintf("revision %d is not remembered; there are %v", q.Revision, state.Revisions())}, nil
 		}
 	default:
 		r.Config, err = state.Config()
@@ -96,16 +96,16 @@
 
 // call carries a call through, until it is over or its context ends. Called under
 // the mutex, which it gives up while it waits.
-func (c *Core) call(ctx context.Context, p *pending) api.Result {
+func (c *Core) call(ctx context.Context, p *pending) api.ControlResponse {
 	for {
 		if c.diskDown && p.index == 0 {
-			return api.Result{Leader: c.leaderAddr()}
+			return api.ControlResponse{Leader: c.leaderAddr()}
 		}
 		before := p.index
 		r, done, beat := c.next(p)
 		switch {
 		case done && r.Status == 0:
-			return api.Result{Leader: c.leaderAddr()}
+			return api.ControlResponse{Leader: c.leaderAddr()}
 		case done:
 			return r
 		case p.index != before:
@@ -126,7 +126,7 @@
 		c.mu.Lock()
 		if over {
 			c.drop(p)
-			return api.Result{}
+			return api.ControlResponse{}
 		}
 	}
 }
@@ -160,7 +160,7 @@
 	defer c.mu.Unlock()
 	s := CoreStatus{ID: fmt.Sprintf("%x", uint64(c.id)), Role: c.node.Role().String(), Leader: c.leaderAddr(), Term: c.node.Term(),
 		Commit: c.node.Commit(), Revision: c.state.Revision, DiskFails: c.diskDown && c.halted == "", Halted: c.halted, Watches: c.asks.waiting,
-		NewsBytes: c.configs.Held() + c.servers.table.Held(), NewsBytesMost: 4*versioned.MostHeld + mostWatches*api.PieceSize}
+		NewsBytes: c.configs.Held() + c.servers.table.Held(), NewsBytesMost: 4*versioned.MostHeld + mostWatches*api.ChunkSize}
 	for _, m := range c.node.Members() {
 		kind := "learner"
 		if m.Voter {
--- a/controlplane/servers.go
+++ b/controlplane/servers.go
@@ -49,7 +49,7 @@
 	}
 	rows := make(map[string][]byte, l.roster.Len())
 	for s, warm := range l.roster.All {
-		if rows[s.ID], err = api.ServerRow(s, warm); err != nil {
+		if rows[s.ID], err = api.EncodeServerRow(s, warm); err != nil {
 			return false, doubt, err
 		}
 	}
--- a/controlplane/sim_client_test.go
+++ b/controlplane/sim_client_test.go
@@ -120,7 +120,7 @@
 }
 
 // drive carries a call on at a member.
-func (w *world) drive(id raft.ID, p *pending) (r api.Result, done bool) {
+func (w *world) drive(id raft.ID, p *pending) (r api.ControlResponse, done bool) {
 	m := w.members[id]
 	r, done, beat := w.nextOf(m, p)
 	if beat {
@@ -133,11 +133,11 @@
 }
 
 // nextOf is the register's next, or that of one with a fault in it.
-func (w *world) nextOf(m *member, p *pending) (r api.Result, done, beat bool) {
+func (w *world) nextOf(m *member, p *pending) (r api.ControlResponse, done, beat bool) {
 	if m.node.Role() == raft.Leader && p.index == 0 {
 		switch {
 		case w.fault == "reads without a confirmation" && p.get && m.state.Revision != 0:
-			return api.Result{Status: http.StatusOK}, true, false
+			return api.ControlResponse{Status: http.StatusOK}, true, false
 		case w.fault == "turned down without a confirmation" && !p.get:
 			if d := m.state.Evaluate(p.base, p.revision, p.print); d.Outcome != OutcomeAcceptable {
 				return d.result(), true, false
@@ -148,7 +148,7 @@
 			}
 		case w.fault == "confirmed before it is agreed" && !p.get:
 			if r, done, beat = m.next(p); p.index != 0 {
-				r, done = api.Result{Status: http.StatusOK}, true
+				r, done = api.ControlResponse{Status: http.StatusOK}, true
 			}
 			return r, done, beat
 		}
--- a/controlplane/sim_member_test.go
+++ b/controlplane/sim_member_test.go
@@ -107,7 +107,7 @@
 		m.state.Applied = append(m.state.Applied, appliedRevision{p.Revision, p.fingerprint()})
 		if c := m.calls[e.Index]; c != nil && c.term == e.Term {
 			delete(m.calls, e.Index)
-			c.answer = &api.Result{Status: http.StatusOK}
+			c.answer = &api.ControlResponse{Status: http.StatusOK}
 		}
 	} else {
 		if c := m.calls[e.Index]; c != nil && w.fault == "answered by another's entry" {
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -118,11 +118,11 @@
 // send carries messages to a member: in one call or, where they are large and it takes
 // parts, in several, so that no heartbeat waits for more than one of them.
 func (c *Core) send(to raft.ID, addr string, ms []raft.Message) error {
-	conn, err := c.cfg.Conns.To(addr)
+	conn, err := c.cfg.Conns.Conn(addr)
 	if err != nil {
 		return err
 	}
-	call := func(bytes int, d *api.Deliver) (*api.Delivered, error) {
+	call := func(bytes int, d *api.DeliverRequest) (*api.DeliverResponse, error) {
 		d.From, d.Addr = c.id, c.cfg.Addr
 		ctx, cancel := context.WithTimeout(c.ctx, c.within(bytes))
 		defer cancel()
@@ -132,13 +132,13 @@
 	takes := c.parted[to]
 	c.mu.Unlock()
 	if bytes := load(ms); bytes <= partBytes || !takes {
-		r, err := call(bytes, &api.Deliver{Messages: ms})
-		if err == nil && r.Parts != takes {
+		r, err := call(bytes, &api.DeliverRequest{Messages: ms})
+		if err == nil && r.AcceptsChunks != takes {
 			c.mu.Lock()
 			if len(c.parted) >= mostSenders {
 				clear(c.parted)
 			}
-			c.parted[to] = r.Parts
+			c.parted[to] = r.AcceptsChunks
 			c.mu.Unlock()
 		}
 		return err
@@ -150,27 +150,27 @@
 	sum := xxhash.Sum64(body)
 	for at := 0; at < len(body); {
 		data := body[at:min(len(body), at+partBytes)]
-		r, err := call(len(data), &api.Deliver{Part: &api.Part{Offset: at, Size: len(body), Sum: sum, Data: data}})
+		r, err := call(len(data), &api.DeliverRequest{Chunk: &api.MessageChunk{Offset: at, Size: len(body), Checksum: sum, Data: data}})
 		switch {
 		case err != nil:
 			return err
-		case r.Held <= at || r.Held > len(body): // a restart, perhaps of one of before
+		case r.ReceivedBytes <= at || r.ReceivedBytes > len(body): // a restart, perhaps of one of before
 			c.mu.Lock()
-			c.parted[to] = r.Parts
+			c.parted[to] = r.AcceptsChunks
 			c.mu.Unlock()
 			return errParts
 		}
-		at = r.Held
+		at = r.ReceivedBytes
 	}
 	return nil
 }
 
 // Deliver takes in messages of other members. The two lanes of a member call it side
 // by side: a message may overtake another.
-func (c *Core) Deliver(_ context.Context, d *api.Deliver) (*api.Delivered, error) {
+func (c *Core) Deliver(_ context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &api.Delivered{Parts: true}
+	r := &api.DeliverResponse{AcceptsChunks: true}
 	if c.diskDown {
 		return r, nil
 	}
@@ -180,14 +180,14 @@
 	}
 	c.addrs[d.From] = d.Addr
 	ms := d.Messages
-	if d.Part != nil {
+	if d.Chunk != nil {
 		p := c.partly[d.From]
 		if p == nil {
 			p = &parts{}
 			c.partly[d.From] = p
 		}
 		var whole []byte
-		if r.Held, whole = p.put(d.Part); whole == nil {
+		if r.ReceivedBytes, whole = p.put(d.Chunk); whole == nil {
 			return r, nil
 		}
 		if err := api.Unmarshal(whole, &ms); err != nil {
--- a/controlplane/watch.go
+++ b/controlplane/watch.go
@@ -25,7 +25,7 @@
 	mostWatches = 1024
 	followWait  = 1500 * time.Millisecond // a follower's own watch at the leader
 	followPause = 60 * time.Millisecond
-	maxParcel   = 2 * api.MaxConfig
+	maxParcel   = 2 * api.MaxConfigBytes
 )
 
 var errParcel = errors.New("controlplane: a difference is not to be had any more")
@@ -52,7 +52,7 @@
 
 type ask struct {
 	done chan struct{}
-	c    api.Confirmation
+	c    api.ReadIndexResponse
 }
 
 // beatSoon has a leader begin a round of heartbeats within confirmEvery: those
@@ -118,17 +118,17 @@
 }
 
 // Confirm answers a member that asks for those who wait at it.
-func (c *Core) Confirm(ctx context.Context, _ *api.None) (*api.Confirmation, error) {
+func (c *Core) ReadIndex(ctx context.Context, _ *api.Empty) (*api.ReadIndexResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.leads() {
-		return &api.Confirmation{}, nil
+		return &api.ReadIndexResponse{}, nil
 	}
 	index, ok := c.confirm(ctx)
 	if !ok {
-		return &api.Confirmation{}, nil
+		return &api.ReadIndexResponse{}, nil
 	}
-	return &api.Confirmation{OK: true, Index: index, Servers: c.servers.table.Version(), ClockMs: c.servers.clockMs()}, nil
+	return &api.ReadIndexResponse{OK: true, Index: index, ServersVersion: c.servers.table.Version(), ClockMs: c.servers.clockMs()}, nil
 }
 
 // confirmed waits until it is sure that all that was acknowledged before this
@@ -162,7 +162,7 @@
 		return false
 	}
 	return a.c.OK && c.wait(ctx, func() (ok, over bool) {
-		return c.node.Applied() >= a.c.Index && c.servers.table.Version() >= a.c.Servers, c.diskDown
+		return c.node.Applied() >= a.c.Index && c.servers.table.Version() >= a.c.ServersVersion, c.diskDown
 	})
 }
 
@@ -179,9 +179,9 @@
 			return
 		}
 		c.mu.Unlock()
-		if conn, err := c.cfg.Conns.To(addr); addr != "" && err == nil {
+		if conn, err := c.cfg.Conns.Conn(addr); addr != "" && err == nil {
 			ctx, cancel := context.WithTimeout(c.ctx, confirmWait)
-			if r, err := api.CallConfirm(ctx, conn); err == nil {
+			if r, err := api.CallReadIndex(ctx, conn); err == nil {
 				a.c = *r
 			}
 			cancel()
@@ -193,12 +193,12 @@
 // ---- News ----
 
 // Watch answers a limiter when there is news, or when its wait is over.
-func (c *Core) Watch(ctx context.Context, q *api.Watch) (*api.News, error) {
+func (c *Core) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
 	came := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.leads() && c.leaderAddr() == "" || c.asks.waiting >= mostWatches {
-		return &api.News{Core: c.coreAddrs()}, nil
+		return &api.WatchResponse{Members: c.coreAddrs()}, nil
 	}
 	c.asks.waiting++
 	defer func() { c.asks.waiting-- }()
@@ -208,18 +208,18 @@
 		}
 	}
 	held := time.Since(came)
-	n := &api.News{Lease: c.confirmed(ctx), HeldMs: held.Milliseconds(), Leader: c.leaderAddr(), Core: c.coreAddrs()}
+	n := &api.WatchResponse{Lease: c.confirmed(ctx), LeaseDelayMs: held.Milliseconds(), Leader: c.leaderAddr(), Members: c.coreAddrs()}
 	if !n.Lease {
 		return n, nil
 	}
 	var err error
 	if n.Revision = c.state.Revision; n.Revision > q.Revision {
-		if n.Config, err = parcel(&c.configs, q.Revision); err != nil {
+		if n.ConfigDelta, err = parcel(&c.configs, q.Revision); err != nil {
 			return nil, err
 		}
 	}
-	if n.Servers = c.servers.table.Version(); n.Servers > q.Servers {
-		if n.List, err = parcel(&c.servers.table, q.Servers); err != nil {
+	if n.ServersVersion = c.servers.table.Version(); n.ServersVersion > q.ServersVersion {
+		if n.ServersDelta, err = parcel(&c.servers.table, q.ServersVersion); err != nil {
 			return nil, err
 		}
 	}
@@ -228,10 +228,10 @@
 }
 
 // awaitNews waits for something newer than the asker has; false: the call is over.
-func (c *Core) awaitNews(ctx context.Context, q *api.Watch) bool {
+func (c *Core) awaitNews(ctx context.Context, q *api.WatchRequest) bool {
 	t := time.NewTimer(max(1, min(watchMost, time.Duration(q.WaitMs)*time.Millisecond)))
 	defer t.Stop()
-	for c.state.Revision <= q.Revision && c.servers.table.Version() <= q.Servers {
+	for c.state.Revision <= q.Revision && c.servers.table.Version() <= q.ServersVersion {
 		changed := c.changed
 		c.mu.Unlock()
 		late, over := false, false
@@ -254,16 +254,16 @@
 }
 
 // parcel is the difference to a table's newest version, with its first piece.
-func parcel(t *versioned.Table, from uint64) (*api.Parcel, error) {
+func parcel(t *versioned.Table, from uint64) (*api.EncodedDelta, error) {
 	b, err := t.Since(from)
 	if err != nil {
 		return nil, err
 	}
-	return &api.Parcel{From: b.From, To: b.To, Size: len(b.Data), Data: b.Data[:min(len(b.Data), api.PieceSize)]}, nil
+	return &api.EncodedDelta{From: b.From, To: b.To, Size: len(b.Data), Data: b.Data[:min(len(b.Data), api.ChunkSize)]}, nil
 }
 
 // Fetch returns one more piece of a difference.
-func (c *Core) Fetch(_ context.Context, q *api.Fetch) (*api.Piece, error) {
+func (c *Core) Fetch(_ context.Context, q *api.FetchRequest) (*api.Chunk, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := &c.configs
@@ -272,9 +272,9 @@
 	}
 	b, ok := t.Blob(q.From, q.To)
 	if !ok || q.Offset < 0 || q.Offset >= len(b.Data) {
-		return &api.Piece{}, nil
+		return &api.Chunk{}, nil
 	}
-	return &api.Piece{Data: b.Data[q.Offset:min(len(b.Data), q.Offset+api.PieceSize)]}, nil
+	return &api.Chunk{Data: b.Data[q.Offset:min(len(b.Data), q.Offset+api.ChunkSize)]}, nil
 }
 
 // follow keeps the leader's list of servers at a member that does not lead.
@@ -293,21 +293,21 @@
 }
 
 func (c *Core) followOnce(ctx context.Context, addr string, have uint64) bool {
-	conn, err := c.cfg.Conns.To(addr)
+	conn, err := c.cfg.Conns.Conn(addr)
 	if err != nil {
 		return false
 	}
 	call, cancel := context.WithTimeout(ctx, followWait+confirmWait)
 	defer cancel()
 	// Its own log brings it the configurations.
-	n, err := api.CallWatch(call, conn, &api.Watch{Name: "core", Revision: math.MaxUint64, Servers: have, WaitMs: followWait.Milliseconds()})
+	n, err := api.CallWatch(call, conn, &api.WatchRequest{Name: "core", Revision: math.MaxUint64, ServersVersion: have, WaitMs: followWait.Milliseconds()})
 	if err != nil || !n.Lease {
 		return false
 	}
-	if n.List == nil {
+	if n.ServersDelta == nil {
 		return true
 	}
-	data, err := FetchParcel(call, n.List, func(ctx context.Context, q *api.Fetch) (*api.Piece, error) { return api.CallFetch(ctx, conn, q) },
+	data, err := FetchParcel(call, n.ServersDelta, func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) { return api.CallFetch(ctx, conn, q) },
 		api.ServerTable)
 	if err != nil {
 		return false
@@ -331,13 +331,13 @@
 }
 
 // FetchParcel returns all of a difference whose first piece has come.
-func FetchParcel(ctx context.Context, p *api.Parcel, fetch func(context.Context, *api.Fetch) (*api.Piece, error), table uint8) ([]byte, error) {
+func FetchParcel(ctx context.Context, p *api.EncodedDelta, fetch func(context.Context, *api.FetchRequest) (*api.Chunk, error), table uint8) ([]byte, error) {
 	if p.Size > maxParcel || len(p.Data) > p.Size {
 		return nil, errParcel
 	}
 	data := p.Data
 	for len(data) < p.Size {
-		r, err := fetch(ctx, &api.Fetch{Table: table, From: p.From, To: p.To, Offset: len(data)})
+		r, err := fetch(ctx, &api.FetchRequest{Table: table, From: p.From, To: p.To, Offset: len(data)})
 		if err != nil {
 			return nil, err
 		}
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -39,11 +39,11 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	n, err := k.Watch(ctx, &api.Watch{})
-	if err != nil || !n.Lease || n.List == nil {
+	n, err := k.Watch(ctx, &api.WatchRequest{})
+	if err != nil || !n.Lease || n.ServersDelta == nil {
 		return nil
 	}
-	r, err := versioned.Open(n.List.Data)
+	r, err := versioned.Open(n.ServersDelta.Data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,8 +77,8 @@
 	defer cancel()
 	for addr, k := range c.cores {
 		c.until("an answer of "+addr, func() bool {
-			n, err := k.Watch(ctx, &api.Watch{})
-			return err == nil && n.Lease && n.Revision == 5 && n.Config != nil && n.List != nil
+			n, err := k.Watch(ctx, &api.WatchRequest{})
+			return err == nil && n.Lease && n.Revision == 5 && n.ConfigDelta != nil && n.ServersDelta != nil
 		})
 		if got := fmt.Sprint(listOf(t, k)); got != "map[i-0:in_service i-1:draining]" {
 			t.Errorf("%s tells %s", addr, got)
@@ -90,7 +90,7 @@
 			c.stops[addr]()
 		}
 	}
-	if n, err := last.Watch(ctx, &api.Watch{}); err != nil || n.Lease {
+	if n, err := last.Watch(ctx, &api.WatchRequest{}); err != nil || n.Lease {
 		t.Errorf("a lease without a majority: %+v, %v", n, err)
 	}
 }
@@ -122,16 +122,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	for addr, k := range c.cores {
-		var n *api.News
+		var n *api.WatchResponse
 		c.until("news of "+addr, func() (ok bool) {
 			var err error
-			n, err = k.Watch(ctx, &api.Watch{Revision: 1, Servers: math.MaxUint64})
+			n, err = k.Watch(ctx, &api.WatchRequest{Revision: 1, ServersVersion: math.MaxUint64})
 			return err == nil && n.Lease && n.Revision == 2
 		})
-		if n.Config == nil || n.Config.From != 1 || n.Config.Size > 1000 {
-			t.Errorf("%s: %+v", addr, n.Config)
+		if n.ConfigDelta == nil || n.ConfigDelta.From != 1 || n.ConfigDelta.Size > 1000 {
+			t.Errorf("%s: %+v", addr, n.ConfigDelta)
 		}
-		if n, err := k.Watch(ctx, &api.Watch{Revision: 2, Servers: math.MaxUint64}); err != nil || n.Config != nil || n.List != nil {
+		if n, err := k.Watch(ctx, &api.WatchRequest{Revision: 2, ServersVersion: math.MaxUint64}); err != nil || n.ConfigDelta != nil || n.ServersDelta != nil {
 			t.Errorf("%s tells again: %+v, %v", addr, n, err)
 		}
 	}
@@ -218,7 +218,7 @@
 			}
 			inFlight += len(p.Data)
 		}
-		if inFlight > 300*api.PieceSize || configs.Held() > 2*versioned.MostHeld {
+		if inFlight > 300*api.ChunkSize || configs.Held() > 2*versioned.MostHeld {
 			t.Fatalf("version %d: %d bytes on their way, %d held", version, inFlight, configs.Held())
 		}
 	}
--- a/dataplane/flight.go
+++ b/dataplane/flight.go
@@ -38,7 +38,7 @@
 
 func newFlight(g *Gateway, r *request) *flight {
 	f := &flight{g: g, r: r, ended: make(chan *serverTry, max(1, r.route.Retries))}
-	f.course = g.limiter.NewFlight(limiter.Request{Service: r.service, Route: r.route.Name, Bulk: r.route.Type == api.Download, Repeatable: r.route.Repeatable(),
+	f.course = g.limiter.NewFlight(limiter.Request{Service: r.service, Route: r.route.Name, Bulk: r.route.Type == api.Download, Repeatable: r.route.IsIdempotent(),
 		Held: r.stream == nil, Tries: r.route.Retries, ArrivedMs: inMs(r.arrived.Sub(g.start)), DeadlineMs: inMs(r.deadline.Sub(g.start)),
 		AimMs: inMs(r.route.aim)})
 	r.course = f.course
--- a/dataplane/forward.go
+++ b/dataplane/forward.go
@@ -61,7 +61,7 @@
 	m := at.member
 	for {
 		take := g.pool.Take
-		if !r.route.Repeatable() {
+		if !r.route.IsIdempotent() {
 			take = g.pool.TakeFresh
 		}
 		c := take(host)
--- a/dataplane/front.go
+++ b/dataplane/front.go
@@ -132,7 +132,7 @@
 		mine, done := turn, make(chan struct{})
 		turn = done
 		r, a := c.prepare(head, arrived, mine)
-		if a == nil && r.stream == nil && r.route.Repeatable() && !head.Closes() {
+		if a == nil && r.stream == nil && r.route.IsIdempotent() && !head.Closes() {
 			places <- struct{}{}
 			answers.Go(func() {
 				c.respond(r, nil, mine, seq)
@@ -141,7 +141,7 @@
 			})
 			continue
 		}
-		if a == nil && !r.route.Repeatable() && !c.comesTo(mine) {
+		if a == nil && !r.route.IsIdempotent() && !c.comesTo(mine) {
 			return
 		}
 		closes := c.respond(r, a, mine, seq)
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -472,7 +472,7 @@
 	g := newGateway(t)
 	var all []api.Peer
 	for i := range 300 {
-		all = append(all, api.Peer{Name: "limiter-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(i+1), Zone: "z" + strconv.Itoa(i%5), Life: 1, Incarnation: 1, Edge: true})
+		all = append(all, api.Peer{Name: "limiter-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(i+1), Zone: "z" + strconv.Itoa(i%5), StartID: 1, Incarnation: 1, Edge: true})
 	}
 	g.ChangePeers(all)
 	regroups := func() (n, others int) {
@@ -481,7 +481,7 @@
 		return g.regroups, g.limiter.Others()
 	}
 	again := []api.Peer{all[7]}
-	again[0].Life, again[0].Incarnation, again[0].Addr = 2, 2, "127.0.0.1:9999"
+	again[0].StartID, again[0].Incarnation, again[0].Addr = 2, 2, "127.0.0.1:9999"
 	if n := testing.AllocsPerRun(100, func() { g.ChangePeers(again) }); n != 0 {
 		t.Errorf("a limiter that starts again costs %v allocations", n)
 	}
--- a/dataplane/news_test.go
+++ b/dataplane/news_test.go
@@ -23,7 +23,7 @@
 	if err := c.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	split, err := api.SplitConfig(data, nil)
+	split, err := api.BuildConfigRows(data, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	t.Helper()
 	rows := map[string][]byte{}
 	for _, s := range list {
-		row, err := api.ServerRow(s, s.WarmupMs)
+		row, err := api.EncodeServerRow(s, s.WarmupMs)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/dataplane/view.go
+++ b/dataplane/view.go
@@ -75,7 +75,7 @@
 
 func newRoute(r *api.Route) *route {
 	x := &route{Route: *r, timeout: millis(r.TimeoutMs), aim: millis(r.TargetMs)}
-	for _, s := range r.Split {
+	for _, s := range r.TrafficSplit {
 		x.sum += s.Weight
 	}
 	return x
@@ -143,16 +143,16 @@
 		e.sum ^= mark
 		e.marks.Delete(row.Key)
 	}
-	if !x.Gone {
+	if !x.Removed {
 		mark := versioned.Mark(row.Key, row.Value)
 		e.sum ^= mark
 		e.marks.Put(row.Key, mark)
 	}
 	switch {
 	case x.Route != nil:
-		e.route(x.Route, x.Gone)
+		e.route(x.Route, x.Removed)
 	case x.Tenant != nil:
-		e.tenant(x.Tenant, x.Gone)
+		e.tenant(x.Tenant, x.Removed)
 	case x.Limits != nil:
 		e.limits(x.Limits)
 	}
@@ -255,12 +255,12 @@
 
 // service picks one of a route's services, by a number below 1.
 func (r *route) service(x float64) string {
-	if len(r.Split) == 0 {
+	if len(r.TrafficSplit) == 0 {
 		return r.Upstream
 	}
 	x *= r.sum
 	last := ""
-	for _, s := range r.Split {
+	for _, s := range r.TrafficSplit {
 		if s.Weight <= 0 {
 			continue
 		}
--- a/lab/controlbench/held_test.go
+++ b/lab/controlbench/held_test.go
@@ -39,13 +39,13 @@
 	config := hollow.Config(routes, 100, 3)
 	var (
 		mu     sync.Mutex
-		queued [][]byte     // answers that are being written: the newest for each watcher
-		given  []*api.News  // all answers that were given out ...
-		pieces []*api.Piece // ... and all pieces
+		queued [][]byte             // answers that are being written: the newest for each watcher
+		given  []*api.WatchResponse // all answers that were given out ...
+		pieces []*api.Chunk         // ... and all pieces
 	)
 	for change := range changes + 1 {
 		config.Revision = uint64(change + 1)
-		config.Routes[change].Split[0].Weight++
+		config.Routes[change].TrafficSplit[0].Weight++
 		bring(t, ctx, core, config)
 		if change == 0 {
 			var list []api.Server
@@ -89,7 +89,7 @@
 	if held > most {
 		t.Errorf("the core holds %.1f MB for %d watchers, %.1f at most", held/1e6, watchers, most/1e6)
 	}
-	if s.NewsBytes > s.NewsBytesMost || queues > 2*watchers*2*api.PieceSize {
+	if s.NewsBytes > s.NewsBytesMost || queues > 2*watchers*2*api.ChunkSize {
 		t.Errorf("%d bytes of differences of %d at most, %d of queues", s.NewsBytes, s.NewsBytesMost, queues)
 	}
 	runtime.KeepAlive(given)
@@ -98,22 +98,22 @@
 }
 
 // whole has a watcher told all, as one that has nothing.
-func whole(ctx context.Context, core *controlplane.Core) (*api.News, []*api.Piece, error) {
-	n, err := core.Watch(ctx, &api.Watch{Name: "w"})
+func whole(ctx context.Context, core *controlplane.Core) (*api.WatchResponse, []*api.Chunk, error) {
+	n, err := core.Watch(ctx, &api.WatchRequest{Name: "w"})
 	if err != nil {
 		return nil, nil, err
 	}
-	if !n.Lease || n.Config == nil || n.List == nil {
-		return nil, nil, fmt.Errorf("lease %v, configuration %v, list %v", n.Lease, n.Config != nil, n.List != nil)
+	if !n.Lease || n.ConfigDelta == nil || n.ServersDelta == nil {
+		return nil, nil, fmt.Errorf("lease %v, configuration %v, list %v", n.Lease, n.ConfigDelta != nil, n.ServersDelta != nil)
 	}
-	var pieces []*api.Piece
-	for at := len(n.Config.Data); at < n.Config.Size; {
-		p, err := core.Fetch(ctx, &api.Fetch{Table: api.ConfigTable, From: n.Config.From, To: n.Config.To, Offset: at})
+	var pieces []*api.Chunk
+	for at := len(n.ConfigDelta.Data); at < n.ConfigDelta.Size; {
+		p, err := core.Fetch(ctx, &api.FetchRequest{Table: api.ConfigTable, From: n.ConfigDelta.From, To: n.ConfigDelta.To, Offset: at})
 		if err != nil {
 			return nil, nil, err
 		}
-		if len(p.Data) == 0 || len(p.Data) > api.PieceSize {
-			return nil, nil, fmt.Errorf("a piece of %d bytes at %d of %d", len(p.Data), at, n.Config.Size)
+		if len(p.Data) == 0 || len(p.Data) > api.ChunkSize {
+			return nil, nil, fmt.Errorf("a piece of %d bytes at %d of %d", len(p.Data), at, n.ConfigDelta.Size)
 		}
 		pieces = append(pieces, p)
 		at += len(p.Data)
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conns := api.NewConns(nil)
+	conns := api.NewConnPool(nil)
 	const addr = "127.0.0.1:1" // nobody calls it
 	core, err := controlplane.NewCore(controlplane.CoreConfig{Addr: addr, Seeds: []string{addr}, Bootstrap: true, Voters: 1, Store: store, Conns: conns,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Seed: 1})
@@ -158,7 +158,7 @@
 	again := time.NewTicker(10 * time.Millisecond)
 	defer again.Stop()
 	for {
-		r, err := core.Replace(ctx, &api.Replace{Base: c.Revision - 1, Config: data})
+		r, err := core.Replace(ctx, &api.ReplaceRequest{Base: c.Revision - 1, Config: data})
 		if err == nil && r.Status == http.StatusOK {
 			return
 		}
--- a/lab/controlbench/hollow/hollow.go
+++ b/lab/controlbench/hollow/hollow.go
@@ -154,7 +154,7 @@
 		}
 	}
 	again, gone := [1]api.Peer{w.peers[len(w.peers)-1]}, [1]api.Peer{w.peers[len(w.peers)-1]}
-	again[0].Life, again[0].Incarnation, gone[0].State = 1, 2, membership.Dead
+	again[0].StartID, again[0].Incarnation, gone[0].State = 1, 2, membership.Dead
 	steps := []struct {
 		name  string
 		bytes int
@@ -220,7 +220,7 @@
 	w := &world{spec: s}
 	for i := range s.Limiters {
 		w.peers = append(w.peers, api.Peer{Name: fmt.Sprint("limiter-", i), Addr: fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250), Zone: zone(i, s.Zones),
-			Life: xxhash.Sum64String(fmt.Sprint(i)), Incarnation: 1, Edge: true})
+			StartID: xxhash.Sum64String(fmt.Sprint(i)), Incarnation: 1, Edge: true})
 	}
 	data, err := cbor.Marshal(w.peers)
 	if err != nil {
@@ -233,10 +233,10 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(data) > api.MaxConfig {
-			return nil, fmt.Errorf("a configuration of %d bytes: %d at most (api.MaxConfig)", len(data), api.MaxConfig)
+		if len(data) > api.MaxConfigBytes {
+			return nil, fmt.Errorf("a configuration of %d bytes: %d at most (api.MaxConfig)", len(data), api.MaxConfigBytes)
 		}
-		split, err := api.SplitConfig(data, nil)
+		split, err := api.BuildConfigRows(data, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -248,7 +248,7 @@
 	c := Config(s.Routes, s.Tenants, s.Services)
 	if w.config, err = take(&table, c); err == nil {
 		c.Revision++
-		c.Routes[0].Split[0].Weight++
+		c.Routes[0].TrafficSplit[0].Weight++
 		w.route, err = take(&table, c)
 	}
 	if err == nil {
@@ -263,7 +263,7 @@
 	rows := map[string][]byte{}
 	add := func(i int) error {
 		m := Server(i, s.Services, s.Zones)
-		rows[m.ID], err = api.ServerRow(m, 0)
+		rows[m.ID], err = api.EncodeServerRow(m, 0)
 		return err
 	}
 	fresh := func() map[string][]byte { // a table keeps what it is given
@@ -307,7 +307,7 @@
 	for i := range routes {
 		c.Routes = append(c.Routes, api.Route{Name: fmt.Sprintf("r-%05d", i), Host: fmt.Sprintf("host%d.example", i%200),
 			Prefix: fmt.Sprintf("/p%d/%x/", i/200, uint32(i)*2654435761), Type: api.Idempotent, TimeoutMs: 1000, TargetMs: 300, Retries: 2,
-			Split: []api.Split{{Upstream: service(i), Weight: 50}, {Upstream: service(i + 1), Weight: 50}}})
+			TrafficSplit: []api.WeightedUpstream{{Upstream: service(i), Weight: 50}, {Upstream: service(i + 1), Weight: 50}}})
 	}
 	for i := range tenants {
 		c.Tenants = append(c.Tenants, api.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprintf("k%d-%x", i, xxhash.Sum64String(fmt.Sprint("key", i)))}, Rate: 100, Burst: 100})
--- a/lab/controlbench/measure.go
+++ b/lab/controlbench/measure.go
@@ -90,7 +90,7 @@
 	for i := range r.spec.Routes {
 		r.config.Routes = append(r.config.Routes, api.Route{Name: fmt.Sprintf("r-%05d", i), Host: fmt.Sprintf("host%d.example", i%200),
 			Prefix: fmt.Sprintf("/p%d/%x/", i/200, r.rng.Uint32()), Type: api.Idempotent, TimeoutMs: 1000, TargetMs: 300, Retries: 2,
-			Split: []api.Split{{Upstream: fmt.Sprint("service-", i%r.spec.Services), Weight: 50}, {Upstream: fmt.Sprint("service-", (i+1)%r.spec.Services), Weight: 50}}})
+			TrafficSplit: []api.WeightedUpstream{{Upstream: fmt.Sprint("service-", i%r.spec.Services), Weight: 50}, {Upstream: fmt.Sprint("service-", (i+1)%r.spec.Services), Weight: 50}}})
 	}
 	for i := range r.spec.Tenants {
 		r.config.Tenants = append(r.config.Tenants, api.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprintf("k%d-%x", i, r.rng.Uint64())}, Rate: 100, Burst: 100})
@@ -117,7 +117,7 @@
 	}
 	base := r.config.Revision
 	r.config.Revision++
-	s := r.config.Routes[r.rng.IntN(len(r.config.Routes))].Split
+	s := r.config.Routes[r.rng.IntN(len(r.config.Routes))].TrafficSplit
 	s[0].Weight++
 	sent := time.Now()
 	at, err := r.bring(ctx, base)
--- a/lab/controlbench/watcher.go
+++ b/lab/controlbench/watcher.go
@@ -101,7 +101,7 @@
 		w.revision.Store(0)
 		w.servers.Store(0)
 	}
-	q := &api.Watch{Name: "w", Revision: w.revision.Load(), Servers: w.servers.Load(), WaitMs: askWait.Milliseconds()}
+	q := &api.WatchRequest{Name: "w", Revision: w.revision.Load(), ServersVersion: w.servers.Load(), WaitMs: askWait.Milliseconds()}
 	w.counts.asks.Add(1)
 	call, cancel := context.WithTimeout(ctx, askWait+askSpare)
 	n, err := api.CallWatch(call, conn, q)
@@ -112,7 +112,7 @@
 	if n.Lease {
 		w.leased()
 	}
-	if !w.take(ctx, conn, n.Config, api.ConfigTable, &w.revision) || !w.take(ctx, conn, n.List, api.ServerTable, &w.servers) {
+	if !w.take(ctx, conn, n.ConfigDelta, api.ConfigTable, &w.revision) || !w.take(ctx, conn, n.ServersDelta, api.ServerTable, &w.servers) {
 		return false
 	}
 	if n.Lease && !w.serves && w.revision.Load() != 0 && w.servers.Load() != 0 {
@@ -131,7 +131,7 @@
 }
 
 // take has a difference come over the link.
-func (w *watcher) take(ctx context.Context, conn *grpc.ClientConn, p *api.Parcel, table uint8, version *atomic.Uint64) bool {
+func (w *watcher) take(ctx context.Context, conn *grpc.ClientConn, p *api.EncodedDelta, table uint8, version *atomic.Uint64) bool {
 	if p == nil {
 		return true
 	}
@@ -143,7 +143,7 @@
 		}
 	}
 	pace(len(p.Data))
-	data, err := controlplane.FetchParcel(ctx, p, func(ctx context.Context, q *api.Fetch) (*api.Piece, error) {
+	data, err := controlplane.FetchParcel(ctx, p, func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
 		call, cancel := context.WithTimeout(ctx, askWait)
 		defer cancel()
 		w.counts.pieces.Add(1)
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	n.policy, n.up, n.born, n.open, n.told, n.seen = p, true, f.engine.now, map[*flight]bool{}, 0, 0
-	n.view = membership.NewView(api.Peer{Name: n.name, Addr: n.name, Zone: n.zone, Life: n.life, Edge: true})
+	n.view = membership.NewView(api.Peer{Name: n.name, Addr: n.name, Zone: n.zone, StartID: n.life, Edge: true})
 	life := n.life
 	n.policy.Servers(n.clock(), f.list())
 	var tick, beat func()
@@ -164,7 +164,7 @@
 }
 
 // exchange sends a heartbeat, and a second round where the views differ.
-func (n *node) exchange(o *node, b *api.Beat) {
+func (n *node) exchange(o *node, b *api.HeartbeatRequest) {
 	f, life := n.f, n.life
 	n.traffic.beat(b)
 	if f.cutOff(n, o) {
--- a/lab/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -74,13 +74,13 @@
 }
 
 // beat counts a heartbeat.
-func (t *Traffic) beat(b *api.Beat) {
+func (t *Traffic) beat(b *api.HeartbeatRequest) {
 	t.Beats++
 	t.BeatBytes += encoded(b) + callOverhead
 }
 
 // answer counts the answer to one.
-func (t *Traffic) answer(r *api.BeatReply) { t.BeatBytes += encoded(r) + callOverhead }
+func (t *Traffic) answer(r *api.HeartbeatResponse) { t.BeatBytes += encoded(r) + callOverhead }
 
 func encoded(v any) float64 {
 	b, err := cbor.Marshal(v)
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -19,7 +19,7 @@
 func goldenViews() (a, b *View, now time.Duration) {
 	now = 10 * time.Second
 	peer := func(i int, state uint8) api.Peer {
-		return api.Peer{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("10.0.0.", i, ":9"), Zone: "z", Life: uint64(1000 + i),
+		return api.Peer{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("10.0.0.", i, ":9"), Zone: "z", StartID: uint64(1000 + i),
 			Incarnation: uint64(i), State: state, Edge: i%2 == 0, Core: i%3 == 0}
 	}
 	a, b = NewView(peer(1, Alive)), NewView(peer(2, Alive))
--- a/membership/service.go
+++ b/membership/service.go
@@ -21,7 +21,7 @@
 
 // Service is the host of a [View]: it sends and answers heartbeats.
 type Service struct {
-	conns *api.Conns
+	conns *api.ConnPool
 	log   *slog.Logger
 	rng   *rand.Rand
 	start time.Time
@@ -39,7 +39,7 @@
 
 // New returns a service. onNews is told of the processes of which something has changed,
 // this one among them, by one call at a time.
-func New(self api.Peer, seeds func() []string, conns *api.Conns, seed uint64, log *slog.Logger, onNews func([]api.Peer)) *Service {
+func New(self api.Peer, seeds func() []string, conns *api.ConnPool, seed uint64, log *slog.Logger, onNews func([]api.Peer)) *Service {
 	return &Service{conns: conns, log: log, rng: rand.New(rand.NewPCG(seed, 0xbea7)), start: time.Now(), seeds: seeds,
 		view: NewView(self), active: map[string]bool{}, onNews: onNews}
 }
@@ -126,19 +126,19 @@
 }
 
 // beat sends one heartbeat, and a second round where the views differ.
-func (s *Service) beat(ctx context.Context, addr string, b *api.Beat) {
+func (s *Service) beat(ctx context.Context, addr string, b *api.HeartbeatRequest) {
 	defer func() {
 		s.mu.Lock()
 		delete(s.active, addr)
 		s.mu.Unlock()
 	}()
 	for b != nil {
-		conn, err := s.conns.To(addr)
+		conn, err := s.conns.Conn(addr)
 		if err != nil {
 			return
 		}
 		call, cancel := context.WithTimeout(ctx, beatTimeout)
-		r, err := api.CallBeat(call, conn, b)
+		r, err := api.CallHeartbeat(call, conn, b)
 		cancel()
 		if err != nil {
 			s.log.Debug("a heartbeat was not answered", "addr", addr, "err", err)
@@ -152,7 +152,7 @@
 }
 
 // Beat answers a heartbeat.
-func (s *Service) Beat(_ context.Context, b *api.Beat) (*api.BeatReply, error) {
+func (s *Service) Heartbeat(_ context.Context, b *api.HeartbeatRequest) (*api.HeartbeatResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.view.Answer(s.now(), b)
--- a/membership/view.go
+++ b/membership/view.go
@@ -171,7 +171,7 @@
 		}
 		if p.Name == v.self.Name {
 			// Something older than this life, or a rumour of its death, is overruled.
-			if p.Life != v.self.Life && p.Incarnation >= v.self.Incarnation ||
+			if p.StartID != v.self.StartID && p.Incarnation >= v.self.Incarnation ||
 				p.Incarnation >= v.self.Incarnation && p.State > v.self.State {
 				v.say(func(s *api.Peer) { s.Incarnation = p.Incarnation + 1 })
 				news = true
@@ -210,7 +210,7 @@
 		if p.State == Dead && o.State != Dead {
 			r.deadAt = now
 		}
-		if p.State != Dead && (o.State == Dead || o.Life != p.Life) {
+		if p.State != Dead && (o.State == Dead || o.StartID != p.StartID) {
 			r.heardAt = now
 		}
 		if o.State == Dead {
@@ -229,8 +229,8 @@
 // ---- Exchanges ----
 
 // Beat returns the heartbeat of now.
-func (v *View) Beat(now time.Duration) *api.Beat {
-	return &api.Beat{From: v.self, Digest: v.Digest(), Peers: v.late(now)}
+func (v *View) Beat(now time.Duration) *api.HeartbeatRequest {
+	return &api.HeartbeatRequest{From: v.self, Digest: v.Digest(), Peers: v.late(now)}
 }
 
 // late are the processes of which something has changed of late.
@@ -259,37 +259,37 @@
 }
 
 // Answer takes in a heartbeat and returns the answer to it.
-func (v *View) Answer(now time.Duration, b *api.Beat) *api.BeatReply {
+func (v *View) Answer(now time.Duration, b *api.HeartbeatRequest) *api.HeartbeatResponse {
 	v.Heard(now, b.From)
 	v.Merge(now, b.Peers)
-	r := &api.BeatReply{Digest: v.Digest()}
+	r := &api.HeartbeatResponse{Digest: v.Digest()}
 	switch {
 	case r.Digest == b.Digest:
-	case b.Want != 0:
-		r.Peers = v.in(b.Want)
+	case b.RequestedBuckets != 0:
+		r.Peers = v.in(b.RequestedBuckets)
 	default:
-		r.Peers, r.Buckets = v.late(now), v.folded()
+		r.Peers, r.BucketDigests = v.late(now), v.folded()
 	}
 	return r
 }
 
 // Answered takes in the answer to a heartbeat, and returns the second round's
 // where one is needed.
-func (v *View) Answered(now time.Duration, r *api.BeatReply) (again *api.Beat) {
+func (v *View) Answered(now time.Duration, r *api.HeartbeatResponse) (again *api.HeartbeatRequest) {
 	v.Merge(now, r.Peers)
-	if v.Digest() == r.Digest || len(r.Buckets) != buckets {
+	if v.Digest() == r.Digest || len(r.BucketDigests) != buckets {
 		return nil
 	}
 	mask := uint64(0)
 	for i, d := range v.folded() {
-		if d != r.Buckets[i] {
+		if d != r.BucketDigests[i] {
 			mask |= 1 << i
 		}
 	}
 	if mask == 0 {
 		return nil
 	}
-	return &api.Beat{From: v.self, Digest: v.Digest(), Peers: v.in(mask), Want: mask}
+	return &api.HeartbeatRequest{From: v.self, Digest: v.Digest(), Peers: v.in(mask), RequestedBuckets: mask}
 }
 
 // folded are the digests of the view's parts, in half the bytes.
@@ -309,13 +309,13 @@
 	if a.State != b.State {
 		return a.State > b.State
 	}
-	return a.Life > b.Life // two lives that chose the same figure: one of them will go on to a higher one
+	return a.StartID > b.StartID // two lives that chose the same figure: one of them will go on to a higher one
 }
 
 // Heard notes a heartbeat.
 func (v *View) Heard(now time.Duration, from api.Peer) bool {
 	news := v.Merge(now, []api.Peer{from})
-	if r := v.peers[from.Name]; r != nil && r.Life == from.Life {
+	if r := v.peers[from.Name]; r != nil && r.StartID == from.StartID {
 		r.heardAt = now
 	}
 	return news
@@ -397,7 +397,7 @@
 	h.WriteString(p.Name)
 	h.WriteString(p.Addr)
 	var b [17]byte
-	binary.BigEndian.PutUint64(b[:], p.Life)
+	binary.BigEndian.PutUint64(b[:], p.StartID)
 	binary.BigEndian.PutUint64(b[8:], p.Incarnation)
 	b[16] = p.State
 	h.Write(b[:])
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -17,7 +17,7 @@
 )
 
 func peerOf(i int) api.Peer {
-	return api.Peer{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("10.0.0.", i, ":1"), Life: uint64(i + 1), Edge: true}
+	return api.Peer{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("10.0.0.", i, ":1"), StartID: uint64(i + 1), Edge: true}
 }
 
 // fleet exchanges beats as the service does, without sockets.
@@ -131,7 +131,7 @@
 		t.Errorf("declared dead after %d beats", rounds)
 	}
 	again := peerOf(5)
-	again.Life = 77
+	again.StartID = 77
 	f.views["n5"] = NewView(again)
 	for i := 0; !f.agree(); i++ {
 		if i > 12 {
@@ -139,7 +139,7 @@
 		}
 		f.round()
 	}
-	if p, _ := f.views["n0"].Peer("n5"); p.State != Alive || p.Life != 77 {
+	if p, _ := f.views["n0"].Peer("n5"); p.State != Alive || p.StartID != 77 {
 		t.Errorf("%+v", p)
 	}
 }
@@ -248,12 +248,12 @@
 
 func testStrangersMeet(t *testing.T) {
 	at := map[string]*pipes{"10.0.0.1:1": newPipes(), "10.0.0.2:1": newPipes()}
-	conns := api.NewConns(nil, grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return at[addr].dial(ctx) }))
+	conns := api.NewConnPool(nil, grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return at[addr].dial(ctx) }))
 	defer conns.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	start := func(name, addr string) *Service {
-		s := New(api.Peer{Name: name, Addr: addr, Life: 1}, func() []string { return nil }, conns, 1, slog.New(slog.DiscardHandler), func([]api.Peer) {})
+		s := New(api.Peer{Name: name, Addr: addr, StartID: 1}, func() []string { return nil }, conns, 1, slog.New(slog.DiscardHandler), func([]api.Peer) {})
 		srv := api.NewServer(nil)
 		api.RegisterMembership(srv, s)
 		go srv.Serve(at[addr])
@@ -277,7 +277,7 @@
 // was forgotten meanwhile; and one change is one row, however many there are.
 func TestNewsKeepACopy(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
-	v, copied, now := NewView(api.Peer{Name: "self", Addr: "s", Life: 1}), map[string]api.Peer{}, time.Duration(1)
+	v, copied, now := NewView(api.Peer{Name: "self", Addr: "s", StartID: 1}), map[string]api.Peer{}, time.Duration(1)
 	take := func() (n int) {
 		for _, p := range v.News() {
 			n++
@@ -288,12 +288,12 @@
 		return n
 	}
 	for i := range 300 {
-		v.Merge(now, []api.Peer{{Name: fmt.Sprint("p", i), Addr: "a", Life: 1, Incarnation: 1}})
+		v.Merge(now, []api.Peer{{Name: fmt.Sprint("p", i), Addr: "a", StartID: 1, Incarnation: 1}})
 	}
 	if n := take(); n != 301 {
 		t.Errorf("%d rows of 301 processes", n)
 	}
-	v.Merge(now, []api.Peer{{Name: "p7", Addr: "b", Life: 2, Incarnation: 2}})
+	v.Merge(now, []api.Peer{{Name: "p7", Addr: "b", StartID: 2, Incarnation: 2}})
 	if n := take(); n != 1 || copied["p7"].Addr != "b" {
 		t.Errorf("one that started again: %d rows, at %s", n, copied["p7"].Addr)
 	}
@@ -302,7 +302,7 @@
 	}
 	for i := range 2000 {
 		now += time.Duration(rng.IntN(200)) * time.Millisecond
-		v.Merge(now, []api.Peer{{Name: fmt.Sprint("p", rng.IntN(400)), Addr: fmt.Sprint("a", i), Life: rng.Uint64(), Incarnation: uint64(rng.IntN(50)), State: uint8(rng.IntN(3))}})
+		v.Merge(now, []api.Peer{{Name: fmt.Sprint("p", rng.IntN(400)), Addr: fmt.Sprint("a", i), StartID: rng.Uint64(), Incarnation: uint64(rng.IntN(50)), State: uint8(rng.IntN(3))}})
 		if v.Check(now); rng.IntN(3) > 0 {
 			continue
 		}
--- a/process/founding.go
+++ b/process/founding.go
@@ -125,19 +125,19 @@
 	var tasks sync.WaitGroup
 	out := map[string]bool{}
 	for _, addr := range seeds {
-		conn, err := h.cfg.Conns.To(addr)
+		conn, err := h.cfg.Conns.Conn(addr)
 		if err != nil {
 			continue
 		}
 		tasks.Go(func() {
-			r, err := api.CallPast(ctx, conn)
+			r, err := api.CallHistory(ctx, conn)
 			if err != nil {
 				conn.ResetConnectBackoff() // it is about to listen
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			out[addr] = r.TookPart
+			out[addr] = r.MayHaveParticipated
 		})
 	}
 	tasks.Wait()
@@ -146,14 +146,14 @@
 
 // Past tells a machine that starts whether this one's member may have taken part in an
 // agreement; one that is not decided yet has not, nor has a machine without a member.
-func (h *host) Past(context.Context, *api.None) (*api.Past, error) {
+func (h *host) History(context.Context, *api.Empty) (*api.HistoryResponse, error) {
 	if h == nil {
-		return &api.Past{}, nil
+		return &api.HistoryResponse{}, nil
 	}
 	if core := h.core(); core != nil {
-		return &api.Past{TookPart: core.TookPart()}, nil
+		return &api.HistoryResponse{MayHaveParticipated: core.TookPart()}, nil
 	}
-	return &api.Past{TookPart: !h.founding.Load()}, nil
+	return &api.HistoryResponse{MayHaveParticipated: !h.founding.Load()}, nil
 }
 
 // toFound tells whether the store is empty and the machine is to be one of several
--- a/process/founding_test.go
+++ b/process/founding_test.go
@@ -54,7 +54,7 @@
 		h    *host
 		want bool
 	}{"no member": {nil, false}, "first start": {founding, false}, "out of the core": {&host{}, true}} {
-		if p, err := c.h.Past(t.Context(), &api.None{}); err != nil || p.TookPart != c.want {
+		if p, err := c.h.History(t.Context(), &api.Empty{}); err != nil || p.MayHaveParticipated != c.want {
 			t.Errorf("%s: %+v, %v", name, p, err)
 		}
 	}
--- a/process/host.go
+++ b/process/host.go
@@ -156,30 +156,30 @@
 
 // What other processes ask of the core.
 
-func (h *host) Watch(ctx context.Context, q *api.Watch) (*api.News, error) {
+func (h *host) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
 	return handle(h, ctx, q, (*controlplane.Core).Watch)
 }
 
-func (h *host) Replace(ctx context.Context, q *api.Replace) (*api.Result, error) {
+func (h *host) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
 	return handle(h, ctx, q, (*controlplane.Core).Replace)
 }
 
-func (h *host) Get(ctx context.Context, q *api.Read) (*api.Result, error) {
+func (h *host) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
 	return handle(h, ctx, q, (*controlplane.Core).Get)
 }
 
-func (h *host) Join(ctx context.Context, q *api.Join) (*api.Result, error) {
+func (h *host) Join(ctx context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
 	return handle(h, ctx, q, (*controlplane.Core).Join)
 }
 
-func (h *host) Deliver(ctx context.Context, q *api.Deliver) (*api.Delivered, error) {
+func (h *host) Deliver(ctx context.Context, q *api.DeliverRequest) (*api.DeliverResponse, error) {
 	return handle(h, ctx, q, (*controlplane.Core).Deliver)
 }
 
-func (h *host) Fetch(ctx context.Context, q *api.Fetch) (*api.Piece, error) {
+func (h *host) Fetch(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
 	return handle(h, ctx, q, (*controlplane.Core).Fetch)
 }
 
-func (h *host) Confirm(ctx context.Context, q *api.None) (*api.Confirmation, error) {
-	return handle(h, ctx, q, (*controlplane.Core).Confirm)
+func (h *host) ReadIndex(ctx context.Context, q *api.Empty) (*api.ReadIndexResponse, error) {
+	return handle(h, ctx, q, (*controlplane.Core).ReadIndex)
 }
--- a/process/host_test.go
+++ b/process/host_test.go
@@ -156,7 +156,7 @@
 	if s := old.Status(); s.Halted == "" || s.ID == now.ID {
 		t.Errorf("the member that has lost something: %+v", s)
 	}
-	if r := c.hosts[1].client.Get(t.Context(), &api.Read{}); r.Status != http.StatusOK || !bytes.Equal(r.Config, conf) {
+	if r := c.hosts[1].client.Get(t.Context(), &api.GetRequest{}); r.Status != http.StatusOK || !bytes.Equal(r.Config, conf) {
 		t.Errorf("its process reads %+v", r)
 	}
 	c.stops[1]()
@@ -191,7 +191,7 @@
 // start starts a machine.
 func (c *core3) start(i int, between func(*storage.Store) controlplane.Store) {
 	c.t.Helper()
-	conns, log := api.NewConns(nil), slog.New(slog.DiscardHandler)
+	conns, log := api.NewConnPool(nil), slog.New(slog.DiscardHandler)
 	h := &host{dir: c.dirs[i], client: &controlplane.Client{Conns: conns, Log: log}, log: log, between: between,
 		cfg: controlplane.CoreConfig{Addr: c.addrs[i], Seeds: c.addrs, Voters: 3, Conns: conns, Log: log, Seed: uint64(i)}}
 	h.client.Learn("", c.addrs)
@@ -234,7 +234,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if r := c.hosts[2].client.Replace(c.t.Context(), &api.Replace{Base: base, Config: conf}); r.Status != http.StatusOK {
+	if r := c.hosts[2].client.Replace(c.t.Context(), &api.ReplaceRequest{Base: base, Config: conf}); r.Status != http.StatusOK {
 		c.t.Fatalf("%d: %+v", revision, r)
 	}
 	return conf
--- a/process/local_test.go
+++ b/process/local_test.go
@@ -15,22 +15,22 @@
 	t.Parallel()
 	var busy atomic.Bool
 	stalled, entered, calls := make(chan struct{}), make(chan struct{}, 8), atomic.Int32{}
-	core := func(context.Context, *api.Watch) (*api.News, error) { // as one that waits for a mutex does, it heeds no context
+	core := func(context.Context, *api.WatchRequest) (*api.WatchResponse, error) { // as one that waits for a mutex does, it heeds no context
 		calls.Add(1)
 		entered <- struct{}{}
 		<-stalled
-		return &api.News{Lease: true}, nil
+		return &api.WatchResponse{Lease: true}, nil
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-entered
 		cancel()
 	}()
-	if _, err := callLocal(ctx, &busy, &api.Watch{}, core); !errors.Is(err, context.Canceled) {
+	if _, err := callLocal(ctx, &busy, &api.WatchRequest{}, core); !errors.Is(err, context.Canceled) {
 		t.Fatalf("a call that is over: %v", err)
 	}
 	for range 3 {
-		if _, err := callLocal(t.Context(), &busy, &api.Watch{}, core); !errors.Is(err, errLocalBusy) {
+		if _, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, core); !errors.Is(err, errLocalBusy) {
 			t.Fatalf("a second call beside one that is not answered: %v", err)
 		}
 	}
@@ -39,7 +39,7 @@
 	}
 	close(stalled)
 	for {
-		n, err := callLocal(t.Context(), &busy, &api.Watch{}, core)
+		n, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, core)
 		if errors.Is(err, errLocalBusy) {
 			continue // the first one is about to end
 		}
--- a/process/news.go
+++ b/process/news.go
@@ -51,30 +51,32 @@
 // member is whom a process asks: the core in it, or one over the network.
 type member struct {
 	conn  *grpc.ClientConn // nil: no network is between
-	watch func(context.Context, *api.Watch) (*api.News, error)
-	fetch func(context.Context, *api.Fetch) (*api.Piece, error)
+	watch func(context.Context, *api.WatchRequest) (*api.WatchResponse, error)
+	fetch func(context.Context, *api.FetchRequest) (*api.Chunk, error)
 }
 
 // whom returns the member to ask, and its address; "" is the core in this process.
 func (p *Process) whom() (m member, addr string, ok bool) {
 	if core := p.host.core(); core != nil && !p.coreFailed {
-		return member{nil, func(ctx context.Context, q *api.Watch) (*api.News, error) {
+		return member{nil, func(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
 			return callLocal(ctx, &p.localCall, q, core.Watch)
 		},
-			func(ctx context.Context, q *api.Fetch) (*api.Piece, error) {
+			func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
 				return callLocal(ctx, &p.localCall, q, core.Fetch)
 			}}, "", true
 	}
 	if addr = p.client.Helper(); addr == "" {
 		return m, "", false
 	}
-	conn, err := p.conns.To(addr)
+	conn, err := p.conns.Conn(addr)
 	if err != nil {
 		p.log.Debug("the core can't be called", "addr", addr, "err", err)
 		return m, addr, false
 	}
-	return member{conn, func(ctx context.Context, q *api.Watch) (*api.News, error) { return api.CallWatch(ctx, conn, q) },
-		func(ctx context.Context, q *api.Fetch) (*api.Piece, error) { return api.CallFetch(ctx, conn, q) }}, addr, true
+	return member{conn, func(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
+		return api.CallWatch(ctx, conn, q)
+	},
+		func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) { return api.CallFetch(ctx, conn, q) }}, addr, true
 }
 
 var errLocalBusy = errors.New("process: the core here has not answered an earlier call yet")
@@ -112,17 +114,17 @@
 
 // ask asks once. It tells whether it was answered with a lease.
 func (p *Process) ask(ctx context.Context, urgent bool) bool {
-	q := &api.Watch{Name: p.cfg.Load().Name, WaitMs: watchWait.Milliseconds()}
+	q := &api.WatchRequest{Name: p.cfg.Load().Name, WaitMs: watchWait.Milliseconds()}
 	asked, timeout := time.Since(p.start), watchWait+watchSpare
 	if g := p.gateway; g != nil {
-		q.Revision, q.Servers, asked = g.Revision(), g.Servers(), g.Since()
+		q.Revision, q.ServersVersion, asked = g.Revision(), g.Servers(), g.Since()
 		urgent = urgent || !g.Leased() || q.Revision == 0
 	}
 	if p.whole[api.ConfigTable] {
 		q.Revision = 0
 	}
 	if p.whole[api.ServerTable] {
-		q.Servers = 0
+		q.ServersVersion = 0
 	}
 	if urgent || p.whole[api.ConfigTable] || p.whole[api.ServerTable] {
 		q.WaitMs, timeout = 0, urgentTimeout
@@ -132,7 +134,7 @@
 		p.passOver(addr)
 		return false
 	}
-	if urgent && m.conn != nil && !api.Reaches(ctx, m.conn, reachWait) {
+	if urgent && m.conn != nil && !api.WaitReady(ctx, m.conn, reachWait) {
 		p.log.Debug("the core is not reached", "addr", addr)
 		p.passOver(addr)
 		return false
@@ -159,20 +161,20 @@
 		return false
 	}
 	if p.gateway.Revision() >= n.Revision {
-		p.gateway.Grant(asked + time.Duration(n.HeldMs)*time.Millisecond)
+		p.gateway.Grant(asked + time.Duration(n.LeaseDelayMs)*time.Millisecond)
 	}
 	return true
 }
 
 // take takes in what is new.
-func (p *Process) take(ctx context.Context, m member, n *api.News) bool {
-	return p.table(ctx, m, api.ConfigTable, n.Config, func(r *versioned.Reader) error { return p.gateway.ChangeConfig(r) }) &&
-		p.table(ctx, m, api.ServerTable, n.List, func(r *versioned.Reader) error { return p.gateway.ChangeServers(r, n.ClockMs) })
+func (p *Process) take(ctx context.Context, m member, n *api.WatchResponse) bool {
+	return p.table(ctx, m, api.ConfigTable, n.ConfigDelta, func(r *versioned.Reader) error { return p.gateway.ChangeConfig(r) }) &&
+		p.table(ctx, m, api.ServerTable, n.ServersDelta, func(r *versioned.Reader) error { return p.gateway.ChangeServers(r, n.ClockMs) })
 }
 
 // table takes in the difference of one table. Where it does not fit what is held
 // here, the whole is asked for next time.
-func (p *Process) table(ctx context.Context, m member, table uint8, parcel *api.Parcel, take func(*versioned.Reader) error) bool {
+func (p *Process) table(ctx context.Context, m member, table uint8, parcel *api.EncodedDelta, take func(*versioned.Reader) error) bool {
 	if parcel == nil {
 		return true
 	}
--- a/process/news_test.go
+++ b/process/news_test.go
@@ -28,7 +28,7 @@
 			go io.Copy(io.Discard, there)
 			return here, nil
 		}
-		p := &Process{log: log, conns: api.NewConns(nil, grpc.WithContextDialer(dial)), start: time.Now()}
+		p := &Process{log: log, conns: api.NewConnPool(nil, grpc.WithContextDialer(dial)), start: time.Now()}
 		defer p.conns.Close()
 		p.cfg.Store(&settings.Node{Name: "n"})
 		p.client = &controlplane.Client{Conns: p.conns, Log: log, Name: "n"}
--- a/process/process.go
+++ b/process/process.go
@@ -63,7 +63,7 @@
 	cfg   atomic.Pointer[settings.Node]
 	look  chan struct{}
 
-	conns   *api.Conns
+	conns   *api.ConnPool
 	client  *controlplane.Client
 	host    *host // of a member of the core; nil where the settings ask for none
 	gateway *dataplane.Gateway
@@ -104,7 +104,7 @@
 		}
 		log.Info("keys", "dir", tune.TLS.Dir, "expires", p.ring.Expires())
 	}
-	p.conns = api.NewConns(p.ring)
+	p.conns = api.NewConnPool(p.ring)
 	p.cfg.Store(cfg)
 	p.client = &controlplane.Client{Conns: p.conns, Log: log, Name: cfg.Name}
 	p.client.Status = p.status
@@ -138,7 +138,7 @@
 			return err
 		}
 	}
-	self := api.Peer{Name: cfg.Name, Addr: cfg.InternalAddr(), Zone: cfg.Zone, Life: seed, Edge: cfg.Serves("edge"), Core: p.host != nil && p.host.whyOut() == ""}
+	self := api.Peer{Name: cfg.Name, Addr: cfg.InternalAddr(), Zone: cfg.Zone, StartID: seed, Edge: cfg.Serves("edge"), Core: p.host != nil && p.host.whyOut() == ""}
 	if !cfg.Serves("edge") { // two processes of one machine have one node name
 		self.Name += "/" + cfg.Role
 	}
