--- a/cmd/elmspan/tools.go
+++ b/cmd/elmspan/tools.go
@@ -56,6 +56,8 @@
 	Dir     string  `help:"Folder for settings, data and logs; a new one below the system's for such where left out." placeholder:"DIR"`
 	CSV     string  `help:"Write a line for each second to this file." placeholder:"FILE"`
 	Debug   bool    `help:"Have the processes log all they do."`
+	Program string  `help:"Run this build of the gateway rather than this program's own." type:"existingfile" placeholder:"PROGRAM"`
+	Upgrade string  `help:"After the day restart the machines one by one into this build while an operator brings changes, then kill all at once: each must come back with it and the newest configuration." name:"upgrade-to" type:"existingfile" placeholder:"PROGRAM"`
 	Profile string  `help:"Have each process that ends in order write a CPU profile to this folder (go tool pprof -top FOLDER/*.pprof), and print what they spent." placeholder:"FOLDER"`
 }
 
@@ -76,11 +78,12 @@
 			return err
 		}
 	}
-	self, err := os.Executable()
-	if err != nil {
-		return err
+	if c.Program == "" {
+		if c.Program, err = os.Executable(); err != nil {
+			return err
+		}
 	}
-	program := []string{self, "gateway"}
+	program := []string{c.Program, "gateway"}
 	if c.Debug {
 		program = append(program, "--log-level", "debug")
 	}
@@ -98,6 +101,11 @@
 	if err != nil {
 		return err
 	}
+	if c.Upgrade != "" {
+		if err := f.RollOut(c.Upgrade); err != nil {
+			return fmt.Errorf("--upgrade-to: %w", err)
+		}
+	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	r, err := f.Run(ctx)
--- a/lab/emulator/client.go
+++ b/lab/emulator/client.go
@@ -32,16 +32,17 @@
 
 func newLoad(f *Fleet) *load {
 	l := &load{f: f, rng: rand.New(rand.NewPCG(f.spec.Seed, 9)), tally: checker.NewTally(f.spec),
-		client: newClient("emulator.example")}
+		client: newClient(hostName)}
 	return l
 }
 
-// run sends the day's requests, spaced at random, and waits for their ends.
-func (l *load) run(end time.Time) {
+// run sends the day's requests, spaced at random, until the context ends, and waits
+// for their answers.
+func (l *load) run(ctx context.Context) {
 	for i := range l.f.spec.Classes {
 		c := &l.f.spec.Classes[i]
 		l.tasks.Go(func() {
-			for time.Now().Before(end) {
+			for ctx.Err() == nil {
 				l.mu.Lock()
 				t, x := l.f.spec.Draw(l.rng, l.hot, l.hotX)
 				pause := l.rng.ExpFloat64() / (c.PerS * x)
@@ -68,7 +69,7 @@
 			return ""
 		},
 		id:  func(try int) string { return fmt.Sprintf("%08x%04x%04x", n, try, l.f.spec.Seed&0xffff) },
-		key: func() string { return l.f.key(t.Name) },
+		key: func() string { return l.f.operator.key(t.Name) },
 		sent: func(id, key string, body []byte) {
 			l.f.ledger.Sent(id, &checker.Try{Class: c, Tenant: t.Name, Key: key, Body: crc32.ChecksumIEEE(body)})
 		},
--- a/lab/emulator/fleet.go
+++ b/lab/emulator/fleet.go
@@ -16,6 +16,7 @@
 	"syscall"
 	"time"
 
+	"example.org/elmspan/internal/backoff"
 	"example.org/elmspan/keys"
 	"example.org/elmspan/lab/checker"
 	"example.org/elmspan/lab/scenario"
@@ -28,6 +29,7 @@
 	killWait    = 7 * time.Second // after SIGTERM
 	firstIP     = 10              // 127.10.0.1 is the first machine of the first zone
 	mostPerZone = 100
+	hostName    = "emulator.example" // that clients ask for
 )
 
 // epoch is what times on the steady clock are counted from.
@@ -36,7 +38,7 @@
 // Fleet is a fleet that runs, with its stand-ins.
 type Fleet struct {
 	spec     *scenario.Day
-	program  []string // the gateway and its arguments
+	args     []string // of the gateway
 	dir      string
 	log      io.Writer
 	ledger   *checker.Ledger
@@ -50,6 +52,10 @@
 	ports    ports
 	exits    atomic.Int64 // of processes, by themselves
 	lives    int
+	rollout  *rollout // nil: the machines keep the build that they began with
+
+	noting sync.Mutex // over notes
+	notes  []string   // for the report
 }
 
 // ports are alike on all machines.
@@ -62,11 +68,17 @@
 	metrics               string
 	core                  bool
 
-	mu    sync.Mutex
+	mu      sync.Mutex
+	program string // that is started next
+	now     running
+	hold    bool // is not started again for now
+	meant   bool // its end was ordered
+}
+
+// running is a process that was started; the zero value is none.
+type running struct {
 	cmd   *exec.Cmd
-	ended chan struct{}
-	hold  bool // is not started again for now
-	meant bool // its end was ordered
+	ended chan struct{} // closed when cmd has ended and was waited for
 }
 
 // NewFleet lays a fleet out in a folder. Program is the gateway's command line.
@@ -79,7 +91,7 @@
 			return nil, fmt.Errorf("emulator: troubles.%d.kind: %s can only be simulated", i, t.Kind)
 		}
 	}
-	f := &Fleet{spec: spec, program: program, dir: dir, log: log, rng: rand.New(rand.NewPCG(spec.Seed, 3))}
+	f := &Fleet{spec: spec, args: program[1:], dir: dir, log: log, rng: rand.New(rand.NewPCG(spec.Seed, 3))}
 	f.begin()
 	f.ledger = checker.New(spec.Retries, f.sinceStart)
 	base, err := freePorts()
@@ -90,7 +102,7 @@
 	for zi, z := range spec.Zones {
 		for i := range spec.PerZone {
 			ip := fmt.Sprintf("127.%d.0.%d", firstIP+zi, i+1)
-			n := &node{name: fmt.Sprintf("edge-%s-%d", z, i+1), zone: z, ip: ip, core: i == 0 && zi < 3 || len(spec.Zones) < 3 && i < 3 && zi == 0,
+			n := &node{program: program[0], name: fmt.Sprintf("edge-%s-%d", z, i+1), zone: z, ip: ip, core: i == 0 && zi < 3 || len(spec.Zones) < 3 && i < 3 && zi == 0,
 				front: fmt.Sprint(ip, ":", f.ports.front), ready: fmt.Sprint(ip, ":", f.ports.ready), control: fmt.Sprint(ip, ":", f.ports.control),
 				metrics: fmt.Sprint(ip, ":", f.ports.metrics)}
 			n.dir = filepath.Join(dir, n.name)
@@ -206,14 +218,17 @@
 			fmt.Fprintln(f.log, "emulator:", err)
 			return
 		}
-		cmd := exec.Command(f.program[0], f.program[1:]...)
+		n.mu.Lock()
+		program := n.program
+		n.mu.Unlock()
+		cmd := exec.Command(program, f.args...)
 		cmd.Env = []string{settings.EnvFile + "=" + filepath.Join(n.dir, "node.toml"), settings.TuningEnv + "=" + filepath.Join(n.dir, "tuning.toml"),
 			"PATH=" + os.Getenv("PATH"), "HOME=" + n.dir}
 		cmd.Stdout, cmd.Stderr = out, out
 		ended := make(chan struct{})
 		n.mu.Lock()
 		err = cmd.Start()
-		n.cmd, n.ended, n.meant = cmd, ended, false
+		n.now, n.meant = running{cmd, ended}, false
 		n.mu.Unlock()
 		if err != nil {
 			fmt.Fprintln(f.log, "emulator:", err)
@@ -245,18 +260,37 @@
 func (n *node) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cmd != nil && n.cmd.Process != nil {
+	if n.now.cmd != nil && n.now.cmd.Process != nil {
 		n.meant = n.meant || sig == syscall.SIGKILL || sig == syscall.SIGTERM
-		n.cmd.Process.Signal(sig)
+		n.now.cmd.Process.Signal(sig)
 	}
 }
 
+// process is the one that was started last.
+func (n *node) process() running {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.now
+}
+
+// setProgram has the machine's next process be of a program.
+func (n *node) setProgram(path string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.program = path
+}
+
+// setHold has the machine's process not be started again for now, or no longer.
+func (n *node) setHold(hold bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.hold = hold
+}
+
 // end stops a process in order, and outright if that takes too long.
 func (n *node) end() {
 	n.signal(syscall.SIGTERM)
-	n.mu.Lock()
-	ended := n.ended
-	n.mu.Unlock()
+	ended := n.process().ended
 	if ended == nil {
 		return
 	}
@@ -327,17 +361,27 @@
 	}
 	f.begin()
 	fmt.Fprintf(f.log, "all ready; traffic for %.0f s\n", f.spec.LengthS)
-	end := time.Now().Add(time.Duration(f.spec.LengthS * float64(time.Second)))
+	traffic, endTraffic := context.WithCancel(life)
+	defer endTraffic()
+	var rollout error
+	tasks.Go(func() {
+		defer endTraffic()
+		if backoff.Sleep(life, time.Duration(f.spec.LengthS*float64(time.Second))) && f.rollout != nil {
+			rollout = f.rollout.run(ctx)
+		}
+	})
 	for _, t := range f.spec.Troubles {
 		tasks.Go(func() { f.strike(life, t) })
 	}
 	tasks.Go(func() {
-		for life.Err() == nil && time.Now().Before(end) {
-			time.Sleep(5 * time.Second)
+		for backoff.Sleep(traffic, 5*time.Second) {
 			fmt.Fprintln(f.log, f.load.tally.Progress(f.ledger))
 		}
 	})
-	f.load.run(end)
+	f.load.run(traffic)
+	if rollout != nil {
+		return nil, rollout
+	}
 	f.operator.readBack(ctx)
 	return f.report(), ctx.Err()
 }
@@ -391,10 +435,20 @@
 	r.Notes = append(r.Notes, fmt.Sprintf("%d configurations acknowledged, %d missed", len(f.operator.acks), f.operator.missed))
 	r.Missed = f.operator.missed
 	f.operator.mu.Unlock()
+	f.noting.Lock()
+	r.Notes = append(r.Notes, f.notes...)
+	f.noting.Unlock()
 	r.Exits = int(f.exits.Load())
 	return r
 }
 
+// note adds a line to the report.
+func (f *Fleet) note(format string, args ...any) {
+	f.noting.Lock()
+	defer f.noting.Unlock()
+	f.notes = append(f.notes, fmt.Sprintf(format, args...))
+}
+
 func (f *Fleet) startServers() error {
 	for i := range f.spec.Services {
 		for k := range f.spec.Services[i].Servers {
--- a/lab/emulator/operator.go
+++ b/lab/emulator/operator.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
@@ -13,207 +14,297 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
+	"example.org/elmspan/internal/backoff"
 	"example.org/elmspan/lab/checker"
 )
 
 const (
-	callFor   = time.Second
-	callsMost = 60
+	callTimeout = time.Second
+	maxCalls    = 60 // of one change
+	replacePath = "/v1/Config.Replace"
 )
 
-// operator brings configurations and reads the newest back.
+// operator brings configurations, one at a time, and reads the newest back.
 type operator struct {
-	f    *Fleet
-	http http.Client
+	fleet *Fleet
+	http  http.Client
 
-	mu      sync.Mutex
-	base    uint64 // acknowledged
-	body    []byte
-	keys    map[string][]string // of tenants, the one in use last
-	timeout float64             // factor on the routes' time-outs
-	missed  int
-	acks    []time.Duration
+	// bringing is held while a change is brought, so that each builds on the one before.
+	// It is taken before mu.
+	bringing sync.Mutex
+
+	mu       sync.Mutex
+	base     uint64              // revision that was acknowledged last
+	body     []byte              // ... and its encoded configuration
+	keys     map[string][]string // of tenants, as the configuration has them
+	keyInUse map[string]string   // the one that a tenant's clients use
+	timeout  float64             // factor on the routes' time-outs
+	missed   int                 // changes that were never acknowledged
+	acks     []time.Duration     // how long each acknowledgement took
 }
 
 func newOperator(f *Fleet) *operator {
-	o := &operator{f: f, http: http.Client{Timeout: callFor, Transport: &http.Transport{DisableKeepAlives: true}}, keys: map[string][]string{}, timeout: 1}
+	o := &operator{
+		fleet:    f,
+		http:     http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		keys:     map[string][]string{},
+		keyInUse: map[string]string{},
+		timeout:  1,
+	}
 	for _, t := range f.spec.Tenants {
-		o.keys[t.Name] = []string{"key-" + t.Name + "-1"}
+		first := "key-" + t.Name + "-1"
+		o.keys[t.Name], o.keyInUse[t.Name] = []string{first}, first
 	}
 	return o
 }
 
 // key is the one that a tenant's clients use.
-func (f *Fleet) key(name string) string {
-	f.operator.mu.Lock()
-	defer f.operator.mu.Unlock()
-	ks := f.operator.keys[name]
-	return ks[len(ks)-1]
+func (o *operator) key(tenant string) string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.keyInUse[tenant]
+}
+
+// revision is the newest that was acknowledged.
+func (o *operator) revision() uint64 {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.base
 }
 
-// config is the configuration as the operator wants it. Called under the mutex.
-func (o *operator) config(revision uint64) *api.Config {
-	s := o.f.spec
-	c := &api.Config{Revision: revision}
-	for _, v := range s.Services {
-		c.Upstreams = append(c.Upstreams, api.Upstream{Name: v.Name, HealthCheck: "/health", MaxConnections: 200, Protocol: "h1"})
+// acknowledged counts the changes that were acknowledged.
+func (o *operator) acknowledged() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return len(o.acks)
+}
+
+// config is the configuration as the operator wants it now, under a revision so much
+// above the acknowledged one.
+func (o *operator) config(above uint64) *api.Config {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	day := o.fleet.spec
+	c := &api.Config{Revision: o.base + above}
+	for _, v := range day.Services {
+		c.Upstreams = append(c.Upstreams,
+			api.Upstream{Name: v.Name, HealthCheck: "/health", MaxConnections: 200, Protocol: "h1"})
 	}
-	for _, k := range s.Classes {
-		c.Routes = append(c.Routes, api.Route{Name: "r-" + k.Name, Host: "emulator.example", Prefix: "/" + k.Name + "/", Type: k.Type,
-			TimeoutMs: k.DeadlineMs * o.timeout, TargetMs: k.AimMs, Upstream: k.Service, Retries: 2})
+	for _, k := range day.Classes {
+		c.Routes = append(c.Routes, api.Route{
+			Name:      "r-" + k.Name,
+			Host:      hostName,
+			Prefix:    "/" + k.Name + "/",
+			Type:      k.Type,
+			TimeoutMs: k.DeadlineMs * o.timeout,
+			TargetMs:  k.AimMs,
+			Upstream:  k.Service,
+			Retries:   2,
+		})
 	}
-	for _, t := range s.Tenants {
-		rate := s.Rate(&t)
-		c.Tenants = append(c.Tenants, api.Tenant{Name: t.Name, Keys: o.keys[t.Name], Rate: rate, Burst: rate})
-		o.f.ledger.Quota(t.Name, rate, rate)
+	for _, t := range day.Tenants {
+		rate := day.Rate(&t)
+		c.Tenants = append(c.Tenants, api.Tenant{Name: t.Name, Keys: slices.Clone(o.keys[t.Name]), Rate: rate, Burst: rate})
+		o.fleet.ledger.Quota(t.Name, rate, rate)
 	}
 	return c
 }
 
 func (o *operator) first(ctx context.Context) error {
 	if !o.bring(ctx) {
-		return fmt.Errorf("emulator: the first configuration was not acknowledged; see the logs below %s", o.f.dir)
+		return fmt.Errorf("emulator: the first configuration was not acknowledged; see the logs below %s", o.fleet.dir)
 	}
 	return nil
 }
 
+// change brings a configuration whose routes have other time-outs than before.
+func (o *operator) change(ctx context.Context) bool {
+	o.mu.Lock()
+	o.timeout = 1.5 - o.timeout/2
+	o.mu.Unlock()
+	return o.bring(ctx)
+}
+
 // bring sends the configuration until it is acknowledged.
 func (o *operator) bring(ctx context.Context) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	c := o.config(o.base + 3)
+	o.bringing.Lock()
+	defer o.bringing.Unlock()
+	base, c := o.revision(), o.config(3)
 	body, err := cbor.Marshal(c)
 	if err != nil {
 		return false
 	}
 	begun := time.Now()
-	for i := range callsMost {
+	for i := range maxCalls {
 		if ctx.Err() != nil {
 			return false
 		}
-		status, _ := o.call(i, http.MethodPost, "/v1/Config.Replace", o.base, body)
-		if status == http.StatusOK {
-			o.base, o.body = c.Revision, body
-			o.acks = append(o.acks, time.Since(begun))
+		if status, _ := o.call(ctx, i, http.MethodPost, replacePath, base, body); status == http.StatusOK {
+			o.acknowledge(c.Revision, body, time.Since(begun))
 			return true
 		}
-		time.Sleep(time.Duration(min(i+1, 10)) * 20 * time.Millisecond)
+		backoff.Sleep(ctx, callPause(i))
 	}
-	o.missed++
+	o.miss()
 	return false
 }
 
+// callPause is the pause after so many calls that were not acknowledged.
+func callPause(calls int) time.Duration {
+	return time.Duration(min(calls+1, 10)) * 20 * time.Millisecond
+}
+
+// acknowledge notes a configuration as the one in force.
+func (o *operator) acknowledge(revision uint64, body []byte, took time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.base, o.body, o.acks = revision, body, append(o.acks, took)
+}
+
+// miss notes a change that was not acknowledged.
+func (o *operator) miss() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.missed++
+}
+
+// racer is one of two changes on top of the same version.
+type racer struct {
+	revision uint64
+	body     []byte
+	to       func(call int) *node
+	acked    bool
+}
+
 // race brings two configurations on top of the same version at the same time, one
 // to a machine and one to the others: one of them is acknowledged at most.
 func (o *operator) race(ctx context.Context, one *node) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	var bodies [2][]byte
-	var revisions [2]uint64
-	for i := range bodies {
-		c := o.config(o.base + 5 + uint64(i))
+	o.bringing.Lock()
+	defer o.bringing.Unlock()
+	base, begun := o.revision(), time.Now()
+	racers := [2]racer{
+		{to: func(int) *node { return one }},
+		{to: func(call int) *node { return o.target(call, base) }},
+	}
+	var both sync.WaitGroup
+	for i := range racers {
+		c := o.config(5 + uint64(i))
 		c.Routes[0].TimeoutMs += float64(1 + i) // so that one can be told from the other
-		var err error
-		if bodies[i], err = cbor.Marshal(c); err != nil {
+		body, err := cbor.Marshal(c)
+		if err != nil {
 			return
 		}
-		revisions[i] = c.Revision
+		racers[i].revision, racers[i].body = c.Revision, body
 	}
-	var acked [2]bool
-	var both sync.WaitGroup
-	for i := range bodies {
-		both.Go(func() {
-			for k := range callsMost {
-				n := one
-				if i == 1 {
-					n = o.f.nodes[(k*7+int(o.base))%len(o.f.nodes)]
-				}
-				status, _ := o.callAt(n, http.MethodPost, "/v1/Config.Replace", o.base, bodies[i])
-				if acked[i] = status == http.StatusOK; acked[i] || status == http.StatusPreconditionFailed || ctx.Err() != nil {
-					return
-				}
-				time.Sleep(time.Duration(min(k+1, 10)) * 20 * time.Millisecond)
-			}
-		})
+	for i := range racers {
+		both.Go(func() { o.compete(ctx, base, &racers[i]) })
 	}
 	both.Wait()
 	switch {
-	case acked[0] && acked[1]:
-		o.f.ledger.Breaks("CONFIG", "two changes on top of version %d are both acknowledged", o.base)
-	case acked[0]:
-		o.base, o.body = revisions[0], bodies[0]
-	case acked[1]:
-		o.base, o.body = revisions[1], bodies[1]
+	case racers[0].acked && racers[1].acked:
+		o.fleet.ledger.Breaks("CONFIG", "two changes on top of version %d are both acknowledged", base)
+	case racers[0].acked:
+		o.acknowledge(racers[0].revision, racers[0].body, time.Since(begun))
+	case racers[1].acked:
+		o.acknowledge(racers[1].revision, racers[1].body, time.Since(begun))
 	default:
-		o.missed++
+		o.miss()
+	}
+}
+
+// compete sends a change until it is acknowledged or another was taken before it.
+func (o *operator) compete(ctx context.Context, base uint64, r *racer) {
+	for i := range maxCalls {
+		status, _ := o.callAt(ctx, r.to(i), http.MethodPost, replacePath, base, r.body)
+		r.acked = status == http.StatusOK
+		if r.acked || status == http.StatusPreconditionFailed || ctx.Err() != nil {
+			return
+		}
+		backoff.Sleep(ctx, callPause(i))
 	}
 }
 
 // invalid sends configurations that must not be taken.
-func (o *operator) invalid() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (o *operator) invalid(ctx context.Context) {
+	o.bringing.Lock()
+	defer o.bringing.Unlock()
 	for name, spoil := range map[string]func(*api.Config){
 		"an unknown service": func(c *api.Config) { c.Routes[0].Upstream = "nowhere" },
 		"no time-out":        func(c *api.Config) { c.Routes[0].TimeoutMs = 0 },
 		"an old version":     func(c *api.Config) { c.Revision = 1 },
 		"two of a place":     func(c *api.Config) { c.Routes = append(c.Routes, c.Routes[0]) },
 	} {
-		c := o.config(o.base + 2)
+		c := o.config(2)
 		spoil(c)
 		body, err := cbor.Marshal(c)
 		if err != nil {
 			continue
 		}
-		if status, _ := o.call(1, http.MethodPost, "/v1/Config.Replace", o.base, body); status == http.StatusOK {
-			o.f.ledger.Breaks("CONFIG", "a configuration with %s was acknowledged", name)
+		if status, _ := o.call(ctx, 1, http.MethodPost, replacePath, o.revision(), body); status == http.StatusOK {
+			o.fleet.ledger.Breaks("CONFIG", "a configuration with %s was acknowledged", name)
 		}
 	}
 }
 
 // revoke gives a tenant a new key and then takes the old one away.
-func (o *operator) revoke(ctx context.Context, name string) {
+func (o *operator) revoke(ctx context.Context, tenant string) {
+	old := o.key(tenant)
 	o.mu.Lock()
-	old := o.keys[name][len(o.keys[name])-1]
-	o.keys[name] = append(o.keys[name], fmt.Sprintf("key-%s-%d", name, len(o.keys[name])+1))
+	next := fmt.Sprintf("key-%s-%d", tenant, len(o.keys[tenant])+1)
+	o.keys[tenant] = append(o.keys[tenant], next)
 	o.mu.Unlock()
 	if !o.bring(ctx) {
 		return
 	}
-	time.Sleep(checker.ConfigApplyMs * time.Millisecond) // clients change over
 	o.mu.Lock()
-	o.keys[name] = o.keys[name][len(o.keys[name])-1:]
+	o.keyInUse[tenant] = next
+	o.mu.Unlock()
+	if !backoff.Sleep(ctx, checker.ConfigApplyMs*time.Millisecond) { // clients change over
+		return
+	}
+	o.mu.Lock()
+	o.keys[tenant] = []string{next}
 	o.mu.Unlock()
 	if o.bring(ctx) {
-		o.f.ledger.Revoked(old)
+		o.fleet.ledger.Revoked(old)
 	}
 }
 
 // readBack asks for the newest version and compares it with what was acknowledged.
 func (o *operator) readBack(ctx context.Context) {
+	o.bringing.Lock()
+	defer o.bringing.Unlock()
 	o.mu.Lock()
-	defer o.mu.Unlock()
-	for i := range callsMost {
+	base, want := o.base, o.body
+	o.mu.Unlock()
+	for i := range maxCalls {
 		if ctx.Err() != nil {
 			return
 		}
-		if status, body := o.call(i, http.MethodGet, "/v1/Config.Get", 0, nil); status == http.StatusOK {
-			if !bytes.Equal(body, o.body) {
-				o.f.ledger.Breaks("CONFIG", "what is read back is not what was acknowledged as %d", o.base)
+		if status, body := o.call(ctx, i, http.MethodGet, "/v1/Config.Get", 0, nil); status == http.StatusOK {
+			if !bytes.Equal(body, want) {
+				o.fleet.ledger.Breaks("CONFIG", "what is read back is not what was acknowledged as %d", base)
 			}
 			return
 		}
-		time.Sleep(100 * time.Millisecond)
+		backoff.Sleep(ctx, 100*time.Millisecond)
 	}
-	o.f.ledger.Breaks("CONFIG", "the configuration can't be read back")
+	o.fleet.ledger.Breaks("CONFIG", "the configuration can't be read back")
+}
+
+// target is the machine that a call goes to: another one each time.
+func (o *operator) target(call int, base uint64) *node {
+	return o.fleet.nodes[(call*7+int(base))%len(o.fleet.nodes)]
 }
 
-func (o *operator) call(i int, method, path string, base uint64, body []byte) (int, []byte) {
-	return o.callAt(o.f.nodes[(i*7+int(base))%len(o.f.nodes)], method, path, base, body)
+func (o *operator) call(ctx context.Context, i int, method, path string, base uint64, body []byte) (int, []byte) {
+	return o.callAt(ctx, o.target(i, base), method, path, base, body)
 }
 
-func (o *operator) callAt(n *node, method, path string, base uint64, body []byte) (int, []byte) {
-	req, err := http.NewRequest(method, "http://"+n.control+path, bytes.NewReader(body))
+// callAt calls a machine and returns the status of its answer, 0 where there was none,
+// and the answer.
+func (o *operator) callAt(ctx context.Context, n *node, method, path string, base uint64, body []byte) (int, []byte) {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.control+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -223,7 +314,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // read whole, or given up
 	got, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, nil
--- a/lab/emulator/trouble.go
+++ b/lab/emulator/trouble.go
@@ -94,12 +94,9 @@
 		backoff.Sleep(ctx, lasting)
 		f.load.heat("", 1)
 	case "config":
-		f.operator.mu.Lock()
-		f.operator.timeout = 1.5 - f.operator.timeout/2
-		f.operator.mu.Unlock()
-		f.operator.bring(ctx)
+		f.operator.change(ctx)
 	case "bad_config":
-		f.operator.invalid()
+		f.operator.invalid(ctx)
 	case "revoke":
 		f.operator.revoke(ctx, f.spec.Tenants[len(f.spec.Tenants)-1].Name)
 	}
--- /dev/null
+++ b/tools/equal-days.sh
@@ -0,0 +1,79 @@
+#!/usr/bin/env bash
+# Plays simulated days on two revisions with equal seeds and compares every figure
+# but the time that the run took. A change that only renames and moves leaves all equal.
+#
+# Usage: tools/equal-days.sh OLD_REVISION [NEW_REVISION]     (NEW_REVISION: HEAD)
+#
+# The days are those of the old revision, each with SEEDS seeds (1) and every policy
+# in POLICY (elmspan; all: those to compare with too). Exit code: 0 all figures are
+# equal, 1 some differ, 2 it could not run.
+set -euo pipefail
+
+readonly days=(docs/days/zone.toml docs/days/grown.toml docs/days/large.toml)
+readonly seeds=${SEEDS:-1}
+readonly policy=${POLICY:-elmspan}
+
+fail() { echo "equal-days: $*" >&2; exit 2; }
+
+# build REVISION NAME: makes $scratch/NAME/elmspan-lab from a clean checkout.
+build() {
+  local revision=$1 name=$2
+  git worktree add --quiet --detach "$scratch/$name" "$revision" || fail "no checkout of $revision"
+  (cd "$scratch/$name" && go build -o elmspan-lab ./cmd/elmspan-lab) || fail "$revision does not build"
+}
+
+# play NAME DAY: writes the report, and each day's figures in full precision, to
+# $scratch/NAME.out. The line on the time taken and the column heads are left out.
+play() {
+  local name=$1 day=$2 code=0
+  "$scratch/$name/elmspan-lab" simulate "$scratch/old/$day" --seeds "$seeds" --policy "$policy" \
+    --csv "$scratch/$name.csv" >"$scratch/$name.report" 2>"$scratch/$name.log" || code=$?
+  # 3: a rule was broken; the report says which, and it must be equal too.
+  if [ "$code" != 0 ] && [ "$code" != 3 ]; then cat "$scratch/$name.log" >&2; fail "$day: $name: exit code $code"; fi
+  {
+    grep -vE '^[0-9]+ days of .* in [0-9.]+ s$|^ *class ' "$scratch/$name.report"
+    sed 1d "$scratch/$name.csv"
+    echo "exit code $code"
+  } >"$scratch/$name.out"
+}
+
+# numbers FILE: every number, one a line, with the number of its line in front.
+numbers() { grep -noE -- '-?[0-9]+(\.[0-9]+)?(e[+-]?[0-9]+)?' "$1"; }
+
+# compare DAY: prints the verdict on one day and returns whether it is equal.
+compare() {
+  numbers "$scratch/old.out" >"$scratch/old.numbers"
+  numbers "$scratch/new.out" >"$scratch/new.numbers"
+  local count
+  count=$(wc -l <"$scratch/old.numbers")
+  if [ "$count" -lt 20 ]; then fail "$1: only $count figures were found"; fi
+  if cmp -s "$scratch/old.numbers" "$scratch/new.numbers"; then
+    echo "$1: $count of $count figures equal"
+    return 0
+  fi
+  echo "$1: figures differ (- old, + new):"
+  diff -u "$scratch/old.out" "$scratch/new.out" | sed 1,2d || true
+  return 1
+}
+
+if [ $# -lt 1 ] || [ $# -gt 2 ]; then sed -n 's/^# \(Usage.*\)/\1/p' "$0" >&2; exit 2; fi
+cd "$(dirname "$0")/.."
+old=$(git rev-parse --verify --quiet "$1^{commit}") || fail "$1: no such revision"
+new=$(git rev-parse --verify --quiet "${2:-HEAD}^{commit}") || fail "${2:-HEAD}: no such revision"
+scratch=$(mktemp -d)
+cleanup() {
+  git worktree remove --force "$scratch/old" 2>/dev/null || true
+  git worktree remove --force "$scratch/new" 2>/dev/null || true
+  rm -rf "$scratch"
+}
+trap cleanup EXIT
+build "$old" old
+build "$new" new
+echo "old ${old:0:7}, new ${new:0:7}, seeds $seeds, policy $policy"
+equal=0
+for day in "${days[@]}"; do
+  play old "$day"
+  play new "$day"
+  compare "$day" || equal=1
+done
+exit "$equal"
