--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -488,7 +488,7 @@
 	}
 	if split != nil {
 		c.split = split
-		c.configs.Apply(split.Revision, split.Rows, delta)
+		c.configs.ReplaceWithDiff(split.Revision, split.Rows, delta)
 		c.signal()
 	}
 	c.node.Advance(raft.Ready{Committed: es})
@@ -498,7 +498,7 @@
 
 // prepare returns the configuration that there will be with entries applied, and how its
 // rows differ from those before; nil where they bring none. It gives the mutex up.
-func (c *Core) prepare(es []raft.Entry) (split *api.ConfigRows, delta versioned.Delta, err error) {
+func (c *Core) prepare(es []raft.Entry) (split *api.ConfigRows, delta versioned.RowDiff, err error) {
 	state, before, rows, known := c.state, c.split, c.configs.Rows(), c.checked
 	c.mu.Unlock()
 	defer c.mu.Lock()
@@ -516,7 +516,7 @@
 	} else if split, err = tabulate(&state, before); err != nil {
 		return nil, delta, fmt.Errorf("revision %d: %w", state.Revision, err)
 	}
-	return split, versioned.Compare(rows, split.Rows), nil
+	return split, versioned.DiffRows(rows, split.Rows), nil
 }
 
 // apply carries out an entry that was agreed on, and tells whether it brought a
--- a/controlplane/serve.go
+++ b/controlplane/serve.go
@@ -160,7 +160,7 @@
 	defer c.mu.Unlock()
 	s := CoreStatus{ID: fmt.Sprintf("%x", uint64(c.id)), Role: c.node.Role().String(), Leader: c.leaderAddr(), Term: c.node.Term(),
 		Commit: c.node.Commit(), Revision: c.state.Revision, DiskFails: c.diskDown && c.halted == "", Halted: c.halted, Watches: c.asks.waiting,
-		NewsBytes: c.configs.Held() + c.servers.table.Held(), NewsBytesMost: 4*versioned.MostHeld + mostWatches*api.ChunkSize}
+		NewsBytes: c.configs.CachedBytes() + c.servers.table.CachedBytes(), NewsBytesMost: 4*versioned.MaxCachedBytes + mostWatches*api.ChunkSize}
 	for _, m := range c.node.Members() {
 		kind := "learner"
 		if m.Voter {
--- a/controlplane/servers.go
+++ b/controlplane/servers.go
@@ -13,7 +13,7 @@
 // with what it was told by the one before: its versions are higher, and what was
 // seen draining or gone stays so (discovery.Latch).
 type serverList struct {
-	roster discovery.Roster
+	roster discovery.EndpointList
 	table  versioned.Table
 	start  time.Time
 	skew   float64 // of the table's clock, which is the first leader's, against this member's
@@ -30,12 +30,12 @@
 
 // lead has this member go on with what it was told as a follower.
 func (l *serverList) lead() {
-	l.roster = discovery.Roster{}
+	l.roster = discovery.EndpointList{}
 	for id, row := range l.table.Rows() {
 		// At the beginning of the table's clock, so that until when a server is slow stays
 		// what it was: else each row would change, and limiters be told the whole.
 		if s, err := api.ParseServerRow(id, row, 0); err == nil {
-			l.roster.Seed(s, s.WarmupMs)
+			l.roster.Add(s, s.WarmupMs)
 		}
 	}
 }
@@ -58,8 +58,8 @@
 }
 
 // told takes in what the leader tells; clockMs was the time on its clock then.
-func (l *serverList) told(p *versioned.Reader, clockMs float64) error {
-	rows, err := p.Onto(l.table.Version(), l.table.Rows())
+func (l *serverList) told(p *versioned.DeltaReader, clockMs float64) error {
+	rows, err := p.ApplyTo(l.table.Version(), l.table.Rows())
 	if err != nil {
 		return err
 	}
--- a/controlplane/servers_test.go
+++ b/controlplane/servers_test.go
@@ -22,11 +22,11 @@
 	if _, _, err := first.merge(3, answer); err != nil {
 		t.Fatal(err)
 	}
-	b, err := first.table.Since(0)
+	b, err := first.table.DeltaSince(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := versioned.Open(b.Data)
+	p, err := versioned.OpenDelta(b.Data)
 	if err == nil {
 		err = next.told(p, first.clockMs()+60_000)
 	}
@@ -40,7 +40,7 @@
 	if err != nil || !news || next.table.Version() <= version {
 		t.Fatalf("news %v, version %d after %d, %v", news, next.table.Version(), version, err)
 	}
-	if b, err = next.table.Since(version); err != nil || b.From != version || len(b.Data) > 200 {
+	if b, err = next.table.DeltaSince(version); err != nil || b.From != version || len(b.Data) > 200 {
 		t.Errorf("from version %d, %d bytes, %v", b.From, len(b.Data), err)
 	}
 }
--- a/controlplane/watch.go
+++ b/controlplane/watch.go
@@ -255,7 +255,7 @@
 
 // parcel is the difference to a table's newest version, with its first piece.
 func parcel(t *versioned.Table, from uint64) (*api.EncodedDelta, error) {
-	b, err := t.Since(from)
+	b, err := t.DeltaSince(from)
 	if err != nil {
 		return nil, err
 	}
@@ -270,7 +270,7 @@
 	if q.Table == api.ServerTable {
 		t = &c.servers.table
 	}
-	b, ok := t.Blob(q.From, q.To)
+	b, ok := t.CachedDelta(q.From, q.To)
 	if !ok || q.Offset < 0 || q.Offset >= len(b.Data) {
 		return &api.Chunk{}, nil
 	}
@@ -317,7 +317,7 @@
 	if c.leads() || c.leaderAddr() != addr {
 		return false
 	}
-	p, err := versioned.Open(data)
+	p, err := versioned.OpenDelta(data)
 	if err == nil {
 		err = c.servers.told(p, n.ClockMs)
 	}
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -43,11 +43,11 @@
 	if err != nil || !n.Lease || n.ServersDelta == nil {
 		return nil
 	}
-	r, err := versioned.Open(n.ServersDelta.Data)
+	r, err := versioned.OpenDelta(n.ServersDelta.Data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows, err := r.Onto(0, nil)
+	rows, err := r.ApplyTo(0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,8 +218,8 @@
 			}
 			inFlight += len(p.Data)
 		}
-		if inFlight > 300*api.ChunkSize || configs.Held() > 2*versioned.MostHeld {
-			t.Fatalf("version %d: %d bytes on their way, %d held", version, inFlight, configs.Held())
+		if inFlight > 300*api.ChunkSize || configs.CachedBytes() > 2*versioned.MaxCachedBytes {
+			t.Fatalf("version %d: %d bytes on their way, %d held", version, inFlight, configs.CachedBytes())
 		}
 	}
 }
@@ -311,7 +311,7 @@
 		t.Errorf("limiters are told version %d", v)
 	}
 	for r := range uint64(changed - 1) {
-		if b, err := k.configs.Since(r + 1); err != nil || b.From != 0 || b.To != changed {
+		if b, err := k.configs.DeltaSince(r + 1); err != nil || b.From != 0 || b.To != changed {
 			t.Errorf("version %d was made a table: a difference from %d to %d, %v", r+1, b.From, b.To, err)
 		}
 	}
--- a/dataplane/news.go
+++ b/dataplane/news.go
@@ -17,13 +17,13 @@
 	version uint64
 	sum     uint64            // over the rows
 	marks   map[string]uint64 // of each row
-	latch   discovery.Latch
-	roster  *discovery.Roster // of answers that this limiter had itself
+	latch   discovery.OneWayStates
+	roster  *discovery.EndpointList // of answers that this limiter had itself
 }
 
 // ChangeConfig takes over what changed in the configuration. Nothing of it holds
 // where it does not fit the version that is held.
-func (g *Gateway) ChangeConfig(r *versioned.Reader) error {
+func (g *Gateway) ChangeConfig(r *versioned.DeltaReader) error {
 	begun := time.Now()
 	v, plans, err := g.view.Load().with(r)
 	if err != nil {
@@ -33,7 +33,7 @@
 	g.limiter.ChangePlans(inMs(g.now()), plans.put, plans.drop)
 	g.mu.Unlock()
 	g.view.Store(v)
-	g.log.Info("configuration", "revision", v.revision, "from", r.From, "rows", r.Rows, "of", v.marks.Len(), "tenants", v.tenants.Len(),
+	g.log.Info("configuration", "revision", v.revision, "from", r.From, "rows", r.RowCount, "of", v.marks.Len(), "tenants", v.tenants.Len(),
 		"took_ms", time.Since(begun).Milliseconds())
 	return nil
 }
@@ -63,7 +63,7 @@
 
 // ChangeServers takes over what changed in the list of servers, at a time on the
 // list's clock. What was seen draining or gone here stays so.
-func (g *Gateway) ChangeServers(r *versioned.Reader, clockMs float64) error {
+func (g *Gateway) ChangeServers(r *versioned.DeltaReader, clockMs float64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := &g.servers
@@ -98,11 +98,11 @@
 		if err != nil {
 			return err
 		}
-		put, marks[row.Key] = append(put, m), versioned.Mark(row.Key, row.Value)
+		put, marks[row.Key] = append(put, m), versioned.RowChecksum(row.Key, row.Value)
 		sum ^= marks[row.Key]
 	}
-	if sum != r.Sum {
-		return versioned.ErrSum
+	if sum != r.Checksum {
+		return versioned.ErrChecksum
 	}
 	var missing []string
 	if r.From == 0 {
@@ -125,7 +125,7 @@
 	}
 	s.version, s.sum, s.roster = r.To, sum, nil
 	for _, id := range gone {
-		s.latch.End(id)
+		s.latch.MarkRemoved(id)
 	}
 	// A whole list may be one of a new leader that was told less: what it does not
 	// have is not used now, but may come back unless it was draining.
@@ -141,9 +141,9 @@
 	defer g.mu.Unlock()
 	s := &g.servers
 	if s.roster == nil {
-		s.roster = &discovery.Roster{}
+		s.roster = &discovery.EndpointList{}
 		for _, m := range g.limiter.Members() {
-			s.roster.Seed(m.Server, 0)
+			s.roster.Add(m.Server, 0)
 		}
 	}
 	before := map[string]bool{}
@@ -168,7 +168,7 @@
 func (g *Gateway) changeServers(put []api.Server, gone []string) {
 	kept := put[:0]
 	for _, m := range put {
-		if g.servers.latch.Pass(&m) {
+		if g.servers.latch.Apply(&m) {
 			kept = append(kept, m)
 		} else {
 			gone = append(gone, m.ID)
--- a/dataplane/news_test.go
+++ b/dataplane/news_test.go
@@ -30,13 +30,13 @@
 	return split.Rows
 }
 
-func since(t testing.TB, table *versioned.Table, from uint64) *versioned.Reader {
+func since(t testing.TB, table *versioned.Table, from uint64) *versioned.DeltaReader {
 	t.Helper()
-	b, err := table.Since(from)
+	b, err := table.DeltaSince(from)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := versioned.Open(b.Data)
+	r, err := versioned.OpenDelta(b.Data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -241,14 +241,14 @@
 			}
 			c.Revision, c.Routes[0].Upstream = 2, "b"
 			table.Replace(2, rowsOf(b, c))
-			blob, err := table.Since(1)
+			blob, err := table.DeltaSince(1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(blob.Data)), "bytes/change")
 			for b.Loop() {
-				r, err := versioned.Open(blob.Data)
+				r, err := versioned.OpenDelta(blob.Data)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/dataplane/view.go
+++ b/dataplane/view.go
@@ -83,7 +83,7 @@
 
 // with returns the view that a difference makes of this one (nil: of none), and
 // what it says of quotas.
-func (v *view) with(r *versioned.Reader) (*view, plans, error) {
+func (v *view) with(r *versioned.DeltaReader) (*view, plans, error) {
 	p := plans{put: map[uint64]quota.Plan{}}
 	switch {
 	case v != nil && r.To <= v.revision:
@@ -114,8 +114,8 @@
 			return nil, p, err
 		}
 	}
-	if next.sum != r.Sum {
-		return nil, p, versioned.ErrSum
+	if next.sum != r.Checksum {
+		return nil, p, versioned.ErrChecksum
 	}
 	p.drop = slices.DeleteFunc(p.drop, func(id uint64) bool { _, is := p.put[id]; return is })
 	next.revision = r.To
@@ -144,7 +144,7 @@
 		e.marks.Delete(row.Key)
 	}
 	if !x.Removed {
-		mark := versioned.Mark(row.Key, row.Value)
+		mark := versioned.RowChecksum(row.Key, row.Value)
 		e.sum ^= mark
 		e.marks.Put(row.Key, mark)
 	}
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -32,7 +32,7 @@
 )
 
 // ErrBusy tells that the platform's rate is exceeded.
-var ErrBusy = fmt.Errorf("discovery: over the platform's rate")
+var ErrRateLimited = fmt.Errorf("discovery: over the platform's rate")
 
 type page struct {
 	Members []api.Server `cbor:"members"`
@@ -45,7 +45,7 @@
 // List asks the platform at an address for the whole list, in as many calls as
 // it has pages, of which it takes so many a second; 0: any. [ErrBusy]: it is over
 // that rate, with others that ask.
-func List(ctx context.Context, addr string, perS float64) (list []api.Server, pages int, err error) {
+func ListServers(ctx context.Context, addr string, perS float64) (list []api.Server, pages int, err error) {
 	return read(perS, func(token string) (*page, error) { return ask(ctx, addr, token) },
 		func(d time.Duration) bool { return backoff.Sleep(ctx, d) })
 }
@@ -60,7 +60,7 @@
 			return nil, pages, context.Canceled
 		}
 		p, err := ask(token)
-		if errors.Is(err, ErrBusy) && paced && busy < mostBusy {
+		if errors.Is(err, ErrRateLimited) && paced && busy < mostBusy {
 			if busy++; !sleep(busyPause) {
 				return nil, pages, context.Canceled
 			}
@@ -105,7 +105,7 @@
 	case err != nil:
 		return nil, fmt.Errorf("discovery: reading the list: %w", err)
 	case resp.StatusCode == http.StatusTooManyRequests:
-		return nil, ErrBusy
+		return nil, ErrRateLimited
 	case resp.StatusCode != http.StatusOK:
 		return nil, fmt.Errorf("discovery: the platform answered %d", resp.StatusCode)
 	case len(body) > mostPage:
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -25,7 +25,7 @@
 	p.calls++
 	if p.credit < 1 {
 		p.busy++
-		return nil, ErrBusy
+		return nil, ErrRateLimited
 	}
 	p.credit--
 	at, _ := strconv.Atoi(token) // no token is page 0
@@ -78,7 +78,7 @@
 	ask := func(token string) (*page, error) {
 		if token == "60" && turned < 3 {
 			turned++
-			return nil, ErrBusy
+			return nil, ErrRateLimited
 		}
 		return p.ask(token)
 	}
@@ -88,15 +88,15 @@
 	p = &platform{pages: 100, perS: 50, credit: 40}
 	never := func(token string) (*page, error) {
 		if token == "60" {
-			return nil, ErrBusy
+			return nil, ErrRateLimited
 		}
 		return p.ask(token)
 	}
-	if _, _, err := read(50, never, p.sleep); !errors.Is(err, ErrBusy) || p.calls > 200 {
+	if _, _, err := read(50, never, p.sleep); !errors.Is(err, ErrRateLimited) || p.calls > 200 {
 		t.Errorf("%d calls, %v", p.calls, err)
 	}
 	p = &platform{pages: 5, perS: 50, credit: 3}
-	if _, _, err := read(50, p.ask, p.sleep); !errors.Is(err, ErrBusy) || p.calls != 4 || p.slept != 0 {
+	if _, _, err := read(50, p.ask, p.sleep); !errors.Is(err, ErrRateLimited) || p.calls != 4 || p.slept != 0 {
 		t.Errorf("%d calls, %v waited, %v", p.calls, p.slept, err)
 	}
 }
--- a/discovery/roster.go
+++ b/discovery/endpoints.go
@@ -12,13 +12,13 @@
 // that is older than another, or a list that is told late or by one who knows
 // less: what was seen further on that way is not taken back. Ids name one life
 // of a server and are not used again. The zero value is ready for use.
-type Latch struct {
+type OneWayStates struct {
 	seen  map[string]bool // draining, or gone: true
 	order []string        // oldest first
 }
 
 // Pass corrects a server's state by what was seen before; false: it is gone.
-func (l *Latch) Pass(s *api.Server) bool {
+func (l *OneWayStates) Apply(s *api.Server) bool {
 	gone, seen := l.seen[s.ID]
 	switch {
 	case gone:
@@ -32,9 +32,9 @@
 }
 
 // End notes that a server is gone.
-func (l *Latch) End(id string) { l.note(id, true) }
+func (l *OneWayStates) MarkRemoved(id string) { l.note(id, true) }
 
-func (l *Latch) note(id string, gone bool) {
+func (l *OneWayStates) note(id string, gone bool) {
 	if l.seen == nil {
 		l.seen = map[string]bool{}
 	}
@@ -49,8 +49,8 @@
 
 // Roster is the list of servers as the answers of the platform give it, one
 // after the other. The zero value knows none. It reads no clock.
-type Roster struct {
-	latch   Latch
+type EndpointList struct {
+	latch   OneWayStates
 	servers map[string]*listed
 }
 
@@ -63,13 +63,13 @@
 // Merge takes in an answer. news: something else than time has changed. doubt: a
 // server is missing for the first time. It may be gone, or have slipped from one
 // page of the list to another between two calls: another answer soon will tell.
-func (r *Roster) Merge(nowMs float64, answer []api.Server) (news, doubt bool) {
+func (r *EndpointList) Merge(nowMs float64, answer []api.Server) (news, doubt bool) {
 	if r.servers == nil {
 		r.servers = map[string]*listed{}
 	}
 	is := make(map[string]bool, len(answer))
 	for _, s := range answer {
-		if !r.latch.Pass(&s) {
+		if !r.latch.Apply(&s) {
 			continue
 		}
 		is[s.ID] = true
@@ -91,7 +91,7 @@
 			continue
 		}
 		if s.misses++; s.State == api.Draining || s.misses >= missesGone {
-			r.latch.End(id)
+			r.latch.MarkRemoved(id)
 			delete(r.servers, id)
 			news = true
 		} else {
@@ -102,11 +102,11 @@
 }
 
 // Seed puts in a server as another roster had it.
-func (r *Roster) Seed(s api.Server, warmAtMs float64) {
+func (r *EndpointList) Add(s api.Server, warmAtMs float64) {
 	if r.servers == nil {
 		r.servers = map[string]*listed{}
 	}
-	if r.latch.Pass(&s) {
+	if r.latch.Apply(&s) {
 		s.WarmupMs = 0
 		r.servers[s.ID] = &listed{Server: s, warmAtMs: warmAtMs}
 	}
@@ -114,7 +114,7 @@
 
 // All calls a function for each server, with until when it is slow from its
 // start, until it returns false.
-func (r *Roster) All(yield func(s api.Server, warmAtMs float64) bool) {
+func (r *EndpointList) All(yield func(s api.Server, warmAtMs float64) bool) {
 	for _, s := range r.servers {
 		if !yield(s.Server, s.warmAtMs) {
 			return
@@ -123,4 +123,4 @@
 }
 
 // Len is the number of servers.
-func (r *Roster) Len() int { return len(r.servers) }
+func (r *EndpointList) Len() int { return len(r.servers) }
--- a/discovery/roster_test.go
+++ b/discovery/endpoints_test.go
@@ -13,7 +13,7 @@
 	return api.Server{ID: id, Upstream: "s", Addr: "10.0.0.1:80", Zone: "z", Capacity: 2, State: state}
 }
 
-func states(r *Roster) map[string]string {
+func states(r *EndpointList) map[string]string {
 	out := map[string]string{}
 	for s := range r.All {
 		out[s.ID] = s.State
@@ -26,7 +26,7 @@
 // users: a machine that was being emptied got work again after the process that
 // asks the platform had died and come back.)
 func TestNothingComesBack(t *testing.T) {
-	var r Roster
+	var r EndpointList
 	steps := []struct {
 		answer      []api.Server
 		want        string
@@ -73,7 +73,7 @@
 			}
 			answers = append(answers, now)
 		}
-		var r Roster
+		var r EndpointList
 		rank := map[string]int{}
 		for i := range answers {
 			r.Merge(float64(i), answers[max(0, i-rng.IntN(4))]) // some answers are late
@@ -102,9 +102,9 @@
 
 // Servers without end leave a bounded memory.
 func TestLatchIsBounded(t *testing.T) {
-	var l Latch
+	var l OneWayStates
 	for i := range 3 * mostLatched {
-		l.End(fmt.Sprint(i))
+		l.MarkRemoved(fmt.Sprint(i))
 	}
 	if len(l.seen) > mostLatched || len(l.order) > mostLatched {
 		t.Errorf("%d, %d", len(l.seen), len(l.order))
--- a/lab/controlbench/hollow/hollow.go
+++ b/lab/controlbench/hollow/hollow.go
@@ -137,7 +137,7 @@
 	log := slog.New(slog.DiscardHandler)
 	config := func(data []byte) func(i int) error {
 		return func(i int) error {
-			r, err := versioned.Open(data)
+			r, err := versioned.OpenDelta(data)
 			if err != nil {
 				return err
 			}
@@ -146,7 +146,7 @@
 	}
 	servers := func(data []byte) func(i int) error {
 		return func(i int) error {
-			r, err := versioned.Open(data)
+			r, err := versioned.OpenDelta(data)
 			if err != nil {
 				return err
 			}
@@ -187,7 +187,7 @@
 	}
 	runtime.KeepAlive(fleet)
 	for i := range fleet {
-		if fleet[i].gateway.Revision() != 3 || fleet[i].gateway.Servers() != 2 || len(fleet[i].view.All()) != s.Limiters {
+		if fleet[i].gateway.Revision() != 3 || fleet[i].gateway.Servers() != 2 || len(fleet[i].view.Peers()) != s.Limiters {
 			return rep, fmt.Errorf("hollow: limiter %d has not taken over all", i)
 		}
 	}
@@ -242,7 +242,7 @@
 		}
 		had := t.Version()
 		t.Replace(split.Revision, split.Rows)
-		b, err := t.Since(had)
+		b, err := t.DeltaSince(had)
 		return b.Data, err
 	}
 	c := Config(s.Routes, s.Tenants, s.Services)
@@ -279,7 +279,7 @@
 		}
 	}
 	list.Replace(1, fresh())
-	whole, err := list.Since(0)
+	whole, err := list.DeltaSince(0)
 	if err != nil {
 		return nil, fmt.Errorf("hollow: %w", err)
 	}
@@ -291,7 +291,7 @@
 		}
 	}
 	list.Replace(2, fresh())
-	diff, err := list.Since(1)
+	diff, err := list.DeltaSince(1)
 	w.release = diff.Data
 	return w, err
 }
--- a/lab/controlbench/watcher.go
+++ b/lab/controlbench/watcher.go
@@ -156,7 +156,7 @@
 	if err != nil {
 		return false
 	}
-	if _, err := versioned.Open(data); err != nil {
+	if _, err := versioned.OpenDelta(data); err != nil {
 		return false
 	}
 	version.Store(p.To)
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -122,7 +122,7 @@
 		o.whenAwake(func() {
 			if !o.policy.Hear(o.clock(), &got) && f.engine.now-o.met >= meetMs {
 				o.met = f.engine.now
-				o.exchange(n, o.view.Beat(o.at()))
+				o.exchange(n, o.view.Heartbeat(o.at()))
 			}
 		})
 	})
@@ -148,7 +148,7 @@
 
 func (n *node) beat() {
 	f := n.f
-	n.view.Check(n.at())
+	n.view.DetectFailures(n.at())
 	to := n.view.Watchers(n.name)
 	if len(to) == 0 { // alone: through a few seeds
 		for _, o := range f.nodes[:min(3, len(f.nodes))] {
@@ -157,7 +157,7 @@
 	}
 	for _, name := range to {
 		if o := f.byName[name]; o != nil && o != n {
-			n.exchange(o, n.view.Beat(n.at()))
+			n.exchange(o, n.view.Heartbeat(n.at()))
 		}
 	}
 	n.news()
@@ -175,14 +175,14 @@
 			return
 		}
 		o.whenAwake(func() {
-			r := o.view.Answer(o.at(), b)
+			r := o.view.HandleHeartbeat(o.at(), b)
 			o.traffic.answer(r)
 			o.news()
 			f.engine.after(f.delay(n.zone, o.zone), func() {
 				if !n.up || n.life != life || f.cutOff(n, o) {
 					return
 				}
-				again := n.view.Answered(n.at(), r)
+				again := n.view.HandleResponse(n.at(), r)
 				n.news()
 				if again != nil {
 					n.exchange(o, again)
@@ -194,12 +194,12 @@
 
 // news passes a changed view on to the limiter.
 func (n *node) news() {
-	if n.told == n.view.Changed {
+	if n.told == n.view.ChangeCount {
 		return
 	}
-	n.told = n.view.Changed
+	n.told = n.view.ChangeCount
 	var peers []quota.Member
-	for _, p := range n.view.All() {
+	for _, p := range n.view.Peers() {
 		if p.Name != n.name && p.State != membership.Dead {
 			peers = append(peers, quota.Member{ID: n.f.byName[p.Name].id, Zone: p.Zone})
 		}
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -39,18 +39,18 @@
 // version (f96d826): digests, parts and order included.
 func TestGoldenHeartbeatExchange(t *testing.T) {
 	a, b, now := goldenViews()
-	first := a.Beat(now)
-	reply := b.Answer(now, first)
-	second := a.Answered(now, reply)
+	first := a.Heartbeat(now)
+	reply := b.HandleHeartbeat(now, first)
+	second := a.HandleResponse(now, reply)
 	if second == nil {
 		t.Fatal("there is no second round")
 	}
-	last := b.Answer(now, second)
-	if again := a.Answered(now, last); again != nil {
+	last := b.HandleHeartbeat(now, second)
+	if again := a.HandleResponse(now, last); again != nil {
 		t.Errorf("a third round: %+v", again)
 	}
-	if a.Digest() != b.Digest() || len(a.All()) != 31 {
-		t.Errorf("the views differ after the exchange; %d processes", len(a.All()))
+	if a.Digest() != b.Digest() || len(a.Peers()) != 31 {
+		t.Errorf("the views differ after the exchange; %d processes", len(a.Peers()))
 	}
 	for name, message := range map[string]any{"1-heartbeat": first, "2-reply": reply, "3-heartbeat": second, "4-reply": last} {
 		want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".cbor"))
--- a/membership/service.go
+++ b/membership/service.go
@@ -71,7 +71,7 @@
 
 // Meet calls on a process that has spoken to this one and may not be known here:
 // waiting for the news to travel round would keep them strangers for a second.
-func (s *Service) Meet(addr string) {
+func (s *Service) ExchangeWith(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ctx == nil || s.active[addr] || s.now()-s.met < meetEvery {
@@ -79,7 +79,7 @@
 	}
 	s.met = s.now()
 	s.active[addr] = true
-	ctx, b := s.ctx, s.view.Beat(s.now())
+	ctx, b := s.ctx, s.view.Heartbeat(s.now())
 	s.tasks.Go(func() { s.beat(ctx, addr, b) })
 }
 
@@ -95,12 +95,12 @@
 func (s *Service) Peers() []api.Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.view.All()
+	return s.view.Peers()
 }
 
 func (s *Service) beatAll(ctx context.Context) {
 	s.mu.Lock()
-	for _, name := range s.view.Check(s.now()) {
+	for _, name := range s.view.DetectFailures(s.now()) {
 		s.log.Warn("a process was not heard of", "peer", name)
 	}
 	var to []string
@@ -114,7 +114,7 @@
 		s.rng.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 		to = append(to, seeds[:min(joinMost, len(seeds))]...)
 	}
-	b := s.view.Beat(s.now())
+	b := s.view.Heartbeat(s.now())
 	for _, addr := range to {
 		if addr != s.view.self.Addr && !s.active[addr] {
 			s.active[addr] = true
@@ -145,7 +145,7 @@
 			return
 		}
 		s.mu.Lock()
-		b = s.view.Answered(s.now(), r)
+		b = s.view.HandleResponse(s.now(), r)
 		s.news()
 		s.mu.Unlock()
 	}
@@ -155,15 +155,15 @@
 func (s *Service) Heartbeat(_ context.Context, b *api.HeartbeatRequest) (*api.HeartbeatResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.view.Answer(s.now(), b)
+	r := s.view.HandleHeartbeat(s.now(), b)
 	s.news()
 	return r, nil
 }
 
 // news tells of a changed view. Called under the mutex.
 func (s *Service) news() {
-	if s.told != s.view.Changed {
-		s.told = s.view.Changed
-		s.onNews(s.view.News())
+	if s.told != s.view.ChangeCount {
+		s.told = s.view.ChangeCount
+		s.onNews(s.view.TakeChanges())
 	}
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -50,8 +50,8 @@
 	dead    int
 	watched map[string]bool // whom this process is a watcher of
 	// Changed counts the changes.
-	Changed uint64
-	news    map[string]bool // of whom something has changed since [View.News]
+	ChangeCount uint64
+	news        map[string]bool // of whom something has changed since [View.News]
 }
 
 type record struct {
@@ -85,7 +85,7 @@
 
 // swap notes that one thing is known of a process in place of another; nil is nothing.
 func (v *View) swap(old, next *api.Peer) {
-	v.Changed++
+	v.ChangeCount++
 	for _, p := range []*api.Peer{old, next} {
 		if p != nil {
 			v.news[p.Name] = true
@@ -125,7 +125,7 @@
 }
 
 // All returns every known process, self included, by name.
-func (v *View) All() []api.Peer {
+func (v *View) Peers() []api.Peer {
 	out := []api.Peer{v.self}
 	for _, r := range v.peers {
 		out = append(out, r.Peer)
@@ -137,7 +137,7 @@
 // News returns the processes of which something has changed since the last call, by
 // name, so that who keeps a copy pays for what changed and not for how many there are.
 // One that is forgotten is dead.
-func (v *View) News() (out []api.Peer) {
+func (v *View) TakeChanges() (out []api.Peer) {
 	for name := range v.news {
 		p, ok := v.Peer(name)
 		if !ok {
@@ -229,7 +229,7 @@
 // ---- Exchanges ----
 
 // Beat returns the heartbeat of now.
-func (v *View) Beat(now time.Duration) *api.HeartbeatRequest {
+func (v *View) Heartbeat(now time.Duration) *api.HeartbeatRequest {
 	return &api.HeartbeatRequest{From: v.self, Digest: v.Digest(), Peers: v.late(now)}
 }
 
@@ -250,7 +250,7 @@
 
 // in are all processes of some parts of the view.
 func (v *View) in(mask uint64) (out []api.Peer) {
-	for _, p := range v.All() {
+	for _, p := range v.Peers() {
 		if mask>>part(p.Name)&1 == 1 {
 			out = append(out, p)
 		}
@@ -259,8 +259,8 @@
 }
 
 // Answer takes in a heartbeat and returns the answer to it.
-func (v *View) Answer(now time.Duration, b *api.HeartbeatRequest) *api.HeartbeatResponse {
-	v.Heard(now, b.From)
+func (v *View) HandleHeartbeat(now time.Duration, b *api.HeartbeatRequest) *api.HeartbeatResponse {
+	v.RecordHeartbeat(now, b.From)
 	v.Merge(now, b.Peers)
 	r := &api.HeartbeatResponse{Digest: v.Digest()}
 	switch {
@@ -275,7 +275,7 @@
 
 // Answered takes in the answer to a heartbeat, and returns the second round's
 // where one is needed.
-func (v *View) Answered(now time.Duration, r *api.HeartbeatResponse) (again *api.HeartbeatRequest) {
+func (v *View) HandleResponse(now time.Duration, r *api.HeartbeatResponse) (again *api.HeartbeatRequest) {
 	v.Merge(now, r.Peers)
 	if v.Digest() == r.Digest || len(r.BucketDigests) != buckets {
 		return nil
@@ -313,7 +313,7 @@
 }
 
 // Heard notes a heartbeat.
-func (v *View) Heard(now time.Duration, from api.Peer) bool {
+func (v *View) RecordHeartbeat(now time.Duration, from api.Peer) bool {
 	news := v.Merge(now, []api.Peer{from})
 	if r := v.peers[from.Name]; r != nil && r.StartID == from.StartID {
 		r.heardAt = now
@@ -352,7 +352,7 @@
 
 // Check declares dead whom this process watches and has not heard of, and
 // forgets the long dead. It is called at each beat.
-func (v *View) Check(now time.Duration) (lost []string) {
+func (v *View) DetectFailures(now time.Duration) (lost []string) {
 	still := v.beatAt != 0 && now-v.beatAt > stoodStill
 	v.beatAt = now
 	if still { // what was sent meanwhile was not heard
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -38,7 +38,7 @@
 func (f *fleet) round() (messages int) {
 	f.now += beatEvery
 	for name, v := range f.views {
-		v.Check(f.now)
+		v.DetectFailures(f.now)
 		to := v.Watchers(name)
 		if len(to) == 0 {
 			to = []string{"n0"}
@@ -49,10 +49,10 @@
 				continue
 			}
 			messages++
-			for b := v.Beat(f.now); b != nil; {
-				r := o.Answer(f.now, b)
+			for b := v.Heartbeat(f.now); b != nil; {
+				r := o.HandleHeartbeat(f.now, b)
 				f.peers += len(b.Peers) + len(r.Peers)
-				b = v.Answered(f.now, r)
+				b = v.HandleResponse(f.now, r)
 			}
 		}
 	}
@@ -65,7 +65,7 @@
 			return false
 		}
 	}
-	return len(f.views["n0"].All()) >= len(f.views)
+	return len(f.views["n0"].Peers()) >= len(f.views)
 }
 
 // All know all in a few beats, whatever the size; a process sends as many
@@ -192,7 +192,7 @@
 		f.round()
 	}
 	f.now += 10 * time.Second
-	if lost := f.views["n0"].Check(f.now); len(lost) > 0 {
+	if lost := f.views["n0"].DetectFailures(f.now); len(lost) > 0 {
 		t.Errorf("declared dead: %v", lost)
 	}
 }
@@ -264,13 +264,13 @@
 	const addr = "10.0.0.2:1"
 	a, b := start("a", "10.0.0.1:1"), start("b", addr)
 	for end := time.Now().Add(beatEvery); len(a.Peers()) < 2 || len(b.Peers()) < 2; time.Sleep(5 * time.Millisecond) {
-		if a.Meet(addr); time.Now().After(end) {
+		if a.ExchangeWith(addr); time.Now().After(end) {
 			t.Fatalf("%v and %v", a.Peers(), b.Peers())
 		}
 	}
 	cancel()
 	done.Wait()
-	a.Meet(addr)
+	a.ExchangeWith(addr)
 }
 
 // A copy that is kept by the news alone is the view, whatever came, changed, died and
@@ -279,7 +279,7 @@
 	rng := rand.New(rand.NewPCG(4, 4))
 	v, copied, now := NewView(api.Peer{Name: "self", Addr: "s", StartID: 1}), map[string]api.Peer{}, time.Duration(1)
 	take := func() (n int) {
-		for _, p := range v.News() {
+		for _, p := range v.TakeChanges() {
 			n++
 			if copied[p.Name] = p; p.State == Dead {
 				delete(copied, p.Name)
@@ -303,11 +303,11 @@
 	for i := range 2000 {
 		now += time.Duration(rng.IntN(200)) * time.Millisecond
 		v.Merge(now, []api.Peer{{Name: fmt.Sprint("p", rng.IntN(400)), Addr: fmt.Sprint("a", i), StartID: rng.Uint64(), Incarnation: uint64(rng.IntN(50)), State: uint8(rng.IntN(3))}})
-		if v.Check(now); rng.IntN(3) > 0 {
+		if v.DetectFailures(now); rng.IntN(3) > 0 {
 			continue
 		}
 		take()
-		for _, p := range v.All() {
+		for _, p := range v.Peers() {
 			if had, is := copied[p.Name]; is != (p.State != Dead) || is && had != p {
 				t.Fatalf("after %d changes: the copy has %v, the view %v", i, had, p)
 			}
--- a/process/discover.go
+++ b/process/discover.go
@@ -87,8 +87,8 @@
 			continue
 		}
 		last, d.asked = now, true
-		list, pages, err := discovery.List(ctx, cfg.Cloud.Address, cfg.Cloud.RatePerS)
-		if errors.Is(err, discovery.ErrBusy) {
+		list, pages, err := discovery.ListServers(ctx, cfg.Cloud.Address, cfg.Cloud.RatePerS)
+		if errors.Is(err, discovery.ErrRateLimited) {
 			backoff.Sleep(ctx, busyPause+backoff.Spread(busyPause, rng))
 		}
 		if err != nil {
--- a/process/news.go
+++ b/process/news.go
@@ -168,13 +168,13 @@
 
 // take takes in what is new.
 func (p *Process) take(ctx context.Context, m member, n *api.WatchResponse) bool {
-	return p.table(ctx, m, api.ConfigTable, n.ConfigDelta, func(r *versioned.Reader) error { return p.gateway.ChangeConfig(r) }) &&
-		p.table(ctx, m, api.ServerTable, n.ServersDelta, func(r *versioned.Reader) error { return p.gateway.ChangeServers(r, n.ClockMs) })
+	return p.table(ctx, m, api.ConfigTable, n.ConfigDelta, func(r *versioned.DeltaReader) error { return p.gateway.ChangeConfig(r) }) &&
+		p.table(ctx, m, api.ServerTable, n.ServersDelta, func(r *versioned.DeltaReader) error { return p.gateway.ChangeServers(r, n.ClockMs) })
 }
 
 // table takes in the difference of one table. Where it does not fit what is held
 // here, the whole is asked for next time.
-func (p *Process) table(ctx context.Context, m member, table uint8, parcel *api.EncodedDelta, take func(*versioned.Reader) error) bool {
+func (p *Process) table(ctx context.Context, m member, table uint8, parcel *api.EncodedDelta, take func(*versioned.DeltaReader) error) bool {
 	if parcel == nil {
 		return true
 	}
@@ -185,7 +185,7 @@
 		p.log.Debug("a difference was not had", "table", table, "to", parcel.To, "err", err)
 		return false
 	}
-	r, err := versioned.Open(data)
+	r, err := versioned.OpenDelta(data)
 	if err == nil {
 		err = take(r)
 	}
--- a/process/process.go
+++ b/process/process.go
@@ -134,7 +134,7 @@
 	}
 	if cfg.Serves("edge") {
 		if p.gateway, err = dataplane.New(cfg, dataplane.Options{Seed: seed, Log: p.log, Upstream: p.Tune.Upstream, Link: p.Tune.Link, Keys: p.ring, Metrics: p.meter,
-			Stranger: func(addr string) { p.members.Meet(addr) }}); err != nil {
+			Stranger: func(addr string) { p.members.ExchangeWith(addr) }}); err != nil {
 			return err
 		}
 	}
--- a/versioned/changes.go
+++ b/versioned/delta.go
@@ -24,11 +24,11 @@
 )
 
 // Head begins an encoded difference.
-type Head struct {
-	From uint64 `cbor:"1,keyasint"` // the version it builds on; 0: none, it is the whole
-	To   uint64 `cbor:"2,keyasint"`
-	Sum  uint64 `cbor:"3,keyasint"` // over the table's rows afterwards; see [Mark]
-	Rows int    `cbor:"4,keyasint"`
+type DeltaHeader struct {
+	From     uint64 `cbor:"1,keyasint"` // the version it builds on; 0: none, it is the whole
+	To       uint64 `cbor:"2,keyasint"`
+	Checksum uint64 `cbor:"3,keyasint"` // over the table's rows afterwards; see [Mark]
+	RowCount int    `cbor:"4,keyasint"`
 }
 
 // Row is one row of a table. A row without a value is one that went.
@@ -38,12 +38,12 @@
 }
 
 // ErrUnreadable tells that bytes are no difference.
-var ErrUnreadable = errors.New("delta: a difference can't be read")
+var ErrMalformed = errors.New("delta: a difference can't be read")
 
 // Mark is a row's part in the sum over a table: the sum is the exclusive or of
 // all marks. Who applies a difference keeps the marks of what it holds and
 // compares the sum; where it differs, the whole is asked for.
-func Mark(key string, value []byte) uint64 {
+func RowChecksum(key string, value []byte) uint64 {
 	h := xxhash.New()
 	h.WriteString(key)
 	h.Write([]byte{0})
@@ -52,7 +52,7 @@
 }
 
 // encode writes a difference.
-func encode(h Head, rows func(yield func(Row) bool)) ([]byte, error) {
+func encode(h DeltaHeader, rows func(yield func(Row) bool)) ([]byte, error) {
 	var b bytes.Buffer
 	e := cbor.NewEncoder(&b)
 	if err := e.Encode(h); err != nil {
@@ -71,8 +71,8 @@
 }
 
 // Reader reads a difference.
-type Reader struct {
-	Head
+type DeltaReader struct {
+	DeltaHeader
 	dec  *cbor.Decoder
 	left int
 }
@@ -86,38 +86,38 @@
 }()
 
 // Open reads the head of an encoded difference.
-func Open(data []byte) (*Reader, error) {
+func OpenDelta(data []byte) (*DeltaReader, error) {
 	from, err := compression.Reader(data, mostWhole)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	r := &Reader{dec: mode.NewDecoder(from)}
-	if err := r.dec.Decode(&r.Head); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+	r := &DeltaReader{dec: mode.NewDecoder(from)}
+	if err := r.dec.Decode(&r.DeltaHeader); err != nil {
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	if r.Rows < 0 || r.Rows > mostRows {
-		return nil, fmt.Errorf("%w: %d rows", ErrUnreadable, r.Rows)
+	if r.RowCount < 0 || r.RowCount > mostRows {
+		return nil, fmt.Errorf("%w: %d rows", ErrMalformed, r.RowCount)
 	}
-	r.left = r.Rows
+	r.left = r.RowCount
 	return r, nil
 }
 
 // Next returns the next row, [io.EOF] after the last. The row is the caller's.
-func (r *Reader) Next() (Row, error) {
+func (r *DeltaReader) Next() (Row, error) {
 	if r.left == 0 {
 		return Row{}, io.EOF
 	}
 	r.left--
 	var row Row
 	if err := r.dec.Decode(&row); err != nil {
-		return Row{}, fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return Row{}, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	return row, nil
 }
 
 // Onto returns the table that a difference makes of rows of a version, checked
 // by its sum. The rows given stay as they are.
-func (r *Reader) Onto(version uint64, rows map[string][]byte) (map[string][]byte, error) {
+func (r *DeltaReader) ApplyTo(version uint64, rows map[string][]byte) (map[string][]byte, error) {
 	switch {
 	case r.To <= version:
 		return nil, fmt.Errorf("delta: version %d is not above %d", r.To, version)
@@ -146,14 +146,14 @@
 	}
 	sum := uint64(0)
 	for k, v := range out {
-		sum ^= Mark(k, v)
+		sum ^= RowChecksum(k, v)
 	}
-	if sum != r.Sum {
-		return nil, ErrSum
+	if sum != r.Checksum {
+		return nil, ErrChecksum
 	}
 	return out, nil
 }
 
 // ErrSum tells that a difference does not lead to the table that it speaks of:
 // the whole is wanted.
-var ErrSum = errors.New("delta: another sum than the difference says")
+var ErrChecksum = errors.New("delta: another sum than the difference says")
--- a/versioned/golden_test.go
+++ b/versioned/golden_test.go
@@ -42,14 +42,14 @@
 				if compressed := data[0] == 1; compressed != (more > 0) {
 					t.Fatalf("first byte %d", data[0])
 				}
-				r, err := Open(data)
+				r, err := OpenDelta(data)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if r.From != since || r.To != to {
 					t.Errorf("from %d to %d, want %d and %d", r.From, r.To, since, to)
 				}
-				rows, err := r.Onto(from, first)
+				rows, err := r.ApplyTo(from, first)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -59,7 +59,7 @@
 				var table Table
 				table.Replace(from, first)
 				table.Replace(to, rows)
-				if b, err := table.Since(since); err != nil || !bytes.Equal(b.Data, data) {
+				if b, err := table.DeltaSince(since); err != nil || !bytes.Equal(b.Data, data) {
 					t.Errorf("%d bytes (%v), want %d", len(b.Data), err, len(data))
 				}
 			})
@@ -69,7 +69,7 @@
 
 // A row's part of the checksum is part of the wire.
 func TestGoldenRowChecksum(t *testing.T) {
-	if got, want := Mark("key", []byte("value")), uint64(0x710243b4fb44bb7f); got != want {
+	if got, want := RowChecksum("key", []byte("value")), uint64(0x710243b4fb44bb7f); got != want {
 		t.Errorf("%#x, want %#x", got, want)
 	}
 }
--- a/versioned/table.go
+++ b/versioned/table.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	mostSteps   = 64      // versions whose changes are remembered
-	mostChanged = 8192    // keys in all of them
-	mostBlobs   = 16      // encoded differences kept for the newest version ...
-	keptBlobs   = 4       // ... and of those before, for who is still fetching one ...
-	MostHeld    = 4 << 20 // ... in bytes, of each kind
+	mostSteps      = 64      // versions whose changes are remembered
+	mostChanged    = 8192    // keys in all of them
+	mostBlobs      = 16      // encoded differences kept for the newest version ...
+	keptBlobs      = 4       // ... and of those before, for who is still fetching one ...
+	MaxCachedBytes = 4 << 20 // ... in bytes, of each kind
 )
 
 // Table is the newest version of a table with its latest changes. The zero
@@ -20,10 +20,10 @@
 	version uint64
 	rows    map[string][]byte
 	sum     uint64
-	steps   []step // oldest first
-	changed int    // keys in steps
-	blobs   []Blob // of the newest version
-	retired []Blob // the latest last
+	steps   []step         // oldest first
+	changed int            // keys in steps
+	blobs   []EncodedDelta // of the newest version
+	retired []EncodedDelta // the latest last
 }
 
 // step is what changed from one version to the next.
@@ -33,7 +33,7 @@
 }
 
 // Blob is an encoded difference.
-type Blob struct {
+type EncodedDelta struct {
 	From, To uint64
 	Data     []byte
 }
@@ -48,14 +48,14 @@
 func (t *Table) Rows() map[string][]byte { return t.rows }
 
 // Delta is how the rows of one version differ from those of the one before.
-type Delta struct {
+type RowDiff struct {
 	keys []string
 	sum  uint64 // the exclusive or of the marks that come and go
 }
 
 // Compare returns how rows differ from those before. It touches no table, so it may
 // run beside one that is in use.
-func Compare(before, rows map[string][]byte) (d Delta) {
+func DiffRows(before, rows map[string][]byte) (d RowDiff) {
 	left := len(before) // rows of before that are not found in rows
 	for k, v := range rows {
 		old, had := before[k]
@@ -66,9 +66,9 @@
 			continue
 		}
 		if had {
-			d.sum ^= Mark(k, old)
+			d.sum ^= RowChecksum(k, old)
 		}
-		d.sum ^= Mark(k, v)
+		d.sum ^= RowChecksum(k, v)
 		d.keys = append(d.keys, k)
 	}
 	if left == 0 {
@@ -76,7 +76,7 @@
 	}
 	for k, v := range before {
 		if _, is := rows[k]; !is {
-			d.sum ^= Mark(k, v)
+			d.sum ^= RowChecksum(k, v)
 			d.keys = append(d.keys, k)
 		}
 	}
@@ -87,12 +87,12 @@
 // over. The rows are the table's from then on.
 func (t *Table) Replace(version uint64, rows map[string][]byte) {
 	if version > t.version {
-		t.Apply(version, rows, Compare(t.rows, rows))
+		t.ReplaceWithDiff(version, rows, DiffRows(t.rows, rows))
 	}
 }
 
 // Apply is Replace with rows that were compared to [Table.Rows] before.
-func (t *Table) Apply(version uint64, rows map[string][]byte, d Delta) {
+func (t *Table) ReplaceWithDiff(version uint64, rows map[string][]byte, d RowDiff) {
 	if version <= t.version {
 		return
 	}
@@ -110,13 +110,13 @@
 	if k := len(t.retired) - keptBlobs; k > 0 {
 		t.retired = slices.Delete(t.retired, 0, k)
 	}
-	for size(t.retired) > MostHeld {
+	for size(t.retired) > MaxCachedBytes {
 		t.retired = slices.Delete(t.retired, 0, 1)
 	}
 	t.blobs = nil
 }
 
-func size(blobs []Blob) (n int) {
+func size(blobs []EncodedDelta) (n int) {
 	for _, b := range blobs {
 		n += len(b.Data)
 	}
@@ -125,12 +125,12 @@
 
 // Since returns the difference from a version to the newest one, encoded. Where
 // the changes since then are not known any more, or from is 0, it is the whole.
-func (t *Table) Since(from uint64) (Blob, error) {
+func (t *Table) DeltaSince(from uint64) (EncodedDelta, error) {
 	i := slices.IndexFunc(t.steps, func(s step) bool { return s.from == from })
 	if i < 0 || from == 0 {
 		from, i = 0, len(t.steps)
 	}
-	if k := slices.IndexFunc(t.blobs, func(b Blob) bool { return b.From == from }); k >= 0 {
+	if k := slices.IndexFunc(t.blobs, func(b EncodedDelta) bool { return b.From == from }); k >= 0 {
 		return t.blobs[k], nil
 	}
 	keys := map[string]bool{}
@@ -144,7 +144,7 @@
 			keys[k] = true
 		}
 	}
-	data, err := encode(Head{From: from, To: t.version, Sum: t.sum, Rows: len(keys)}, func(yield func(Row) bool) {
+	data, err := encode(DeltaHeader{From: from, To: t.version, Checksum: t.sum, RowCount: len(keys)}, func(yield func(Row) bool) {
 		for _, k := range slices.Sorted(maps.Keys(keys)) { // so that rows alike stand together
 			if !yield(Row{k, t.rows[k]}) {
 				return
@@ -152,26 +152,26 @@
 		}
 	})
 	if err != nil {
-		return Blob{}, err
+		return EncodedDelta{}, err
 	}
-	b := Blob{from, t.version, data}
-	if t.blobs = append(t.blobs, b); len(t.blobs) > mostBlobs || size(t.blobs) > MostHeld && len(t.blobs) > 1 {
+	b := EncodedDelta{from, t.version, data}
+	if t.blobs = append(t.blobs, b); len(t.blobs) > mostBlobs || size(t.blobs) > MaxCachedBytes && len(t.blobs) > 1 {
 		t.blobs = slices.Delete(t.blobs, 0, 1)
 	}
 	return b, nil
 }
 
 // Blob returns a difference that [Table.Since] gave out a short time ago.
-func (t *Table) Blob(from, to uint64) (Blob, bool) {
-	for _, bs := range [][]Blob{t.blobs, t.retired} {
+func (t *Table) CachedDelta(from, to uint64) (EncodedDelta, bool) {
+	for _, bs := range [][]EncodedDelta{t.blobs, t.retired} {
 		for _, b := range bs {
 			if b.From == from && b.To == to {
 				return b, true
 			}
 		}
 	}
-	return Blob{}, false
+	return EncodedDelta{}, false
 }
 
 // Held is how many bytes of encoded differences are kept.
-func (t *Table) Held() int { return size(t.blobs) + size(t.retired) }
+func (t *Table) CachedBytes() int { return size(t.blobs) + size(t.retired) }
--- a/versioned/changes_test.go
+++ b/versioned/versioned_test.go
@@ -19,11 +19,11 @@
 
 // take applies a difference, as a limiter does: nothing of it holds unless all fits.
 func (h *holder) take(data []byte) error {
-	r, err := Open(data)
+	r, err := OpenDelta(data)
 	if err != nil {
 		return err
 	}
-	rows, err := r.Onto(h.version, h.rows)
+	rows, err := r.ApplyTo(h.version, h.rows)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 					continue
 				}
 				h := &holders[rng.IntN(len(holders))]
-				b, err := table.Since(h.version)
+				b, err := table.DeltaSince(h.version)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -92,7 +92,7 @@
 			if version == 0 {
 				return
 			}
-			b, err := table.Since(holders[i].version)
+			b, err := table.DeltaSince(holders[i].version)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -129,17 +129,17 @@
 		rows = maps.Clone(rows)
 		rows["row7"] = value(t, "another")
 		table.Replace(2, rows)
-		a, err := table.Since(1)
+		a, err := table.DeltaSince(1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(a.Data) > 100 {
 			t.Errorf("%d bytes for one of %d rows", len(a.Data), n)
 		}
-		if b, _ := table.Since(1); &a.Data[0] != &b.Data[0] {
+		if b, _ := table.DeltaSince(1); &a.Data[0] != &b.Data[0] {
 			t.Error("encoded twice")
 		}
-		if b, err := table.Since(77); err != nil || b.From != 0 {
+		if b, err := table.DeltaSince(77); err != nil || b.From != 0 {
 			t.Errorf("who holds what is not known is told %+v, %v", b.From, err)
 		}
 	}
@@ -162,25 +162,25 @@
 		}
 		table.Replace(v+1, rows)
 		for from := range uint64(20) {
-			if _, err := table.Since(v - from); err != nil {
+			if _, err := table.DeltaSince(v - from); err != nil {
 				t.Fatal(err)
 			}
 		}
 		byKeys, bySteps = byKeys || table.changed > mostChanged-n, bySteps || len(table.steps) == mostSteps
 		if len(table.steps) > mostSteps || table.changed > mostChanged || len(table.blobs) > mostBlobs || len(table.retired) > keptBlobs ||
-			table.Held() > 2*MostHeld {
-			t.Fatalf("%d steps, %d changed, %d and %d blobs, %d bytes", len(table.steps), table.changed, len(table.blobs), len(table.retired), table.Held())
+			table.CachedBytes() > 2*MaxCachedBytes {
+			t.Fatalf("%d steps, %d changed, %d and %d blobs, %d bytes", len(table.steps), table.changed, len(table.blobs), len(table.retired), table.CachedBytes())
 		}
 	}
 	if !byKeys || !bySteps {
 		t.Errorf("no bound was met: by keys %v, by versions %v", byKeys, bySteps)
 	}
-	b, err := table.Since(149)
+	b, err := table.DeltaSince(149)
 	if err != nil {
 		t.Fatal(err)
 	}
 	table.Replace(2000, map[string][]byte{"a": value(t, 1)})
-	if got, ok := table.Blob(149, 150); !ok || !bytes.Equal(got.Data, b.Data) {
+	if got, ok := table.CachedDelta(149, 150); !ok || !bytes.Equal(got.Data, b.Data) {
 		t.Error("what is being fetched is gone")
 	}
 }
@@ -191,14 +191,14 @@
 	table.Replace(1, map[string][]byte{"a": value(f, 1)})
 	table.Replace(2, map[string][]byte{"b": value(f, make([]int, 1000))})
 	for _, from := range []uint64{0, 1} {
-		b, err := table.Since(from)
+		b, err := table.DeltaSince(from)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(b.Data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, err := Open(data)
+		r, err := OpenDelta(data)
 		if err != nil {
 			return
 		}
