--- a/cmd/elmspan/state.go
+++ b/cmd/elmspan/state.go
@@ -34,9 +34,9 @@
 		data, err = c.call(http.MethodGet, c.Control, "/v1/State.Export", nil, nil)
 	} else {
 		err = withStore(c.Data, func(s *storage.Store) error {
-			_, _, state, err := controlplane.Inspect(s)
+			found, err := controlplane.Inspect(s)
 			if err == nil {
-				data, err = controlplane.Export(state)
+				data, err = controlplane.Export(found.State)
 			}
 			return err
 		})
@@ -108,16 +108,17 @@
 		return err
 	}
 	return withStore(c.Path, func(s *storage.Store) error {
-		id, st, state, err := controlplane.Inspect(s)
+		found, err := controlplane.Inspect(s)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("member      %x\nterm        %d\nsnapshot    up to %d\nlog         %d entries, up to %d\n", uint64(id), st.Hard.Term, st.Snapshot.Index,
-			len(st.Entries), st.Snapshot.Index+uint64(len(st.Entries)))
-		for _, m := range st.Snapshot.Members {
+		stored := &found.Stored
+		fmt.Printf("member      %x\nterm        %d\nsnapshot    up to %d\nlog         %d entries, up to %d\n", uint64(found.ID), stored.Hard.Term, stored.Snapshot.Index,
+			len(stored.Entries), stored.Snapshot.Index+uint64(len(stored.Entries)))
+		for _, m := range stored.Snapshot.Members {
 			fmt.Printf("voter %-5v %x at %s\n", m.Voter, uint64(m.ID), m.Addr)
 		}
-		describe(state)
+		describe(found.State)
 		return nil
 	})
 }
--- a/controlplane/client_test.go
+++ b/controlplane/client_test.go
@@ -45,7 +45,7 @@
 	}
 	e := &endless{make(chan struct{}), make(chan struct{})}
 	ended := make(chan int)
-	for range bodiesInHand {
+	for range maxConcurrentBodies {
 		go func() { ended <- call(e, api.MaxConfigBytes) }()
 		<-e.read
 	}
@@ -53,7 +53,7 @@
 		t.Errorf("one more is answered %d", code)
 	}
 	close(e.close)
-	for range bodiesInHand {
+	for range maxConcurrentBodies {
 		if code := <-ended; code != http.StatusBadRequest {
 			t.Errorf("one that breaks off is answered %d", code)
 		}
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := (&Client{Log: slog.New(slog.DiscardHandler)}).Handler()
 		var calls sync.WaitGroup
-		for i := range 2 * bodiesInHand {
+		for i := range 2 * maxConcurrentBodies {
 			r := httptest.NewRequest(http.MethodPost, "/v1/Config.Replace", bytes.NewReader([]byte("x")))
 			r.Header.Set("Base-Revision", "0")
 			if i%3 == 0 {
@@ -98,25 +98,25 @@
 	for _, seeds := range [][]string{old, {"x:1"}, {"a:1", "x:1"}} {
 		for _, spare := range [][]string{{"x:1", "c:1"}, {"c:1", "x:1"}} {
 			c := &Client{Name: "edge-1"}
-			c.Learn("", seeds)
-			c.Spare(spare)
+			c.SetMembers("", seeds)
+			c.SetFallbacks(spare)
 			asked := 0
 			for ; asked < 40; asked++ {
-				at := c.Helper()
+				at := c.WatchMember()
 				if slices.Contains(now, at) {
-					c.Heard(&api.WatchResponse{Lease: true, Leader: "d:1", Members: now})
+					c.ObserveWatchResponse(&api.WatchResponse{Lease: true, Leader: "d:1", Members: now})
 					break
 				}
 				if at == "x:1" {
-					c.Heard(&api.WatchResponse{Leader: "a:1", Members: old})
+					c.ObserveWatchResponse(&api.WatchResponse{Leader: "a:1", Members: old})
 				}
-				c.HelperFailed(at)
+				c.WatchMemberFailed(at)
 			}
-			if at := c.Helper(); !slices.Contains(now, at) {
+			if at := c.WatchMember(); !slices.Contains(now, at) {
 				t.Errorf("seeds %v, spare %v: after %d calls %s is asked", seeds, spare, asked, at)
 			}
-			c.Heard(&api.WatchResponse{Leader: "a:1", Members: old}) // late
-			if at := c.Helper(); !slices.Contains(now, at) || c.Next() != "d:1" {
+			c.ObserveWatchResponse(&api.WatchResponse{Leader: "a:1", Members: old}) // late
+			if at := c.WatchMember(); !slices.Contains(now, at) || c.selector.leaderCandidate() != "d:1" {
 				t.Errorf("seeds %v, spare %v: led back to %s by a late answer", seeds, spare, at)
 			}
 		}
@@ -127,16 +127,16 @@
 // where to go on.
 func TestHearsayIsFollowedInTheEnd(t *testing.T) {
 	c := &Client{Name: "edge-1"}
-	c.Learn("", []string{"x:1"})
+	c.SetMembers("", []string{"x:1"})
 	for range 10 {
-		at := c.Helper()
+		at := c.WatchMember()
 		if at == "a:1" {
 			return
 		}
 		if at == "x:1" {
-			c.Heard(&api.WatchResponse{Members: []string{"x:1", "a:1"}})
+			c.ObserveWatchResponse(&api.WatchResponse{Members: []string{"x:1", "a:1"}})
 		}
-		c.HelperFailed(at)
+		c.WatchMemberFailed(at)
 	}
 	t.Error("nobody else is asked")
 }
--- a/controlplane/core_test.go
+++ b/controlplane/core_test.go
@@ -107,7 +107,7 @@
 
 func (c *cluster) client() *Client {
 	cl := &Client{Conns: c.net.conns(), Log: slog.New(slog.DiscardHandler)}
-	cl.Learn("", c.addrs)
+	cl.SetMembers("", c.addrs)
 	c.t.Cleanup(func() { cl.Conns.Close() })
 	return cl
 }
--- a/controlplane/export.go
+++ b/controlplane/export.go
@@ -10,125 +10,98 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/raft"
-	"example.org/elmspan/raft/storage"
 )
 
-// An export is what the core agrees on, in one file: a line that names the format
-// and its version, a checksum of what follows, the state in CBOR.
+// An export is the state in one file: a line that names the format and its version, the
+// CRC-32 (IEEE, big endian) of what follows, the state in CBOR.
 const (
-	exportMagic = "elmspan state 1\n"
-	exportHead  = len(exportMagic) + 4
+	exportMagic      = "elmspan state 1\n"
+	exportHeaderSize = len(exportMagic) + crc32.Size
 )
 
-// ErrInvalidExport tells that a file is no export, or not a whole one.
-var ErrInvalidExport = errors.New("controlplane: this is no whole export of a state")
+// ErrInvalidExport tells that a file is no export, not a complete one, or holds a state that
+// no control plane can have.
+var ErrInvalidExport = errors.New("controlplane: not a complete export of a state")
 
-// Export writes a state.
+// Export encodes a state as an export.
 func Export(s *State) ([]byte, error) {
 	body, err := cbor.Marshal(s)
 	if err != nil {
-		return nil, fmt.Errorf("controlplane: %w", err)
+		return nil, fmt.Errorf("controlplane: encoding the state: %w", err)
 	}
-	out := append([]byte(exportMagic), 0, 0, 0, 0)
-	binary.BigEndian.PutUint32(out[len(exportMagic):], crc32.ChecksumIEEE(body))
-	return append(out, body...), nil
+	file := make([]byte, 0, exportHeaderSize+len(body))
+	file = append(file, exportMagic...)
+	file = binary.BigEndian.AppendUint32(file, crc32.ChecksumIEEE(body))
+	return append(file, body...), nil
 }
 
-// Import reads and checks an export, down to the configuration in it.
-func Import(data []byte) (*State, error) {
-	if len(data) < exportHead || !bytes.HasPrefix(data, []byte(exportMagic)) {
-		return nil, ErrInvalidExport
-	}
-	body := data[exportHead:]
-	if binary.BigEndian.Uint32(data[len(exportMagic):]) != crc32.ChecksumIEEE(body) {
-		return nil, fmt.Errorf("%w: its checksum is off", ErrInvalidExport)
+// Import decodes an export and checks all of it, down to the newest configuration. Whatever
+// is wrong with it is an [ErrInvalidExport].
+func Import(file []byte) (*State, error) {
+	body, err := exportBody(file)
+	if err != nil {
+		return nil, err
 	}
 	s := &State{}
 	if err := cbor.Unmarshal(body, s); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrInvalidExport, err)
+		return nil, invalidExport(err)
 	}
 	if s.Revision == 0 {
 		return s, nil
 	}
-	conf, err := s.Config()
+	config, err := s.Config()
+	if err != nil {
+		return nil, invalidExport(err)
+	}
+	parsed, err := api.ParseConfig(config)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrInvalidExport, err)
+		return nil, invalidExport(err)
 	}
-	if c, err := api.ParseConfig(conf); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrInvalidExport, err)
-	} else if c.Revision != s.Revision {
-		return nil, fmt.Errorf("%w: it says revision %d and holds %d", ErrInvalidExport, s.Revision, c.Revision)
+	if parsed.Revision != s.Revision {
+		return nil, fmt.Errorf("%w: revision %d holds a configuration of revision %d",
+			ErrInvalidExport, s.Revision, parsed.Revision)
 	}
-	if err := s.checkTaken(conf); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrInvalidExport, err)
+	if err := s.validateApplied(config); err != nil {
+		return nil, invalidExport(err)
 	}
 	return s, nil
 }
 
-// checkTaken tells what is wrong with the versions that are remembered, if
-// anything: a core that begins with them answers orders that are sent again by them.
-func (s *State) checkTaken(newest []byte) error {
-	if len(s.Applied) > maxAppliedRevisions {
-		return fmt.Errorf("%d versions are remembered, %d is the most", len(s.Applied), maxAppliedRevisions)
-	}
-	below := s.oldestRemembered() - 1
-	for _, t := range s.Applied {
-		if t.Revision <= below {
-			return fmt.Errorf("revision %d is remembered after %d", t.Revision, below)
-		}
-		below = t.Revision
-	}
-	if k := len(s.Applied); k > 0 && (below != s.Revision || !s.Applied[k-1].matches(fingerprintOf(newest))) {
-		return fmt.Errorf("revision %d is not the one that is remembered as the newest", s.Revision)
-	}
-	return nil
+func invalidExport(cause error) error {
+	return fmt.Errorf("%w: %w", ErrInvalidExport, cause)
 }
 
-// Restore begins the state of a member in an empty store: as one of the first
-// voters, with a state that all of them begin with. The core that had it before
-// must be gone for good.
-func Restore(store *storage.Store, addr string, seeds []string, s *State) error {
-	if id, err := store.Identity(); err != nil {
-		return err
-	} else if id != 0 {
-		return errors.New("controlplane: there is a state already; a restore begins with an empty folder")
-	}
-	data, err := cbor.Marshal(s)
-	if err != nil {
-		return fmt.Errorf("controlplane: %w", err)
-	}
-	first := raft.Snapshot{Index: 1, Term: 1, Data: data}
-	is := false
-	for _, a := range seeds {
-		first.Members = append(first.Members, raft.Member{ID: BootstrapID(a), Addr: a, Voter: true})
-		is = is || a == addr
+// exportBody checks the header of an export, and returns what follows it.
+func exportBody(file []byte) ([]byte, error) {
+	if len(file) < exportHeaderSize || !bytes.HasPrefix(file, []byte(exportMagic)) {
+		return nil, ErrInvalidExport
 	}
-	if !is {
-		return fmt.Errorf("controlplane: %s is none of the seeds %v: it joins with an empty folder by itself", addr, seeds)
+	body := file[exportHeaderSize:]
+	if binary.BigEndian.Uint32(file[len(exportMagic):]) != crc32.ChecksumIEEE(body) {
+		return nil, fmt.Errorf("%w: its checksum is wrong", ErrInvalidExport)
 	}
-	return store.Initialize(BootstrapID(addr), first)
+	return body, nil
 }
 
-// Inspect reads what a member's store holds: its id, its members, and the state
-// with all of the log applied, which may have changes that were not acknowledged.
-func Inspect(store *storage.Store) (id raft.ID, st raft.Stored, s *State, err error) {
-	if id, err = store.Identity(); err != nil {
-		return id, st, nil, err
-	}
-	if st, err = store.Load(); err != nil {
-		return id, st, nil, err
+// validateApplied tells what is wrong with the revisions that are remembered, if anything:
+// members that start with them decide by them about commands that are sent again.
+func (s *State) validateApplied(newestConfig []byte) error {
+	if len(s.Applied) > maxAppliedRevisions {
+		return fmt.Errorf("%d revisions are remembered, at most %d can be", len(s.Applied), maxAppliedRevisions)
 	}
-	s = &State{}
-	if len(st.Snapshot.Data) > 0 {
-		if err := cbor.Unmarshal(st.Snapshot.Data, s); err != nil {
-			return id, st, nil, fmt.Errorf("%w: snapshot: %v", storage.ErrCorrupt, err)
+	last := s.oldestRemembered() - 1
+	for _, a := range s.Applied {
+		if a.Revision <= last {
+			return fmt.Errorf("revision %d is remembered after %d", a.Revision, last)
 		}
+		last = a.Revision
 	}
-	for _, e := range st.Entries {
-		if len(e.Data) > 0 {
-			s.Apply(e.Data)
-		}
+	if len(s.Applied) == 0 {
+		return nil
 	}
-	return id, st, s, nil
+	newest := s.Applied[len(s.Applied)-1]
+	if newest.Revision != s.Revision || !newest.matches(fingerprintOf(newestConfig)) {
+		return fmt.Errorf("revision %d is not the newest one that is remembered", s.Revision)
+	}
+	return nil
 }
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -139,10 +139,10 @@
 	if err := Restore(store, "10.0.0.1:1", []string{"10.0.0.1:1"}, &s); err != nil {
 		t.Fatal(err)
 	}
-	if Restore(store, "10.0.0.1:1", []string{"10.0.0.1:1"}, &s) == nil {
-		t.Error("restored over a state")
+	if err := Restore(store, "10.0.0.1:1", []string{"10.0.0.1:1"}, &s); !errors.Is(err, ErrStoreNotEmpty) {
+		t.Errorf("restored over a state: %v", err)
 	}
-	if _, _, got, err := Inspect(store); err != nil || got.Revision != 3 {
+	if got, err := Inspect(store); err != nil || got.State.Revision != 3 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -181,10 +181,11 @@
 		store.Save(raft.Ready{Hard: &raft.HardState{Term: 2}, Entries: []raft.Entry{{Index: 4, Term: 2, Data: old(4, 6)}}})); err != nil {
 		t.Fatal(err)
 	}
-	_, _, s, err := Inspect(store)
-	if err != nil || s.Revision != 6 {
-		t.Fatalf("%+v, %v", s, err)
+	found, err := Inspect(store)
+	if err != nil || found.State.Revision != 6 {
+		t.Fatalf("%+v, %v", found, err)
 	}
+	s := found.State
 	next, err := encodeReplaceCommand(6, 8, config(t, 8))
 	if err != nil {
 		t.Fatal(err)
--- a/controlplane/partition_harness_test.go
+++ b/controlplane/partition_harness_test.go
@@ -173,7 +173,7 @@
 // at is the process of a machine, as operators reach it.
 func (c *cutCore) at(addr string) *Client {
 	cl := c.client()
-	cl.Local = c.cores[addr]
+	cl.SetLocalCore(c.cores[addr])
 	return cl
 }
 
--- a/controlplane/partition_test.go
+++ b/controlplane/partition_test.go
@@ -108,7 +108,7 @@
 	}
 	c.cuts.setMute(true)
 	first := c.at(others[0])
-	first.Learn(l, nil)
+	first.SetMembers(l, nil)
 	w, _ := operator(first.Handler(), "0", config(t, 5))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
 		t.Fatalf("without an answer of the leader: %d", w.Code)
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -231,22 +231,22 @@
 	count := map[string]int{}
 	for i := range 100 {
 		c := &Client{Name: fmt.Sprint("edge-", i)}
-		c.Learn("", addrs)
-		first := c.Helper()
+		c.SetMembers("", addrs)
+		first := c.WatchMember()
 		count[first]++
 		seen := map[string]bool{}
 		for range addrs {
-			at := c.Helper()
+			at := c.WatchMember()
 			seen[at] = true
-			c.HelperFailed(at)
-			c.HelperFailed("another")
+			c.WatchMemberFailed(at)
+			c.WatchMemberFailed("another")
 		}
 		if len(seen) != len(addrs) {
 			t.Fatalf("limiter %d asks %v only", i, seen)
 		}
-		c.HelperFailed(c.Helper())
-		c.moved = time.Now().Add(-2 * backAfter)
-		if c.Helper() != first {
+		c.WatchMemberFailed(c.WatchMember())
+		c.selector.switchedAt = time.Now().Add(-2 * preferredRetryAfter)
+		if c.WatchMember() != first {
 			t.Fatalf("limiter %d does not go back", i)
 		}
 	}
@@ -261,19 +261,19 @@
 // are known otherwise are asked.
 func TestSpareMembers(t *testing.T) {
 	c := &Client{Name: "edge-1"}
-	c.Learn("", []string{"a:1", "b:1"})
-	c.Spare([]string{"c:1", "d:1"})
+	c.SetMembers("", []string{"a:1", "b:1"})
+	c.SetFallbacks([]string{"c:1", "d:1"})
 	for i := range 8 {
-		at := c.Helper()
+		at := c.WatchMember()
 		if spare := at == "c:1" || at == "d:1"; spare != (i >= 4) {
 			t.Errorf("after %d failures %s is asked", i, at)
 		}
 		if i < 7 {
-			c.HelperFailed(at)
+			c.WatchMemberFailed(at)
 		}
 	}
-	c.Learn("", []string{"e:1"})
-	if c.Helper() != "e:1" {
+	c.SetMembers("", []string{"e:1"})
+	if c.WatchMember() != "e:1" {
 		t.Error("what the core says goes first")
 	}
 }
--- a/process/host.go
+++ b/process/host.go
@@ -112,7 +112,7 @@
 
 func (h *host) set(core *controlplane.Core) {
 	h.now.Store(core)
-	h.client.SetLocal(core)
+	h.client.SetLocalCore(core)
 }
 
 // run has the member take part until the context ends.
--- a/process/host_test.go
+++ b/process/host_test.go
@@ -86,7 +86,7 @@
 	newer(t, dir)
 	was := contents(t, dir)
 	p, stop = m.start()
-	if p.host.core() != nil || p.client.Local != nil {
+	if p.host.core() != nil || p.client.LocalCore() != nil {
 		t.Error("it takes part in the core")
 	}
 	if text := m.call("GET", "http://"+m.control+"/v1/Status", nil, nil, 200); !bytes.Contains(text, []byte("newer program")) {
@@ -194,7 +194,7 @@
 	conns, log := api.NewConnPool(nil), slog.New(slog.DiscardHandler)
 	h := &host{dir: c.dirs[i], client: &controlplane.Client{Conns: conns, Log: log}, log: log, between: between,
 		cfg: controlplane.CoreConfig{Addr: c.addrs[i], Seeds: c.addrs, Voters: 3, Conns: conns, Log: log, Seed: uint64(i)}}
-	h.client.Learn("", c.addrs)
+	h.client.SetMembers("", c.addrs)
 	if err := h.begin(i != c.plain); err != nil {
 		c.t.Fatal(err)
 	}
--- a/process/news.go
+++ b/process/news.go
@@ -65,7 +65,7 @@
 				return callLocal(ctx, &p.localCall, q, core.Fetch)
 			}}, "", true
 	}
-	if addr = p.client.Helper(); addr == "" {
+	if addr = p.client.WatchMember(); addr == "" {
 		return m, "", false
 	}
 	conn, err := p.conns.Conn(addr)
@@ -109,7 +109,7 @@
 // passOver has another member asked next.
 func (p *Process) passOver(addr string) {
 	p.coreFailed = addr == "" && p.host.core() != nil // the core in this process is tried every other time
-	p.client.HelperFailed(addr)
+	p.client.WatchMemberFailed(addr)
 }
 
 // ask asks once. It tells whether it was answered with a lease.
@@ -147,7 +147,7 @@
 		p.passOver(addr)
 		return false
 	}
-	p.client.Heard(n)
+	p.client.ObserveWatchResponse(n)
 	if !n.Lease {
 		p.passOver(addr)
 		return false
--- a/process/news_test.go
+++ b/process/news_test.go
@@ -32,7 +32,7 @@
 		defer p.conns.Close()
 		p.cfg.Store(&settings.Node{Name: "n"})
 		p.client = &controlplane.Client{Conns: p.conns, Log: log, Name: "n"}
-		p.client.Learn("", []string{"10.0.0.1:1"})
+		p.client.SetMembers("", []string{"10.0.0.1:1"})
 		for range 4 {
 			begun := time.Now()
 			if p.ask(t.Context(), true) {
--- a/process/process.go
+++ b/process/process.go
@@ -108,7 +108,7 @@
 	p.cfg.Store(cfg)
 	p.client = &controlplane.Client{Conns: p.conns, Log: log, Name: cfg.Name}
 	p.client.Status = p.status
-	p.client.Learn("", cfg.SeedAddrs())
+	p.client.SetMembers("", cfg.SeedAddrs())
 	if err := p.open(cfg, seed); err != nil {
 		return nil, errors.Join(err, p.close())
 	}
@@ -280,7 +280,7 @@
 		for _, name := range slices.Sorted(maps.Keys(p.cores)) {
 			addrs = append(addrs, p.cores[name])
 		}
-		p.client.Spare(addrs)
+		p.client.SetFallbacks(addrs)
 	}
 	if p.gateway != nil {
 		p.gateway.ChangePeers(changed)
