--- a/controlplane/client.go
+++ b/controlplane/client.go
@@ -135,7 +135,7 @@
 // callLeader makes a call again and again until a member has a result or the context ends.
 func (c *Client) callLeader(ctx context.Context, call leaderCall) api.ControlResponse {
 	for ctx.Err() == nil {
-		if result := c.tryCall(ctx, call); result != nil {
+		if result := c.callOnce(ctx, call); result != nil {
 			return *result
 		}
 		select {
@@ -149,9 +149,9 @@
 	}
 }
 
-// tryCall makes a call once, at the member in this process where that leads, else at the
+// callOnce makes a call once, at the member in this process where that leads, else at the
 // member that is believed to lead. It returns nil where there is no result.
-func (c *Client) tryCall(ctx context.Context, call leaderCall) *api.ControlResponse {
+func (c *Client) callOnce(ctx context.Context, call leaderCall) *api.ControlResponse {
 	if core := c.LocalCore(); core != nil && core.Leads() {
 		result, err := call.local(core)
 		if err != nil || result.Status == 0 {
--- a/controlplane/operatorapi.go
+++ b/controlplane/operatorapi.go
@@ -53,7 +53,8 @@
 func (o *operatorAPI) replaceConfig(w http.ResponseWriter, r *http.Request) {
 	base, err := strconv.ParseUint(r.Header.Get("Base-Revision"), 10, 64)
 	if err != nil {
-		http.Error(w, "Base-Revision: the number of the version that this one builds on is needed", http.StatusBadRequest)
+		http.Error(w, "Base-Revision: the number of the version that this one builds on is needed",
+			http.StatusBadRequest)
 		return
 	}
 	began := time.Now()
@@ -137,7 +138,12 @@
 
 // answer makes a call for an operator, and answers with its result. The call ends after a
 // time-out, and when the operator gives up.
-func (o *operatorAPI) answer(w http.ResponseWriter, r *http.Request, timeout time.Duration, call func(context.Context) api.ControlResponse) {
+func (o *operatorAPI) answer(
+	w http.ResponseWriter,
+	r *http.Request,
+	timeout time.Duration,
+	call func(context.Context) api.ControlResponse,
+) {
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
 	result := call(ctx)
--- a/controlplane/restore.go
+++ b/controlplane/restore.go
@@ -26,7 +26,8 @@
 		return ErrStoreNotEmpty
 	}
 	if !slices.Contains(seeds, addr) {
-		return fmt.Errorf("controlplane: %s is none of the seeds %v: it joins with an empty folder by itself", addr, seeds)
+		return fmt.Errorf("controlplane: %s is none of the seeds %v: it joins with an empty folder by itself",
+			addr, seeds)
 	}
 	data, err := cbor.Marshal(s)
 	if err != nil {
