--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -18,128 +19,133 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// bringVersions has versions 1 to n taken, each on top of the one before.
-func bringVersions(t *testing.T, cl *Client, n uint64) {
+// replaceInTurn has revisions 1 to n applied, each on top of the one before.
+func replaceInTurn(t *testing.T, cl *Client, n uint64) {
 	t.Helper()
-	for i := range n {
-		if got := replace(cl, i, config(t, i+1)); got != http.StatusOK {
-			t.Fatalf("revision %d: %d", i+1, got)
+	for base := range n {
+		if got := replace(cl, base, config(t, base+1)); got != http.StatusOK {
+			t.Fatalf("revision %d: %d", base+1, got)
 		}
 	}
 }
 
-// The versions before the newest are read back as they were sent, and may be
-// brought again under a new number; how many are remembered is bounded.
-func TestHistory(t *testing.T) { inBubble(t, testHistory) }
-
-func testHistory(t *testing.T) {
-	c := newCluster(t)
-	cl := c.client()
-	bringVersions(t, cl, 4)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
-	defer cancel()
-	if r := cl.Get(ctx, &api.GetRequest{Versions: true}); !slices.Equal(r.Versions, []uint64{1, 2, 3, 4}) {
-		t.Errorf("%+v", r)
-	}
-	if r := cl.Get(ctx, &api.GetRequest{Revision: 2}); r.Status != http.StatusOK || string(r.Config) != string(config(t, 2)) {
-		t.Errorf("revision 2: %d", r.Status)
-	}
-	if r := cl.Get(ctx, &api.GetRequest{Revision: 9}); r.Status != http.StatusNotFound || !strings.Contains(r.Reason, "[1 2 3 4]") {
-		t.Errorf("revision 9: %d %s", r.Status, r.Reason)
+// requireConfigAt requires that a revision is read back as it was sent.
+func requireConfigAt(ctx context.Context, t *testing.T, cl *Client, revision uint64) {
+	t.Helper()
+	r := cl.Get(ctx, &api.GetRequest{Revision: revision})
+	if r.Status != http.StatusOK || !bytes.Equal(r.Config, config(t, revision)) {
+		t.Errorf("revision %d: %d %s", revision, r.Status, r.Reason)
 	}
+}
+
+func TestPreviousConfigurationsAreReadBack(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		cl := newCluster(t).client()
+		replaceInTurn(t, cl, 4)
+		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		defer cancel()
+		if r := cl.Get(ctx, &api.GetRequest{Versions: true}); !slices.Equal(r.Versions, []uint64{1, 2, 3, 4}) {
+			t.Errorf("revisions %+v", r)
+		}
+		requireConfigAt(ctx, t, cl, 2)
+		r := cl.Get(ctx, &api.GetRequest{Revision: 9})
+		if r.Status != http.StatusNotFound || !strings.Contains(r.Reason, "[1 2 3 4]") {
+			t.Errorf("revision 9: %d %s", r.Status, r.Reason)
+		}
+	})
+}
+
+func TestPreviousConfigurationsAreBounded(t *testing.T) {
 	var s State
 	for i := range uint64(200) {
-		data, err := encodeReplaceCommand(i, i+1, fmt.Append(nil, strings.Repeat("x", int(i)), i))
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.Apply(data)
+		applyReplace(t, &s, i, i+1, fmt.Append(nil, strings.Repeat("x", int(i)), i))
 	}
 	if len(s.Previous) > maxPreviousRevisions || len(s.Previous) < maxPreviousRevisions-1 {
-		t.Errorf("%d versions are remembered", len(s.Previous))
+		t.Errorf("%d configurations are kept", len(s.Previous))
 	}
 }
 
-// All disks of the core are lost; from an export a core begins anew in which every
-// acknowledged configuration is served.
-func TestRestore(t *testing.T) { inBubble(t, testRestore) }
+// All disks of the control plane are lost. A new one that is restored from an export has every
+// configuration that was acknowledged.
+func TestRestoreFromExportKeepsAcknowledgedConfigurations(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		c := newCluster(t)
+		cl := c.client()
+		replaceInTurn(t, cl, 3)
+		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		defer cancel()
+		export := cl.Get(ctx, &api.GetRequest{State: true})
+		if export.Status != http.StatusOK {
+			t.Fatalf("export: %+v", export)
+		}
+		for _, stop := range c.stops {
+			stop()
+		}
+		c.restore(export.Config)
+		cl = c.client()
+		for _, revision := range []uint64{1, 2, 3} {
+			requireConfigAt(ctx, t, cl, revision)
+		}
+		if got := replace(cl, 2, config(t, 3)); got != http.StatusOK {
+			t.Errorf("a call that was acknowledged, sent again: %d", got)
+		}
+		if got := replace(cl, 3, config(t, 4)); got != http.StatusOK {
+			t.Errorf("a change after the restore: %d", got)
+		}
+	})
+}
 
-func testRestore(t *testing.T) {
-	c := newCluster(t)
-	cl := c.client()
-	bringVersions(t, cl, 3)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
-	defer cancel()
-	export := cl.Get(ctx, &api.GetRequest{State: true})
-	if export.Status != http.StatusOK {
-		t.Fatalf("%+v", export)
-	}
-	for _, stop := range c.stops {
-		stop()
-	}
-	state, err := Import(export.Config)
+// restore starts all machines with empty disks, from an export.
+func (c *cluster) restore(export []byte) {
+	c.t.Helper()
+	state, err := Import(export)
 	if err != nil {
-		t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	for _, a := range c.addrs {
-		dir := memory(t)
+	for _, addr := range c.addrs {
+		dir := memory(c.t)
 		store, err := storage.Open(dir)
 		if err != nil {
-			t.Fatal(err)
-		}
-		if err := errors.Join(Restore(store, a, c.addrs, state), store.Close()); err != nil {
-			t.Fatal(err)
+			c.t.Fatal(err)
 		}
-		c.start(a, dir, false)
-	}
-	cl = c.client()
-	for i := range uint64(3) {
-		if r := cl.Get(ctx, &api.GetRequest{Revision: i + 1}); r.Status != http.StatusOK || string(r.Config) != string(config(t, i+1)) {
-			t.Errorf("revision %d after the restore: %d %s", i+1, r.Status, r.Reason)
+		if err := errors.Join(Restore(store, addr, c.addrs, state), store.Close()); err != nil {
+			c.t.Fatal(err)
 		}
-	}
-	if got := replace(cl, 2, config(t, 3)); got != http.StatusOK {
-		t.Errorf("a call that was acknowledged, sent again: %d", got)
-	}
-	if got := replace(cl, 3, config(t, 4)); got != http.StatusOK {
-		t.Errorf("a change after the restore: %d", got)
+		c.start(addr, dir, false)
 	}
 }
 
-// What is no whole export, or would be put where something is, is refused.
-func TestRestoreRefuses(t *testing.T) {
+func TestImportRefusesDamagedExports(t *testing.T) {
 	var s State
-	data, err := encodeReplaceCommand(0, 3, config(t, 3))
-	if err != nil {
-		t.Fatal(err)
-	}
-	s.Apply(data)
-	whole, err := Export(&s)
+	applyReplace(t, &s, 0, 3, config(t, 3))
+	file, err := Export(&s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range whole {
-		bad := slices.Clone(whole)
-		bad[i] ^= 1
-		if _, err := Import(bad); err == nil {
-			t.Fatalf("byte %d of %d changed, and it is taken", i, len(whole))
+	for i := range file {
+		damaged := slices.Clone(file)
+		damaged[i] ^= 1
+		if _, err := Import(damaged); err == nil {
+			t.Fatalf("byte %d of %d changed, and it is imported", i, len(file))
 		}
 	}
-	if _, err := Import(whole[:len(whole)-1]); !errors.Is(err, ErrInvalidExport) {
-		t.Errorf("a part of it: %v", err)
-	}
-	store, err := storage.Open(memory(t))
-	if err != nil {
-		t.Fatal(err)
+	if _, err := Import(file[:len(file)-1]); !errors.Is(err, ErrInvalidExport) {
+		t.Errorf("without its last byte: %v", err)
 	}
-	defer store.Close()
-	if Restore(store, "10.0.0.9:1", []string{"10.0.0.1:1"}, &s) == nil {
+}
+
+func TestRestoreNeedsASeedAndAnEmptyStore(t *testing.T) {
+	var s State
+	applyReplace(t, &s, 0, 3, config(t, 3))
+	store := openStore(t, memory(t))
+	seeds := []string{"10.0.0.1:1"}
+	if Restore(store, "10.0.0.9:1", seeds, &s) == nil {
 		t.Error("restored at a machine that is no seed")
 	}
-	if err := Restore(store, "10.0.0.1:1", []string{"10.0.0.1:1"}, &s); err != nil {
+	if err := Restore(store, "10.0.0.1:1", seeds, &s); err != nil {
 		t.Fatal(err)
 	}
-	if err := Restore(store, "10.0.0.1:1", []string{"10.0.0.1:1"}, &s); !errors.Is(err, ErrStoreNotEmpty) {
+	if err := Restore(store, "10.0.0.1:1", seeds, &s); !errors.Is(err, ErrStoreNotEmpty) {
 		t.Errorf("restored over a state: %v", err)
 	}
 	if got, err := Inspect(store); err != nil || got.State.Revision != 3 {
@@ -147,38 +153,33 @@
 	}
 }
 
-// A log and a snapshot in the first format, with configurations as they were sent,
-// are read; what is written on top of them is in the newest.
-func TestFirstFormatIsRead(t *testing.T) {
-	old := func(base, revision uint64) []byte {
-		data, err := cbor.Marshal(struct {
-			Base     uint64 `cbor:"1,keyasint"`
-			Revision uint64 `cbor:"2,keyasint"`
-			Config   []byte `cbor:"3,keyasint"`
-		}{base, revision, config(t, revision)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return data
-	}
-	snapshot, err := cbor.Marshal(struct {
-		Revision uint64 `cbor:"1,keyasint"`
-		Config   []byte `cbor:"2,keyasint"`
-	}{4, config(t, 4)})
+// openStore opens a store until the test ends.
+func openStore(t *testing.T, dir string) *storage.Store {
+	t.Helper()
+	store, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(func() {
+		if err := store.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return store
+}
+
+// A log and a snapshot of the first format, with configurations as they were sent, are read;
+// what is written after them is in the newest format.
+func TestFirstFormatIsRead(t *testing.T) {
 	dir := filepath.Join(memory(t), "log")
 	if err := os.Mkdir(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	store, err := storage.Open(dir)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer store.Close()
-	if err := errors.Join(store.Initialize(7, raft.Snapshot{Index: 3, Term: 2, Data: snapshot}),
-		store.Save(raft.Ready{Hard: &raft.HardState{Term: 2}, Entries: []raft.Entry{{Index: 4, Term: 2, Data: old(4, 6)}}})); err != nil {
+	store := openStore(t, dir)
+	snapshot := raft.Snapshot{Index: 3, Term: 2, Data: firstFormatSnapshot(t, 4)}
+	entry := raft.Entry{Index: 4, Term: 2, Data: firstFormatEntry(t, 4, 6)}
+	ready := raft.Ready{Hard: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry}}
+	if err := errors.Join(store.Initialize(7, snapshot), store.Save(ready)); err != nil {
 		t.Fatal(err)
 	}
 	found, err := Inspect(store)
@@ -186,14 +187,35 @@
 		t.Fatalf("%+v, %v", found, err)
 	}
 	s := found.State
-	next, err := encodeReplaceCommand(6, 8, config(t, 8))
+	if got := applyReplace(t, s, 6, 8, config(t, 8)); got != OutcomeApplied {
+		t.Fatalf("outcome %d", got)
+	}
+	if got, err := s.Config(); err != nil || !bytes.Equal(got, config(t, 8)) || s.Uncompressed != nil {
+		t.Errorf("%d bytes, %v", len(got), err)
+	}
+}
+
+func firstFormatSnapshot(t *testing.T, revision uint64) []byte {
+	t.Helper()
+	data, err := cbor.Marshal(struct {
+		Revision uint64 `cbor:"1,keyasint"`
+		Config   []byte `cbor:"2,keyasint"`
+	}{revision, config(t, revision)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := s.Apply(next); r.Outcome != OutcomeApplied {
-		t.Fatalf("%+v", r)
-	}
-	if got, err := s.Config(); err != nil || string(got) != string(config(t, 8)) || s.Uncompressed != nil {
-		t.Errorf("%d bytes, %v", len(got), err)
+	return data
+}
+
+func firstFormatEntry(t *testing.T, base, revision uint64) []byte {
+	t.Helper()
+	data, err := cbor.Marshal(struct {
+		Base     uint64 `cbor:"1,keyasint"`
+		Revision uint64 `cbor:"2,keyasint"`
+		Config   []byte `cbor:"3,keyasint"`
+	}{base, revision, config(t, revision)})
+	if err != nil {
+		t.Fatal(err)
 	}
+	return data
 }
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -6,7 +6,6 @@
 	"math"
 	"net/http"
 	"testing"
-	"time"
 
 	"github.com/fxamacker/cbor/v2"
 
@@ -224,60 +223,6 @@
 	}
 }
 
-// The member that serves a limiter first differs from limiter to limiter; where
-// it dies the next one is asked, and each of the core is within a lease.
-func TestHelpers(t *testing.T) {
-	addrs := []string{"a:1", "b:1", "c:1", "d:1", "e:1"}
-	count := map[string]int{}
-	for i := range 100 {
-		c := &Client{Name: fmt.Sprint("edge-", i)}
-		c.SetMembers("", addrs)
-		first := c.WatchMember()
-		count[first]++
-		seen := map[string]bool{}
-		for range addrs {
-			at := c.WatchMember()
-			seen[at] = true
-			c.WatchMemberFailed(at)
-			c.WatchMemberFailed("another")
-		}
-		if len(seen) != len(addrs) {
-			t.Fatalf("limiter %d asks %v only", i, seen)
-		}
-		c.WatchMemberFailed(c.WatchMember())
-		c.selector.switchedAt = time.Now().Add(-2 * preferredRetryAfter)
-		if c.WatchMember() != first {
-			t.Fatalf("limiter %d does not go back", i)
-		}
-	}
-	for a, n := range count {
-		if n < 8 || n > 34 {
-			t.Errorf("%s serves %d of 100", a, n)
-		}
-	}
-}
-
-// Where all members that are known have failed again and again, core machines that
-// are known otherwise are asked.
-func TestSpareMembers(t *testing.T) {
-	c := &Client{Name: "edge-1"}
-	c.SetMembers("", []string{"a:1", "b:1"})
-	c.SetFallbacks([]string{"c:1", "d:1"})
-	for i := range 8 {
-		at := c.WatchMember()
-		if spare := at == "c:1" || at == "d:1"; spare != (i >= 4) {
-			t.Errorf("after %d failures %s is asked", i, at)
-		}
-		if i < 7 {
-			c.WatchMemberFailed(at)
-		}
-	}
-	c.SetMembers("", []string{"e:1"})
-	if c.WatchMember() != "e:1" {
-		t.Error("what the core says goes first")
-	}
-}
-
 // A member that starts with many changes in its log makes a table of the last alone:
 // each takes as long as the configuration is large, and nobody is answered meanwhile.
 // (Found on a day of 240 changes of 900 routes: eight of them held up the first leases
