--- a/controlplane/coresim_faults_test.go
+++ b/controlplane/coresim_faults_test.go
@@ -22,7 +22,7 @@
 		select {
 		case <-l.ended:
 			if !errors.Is(l.err, storage.ErrCorrupt) {
-				w.fail("Run ends with %v, %s", l.err, l.core.halted)
+				w.fail("Run ends with %v, %s", l.err, l.core.stopReason)
 				return
 			}
 			w.powerOff(m)
--- a/controlplane/coresim_test.go
+++ b/controlplane/coresim_test.go
@@ -136,7 +136,7 @@
 	if w.seed%2 == 0 { // snapshots, often
 		st, _ := l.Load()
 		core.node = raft.New(raft.Config{ID: core.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: cfg.Seed,
-			Check: core.check, LogEntries: 12, TailEntries: 3}, st)
+			Check: core.checkSnapshot, LogEntries: 12, TailEntries: 3}, st)
 	}
 	l.core = core
 	srv, lis := api.NewServer(nil), w.net.listen(m.addr)
--- /dev/null
+++ b/controlplane/delta.go
@@ -0,0 +1,43 @@
+package controlplane
+
+import (
+	"context"
+
+	"example.org/elmspan/api"
+	"example.org/elmspan/versioned"
+)
+
+// maxDeltaBytes bounds a delta that is fetched in chunks.
+const maxDeltaBytes = 2 * api.MaxConfigBytes
+
+// newDelta is the delta from a version to a table's newest one, with its first chunk.
+func newDelta(t *versioned.Table, from uint64) (*api.EncodedDelta, error) {
+	b, err := t.DeltaSince(from)
+	if err != nil {
+		return nil, err
+	}
+	return &api.EncodedDelta{From: b.From, To: b.To, Size: len(b.Data), Data: b.Data[:min(len(b.Data), api.ChunkSize)]}, nil
+}
+
+// FetchDelta returns all of a delta whose first chunk has come. The others are fetched one after
+// the other; table is api.ConfigTable or api.ServerTable. It returns [ErrDeltaGone] where the
+// member has it no more.
+func FetchDelta(ctx context.Context, first *api.EncodedDelta,
+	fetch func(context.Context, *api.FetchRequest) (*api.Chunk, error), table uint8,
+) ([]byte, error) {
+	if first.Size > maxDeltaBytes || len(first.Data) > first.Size {
+		return nil, ErrDeltaGone
+	}
+	data := first.Data
+	for len(data) < first.Size {
+		chunk, err := fetch(ctx, &api.FetchRequest{Table: table, From: first.From, To: first.To, Offset: len(data)})
+		if err != nil {
+			return nil, err
+		}
+		if len(chunk.Data) == 0 || len(data)+len(chunk.Data) > first.Size {
+			return nil, ErrDeltaGone
+		}
+		data = append(data, chunk.Data...)
+	}
+	return data, nil
+}
--- /dev/null
+++ b/controlplane/disk.go
@@ -0,0 +1,31 @@
+package controlplane
+
+// stallTicks is how long a write may take before the disk counts as stalled: two election
+// time-outs. Lower, and a busy disk costs leaders; higher, and a stalled leader serves nobody
+// for longer.
+const stallTicks = 2 * electionTicks
+
+// diskMonitor detects a disk that doesn't answer. It counts ticks and reads no clock.
+// Guarded by Core.mu.
+type diskMonitor struct {
+	waiting bool // a write is in flight
+	ticks   int  // that it has been waited for
+}
+
+// begin notes that a write starts.
+func (d *diskMonitor) begin() { d.waiting, d.ticks = true, 0 }
+
+// end notes that the write has returned, and tells whether it had stalled.
+func (d *diskMonitor) end() (stalled bool) {
+	d.waiting = false
+	return d.ticks >= stallTicks
+}
+
+// tick counts one tick of waiting, and tells whether the write stalls as of this one.
+func (d *diskMonitor) tick() (stalls bool) {
+	if !d.waiting {
+		return false
+	}
+	d.ticks++
+	return d.ticks == stallTicks
+}
--- a/controlplane/disk_test.go
+++ b/controlplane/disk_test.go
@@ -48,7 +48,7 @@
 	c.ctx = t.Context()
 	for _, to := range []raft.ID{2, 3} {
 		for _, bulk := range []bool{false, true} {
-			c.lanes[laneKey{to, bulk}] = &lane{q: queue{bulk: bulk}, wake: make(chan struct{}, 1)}
+			c.queues[queueKey{to, bulk}] = newSendQueue(bulk)
 		}
 	}
 	t.Cleanup(func() {
@@ -74,7 +74,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, bulk := range []bool{false, true} {
-		l := d.lanes[laneKey{2, bulk}]
+		l := d.queues[queueKey{2, bulk}]
 		out = append(out, l.take()...)
 		l.done()
 	}
@@ -95,7 +95,7 @@
 	for range n {
 		d.mu.Lock()
 		d.Core.tick()
-		d.process()
+		d.handleReady()
 		d.mu.Unlock()
 	}
 }
--- /dev/null
+++ b/controlplane/endpoints.go
@@ -0,0 +1,111 @@
+package controlplane
+
+import (
+	"context"
+	"math"
+	"sync"
+	"time"
+
+	"example.org/elmspan/api"
+	"example.org/elmspan/internal/backoff"
+	"example.org/elmspan/versioned"
+)
+
+const (
+	endpointWatchTime  = 1500 * time.Millisecond // of one watch of a follower at the leader
+	endpointRetryPause = 60 * time.Millisecond
+)
+
+// endpointManager keeps the list of servers at one member: the leader's is made of the
+// platform's answers, the others' follow the leader's by watches. All fields are guarded by
+// Core.mu, which is given up during calls.
+type endpointManager struct {
+	cfg    *CoreConfig
+	mu     *sync.Mutex // Core.mu
+	host   *raftHost
+	notify *notifier
+
+	servers endpointList
+}
+
+// SetServers takes in the platform's answer, where this member leads. changed: it changed the
+// list; uncertain: another answer is wanted soon.
+func (m *endpointManager) SetServers(answer []api.Server) (changed, uncertain bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.host.leads() {
+		return false, false
+	}
+	changed, uncertain, err := m.servers.merge(m.host.node.Term(), answer)
+	if err != nil {
+		m.cfg.Log.Error("server list encoding failed", "error", err)
+	}
+	if changed {
+		m.notify.notifyWatchers()
+	}
+	return changed, uncertain
+}
+
+// follow keeps the leader's list at a member that does not lead, until the context ends.
+func (m *endpointManager) follow(ctx context.Context) {
+	for ctx.Err() == nil {
+		m.mu.Lock()
+		addr, version := m.host.leaderAddr(), m.servers.table.Version()
+		if m.host.leads() || addr == m.cfg.Addr {
+			addr = ""
+		}
+		m.mu.Unlock()
+		if addr == "" || !m.followOnce(ctx, addr, version) {
+			backoff.Sleep(ctx, endpointRetryPause)
+		}
+	}
+}
+
+// followOnce makes one watch at the leader, and tells whether the next may follow at once.
+func (m *endpointManager) followOnce(ctx context.Context, addr string, version uint64) bool {
+	conn, err := m.cfg.Conns.Conn(addr)
+	if err != nil {
+		return false
+	}
+	call, cancel := context.WithTimeout(ctx, endpointWatchTime+readIndexTimeout)
+	defer cancel()
+	r, err := api.CallWatch(call, conn, &api.WatchRequest{
+		Name:           "core",
+		Revision:       math.MaxUint64, // its own log brings it the configurations
+		ServersVersion: version,
+		WaitMs:         endpointWatchTime.Milliseconds(),
+	})
+	if err != nil || !r.Lease {
+		return false
+	}
+	if r.ServersDelta == nil {
+		return true
+	}
+	fetch := func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) { return api.CallFetch(ctx, conn, q) }
+	data, err := FetchDelta(call, r.ServersDelta, fetch, api.ServerTable)
+	if err != nil {
+		return false
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.host.leads() || m.host.leaderAddr() != addr {
+		return false
+	}
+	return m.applyDelta(data, r.ClockMs)
+}
+
+// applyDelta takes in what the leader sent. Where it doesn't fit, the list begins anew, so that
+// the next watch asks for the complete one.
+func (m *endpointManager) applyDelta(data []byte, clockMs float64) bool {
+	delta, err := versioned.OpenDelta(data)
+	if err == nil {
+		err = m.servers.applyDelta(delta, clockMs)
+	}
+	if err != nil {
+		m.cfg.Log.Warn("server list delta rejected, complete list requested", "error", err)
+		m.servers.table = versioned.Table{}
+		return false
+	}
+	m.notify.notifyWatchers()
+	return true
+}
--- a/controlplane/faults_test.go
+++ b/controlplane/faults_test.go
@@ -109,8 +109,8 @@
 	for i, inPieces := range []bool{false, true} {
 		install(uint64(9+i), bad(t, 7), inPieces)
 		st, err := store.Load()
-		if err != nil || st.Snapshot.Index != 5 || c.state.Revision != 3 || c.configs.Version() != 3 || c.node.Commit() != 5 || c.halted != "" {
-			t.Fatalf("in pieces %v: revision %d, agreed up to %d, on disk up to %d, %q, %v", inPieces, c.state.Revision, c.node.Commit(), st.Snapshot.Index, c.halted, err)
+		if err != nil || st.Snapshot.Index != 5 || c.state.Revision != 3 || c.configs.Version() != 3 || c.node.Commit() != 5 || c.stopReason != "" {
+			t.Fatalf("in pieces %v: revision %d, agreed up to %d, on disk up to %d, %q, %v", inPieces, c.state.Revision, c.node.Commit(), st.Snapshot.Index, c.stopReason, err)
 		}
 	}
 	if c.node.Refused() != 2 {
@@ -152,10 +152,10 @@
 	}
 	step(raft.Message{Kind: raft.Campaign})
 	for range 100 {
-		c.process()
+		c.handleReady()
 	}
-	if c.node.Role() == raft.Leader || c.node.Term() != 4 || c.halted == "" {
-		t.Errorf("%v of term %d, %q", c.node.Role(), c.node.Term(), c.halted)
+	if c.node.Role() == raft.Leader || c.node.Term() != 4 || c.stopReason == "" {
+		t.Errorf("%v of term %d, %q", c.node.Role(), c.node.Term(), c.stopReason)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -180,13 +180,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := tellable(long); err == nil {
+	if err := validateSize(long); err == nil {
 		t.Error("one longer than can be read back")
 	}
 	if _, err := api.ParseConfig(config(t, 3)[:10]); err == nil {
 		t.Error("one that is cut off")
 	}
-	if err := tellable(config(t, 3)); err != nil {
+	if err := validateSize(config(t, 3)); err != nil {
 		t.Error(err)
 	}
 }
@@ -199,7 +199,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &pending{index: 7, term: 1}
+	p := &pendingCall{index: 7, term: 1}
 	c.calls[7] = p
 	changed := c.changed
 	if _, err := c.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: []raft.Message{{Kind: raft.Install, From: 2, To: 1, Term: 4,
--- a/controlplane/lanes_test.go
+++ b/controlplane/lanes_test.go
@@ -21,26 +21,26 @@
 // bounded number of bytes; and carries nothing twice at once. Its calls have time for
 // their bytes on a link of 1 Mbit/s. The other lane keeps the newest.
 func TestLanesAreBounded(t *testing.T) {
-	q := &queue{bulk: true}
+	q := &messageQueue{bulk: true}
 	piece := func(at uint64, size int) raft.Message {
 		return raft.Message{Kind: raft.Piece, Term: 1, Offset: at, Snapshot: &raft.Snapshot{Index: 9, Data: make([]byte, size)}}
 	}
 	if !q.put(piece(0, 400<<10)) || q.put(piece(1, 1)) {
 		t.Error("one message goes whatever its size, and no more beside it")
 	}
-	if ms := q.take(); len(ms) != 1 || deliverWithin(load(ms)) < 400<<10*time.Second/slowestLink || q.take() != nil || q.put(piece(0, 400<<10)) {
-		t.Errorf("%d messages in %v", len(ms), deliverWithin(load(ms)))
+	if ms := q.take(); len(ms) != 1 || callTimeoutFor(payloadBytes(ms)) < 400<<10*time.Second/minLinkSpeed || q.take() != nil || q.put(piece(0, 400<<10)) {
+		t.Errorf("%d messages in %v", len(ms), callTimeoutFor(payloadBytes(ms)))
 	}
 	q.done()
 	n := uint64(0)
 	for q.put(piece(n, 8<<10)) {
 		n++
 	}
-	if n != mostHeld/(8<<10) || q.held > mostHeld {
-		t.Errorf("%d wait, %d bytes", n, q.held)
+	if n != maxQueuedBytes/(8<<10) || q.bytes > maxQueuedBytes {
+		t.Errorf("%d wait, %d bytes", n, q.bytes)
 	}
-	if q.take(); len(q.out) != 2 || q.put(piece(0, 8<<10)) {
-		t.Errorf("%d in one call", len(q.out))
+	if q.take(); len(q.inFlight) != 2 || q.put(piece(0, 8<<10)) {
+		t.Errorf("%d in one call", len(q.inFlight))
 	}
 	q.done()
 	if q.put(piece(3, 8<<10)) || !q.put(piece(0, 8<<10)) {
@@ -49,14 +49,14 @@
 	for len(q.take()) > 0 {
 		q.done()
 	}
-	if q.held != 0 || deliverWithin(0) != deliverTimeout {
-		t.Errorf("%d bytes are held of nothing", q.held)
+	if q.bytes != 0 || callTimeoutFor(0) != deliverTimeout {
+		t.Errorf("%d bytes are held of nothing", q.bytes)
 	}
-	small := &queue{}
-	for i := range uint64(sendQueue + 10) {
+	small := &messageQueue{}
+	for i := range uint64(maxQueuedMessages + 10) {
 		small.put(raft.Message{Kind: raft.Append, Round: i})
 	}
-	if ms := small.take(); len(ms) != sendQueue || ms[len(ms)-1].Round != sendQueue+9 {
+	if ms := small.take(); len(ms) != maxQueuedMessages || ms[len(ms)-1].Round != maxQueuedMessages+9 {
 		t.Errorf("%d messages, the last of round %d", len(ms), ms[len(ms)-1].Round)
 	}
 }
@@ -70,7 +70,7 @@
 	part := func(from, to int) *api.MessageChunk {
 		return &api.MessageChunk{Offset: from, Size: len(body), Checksum: sum, Data: body[from:to]}
 	}
-	p := &parts{}
+	p := &reassembly{}
 	for i, c := range []struct {
 		q     *api.MessageChunk
 		held  int
@@ -85,10 +85,10 @@
 		{part(0, 20), 20, false},
 		{&api.MessageChunk{Offset: 20, Size: len(body), Checksum: sum, Data: make([]byte, 7)}, 0, false}, // damaged
 		{part(0, 27), 27, true},
-		{&api.MessageChunk{Size: mostParts + 1, Checksum: 1, Data: body}, 0, false},
+		{&api.MessageChunk{Size: maxChunkedBytes + 1, Checksum: 1, Data: body}, 0, false},
 		{&api.MessageChunk{Size: 3, Checksum: 1, Data: body}, 0, false},
 	} {
-		held, whole := p.put(c.q)
+		held, whole := p.add(c.q)
 		if held != c.held || (whole != nil) != c.whole || c.whole && !bytes.Equal(whole, body) {
 			t.Errorf("%d: %d held, whole %q", i, held, whole)
 		}
@@ -99,7 +99,7 @@
 type receiver struct {
 	api.Control
 	before bool
-	p      parts
+	p      reassembly
 	forget bool // once: it has lost what it held
 	calls  []*api.DeliverRequest
 	whole  []byte
@@ -114,9 +114,9 @@
 		return &api.DeliverResponse{AcceptsChunks: true}, nil
 	}
 	if r.forget && d.Chunk.Offset > 0 {
-		r.p, r.forget = parts{}, false
+		r.p, r.forget = reassembly{}, false
 	}
-	held, whole := r.p.put(d.Chunk)
+	held, whole := r.p.add(d.Chunk)
 	if whole != nil {
 		r.whole = whole
 	}
@@ -153,7 +153,7 @@
 			t.Fatal(err)
 		}
 		forgets := r.forget
-		if err := send(ms...); (err != nil) != forgets || forgets && !errors.Is(err, errParts) {
+		if err := send(ms...); (err != nil) != forgets || forgets && !errors.Is(err, errChunksGone) {
 			t.Errorf("%v", err)
 		}
 		if forgets {
@@ -168,8 +168,8 @@
 			continue
 		}
 		for _, d := range r.calls {
-			if load(d.Messages) > 0 || d.Chunk != nil && len(d.Chunk.Data) > partBytes {
-				t.Errorf("a call of %d and %+v bytes", load(d.Messages), d.Chunk)
+			if payloadBytes(d.Messages) > 0 || d.Chunk != nil && len(d.Chunk.Data) > chunkBytes {
+				t.Errorf("a call of %d and %+v bytes", payloadBytes(d.Messages), d.Chunk)
 			}
 		}
 		if !bytes.Equal(r.whole, want) {
@@ -208,7 +208,7 @@
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
 		n := 0
-		for _, takes := range leader.parted {
+		for _, takes := range leader.acceptsChunks {
 			if takes {
 				n++
 			}
--- a/controlplane/leave_test.go
+++ b/controlplane/leave_test.go
@@ -43,7 +43,7 @@
 				leader.mu.Lock()
 				defer leader.mu.Unlock()
 				return !slices.ContainsFunc(ms, func(m raft.Member) bool {
-					return m.ID != leader.id && !leader.keeper.ready(leader.node, m.ID) || !m.Joint
+					return m.ID != leader.id && !leader.policy.promotable(leader.node, m.ID) || !m.Joint
 				})
 			}
 			c.until("all are there", whole)
--- a/controlplane/linksim_test.go
+++ b/controlplane/linksim_test.go
@@ -23,7 +23,7 @@
 	queue events
 	nodes map[raft.ID]*raft.Node
 	disks map[raft.ID]*raft.Stored
-	lanes map[way]*queue
+	lanes map[way]*messageQueue
 	life  map[raft.ID]int
 	busy  map[[2]raft.ID]time.Duration // until when a link carries what was put on it
 	link  func(from, to raft.ID) (bytesPerS float64, delay time.Duration)
@@ -41,7 +41,7 @@
 // way is one lane from one member to another.
 type way struct {
 	from raft.ID
-	laneKey
+	queueKey
 }
 
 type event struct {
@@ -69,7 +69,7 @@
 
 func newLinked(t *testing.T, seed uint64, size int) *linked {
 	w := &linked{t: t, rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[raft.ID]*raft.Node{}, disks: map[raft.ID]*raft.Stored{},
-		lanes: map[way]*queue{}, busy: map[[2]raft.ID]time.Duration{}, cut: map[raft.ID]bool{}, size: size,
+		lanes: map[way]*messageQueue{}, busy: map[[2]raft.ID]time.Duration{}, cut: map[raft.ID]bool{}, size: size,
 		life: map[raft.ID]int{}, heard: map[raft.ID]time.Duration{},
 		link: func(_, _ raft.ID) (float64, time.Duration) { return 12.5e6, time.Millisecond }}
 	var first raft.Snapshot
@@ -126,9 +126,9 @@
 		}
 		w.nodes[id].Tick()
 		w.carry(id)
-		w.after(tickEvery, tick)
+		w.after(tickInterval, tick)
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(tickEvery))), tick)
+	w.after(time.Duration(w.rng.Int64N(int64(tickInterval))), tick)
 }
 
 // end has a process end with all that it had in hand; its disk stays.
@@ -184,10 +184,10 @@
 	if m.Kind == raft.PreVote {
 		w.asked++
 	}
-	k := way{m.From, laneKey{m.To, m.Bulk()}}
+	k := way{m.From, queueKey{m.To, m.Bulk()}}
 	q := w.lanes[k]
 	if q == nil {
-		q = &queue{bulk: k.bulk}
+		q = &messageQueue{bulk: k.bulk}
 		w.lanes[k] = q
 	}
 	q.put(m)
@@ -195,12 +195,12 @@
 }
 
 // call begins the next call of a lane, if none is out.
-func (w *linked) call(k way, q *queue) {
+func (w *linked) call(k way, q *messageQueue) {
 	ms := slices.Clone(q.take())
 	if len(ms) == 0 {
 		return
 	}
-	left, over := load(ms)+100*len(ms), false
+	left, over := payloadBytes(ms)+100*len(ms), false
 	finish := func(arrived bool) {
 		if over || w.lanes[k] != q {
 			return
@@ -237,12 +237,12 @@
 		if over {
 			return
 		}
-		size := min(left, max(partBytes, 100*len(ms)))
+		size := min(left, max(chunkBytes, 100*len(ms)))
 		left -= size
 		last := left == 0
 		calls++
 		this := calls
-		w.after(deliverWithin(size), func() {
+		w.after(callTimeoutFor(size), func() {
 			if this == calls {
 				finish(false)
 			}
--- a/controlplane/lost_test.go
+++ b/controlplane/lost_test.go
@@ -60,12 +60,12 @@
 				{Kind: raft.Append, From: 2, To: 1, Term: 4, Index: 5, LogTerm: 1, Commit: 205, Entries: es}}}); err != nil {
 				t.Fatal(err)
 			}
-			if m.diskDown != (c.disk.save != nil || c.ends) {
-				t.Errorf("it goes on answering: %v", !m.diskDown)
+			if m.suspended != (c.disk.save != nil || c.ends) {
+				t.Errorf("it goes on answering: %v", !m.suspended)
 			}
 			if !c.ends {
-				if m.lost != nil || m.halted != "" {
-					t.Errorf("ended by %v, %q", m.lost, m.halted)
+				if m.lostDurability != nil || m.stopReason != "" {
+					t.Errorf("ended by %v, %q", m.lostDurability, m.stopReason)
 				}
 				return
 			}
@@ -98,11 +98,11 @@
 		}
 	}
 	deliver(raft.Message{Kind: raft.Append, From: 2, Index: 9, LogTerm: 4, Round: 3})
-	if deliver(raft.Message{Kind: raft.Forgotten, From: 3}); m.lost != nil {
+	if deliver(raft.Message{Kind: raft.Forgotten, From: 3}); m.lostDurability != nil {
 		t.Error("it believes another than its leader")
 	}
 	deliver(raft.Message{Kind: raft.Forgotten, From: 2})
-	if err := m.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) || m.halted == "" {
-		t.Errorf("Run ends with %v, %q", err, m.halted)
+	if err := m.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) || m.stopReason == "" {
+		t.Errorf("Run ends with %v, %q", err, m.stopReason)
 	}
 }
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -7,84 +7,99 @@
 	"example.org/elmspan/raft"
 )
 
-// register is what a member makes of the operator's calls: one configuration
-// that is read and replaced by compare and swap. It does no I/O, reads no clock
-// and starts no goroutine; [Core] hosts it, and a simulation of histories does.
-type register struct {
-	node  *raft.Node
+// casRegister is a linearizable register: one configuration that is read, and replaced by
+// compare and swap. It does no I/O, reads no clock and starts no goroutine; [configStore] hosts
+// it, and so does a simulation of histories. In a Core it is guarded by Core.mu.
+type casRegister struct {
 	state State
-	calls map[uint64]*pending // proposed, by their place in the log
+	calls map[uint64]*pendingCall // proposed, by the index of their entry
 }
 
-// pending is a call in hand.
-type pending struct {
-	get            bool
-	base, revision uint64
-	print          fingerprint // of the configuration as it was sent
-	data           []byte      // its entry
+// pendingCall is an operator's call that has no result yet.
+type pendingCall struct {
+	get bool // a read; otherwise the change that follows is to be made
+	configChange
 
-	term, need uint64 // the term it came in, and the round that confirms it
-	index      uint64 // of its entry, 0 before
-	answer     *api.ControlResponse
+	term      uint64 // in which it came, then that of its entry
+	readRound uint64 // the read index round that confirms it, 0: none was asked for
+	index     uint64 // of its entry, 0: not proposed
+	answer    *api.ControlResponse
 }
 
-// next carries a call on as far as it goes. done: r came of it; a Status of 0 is
-// that this member can't say. beat: a round of heartbeats is waited for.
-func (g *register) next(p *pending) (r api.ControlResponse, done, beat bool) {
+// callProgress is what came of one step of a call.
+type callProgress struct {
+	done       bool
+	result     api.ControlResponse // where done; a Status of 0: this member can't say
+	needsRound bool                // the call waits for a read index round
+}
+
+// advance carries a call on as far as it goes now.
+func (g *casRegister) advance(node *raft.Node, p *pendingCall) callProgress {
+	unknown := callProgress{done: true}
 	switch {
 	case p.answer != nil:
-		return *p.answer, true, false
-	case p.index != 0: // its entry may still be agreed on, whoever leads
-		return r, false, false
-	case g.node.Role() != raft.Leader:
-		return r, true, false
-	case p.need == 0:
-		p.term, p.need = g.node.Term(), g.node.NextRound()
-	case p.term != g.node.Term():
-		return r, true, false
+		return callProgress{done: true, result: *p.answer}
+	case p.index != 0: // its entry may still be committed, whoever leads
+		return callProgress{}
+	case node.Role() != raft.Leader:
+		return unknown
+	case p.readRound == 0:
+		p.term, p.readRound = node.Term(), node.NextRound()
+	case p.term != node.Term():
+		return unknown
 	}
 	// What is answered from what is known here must be the newest, and known by one who
 	// is in touch with a majority: a leader that has been cut off must neither read back
-	// an old version, nor turn a change down or confirm it because of one.
-	sure := g.node.Serves() && g.node.Confirmed() >= p.need && g.node.Applied() >= g.node.Commit()
+	// an old version, nor reject a change or confirm it because of one.
+	confirmed := node.Serves() && node.Confirmed() >= p.readRound && node.Applied() >= node.Commit()
 	if p.get {
-		if !sure {
-			return r, false, true
-		}
-		if g.state.Revision == 0 {
-			return api.ControlResponse{Status: http.StatusNotFound, Reason: "no configuration was taken yet"}, true, false
-		}
-		return api.ControlResponse{Status: http.StatusOK}, true, false
+		return g.read(confirmed)
 	}
-	if !g.node.Serves() {
-		return r, false, true
+	if !node.Serves() {
+		return callProgress{needsRound: true}
 	}
 	if d := g.state.Evaluate(p.base, p.revision, p.print); d.Outcome != OutcomeAcceptable {
-		if sure {
-			return d.result(), true, false
+		if !confirmed {
+			return callProgress{needsRound: true}
 		}
-		return api.ControlResponse{}, false, true
+		return callProgress{done: true, result: d.result()}
+	}
+	return g.propose(node, p)
+}
+
+// read is the progress of a call that reads.
+func (g *casRegister) read(confirmed bool) callProgress {
+	switch {
+	case !confirmed:
+		return callProgress{needsRound: true}
+	case g.state.Revision == 0:
+		none := api.ControlResponse{Status: http.StatusNotFound, Reason: "no configuration was taken yet"}
+		return callProgress{done: true, result: none}
 	}
-	index, term, err := g.node.Propose(p.data)
+	return callProgress{done: true, result: api.ControlResponse{Status: http.StatusOK}}
+}
+
+// propose puts the entry of a change into the log.
+func (g *casRegister) propose(node *raft.Node, p *pendingCall) callProgress {
+	index, term, err := node.Propose(p.entry)
 	if err != nil {
-		return api.ControlResponse{}, true, false
+		return callProgress{done: true}
 	}
 	p.index, p.term = index, term
-	if o := g.calls[index]; o != nil { // its entry was cut off here; whether it was agreed on elsewhere is not known
-		o.answer = &api.ControlResponse{}
+	if other := g.calls[index]; other != nil {
+		other.answer = &api.ControlResponse{} // its entry was cut off here; whether it was committed elsewhere is unknown
 	}
 	g.calls[index] = p
-	return api.ControlResponse{}, false, false
+	return callProgress{}
 }
 
-// apply carries out an entry that was agreed on, and tells whether it brought a
-// configuration.
-func (g *register) apply(e raft.Entry) (news bool) {
+// apply applies a committed entry, and tells whether it brought a configuration.
+func (g *casRegister) apply(e raft.Entry) (replaced bool) {
 	var r api.ControlResponse
 	if len(e.Data) > 0 {
 		before := g.state.Revision
 		r = g.state.Apply(e.Data).result()
-		news = g.state.Revision != before
+		replaced = g.state.Revision != before
 	}
 	if p := g.calls[e.Index]; p != nil {
 		delete(g.calls, e.Index)
@@ -93,12 +108,21 @@
 		}
 		p.answer = &r
 	}
-	return news
+	return replaced
+}
+
+// endCallsUpTo ends calls whose entries a snapshot stands for: what came of them is unknown.
+func (g *casRegister) endCallsUpTo(index uint64) {
+	for at, p := range g.calls {
+		if at <= index {
+			delete(g.calls, at)
+			p.answer = &api.ControlResponse{}
+		}
+	}
 }
 
-// drop forgets a call that nobody waits for any more. Its entry may be agreed on
-// all the same.
-func (g *register) drop(p *pending) {
+// drop forgets a call that nobody waits for any more. Its entry may be committed all the same.
+func (g *casRegister) drop(p *pendingCall) {
 	if g.calls[p.index] == p {
 		delete(g.calls, p.index)
 	}
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -10,13 +10,13 @@
 )
 
 // order is a call that replaces the configuration.
-func order(t *testing.T, base, revision uint64, config string) *pending {
+func order(t *testing.T, base, revision uint64, config string) *pendingCall {
 	t.Helper()
 	data, err := encodeReplaceCommand(base, revision, []byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &pending{base: base, revision: revision, print: fingerprintOf([]byte(config)), data: data}
+	return &pendingCall{configChange: configChange{base: base, revision: revision, print: fingerprintOf([]byte(config)), entry: data}}
 }
 
 // calmWorld is a world without clients in which nothing happens by itself.
@@ -38,7 +38,7 @@
 }
 
 // ends has a call end at a member, and returns its status.
-func (w *world) ends(t *testing.T, at raft.ID, p *pending) (r api.ControlResponse) {
+func (w *world) ends(t *testing.T, at raft.ID, p *pendingCall) (r api.ControlResponse) {
 	t.Helper()
 	w.until(t, "the call's end", func() (done bool) {
 		r, done = w.drive(at, p)
@@ -80,8 +80,8 @@
 				t.Fatalf("the first: %+v", r)
 			}
 			w.isolate(off, way.says, way.hears)
-			calls := []*pending{{get: true}, order(t, 0, 5, "first"), order(t, 0, 7, "lost"), order(t, 5, 4, "invalid"), order(t, 5, 6, "mine")}
-			var second *pending
+			calls := []*pendingCall{{get: true}, order(t, 0, 5, "first"), order(t, 0, 7, "lost"), order(t, 5, 4, "invalid"), order(t, 5, 6, "mine")}
+			var second *pendingCall
 			for step := range longCut {
 				w.step()
 				for i, p := range calls {
@@ -90,7 +90,7 @@
 						t.Fatalf("seed %d, %s, step %d: call %d is answered %+v", seed, way.name, step, i, r)
 					}
 					if done && r.Status == 0 { // asked again
-						calls[i] = &pending{get: p.get, base: p.base, revision: p.revision, print: p.print, data: p.data}
+						calls[i] = &pendingCall{get: p.get, configChange: p.configChange}
 					}
 				}
 				if second == nil && step > longCut/2 {
@@ -106,9 +106,9 @@
 			w.until(t, "all at one", func() bool { return w.leader() != 0 && w.level() })
 			l := w.leader()
 			for _, c := range []struct {
-				p    *pending
+				p    *pendingCall
 				want int
-			}{{order(t, 0, 5, "first"), 200}, {order(t, 0, 7, "lost"), 412}, {order(t, second.base, 9, "theirs"), 200}, {&pending{get: true}, 200}} {
+			}{{order(t, 0, 5, "first"), 200}, {order(t, 0, 7, "lost"), 412}, {order(t, second.base, 9, "theirs"), 200}, {&pendingCall{get: true}, 200}} {
 				if r := w.ends(t, l, c.p); r.Status != c.want {
 					t.Errorf("seed %d, %s: in the end %+v, want %d", seed, way.name, r, c.want)
 				}
@@ -132,14 +132,14 @@
 	l := w.leader()
 	a, again, b, late := order(t, 0, 2, "a"), order(t, 0, 2, "a"), order(t, 2, 4, "b"), order(t, 0, 3, "c")
 	m := w.members[l]
-	for _, p := range []*pending{a, late, again} { // none is agreed on yet
-		if _, done, _ := m.next(p); done || p.index == 0 {
+	for _, p := range []*pendingCall{a, late, again} { // none is agreed on yet
+		if m.advance(m.node, p).done || p.index == 0 {
 			t.Fatalf("not proposed: %+v", p)
 		}
 	}
 	m.drop(a) // its caller is gone
 	for _, c := range []struct {
-		p    *pending
+		p    *pendingCall
 		want int
 	}{{again, http.StatusOK}, {late, http.StatusPreconditionFailed}, {b, http.StatusOK}, {order(t, 0, 2, "a"), http.StatusOK}, {order(t, 2, 4, "other"), http.StatusPreconditionFailed}} {
 		if r := w.ends(t, l, c.p); r.Status != c.want {
@@ -160,15 +160,15 @@
 	l := w.leader()
 	m := w.members[l]
 	first, second := order(t, 0, 2, "first"), order(t, 0, 3, "second")
-	if _, done, _ := m.next(first); done || first.index == 0 {
+	if m.advance(m.node, first).done || first.index == 0 {
 		t.Fatal("not proposed")
 	}
 	m.calls[m.node.LastIndex()+1] = first // as after the log behind it was cut off
-	if _, done, _ := m.next(second); done || second.index == 0 {
+	if m.advance(m.node, second).done || second.index == 0 {
 		t.Fatal("not proposed")
 	}
-	if r, done, _ := m.next(first); !done || r.Status != 0 {
-		t.Errorf("the first is told %+v, %t", r, done)
+	if progress := m.advance(m.node, first); !progress.done || progress.result.Status != 0 {
+		t.Errorf("the first is told %+v, %t", progress.result, progress.done)
 	}
 	m.drop(first)
 	if r := w.ends(t, l, second); r.Status != http.StatusPreconditionFailed { // the first's entry was agreed on before it
--- a/controlplane/replacement_sim_test.go
+++ b/controlplane/replacement_sim_test.go
@@ -15,7 +15,7 @@
 )
 
 // site is a core on machines that are lost one after another, the next one as soon
-// as the one before is whole again. The members and the keeper are the real ones, a step
+// as the one before is whole again. The members and the policy are the real ones, a step
 // is a tick.
 type site struct {
 	rng      *rand.Rand
@@ -44,7 +44,7 @@
 	addr     string
 	disk     raft.Stored
 	node     *raft.Node // nil: down
-	keeper   keeper
+	policy   memberPolicy
 	cut      bool
 	ledSince int
 	older    bool // doesn't understand joint changes
@@ -75,7 +75,7 @@
 
 func (s *site) start(m *machine) {
 	m.leaving, m.cut = false, false
-	m.keeper = keeper{wanted: s.wanted, ticks: s.now}
+	m.policy = memberPolicy{voters: s.wanted, ticks: s.now}
 	m.disk.Entries = slices.Clone(m.disk.Entries)
 	m.node = raft.New(raft.Config{ID: m.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: s.rng.Uint64()}, m.disk)
 }
@@ -160,7 +160,7 @@
 			continue
 		}
 		m.node.Tick()
-		m.keeper.ticks = s.now
+		m.policy.ticks = s.now
 		if m.node.Role() != raft.Leader {
 			m.ledSince = s.now
 		}
@@ -168,7 +168,7 @@
 			if s.now%4 == 0 {
 				twoSteps(m.node, s.wanted, s.now-m.ledSince)
 			}
-		} else if _, next := m.keeper.next(m.node); next != nil {
+		} else if _, next := m.policy.nextMembers(m.node); next != nil {
 			m.node.Change(next)
 		}
 		if l := s.leader(); l != nil && l != m && !m.cut {
@@ -205,7 +205,7 @@
 	known := slices.ContainsFunc(ms, func(x raft.Member) bool { return x.ID == m.id })
 	switch {
 	case m.leaving && s.now%4 == 0 && s.fault != "two steps":
-		l.keeper.mark(m.id)
+		l.policy.markLeaving(m.id)
 	case !known && s.now%8 == 0:
 		l.node.Change(append(slices.Clone(ms), raft.Member{ID: m.id, Addr: m.addr, Joint: !m.older}))
 		s.carry(l)
@@ -349,7 +349,7 @@
 			if after || quiet > 60 {
 				gone = i
 			}
-		case after || quiet > dropTicks:
+		case after || quiet > removeTicks:
 			n.Change(slices.Delete(slices.Clone(ms), i, i+1))
 			return
 		case quiet < electionTicks && n.CaughtUp(m.ID):
--- a/controlplane/replacement_test.go
+++ b/controlplane/replacement_test.go
@@ -52,7 +52,7 @@
 		}
 		var lost *machine
 		for _, m := range s.machines {
-			if m != l && voter(l.node.Members(), m.id) {
+			if m != l && isVoter(l.node.Members(), m.id) {
 				lost = m
 			}
 		}
@@ -65,7 +65,7 @@
 			}
 		}
 		led := s.now
-		for l = s.leader(); voter(l.node.Members(), lost.id); s.step() {
+		for l = s.leader(); isVoter(l.node.Members(), lost.id); s.step() {
 			if s.now-led > electionTicks+8 {
 				t.Fatalf("seed %d: a voter that never answered still votes %d ticks after the election", seed, s.now-led)
 			}
@@ -141,7 +141,7 @@
 	s := newSite(1, 4, 0, "")
 	s.mixed, s.wanted = true, 3
 	for _, m := range s.machines {
-		m.keeper.wanted = 3
+		m.policy.voters = 3
 	}
 	if err := s.days(6, 1); err != nil {
 		t.Fatal(err)
--- a/controlplane/servers_test.go
+++ b/controlplane/servers_test.go
@@ -13,7 +13,7 @@
 // since, not the whole, however long its servers have been there.
 func TestListGoesOnUnderANewLeader(t *testing.T) {
 	t.Parallel()
-	var first, next serverList
+	var first, next endpointList
 	var answer []api.Server
 	for i := range 9700 {
 		answer = append(answer, api.Server{ID: fmt.Sprint("i-", i), Upstream: "a", Addr: fmt.Sprint("10.0.0.1:", i), Zone: "z", State: api.InService, WarmupMs: float64(i % 3)})
@@ -28,13 +28,13 @@
 	}
 	p, err := versioned.OpenDelta(b.Data)
 	if err == nil {
-		err = next.told(p, first.clockMs()+60_000)
+		err = next.applyDelta(p, first.clockMs()+60_000)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	version := next.table.Version()
-	next.lead()
+	next.becomeLeader()
 	answer[7].State = api.Draining
 	news, _, err := next.merge(5, answer)
 	if err != nil || !news || next.table.Version() <= version {
--- a/controlplane/sim_client_test.go
+++ b/controlplane/sim_client_test.go
@@ -18,7 +18,7 @@
 	in      input
 	begun   int64
 	at      raft.ID
-	p       *pending
+	p       *pendingCall
 	patient int // steps until it asks another member
 	tries   int
 	busy    bool
@@ -38,11 +38,11 @@
 	print    fingerprint
 }
 
-func (c *client) pending() *pending {
-	p := &pending{get: c.in.get, base: c.in.base, revision: c.in.revision, print: c.in.print}
+func (c *client) pending() *pendingCall {
+	p := &pendingCall{get: c.in.get, configChange: configChange{base: c.in.base, revision: c.in.revision, print: c.in.print}}
 	if !p.get {
 		var err error
-		if p.data, err = encodeReplaceCommand(p.base, p.revision, c.in.config); err != nil {
+		if p.entry, err = encodeReplaceCommand(p.base, p.revision, c.in.config); err != nil {
 			panic(err)
 		}
 	}
@@ -120,40 +120,41 @@
 }
 
 // drive carries a call on at a member.
-func (w *world) drive(id raft.ID, p *pending) (r api.ControlResponse, done bool) {
+func (w *world) drive(id raft.ID, p *pendingCall) (r api.ControlResponse, done bool) {
 	m := w.members[id]
-	r, done, beat := w.nextOf(m, p)
-	if beat {
+	progress := w.advanceOf(m, p)
+	if progress.needsRound {
 		m.node.Beat()
 	}
-	if !done {
+	if !progress.done {
 		w.carry(id)
 	}
-	return r, done
+	return progress.result, progress.done
 }
 
-// nextOf is the register's next, or that of one with a fault in it.
-func (w *world) nextOf(m *member, p *pending) (r api.ControlResponse, done, beat bool) {
+// advanceOf is the register's advance, or that of one with a fault in it.
+func (w *world) advanceOf(m *member, p *pendingCall) callProgress {
 	if m.node.Role() == raft.Leader && p.index == 0 {
 		switch {
 		case w.fault == "reads without a confirmation" && p.get && m.state.Revision != 0:
-			return api.ControlResponse{Status: http.StatusOK}, true, false
+			return callProgress{done: true, result: api.ControlResponse{Status: http.StatusOK}}
 		case w.fault == "turned down without a confirmation" && !p.get:
 			if d := m.state.Evaluate(p.base, p.revision, p.print); d.Outcome != OutcomeAcceptable {
-				return d.result(), true, false
+				return callProgress{done: true, result: d.result()}
 			}
 		case w.fault == "told apart by number alone" && !p.get:
 			if i := slices.IndexFunc(m.state.Applied, func(t appliedRevision) bool { return t.Revision == p.revision }); i >= 0 {
 				p.print = m.state.Applied[i].fingerprint
 			}
 		case w.fault == "confirmed before it is agreed" && !p.get:
-			if r, done, beat = m.next(p); p.index != 0 {
-				r, done = api.ControlResponse{Status: http.StatusOK}, true
+			progress := m.advance(m.node, p)
+			if p.index != 0 {
+				progress.result, progress.done = api.ControlResponse{Status: http.StatusOK}, true
 			}
-			return r, done, beat
+			return progress
 		}
 	}
-	return m.next(p)
+	return m.advance(m.node, p)
 }
 
 func (w *world) end(c *client, out output, open bool) {
--- a/controlplane/sim_world_test.go
+++ b/controlplane/sim_world_test.go
@@ -52,8 +52,9 @@
 )
 
 type member struct {
-	register
-	keeper   keeper
+	casRegister
+	node     *raft.Node
+	policy   memberPolicy
 	unsynced []raft.Ready // of one that promises before the disk has it
 }
 
@@ -101,9 +102,9 @@
 
 func (w *world) start(id raft.ID) {
 	d := w.disks[id]
-	m := &member{register: register{calls: map[uint64]*pending{},
+	m := &member{casRegister: casRegister{calls: map[uint64]*pendingCall{}},
 		node: raft.New(raft.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.rng.Uint64()},
-			raft.Stored{Hard: d.Hard, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})}}
+			raft.Stored{Hard: d.Hard, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})}
 	w.restore(m, d.Snapshot.Data)
 	w.members[id] = m
 }
@@ -126,7 +127,7 @@
 	return voters == coreSize && l.node.Change(slices.Clone(l.node.Members())) == nil
 }
 
-// tend takes members in, and has the leader's keeper decide who is to vote.
+// tend takes members in, and has the leader's policy decide who is to vote.
 func (w *world) tend(l *member) {
 	ms := l.node.Members()
 	for slot, id := range w.slots {
@@ -135,8 +136,8 @@
 			return
 		}
 	}
-	l.keeper.wanted = coreSize
-	if _, next := l.keeper.next(l.node); next != nil {
+	l.policy.voters = coreSize
+	if _, next := l.policy.nextMembers(l.node); next != nil {
 		l.node.Change(next)
 	}
 }
@@ -172,7 +173,7 @@
 		}
 		m := w.members[id]
 		m.node.Tick()
-		m.keeper.ticks++
+		m.policy.ticks++
 		if w.losses && m.node.Role() == raft.Leader {
 			w.tend(m)
 		}
@@ -219,7 +220,7 @@
 			w.start(id)
 		}
 	}
-	var read *pending
+	var read *pendingCall
 	at := raft.ID(0)
 	for range settleIn {
 		w.step()
@@ -228,7 +229,7 @@
 			continue
 		}
 		if l != at {
-			read, at = &pending{get: true}, l
+			read, at = &pendingCall{get: true}, l
 		}
 		r, done := w.drive(l, read)
 		if !done {
--- a/controlplane/slow_links_test.go
+++ b/controlplane/slow_links_test.go
@@ -67,7 +67,7 @@
 			if w.snapshot != 1 || w.asked != asked && c.lossy == 0 {
 				t.Errorf("%s, seed %d: %d snapshots were installed, 1 is enough; %d elections were asked for", c.name, seed, w.snapshot, w.asked-asked)
 			}
-			if c.lossy == 0 && w.gap > electionTicks*tickEvery*4/5 {
+			if c.lossy == 0 && w.gap > electionTicks*tickInterval*4/5 {
 				t.Errorf("%s, seed %d: nothing was heard of the leader for %v", c.name, seed, w.gap)
 			}
 		}
@@ -120,7 +120,7 @@
 		for id := range raft.ID(coreSize) {
 			w.start(id + 1)
 		}
-		w.run(40 * tickEvery)
+		w.run(40 * tickInterval)
 		if !w.together() {
 			for id, n := range w.nodes {
 				t.Logf("%d: %v of term %d, leader %d, applied %d of %d, snapshot %d", id, n.Role(), n.Term(), n.Leader(), n.Applied(), n.LastIndex(), n.SnapshotIndex())
@@ -152,7 +152,7 @@
 		w.propose(400 << 10)
 		w.run(8 * time.Second)
 	}
-	if l != w.leader() || l.Term() != term || w.asked != asked || w.gap > electionTicks*tickEvery*4/5 || l.Commit() != before+20 {
+	if l != w.leader() || l.Term() != term || w.asked != asked || w.gap > electionTicks*tickInterval*4/5 || l.Commit() != before+20 {
 		t.Errorf("term %d after %d, %d elections asked for, nothing heard for %v, %d agreed", l.Term(), term, w.asked-asked, w.gap, l.Commit()-before)
 	}
 	t.Logf("longest gap %v", w.gap)
--- /dev/null
+++ b/controlplane/status.go
@@ -0,0 +1,51 @@
+package controlplane
+
+import (
+	"fmt"
+
+	"example.org/elmspan/api"
+	"example.org/elmspan/versioned"
+)
+
+// CoreStatus is what a member of the core shows of itself.
+type CoreStatus struct {
+	ID, Role, Leader string
+	Term, Commit     uint64
+	Revision         uint64
+	DiskFails        bool
+	Halted           string // why it stopped serving for good; empty: it serves
+	Members          []string
+	// Watches wait here for changes. What is held for them: encoded deltas, and
+	// for each a chunk at most, so NewsBytesMost in all.
+	Watches       int
+	NewsBytes     int
+	NewsBytesMost int
+}
+
+// Status returns what this member knows.
+func (c *Core) Status() CoreStatus {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	host, node := &c.raftHost, c.node
+	s := CoreStatus{
+		ID:            hexID(host.id),
+		Role:          node.Role().String(),
+		Leader:        host.leaderAddr(),
+		Term:          node.Term(),
+		Commit:        node.Commit(),
+		Revision:      c.state.Revision,
+		DiskFails:     host.suspended && !host.stopped(),
+		Halted:        host.stopReason,
+		Watches:       c.waiting,
+		NewsBytes:     c.configs.CachedBytes() + c.servers.table.CachedBytes(),
+		NewsBytesMost: 4*versioned.MaxCachedBytes + maxWatches*api.ChunkSize,
+	}
+	for _, m := range node.Members() {
+		kind := "learner"
+		if m.Voter {
+			kind = "voter"
+		}
+		s.Members = append(s.Members, fmt.Sprintf("%s %s %s", hexID(m.ID), m.Addr, kind))
+	}
+	return s
+}
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -2,201 +2,232 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"slices"
 	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
+	"google.golang.org/grpc"
 
 	"example.org/elmspan/api"
 	"example.org/elmspan/raft"
 )
 
 const (
-	// deliverTimeout bounds a call without entries or pieces; with them it is longer.
+	// deliverTimeout bounds a call without entries or chunks; with them it is longer.
 	deliverTimeout = 400 * time.Millisecond
-	mostSenders    = 64
-	laneIdle       = time.Minute
+	// minLinkSpeed is the speed in bytes a second that time-outs of large calls allow for, half
+	// of it, as the link has more to carry: 1 Mbit/s.
+	minLinkSpeed = 125_000
+	// maxSenders bounds what is kept of members that sent something, or were sent something.
+	maxSenders = 64
+	// queueIdleTime is how long a send queue without messages is kept.
+	queueIdleTime = time.Minute
 )
 
-// lane is one of the two ways to one member.
-type lane struct {
-	mu   sync.Mutex
-	q    queue
-	wake chan struct{}
-}
+// transport carries messages between members: each has two send queues to each other one, and a
+// goroutine for each queue that makes one call at a time. All fields are guarded by Core.mu,
+// which is given up during calls; the queues have a lock of their own, see [sendQueue].
+type transport struct {
+	cfg  *CoreConfig
+	mu   *sync.Mutex // Core.mu
+	life *lifecycle
+	host *raftHost
 
-func (l *lane) put(m raft.Message) {
-	l.mu.Lock()
-	l.q.put(m)
-	l.mu.Unlock()
-	select {
-	case l.wake <- struct{}{}:
-	default:
-	}
+	queues        map[queueKey]*sendQueue
+	callTimeout   func(bytes int) time.Duration // of a call with so many bytes of payload
+	acceptsChunks map[raft.ID]bool              // members that take messages in chunks
+	reassemblies  map[raft.ID]*reassembly       // what has come of chunked messages, by sender
+	senderAddrs   map[raft.ID]string            // of those who sent something, for answers to them
 }
 
-func (l *lane) take() []raft.Message {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.q.take())
+// callTimeoutFor is how long a call with so many bytes of entries and chunks may take.
+func callTimeoutFor(bytes int) time.Duration {
+	return deliverTimeout + 2*time.Duration(bytes)*time.Second/minLinkSpeed
 }
 
-func (l *lane) done() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.q.done()
+func (t *transport) enqueueAll(messages []raft.Message) {
+	for _, m := range messages {
+		t.enqueue(m)
+	}
 }
 
 // enqueue puts a message on its way. Called under the mutex.
-func (c *Core) enqueue(m raft.Message) {
-	key := laneKey{m.To, m.Bulk()}
-	l := c.lanes[key]
-	if l == nil {
-		addr := c.addrs[m.To]
-		for _, x := range c.node.Members() {
-			if x.ID == m.To {
-				addr = x.Addr
-			}
-		}
-		if addr == "" || c.ctx == nil {
+func (t *transport) enqueue(m raft.Message) {
+	key := queueKey{m.To, m.Bulk()}
+	queue := t.queues[key]
+	if queue == nil {
+		addr := t.peerAddr(m.To)
+		if addr == "" || t.life.ctx == nil {
 			return
 		}
-		l = &lane{q: queue{bulk: key.bulk}, wake: make(chan struct{}, 1)}
-		c.lanes[key] = l
-		c.tasks.Go(func() { c.deliver(key, addr, l) })
+		queue = newSendQueue(key.bulk)
+		t.queues[key] = queue
+		t.life.tasks.Go(func() { t.deliverFrom(queue, key, addr) })
 	}
-	l.put(m)
+	queue.put(m)
 }
 
-// deliver sends a member what one lane has, until nothing came for long.
-func (c *Core) deliver(key laneKey, addr string, l *lane) {
-	idle := time.NewTimer(laneIdle)
+// peerAddr is the address of a member, or of one that sent something; empty: unknown.
+func (t *transport) peerAddr(id raft.ID) string {
+	addr := t.senderAddrs[id]
+	for _, m := range t.host.node.Members() {
+		if m.ID == id {
+			addr = m.Addr
+		}
+	}
+	return addr
+}
+
+// deliverFrom sends a member what a queue has, until nothing came for long.
+func (t *transport) deliverFrom(queue *sendQueue, key queueKey, addr string) {
+	idle := time.NewTimer(queueIdleTime)
 	defer idle.Stop()
 	for {
-		ms := l.take()
-		if len(ms) == 0 {
-			idle.Reset(laneIdle)
-			select {
-			case <-c.ctx.Done():
+		messages := queue.take()
+		if len(messages) == 0 {
+			if !t.awaitMessage(queue, key, idle) {
 				return
-			case <-l.wake:
-			case <-idle.C:
-				c.mu.Lock()
-				if len(l.wake) == 0 { // put is called under the same mutex
-					delete(c.lanes, key)
-					c.mu.Unlock()
-					return
-				}
-				c.mu.Unlock()
 			}
 			continue
 		}
-		err := c.send(key.to, addr, ms)
-		l.done()
+		err := t.send(key.to, addr, messages)
+		queue.done()
 		if err == nil {
 			continue
 		}
-		if c.ctx.Err() != nil {
+		if t.life.ctx.Err() != nil {
 			return
 		}
-		c.cfg.Log.Debug("a member was not reached", "addr", addr, "bulk", key.bulk, "err", err)
+		t.cfg.Log.Debug("message delivery failed", "peer", addr, "bulk", key.bulk, "error", err)
 		if key.bulk {
-			c.mu.Lock()
-			c.node.Lost(key.to)
-			c.mu.Unlock()
+			t.mu.Lock()
+			t.host.node.Lost(key.to)
+			t.mu.Unlock()
 		}
 	}
 }
 
-// errParts tells that a member has lost what it held of messages in parts.
-var errParts = errors.New("controlplane: the member holds no beginning of these messages")
+// awaitMessage waits until something is put into a queue. It returns false where nothing was
+// for long, with the queue removed, or where this member ends.
+func (t *transport) awaitMessage(queue *sendQueue, key queueKey, idle *time.Timer) bool {
+	idle.Reset(queueIdleTime)
+	select {
+	case <-t.life.ctx.Done():
+		return false
+	case <-queue.wake:
+	case <-idle.C:
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		if len(queue.wake) == 0 { // put is called under the same mutex
+			delete(t.queues, key)
+			return false
+		}
+	}
+	return true
+}
 
-// send carries messages to a member: in one call or, where they are large and it takes
-// parts, in several, so that no heartbeat waits for more than one of them.
-func (c *Core) send(to raft.ID, addr string, ms []raft.Message) error {
-	conn, err := c.cfg.Conns.Conn(addr)
+// send carries messages to a member: in one call or, where they are large and it takes chunks,
+// in several, so that no heartbeat waits for more than one of them.
+func (t *transport) send(to raft.ID, addr string, messages []raft.Message) error {
+	conn, err := t.cfg.Conns.Conn(addr)
 	if err != nil {
 		return err
 	}
-	call := func(bytes int, d *api.DeliverRequest) (*api.DeliverResponse, error) {
-		d.From, d.Addr = c.id, c.cfg.Addr
-		ctx, cancel := context.WithTimeout(c.ctx, c.within(bytes))
-		defer cancel()
-		return api.CallDeliver(ctx, conn, d)
+	t.mu.Lock()
+	chunked := t.acceptsChunks[to]
+	t.mu.Unlock()
+	bytes := payloadBytes(messages)
+	if bytes > chunkBytes && chunked {
+		return t.sendChunked(to, conn, messages)
 	}
-	c.mu.Lock()
-	takes := c.parted[to]
-	c.mu.Unlock()
-	if bytes := load(ms); bytes <= partBytes || !takes {
-		r, err := call(bytes, &api.DeliverRequest{Messages: ms})
-		if err == nil && r.AcceptsChunks != takes {
-			c.mu.Lock()
-			if len(c.parted) >= mostSenders {
-				clear(c.parted)
-			}
-			c.parted[to] = r.AcceptsChunks
-			c.mu.Unlock()
+	r, err := t.call(conn, bytes, &api.DeliverRequest{Messages: messages})
+	if err == nil && r.AcceptsChunks != chunked {
+		t.mu.Lock()
+		if len(t.acceptsChunks) >= maxSenders {
+			clear(t.acceptsChunks)
 		}
-		return err
+		t.acceptsChunks[to] = r.AcceptsChunks
+		t.mu.Unlock()
 	}
-	body, err := cbor.Marshal(ms)
+	return err
+}
+
+// sendChunked carries messages to a member in several calls. Each answer says how much the
+// member holds, so that the next chunk follows on that.
+func (t *transport) sendChunked(to raft.ID, conn *grpc.ClientConn, messages []raft.Message) error {
+	body, err := cbor.Marshal(messages)
 	if err != nil {
 		return fmt.Errorf("controlplane: encoding messages: %w", err)
 	}
 	sum := xxhash.Sum64(body)
-	for at := 0; at < len(body); {
-		data := body[at:min(len(body), at+partBytes)]
-		r, err := call(len(data), &api.DeliverRequest{Chunk: &api.MessageChunk{Offset: at, Size: len(body), Checksum: sum, Data: data}})
+	for offset := 0; offset < len(body); {
+		data := body[offset:min(len(body), offset+chunkBytes)]
+		chunk := &api.MessageChunk{Offset: offset, Size: len(body), Checksum: sum, Data: data}
+		r, err := t.call(conn, len(data), &api.DeliverRequest{Chunk: chunk})
 		switch {
 		case err != nil:
 			return err
-		case r.ReceivedBytes <= at || r.ReceivedBytes > len(body): // a restart, perhaps of one of before
-			c.mu.Lock()
-			c.parted[to] = r.AcceptsChunks
-			c.mu.Unlock()
-			return errParts
+		case r.ReceivedBytes <= offset || r.ReceivedBytes > len(body): // a restart, perhaps into an older version
+			t.mu.Lock()
+			t.acceptsChunks[to] = r.AcceptsChunks
+			t.mu.Unlock()
+			return errChunksGone
 		}
-		at = r.ReceivedBytes
+		offset = r.ReceivedBytes
 	}
 	return nil
 }
 
-// Deliver takes in messages of other members. The two lanes of a member call it side
-// by side: a message may overtake another.
-func (c *Core) Deliver(_ context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// call makes one call to a member, with so many bytes of payload.
+func (t *transport) call(conn *grpc.ClientConn, bytes int, d *api.DeliverRequest) (*api.DeliverResponse, error) {
+	d.From, d.Addr = t.host.id, t.cfg.Addr
+	ctx, cancel := context.WithTimeout(t.life.ctx, t.callTimeout(bytes))
+	defer cancel()
+	return api.CallDeliver(ctx, conn, d)
+}
+
+// Deliver takes in messages of other members. The two send queues of a member call it side by
+// side: a message may overtake another.
+func (t *transport) Deliver(_ context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	r := &api.DeliverResponse{AcceptsChunks: true}
-	if c.diskDown {
+	if t.host.suspended {
 		return r, nil
 	}
-	if len(c.addrs) >= mostSenders {
-		clear(c.addrs)
-		clear(c.partly)
+	if len(t.senderAddrs) >= maxSenders {
+		clear(t.senderAddrs)
+		clear(t.reassemblies)
 	}
-	c.addrs[d.From] = d.Addr
-	ms := d.Messages
+	t.senderAddrs[d.From] = d.Addr
+	messages := d.Messages
 	if d.Chunk != nil {
-		p := c.partly[d.From]
-		if p == nil {
-			p = &parts{}
-			c.partly[d.From] = p
-		}
-		var whole []byte
-		if r.ReceivedBytes, whole = p.put(d.Chunk); whole == nil {
+		var complete []byte
+		if r.ReceivedBytes, complete = t.reassemblyOf(d.From).add(d.Chunk); complete == nil {
 			return r, nil
 		}
-		if err := api.Unmarshal(whole, &ms); err != nil {
-			return nil, fmt.Errorf("controlplane: messages in parts: %w", err)
+		if err := api.Unmarshal(complete, &messages); err != nil {
+			return nil, fmt.Errorf("controlplane: decoding chunked messages: %w", err)
 		}
 	}
-	for _, m := range ms {
-		c.node.Step(m)
+	for _, m := range messages {
+		t.host.node.Step(m)
 	}
-	c.process()
+	t.host.handleReady()
 	return r, nil
 }
+
+// reassemblyOf is what has come of a sender's chunked messages.
+func (t *transport) reassemblyOf(from raft.ID) *reassembly {
+	r := t.reassemblies[from]
+	if r == nil {
+		r = &reassembly{}
+		t.reassemblies[from] = r
+	}
+	return r
+}
+
+// forgetChunks drops all that has come of chunked messages: another leader begins anew.
+func (t *transport) forgetChunks() { clear(t.reassemblies) }
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -211,7 +211,7 @@
 		rows = next
 		inFlight = 0
 		for watcher := range 300 {
-			p, err := parcel(&configs, uint64(watcher)%(version+1))
+			p, err := newDelta(&configs, uint64(watcher)%(version+1))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/lab/controlbench/watcher.go
+++ b/lab/controlbench/watcher.go
@@ -143,7 +143,7 @@
 		}
 	}
 	pace(len(p.Data))
-	data, err := controlplane.FetchParcel(ctx, p, func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
+	data, err := controlplane.FetchDelta(ctx, p, func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
 		call, cancel := context.WithTimeout(ctx, askWait)
 		defer cancel()
 		w.counts.pieces.Add(1)
--- a/process/news.go
+++ b/process/news.go
@@ -180,7 +180,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	data, err := controlplane.FetchParcel(call, parcel, m.fetch, table)
+	data, err := controlplane.FetchDelta(call, parcel, m.fetch, table)
 	if err != nil {
 		p.log.Debug("a difference was not had", "table", table, "to", parcel.To, "err", err)
 		return false
