--- a/api/split_test.go
+++ b/api/configrows_test.go
@@ -13,14 +13,41 @@
 	"pgregory.net/rapid"
 )
 
-// A configuration is judged and split by what differs from one that was checked just as
-// it is on its own, whatever the difference is.
-func TestSplitByDifference(t *testing.T) {
+// configChanges are ways to change a configuration, some of which make it invalid.
+var configChanges = []func(c *Config, rng *rand.Rand){
+	func(c *Config, rng *rand.Rand) { someRoute(c, rng).Host = fmt.Sprint("H", rng.IntN(14)) }, // may be another's
+	func(c *Config, rng *rand.Rand) { someRoute(c, rng).Upstream = []string{"a", "b", "none"}[rng.IntN(3)] },
+	func(c *Config, rng *rand.Rand) { someRoute(c, rng).TimeoutMs = float64(rng.IntN(4)) },
+	func(c *Config, rng *rand.Rand) { someTenant(c, rng).Keys = []string{fmt.Sprint("k", rng.IntN(14))} },
+	func(c *Config, rng *rand.Rand) { someTenant(c, rng).Name = fmt.Sprint("t", rng.IntN(14)) },
+	func(c *Config, rng *rand.Rand) { c.Upstreams = c.Upstreams[:rng.IntN(len(c.Upstreams)+1)] },
+	func(c *Config, rng *rand.Rand) {
+		c.Upstreams = append(c.Upstreams, Upstream{Name: []string{"b", "c", ""}[rng.IntN(3)]})
+	},
+	func(c *Config, rng *rand.Rand) { c.Limits.MaxBodyBytes = int64(rng.IntN(14)) },
+	func(c *Config, rng *rand.Rand) {
+		added := Route{Host: fmt.Sprint("n", rng.IntN(14)), Prefix: "/", TimeoutMs: 1, Upstream: "a"}
+		c.Routes = slices.Insert(c.Routes, rng.IntN(len(c.Routes)), added)
+	},
+	func(c *Config, _ *rand.Rand) { c.Routes = slices.Delete(c.Routes, 0, min(1, len(c.Routes)-1)) },
+	func(c *Config, rng *rand.Rand) {
+		rng.Shuffle(len(c.Tenants), func(i, j int) { c.Tenants[i], c.Tenants[j] = c.Tenants[j], c.Tenants[i] })
+	},
+	func(c *Config, _ *rand.Rand) { c.Revision = 0 },
+}
+
+func someRoute(c *Config, rng *rand.Rand) *Route   { return &c.Routes[rng.IntN(len(c.Routes))] }
+func someTenant(c *Config, rng *rand.Rand) *Tenant { return &c.Tenants[rng.IntN(len(c.Tenants))] }
+
+// A configuration is validated and encoded by its difference from one that has been
+// validated with the same result as on its own, whatever the difference is.
+func TestValidateConfigByDifferenceEqualsFullValidation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		c := &Config{Upstreams: []Upstream{{Name: "a"}, {Name: "b"}}}
 		for i := range 12 {
-			c.Routes = append(c.Routes, Route{Name: "r", Host: fmt.Sprint("h", i), Prefix: "/", TimeoutMs: 1, Upstream: "a"})
+			route := Route{Name: "r", Host: fmt.Sprint("h", i), Prefix: "/", TimeoutMs: 1, Upstream: "a"}
+			c.Routes = append(c.Routes, route)
 			c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i)}})
 		}
 		var last *ConfigRows
@@ -28,34 +55,7 @@
 			next := &Config{Revision: c.Revision + 1, Limits: c.Limits,
 				Routes: slices.Clone(c.Routes), Upstreams: slices.Clone(c.Upstreams), Tenants: slices.Clone(c.Tenants)}
 			for range rng.IntN(3) {
-				r, n := &next.Routes[rng.IntN(len(next.Routes))], rng.IntN(14)
-				k := &next.Tenants[rng.IntN(len(next.Tenants))]
-				switch rng.IntN(12) {
-				case 0:
-					r.Host = fmt.Sprint("H", n) // may be another's
-				case 1:
-					r.Upstream = []string{"a", "b", "none"}[rng.IntN(3)]
-				case 2:
-					r.TimeoutMs = float64(rng.IntN(4))
-				case 3:
-					k.Keys = []string{fmt.Sprint("k", n)}
-				case 4:
-					k.Name = fmt.Sprint("t", n)
-				case 5:
-					next.Upstreams = next.Upstreams[:rng.IntN(len(next.Upstreams)+1)]
-				case 6:
-					next.Upstreams = append(next.Upstreams, Upstream{Name: []string{"b", "c", ""}[rng.IntN(3)]})
-				case 7:
-					next.Limits.MaxBodyBytes = int64(n)
-				case 8:
-					next.Routes = slices.Insert(next.Routes, rng.IntN(len(next.Routes)), Route{Host: fmt.Sprint("n", n), Prefix: "/", TimeoutMs: 1, Upstream: "a"})
-				case 9:
-					next.Routes = slices.Delete(next.Routes, 0, min(1, len(next.Routes)-1))
-				case 10:
-					rng.Shuffle(len(next.Tenants), func(i, j int) { next.Tenants[i], next.Tenants[j] = next.Tenants[j], next.Tenants[i] })
-				case 11:
-					next.Revision = 0
-				}
+				configChanges[rng.IntN(len(configChanges))](next, rng)
 			}
 			data, err := cbor.Marshal(next)
 			if err != nil {
@@ -78,49 +78,48 @@
 	})
 }
 
-// Of a configuration with one changed row everything else is taken over, and only that
-// row is read.
-func TestSplitReadsWhatDiffers(t *testing.T) {
+// Of a configuration with one changed entry all other rows are taken over, and only that
+// entry is decoded.
+func TestBuildConfigRowsDecodesOnlyChanges(t *testing.T) {
 	c := &Config{Revision: 1, Upstreams: []Upstream{{Name: "a"}}}
 	for i := range 2000 {
 		c.Routes = append(c.Routes, Route{Host: fmt.Sprint("h", i), Prefix: "/", TimeoutMs: 1, Upstream: "a"})
 	}
-	split := func(before *ConfigRows) *ConfigRows {
+	validate := func(previous *ConfigRows) *ConfigRows {
 		data, err := cbor.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := ValidateConfig(data, before)
+		s, err := ValidateConfig(data, previous)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s
 	}
-	first := split(nil)
+	first := validate(nil)
 	c.Revision, c.Routes[7].TimeoutMs = 2, 2
-	second := split(first)
+	second := validate(first)
 	shared := 0
 	for k, v := range second.Rows {
 		if old := first.Rows[k]; len(old) > 0 && &old[0] == &v[0] {
 			shared++
 		}
 	}
-	if shared != len(second.Rows)-2 { // the changed route; the one service is read again
+	if shared != len(second.Rows)-2 { // the changed route; the one service is decoded again
 		t.Errorf("%d of %d rows are taken over", shared, len(second.Rows))
 	}
-	data, _ := cbor.Marshal(c)
-	_, news, err := split3(data, second)
-	if err != nil || len(news.Routes) != 0 {
-		t.Errorf("%d routes of the same configuration are read, %v", len(news.Routes), err)
+	data, err := cbor.Marshal(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, changed, err := buildRows(data, second, true)
+	if err != nil || len(changed.Routes) != 0 {
+		t.Errorf("%d routes of the same configuration are decoded, %v", len(changed.Routes), err)
 	}
 }
 
-func split3(data []byte, before *ConfigRows) (*ConfigRows, *Config, error) {
-	return split(data, before, true)
-}
-
-// configRows splits a configuration into rows without any other: what [SplitConfig] is
-// held against.
+// configRows encodes a configuration as rows without a previous one: the reference for
+// [BuildConfigRows].
 func configRows(data []byte) (revision uint64, rows map[string][]byte, err error) {
 	var c struct {
 		Revision  uint64            `cbor:"revision"`
@@ -138,7 +137,7 @@
 			Host   string `cbor:"host_match"`
 			Prefix string `cbor:"path_prefix"`
 		}
-		if err := strict.Unmarshal(raw, &r); err != nil {
+		if err := strictDecMode.Unmarshal(raw, &r); err != nil {
 			return 0, nil, fmt.Errorf("api: %w", err)
 		}
 		rows[RouteKey(r.Host, r.Prefix)] = raw
@@ -148,7 +147,7 @@
 			var x struct {
 				Name string `cbor:"name"`
 			}
-			if err := strict.Unmarshal(raw, &x); err != nil {
+			if err := strictDecMode.Unmarshal(raw, &x); err != nil {
 				return fmt.Errorf("api: %w", err)
 			}
 			rows[string(kind)+x.Name] = raw
--- /dev/null
+++ b/api/connpool.go
@@ -0,0 +1,86 @@
+package api
+
+import (
+	"sync"
+	"time"
+
+	"google.golang.org/grpc"
+
+	"example.org/elmspan/keys"
+)
+
+// Processes come and go: when the pool has maxConns connections or more, a new one closes
+// those that have not been used for maxIdle.
+const (
+	maxConns = 32
+	maxIdle  = time.Minute
+)
+
+// ConnPool keeps one connection for each address. It is safe for concurrent use.
+type ConnPool struct {
+	ring *keys.Ring
+	opts []grpc.DialOption
+	now  func() time.Time
+
+	mu       sync.Mutex // guards the fields below
+	byAddr   map[string]*grpc.ClientConn
+	lastUsed map[string]time.Time // for the addresses of byAddr
+}
+
+// NewConnPool returns an empty pool. ring and opts are as for [Dial].
+func NewConnPool(ring *keys.Ring, opts ...grpc.DialOption) *ConnPool {
+	return &ConnPool{
+		ring:     ring,
+		opts:     opts,
+		now:      time.Now,
+		byAddr:   map[string]*grpc.ClientConn{},
+		lastUsed: map[string]time.Time{},
+	}
+}
+
+// Conn returns the connection to an address; the first call makes it. It stays the pool's:
+// the caller does not close it. The errors are those of [Dial].
+func (p *ConnPool) Conn(addr string) (*grpc.ClientConn, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.now()
+	p.lastUsed[addr] = now
+	if c := p.byAddr[addr]; c != nil {
+		return c, nil
+	}
+	p.closeIdle(now)
+	c, err := Dial(addr, p.ring, p.opts...)
+	if err != nil {
+		delete(p.lastUsed, addr)
+		return nil, err
+	}
+	p.byAddr[addr] = c
+	return c, nil
+}
+
+// closeIdle makes room for a new connection. The caller holds mu.
+func (p *ConnPool) closeIdle(now time.Time) {
+	for addr, used := range p.lastUsed {
+		if len(p.byAddr) >= maxConns && now.Sub(used) > maxIdle {
+			p.remove(addr)
+		}
+	}
+}
+
+// remove closes a connection. The caller holds mu.
+func (p *ConnPool) remove(addr string) {
+	if c := p.byAddr[addr]; c != nil {
+		_ = c.Close() // it fails only on a connection that is closed already
+	}
+	delete(p.byAddr, addr)
+	delete(p.lastUsed, addr)
+}
+
+// Close closes all connections.
+func (p *ConnPool) Close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for addr := range p.byAddr {
+		p.remove(addr)
+	}
+}
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -24,9 +24,14 @@
 	return &Config{
 		Revision: 12,
 		Routes: []Route{
-			{Name: "r", Host: "Example.org", Prefix: "/x/", Type: Idempotent, TimeoutMs: 1500.5, TargetMs: 80, Priority: 3,
-				Upstream: "a", Retries: 2, Anonymous: true},
-			{Name: "s", Host: "*", Prefix: "/x/y/", Type: Download, TimeoutMs: 100, TrafficSplit: []WeightedUpstream{{"a", 90}, {"b", 10}}},
+			{
+				Name: "r", Host: "Example.org", Prefix: "/x/", Type: Idempotent, TimeoutMs: 1500.5, TargetMs: 80,
+				Priority: 3, Upstream: "a", Retries: 2, Anonymous: true,
+			},
+			{
+				Name: "s", Host: "*", Prefix: "/x/y/", Type: Download, TimeoutMs: 100,
+				TrafficSplit: []WeightedUpstream{{"a", 90}, {"b", 10}},
+			},
 		},
 		Upstreams: []Upstream{
 			{Name: "a", HealthCheck: "/health", MaxConnections: 40, Protocol: "http1", TLS: true},
@@ -41,7 +46,10 @@
 }
 
 func goldenMessages() []raft.Message {
-	members := []raft.Member{{ID: 7, Addr: "10.0.0.7:9", Voter: true, Joint: true}, {ID: 8, Addr: "10.0.0.8:9", Old: true}}
+	members := []raft.Member{
+		{ID: 7, Addr: "10.0.0.7:9", Voter: true, Joint: true},
+		{ID: 8, Addr: "10.0.0.8:9", Old: true},
+	}
 	return []raft.Message{
 		{Kind: raft.Append, From: 7, To: 8, Term: 3, Index: 40, LogTerm: 2, Commit: 39, Round: 11,
 			Entries: []raft.Entry{{Index: 41, Term: 3, Data: []byte("entry")}, {Index: 42, Term: 3, Members: members}}},
@@ -51,40 +59,58 @@
 	}
 }
 
-// goldenForms are the encoded forms by the name of their file: what it holds.
+// goldenForms are the contents of the golden files, by their names.
 func goldenForms() map[string]any {
-	peer := Peer{Name: "n1", Addr: "10.0.0.1:9", Zone: "z1", StartID: 0x1122334455667788, Incarnation: 5, State: 1, Edge: true, Core: true}
+	peer := Peer{
+		Name: "n1", Addr: "10.0.0.1:9", Zone: "z1", StartID: 0x1122334455667788, Incarnation: 5, State: 1,
+		Edge: true, Core: true,
+	}
 	other := Peer{Name: "n2", Addr: "10.0.0.2:9", Zone: "z2", StartID: 9, Incarnation: 1}
 	config := &EncodedDelta{From: 11, To: 12, Size: 20000, Data: []byte("first bytes")}
-	list := &EncodedDelta{To: 900, Size: 4, Data: []byte("list")}
+	servers := &EncodedDelta{To: 900, Size: 4, Data: []byte("list")}
 	return map[string]any{
 		"config": goldenConfig(),
-		"server": &Server{ID: "i-1", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Revision: "v2", Capacity: 8,
-			State: Draining, WarmupMs: 1250.5},
-		"watch": &WatchRequest{Name: "n1", Revision: 11, ServersVersion: 899, WaitMs: 2000},
-		"news": &WatchResponse{Lease: true, LeaseDelayMs: 730, Revision: 12, ServersVersion: 900, ConfigDelta: config, ServersDelta: list, ClockMs: 123456.5,
-			Leader: "10.0.0.7:9", Members: []string{"10.0.0.7:9", "10.0.0.8:9"}},
-		"news-empty":   &WatchResponse{},
-		"parcel":       config,
-		"fetch":        &FetchRequest{Table: ServerTable, From: 899, To: 900, Offset: 16384},
-		"piece":        &Chunk{Data: []byte("piece")},
-		"piece-empty":  &Chunk{},
-		"confirmation": &ReadIndexResponse{OK: true, Index: 42, ServersVersion: 900, ClockMs: 99.5},
-		"replace":      &ReplaceRequest{Base: 11, Config: []byte{0xa0}},
-		"result": &ControlResponse{Status: 409, Reason: "another came first", Leader: "10.0.0.7:9", Config: []byte{0xa0},
-			Versions: []uint64{10, 11, 12}},
-		"read":              &GetRequest{Revision: 10, Versions: true, State: true},
-		"join":              &JoinRequest{ID: 8, Addr: "10.0.0.8:9", Leaving: true, Joint: true},
-		"deliver":           &DeliverRequest{Messages: goldenMessages(), From: 7, Addr: "10.0.0.7:9"},
-		"deliver-part":      &DeliverRequest{From: 7, Addr: "10.0.0.7:9", Chunk: &MessageChunk{Offset: 5, Size: 11, Checksum: 77, Data: []byte("part")}},
-		"delivered":         &DeliverResponse{AcceptsChunks: true, ReceivedBytes: 9},
-		"peer":              &peer,
-		"beat":              &HeartbeatRequest{From: peer, Digest: 0xaabb, Peers: []Peer{other}, RequestedBuckets: 1 << 63},
-		"beat-reply":        &HeartbeatResponse{Digest: 0xaabb, Peers: []Peer{peer, other}, BucketDigests: []uint32{1, 2, 1 << 31}},
-		"none":              &Empty{},
-		"past":              &HistoryResponse{MayHaveParticipated: true},
-		"server-row":        &serverRow{"a", "10.1.0.1:80", "z1", 8, Draining, 4500},
-		"server-row-steady": &serverRow{Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8},
+		"server": &Server{
+			ID: "i-1", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Revision: "v2", Capacity: 8, State: Draining,
+			WarmupMs: 1250.5,
+		},
+		"watch-request": &WatchRequest{Name: "n1", Revision: 11, ServersVersion: 899, WaitMs: 2000},
+		"watch-response": &WatchResponse{
+			Lease: true, LeaseDelayMs: 730, Revision: 12, ServersVersion: 900, ConfigDelta: config,
+			ServersDelta: servers, ClockMs: 123456.5, Leader: "10.0.0.7:9",
+			Members: []string{"10.0.0.7:9", "10.0.0.8:9"},
+		},
+		"watch-response-empty": &WatchResponse{},
+		"encoded-delta":        config,
+		"fetch-request":        &FetchRequest{Table: ServerTable, From: 899, To: 900, Offset: 16384},
+		"chunk":                &Chunk{Data: []byte("piece")},
+		"chunk-empty":          &Chunk{},
+		"read-index-response":  &ReadIndexResponse{OK: true, Index: 42, ServersVersion: 900, ClockMs: 99.5},
+		"replace-request":      &ReplaceRequest{Base: 11, Config: []byte{0xa0}},
+		"control-response": &ControlResponse{
+			Status: 409, Reason: "another came first", Leader: "10.0.0.7:9", Config: []byte{0xa0},
+			Versions: []uint64{10, 11, 12},
+		},
+		"get-request":     &GetRequest{Revision: 10, Versions: true, State: true},
+		"join-request":    &JoinRequest{ID: 8, Addr: "10.0.0.8:9", Leaving: true, Joint: true},
+		"deliver-request": &DeliverRequest{Messages: goldenMessages(), From: 7, Addr: "10.0.0.7:9"},
+		"deliver-request-chunk": &DeliverRequest{
+			From: 7, Addr: "10.0.0.7:9", Chunk: &MessageChunk{Offset: 5, Size: 11, Checksum: 77, Data: []byte("part")},
+		},
+		"deliver-response": &DeliverResponse{AcceptsChunks: true, ReceivedBytes: 9},
+		"peer":             &peer,
+		"heartbeat-request": &HeartbeatRequest{
+			From: peer, Digest: 0xaabb, Peers: []Peer{other}, RequestedBuckets: 1 << 63,
+		},
+		"heartbeat-response": &HeartbeatResponse{
+			Digest: 0xaabb, Peers: []Peer{peer, other}, BucketDigests: []uint32{1, 2, 1 << 31},
+		},
+		"empty":            &Empty{},
+		"history-response": &HistoryResponse{MayHaveParticipated: true},
+		"server-row": &serverRow{
+			Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8, State: Draining, WarmAtMs: 4500,
+		},
+		"server-row-in-service": &serverRow{Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8},
 	}
 }
 
@@ -97,8 +123,8 @@
 	return data
 }
 
-// Each form that an earlier version (f96d826) wrote is read with the same meaning and
-// written as the same bytes: members and limiters of both versions work together.
+// Each form that an earlier version (f96d826) encoded is decoded with the same meaning and
+// encoded to the same bytes: members and limiters of both versions work together.
 func TestGoldenFormsKeepTheirBytes(t *testing.T) {
 	forms := goldenForms()
 	for name, want := range forms {
@@ -111,9 +137,9 @@
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("decoded %+v, want %+v", got, want)
 			}
-			again, err := codec{}.Marshal(got)
-			if err != nil || !bytes.Equal(again, data) {
-				t.Errorf("encoded %x (%v), want %x", again, err, data)
+			encoded, err := codec{}.Marshal(got)
+			if err != nil || !bytes.Equal(encoded, data) {
+				t.Errorf("encoded %x (%v), want %x", encoded, err, data)
 			}
 		})
 	}
@@ -123,8 +149,8 @@
 	}
 }
 
-// The rows of a configuration have the keys and the bytes that an earlier version gave
-// them, and are read back as what they were made of.
+// The rows of a configuration have the keys and the bytes that an earlier version gave them,
+// and are decoded as the entries that they come from.
 func TestGoldenConfigRows(t *testing.T) {
 	var want []goldenRow
 	if err := cbor.Unmarshal(goldenFile(t, "config-rows"), &want); err != nil {
@@ -138,7 +164,6 @@
 		t.Fatalf("revision %d, %d rows, want %d", s.Revision, len(s.Rows), len(want))
 	}
 	c := goldenConfig()
-	c.Routes[0].Host = "example.org" // as its key has it; the row has the bytes as they came
 	for _, w := range want {
 		if !bytes.Equal(s.Rows[w.Key], w.Value) {
 			t.Errorf("row %q: %x, want %x", w.Key, s.Rows[w.Key], w.Value)
@@ -150,7 +175,7 @@
 		var found bool
 		switch {
 		case row.Route != nil:
-			found = slices.ContainsFunc(goldenConfig().Routes, func(r Route) bool { return reflect.DeepEqual(r, *row.Route) })
+			found = slices.ContainsFunc(c.Routes, func(r Route) bool { return reflect.DeepEqual(r, *row.Route) })
 		case row.Tenant != nil:
 			found = slices.ContainsFunc(c.Tenants, func(x Tenant) bool { return reflect.DeepEqual(x, *row.Tenant) })
 		case row.Upstream != nil:
@@ -159,24 +184,25 @@
 			found = *row.Limits == c.Limits
 		}
 		if !found {
-			t.Errorf("row %q is read as %+v", w.Key, row)
+			t.Errorf("row %q is decoded as %+v", w.Key, row)
 		}
 	}
 }
 
-// A server's row is made and read as an earlier version did it.
+// A server's row is encoded and decoded as by an earlier version.
 func TestGoldenServerRows(t *testing.T) {
-	for name, s := range map[string]Server{
-		"server-row":        {ID: "i-1", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8, State: Draining, WarmupMs: 500},
-		"server-row-steady": {ID: "i-2", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8, State: InService},
-	} {
+	draining := Server{
+		ID: "i-1", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8, State: Draining, WarmupMs: 500,
+	}
+	inService := Server{ID: "i-2", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8, State: InService}
+	for name, s := range map[string]Server{"server-row": draining, "server-row-in-service": inService} {
 		data := goldenFile(t, name)
-		warmAt := map[string]float64{"server-row": 4500.9}[name] // told in whole milliseconds
+		warmAt := map[string]float64{"server-row": 4500.9}[name] // sent in whole milliseconds
 		if got, err := EncodeServerRow(s, warmAt); err != nil || !bytes.Equal(got, data) {
 			t.Errorf("%s: %x (%v), want %x", name, got, err, data)
 		}
 		if got, err := ParseServerRow(s.ID, data, 4000); err != nil || got != s {
-			t.Errorf("%s: read as %+v (%v), want %+v", name, got, err, s)
+			t.Errorf("%s: decoded as %+v (%v), want %+v", name, got, err, s)
 		}
 	}
 }
@@ -204,6 +230,6 @@
 		t.Errorf("methods %q, want %q", got, want)
 	}
 	if name := (codec{}).Name(); name != "cbor" {
-		t.Errorf("the codec is called %q", name)
+		t.Errorf("the codec is named %q", name)
 	}
 }
--- a/api/window_test.go
+++ b/api/server_test.go
@@ -7,10 +7,12 @@
 	"net"
 	"sync/atomic"
 	"testing"
+
+	"google.golang.org/grpc"
 )
 
-// frames counts the HTTP/2 frames that pass, by their types (RFC 9113, 6).
-func frames(w io.Writer, r io.Reader, preface int64, by *[10]atomic.Int64) {
+// relayFrames copies HTTP/2 and counts the frames by their types (RFC 9113, section 6).
+func relayFrames(w io.Writer, r io.Reader, preface int64, count *[10]atomic.Int64) {
 	if _, err := io.CopyN(w, r, preface); err != nil {
 		return
 	}
@@ -19,35 +21,44 @@
 		if _, err := io.ReadFull(r, head[:]); err != nil {
 			return
 		}
-		by[head[3]].Add(1)
-		w.Write(head[:])
+		count[head[3]].Add(1)
+		if _, err := w.Write(head[:]); err != nil {
+			return
+		}
 		if _, err := io.CopyN(w, r, int64(binary.BigEndian.Uint32(head[:])>>8)); err != nil {
 			return
 		}
 	}
 }
 
-type answering struct{}
+// serve runs a server until the test ends.
+func serve(t *testing.T, s *grpc.Server, l net.Listener) {
+	t.Helper()
+	go func() { _ = s.Serve(l) }() // it returns when the server is stopped
+	t.Cleanup(s.Stop)
+}
+
+// answeringMember answers heartbeats.
+type answeringMember struct{}
 
-func (answering) Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
+func (answeringMember) Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
 	return &HeartbeatResponse{Digest: 1}, nil
 }
 
-// A call costs the frames that carry it: no pings that measure the way.
-func TestCallsBringNoPings(t *testing.T) {
+// A call costs the frames that carry it, and no pings that estimate the bandwidth.
+func TestCallsSendNoPings(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := NewServer(nil)
-	RegisterMembership(s, answering{})
-	go s.Serve(inner)
-	t.Cleanup(s.Stop)
+	RegisterMembership(s, answeringMember{})
+	serve(t, s, inner)
 	outer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { outer.Close() })
+	t.Cleanup(func() { _ = outer.Close() })
 	var there, back [10]atomic.Int64
 	go func() {
 		a, err := outer.Accept()
@@ -56,18 +67,18 @@
 		}
 		b, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
-			a.Close()
+			_ = a.Close()
 			return
 		}
-		go frames(a, b, 0, &back)
-		frames(b, a, int64(len("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")), &there)
-		b.Close()
+		go relayFrames(a, b, 0, &back)
+		relayFrames(b, a, int64(len("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")), &there)
+		_ = b.Close()
 	}()
 	conn, err := Dial(outer.Addr().String(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { _ = conn.Close() })
 	const calls = 20
 	for range calls {
 		if _, err := CallHeartbeat(context.Background(), conn, &HeartbeatRequest{Digest: 1}); err != nil {
@@ -79,6 +90,7 @@
 		t.Errorf("%d pings in %d calls", n, calls)
 	}
 	if there[headers].Load() != calls || there[data].Load() != calls || back[data].Load() != calls {
-		t.Errorf("the relay saw %d heads and %d bodies of %d calls, %d answers", there[headers].Load(), there[data].Load(), calls, back[data].Load())
+		t.Errorf("the relay saw %d headers and %d bodies of %d calls, and %d responses",
+			there[headers].Load(), there[data].Load(), calls, back[data].Load())
 	}
 }
--- a/api/config_test.go
+++ b/api/validate_test.go
@@ -1,22 +1,34 @@
 package api
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-func valid() *Config {
-	return &Config{Revision: 3, Upstreams: []Upstream{{Name: "a"}, {Name: "b"}},
-		Routes: []Route{{Name: "r", Host: "h", Prefix: "/x/", Type: Idempotent, TimeoutMs: 100, Upstream: "a", Retries: 2},
-			{Name: "s", Host: "h", Prefix: "/x/y/", TimeoutMs: 100, TrafficSplit: []WeightedUpstream{{"a", 90}, {"b", 10}}}},
-		Tenants: []Tenant{{Name: "t", Keys: []string{"k1", "k2"}, Rate: 5, Burst: 5}, {Name: "u", Keys: []string{"k3"}}}}
+func validConfig() *Config {
+	return &Config{
+		Revision:  3,
+		Upstreams: []Upstream{{Name: "a"}, {Name: "b"}},
+		Routes: []Route{
+			{Name: "r", Host: "h", Prefix: "/x/", Type: Idempotent, TimeoutMs: 100, Upstream: "a", Retries: 2},
+			{
+				Name: "s", Host: "h", Prefix: "/x/y/", TimeoutMs: 100,
+				TrafficSplit: []WeightedUpstream{{"a", 90}, {"b", 10}},
+			},
+		},
+		Tenants: []Tenant{
+			{Name: "t", Keys: []string{"k1", "k2"}, Rate: 5, Burst: 5},
+			{Name: "u", Keys: []string{"k3"}},
+		},
+	}
 }
 
-// Each fault is named by its place, and all of them at once.
-func TestValidate(t *testing.T) {
-	if err := valid().Validate(); err != nil {
+// Each fault is reported with its field, and all of them at once.
+func TestConfigValidateNamesEachField(t *testing.T) {
+	if err := validConfig().Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for want, spoil := range map[string]func(*Config){
@@ -32,22 +44,26 @@
 		"tenant_table.1.name":            func(c *Config) { c.Tenants[1].Name = "t" },
 		"tenant_table.0 (t): rate_per_s": func(c *Config) { c.Tenants[0].Rate = -1 },
 	} {
-		c := valid()
+		c := validConfig()
 		spoil(c)
 		if err := c.Validate(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q in %v", want, err)
 		}
+		var fault *FieldError
+		if err := c.Validate(); !errors.As(err, &fault) || fault.Field == "" || !strings.Contains(fault.Error(), want) {
+			t.Errorf("want %q in the first fault, %+v", want, fault)
+		}
 	}
-	c := valid()
+	c := validConfig()
 	c.Routes[0].TimeoutMs, c.Routes[0].Upstream = 0, ""
 	if err := c.Validate(); strings.Count(err.Error(), "\n") != 1 {
 		t.Errorf("two faults in %q", err)
 	}
 }
 
-// A configuration that is cut short, doubled or followed by more is not taken.
-func TestParseWhole(t *testing.T) {
-	data, err := cbor.Marshal(valid())
+// A configuration that is cut short, doubled or followed by more is rejected.
+func TestParseConfigRejectsIncompleteInput(t *testing.T) {
+	data, err := cbor.Marshal(validConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,16 +72,16 @@
 	}
 	for n := range data {
 		if _, err := ParseConfig(data[:n]); err == nil {
-			t.Fatalf("%d of %d bytes were taken", n, len(data))
+			t.Fatalf("%d of %d bytes were accepted", n, len(data))
 		}
 	}
 	if _, err := ParseConfig(append(data, data...)); err == nil {
-		t.Error("two configurations were taken for one")
+		t.Error("two configurations were accepted as one")
 	}
 }
 
 func FuzzParseConfig(f *testing.F) {
-	data, err := cbor.Marshal(valid())
+	data, err := cbor.Marshal(validConfig())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -76,14 +92,14 @@
 			return
 		}
 		if c.Revision == 0 || c.Validate() != nil {
-			t.Error("an invalid configuration was taken")
+			t.Error("an invalid configuration was accepted")
 		}
-		// What is taken must be tellable to limiters: a member of the core halts where it isn't.
-		if split, err := BuildConfigRows(b, nil); err != nil || split.Revision != c.Revision {
-			t.Fatalf("%x is sound and can't be split: %v", b, err)
+		// What is valid can be encoded as rows: a member of the control plane stops where it can't.
+		if rows, err := BuildConfigRows(b, nil); err != nil || rows.Revision != c.Revision {
+			t.Fatalf("%x is valid and can't be encoded as rows: %v", b, err)
 		}
 		if revision, _, err := configRows(b); err != nil || revision != c.Revision {
-			t.Errorf("a configuration was taken whose rows can't be read: revision %d, %v", revision, err)
+			t.Errorf("a configuration was accepted whose rows can't be read: revision %d, %v", revision, err)
 		}
 	})
 }
