--- a/api/connpool.go
+++ b/api/connpool.go
@@ -18,7 +18,7 @@
 
 // ConnPool keeps one connection for each address. It is safe for concurrent use.
 type ConnPool struct {
-	ring *keys.Ring
+	ring *keys.Keyring
 	opts []grpc.DialOption
 	now  func() time.Time
 
@@ -28,7 +28,7 @@
 }
 
 // NewConnPool returns an empty pool. ring and opts are as for [Dial].
-func NewConnPool(ring *keys.Ring, opts ...grpc.DialOption) *ConnPool {
+func NewConnPool(ring *keys.Keyring, opts ...grpc.DialOption) *ConnPool {
 	return &ConnPool{
 		ring:     ring,
 		opts:     opts,
--- a/api/dial.go
+++ b/api/dial.go
@@ -47,14 +47,14 @@
 // no TLS. opts override the own options: with another dialer ([grpc.WithContextDialer]) no
 // socket is needed. An address that isn't an IP address with a port is an error where there
 // is a ring.
-func Dial(addr string, ring *keys.Ring, opts ...grpc.DialOption) (*grpc.ClientConn, error) {
+func Dial(addr string, ring *keys.Keyring, opts ...grpc.DialOption) (*grpc.ClientConn, error) {
 	creds := insecure.NewCredentials()
 	if ring != nil {
 		peer, err := netip.ParseAddrPort(addr)
 		if err != nil {
 			return nil, fmt.Errorf("api: dialing: %w", err)
 		}
-		creds = credentials.NewTLS(ring.Client(net.IP(peer.Addr().AsSlice())))
+		creds = credentials.NewTLS(ring.ClientConfig(net.IP(peer.Addr().AsSlice())))
 	}
 	return grpc.NewClient("passthrough:///"+addr, append(dialOptions(creds), opts...)...)
 }
--- a/api/server.go
+++ b/api/server.go
@@ -31,10 +31,10 @@
 // NewServer returns a gRPC server for the system's own processes. With a key ring only
 // clients that have a certificate of the same authority are accepted; nil: no TLS, for
 // trusted networks.
-func NewServer(ring *keys.Ring) *grpc.Server {
+func NewServer(ring *keys.Keyring) *grpc.Server {
 	creds := insecure.NewCredentials()
 	if ring != nil {
-		creds = credentials.NewTLS(ring.Server())
+		creds = credentials.NewTLS(ring.ServerConfig())
 	}
 	return grpc.NewServer(
 		grpc.Creds(creds),
--- a/cmd/elmspan/call_test.go
+++ b/cmd/elmspan/call_test.go
@@ -51,7 +51,7 @@
 func TestGuardedCalls(t *testing.T) {
 	dir := t.TempDir()
 	file, token := filepath.Join(dir, "operators.toml"), filepath.Join(dir, "token")
-	o, secret, err := operators.New("ci", operators.Read, time.Time{})
+	o, secret, err := operators.New("ci", operators.RoleRead, time.Time{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &operators.Guard{Book: book, Log: slog.New(slog.DiscardHandler), Now: time.Now}
+	g := &operators.AccessControl{Registry: book, Log: slog.New(slog.DiscardHandler), Now: time.Now}
 	srv := &http.Server{ReadHeaderTimeout: 2 * time.Minute, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0),
 		Handler: g.Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write([]byte(operators.Caller(r.Context()))) }))}
 	go srv.Serve(tls.NewListener(l, cert.Config()))
--- a/cmd/elmspan/keys.go
+++ b/cmd/elmspan/keys.go
@@ -23,7 +23,7 @@
 
 // Run makes the authority.
 func (c *keysInit) Run() error {
-	if err := keys.Init(c.Dir, time.Now()); err != nil {
+	if err := keys.InitAuthority(c.Dir, time.Now()); err != nil {
 		return err
 	}
 	fmt.Println("made an authority in", c.Dir)
@@ -61,7 +61,7 @@
 		return err
 	}
 	next := "issue every machine's folder anew, have all of them read it, then rotate again"
-	if stage == keys.Dropped {
+	if stage == keys.StageDropped {
 		next = "issue every machine's folder anew: the change is through"
 	}
 	fmt.Printf("new keys: %s. Now %s.\n", stage, next)
--- a/cmd/elmspan/main.go
+++ b/cmd/elmspan/main.go
@@ -88,10 +88,10 @@
 	runtime.GOMAXPROCS(1) // a process has a share of one core; more would only cost memory
 	debug.SetGCPercent(gcPercent)
 	if c.Settings == "" {
-		return fmt.Errorf("%s is not set: it names the settings file", settings.EnvFile)
+		return fmt.Errorf("%s is not set: it names the settings file", settings.NodeFileEnv)
 	}
 	if c.Profile != "" {
-		r, err := telemetry.Record(c.Profile, filepath.Base(filepath.Dir(c.Settings)))
+		r, err := telemetry.StartRecording(c.Profile, filepath.Base(filepath.Dir(c.Settings)))
 		if err != nil {
 			return fmt.Errorf("--profile: %w", err)
 		}
@@ -115,7 +115,7 @@
 	handler = loglimit.New(handler, time.Duration(tune.Log.RepeatS*float64(time.Second)), time.Now)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	p, err := process.New(process.Options{Settings: c.Settings, Tuning: c.Tuning, Tune: tune, Log: slog.New(handler), Level: follow})
+	p, err := process.New(process.Options{SettingsPath: c.Settings, TuningPath: c.Tuning, Tuning: tune, Log: slog.New(handler), Level: follow})
 	if err != nil {
 		return err
 	}
--- a/cmd/elmspan/state.go
+++ b/cmd/elmspan/state.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	if !node.Core() {
+	if !node.CoreMember() {
 		return fmt.Errorf("%s: this machine is none of the core: quorum_member, data_dir and control are needed", c.Settings)
 	}
 	data, err := os.ReadFile(c.File)
--- a/cmd/elmspan/tools.go
+++ b/cmd/elmspan/tools.go
@@ -114,7 +114,7 @@
 	}
 	r.Write(os.Stdout)
 	if c.Profile != "" {
-		if err := telemetry.WriteSpent(os.Stdout, c.Profile); err != nil {
+		if err := telemetry.WriteUsageReport(os.Stdout, c.Profile); err != nil {
 			return err
 		}
 	}
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -43,9 +43,9 @@
 type Options struct {
 	Seed     uint64
 	Log      *slog.Logger
-	Upstream settings.ServerTuning
+	Upstream settings.UpstreamTuning
 	Link     settings.LinkTuning
-	Keys     *keys.Ring         // nil: words between limiters are not sealed
+	Keys     *keys.Keyring      // nil: words between limiters are not sealed
 	Metrics  *telemetry.Metrics // nil: none are kept
 	// Stranger, where set, is told the address of a limiter that speaks to this one
 	// and is not known here. It must not block.
@@ -57,7 +57,7 @@
 	cfg   *settings.Node
 	log   *slog.Logger
 	meter *telemetry.Metrics
-	ring  *keys.Ring
+	ring  *keys.Keyring
 
 	stranger func(addr string)
 	start    time.Time
@@ -110,7 +110,7 @@
 	g.link = link.New(cfg.Limits.LinkMbps, o.Link.Fill)
 	g.pool.Control = g.link.Control
 	g.limiter = limiter.New(0, limiter.Config{Self: g.self, Life: g.life, Zone: cfg.Zone, Seed: seed,
-		RetryRatio: cfg.Timing.RetryRatio, RetrySlack: cfg.Timing.RetrySlack, LinkPerS: g.link.PerS(), Words: o.Link.Budget(cfg.Limits.LinkMbps, cfg.Limits.CPUShare)})
+		RetryRatio: cfg.Timing.RetryRatio, RetrySlack: cfg.Timing.RetrySlack, LinkPerS: g.link.PerS(), Words: o.Link.GossipBudget(cfg.Limits.LinkMbps, cfg.Limits.CPUShare)})
 	if cfg.Timing.StrictRevocation {
 		g.lease = settings.Millis(cfg.Timing.RevokeMs) - revokeMargin
 	}
@@ -287,7 +287,7 @@
 
 // Settings takes over what a changed settings file may change while it runs.
 func (g *Gateway) Settings(n *settings.Node) {
-	g.log.Info("settings read again", "cloud", n.Cloud.Address, "seeds", len(n.Seeds))
+	g.log.Info("settings read again", "cloud", n.Cloud.Address, "seeds", len(n.SeedPeers))
 }
 
 // Status is what a limiter shows of itself.
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -89,7 +89,7 @@
 
 func newGatewayOf(t testing.TB, timing settings.Timing, backends ...*backend) *Gateway {
 	t.Helper()
-	cfg := &settings.Node{Name: "n", IP: "127.0.0.1", Zone: "z", Internal: []int{0, 9}, Served: []string{"edge", "control"},
+	cfg := &settings.Node{Name: "n", IP: "127.0.0.1", Zone: "z", InternalPorts: []int{0, 9}, ServedRoles: []string{"edge", "control"},
 		Listeners: settings.Listeners{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
 		Timing:    timing}
 	upstream, timeout, limits := settings.DefaultTuning().Upstream, 3000.0, api.RequestLimits{MaxHeaderBytes: 2000, MaxBodyBytes: 1 << 20}
@@ -442,7 +442,7 @@
 // process by itself.
 func TestWordsAreTakenInAtATick(t *testing.T) {
 	const sent = 40
-	node := &settings.Node{Name: "a", Zone: "z", IP: "127.0.0.1", Internal: []int{0, 0}, Served: []string{"edge", "control"}}
+	node := &settings.Node{Name: "a", Zone: "z", IP: "127.0.0.1", InternalPorts: []int{0, 0}, ServedRoles: []string{"edge", "control"}}
 	node.Listeners.Front, node.Listeners.Ready, node.Limits.MaxFDs = "127.0.0.1:0", "127.0.0.1:0", 1000
 	heard := 0
 	g, err := New(node, Options{Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: settings.DefaultTuning().Upstream, Stranger: func(string) { heard++ }})
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -72,7 +72,7 @@
 }
 
 func newEar(g *Gateway) *ear {
-	return &ear{g: g, buf: make([]byte, gossip.MaxSize+keys.Overhead+1), sealer: g.sealer()}
+	return &ear{g: g, buf: make([]byte, gossip.MaxSize+keys.SealOverhead+1), sealer: g.sealer()}
 }
 
 // hear takes in what has come.
--- a/dataplane/meter.go
+++ b/dataplane/meter.go
@@ -22,7 +22,7 @@
 	}
 	g.meter.Count("elmspan_requests_total", 1, telemetry.Label{Name: "route", Value: route},
 		telemetry.Label{Name: "code", Value: strconv.Itoa(a.status)}, telemetry.Label{Name: "by", Value: by})
-	g.meter.Time("elmspan_request_duration_seconds", time.Since(r.arrived), telemetry.Label{Name: "route", Value: route})
+	g.meter.Observe("elmspan_request_duration_seconds", time.Since(r.arrived), telemetry.Label{Name: "route", Value: route})
 }
 
 var results = map[balance.Result]string{balance.Good: "good", balance.Full: "full", balance.Failed: "failed", balance.Unsent: "unsent",
@@ -36,5 +36,5 @@
 	}
 	label := telemetry.Label{Name: "service", Value: service}
 	g.meter.Count("elmspan_upstream_tries_total", 1, label, telemetry.Label{Name: "result", Value: results[at.result]})
-	g.meter.Time("elmspan_upstream_duration_seconds", time.Since(at.sentAt), label)
+	g.meter.Observe("elmspan_upstream_duration_seconds", time.Since(at.sentAt), label)
 }
--- a/keys/authority.go
+++ b/keys/authority.go
@@ -40,13 +40,13 @@
 	backdated = time.Hour // clocks of machines differ
 )
 
-// ErrExists tells that a folder has an authority already.
-var ErrExists = errors.New("keys: there is an authority in this folder already")
+// ErrAuthorityExists tells that a folder has an authority already.
+var ErrAuthorityExists = errors.New("keys: there is an authority in this folder already")
 
-// Init makes an authority in a folder.
-func Init(dir string, now time.Time) error {
+// InitAuthority makes an authority in a folder.
+func InitAuthority(dir string, now time.Time) error {
 	if _, err := os.Stat(filepath.Join(dir, caKeyFile)); !errors.Is(err, fs.ErrNotExist) {
-		return errors.Join(ErrExists, err)
+		return errors.Join(ErrAuthorityExists, err)
 	}
 	if err := atomicfile.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -112,9 +112,9 @@
 
 // The stages, in their order. After each, every machine is issued its folder anew.
 const (
-	Added   Stage = "added"   // new ones are trusted beside the old ones
-	InUse   Stage = "in use"  // new ones are used
-	Dropped Stage = "dropped" // old ones are trusted no more
+	StageAdded   Stage = "added"   // new ones are trusted beside the old ones
+	StageInUse   Stage = "in use"  // new ones are used
+	StageDropped Stage = "dropped" // old ones are trusted no more
 )
 
 // Rotate takes a change of keys one stage on and tells which was reached.
@@ -160,15 +160,15 @@
 		if err != nil {
 			return "", err
 		}
-		return Added, write(dir, named{caFile, append(caPEM, cert...)}, named{wordsFile, append([]byte(lines[0]+"\n"), more...)}, named{nextFile, key})
+		return StageAdded, write(dir, named{caFile, append(caPEM, cert...)}, named{wordsFile, append([]byte(lines[0]+"\n"), more...)}, named{nextFile, key})
 	case err == nil:
 		ca, w := swapped(len(blocks) - 1)
 		if err := write(dir, named{caKeyFile, next}, named{caFile, ca}, named{wordsFile, w}); err != nil {
 			return "", err
 		}
-		return InUse, atomicfile.Remove(filepath.Join(dir, nextFile))
+		return StageInUse, atomicfile.Remove(filepath.Join(dir, nextFile))
 	}
-	return Dropped, write(dir, named{caFile, blocks[0]}, named{wordsFile, []byte(lines[0] + "\n")})
+	return StageDropped, write(dir, named{caFile, blocks[0]}, named{wordsFile, []byte(lines[0] + "\n")})
 }
 
 // ---- Pieces ----
--- a/keys/golden_test.go
+++ b/keys/golden_test.go
@@ -119,7 +119,7 @@
 func TestGoldenRotation(t *testing.T) {
 	dir := copyGolden(t, "rotating")
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
-	if stage, err := Rotate(dir, now); err != nil || stage != InUse {
+	if stage, err := Rotate(dir, now); err != nil || stage != StageInUse {
 		t.Fatalf("%s, %v", stage, err)
 	}
 	blocks, lines := pemBlocks(readGolden(t, "rotating/ca.pem")), strings.Fields(string(readGolden(t, "rotating/words.key")))
@@ -132,7 +132,7 @@
 	if _, err := os.Stat(filepath.Join(dir, "next.key")); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("next.key: %v", err)
 	}
-	if stage, err := Rotate(dir, now); err != nil || stage != Dropped {
+	if stage, err := Rotate(dir, now); err != nil || stage != StageDropped {
 		t.Fatalf("%s, %v", stage, err)
 	}
 	expectFile(t, dir, "ca.pem", blocks[1])
--- a/keys/ring.go
+++ b/keys/keyring.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Ring holds one machine's keys, as they are on disk now.
-type Ring struct {
+// Keyring holds one machine's keys, as they are on disk now.
+type Keyring struct {
 	dir string
 	now atomic.Pointer[held]
 }
@@ -29,8 +29,8 @@
 }
 
 // Open reads a machine's folder.
-func Open(dir string) (*Ring, error) {
-	r := &Ring{dir: dir}
+func Open(dir string) (*Keyring, error) {
+	r := &Keyring{dir: dir}
 	if _, err := r.Reload(); err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 
 // Reload reads the folder again and tells whether it has changed. What can't
 // be used changes nothing.
-func (r *Ring) Reload() (bool, error) {
+func (r *Keyring) Reload() (bool, error) {
 	files := map[string][]byte{}
 	h := sha256.New()
 	for _, name := range []string{caFile, certFile, keyFile, wordsFile} {
@@ -84,10 +84,10 @@
 }
 
 // Expires is when the machine's certificate ends.
-func (r *Ring) Expires() time.Time { return r.now.Load().cert.Leaf.NotAfter }
+func (r *Keyring) Expires() time.Time { return r.now.Load().cert.Leaf.NotAfter }
 
-// Server is the TLS configuration of a process that is called.
-func (r *Ring) Server() *tls.Config {
+// ServerConfig is the TLS configuration of a process that is called.
+func (r *Keyring) ServerConfig() *tls.Config {
 	c := r.common()
 	c.ClientAuth = tls.RequireAnyClientCert // verified by VerifyConnection, against what is trusted then
 	c.VerifyConnection = func(s tls.ConnectionState) error {
@@ -96,8 +96,8 @@
 	return c
 }
 
-// Client is the TLS configuration of a process that calls another at an address.
-func (r *Ring) Client(ip net.IP) *tls.Config {
+// ClientConfig is the TLS configuration of a process that calls another at an address.
+func (r *Keyring) ClientConfig(ip net.IP) *tls.Config {
 	c := r.common()
 	c.InsecureSkipVerify = true // VerifyConnection does it, against what is trusted then
 	c.VerifyConnection = func(s tls.ConnectionState) error {
@@ -106,7 +106,7 @@
 	return c
 }
 
-func (r *Ring) common() *tls.Config {
+func (r *Keyring) common() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
 		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &r.now.Load().cert, nil },
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &r.now.Load().cert, nil }}
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -16,13 +16,13 @@
 func authority(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "ca")
-	if err := Init(dir, time.Now()); err != nil {
+	if err := InitAuthority(dir, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	return dir
 }
 
-func machine(t *testing.T, ca string) (string, *Ring) {
+func machine(t *testing.T, ca string) (string, *Keyring) {
 	t.Helper()
 	dir := t.TempDir()
 	issue(t, ca, dir)
@@ -41,7 +41,7 @@
 }
 
 // shake has one machine call another and returns what both ends say.
-func shake(t *testing.T, client, server *Ring, ip net.IP) error {
+func shake(t *testing.T, client, server *Keyring, ip net.IP) error {
 	t.Helper()
 	a, b := net.Pipe()
 	defer a.Close()
@@ -51,7 +51,7 @@
 	b.SetDeadline(end)
 	served := make(chan error, 1)
 	go func() {
-		s := tls.Server(b, server.Server())
+		s := tls.Server(b, server.ServerConfig())
 		err := s.Handshake()
 		if err == nil {
 			_, err = s.Write([]byte("x")) // a client learns with the first byte that it was taken
@@ -59,7 +59,7 @@
 		b.Close()
 		served <- err
 	}()
-	c := tls.Client(a, client.Client(ip))
+	c := tls.Client(a, client.ClientConfig(ip))
 	err := c.Handshake()
 	if err == nil {
 		_, err = c.Read(make([]byte, 1))
@@ -88,7 +88,7 @@
 	if shake(t, a, b, net.ParseIP("127.0.0.2")) == nil {
 		t.Error("a certificate for another address is taken")
 	}
-	if err := Init(ca, time.Now()); !errors.Is(err, ErrExists) {
+	if err := InitAuthority(ca, time.Now()); !errors.Is(err, ErrAuthorityExists) {
 		t.Errorf("an authority is written over: %v", err)
 	}
 }
@@ -115,13 +115,13 @@
 	}
 	oldDir := t.TempDir()
 	issue(t, ca, oldDir)
-	for _, want := range []Stage{Added, InUse, Dropped} {
+	for _, want := range []Stage{StageAdded, StageInUse, StageDropped} {
 		if got, err := Rotate(ca, time.Now()); err != nil || got != want {
 			t.Fatalf("%s, %v; want %s", got, err, want)
 		}
 		for i, dir := range []string{dirA, dirB} { // one machine after the other
 			issue(t, ca, dir)
-			if changed, err := []*Ring{a, b}[i].Reload(); err != nil || !changed {
+			if changed, err := []*Keyring{a, b}[i].Reload(); err != nil || !changed {
 				t.Fatal(changed, err)
 			}
 			talk(string(want) + dir)
@@ -153,7 +153,7 @@
 	_, x := machine(t, authority(t))
 	from, to := a.Sealer(1, 1), b.Sealer(2, 2)
 	first, err := from.Seal(nil, []byte("word"))
-	if err != nil || bytes.Contains(first, []byte("word")) || len(first) != 4+Overhead {
+	if err != nil || bytes.Contains(first, []byte("word")) || len(first) != 4+SealOverhead {
 		t.Fatalf("%x, %v", first, err)
 	}
 	for i := range first {
--- a/keys/words.go
+++ b/keys/seal.go
@@ -15,19 +15,19 @@
 const (
 	sealMagic = "S1"
 	sealHead  = len(sealMagic) + 24
-	// Overhead is how many bytes sealing adds.
-	Overhead   = sealHead + 16
-	mostLives  = 8192
-	lateWindow = 64 // numbers that may come so late
+	// SealOverhead is how many bytes sealing adds.
+	SealOverhead = sealHead + 16
+	mostLives    = 8192
+	lateWindow   = 64 // numbers that may come so late
 )
 
-// ErrSeal tells that a datagram was not sealed with a key that is trusted.
-var ErrSeal = errors.New("keys: a datagram is not sealed by the system")
+// ErrNotSealed tells that a datagram was not sealed with a key that is trusted.
+var ErrNotSealed = errors.New("keys: a datagram is not sealed by the system")
 
 // Sealer seals and opens words. It is not safe for concurrent use: a process
 // has one for what it sends and one for what it hears.
 type Sealer struct {
-	ring       *Ring
+	ring       *Keyring
 	held       *held // that the following are for
 	self, life uint64
 	own        cipher.AEAD
@@ -41,7 +41,7 @@
 }
 
 // Sealer returns a sealer for one life of a sender.
-func (r *Ring) Sealer(self, life uint64) *Sealer {
+func (r *Keyring) Sealer(self, life uint64) *Sealer {
 	return &Sealer{ring: r, self: self, life: life, lives: map[[2]uint64]*sender{}}
 }
 
@@ -94,8 +94,8 @@
 // Open returns the word in a datagram, in a buffer. Numbers that came before,
 // or that are far behind, are refused: nobody can send an old word again for long.
 func (s *Sealer) Open(out, datagram []byte) ([]byte, error) {
-	if len(datagram) < Overhead || string(datagram[:len(sealMagic)]) != sealMagic {
-		return nil, ErrSeal
+	if len(datagram) < SealOverhead || string(datagram[:len(sealMagic)]) != sealMagic {
+		return nil, ErrNotSealed
 	}
 	if err := s.renew(); err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 		from = &sender{}
 	}
 	if known && number+lateWindow < from.highest {
-		return nil, ErrSeal
+		return nil, ErrNotSealed
 	}
 	if from.aeads == nil {
 		for _, k := range s.held.words {
@@ -133,5 +133,5 @@
 		from.highest = max(from.highest, number)
 		return word, nil
 	}
-	return nil, ErrSeal
+	return nil, ErrNotSealed
 }
--- a/lab/controlbench/coreload_test.go
+++ b/lab/controlbench/coreload_test.go
@@ -29,7 +29,7 @@
 	debug.SetGCPercent(15)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	p, err := process.New(process.Options{Settings: os.Getenv(settings.EnvFile), Tune: settings.DefaultTuning(),
+	p, err := process.New(process.Options{SettingsPath: os.Getenv(settings.NodeFileEnv), Tuning: settings.DefaultTuning(),
 		Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
 	if err == nil {
 		err = p.Run(ctx)
--- a/lab/controlbench/hollow/hollow.go
+++ b/lab/controlbench/hollow/hollow.go
@@ -206,8 +206,8 @@
 }
 
 func (w *world) node(i int) *settings.Node {
-	n := &settings.Node{Name: w.peers[i%len(w.peers)].Name, Zone: zone(i, w.spec.Zones), IP: "127.0.0.1", Internal: []int{0, 0},
-		Served: []string{"edge", "control"}} // so that it takes the first of the ports, any
+	n := &settings.Node{Name: w.peers[i%len(w.peers)].Name, Zone: zone(i, w.spec.Zones), IP: "127.0.0.1", InternalPorts: []int{0, 0},
+		ServedRoles: []string{"edge", "control"}} // so that it takes the first of the ports, any
 	n.Listeners.Front, n.Listeners.Ready = "127.0.0.1:0", "127.0.0.1:0"
 	n.Limits.MaxFDs, n.Limits.LinkMbps, n.Limits.CPUShare = 4100, 1000, 0.32
 	n.Timing.StrictRevocation, n.Timing.RevokeMs = true, 5000
--- a/lab/controlbench/hollow/quota.go
+++ b/lab/controlbench/hollow/quota.go
@@ -39,7 +39,7 @@
 	n := min(quotaFleet, s.Limiters)
 	fleet := make([]*limiter.Limiter, n)
 	now := 0.0
-	budget := settings.DefaultTuning().Link.Budget(1000, 0.32)
+	budget := settings.DefaultTuning().Link.GossipBudget(1000, 0.32)
 	add := func(name string, do func(i int) error) error {
 		got, err := step(name, n, 0, do)
 		out = append(out, got)
--- a/lab/emulator/fleet.go
+++ b/lab/emulator/fleet.go
@@ -222,7 +222,7 @@
 		program := n.program
 		n.mu.Unlock()
 		cmd := exec.Command(program, f.args...)
-		cmd.Env = []string{settings.EnvFile + "=" + filepath.Join(n.dir, "node.toml"), settings.TuningEnv + "=" + filepath.Join(n.dir, "tuning.toml"),
+		cmd.Env = []string{settings.NodeFileEnv + "=" + filepath.Join(n.dir, "node.toml"), settings.TuningFileEnv + "=" + filepath.Join(n.dir, "tuning.toml"),
 			"PATH=" + os.Getenv("PATH"), "HOME=" + n.dir}
 		cmd.Stdout, cmd.Stderr = out, out
 		ended := make(chan struct{})
@@ -312,7 +312,7 @@
 	ca := ""
 	if f.spec.Keys {
 		ca = filepath.Join(f.dir, "authority")
-		if err := keys.Init(ca, time.Now()); err != nil {
+		if err := keys.InitAuthority(ca, time.Now()); err != nil {
 			return nil, err
 		}
 	}
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -54,7 +54,7 @@
 	n.life++
 	p, err := newPolicy(f.policy, limiter.Config{Self: n.id, Life: n.life<<32 | n.id>>32, Zone: n.zone, Seed: f.rng.Uint64(),
 		RetryRatio: f.day.Retries.Ratio, RetrySlack: f.day.Retries.Slack,
-		Words: settings.DefaultTuning().Link.Budget(f.day.Network.LinkMbps, f.day.Network.CPUShare)})
+		Words: settings.DefaultTuning().Link.GossipBudget(f.day.Network.LinkMbps, f.day.Network.CPUShare)})
 	if err != nil {
 		return err
 	}
--- a/operators/guard.go
+++ b/operators/access.go
@@ -21,22 +21,22 @@
 	busyAgain   = "0.2"
 )
 
-// Bounds are how much the interface does at a time.
-type Bounds struct {
+// Limits are how much the interface does at a time.
+type Limits struct {
 	CallsPerS float64 // of one caller; 0: no bound
-	InHand    int     // calls of all callers; 0: no bound
+	InFlight  int     // calls of all callers; 0: no bound
 }
 
-// Guard stands before the operator's interface.
-type Guard struct {
-	Book   *Book // nil: everybody may do all
-	Bounds Bounds
-	Log    *slog.Logger
-	Now    func() time.Time // the time of day, for tokens that expire
-	start  time.Time
-	mu     sync.Mutex
-	inHand int
-	rates  map[string]*rate
+// AccessControl stands before the operator's interface.
+type AccessControl struct {
+	Registry *Registry // nil: everybody may do all
+	Limits   Limits
+	Log      *slog.Logger
+	Now      func() time.Time // the time of day, for tokens that expire
+	start    time.Time
+	mu       sync.Mutex
+	inHand   int
+	rates    map[string]*rate
 }
 
 type rate struct {
@@ -55,12 +55,12 @@
 
 // Handler returns an interface that is guarded: 401 to strangers, 403 to those who
 // may not, 429 and 503 past the bounds. Calls that change something are written down.
-func (g *Guard) Handler(next http.Handler) http.Handler {
+func (g *AccessControl) Handler(next http.Handler) http.Handler {
 	g.start, g.rates = time.Now(), map[string]*rate{}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		need := Read
+		need := RoleRead
 		if r.Method != http.MethodGet && r.Method != http.MethodHead {
-			need = Change
+			need = RoleChange
 		}
 		host, _, err := net.SplitHostPort(r.RemoteAddr)
 		if err != nil {
@@ -90,7 +90,7 @@
 		defer g.leave()
 		seen := &statusWriter{ResponseWriter: w, status: http.StatusOK}
 		next.ServeHTTP(seen, r.WithContext(context.WithValue(r.Context(), caller{}, name)))
-		if need == Change {
+		if need == RoleChange {
 			g.Log.Info("audit", "call", r.URL.Path, "who", name, "from", host, "base", r.Header.Get("Base-Revision"),
 				"bytes", r.ContentLength, "status", seen.status)
 		}
@@ -104,32 +104,32 @@
 )
 
 // allowed tells who calls, and whether that one may.
-func (g *Guard) allowed(r *http.Request, need Role) (name string, err error) {
-	if g.Book == nil {
+func (g *AccessControl) allowed(r *http.Request, need Role) (name string, err error) {
+	if g.Registry == nil {
 		return "", nil
 	}
 	scheme, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") || token == "" {
 		return "", errNoToken
 	}
-	o, ok := g.Book.Who(g.Now(), strings.TrimSpace(token))
+	o, ok := g.Registry.Authenticate(g.Now(), strings.TrimSpace(token))
 	switch {
 	case !ok:
 		return "", errUnknown
-	case !o.Role.may(need):
+	case !o.Role.allows(need):
 		return o.Name, errRole
 	}
 	return o.Name, nil
 }
 
 // take counts a call and tells how many seconds are too early for it.
-func (g *Guard) take(who string) (wait float64) {
-	if g.Bounds.CallsPerS <= 0 {
+func (g *AccessControl) take(who string) (wait float64) {
+	if g.Limits.CallsPerS <= 0 {
 		return 0
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now, most := time.Since(g.start), math.Max(1, burstS*g.Bounds.CallsPerS)
+	now, most := time.Since(g.start), math.Max(1, burstS*g.Limits.CallsPerS)
 	v := g.rates[who]
 	if v == nil {
 		if len(g.rates) >= mostCallers {
@@ -143,35 +143,35 @@
 			g.rates[who] = v
 		}
 	}
-	v.balance = bucket.Refill(v.balance, (now - v.at).Seconds(), g.Bounds.CallsPerS, most)
+	v.balance = bucket.Refill(v.balance, (now - v.at).Seconds(), g.Limits.CallsPerS, most)
 	v.at = now
 	if v.balance < 1 {
-		return bucket.Wait(v.balance, 1, g.Bounds.CallsPerS)
+		return bucket.Wait(v.balance, 1, g.Limits.CallsPerS)
 	}
 	v.balance--
 	return 0
 }
 
 // forget drops callers whose balance is full again: nothing is known of them.
-func (g *Guard) forget(now time.Duration, most float64) {
+func (g *AccessControl) forget(now time.Duration, most float64) {
 	for who, v := range g.rates {
-		if bucket.Refill(v.balance, (now-v.at).Seconds(), g.Bounds.CallsPerS, most) >= most {
+		if bucket.Refill(v.balance, (now-v.at).Seconds(), g.Limits.CallsPerS, most) >= most {
 			delete(g.rates, who)
 		}
 	}
 }
 
-func (g *Guard) enter() bool {
+func (g *AccessControl) enter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.Bounds.InHand > 0 && g.inHand >= g.Bounds.InHand {
+	if g.Limits.InFlight > 0 && g.inHand >= g.Limits.InFlight {
 		return false
 	}
 	g.inHand++
 	return true
 }
 
-func (g *Guard) leave() {
+func (g *AccessControl) leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inHand--
--- a/operators/golden_test.go
+++ b/operators/golden_test.go
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	expires := time.Date(2027, 1, 2, 3, 4, 5, 0, time.UTC)
-	if len(list) != 2 || list[0].Name != "ops@example" || list[0].Role != Read || !list[0].Expires.IsZero() ||
-		list[1].Name != "ci" || list[1].Role != Change || !list[1].Expires.Equal(expires) {
+	if len(list) != 2 || list[0].Name != "ops@example" || list[0].Role != RoleRead || !list[0].Expires.IsZero() ||
+		list[1].Name != "ci" || list[1].Role != RoleChange || !list[1].Expires.Equal(expires) {
 		t.Fatalf("decoded %+v", list)
 	}
 	path := filepath.Join(t.TempDir(), "operators.toml")
@@ -47,11 +47,11 @@
 		t.Fatal(err)
 	}
 	for i, token := range strings.Fields(string(readGolden(t, "tokens.txt"))) {
-		o, ok := book.Who(expires.Add(-time.Second), token)
+		o, ok := book.Authenticate(expires.Add(-time.Second), token)
 		if !ok || o.Name != list[i].Name {
 			t.Errorf("the token of %s belongs to %+v, %v", list[i].Name, o, ok)
 		}
-		if _, ok := book.Who(expires, token); ok != list[i].Expires.IsZero() {
+		if _, ok := book.Authenticate(expires, token); ok != list[i].Expires.IsZero() {
 			t.Errorf("the token of %s once it expires: %v", list[i].Name, ok)
 		}
 	}
@@ -72,7 +72,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(&line, &slog.HandlerOptions{ReplaceAttr: withoutTime}))
 	now := func() time.Time { return time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC) }
-	guard := &Guard{Book: book, Log: log, Now: now}
+	guard := &AccessControl{Registry: book, Log: log, Now: now}
 	handler := guard.Handler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusPreconditionFailed)
 	}))
--- a/operators/operators_test.go
+++ b/operators/operators_test.go
@@ -28,9 +28,9 @@
 // changes nothing; each change is written down with who made it, and no token is.
 func TestWhoMayDoWhat(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
-	reader, readToken := someone(t, "ops@example", Read, time.Time{})
-	ci, ciToken := someone(t, "ci", Change, now.Add(time.Hour))
-	old, oldToken := someone(t, "old", Change, now.Add(-time.Hour))
+	reader, readToken := someone(t, "ops@example", RoleRead, time.Time{})
+	ci, ciToken := someone(t, "ci", RoleChange, now.Add(time.Hour))
+	old, oldToken := someone(t, "old", RoleChange, now.Add(-time.Hour))
 	path := filepath.Join(t.TempDir(), "operators.toml")
 	if err := Save(path, []Operator{reader, ci, old}); err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	g := &Guard{Book: book, Log: slog.New(slog.NewTextHandler(&log, nil)), Now: func() time.Time { return now }}
+	g := &AccessControl{Registry: book, Log: slog.New(slog.NewTextHandler(&log, nil)), Now: func() time.Time { return now }}
 	var who string
 	h := g.Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		who = Caller(r.Context())
@@ -92,7 +92,7 @@
 // The file is read again while it is used; one with faults changes nothing.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operators.toml")
-	a, token := someone(t, "a", Read, time.Time{})
+	a, token := someone(t, "a", RoleRead, time.Time{})
 	if err := Save(path, []Operator{a}); err != nil {
 		t.Fatal(err)
 	}
@@ -112,17 +112,17 @@
 			t.Errorf("%v does not name %s", err, fault)
 		}
 	}
-	if _, ok := book.Who(time.Now(), token); !ok {
+	if _, ok := book.Authenticate(time.Now(), token); !ok {
 		t.Error("a file with faults took the token away")
 	}
-	b, _ := someone(t, "b", Change, time.Time{})
+	b, _ := someone(t, "b", RoleChange, time.Time{})
 	if err := Save(path, []Operator{b}); err != nil {
 		t.Fatal(err)
 	}
 	if changed, err := book.Reload(); !changed || err != nil {
 		t.Errorf("changed %v, %v", changed, err)
 	}
-	if _, ok := book.Who(time.Now(), token); ok {
+	if _, ok := book.Authenticate(time.Now(), token); ok {
 		t.Error("a token that was taken away is known")
 	}
 	if err := Save(path, []Operator{b, b}); err == nil {
@@ -135,7 +135,7 @@
 func TestBounds(t *testing.T) { synctest.Test(t, testBounds) }
 
 func testBounds(t *testing.T) {
-	g := &Guard{Bounds: Bounds{CallsPerS: 5, InHand: 2}, Log: slog.New(slog.DiscardHandler), Now: time.Now}
+	g := &AccessControl{Limits: Limits{CallsPerS: 5, InFlight: 2}, Log: slog.New(slog.DiscardHandler), Now: time.Now}
 	in, out := make(chan bool), make(chan bool)
 	h := g.Handler(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
--- a/operators/book.go
+++ b/operators/registry.go
@@ -30,12 +30,12 @@
 
 // The roles. Each may do what those before it may.
 const (
-	Read   Role = "read"   // all that can be read, the tenants' keys in configurations among it
-	Change Role = "change" // bring configurations
+	RoleRead   Role = "read"   // all that can be read, the tenants' keys in configurations among it
+	RoleChange Role = "change" // bring configurations
 )
 
-// may tells whether a role includes another.
-func (r Role) may(need Role) bool { return r == need || r == Change && need == Read }
+// allows tells whether a role includes another.
+func (r Role) allows(need Role) bool { return r == need || r == RoleChange && need == RoleRead }
 
 // Operator is one person or program.
 type Operator struct {
@@ -72,8 +72,8 @@
 	if !names.MatchString(o.Name) {
 		errs = append(errs, fmt.Errorf("name %q: letters, digits and ._@-, 64 at most", o.Name))
 	}
-	if o.Role != Read && o.Role != Change {
-		errs = append(errs, fmt.Errorf("role %q: one of %s, %s", o.Role, Read, Change))
+	if o.Role != RoleRead && o.Role != RoleChange {
+		errs = append(errs, fmt.Errorf("role %q: one of %s, %s", o.Role, RoleRead, RoleChange))
 	}
 	if b, err := hex.DecodeString(o.Token); err != nil || len(b) != sha256.Size {
 		errs = append(errs, errors.New("token_sha256: 64 hexadecimal digits are needed"))
@@ -142,15 +142,15 @@
 	return nil
 }
 
-// Book is a file of operators as it is now.
-type Book struct {
+// Registry is a file of operators as it is now.
+type Registry struct {
 	path string
 	now  atomic.Pointer[[]Operator]
 }
 
 // Open reads the file at a path.
-func Open(path string) (*Book, error) {
-	b := &Book{path: path}
+func Open(path string) (*Registry, error) {
+	b := &Registry{path: path}
 	if _, err := b.Reload(); err != nil {
 		return nil, err
 	}
@@ -159,7 +159,7 @@
 
 // Reload reads the file again and tells whether it has changed. What can't be used
 // changes nothing.
-func (b *Book) Reload() (changed bool, err error) {
+func (b *Registry) Reload() (changed bool, err error) {
 	list, err := Load(b.path)
 	if err != nil {
 		return false, err
@@ -168,9 +168,9 @@
 	return old == nil || !slices.Equal(*old, list), nil
 }
 
-// Who returns the operator with a token. All are looked at, in the same time
+// Authenticate returns the operator with a token. All are looked at, in the same time
 // whichever it is.
-func (b *Book) Who(now time.Time, token string) (o Operator, ok bool) {
+func (b *Registry) Authenticate(now time.Time, token string) (o Operator, ok bool) {
 	sum := []byte(hash(token))
 	for _, e := range *b.now.Load() {
 		if subtle.ConstantTimeCompare(sum, []byte(e.Token)) == 1 {
--- a/process/damaged_test.go
+++ b/process/damaged_store_test.go
@@ -65,7 +65,7 @@
 			}
 			begin := func() (id raft.ID) {
 				t.Helper()
-				p, err := New(Options{Settings: m.path(), Tune: settings.DefaultTuning(), Log: slog.New(slog.DiscardHandler)})
+				p, err := New(Options{SettingsPath: m.path(), Tuning: settings.DefaultTuning(), Log: slog.New(slog.DiscardHandler)})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/process/guard.go
+++ b/process/operator_access.go
@@ -15,7 +15,7 @@
 // guarded is what stands before the operator's interface; nothing but its bounds
 // where the tuning file names nothing.
 type guarded struct {
-	book *operators.Book
+	book *operators.Registry
 	cert *operators.Certificate
 }
 
@@ -31,8 +31,8 @@
 			return nil, fmt.Errorf("control.cert: %w", err)
 		}
 	}
-	guard := &operators.Guard{Book: g.book, Log: log, Now: time.Now,
-		Bounds: operators.Bounds{CallsPerS: t.CallsPerS, InHand: int(t.InHand)}}
+	guard := &operators.AccessControl{Registry: g.book, Log: log, Now: time.Now,
+		Limits: operators.Limits{CallsPerS: t.CallsPerS, InFlight: int(t.InFlight)}}
 	return guard.Handler(next), nil
 }
 
--- a/process/process.go
+++ b/process/process.go
@@ -45,10 +45,10 @@
 
 // Options are what a process is started with.
 type Options struct {
-	Settings string           // path of the node's file
-	Tuning   string           // path of the tuning file, for changes of it; may be empty
-	Tune     *settings.Tuning // what it said at the start
-	Log      *slog.Logger
+	SettingsPath string           // path of the node's file
+	TuningPath   string           // path of the tuning file, for changes of it; may be empty
+	Tuning       *settings.Tuning // what it said at the start
+	Log          *slog.Logger
 	// Level, where set, follows log.level when the tuning file is read again.
 	Level *slog.LevelVar
 }
@@ -57,7 +57,7 @@
 type Process struct {
 	Options
 	log   *slog.Logger
-	ring  *keys.Ring         // nil: the system's own processes speak in the clear
+	ring  *keys.Keyring      // nil: the system's own processes speak in the clear
 	meter *telemetry.Metrics // nil: none are kept
 	seed  uint64             // of all that is drawn at random; each goroutine has a source of its own
 	cfg   atomic.Pointer[settings.Node]
@@ -91,11 +91,11 @@
 
 // New opens what the settings ask for.
 func New(o Options) (*Process, error) {
-	cfg, err := settings.Read(o.Settings)
+	cfg, err := settings.Read(o.SettingsPath)
 	if err != nil {
 		return nil, err
 	}
-	seed, log, tune := rand.Uint64(), o.Log, o.Tune
+	seed, log, tune := rand.Uint64(), o.Log, o.Tuning
 	p := &Process{Options: o, log: log, seed: seed, look: make(chan struct{}, 1), start: time.Now(),
 		edges: map[string]bool{}, cores: map[string]string{}}
 	if tune.TLS.Dir != "" {
@@ -116,7 +116,7 @@
 }
 
 func (p *Process) open(cfg *settings.Node, seed uint64) (err error) {
-	if addr := p.Tune.Metrics.Address; addr != "" {
+	if addr := p.Tuning.Metrics.Address; addr != "" {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			return fmt.Errorf("metrics.address: %w", err)
@@ -124,7 +124,7 @@
 		p.meter, p.metered = telemetry.New(), l
 		p.gauges()
 	}
-	if cfg.Core() {
+	if cfg.CoreMember() {
 		p.host = &host{dir: filepath.Join(cfg.DataDir, "log"), client: p.client, log: p.log,
 			cfg: controlplane.CoreConfig{Addr: cfg.InternalAddr(), Seeds: cfg.SeedAddrs(),
 				Voters: max(voters, 2*cfg.Tolerance.Machines+1), Conns: p.conns, Log: p.log, Seed: seed}}
@@ -133,7 +133,7 @@
 		}
 	}
 	if cfg.Serves("edge") {
-		if p.gateway, err = dataplane.New(cfg, dataplane.Options{Seed: seed, Log: p.log, Upstream: p.Tune.Upstream, Link: p.Tune.Link, Keys: p.ring, Metrics: p.meter,
+		if p.gateway, err = dataplane.New(cfg, dataplane.Options{Seed: seed, Log: p.log, Upstream: p.Tuning.Upstream, Link: p.Tuning.Link, Keys: p.ring, Metrics: p.meter,
 			Stranger: func(addr string) { p.members.ExchangeWith(addr) }}); err != nil {
 			return err
 		}
@@ -159,7 +159,7 @@
 			return fmt.Errorf("listeners.control_port: %w", err)
 		}
 		p.listening = append(p.listening, l)
-		handler, err := p.guard.open(&p.Tune.Control, p.client.Handler(), p.log)
+		handler, err := p.guard.open(&p.Tuning.Control, p.client.Handler(), p.log)
 		if err != nil {
 			return err
 		}
@@ -327,7 +327,7 @@
 		if now == sum && !forced {
 			continue
 		}
-		cfg, err := settings.Read(p.Settings)
+		cfg, err := settings.Read(p.SettingsPath)
 		if err != nil {
 			p.log.Warn("kept the settings: the new ones can't be used", "err", err)
 			continue
@@ -351,10 +351,10 @@
 		}
 	}
 	p.guard.renew(p.log)
-	if p.Level == nil || p.Tuning == "" {
+	if p.Level == nil || p.TuningPath == "" {
 		return
 	}
-	tune, err := settings.ReadTuning(p.Tuning)
+	tune, err := settings.ReadTuning(p.TuningPath)
 	if err != nil {
 		p.log.Warn("kept the tuning: the new one can't be used", "err", err)
 		return
@@ -367,7 +367,7 @@
 }
 
 func (p *Process) sum() uint64 {
-	data, err := os.ReadFile(p.Settings)
+	data, err := os.ReadFile(p.SettingsPath)
 	if err != nil {
 		return 0
 	}
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -177,7 +177,7 @@
 // start runs the machine's process and returns what ends it in order.
 func (m *machine) start() (p *Process, stop func()) {
 	m.t.Helper()
-	p, err := New(Options{Settings: m.path(), Tune: settings.DefaultTuning(), Log: slog.New(slog.DiscardHandler)})
+	p, err := New(Options{SettingsPath: m.path(), Tuning: settings.DefaultTuning(), Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		m.t.Fatal(err)
 	}
--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !n.Core() || !n.Bootstrap || n.InternalAddr() != "10.1.0.13:7560" || n.Tolerance.Machines != 2 || n.ZoneMap["10.2.0.0/16"] != "b" {
+	if !n.CoreMember() || !n.Bootstrap || n.InternalAddr() != "10.1.0.13:7560" || n.Tolerance.Machines != 2 || n.ZoneMap["10.2.0.0/16"] != "b" {
 		t.Errorf("%+v", n)
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -15,29 +15,29 @@
 	"github.com/BurntSushi/toml"
 )
 
-// EnvFile is the variable that holds the path of the file.
-const EnvFile = "ELMSPAN_NODE_FILE"
+// NodeFileEnv is the variable that holds the path of the file.
+const NodeFileEnv = "ELMSPAN_NODE_FILE"
 
 // Node are a process's settings.
 type Node struct {
-	Name         string            `toml:"node_name"`
-	Role         string            `toml:"role"`
-	Served       []string          `toml:"served_roles"`
-	IP           string            `toml:"ip"`
-	Zone         string            `toml:"zone"`
-	Region       string            `toml:"region"`
-	Internal     []int             `toml:"internal_port_range"`
-	Seeds        []string          `toml:"seed_peers"` // control_port addresses
-	Bootstrap    bool              `toml:"bootstrap"`
-	QuorumMember bool              `toml:"quorum_member"`
-	DataDir      string            `toml:"data_dir"`
-	Contracts    []string          `toml:"active_contracts"`
-	ZoneMap      map[string]string `toml:"zone_map"`
-	Listeners    Listeners         `toml:"listeners"`
-	Limits       Limits            `toml:"request_limits"`
-	Tolerance    Tolerance         `toml:"fault_tolerance"`
-	Timing       Timing            `toml:"timing_bounds"`
-	Cloud        Cloud             `toml:"cloud_api"`
+	Name            string            `toml:"node_name"`
+	Role            string            `toml:"role"`
+	ServedRoles     []string          `toml:"served_roles"`
+	IP              string            `toml:"ip"`
+	Zone            string            `toml:"zone"`
+	Region          string            `toml:"region"`
+	InternalPorts   []int             `toml:"internal_port_range"`
+	SeedPeers       []string          `toml:"seed_peers"` // control_port addresses
+	Bootstrap       bool              `toml:"bootstrap"`
+	QuorumMember    bool              `toml:"quorum_member"`
+	DataDir         string            `toml:"data_dir"`
+	ActiveContracts []string          `toml:"active_contracts"`
+	ZoneMap         map[string]string `toml:"zone_map"`
+	Listeners       Listeners         `toml:"listeners"`
+	Limits          Limits            `toml:"request_limits"`
+	Tolerance       Tolerance         `toml:"fault_tolerance"`
+	Timing          Timing            `toml:"timing_bounds"`
+	Cloud           Cloud             `toml:"cloud_api"`
 }
 
 // Listeners are the addresses of what the role serves; empty where it doesn't.
@@ -113,16 +113,16 @@
 }
 
 // Serves tells whether the role serves clients ("edge") or the operator ("control").
-func (n *Node) Serves(what string) bool { return slices.Contains(n.Served, what) }
+func (n *Node) Serves(what string) bool { return slices.Contains(n.ServedRoles, what) }
 
-// Core tells whether this process holds a part of the replicated state.
-func (n *Node) Core() bool { return n.Serves("control") && n.QuorumMember && n.DataDir != "" }
+// CoreMember tells whether this process holds a part of the replicated state.
+func (n *Node) CoreMember() bool { return n.Serves("control") && n.QuorumMember && n.DataDir != "" }
 
 // InternalAddr is where other processes of the system reach this one. A
 // machine's process without the control role takes the second port, as two
 // may share a machine.
 func (n *Node) InternalAddr() string {
-	port := n.Internal[0]
+	port := n.InternalPorts[0]
 	if !n.Serves("control") {
 		port++
 	}
@@ -132,9 +132,9 @@
 // SeedAddrs are the internal addresses of the seeds.
 func (n *Node) SeedAddrs() []string {
 	var out []string
-	for _, s := range n.Seeds {
+	for _, s := range n.SeedPeers {
 		a := netip.MustParseAddrPort(s)
-		out = append(out, netip.AddrPortFrom(a.Addr(), uint16(n.Internal[0])).String())
+		out = append(out, netip.AddrPortFrom(a.Addr(), uint16(n.InternalPorts[0])).String())
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
@@ -157,10 +157,10 @@
 	if n.Name == "" {
 		fault("node_name", "is missing")
 	}
-	if len(n.Served) == 0 {
+	if len(n.ServedRoles) == 0 {
 		fault("served_roles", "is empty")
 	}
-	for _, s := range n.Served {
+	for _, s := range n.ServedRoles {
 		if s != "edge" && s != "control" {
 			fault("served_roles", "%q is neither edge nor control", s)
 		}
@@ -168,13 +168,13 @@
 	if _, err := netip.ParseAddr(n.IP); err != nil {
 		fault("ip", "%q is no address", n.IP)
 	}
-	if len(n.Internal) != 2 || n.Internal[0] < 1 || n.Internal[1] > 65535 || n.Internal[0]+1 > n.Internal[1] {
-		fault("internal_port_range", "%v is no range of two ports or more", n.Internal)
+	if len(n.InternalPorts) != 2 || n.InternalPorts[0] < 1 || n.InternalPorts[1] > 65535 || n.InternalPorts[0]+1 > n.InternalPorts[1] {
+		fault("internal_port_range", "%v is no range of two ports or more", n.InternalPorts)
 	}
-	if len(n.Seeds) == 0 {
+	if len(n.SeedPeers) == 0 {
 		fault("seed_peers", "is empty")
 	}
-	for i, s := range n.Seeds {
+	for i, s := range n.SeedPeers {
 		addrPort(fmt.Sprintf("seed_peers.%d", i), s)
 	}
 	if n.Serves("edge") {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -38,11 +38,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !n.Core() || n.InternalAddr() != "10.1.0.13:7560" || strings.Join(n.SeedAddrs(), " ") != "10.1.0.13:7560 10.2.0.13:7560" {
-		t.Errorf("core %v, %s, %v", n.Core(), n.InternalAddr(), n.SeedAddrs())
+	if !n.CoreMember() || n.InternalAddr() != "10.1.0.13:7560" || strings.Join(n.SeedAddrs(), " ") != "10.1.0.13:7560 10.2.0.13:7560" {
+		t.Errorf("core %v, %s, %v", n.CoreMember(), n.InternalAddr(), n.SeedAddrs())
 	}
-	n.Served = []string{"edge"}
-	if n.Core() || n.InternalAddr() != "10.1.0.13:7561" {
+	n.ServedRoles = []string{"edge"}
+	if n.CoreMember() || n.InternalAddr() != "10.1.0.13:7561" {
 		t.Errorf("two processes of a machine share the port %s", n.InternalAddr())
 	}
 }
--- a/settings/tuning.go
+++ b/settings/tuning.go
@@ -16,20 +16,20 @@
 	"example.org/elmspan/dataplane/gossip"
 )
 
-// TuningEnv is the variable that may hold the path of the tuning file.
-const TuningEnv = "ELMSPAN_TUNING_FILE"
+// TuningFileEnv is the variable that may hold the path of the tuning file.
+const TuningFileEnv = "ELMSPAN_TUNING_FILE"
 
 // Tuning is what an operator may set beyond the node file. It is ours alone, so
 // that an unknown field in it is a fault. Each field's tags hold its default,
 // the values that it takes ("a..b", or words between bars) and what it does;
 // docs/tuning.md is made of them.
 type Tuning struct {
-	Log      LogTuning     `toml:"log"`
-	Metrics  MetricsTuning `toml:"metrics"`
-	TLS      TLSTuning     `toml:"tls"`
-	Upstream ServerTuning  `toml:"upstream"`
-	Link     LinkTuning    `toml:"link"`
-	Control  ControlTuning `toml:"control"`
+	Log      LogTuning      `toml:"log"`
+	Metrics  MetricsTuning  `toml:"metrics"`
+	TLS      TLSTuning      `toml:"tls"`
+	Upstream UpstreamTuning `toml:"upstream"`
+	Link     LinkTuning     `toml:"link"`
+	Control  ControlTuning  `toml:"control"`
 }
 
 // LogTuning is how a process logs.
@@ -49,17 +49,17 @@
 	Dir string `toml:"dir" default:"" takes:"folder" doc:"Folder that 'elmspan keys issue' wrote for this machine. The system's own processes then speak mutual TLS, and words between limiters are sealed. All machines have one or none has. Empty: neither. Read again when it changes."`
 }
 
-// ServerTuning is how servers are connected to.
-type ServerTuning struct {
+// UpstreamTuning is how servers are connected to.
+type UpstreamTuning struct {
 	ConnectMs float64 `toml:"connect_ms" default:"300" takes:"10..10000" doc:"How long a connect to a server may take."`
 	IdleS     float64 `toml:"idle_s" default:"7" takes:"0.1..600" doc:"How long an idle connection is kept where the server says nothing in Keep-Alive."`
 }
 
 // LinkTuning is how the machine's link and processor are shared.
 type LinkTuning struct {
-	Fill  float64 `toml:"fill" default:"0.94" takes:"0.1..1" doc:"Part of the machine's link (link_speed_mbps) that long bodies may fill, with all else that is written."`
-	Words float64 `toml:"words" default:"0.012" takes:"0.001..1" doc:"Part of the machine's link that words to other limiters may use."`
-	Work  float64 `toml:"work" default:"0.02" takes:"0.001..1" doc:"Part of the machine's processor (cpu_share) that sending words to other limiters may use."`
+	Fill      float64 `toml:"fill" default:"0.94" takes:"0.1..1" doc:"Part of the machine's link (link_speed_mbps) that long bodies may fill, with all else that is written."`
+	Gossip    float64 `toml:"words" default:"0.012" takes:"0.001..1" doc:"Part of the machine's link that words to other limiters may use."`
+	GossipCPU float64 `toml:"work" default:"0.02" takes:"0.001..1" doc:"Part of the machine's processor (cpu_share) that sending words to other limiters may use."`
 }
 
 // ControlTuning is who may call the operator's interface, and how much of it.
@@ -68,23 +68,23 @@
 	Cert      string  `toml:"cert" default:"" takes:"file" doc:"Certificate with its chain, in PEM: control_port then speaks TLS 1.3. Together with control.key. Read again when it changes."`
 	Key       string  `toml:"key" default:"" takes:"file" doc:"Key of control.cert, in PEM."`
 	CallsPerS float64 `toml:"calls_per_s" default:"0" takes:"0..10000" doc:"Calls a second of one caller, by address; twice as many at once. 0: no bound."`
-	InHand    float64 `toml:"in_hand" default:"64" takes:"0..10000" doc:"Calls in hand at a time, of all callers. 0: no bound."`
+	InFlight  float64 `toml:"in_hand" default:"64" takes:"0..10000" doc:"Calls in hand at a time, of all callers. 0: no bound."`
 }
 
 // wordMs is about how long a processor needs to make and send a word.
 const wordMs = 0.01
 
-// Budget is what words may use of a machine with a link of so many Mbit/s and a
+// GossipBudget is what words may use of a machine with a link of so many Mbit/s and a
 // share of a processor.
-func (t *LinkTuning) Budget(linkMbps, cpuShare float64) gossip.Budget {
-	return gossip.Budget{BytesPerS: linkMbps * 1e6 / 8 * t.Words, WordsPerS: cpuShare * 1000 / wordMs * t.Work}
+func (t *LinkTuning) GossipBudget(linkMbps, cpuShare float64) gossip.Budget {
+	return gossip.Budget{BytesPerS: linkMbps * 1e6 / 8 * t.Gossip, WordsPerS: cpuShare * 1000 / wordMs * t.GossipCPU}
 }
 
 // Connect and Idle are the times as durations.
-func (t *ServerTuning) Connect() time.Duration { return Millis(t.ConnectMs) }
+func (t *UpstreamTuning) Connect() time.Duration { return Millis(t.ConnectMs) }
 
 // Idle is how long an idle connection is kept.
-func (t *ServerTuning) Idle() time.Duration { return Millis(1000 * t.IdleS) }
+func (t *UpstreamTuning) Idle() time.Duration { return Millis(1000 * t.IdleS) }
 
 // tunable is one field with its tags.
 type tunable struct {
@@ -202,7 +202,7 @@
 // WriteReference writes the page on all settings of the tuning file.
 func WriteReference(w io.Writer) error {
 	var b strings.Builder
-	b.WriteString("# The tuning file\n\nOptional; `--tuning` or `" + TuningEnv + "` names it. TOML. This page is made by `elmspan reference`\n" +
+	b.WriteString("# The tuning file\n\nOptional; `--tuning` or `" + TuningFileEnv + "` names it. TOML. This page is made by `elmspan reference`\n" +
 		"from the code; a test compares them.\n\n| setting | default | takes | what it does |\n| --- | --- | --- | --- |\n")
 	for _, f := range DefaultTuning().each() {
 		takes := strings.ReplaceAll(strings.ReplaceAll(f.takes, "|", ", "), "..", " to ")
--- a/telemetry/golden_test.go
+++ b/telemetry/golden_test.go
@@ -29,7 +29,7 @@
 func TestGoldenRecordings(t *testing.T) {
 	for name, wall := range map[string]float64{"a.1.json": 10.5, "b.2.json": 11.5} {
 		golden := readGolden(t, name)
-		var s Spent
+		var s Usage
 		if err := json.Unmarshal(golden, &s); err != nil {
 			t.Fatal(err)
 		}
@@ -41,7 +41,7 @@
 		}
 	}
 	var report bytes.Buffer
-	if err := WriteSpent(&report, filepath.Join("testdata", "golden")); err != nil {
+	if err := WriteUsageReport(&report, filepath.Join("testdata", "golden")); err != nil {
 		t.Fatal(err)
 	}
 	if want := readGolden(t, "report.txt"); !bytes.Equal(report.Bytes(), want) {
@@ -54,7 +54,7 @@
 func TestGoldenExposition(t *testing.T) {
 	m := New()
 	m.Count("elmspan_requests_total", 2, Label{"route", `a"b`}, Label{"code", "200"})
-	m.Time("elmspan_request_duration_seconds", 120*time.Millisecond, Label{"route", "r"})
+	m.Observe("elmspan_request_duration_seconds", 120*time.Millisecond, Label{"route", "r"})
 	m.Gauge("elmspan_peers", func() float64 { return 7 })
 	for i := range 2050 {
 		m.Count("elmspan_many", 1, Label{"route", fmt.Sprint(i)})
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -81,8 +81,8 @@
 	c.Add(n)
 }
 
-// Time adds a time to a histogram.
-func (m *Metrics) Time(name string, d time.Duration, labels ...Label) {
+// Observe adds a time to a histogram.
+func (m *Metrics) Observe(name string, d time.Duration, labels ...Label) {
 	if m == nil {
 		return
 	}
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -16,11 +16,11 @@
 func TestShown(t *testing.T) {
 	var off *Metrics
 	off.Count("x", 1)
-	off.Time("x", 1)
+	off.Observe("x", 1)
 	off.Gauge("x", nil)
 	m := New()
 	m.Count("elmspan_requests_total", 2, Label{"route", `a"b`}, Label{"code", "200"})
-	m.Time("elmspan_request_duration_seconds", 120*time.Millisecond, Label{"route", "r"})
+	m.Observe("elmspan_request_duration_seconds", 120*time.Millisecond, Label{"route", "r"})
 	m.Gauge("elmspan_peers", func() float64 { return 7 })
 	for i := range 2 * mostSeries {
 		m.Count("elmspan_many", 1, Label{"route", fmt.Sprint(i)})
--- a/telemetry/spent.go
+++ b/telemetry/usage.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Spent is what a process has used since some time.
-type Spent struct {
+// Usage is what a process has used since some time.
+type Usage struct {
 	WallS     float64
 	UserS     float64 // processor time, in its own code
 	KernelS   float64 // ... and in the kernel for it
@@ -28,9 +28,9 @@
 	PeakMB    float64 // the most that was resident, pages of the program's file included; not a difference
 }
 
-// ReadSpent returns what this process has used since its start. The kernel's counts
+// ReadUsage returns what this process has used since its start. The kernel's counts
 // are those of proc(5) and getrusage(2); what can't be had is 0.
-func ReadSpent() Spent {
+func ReadUsage() Usage {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	samples := []metrics.Sample{{Name: "/cpu/classes/gc/total:cpu-seconds"}, {Name: "/gc/heap/live:bytes"},
@@ -45,12 +45,12 @@
 		}
 		return 0
 	}
-	return Spent{UserS: time.Duration(u.Utime.Nano()).Seconds(), KernelS: time.Duration(u.Stime.Nano()).Seconds(), WakeUps: float64(u.Nvcsw),
+	return Usage{UserS: time.Duration(u.Utime.Nano()).Seconds(), KernelS: time.Duration(u.Stime.Nano()).Seconds(), WakeUps: float64(u.Nvcsw),
 		Collector: of(0), HeapMB: of(1) / 1e6, Objects: of(2), AllocMB: of(3) / 1e6, Collected: of(4), PeakMB: float64(u.Maxrss) / 1000}
 }
 
 // Since is what was used since an earlier look.
-func (s Spent) Since(b Spent) Spent {
+func (s Usage) Since(b Usage) Usage {
 	s.WallS -= b.WallS
 	s.UserS -= b.UserS
 	s.KernelS -= b.KernelS
@@ -67,12 +67,12 @@
 	path  string
 	out   *os.File
 	begun time.Time
-	start Spent
+	start Usage
 }
 
-// Record begins to write a CPU profile of this process to DIR/NAME.PID.pprof, for
-// `go tool pprof`. What was spent goes into a file beside it; see [WriteSpent].
-func Record(dir, name string) (*Recording, error) {
+// StartRecording begins to write a CPU profile of this process to DIR/NAME.PID.pprof, for
+// `go tool pprof`. What was spent goes into a file beside it; see [WriteUsageReport].
+func StartRecording(dir, name string) (*Recording, error) {
 	path := filepath.Join(dir, fmt.Sprintf("%s.%d", strings.ReplaceAll(name, "/", "-"), os.Getpid()))
 	out, err := os.Create(path + ".pprof")
 	if err != nil {
@@ -81,12 +81,12 @@
 	if err := pprof.StartCPUProfile(out); err != nil {
 		return nil, errors.Join(fmt.Errorf("telemetry: %w", err), out.Close())
 	}
-	return &Recording{path, out, time.Now(), ReadSpent()}, nil
+	return &Recording{path, out, time.Now(), ReadUsage()}, nil
 }
 
 // Close ends the profile.
 func (r *Recording) Close() error {
-	s := ReadSpent().Since(r.start)
+	s := ReadUsage().Since(r.start)
 	s.WallS = time.Since(r.begun).Seconds()
 	pprof.StopCPUProfile()
 	data, err := json.Marshal(s)
@@ -96,16 +96,16 @@
 	return errors.Join(err, r.out.Close())
 }
 
-// WriteSpent writes for a person what the processes spent whose profiles are in a
+// WriteUsageReport writes for a person what the processes spent whose profiles are in a
 // folder, on the mean: a process that was killed wrote nothing.
-func WriteSpent(w io.Writer, dir string) error {
+func WriteUsageReport(w io.Writer, dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return fmt.Errorf("telemetry: %w", err)
 	}
-	var sum Spent
+	var sum Usage
 	for _, f := range files {
-		var s Spent
+		var s Usage
 		data, err := os.ReadFile(f)
 		if err == nil {
 			err = json.Unmarshal(data, &s)
@@ -113,7 +113,7 @@
 		if err != nil {
 			return fmt.Errorf("telemetry: %s: %w", f, err)
 		}
-		sum = sum.Since(Spent{-s.WallS, -s.UserS, -s.KernelS, -s.Collector, -s.WakeUps, -s.Collected, -s.Objects, -s.AllocMB, 0, 0})
+		sum = sum.Since(Usage{-s.WallS, -s.UserS, -s.KernelS, -s.Collector, -s.WakeUps, -s.Collected, -s.Objects, -s.AllocMB, 0, 0})
 		sum.HeapMB += s.HeapMB
 		sum.PeakMB += s.PeakMB
 	}
--- a/telemetry/spent_test.go
+++ b/telemetry/usage_test.go
@@ -13,18 +13,18 @@
 // isn't there.
 func TestRecordings(t *testing.T) {
 	dir := t.TempDir()
-	if err := WriteSpent(&bytes.Buffer{}, dir); err == nil {
+	if err := WriteUsageReport(&bytes.Buffer{}, dir); err == nil {
 		t.Error("a report of nothing")
 	}
-	if _, err := Record(filepath.Join(dir, "none"), "a"); err == nil {
+	if _, err := StartRecording(filepath.Join(dir, "none"), "a"); err == nil {
 		t.Error("a profile went into a folder that isn't there")
 	}
 	for _, name := range []string{"a/gateway", "b"} {
-		r, err := Record(dir, name)
+		r, err := StartRecording(dir, name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Record(dir, "meanwhile"); err == nil {
+		if _, err := StartRecording(dir, "meanwhile"); err == nil {
 			t.Error("two profiles at the same time")
 		}
 		kept := make([][]byte, 1000)
@@ -34,7 +34,7 @@
 		if err := r.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if s := ReadSpent().Since(r.start); s.Objects < 1000 || s.AllocMB < 1 || s.PeakMB < 1 || len(kept) == 0 {
+		if s := ReadUsage().Since(r.start); s.Objects < 1000 || s.AllocMB < 1 || s.PeakMB < 1 || len(kept) == 0 {
 			t.Errorf("of 1,000 objects of 1 KB it says %+v", s)
 		}
 	}
@@ -45,13 +45,13 @@
 		}
 	}
 	var out bytes.Buffer
-	if err := WriteSpent(&out, dir); err != nil || len(profiles) != 2 || !strings.HasPrefix(out.String(), "a process, of 2,") {
+	if err := WriteUsageReport(&out, dir); err != nil || len(profiles) != 2 || !strings.HasPrefix(out.String(), "a process, of 2,") {
 		t.Errorf("%d profiles, %v: %s", len(profiles), err, out.String())
 	}
 	if err := os.WriteFile(filepath.Join(dir, "z.json"), []byte("{"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := WriteSpent(&out, dir); err == nil || !strings.Contains(err.Error(), "z.json") {
+	if err := WriteUsageReport(&out, dir); err == nil || !strings.Contains(err.Error(), "z.json") {
 		t.Errorf("of a file that can't be read: %v", err)
 	}
 }
