--- a/raft/storage/bench_test.go
+++ b/raft/storage/bench_test.go
@@ -8,9 +8,9 @@
 	"example.org/elmspan/raft"
 )
 
-// counting counts the syncs of the machine's disk.
-type counting struct {
-	osFS
+// syncCountingFS counts the syncs of the disk of the machine.
+type syncCountingFS struct {
+	osFileSystem
 	files, dirs *atomic.Int64
 }
 
@@ -24,18 +24,22 @@
 	return f.file.Sync()
 }
 
-func (c counting) count(f file, err error) (file, error) {
+func (c syncCountingFS) count(f file, err error) (file, error) {
 	if err != nil {
 		return nil, err
 	}
 	return countedFile{f, c.files}, nil
 }
 
-func (c counting) Create(path string) (file, error) { return c.count(c.osFS.Create(path)) }
-func (c counting) Update(path string) (file, error) { return c.count(c.osFS.Update(path)) }
-func (c counting) SyncDir(dir string) error {
+func (c syncCountingFS) Create(path string) (file, error) {
+	return c.count(c.osFileSystem.Create(path))
+}
+func (c syncCountingFS) OpenInPlace(path string) (file, error) {
+	return c.count(c.osFileSystem.OpenInPlace(path))
+}
+func (c syncCountingFS) SyncDir(dir string) error {
 	c.dirs.Add(1)
-	return c.osFS.SyncDir(dir)
+	return c.osFileSystem.SyncDir(dir)
 }
 
 // The cost of a Save on this machine's disk, with the syncs of files and folders
@@ -43,12 +47,12 @@
 func BenchmarkSave(b *testing.B) {
 	for _, size := range []int{200, 41 << 10} {
 		b.Run(fmt.Sprintf("%dB", size), func(b *testing.B) {
-			fs := counting{files: &atomic.Int64{}, dirs: &atomic.Int64{}}
-			s, err := openAt(fs, b.TempDir()+"/log")
+			fs := syncCountingFS{files: &atomic.Int64{}, dirs: &atomic.Int64{}}
+			s, err := openStore(fs, b.TempDir()+"/log")
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer s.Close()
+			defer closeStore(s)
 			if err := s.Initialize(7, raft.Snapshot{}); err != nil {
 				b.Fatal(err)
 			}
--- a/raft/storage/format.go
+++ b/raft/storage/format.go
@@ -13,69 +13,76 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrNewerFormat tells that the store was written by a newer program, in a format that
-// this one can't read. Nothing was changed on the disk. It isn't damage: the
-// member must not begin anew, as all of them would where a whole core is rolled
-// back, and everything confirmed would be gone.
-var ErrNewerFormat = errors.New("storage: a newer program wrote the data on disk, in a format that this one can't read")
-
-// version says in which format a store is, and which programs may use it. It
-// speaks of all that a member stores: the files here, and what others encode into
-// entries and snapshots (packages agreement and controlplane). It stands in a file
-// of its own, FORMAT.n, whose form never changes, and lasts before anything of
-// that format is written. Like CURRENT.n, a file is never written over or renamed:
-// the highest number that can be read counts, and a torn one is passed over, as
-// nothing in its format was written yet.
+// formatVersion is the format of a store and the programs that may use it. It covers all
+// that a member stores: the files of this package, and what other packages (raft and
+// controlplane) encode into entries and snapshots.
+//
+// It is kept in a file of its own, FORMAT.n, whose form never changes, and which is
+// durable before anything of that format is written. A file is never renamed, nor written
+// over with other bytes: the one with the highest number that can be read is in force. A
+// torn one is ignored, as nothing in its format was written yet.
 //
-// Who changes the format raises Format; and Reader as well where programs of
-// before can't read what is written. Let one version that reads a format go ahead
-// of the one that writes it, so that a core can be rolled back by one version.
-type version struct {
-	Format int // of what may be on the disk
-	Reader int // the least format that a program must know
+// To change the format, raise Format, and raise MinReader as well if earlier programs
+// can't read what is written. Release a version that reads a format before the one that
+// writes it, so that a cluster can be rolled back by one version.
+type formatVersion struct {
+	Format    int // the newest format that may be on the disk
+	MinReader int // the lowest format that a program must know to use the store
 }
 
-// ours is what this program writes.
-var ours = version{Format: 1, Reader: 1}
+// currentFormat is what this program writes.
+var currentFormat = formatVersion{Format: 1, MinReader: 1}
 
 const (
-	formatName = "FORMAT."
-	formatText = "elmspan member, format %d, reader %d, sum %016x\n"
+	formatPrefix  = "FORMAT."
+	formatContent = "elmspan member, format %d, reader %d, sum %016x\n"
+	// maxFormatFileSize bounds what is read of a format file, in bytes.
+	maxFormatFileSize = 256
 )
 
-func (v version) text() string {
-	return fmt.Sprintf(formatText, v.Format, v.Reader, xxhash.Sum64String(fmt.Sprint(v.Format, v.Reader)))
+// content is what the file of a version holds.
+func (v formatVersion) content() string {
+	sum := xxhash.Sum64String(fmt.Sprint(v.Format, v.MinReader))
+	return fmt.Sprintf(formatContent, v.Format, v.MinReader, sum)
+}
+
+// parseFormat reads the content of a format file.
+func parseFormat(content string) (v formatVersion, ok bool) {
+	var sum uint64
+	if _, err := fmt.Sscanf(content, formatContent, &v.Format, &v.MinReader, &sum); err != nil {
+		return formatVersion{}, false
+	}
+	return v, v.content() == content
 }
 
-// readVersion returns the highest version that a folder's files tell, and their
-// names. Where none can be read it is that of the programs before: what is there
-// is then judged by its contents alone.
-func readVersion(fs fileSystem, dir string) (v version, all []string, err error) {
+// readFormat returns the version in force in a folder, and the names of all format files.
+// The version is zero if no file can be read: the store is then judged by its contents
+// alone, as stores from before the format file are.
+func readFormat(fs fileSystem, dir string) (v formatVersion, files []string, err error) {
 	names, err := fs.Names(dir)
 	if err != nil {
 		return v, nil, err
 	}
 	for _, name := range names {
-		n, err := strconv.Atoi(strings.TrimPrefix(name, formatName))
-		if err != nil || !strings.HasPrefix(name, formatName) {
+		number, err := strconv.Atoi(strings.TrimPrefix(name, formatPrefix))
+		if err != nil || !strings.HasPrefix(name, formatPrefix) {
 			continue
 		}
-		all = append(all, name)
-		text, err := readText(fs, filepath.Join(dir, name))
+		files = append(files, name)
+		content, err := readFormatFile(fs, filepath.Join(dir, name))
 		if err != nil {
 			return v, nil, err
 		}
-		var got version
-		var sum uint64
-		if _, err := fmt.Sscanf(text, formatText, &got.Format, &got.Reader, &sum); err == nil && got.text() == text && got.Format == n && n > v.Format {
-			v = got
+		if found, ok := parseFormat(content); ok && found.Format == number && number > v.Format {
+			v = found
 		}
 	}
-	return v, all, nil
+	return v, files, nil
 }
 
-// readText reads a short file. What the medium can't read is damage, and empty.
-func readText(fs fileSystem, path string) (string, error) {
+// readFormatFile reads a format file. One that is gone, or that the medium can't read, is
+// empty.
+func readFormatFile(fs fileSystem, path string) (string, error) {
 	f, err := fs.Open(path)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.EIO) {
@@ -83,51 +90,55 @@
 		}
 		return "", err
 	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, 256))
+	defer closeUnwritten(f)
+	content, err := io.ReadAll(io.LimitReader(f, maxFormatFileSize))
 	if errors.Is(err, syscall.EIO) {
 		return "", nil
 	}
-	return string(text), err
+	return string(content), err
 }
 
-// admit is ErrNewer where this program can't use the store.
-func (s *Store) admit() error {
-	v, _, err := readVersion(s.fs, s.dir)
-	if err == nil && v.Reader > ours.Format {
-		err = fmt.Errorf("%w: its format is %d and needs a program that reads %d, this one reads up to %d", ErrNewerFormat, v.Format, v.Reader, ours.Format)
+// checkFormat fails with [ErrNewerFormat] if this program can't use the store.
+func (s *Store) checkFormat() error {
+	v, _, err := readFormat(s.fs, s.dir)
+	if err != nil {
+		return err
 	}
-	return err
+	if v.MinReader > currentFormat.Format {
+		return fmt.Errorf("%w: its format is %d and needs a program that reads %d, this one reads up to %d",
+			ErrNewerFormat, v.Format, v.MinReader, currentFormat.Format)
+	}
+	return nil
 }
 
-// stamp makes our version last before anything is written in it. That of a newer
-// program, which this one may use, stays. Ours is written and synced at each
-// opening: an earlier one may have ended before it lasted. To write the same bytes
-// over it can't spoil it.
-func (s *Store) stamp() error {
-	v, all, err := readVersion(s.fs, s.dir)
-	if err != nil || v.Format > ours.Format {
+// writeFormat makes our version durable before anything is written in it. The version of a
+// newer program, whose store this one may use, stays. Ours is written and synced at each
+// opening: an earlier process may have ended before it was durable. To write the same
+// bytes over it can't spoil it.
+func (s *Store) writeFormat() error {
+	v, files, err := readFormat(s.fs, s.dir)
+	if err != nil || v.Format > currentFormat.Format {
 		return err
 	}
-	name := formatName + strconv.Itoa(ours.Format)
+	name := formatPrefix + strconv.Itoa(currentFormat.Format)
 	open := s.fs.Create
-	if v == ours {
-		open = s.fs.Update
+	if v == currentFormat {
+		open = s.fs.OpenInPlace
 	}
 	f, err := open(s.path(name))
 	if err != nil {
 		return err
 	}
-	_, err = f.WriteAt([]byte(ours.text()), 0)
+	_, err = f.WriteAt([]byte(currentFormat.content()), 0)
 	if err := errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
 	}
 	if err := s.fs.SyncDir(s.dir); err != nil {
 		return err
 	}
-	for _, old := range all {
+	for _, old := range files {
 		if old != name {
-			s.fs.Remove(s.path(old)) // one that stays is lower, or can't be read
+			_ = s.fs.Remove(s.path(old)) // one that stays has a lower number, or can't be read
 		}
 	}
 	return nil
--- a/raft/storage/golden_test.go
+++ b/raft/storage/golden_test.go
@@ -47,13 +47,13 @@
 			raft.Entry{Index: 300, Term: 70_000, Data: []byte("a configuration")}, &raft.Entry{}},
 		{"entry-members.record", entryKey(1 << 40),
 			raft.Entry{Index: 1 << 40, Term: 4, Members: goldenMembers()}, &raft.Entry{}},
-		{"hard-state.record", keyHard, raft.HardState{Term: 70_000, Vote: 1 << 63}, new(raft.HardState)},
-		{"hard-state-no-vote.record", keyHard, raft.HardState{Term: 1}, new(raft.HardState)},
+		{"hard-state.record", keyHardState, raft.HardState{Term: 70_000, Vote: 1 << 63}, new(raft.HardState)},
+		{"hard-state-no-vote.record", keyHardState, raft.HardState{Term: 1}, new(raft.HardState)},
 		{"identity.record", keyIdentity, raft.ID(0x0123456789abcdef), new(raft.ID)},
 		{"snapshot-first.record", keySnapshot, raft.Snapshot{Members: goldenMembers()[:1]}, new(raft.Snapshot)},
 		{"snapshot-large.record", keySnapshot,
-			raft.Snapshot{Index: 300, Term: 9, Members: goldenMembers(), Data: patternBytes(40_000)}, new(raft.Snapshot)},
-		{"batch.record", keyCommit, mark{Sequence: 5, Digest: 0xfedcba9876543210}, new(mark)},
+			raft.Snapshot{Index: 300, Term: 9, Members: goldenMembers(), Data: patternBytes(40_000)}, &raft.Snapshot{}},
+		{"batch.record", keyBatch, batchID{Sequence: 5, Digest: 0xfedcba9876543210}, new(batchID)},
 	}
 }
 
@@ -70,19 +70,19 @@
 	for _, c := range goldenRecords() {
 		t.Run(c.file, func(t *testing.T) {
 			want := readGolden(t, c.file)
-			if err := decode(want, c.into); err != nil {
+			if err := decodeRecord(want, c.into); err != nil {
 				t.Fatal(err)
 			}
 			got := reflect.ValueOf(c.into).Elem().Interface()
 			if !reflect.DeepEqual(got, c.value) {
 				t.Errorf("decoded %+v, want %+v", got, c.value)
 			}
-			again, err := encode(c.key, got)
+			encoded, err := encodeRecord(c.key, got)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !bytes.Equal(again, want) {
-				t.Errorf("encoded to % x, want % x", again, want)
+			if !bytes.Equal(encoded, want) {
+				t.Errorf("encoded to % x, want % x", encoded, want)
 			}
 		})
 	}
@@ -90,27 +90,29 @@
 
 // goldenSeals are the seal files after so many batches: the first, and those that
 // were written over it.
-func goldenSeals() map[string][]mark {
-	return map[string][]mark{
-		"seal-empty":    {{}},
-		"seal-first":    {{Sequence: 1, Digest: 0x1111111111111111}},
-		"seal-advanced": {{}, {Sequence: 1, Digest: 0x1111}, {Sequence: 2, Digest: 0x2222}, {Sequence: 3, Digest: 0x3333}},
+func goldenSeals() map[string][]batchID {
+	return map[string][]batchID{
+		"seal-empty": {{}},
+		"seal-first": {{Sequence: 1, Digest: 0x1111111111111111}},
+		"seal-advanced": {
+			{}, {Sequence: 1, Digest: 0x1111}, {Sequence: 2, Digest: 0x2222}, {Sequence: 3, Digest: 0x3333},
+		},
 	}
 }
 
 // writeSeal writes a seal file that was advanced to each of the batches in turn.
-func writeSeal(t *testing.T, batches []mark) (path string) {
+func writeSeal(t *testing.T, batches []batchID) (path string) {
 	t.Helper()
 	dir := t.TempDir()
 	path = filepath.Join(dir, sealName)
-	if err := makeSeal(osFS{}, dir, path, batches[0]); err != nil {
+	if err := createSeal(osFileSystem{}, dir, path, batches[0]); err != nil {
 		t.Fatal(err)
 	}
-	s, err := openSeal(osFS{}, path)
+	s, err := openSeal(osFileSystem{}, path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.f.Close()
+	defer closeUnwritten(s.file)
 	for _, m := range batches[1:] {
 		if err := s.advance(m); err != nil {
 			t.Fatal(err)
@@ -127,20 +129,20 @@
 			if err := os.WriteFile(path, want, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			s, err := openSeal(osFS{}, path)
+			s, err := openSeal(osFileSystem{}, path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer s.f.Close()
-			if last := batches[len(batches)-1]; s.mark != last {
-				t.Errorf("decoded %+v, want %+v", s.mark, last)
+			defer closeUnwritten(s.file)
+			if last := batches[len(batches)-1]; s.batch != last {
+				t.Errorf("decoded %+v, want %+v", s.batch, last)
 			}
-			again, err := os.ReadFile(writeSeal(t, batches))
+			encoded, err := os.ReadFile(writeSeal(t, batches))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !bytes.Equal(again, want) {
-				t.Errorf("encoded to %d other bytes than the %d of the file", len(again), len(want))
+			if !bytes.Equal(encoded, want) {
+				t.Errorf("encoded to %d other bytes than the %d of the file", len(encoded), len(want))
 			}
 		})
 	}
@@ -152,12 +154,12 @@
 	if err := os.WriteFile(filepath.Join(dir, "FORMAT.1"), want, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	v, names, err := readVersion(osFS{}, dir)
-	if err != nil || v != (version{Format: 1, Reader: 1}) || len(names) != 1 {
+	v, names, err := readFormat(osFileSystem{}, dir)
+	if err != nil || v != (formatVersion{Format: 1, MinReader: 1}) || len(names) != 1 {
 		t.Errorf("decoded %+v of %v, %v", v, names, err)
 	}
-	if again := v.text(); again != string(want) {
-		t.Errorf("encoded to %q, want %q", again, want)
+	if encoded := v.content(); encoded != string(want) {
+		t.Errorf("encoded to %q, want %q", encoded, want)
 	}
 }
 
@@ -215,28 +217,28 @@
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join(goldenDir, "store"))); err != nil {
 		t.Fatal(err)
 	}
-	checkGoldenStore(t, dir, mark{Sequence: 4, Digest: goldenStoreDigest})
+	checkGoldenStore(t, dir, batchID{Sequence: 4, Digest: goldenStoreDigest})
 	// Once more, as the first opening has written the write-ahead log into new files.
-	checkGoldenStore(t, dir, mark{Sequence: 4, Digest: goldenStoreDigest})
+	checkGoldenStore(t, dir, batchID{Sequence: 4, Digest: goldenStoreDigest})
 }
 
 // The same calls lead to the same number of batches and the same digest, so that a
-// program of before can open what this one writes.
+// program from before the renames can open what this one writes.
 func TestGoldenStoreCallsLeadToTheSameDigest(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	fillGoldenStore(t, dir)
-	checkGoldenStore(t, dir, mark{Sequence: 4, Digest: goldenStoreDigest})
+	checkGoldenStore(t, dir, batchID{Sequence: 4, Digest: goldenStoreDigest})
 }
 
 // goldenStoreDigest is the digest that the seal in testdata/golden/store has.
 const goldenStoreDigest = 2216389306393829205
 
-func checkGoldenStore(t *testing.T, dir string, sealed mark) {
+func checkGoldenStore(t *testing.T, dir string, sealed batchID) {
 	t.Helper()
 	s := open(t, dir)
-	defer s.Close()
-	if s.seal.mark != sealed || s.promised != sealed {
-		t.Errorf("sealed %+v, promised %+v, want %+v", s.seal.mark, s.promised, sealed)
+	defer closeStore(s)
+	if s.seal.batch != sealed || s.acknowledged != sealed {
+		t.Errorf("sealed %+v, acknowledged %+v, want %+v", s.seal.batch, s.acknowledged, sealed)
 	}
 	id, err := s.Identity()
 	if err != nil || id != goldenIdentity {
--- /dev/null
+++ b/raft/storage/member_test.go
@@ -0,0 +1,225 @@
+package storage
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+
+	"example.org/elmspan/raft"
+)
+
+// storeDir is the folder of the store on a faultDisk.
+const storeDir = "/data/log"
+
+// memberState is what a store has acknowledged to a member.
+type memberState struct {
+	ID raft.ID
+	raft.Stored
+}
+
+func readState(s *Store) (state memberState, err error) {
+	if state.ID, err = s.Identity(); err != nil {
+		return state, err
+	}
+	state.Stored, err = s.Load()
+	return state, err
+}
+
+func (s memberState) equal(o memberState) bool {
+	return s.ID == o.ID && s.Hard == o.Hard && equalSnapshots(s.Snapshot, o.Snapshot) &&
+		slices.EqualFunc(s.Entries, o.Entries, equalEntries)
+}
+
+func equalSnapshots(a, b raft.Snapshot) bool {
+	return a.Index == b.Index && a.Term == b.Term && slices.Equal(a.Data, b.Data)
+}
+
+func equalEntries(a, b raft.Entry) bool {
+	return a.Index == b.Index && a.Term == b.Term && slices.Equal(a.Data, b.Data)
+}
+
+func (s memberState) String() string {
+	return fmt.Sprintf("member %d, term %d, snapshot %d, %d entries",
+		s.ID, s.Hard.Term, s.Snapshot.Index, len(s.Entries))
+}
+
+func (s memberState) lastIndex() uint64 { return s.Snapshot.Index + uint64(len(s.Entries)) }
+
+// testMember uses a store as a member does: one call after the other, each one again until
+// it succeeds.
+type testMember struct {
+	rand         *rand.Rand
+	id           raft.ID
+	acknowledged memberState // by the store
+	pending      memberState // the same with the call that is under way
+	largeEntries bool        // entries as long as configurations
+}
+
+// storeCall is a call that changes a store.
+type storeCall func(*Store) error
+
+// nextCall draws a call.
+func (m *testMember) nextCall() storeCall {
+	m.pending = m.acknowledged
+	m.pending.Entries = slices.Clone(m.acknowledged.Entries)
+	switch draw := m.rand.IntN(20); {
+	case m.acknowledged.ID == 0:
+		return m.initialize()
+	case draw == 0:
+		return m.installSnapshot()
+	case draw <= 2 && len(m.acknowledged.Entries) > 0:
+		return m.compact()
+	}
+	return m.save()
+}
+
+func (m *testMember) initialize() storeCall {
+	m.pending.ID, m.pending.Snapshot = m.id, raft.Snapshot{Data: m.data()}
+	return func(s *Store) error { return s.Initialize(m.pending.ID, m.pending.Snapshot) }
+}
+
+// installSnapshot takes a snapshot from the leader.
+func (m *testMember) installSnapshot() storeCall {
+	snapshot := raft.Snapshot{Index: m.acknowledged.lastIndex() + 3, Term: m.acknowledged.Hard.Term, Data: m.data()}
+	m.pending.Snapshot, m.pending.Entries = snapshot, nil
+	return func(s *Store) error { return s.Save(raft.Ready{Snapshot: &snapshot}) }
+}
+
+func (m *testMember) compact() storeCall {
+	n := 1 + m.rand.IntN(len(m.acknowledged.Entries))
+	snapshot := raft.Snapshot{
+		Index: m.acknowledged.Snapshot.Index + uint64(n),
+		Term:  m.acknowledged.Hard.Term,
+		Data:  m.data(),
+	}
+	m.pending.Snapshot, m.pending.Entries = snapshot, m.pending.Entries[n:]
+	return func(s *Store) error { return s.Compact(snapshot) }
+}
+
+func (m *testMember) save() storeCall {
+	var ready raft.Ready
+	if m.rand.IntN(3) == 0 {
+		m.pending.Hard = raft.HardState{Term: m.acknowledged.Hard.Term + 1, Vote: m.id}
+		ready.Hard = &m.pending.Hard
+	}
+	if ready.Hard == nil || m.rand.IntN(2) == 0 {
+		ready.Entries = m.appendEntries()
+	}
+	return func(s *Store) error { return s.Save(ready) }
+}
+
+func (m *testMember) appendEntries() []raft.Entry {
+	if n := len(m.acknowledged.Entries); n > 0 && m.rand.IntN(4) == 0 { // another leader's in place of some
+		m.pending.Entries = m.pending.Entries[:m.rand.IntN(n)]
+	}
+	kept := len(m.pending.Entries)
+	for range 1 + m.rand.IntN(3) {
+		m.pending.Entries = append(m.pending.Entries, raft.Entry{
+			Index: m.pending.lastIndex() + 1,
+			Term:  m.pending.Hard.Term,
+			Data:  m.data(),
+		})
+	}
+	return slices.Clone(m.pending.Entries[kept:])
+}
+
+func (m *testMember) data() []byte {
+	n := m.rand.IntN(200)
+	if m.largeEntries {
+		n = []int{20, 3000, 41 << 10, 41 << 10, 150 << 10}[m.rand.IntN(5)]
+	}
+	data := make([]byte, n)
+	for i := 0; i < n; i += 8 {
+		var random [8]byte
+		binary.LittleEndian.PutUint64(random[:], m.rand.Uint64())
+		copy(data[i:], random[:])
+	}
+	return data
+}
+
+// start opens the store on a disk, as a process that starts. What is there must be
+// everything that was acknowledged, with or without the call that was under way.
+func (m *testMember) start(d *faultDisk) (*Store, error) {
+	s, err := openStore(d, storeDir)
+	if err != nil {
+		return nil, err
+	}
+	s.reopenInterval = 0
+	found, err := readState(s)
+	if err == nil && !found.equal(m.acknowledged) && !found.equal(m.pending) {
+		err = fmt.Errorf("LOST: there is %v; acknowledged was %v", found, m.acknowledged)
+	}
+	if err != nil {
+		return nil, errors.Join(err, s.Close())
+	}
+	m.acknowledged, m.pending = found, found
+	return s, nil
+}
+
+// startAndStop is start, and the store is closed again.
+func (m *testMember) startAndStop(d *faultDisk) error {
+	s, err := m.start(d)
+	if err != nil {
+		return err
+	}
+	return s.Close()
+}
+
+// run makes so many calls, or fewer if the power is lost. With faults the disk is now and
+// then full, or fails to sync, for a while.
+func (m *testMember) run(d *faultDisk, s *Store, calls int, faults bool) error {
+	for range calls {
+		call := m.nextCall()
+		faultyAttempts := 0
+		if faults && m.rand.IntN(4) == 0 {
+			faultyAttempts = m.plantFault(d)
+		}
+		succeeded, err := m.callUntilDone(d, s, call, faultyAttempts)
+		if err != nil {
+			return err
+		}
+		if !succeeded { // the power is lost
+			return nil
+		}
+		m.acknowledged = m.pending
+	}
+	return nil
+}
+
+// plantFault makes a disk full or unable to sync, and returns for how many attempts.
+func (m *testMember) plantFault(d *faultDisk) (attempts int) {
+	attempts = 1 + m.rand.IntN(4)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.full = m.rand.IntN(2) == 0; !d.full {
+		d.failSyncs = attempts
+	}
+	return attempts
+}
+
+// callUntilDone makes a call until it succeeds or the power is lost. The faults end
+// after so many attempts, and the store must then work again.
+func (m *testMember) callUntilDone(d *faultDisk, s *Store, call storeCall, faulty int) (succeeded bool, err error) {
+	for attempt := 0; ; attempt++ {
+		err := call(s)
+		if attempt >= faulty {
+			d.clearFaults()
+		}
+		switch {
+		case err == nil:
+			return true, nil
+		case !d.hasPower():
+			return false, nil
+		case errors.Is(err, ErrCorrupt):
+			return false, fmt.Errorf("LOST: %w", err)
+		case attempt > faulty+1:
+			return false, fmt.Errorf("the disk works again and the store doesn't: %w", err)
+		}
+	}
+}
+
+// closeStore closes a store whose process ends. Whether that succeeds doesn't matter: the
+// store must survive a process that never closes it.
+func closeStore(s *Store) { _ = s.Close() }
--- a/raft/storage/seal.go
+++ b/raft/storage/seal.go
@@ -10,109 +10,130 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A seal is a small file beside the database that says how far the database has
-// got: the number of the last batch that was promised, and the digest of all that
-// was stored with it. Without it a database that has lost its end looks like one
-// that never got there.
+// seal is a small file beside the database that holds the last acknowledged batch.
+// Without it, a database that has lost the end of its log looks like one that never got
+// there.
 //
-// Two slots are written in turn, in place: the file neither grows nor is renamed,
-// so that one fdatasync makes a slot last, and a write that is torn spoils only
-// the slot that doesn't count yet. A slot: magic, number, digest, xxhash64 of the
-// three, each 8 bytes, big-endian.
+// The file has two slots that are written in turn, in place. It neither grows nor is it
+// renamed, so one fdatasync makes a slot durable, and a torn write spoils only the slot
+// that is not in force yet. The valid slot with the higher number is in force.
+//
+// A slot has four fields of eight bytes, big-endian: a magic number, the sequence number
+// and the digest of the batch, and the xxhash64 of these three.
 type seal struct {
-	f    file
-	at   int // the slot that counts
-	mark mark
+	file    file
+	current int     // the slot in force
+	batch   batchID // what it holds
 }
 
-// mark is a number of a batch, and the digest of all that is stored after it.
-type mark struct{ Sequence, Digest uint64 }
-
 const (
+	sealName  = "SEAL"
 	sealMagic = 0x656c6d5345414c31 // "elmSEAL1"
-	slotSize  = 32
-	slotEvery = 4096 // apart: no sector and no page holds both
-)
 
-var errNoSeal = errors.New("no slot of the seal can be read")
+	sealSlots       = 2
+	sealSlotSize    = 32   // bytes
+	sealSlotSpacing = 4096 // bytes: no sector and no page holds both slots
+
+	// The offsets of the fields in a slot.
+	sealSequenceAt = 8
+	sealDigestAt   = 16
+	sealChecksumAt = 24
+)
 
-// makeSeal makes a seal, to last, that says where the database begins. An old
-// one is written over.
-func makeSeal(fs fileSystem, dir, path string, m mark) error {
+// createSeal makes the seal file of a store, durable, over an old one if there is one.
+func createSeal(fs fileSystem, dir, path string, first batchID) error {
 	f, err := fs.Create(path)
 	if err != nil {
 		return err
 	}
-	var b [2 * slotEvery]byte // its full size from the start
-	copy(b[:], slot(m))
-	_, err = f.Write(b[:])
+	var content [sealSlots * sealSlotSpacing]byte // the full size from the start
+	copy(content[:], encodeSealSlot(first))
+	_, err = f.Write(content[:])
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
 	}
 	return fs.SyncDir(dir)
 }
 
-// openSeal reads a seal. It is errNoSeal, or os.ErrNotExist, where it says nothing.
+// openSeal opens a seal file. It fails with errNoSeal if neither slot can be read, and
+// with os.ErrNotExist if there is no file, see [isNoSeal].
 func openSeal(fs fileSystem, path string) (*seal, error) {
-	f, err := fs.Update(path)
+	f, err := fs.OpenInPlace(path)
 	if err != nil {
 		return nil, err
 	}
-	s := &seal{f: f, at: -1}
-	for i := range 2 {
-		var b [slotSize]byte
-		if n, err := f.ReadAt(b[:], int64(i*slotEvery)); n < slotSize {
-			if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.EIO) {
-				f.Close()
-				return nil, err
-			}
-			continue
+	s := &seal{file: f, current: -1}
+	for slot := range sealSlots {
+		batch, ok, err := readSealSlot(f, slot)
+		if err != nil {
+			closeUnwritten(f)
+			return nil, err
 		}
-		m, ok := unslot(b[:])
-		if ok && (s.at < 0 || m.Sequence > s.mark.Sequence) {
-			s.at, s.mark = i, m
+		if ok && (s.current < 0 || batch.Sequence > s.batch.Sequence) {
+			s.current, s.batch = slot, batch
 		}
 	}
-	if s.at < 0 {
-		f.Close()
+	if s.current < 0 {
+		closeUnwritten(f)
 		return nil, errNoSeal
 	}
 	return s, nil
 }
 
-// renew writes the slot that counts again as it is. After a failed sync it may
-// be in memory only, and must last before the other one is written over.
-func (s *seal) renew() error { return s.put(s.at, s.mark) }
+// readSealSlot reads a slot. It is not ok if the slot is torn, cut off, or on a block that
+// the medium can't read.
+func readSealSlot(f file, slot int) (batch batchID, ok bool, err error) {
+	var content [sealSlotSize]byte
+	n, err := f.ReadAt(content[:], int64(slot*sealSlotSpacing))
+	if n == sealSlotSize {
+		batch, ok = decodeSealSlot(content[:])
+		return batch, ok, nil
+	}
+	if errors.Is(err, io.EOF) || errors.Is(err, syscall.EIO) {
+		err = nil
+	}
+	return batch, false, err
+}
 
-// advance writes a higher number into the slot that doesn't count.
-func (s *seal) advance(m mark) error {
-	if err := s.put(1-s.at, m); err != nil {
+// rewrite writes the slot in force again as it is. After a failed sync it may be in the
+// page cache only, and must be durable before the other slot is written over.
+func (s *seal) rewrite() error { return s.writeSlot(s.current, s.batch) }
+
+// advance writes a newer batch into the slot that is not in force, which then is.
+func (s *seal) advance(batch batchID) error {
+	other := 1 - s.current
+	if err := s.writeSlot(other, batch); err != nil {
 		return err
 	}
-	s.at, s.mark = 1-s.at, m
+	s.current, s.batch = other, batch
 	return nil
 }
 
-func (s *seal) put(at int, m mark) error {
-	if _, err := s.f.WriteAt(slot(m), int64(at*slotEvery)); err != nil {
+func (s *seal) writeSlot(slot int, batch batchID) error {
+	if _, err := s.file.WriteAt(encodeSealSlot(batch), int64(slot*sealSlotSpacing)); err != nil {
 		return err
 	}
-	return s.f.Sync()
+	return s.file.Sync()
 }
 
-func slot(m mark) []byte {
-	b := make([]byte, 0, slotSize)
-	b = binary.BigEndian.AppendUint64(b, sealMagic)
-	b = binary.BigEndian.AppendUint64(b, m.Sequence)
-	b = binary.BigEndian.AppendUint64(b, m.Digest)
-	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b))
+func encodeSealSlot(batch batchID) []byte {
+	slot := make([]byte, 0, sealSlotSize)
+	slot = binary.BigEndian.AppendUint64(slot, sealMagic)
+	slot = binary.BigEndian.AppendUint64(slot, batch.Sequence)
+	slot = binary.BigEndian.AppendUint64(slot, batch.Digest)
+	return binary.BigEndian.AppendUint64(slot, xxhash.Sum64(slot))
 }
 
-func unslot(b []byte) (mark, bool) {
-	ok := binary.BigEndian.Uint64(b) == sealMagic && binary.BigEndian.Uint64(b[24:]) == xxhash.Sum64(b[:24])
-	return mark{binary.BigEndian.Uint64(b[8:]), binary.BigEndian.Uint64(b[16:])}, ok
+func decodeSealSlot(slot []byte) (batch batchID, ok bool) {
+	if binary.BigEndian.Uint64(slot) != sealMagic ||
+		binary.BigEndian.Uint64(slot[sealChecksumAt:]) != xxhash.Sum64(slot[:sealChecksumAt]) {
+		return batchID{}, false
+	}
+	return batchID{
+		Sequence: binary.BigEndian.Uint64(slot[sealSequenceAt:]),
+		Digest:   binary.BigEndian.Uint64(slot[sealDigestAt:]),
+	}, true
 }
 
-// unsealed tells a seal that is missing or says nothing from one that can't be
-// looked at.
-func unsealed(err error) bool { return errors.Is(err, errNoSeal) || errors.Is(err, os.ErrNotExist) }
+// isNoSeal reports whether a seal is missing or unreadable, as opposed to a failure to look at it.
+func isNoSeal(err error) bool { return errors.Is(err, errNoSeal) || errors.Is(err, os.ErrNotExist) }
--- /dev/null
+++ b/raft/storage/store_test.go
@@ -0,0 +1,216 @@
+package storage
+
+import (
+	"errors"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"reflect"
+	"syscall"
+	"testing"
+
+	"github.com/syndtr/goleveldb/leveldb"
+
+	"example.org/elmspan/raft"
+)
+
+// open opens a store on the machine's disk, until the test ends.
+func open(t *testing.T, dir string) *Store {
+	t.Helper()
+	s, err := Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeStore(s) })
+	return s
+}
+
+// openSimulated opens a store on a simulated disk, until the test ends.
+func openSimulated(t *testing.T, d *faultDisk) *Store {
+	t.Helper()
+	s, err := openStore(d, storeDir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeStore(s) })
+	return s
+}
+
+func entry(index, term uint64, data string) raft.Entry {
+	return raft.Entry{Index: index, Term: term, Data: []byte(data)}
+}
+
+// What Save has stored is there after the process ends, with later entries in place of
+// those that they overwrite.
+func TestSavedStateIsLoadedAfterARestart(t *testing.T) {
+	dir := t.TempDir()
+	s := open(t, dir)
+	first := raft.Snapshot{Members: []raft.Member{{ID: 7, Addr: "a", Voter: true}}}
+	if err := s.Initialize(7, first); err != nil {
+		t.Fatal(err)
+	}
+	hardState := raft.HardState{Term: 2, Vote: 7}
+	for _, r := range []raft.Ready{
+		{Entries: []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}},
+		{Hard: &hardState, Entries: []raft.Entry{entry(2, 2, "d")}},
+	} {
+		if err := s.Save(r); err != nil {
+			t.Fatal(err)
+		}
+	}
+	closeStore(s)
+	s = open(t, dir)
+	id, err := s.Identity()
+	if id != 7 || err != nil {
+		t.Errorf("identity %v, %v", id, err)
+	}
+	want := []raft.Entry{entry(1, 1, "a"), entry(2, 2, "d")}
+	stored, err := s.Load()
+	if err != nil || stored.Hard != hardState || !reflect.DeepEqual(stored.Entries, want) {
+		t.Errorf("%+v, %v", stored, err)
+	}
+	if err := s.Compact(raft.Snapshot{Index: 1, Term: 1}); err != nil {
+		t.Fatal(err)
+	}
+	if stored, err = s.Load(); err != nil || stored.Snapshot.Index != 1 || len(stored.Entries) != 1 {
+		t.Errorf("%+v, %v", stored, err)
+	}
+}
+
+// The member must not vote with a record that is damaged, or with a log that lacks an
+// entry in the middle.
+func TestDamagedOrMissingEntryIsCorrupt(t *testing.T) {
+	s := open(t, t.TempDir())
+	if err := s.Initialize(7, raft.Snapshot{}); err != nil {
+		t.Fatal(err)
+	}
+	entries := []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}
+	if err := s.Save(raft.Ready{Entries: entries}); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.db.Delete(entryKey(2), nil); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := s.Load(); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("a gap: %v", err)
+	}
+	var b leveldb.Batch
+	b.Put(entryKey(2), []byte("nonsense"))
+	if err := s.db.Write(&b, nil); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := s.Load(); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("nonsense: %v", err)
+	}
+}
+
+// The end of the write-ahead log that a loss of power has left torn is ignored; what was
+// synced before stays.
+func TestTornEndOfTheLogIsIgnored(t *testing.T) {
+	dir := t.TempDir()
+	s := open(t, dir)
+	if err := s.Initialize(7, raft.Snapshot{}); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Save(raft.Ready{Entries: []raft.Entry{entry(1, 1, "a")}}); err != nil {
+		t.Fatal(err)
+	}
+	closeStore(s)
+	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
+	if err != nil || len(logs) != 1 {
+		t.Fatalf("%v, %v", logs, err)
+	}
+	f, err := os.OpenFile(logs[0], os.O_APPEND|os.O_WRONLY, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, err = f.Write([]byte{1, 2, 3, 4, 200, 0, 1, 9, 9, 9})
+	if err := errors.Join(err, f.Close()); err != nil {
+		t.Fatal(err)
+	}
+	if stored, err := open(t, dir).Load(); err != nil || len(stored.Entries) != 1 {
+		t.Errorf("%+v, %v", stored, err)
+	}
+}
+
+// Two processes never have one store open, and the second one's failure is no damage: it
+// must not start a new member over the first.
+func TestStoreIsOpenInOneProcessAtATime(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "a", "log")
+	s := open(t, dir)
+	if _, err := Open(dir); err == nil || errors.Is(err, ErrCorrupt) {
+		t.Errorf("opened twice: %v", err)
+	}
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+	if err := s.Save(raft.Ready{Hard: &raft.HardState{Term: 1}}); err == nil {
+		t.Error("saved in a store that is closed")
+	}
+	open(t, dir)
+}
+
+// A member starts on a full disk with everything that it acknowledged, acknowledges
+// nothing, and goes on once there is space.
+func TestMemberStartsOnAFullDisk(t *testing.T) {
+	d := newFaultDisk()
+	s := openSimulated(t, d)
+	hardState := raft.HardState{Term: 2, Vote: 7}
+	if err := errors.Join(s.Initialize(7, raft.Snapshot{}), s.Save(raft.Ready{Hard: &hardState})); err != nil {
+		t.Fatal(err)
+	}
+	closeStore(s)
+	d.full = true
+	s = openSimulated(t, d)
+	s.reopenInterval = 0
+	if found, err := readState(s); err != nil || found.ID != 7 || found.Hard != hardState {
+		t.Errorf("%v, %v", found, err)
+	}
+	next := raft.HardState{Term: 3, Vote: 8}
+	for range 5 {
+		if err := s.Save(raft.Ready{Hard: &next}); !errors.Is(err, syscall.ENOSPC) {
+			t.Fatalf("%v", err)
+		}
+	}
+	files := len(d.dirs[storeDir].visible)
+	d.full = false
+	if err := s.Save(raft.Ready{Hard: &next}); err != nil {
+		t.Fatal(err)
+	}
+	if found, err := readState(s); err != nil || found.Hard != next {
+		t.Errorf("%v, %v", found, err)
+	}
+	if files > 8 {
+		t.Errorf("%d files after attempts on a full disk", files)
+	}
+}
+
+// What a failed sync has left in the page cache is neither read as stored, where it can't
+// be written again, nor taken for damage.
+func TestPageCacheIsNotTrustedAfterAFailedSync(t *testing.T) {
+	d := newFaultDisk()
+	s := openSimulated(t, d)
+	if err := s.Initialize(7, raft.Snapshot{}); err != nil {
+		t.Fatal(err)
+	}
+	d.failSyncs = 1
+	if err := s.Save(raft.Ready{Hard: &raft.HardState{Term: 9, Vote: 9}}); !errors.Is(err, syscall.EIO) {
+		t.Fatalf("%v", err)
+	}
+	closeStore(s) // the process ends; the machine goes on
+	d.full = true
+	if s, err := openStore(d, storeDir); err == nil || errors.Is(err, ErrCorrupt) {
+		found, _ := readState(s)
+		t.Errorf("%v, %v", found, err)
+	}
+	d.full = false
+	s = openSimulated(t, d)
+	found, err := readState(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	afterPowerLoss := openSimulated(t, d.losePower(rand.New(rand.NewPCG(1, 1))))
+	if reread, err := readState(afterPowerLoss); err != nil || !reread.equal(found) {
+		t.Errorf("read as %v, and as %v after the power was lost, %v", found, reread, err)
+	}
+}
