--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -47,14 +47,14 @@
 
 func goldenMessages() []raft.Message {
 	members := []raft.Member{
-		{ID: 7, Addr: "10.0.0.7:9", Voter: true, Joint: true},
-		{ID: 8, Addr: "10.0.0.8:9", Old: true},
+		{ID: 7, Addr: "10.0.0.7:9", Voter: true, SupportsJoint: true},
+		{ID: 8, Addr: "10.0.0.8:9", Outgoing: true},
 	}
 	return []raft.Message{
-		{Kind: raft.Append, From: 7, To: 8, Term: 3, Index: 40, LogTerm: 2, Commit: 39, Round: 11,
+		{Kind: raft.AppendEntries, From: 7, To: 8, Term: 3, Index: 40, LogTerm: 2, Commit: 39, Round: 11,
 			Entries: []raft.Entry{{Index: 41, Term: 3, Data: []byte("entry")}, {Index: 42, Term: 3, Members: members}}},
-		{Kind: raft.AppendReply, From: 8, To: 7, Term: 3, Index: 42, Reject: true, Force: true, Joint: true, Tried: 41},
-		{Kind: raft.Piece, From: 7, To: 8, Term: 3, Offset: 16384, Size: 40000, Sum: 0xfedcba9876543210,
+		{Kind: raft.AppendEntriesReply, From: 8, To: 7, Term: 3, Index: 42, Reject: true, LeadershipTransfer: true, SupportsJoint: true, RejectedIndex: 41},
+		{Kind: raft.SnapshotChunk, From: 7, To: 8, Term: 3, Offset: 16384, SnapshotSize: 40000, SnapshotChecksum: 0xfedcba9876543210,
 			Snapshot: &raft.Snapshot{Index: 30, Term: 2, Members: members, Data: []byte("bytes")}},
 	}
 }
--- a/cmd/elmspan/state.go
+++ b/cmd/elmspan/state.go
@@ -113,7 +113,7 @@
 			return err
 		}
 		stored := &found.Stored
-		fmt.Printf("member      %x\nterm        %d\nsnapshot    up to %d\nlog         %d entries, up to %d\n", uint64(found.ID), stored.Hard.Term, stored.Snapshot.Index,
+		fmt.Printf("member      %x\nterm        %d\nsnapshot    up to %d\nlog         %d entries, up to %d\n", uint64(found.ID), stored.HardState.Term, stored.Snapshot.Index,
 			len(stored.Entries), stored.Snapshot.Index+uint64(len(stored.Entries)))
 		for _, m := range stored.Snapshot.Members {
 			fmt.Printf("voter %-5v %x at %s\n", m.Voter, uint64(m.ID), m.Addr)
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -39,7 +39,7 @@
 type Store interface {
 	Identity() (raft.ID, error)
 	Initialize(raft.ID, raft.Snapshot) error
-	Load() (raft.Stored, error)
+	Load() (raft.PersistentState, error)
 	Save(raft.Ready) error
 	Compact(raft.Snapshot) error
 }
@@ -94,13 +94,13 @@
 	c.adopt(snapshot)
 	c.id = id
 	c.node = raft.New(raft.Config{
-		ID:             id,
-		ElectionTicks:  electionTicks,
-		HeartbeatTicks: heartbeatTicks,
-		Seed:           cfg.Seed,
-		Check:          c.checkSnapshot,
+		ID:               id,
+		ElectionTicks:    electionTicks,
+		HeartbeatTicks:   heartbeatTicks,
+		Seed:             cfg.Seed,
+		ValidateSnapshot: c.checkSnapshot,
 	}, stored)
-	cfg.Log.Info("core member opened", "member", hexID(id), "entries", len(stored.Entries), "term", stored.Hard.Term,
+	cfg.Log.Info("core member opened", "member", hexID(id), "entries", len(stored.Entries), "term", stored.HardState.Term,
 		"revision", c.state.Revision, "members", len(stored.Snapshot.Members))
 	return c, nil
 }
@@ -192,7 +192,7 @@
 		select {
 		case <-ctx.Done():
 			c.mu.Lock()
-			c.node.Resign()
+			c.node.StepDown()
 			c.notifyWatchers()
 			c.mu.Unlock()
 			c.tasks.Wait()
--- a/controlplane/coresim_checks_test.go
+++ b/controlplane/coresim_checks_test.go
@@ -34,9 +34,9 @@
 		}
 		if why := w.promises(l.p, m, role == raft.Candidate && m.Term == term); why != "" {
 			w.failed("%x: %s leaves, and its store holds term %d, vote %x, up to %d: %+v", uint64(l.p.id), why,
-				l.p.stored.Hard.Term, uint64(l.p.stored.Hard.Vote), l.p.stored.Snapshot.Index+uint64(len(l.p.stored.Entries)), m)
+				l.p.stored.HardState.Term, uint64(l.p.stored.HardState.Vote), l.p.stored.Snapshot.Index+uint64(len(l.p.stored.Entries)), m)
 		}
-		if m.Kind == raft.Append && m.Commit > w.agreed && role == raft.Leader && m.Term == term {
+		if m.Kind == raft.AppendEntries && m.Commit > w.agreed && role == raft.Leader && m.Term == term {
 			w.majority(m, sets)
 		}
 	}
@@ -47,8 +47,8 @@
 // Nor is the log of one that is no candidate any more: it counts no votes, and the leader
 // of its term may have had it cut off its log's end in the same batch.
 func (w *coreWorld) promises(p *platter, m *raft.Message, stands bool) (why string) {
-	hard := p.stored.Hard
-	if m.Kind != raft.PreVote && (m.Kind != raft.PreVoteReply || m.Reject) && m.Term > hard.Term {
+	hard := p.stored.HardState
+	if m.Kind != raft.PreVoteRequest && (m.Kind != raft.PreVoteReply || m.Reject) && m.Term > hard.Term {
 		return "a term"
 	}
 	terms := w.told[m.Term]
@@ -63,16 +63,16 @@
 		terms[index] = term
 	}
 	switch m.Kind {
-	case raft.Append:
+	case raft.AppendEntries:
 		if m.LogTerm > 0 {
 			tell(m.Index, m.LogTerm)
 		}
 		for _, e := range m.Entries {
 			tell(e.Index, e.Term)
 		}
-	case raft.Piece, raft.Install:
+	case raft.SnapshotChunk, raft.InstallSnapshot:
 		tell(m.Snapshot.Index, m.Snapshot.Term)
-	case raft.Vote:
+	case raft.VoteRequest:
 		if m.Term == hard.Term && (hard.Vote != m.From || stands && !p.holds(m.Index, m.LogTerm)) {
 			return "a candidate's word"
 		}
@@ -80,7 +80,7 @@
 		if !m.Reject && m.Term == hard.Term && hard.Vote != m.To {
 			return "a vote"
 		}
-	case raft.AppendReply:
+	case raft.AppendEntriesReply:
 		if m.Reject || m.Term != hard.Term || m.Index == 0 {
 			return ""
 		}
@@ -109,7 +109,7 @@
 				has++
 			}
 		}
-		if x.Old {
+		if x.Outgoing {
 			if ofOld++; holds {
 				old++
 			}
@@ -157,8 +157,8 @@
 		c := m.life.core
 		c.mu.Lock()
 		k, n := len(c.state.Applied), c.node
-		ok := n.Leader() != 0 && !n.Changing() && n.Applied() == n.Commit()
-		if n.Serves() {
+		ok := n.Leader() != 0 && !n.MembershipChangePending() && n.AppliedIndex() == n.CommitIndex()
+		if n.HasCommittedInTerm() {
 			led++
 		}
 		c.mu.Unlock()
--- a/controlplane/coresim_disk_test.go
+++ b/controlplane/coresim_disk_test.go
@@ -12,7 +12,7 @@
 // platter is what a store keeps over a loss of power.
 type platter struct {
 	id     raft.ID
-	stored raft.Stored
+	stored raft.PersistentState
 }
 
 // holds tells whether an entry is stored.
@@ -30,7 +30,7 @@
 	return l.p.id, nil
 }
 
-func (l *life) Load() (raft.Stored, error) {
+func (l *life) Load() (raft.PersistentState, error) {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
 	st := l.p.stored
@@ -39,14 +39,14 @@
 }
 
 func (l *life) Initialize(id raft.ID, first raft.Snapshot) error {
-	return l.write(func(p *platter) { *p = platter{id: id, stored: raft.Stored{Snapshot: first}} })
+	return l.write(func(p *platter) { *p = platter{id: id, stored: raft.PersistentState{Snapshot: first}} })
 }
 
 func (l *life) Save(r raft.Ready) error {
 	return l.write(func(p *platter) {
 		s := &p.stored
-		if r.Hard != nil {
-			s.Hard = *r.Hard
+		if r.HardState != nil {
+			s.HardState = *r.HardState
 		}
 		if r.Snapshot != nil {
 			s.Snapshot, s.Entries = *r.Snapshot, nil
--- a/controlplane/coresim_faults_test.go
+++ b/controlplane/coresim_faults_test.go
@@ -57,7 +57,7 @@
 	var leader raft.ID
 	for _, l := range lives {
 		l.core.mu.Lock()
-		ms, of, changing := l.core.node.Members(), l.core.node.Leader(), l.core.node.Changing()
+		ms, of, changing := l.core.node.Members(), l.core.node.Leader(), l.core.node.MembershipChangePending()
 		l.core.mu.Unlock()
 		if of == 0 || leader != 0 && of != leader || changing || len(ms) != len(w.machines) ||
 			slices.ContainsFunc(ms, func(x raft.Member) bool { return !x.Voter || !slices.Contains(ids, x.ID) }) {
--- a/controlplane/coresim_test.go
+++ b/controlplane/coresim_test.go
@@ -73,10 +73,10 @@
 	p       *platter
 	core    *Core
 	ctx     context.Context
-	over    context.CancelFunc // power is lost
-	pending *raft.Stored       // what a write is to leave, while it is under way
-	ended   chan struct{}      // Run has returned
-	err     error              // ... with this
+	over    context.CancelFunc    // power is lost
+	pending *raft.PersistentState // what a write is to leave, while it is under way
+	ended   chan struct{}         // Run has returned
+	err     error                 // ... with this
 	stop    func()
 }
 
@@ -136,7 +136,7 @@
 	if w.seed%2 == 0 { // snapshots, often
 		st, _ := l.Load()
 		core.node = raft.New(raft.Config{ID: core.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: cfg.Seed,
-			Check: core.checkSnapshot, LogEntries: 12, TailEntries: 3}, st)
+			ValidateSnapshot: core.checkSnapshot, SnapshotEntries: 12, TrailingEntries: 3}, st)
 	}
 	l.core = core
 	srv, lis := api.NewServer(nil), w.net.listen(m.addr)
--- a/controlplane/disk_test.go
+++ b/controlplane/disk_test.go
@@ -101,7 +101,7 @@
 }
 
 func entry(index, term uint64, data []byte) raft.Message {
-	return raft.Message{Kind: raft.Append, Index: index - 1, LogTerm: 1, Entries: []raft.Entry{{Index: index, Term: term, Data: data}}}
+	return raft.Message{Kind: raft.AppendEntries, Index: index - 1, LogTerm: 1, Entries: []raft.Entry{{Index: index, Term: term, Data: data}}}
 }
 
 // While a follower waits for its disk it answers heartbeats and callers; what it has been
@@ -109,7 +109,7 @@
 func TestHeartbeatsDoNotWaitForTheDisk(t *testing.T) {
 	t.Parallel()
 	d := newSlowDisk(t)
-	beat := raft.Message{Kind: raft.Append, Index: 5, LogTerm: 1, Round: 3}
+	beat := raft.Message{Kind: raft.AppendEntries, Index: 5, LogTerm: 1, Round: 3}
 	d.get(beat)
 	d.write(nil) // its new term
 	d.rest()
@@ -119,7 +119,7 @@
 	beat.Round = 4
 	d.get(beat)
 	out := d.sent()
-	if len(out) != 1 || out[0].Kind != raft.AppendReply || out[0].Round != 4 || out[0].Index != 5 {
+	if len(out) != 1 || out[0].Kind != raft.AppendEntriesReply || out[0].Round != 4 || out[0].Index != 5 {
 		t.Errorf("while the disk writes: %+v", out)
 	}
 	if s := d.Status(); s.Revision != 3 || s.DiskFails {
@@ -133,7 +133,7 @@
 	// A vote is a promise as well.
 	d.tick(2 * electionTicks) // else it stays with its leader
 	d.sent()
-	d.get(raft.Message{Kind: raft.Vote, Term: 9, Index: 6, LogTerm: 4, Force: true})
+	d.get(raft.Message{Kind: raft.VoteRequest, Term: 9, Index: 6, LogTerm: 4, LeadershipTransfer: true})
 	<-d.entered
 	if out = d.sent(); len(out) != 0 {
 		t.Errorf("before its vote is on disk: %+v", out)
@@ -180,7 +180,7 @@
 	for range 3 {
 		d.tick(heartbeatTicks)
 		for _, m := range d.sent() {
-			if m.Kind == raft.Append && len(m.Entries) == 0 {
+			if m.Kind == raft.AppendEntries && len(m.Entries) == 0 {
 				beats++
 			}
 		}
@@ -189,9 +189,9 @@
 		t.Errorf("%d heartbeats while the disk writes", beats)
 	}
 	// Agreed on by the two others with it: the other's disk and, later, this one's.
-	reply := raft.Message{Kind: raft.AppendReply, Term: term, Index: 6, Round: 1 << 20}
+	reply := raft.Message{Kind: raft.AppendEntriesReply, Term: term, Index: 6, Round: 1 << 20}
 	d.get(reply)
-	if d.node.Applied() >= 6 {
+	if d.node.AppliedIndex() >= 6 {
 		t.Fatal("applied before it is on disk")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -230,7 +230,7 @@
 	d.tick(stallTicks - 1)
 	d.result <- nil
 	d.rest()
-	if out := d.sent(); len(out) != 1 || out[0].Kind != raft.Vote || out[0].Term != term || d.node.Term() != term {
+	if out := d.sent(); len(out) != 1 || out[0].Kind != raft.VoteRequest || out[0].Term != term || d.node.Term() != term {
 		t.Errorf("term %d, not %d: %+v", d.node.Term(), term, out)
 	}
 }
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -178,7 +178,7 @@
 	store := openStore(t, dir)
 	snapshot := raft.Snapshot{Index: 3, Term: 2, Data: firstFormatSnapshot(t, 4)}
 	entry := raft.Entry{Index: 4, Term: 2, Data: firstFormatEntry(t, 4, 6)}
-	ready := raft.Ready{Hard: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry}}
+	ready := raft.Ready{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry}}
 	if err := errors.Join(store.Initialize(7, snapshot), store.Save(ready)); err != nil {
 		t.Fatal(err)
 	}
--- a/controlplane/faults_test.go
+++ b/controlplane/faults_test.go
@@ -96,25 +96,25 @@
 	install := func(index uint64, data []byte, inPieces bool) {
 		s := raft.Snapshot{Index: index, Term: 4, Members: c.node.Members(), Data: data}
 		if !inPieces {
-			deliver(raft.Message{Kind: raft.Install, Snapshot: &s})
+			deliver(raft.Message{Kind: raft.InstallSnapshot, Snapshot: &s})
 			return
 		}
 		half := len(data) / 2
 		for _, r := range [][2]int{{0, half}, {half, len(data)}} {
 			p := s
 			p.Data = data[r[0]:r[1]]
-			deliver(raft.Message{Kind: raft.Piece, Snapshot: &p, Offset: uint64(r[0]), Size: uint64(len(data)), Sum: xxhash.Sum64(data)})
+			deliver(raft.Message{Kind: raft.SnapshotChunk, Snapshot: &p, Offset: uint64(r[0]), SnapshotSize: uint64(len(data)), SnapshotChecksum: xxhash.Sum64(data)})
 		}
 	}
 	for i, inPieces := range []bool{false, true} {
 		install(uint64(9+i), bad(t, 7), inPieces)
 		st, err := store.Load()
-		if err != nil || st.Snapshot.Index != 5 || c.state.Revision != 3 || c.configs.Version() != 3 || c.node.Commit() != 5 || c.stopReason != "" {
-			t.Fatalf("in pieces %v: revision %d, agreed up to %d, on disk up to %d, %q, %v", inPieces, c.state.Revision, c.node.Commit(), st.Snapshot.Index, c.stopReason, err)
+		if err != nil || st.Snapshot.Index != 5 || c.state.Revision != 3 || c.configs.Version() != 3 || c.node.CommitIndex() != 5 || c.stopReason != "" {
+			t.Fatalf("in pieces %v: revision %d, agreed up to %d, on disk up to %d, %q, %v", inPieces, c.state.Revision, c.node.CommitIndex(), st.Snapshot.Index, c.stopReason, err)
 		}
 	}
-	if c.node.Refused() != 2 {
-		t.Errorf("%d refused", c.node.Refused())
+	if c.node.RejectedSnapshots() != 2 {
+		t.Errorf("%d refused", c.node.RejectedSnapshots())
 	}
 	install(12, good(t, 8), true)
 	if st, err := store.Load(); err != nil || st.Snapshot.Index != 12 || c.state.Revision != 8 || c.configs.Version() != 8 {
@@ -145,12 +145,12 @@
 			t.Fatal(err)
 		}
 	}
-	step(raft.Message{Kind: raft.Append, Index: 5, LogTerm: 1, Commit: 6, Entries: []raft.Entry{{Index: 6, Term: 4, Data: data}}})
+	step(raft.Message{Kind: raft.AppendEntries, Index: 5, LogTerm: 1, Commit: 6, Entries: []raft.Entry{{Index: 6, Term: 4, Data: data}}})
 	s := c.Status()
-	if s.Halted == "" || s.Revision != 3 || s.Role == raft.Leader.String() || c.node.Applied() != 5 {
+	if s.Halted == "" || s.Revision != 3 || s.Role == raft.Leader.String() || c.node.AppliedIndex() != 5 {
 		t.Errorf("%+v", s)
 	}
-	step(raft.Message{Kind: raft.Campaign})
+	step(raft.Message{Kind: raft.TimeoutNow})
 	for range 100 {
 		c.handleReady()
 	}
@@ -202,7 +202,7 @@
 	p := &pendingCall{index: 7, term: 1}
 	c.calls[7] = p
 	changed := c.changed
-	if _, err := c.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: []raft.Message{{Kind: raft.Install, From: 2, To: 1, Term: 4,
+	if _, err := c.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: []raft.Message{{Kind: raft.InstallSnapshot, From: 2, To: 1, Term: 4,
 		Snapshot: &raft.Snapshot{Index: 9, Term: 4, Members: c.node.Members(), Data: good(t, 8)}}}}); err != nil {
 		t.Fatal(err)
 	}
--- a/controlplane/host.go
+++ b/controlplane/host.go
@@ -91,7 +91,7 @@
 	if h.disk.tick() {
 		h.cfg.Log.Error("disk stalled, member suspended")
 		h.suspended = true
-		h.node.Resign()
+		h.node.StepDown()
 		h.publishProgress()
 		h.notify.notifyWatchers()
 	}
@@ -103,7 +103,7 @@
 // handleReady has what the node has ready handled. Messages alone go out at once; what needs
 // the disk or is to be applied is left to a goroutine, see [raftHost.handleBatches].
 func (h *raftHost) handleReady() {
-	if !h.stopped() && h.node.Forgot() {
+	if !h.stopped() && h.node.LostDurability() {
 		h.checkLostDurability(fmt.Errorf("%w: the log lacks entries that were acknowledged to the leader",
 			storage.ErrCorrupt))
 	}
@@ -118,7 +118,7 @@
 		if ready.Empty() && !h.node.SnapshotDue() {
 			break
 		}
-		messagesOnly := !ready.Empty() && !ready.MustSync() && len(ready.Committed) == 0
+		messagesOnly := !ready.Empty() && !ready.MustSync() && len(ready.CommittedEntries) == 0
 		if messagesOnly && !h.suspended {
 			h.transport.enqueueAll(ready.Messages)
 			h.node.Advance(ready)
@@ -166,9 +166,9 @@
 // yet; the others wait until what comes with them is. A leader's own messages are
 // unrestricted: it counts toward a majority only what it has stored itself.
 func (h *raftHost) sendUnrestricted(ready *raft.Ready) {
-	unsaved := ready.Hard != nil || ready.Snapshot != nil
+	unsaved := ready.HardState != nil || ready.Snapshot != nil
 	for _, m := range ready.Messages {
-		promisesNothing := h.node.Role() == raft.Leader || m.Kind == raft.AppendReply &&
+		promisesNothing := h.node.Role() == raft.Leader || m.Kind == raft.AppendEntriesReply &&
 			(m.Reject || len(ready.Entries) == 0 || m.Index < ready.Entries[0].Index)
 		if promisesNothing && !unsaved {
 			h.transport.enqueue(m)
@@ -204,15 +204,15 @@
 		}
 		h.notify.notifyWatchers()
 	}
-	h.node.Advance(raft.Ready{Hard: ready.Hard, Snapshot: ready.Snapshot, Entries: ready.Entries})
-	if len(ready.Committed) == 0 {
+	h.node.Advance(raft.Ready{HardState: ready.HardState, Snapshot: ready.Snapshot, Entries: ready.Entries})
+	if len(ready.CommittedEntries) == 0 {
 		return true
 	}
-	if err := h.machine.applyEntries(ready.Committed); err != nil {
+	if err := h.machine.applyEntries(ready.CommittedEntries); err != nil {
 		h.failStop("committed configuration is unreadable", err)
 		return false
 	}
-	h.node.Advance(raft.Ready{Committed: ready.Committed})
+	h.node.Advance(raft.Ready{CommittedEntries: ready.CommittedEntries})
 	h.notify.notifyReaders()
 	return true
 }
@@ -228,7 +228,7 @@
 	}
 	h.suspended = true
 	h.pendingMessages = append(due, h.pendingMessages...)
-	h.node.Resign()
+	h.node.StepDown()
 }
 
 // writeToDisk waits for the disk with the mutex given up. A member whose disk keeps it waiting
@@ -247,7 +247,7 @@
 
 // compact cuts the log behind a snapshot, and tells whether one could be made.
 func (h *raftHost) compact() bool {
-	index := h.node.Applied()
+	index := h.node.AppliedIndex()
 	data, err := h.machine.encodeSnapshot()
 	if err != nil {
 		h.cfg.Log.Error("snapshot encoding failed", "error", err)
@@ -264,7 +264,7 @@
 
 // publishProgress notifies those who wait of a changed role and of confirmed read indexes.
 func (h *raftHost) publishProgress() {
-	if rejected := h.node.Refused(); rejected != h.rejectedReported {
+	if rejected := h.node.RejectedSnapshots(); rejected != h.rejectedReported {
 		h.rejectedReported = rejected
 		h.cfg.Log.Warn("snapshot rejected, requested again", "rejected", rejected, "leader", hexID(h.node.Leader()))
 	}
@@ -274,7 +274,7 @@
 		h.roleChanged(h.role)
 		h.notify.notifyWatchers()
 	}
-	if round := h.node.Confirmed(); h.role == raft.Leader && round != h.confirmedRound {
+	if round := h.node.ConfirmedReadIndexRound(); h.role == raft.Leader && round != h.confirmedRound {
 		h.confirmedRound = round
 		h.notify.notifyReaders()
 	}
@@ -302,7 +302,7 @@
 func (h *raftHost) stopServing(reason string, err error) {
 	h.stopReason = fmt.Sprintf("%s: %v", reason, err)
 	h.suspended = true
-	h.node.Resign()
+	h.node.StepDown()
 	h.publishProgress()
 	h.notify.notifyWatchers()
 }
--- a/controlplane/lanes_test.go
+++ b/controlplane/lanes_test.go
@@ -23,7 +23,7 @@
 func TestLanesAreBounded(t *testing.T) {
 	q := &messageQueue{bulk: true}
 	piece := func(at uint64, size int) raft.Message {
-		return raft.Message{Kind: raft.Piece, Term: 1, Offset: at, Snapshot: &raft.Snapshot{Index: 9, Data: make([]byte, size)}}
+		return raft.Message{Kind: raft.SnapshotChunk, Term: 1, Offset: at, Snapshot: &raft.Snapshot{Index: 9, Data: make([]byte, size)}}
 	}
 	if !q.put(piece(0, 400<<10)) || q.put(piece(1, 1)) {
 		t.Error("one message goes whatever its size, and no more beside it")
@@ -54,7 +54,7 @@
 	}
 	small := &messageQueue{}
 	for i := range uint64(maxQueuedMessages + 10) {
-		small.put(raft.Message{Kind: raft.Append, Round: i})
+		small.put(raft.Message{Kind: raft.AppendEntries, Round: i})
 	}
 	if ms := small.take(); len(ms) != maxQueuedMessages || ms[len(ms)-1].Round != maxQueuedMessages+9 {
 		t.Errorf("%d messages, the last of round %d", len(ms), ms[len(ms)-1].Round)
@@ -129,7 +129,7 @@
 func TestWhoGetsParts(t *testing.T) { inBubble(t, testWhoGetsParts) }
 
 func testWhoGetsParts(t *testing.T) {
-	ms := []raft.Message{{Kind: raft.Append, Term: 4, Entries: []raft.Entry{{Index: 1, Term: 4, Data: bytes.Repeat([]byte("0123456789"), 10<<10)}}}}
+	ms := []raft.Message{{Kind: raft.AppendEntries, Term: 4, Entries: []raft.Entry{{Index: 1, Term: 4, Data: bytes.Repeat([]byte("0123456789"), 10<<10)}}}}
 	want, err := cbor.Marshal(ms)
 	if err != nil {
 		t.Fatal(err)
@@ -149,7 +149,7 @@
 		c.ctx = t.Context()
 		t.Cleanup(c.cfg.Conns.Close)
 		send := func(ms ...raft.Message) error { return c.send(2, addr, ms) }
-		if err := send(raft.Message{Kind: raft.Append, Term: 4}); err != nil {
+		if err := send(raft.Message{Kind: raft.AppendEntries, Term: 4}); err != nil {
 			t.Fatal(err)
 		}
 		forgets := r.forget
--- a/controlplane/leave_test.go
+++ b/controlplane/leave_test.go
@@ -12,7 +12,7 @@
 func (c *cluster) members() (leader *Core, ms []raft.Member) {
 	for _, k := range c.cores {
 		k.mu.Lock()
-		if k.node.Serves() && !k.node.Changing() {
+		if k.node.HasCommittedInTerm() && !k.node.MembershipChangePending() {
 			leader, ms = k, slices.Clone(k.node.Members())
 		}
 		k.mu.Unlock()
@@ -43,7 +43,7 @@
 				leader.mu.Lock()
 				defer leader.mu.Unlock()
 				return !slices.ContainsFunc(ms, func(m raft.Member) bool {
-					return m.ID != leader.id && !leader.policy.promotable(leader.node, m.ID) || !m.Joint
+					return m.ID != leader.id && !leader.policy.promotable(leader.node, m.ID) || !m.SupportsJoint
 				})
 			}
 			c.until("all are there", whole)
@@ -52,7 +52,7 @@
 			changes := func() (n uint64) {
 				for _, k := range c.cores {
 					k.mu.Lock()
-					n = max(n, k.node.Commit())
+					n = max(n, k.node.CommitIndex())
 					k.mu.Unlock()
 				}
 				return n
@@ -70,7 +70,7 @@
 				took = max(took, time.Since(from))
 				if machines > 3 {
 					core.mu.Lock()
-					voted := core.node.Needed()
+					voted := core.node.NeededForQuorum()
 					core.mu.Unlock()
 					if voted {
 						t.Errorf("%s goes with its vote", a)
--- a/controlplane/linksim_test.go
+++ b/controlplane/linksim_test.go
@@ -22,7 +22,7 @@
 	now   time.Duration
 	queue events
 	nodes map[raft.ID]*raft.Node
-	disks map[raft.ID]*raft.Stored
+	disks map[raft.ID]*raft.PersistentState
 	lanes map[way]*messageQueue
 	life  map[raft.ID]int
 	busy  map[[2]raft.ID]time.Duration // until when a link carries what was put on it
@@ -68,7 +68,7 @@
 }
 
 func newLinked(t *testing.T, seed uint64, size int) *linked {
-	w := &linked{t: t, rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[raft.ID]*raft.Node{}, disks: map[raft.ID]*raft.Stored{},
+	w := &linked{t: t, rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[raft.ID]*raft.Node{}, disks: map[raft.ID]*raft.PersistentState{},
 		lanes: map[way]*messageQueue{}, busy: map[[2]raft.ID]time.Duration{}, cut: map[raft.ID]bool{}, size: size,
 		life: map[raft.ID]int{}, heard: map[raft.ID]time.Duration{},
 		link: func(_, _ raft.ID) (float64, time.Duration) { return 12.5e6, time.Millisecond }}
@@ -77,7 +77,7 @@
 		first.Members = append(first.Members, raft.Member{ID: raft.ID(i + 1), Voter: true})
 	}
 	for _, m := range first.Members {
-		w.disks[m.ID] = &raft.Stored{Snapshot: first}
+		w.disks[m.ID] = &raft.PersistentState{Snapshot: first}
 	}
 	return w
 }
@@ -153,8 +153,8 @@
 func (w *linked) carry(id raft.ID) {
 	n, d := w.nodes[id], w.disks[id]
 	for r := n.Ready(); !r.Empty(); r = n.Ready() {
-		if r.Hard != nil {
-			d.Hard = *r.Hard
+		if r.HardState != nil {
+			d.HardState = *r.HardState
 		}
 		if s := r.Snapshot; s != nil {
 			if !bytes.Equal(s.Data, w.stamped(s.Index)) {
@@ -173,7 +173,7 @@
 	}
 	if n.SnapshotDue() {
 		w.encoded++
-		if s := n.Compact(n.Applied(), w.stamped(n.Applied())); s != nil {
+		if s := n.Compact(n.AppliedIndex(), w.stamped(n.AppliedIndex())); s != nil {
 			d.Entries = slices.Clone(d.Entries[s.Index-d.Snapshot.Index:])
 			d.Snapshot = *s
 		}
@@ -181,10 +181,10 @@
 }
 
 func (w *linked) send(m raft.Message) {
-	if m.Kind == raft.PreVote {
+	if m.Kind == raft.PreVoteRequest {
 		w.asked++
 	}
-	k := way{m.From, queueKey{m.To, m.Bulk()}}
+	k := way{m.From, queueKey{m.To, m.IsBulk()}}
 	q := w.lanes[k]
 	if q == nil {
 		q = &messageQueue{bulk: k.bulk}
@@ -208,7 +208,7 @@
 		over = true
 		q.done()
 		if n := w.nodes[k.from]; !arrived && k.bulk && n != nil {
-			n.Lost(k.to)
+			n.ReportSendFailure(k.to)
 		}
 		w.call(k, q)
 	}
@@ -223,7 +223,7 @@
 			return
 		}
 		for _, m := range ms {
-			if m.Kind == raft.Append || m.Kind == raft.Piece {
+			if m.Kind == raft.AppendEntries || m.Kind == raft.SnapshotChunk {
 				w.gap = max(w.gap, w.now-w.heard[k.to])
 				w.heard[k.to] = w.now
 			}
@@ -265,7 +265,7 @@
 
 func (w *linked) leader() *raft.Node {
 	for id := range raft.ID(coreSize) {
-		if n := w.nodes[id+1]; n != nil && n.Serves() {
+		if n := w.nodes[id+1]; n != nil && n.HasCommittedInTerm() {
 			return n
 		}
 	}
@@ -276,7 +276,7 @@
 func (w *linked) together() bool {
 	l := w.leader()
 	for _, n := range w.nodes {
-		if l == nil || n.Applied() != l.Commit() || n.Leader() != l.Leader() {
+		if l == nil || n.AppliedIndex() != l.CommitIndex() || n.Leader() != l.Leader() {
 			return false
 		}
 	}
--- a/controlplane/lost_test.go
+++ b/controlplane/lost_test.go
@@ -57,7 +57,7 @@
 				es = append(es, raft.Entry{Index: 6 + i, Term: 4})
 			}
 			if _, err := m.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: []raft.Message{
-				{Kind: raft.Append, From: 2, To: 1, Term: 4, Index: 5, LogTerm: 1, Commit: 205, Entries: es}}}); err != nil {
+				{Kind: raft.AppendEntries, From: 2, To: 1, Term: 4, Index: 5, LogTerm: 1, Commit: 205, Entries: es}}}); err != nil {
 				t.Fatal(err)
 			}
 			if m.suspended != (c.disk.save != nil || c.ends) {
@@ -97,11 +97,11 @@
 			t.Fatal(err)
 		}
 	}
-	deliver(raft.Message{Kind: raft.Append, From: 2, Index: 9, LogTerm: 4, Round: 3})
-	if deliver(raft.Message{Kind: raft.Forgotten, From: 3}); m.lostDurability != nil {
+	deliver(raft.Message{Kind: raft.AppendEntries, From: 2, Index: 9, LogTerm: 4, Round: 3})
+	if deliver(raft.Message{Kind: raft.DurabilityLost, From: 3}); m.lostDurability != nil {
 		t.Error("it believes another than its leader")
 	}
-	deliver(raft.Message{Kind: raft.Forgotten, From: 2})
+	deliver(raft.Message{Kind: raft.DurabilityLost, From: 2})
 	if err := m.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) || m.stopReason == "" {
 		t.Errorf("Run ends with %v, %q", err, m.stopReason)
 	}
--- a/controlplane/memberpolicy.go
+++ b/controlplane/memberpolicy.go
@@ -36,13 +36,13 @@
 // promotable tells that a member may be given a vote: it was heard of, has all that is
 // committed and doesn't leave.
 func (p *memberPolicy) promotable(n *raft.Node, id raft.ID) bool {
-	return n.Quiet(id) < electionTicks && n.CaughtUp(id) && p.leaving[id] <= p.ticks
+	return n.TicksSinceResponse(id) < electionTicks && n.CaughtUp(id) && p.leaving[id] <= p.ticks
 }
 
 // hasStandby tells that a member without a vote is there, caught up or not.
 func (p *memberPolicy) hasStandby(n *raft.Node) bool {
 	return slices.ContainsFunc(n.Members(), func(m raft.Member) bool {
-		return !m.Voter && !m.Old && n.Quiet(m.ID) < electionTicks && p.leaving[m.ID] <= p.ticks
+		return !m.Voter && !m.Outgoing && n.TicksSinceResponse(m.ID) < electionTicks && p.leaving[m.ID] <= p.ticks
 	})
 }
 
@@ -60,7 +60,7 @@
 // leader at all was not heard of when it was elected either: to count anew from each election
 // would let leaders that are lost one after the other put off its replacement.
 func (p *memberPolicy) timeout(n *raft.Node, id raft.ID) int {
-	if answered, _ := n.Heard(id); !answered {
+	if answered, _ := n.PeerResponse(id); !answered {
 		return electionTicks
 	}
 	return replaceTicks
@@ -72,7 +72,7 @@
 	switch {
 	case slices.ContainsFunc(members[i+1:], func(o raft.Member) bool { return o.Addr == m.Addr }):
 		return isReplaced
-	case n.Quiet(m.ID) > p.timeout(n, m.ID):
+	case n.TicksSinceResponse(m.ID) > p.timeout(n, m.ID):
 		return timedOut
 	case p.leaving[m.ID] > p.ticks:
 		return isLeaving
@@ -103,7 +103,7 @@
 			if n.Leader() != m.ID {
 				s.lastVoter = i
 			}
-		case reason == isReplaced || n.Quiet(m.ID) > removeTicks:
+		case reason == isReplaced || n.TicksSinceResponse(m.ID) > removeTicks:
 			s.removeNext = i
 		case s.promote < 0 && p.promotable(n, m.ID):
 			s.promote = i
@@ -118,12 +118,12 @@
 // another's. Where there is no standby, whoever timed out or leaves keeps its vote: with it gone
 // the others would bear no loss either, and its return would be none.
 func (p *memberPolicy) nextMembers(n *raft.Node) (change string, next []raft.Member) {
-	if !n.Serves() || n.Changing() {
+	if !n.HasCommittedInTerm() || n.MembershipChangePending() {
 		return "", nil
 	}
 	members := n.Members()
 	survey := p.survey(n, members)
-	if change, next = p.nextVoters(n, members, survey); next != nil && n.Bears(next) {
+	if change, next = p.nextVoters(n, members, survey); next != nil && n.CanCommitMembers(next) {
 		return change, next
 	}
 	if next := withKnownVersions(n, members); !slices.Equal(next, members) {
@@ -148,7 +148,7 @@
 		swapped := vote(s.promote, true)
 		swapped[s.demote].Voter = false
 		switch {
-		case n.Understood(swapped):
+		case n.SupportsJointConsensus(swapped):
 			return "swap", swapped
 		case tooMany: // some are of older versions: one more, then one less
 			return "take the vote", vote(s.demote, false)
@@ -169,8 +169,8 @@
 func withKnownVersions(n *raft.Node, members []raft.Member) []raft.Member {
 	next := slices.Clone(members)
 	for i := range next {
-		if answered, joint := n.Heard(next[i].ID); answered {
-			next[i].Joint = joint
+		if answered, joint := n.PeerResponse(next[i].ID); answered {
+			next[i].SupportsJoint = joint
 		}
 	}
 	return next
@@ -178,5 +178,5 @@
 
 // isVoter tells whether a member counts toward a majority.
 func isVoter(members []raft.Member, id raft.ID) bool {
-	return slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == id && (m.Voter || m.Old) })
+	return slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == id && (m.Voter || m.Outgoing) })
 }
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -74,7 +74,7 @@
 	case known, q.Leaving:
 		return &api.ControlResponse{Status: http.StatusOK}, nil
 	}
-	err := node.Change(append(slices.Clone(members), raft.Member{ID: q.ID, Addr: q.Addr, Joint: q.Joint}))
+	err := node.ProposeMembers(append(slices.Clone(members), raft.Member{ID: q.ID, Addr: q.Addr, SupportsJoint: q.Joint}))
 	m.host.handleReady()
 	if err != nil {
 		return &api.ControlResponse{Reason: err.Error()}, nil
@@ -88,7 +88,7 @@
 	m.policy.markLeaving(id)
 	m.reconcile()
 	node := m.host.node
-	if !node.Changing() && !m.policy.hasStandby(node) && isVoter(node.Members(), id) {
+	if !node.MembershipChangePending() && !m.policy.hasStandby(node) && isVoter(node.Members(), id) {
 		return &api.ControlResponse{Status: http.StatusConflict, Reason: "no other member stands by"}
 	}
 	return &api.ControlResponse{Status: http.StatusOK}
@@ -100,8 +100,8 @@
 	if next == nil {
 		return
 	}
-	if err := m.host.node.Change(next); err != nil {
-		if !errors.Is(err, raft.ErrPending) {
+	if err := m.host.node.ProposeMembers(next); err != nil {
+		if !errors.Is(err, raft.ErrChangePending) {
 			m.cfg.Log.Warn("membership change failed", "change", change, "error", err)
 		}
 		return
@@ -151,7 +151,7 @@
 func (m *memberManager) announceLeaving(ctx context.Context) (done bool) {
 	m.HandOver()
 	m.mu.Lock()
-	leader, needed, alone := m.host.leaderAddr(), m.host.node.Needed(), m.leadsAlone()
+	leader, needed, alone := m.host.leaderAddr(), m.host.node.NeededForQuorum(), m.leadsAlone()
 	m.mu.Unlock()
 	if leader == "" || leader == m.cfg.Addr {
 		return !needed || alone
@@ -173,7 +173,7 @@
 		return false
 	}
 	for _, o := range node.Members() {
-		if o.ID != m.host.id && o.Voter && node.Quiet(o.ID) <= electionTicks {
+		if o.ID != m.host.id && o.Voter && node.TicksSinceResponse(o.ID) <= electionTicks {
 			return false
 		}
 	}
@@ -184,6 +184,6 @@
 func (m *memberManager) HandOver() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.host.node.Transfer()
+	m.host.node.TransferLeadership()
 	m.host.handleReady()
 }
--- a/controlplane/readindex.go
+++ b/controlplane/readindex.go
@@ -62,7 +62,7 @@
 		defer b.mu.Unlock()
 		b.heartbeatDue, b.lastHeartbeat = false, time.Now()
 		if b.host.leads() {
-			b.host.node.Beat()
+			b.host.node.BroadcastHeartbeat()
 			b.host.handleReady()
 		}
 	})
@@ -73,18 +73,18 @@
 // index. Called under the mutex.
 func (b *readIndexBatcher) confirmLeadership(ctx context.Context) (index uint64, ok bool) {
 	node := b.host.node
-	round, term := node.NextRound(), node.Term()
+	round, term := node.NextReadIndexRound(), node.Term()
 	b.scheduleHeartbeat()
 	ok = b.waitFor(ctx, func() waitState {
 		switch {
 		case !b.host.leads() || node.Term() != term:
 			return waitFailed
-		case node.Serves() && node.Confirmed() >= round:
+		case node.HasCommittedInTerm() && node.ConfirmedReadIndexRound() >= round:
 			return waitSucceeded
 		}
 		return waitGoesOn
 	})
-	return node.Commit(), ok
+	return node.CommitIndex(), ok
 }
 
 // waitFor waits until a condition holds, can't hold any more or takes too long. Called under
@@ -164,7 +164,7 @@
 // list of servers.
 func (b *readIndexBatcher) applied(index, servers uint64) waitState {
 	switch {
-	case b.host.node.Applied() >= index && b.endpoints.servers.table.Version() >= servers:
+	case b.host.node.AppliedIndex() >= index && b.endpoints.servers.table.Version() >= servers:
 		return waitSucceeded
 	case b.host.suspended:
 		return waitFailed
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -44,18 +44,18 @@
 	case node.Role() != raft.Leader:
 		return unknown
 	case p.readRound == 0:
-		p.term, p.readRound = node.Term(), node.NextRound()
+		p.term, p.readRound = node.Term(), node.NextReadIndexRound()
 	case p.term != node.Term():
 		return unknown
 	}
 	// What is answered from what is known here must be the newest, and known by one who
 	// is in touch with a majority: a leader that has been cut off must neither read back
 	// an old version, nor reject a change or confirm it because of one.
-	confirmed := node.Serves() && node.Confirmed() >= p.readRound && node.Applied() >= node.Commit()
+	confirmed := node.HasCommittedInTerm() && node.ConfirmedReadIndexRound() >= p.readRound && node.AppliedIndex() >= node.CommitIndex()
 	if p.get {
 		return g.read(confirmed)
 	}
-	if !node.Serves() {
+	if !node.HasCommittedInTerm() {
 		return callProgress{needsRound: true}
 	}
 	if d := g.state.Evaluate(p.base, p.revision, p.print); d.Outcome != OutcomeAcceptable {
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	w.until(t, "another leader", func() bool {
 		for _, id := range w.slots {
-			if n := w.members[id].node; id != off && n.Role() == raft.Leader && n.Serves() {
+			if n := w.members[id].node; id != off && n.Role() == raft.Leader && n.HasCommittedInTerm() {
 				at = id
 			}
 		}
--- a/controlplane/replacement_sim_test.go
+++ b/controlplane/replacement_sim_test.go
@@ -42,7 +42,7 @@
 type machine struct {
 	id       raft.ID
 	addr     string
-	disk     raft.Stored
+	disk     raft.PersistentState
 	node     *raft.Node // nil: down
 	policy   memberPolicy
 	cut      bool
@@ -83,7 +83,7 @@
 // empty has a machine start with nothing on its disk.
 func (s *site) empty(m *machine) {
 	s.next++
-	m.id, m.disk = s.next, raft.Stored{}
+	m.id, m.disk = s.next, raft.PersistentState{}
 	s.start(m)
 }
 
@@ -95,8 +95,8 @@
 
 func (s *site) carry(m *machine) {
 	for r := m.node.Ready(); !r.Empty(); r = m.node.Ready() {
-		if r.Hard != nil {
-			m.disk.Hard = *r.Hard
+		if r.HardState != nil {
+			m.disk.HardState = *r.HardState
 		}
 		if r.Snapshot != nil {
 			m.disk.Snapshot, m.disk.Entries = *r.Snapshot, nil
@@ -106,10 +106,10 @@
 			m.disk.Entries = append(slices.Clip(m.disk.Entries[:keep]), r.Entries...)
 		}
 		for _, msg := range r.Messages {
-			msg.Joint = msg.Joint && !m.older
+			msg.SupportsJoint = msg.SupportsJoint && !m.older
 			s.net = append(s.net, msg)
 		}
-		for _, e := range r.Committed {
+		for _, e := range r.CommittedEntries {
 			text := fmt.Sprint(e.Term, " ", string(e.Data))
 			if had, is := s.agreed[e.Index]; is && had != text {
 				s.fail("place %d held %q and now %q at %d", e.Index, had, text, m.id)
@@ -128,7 +128,7 @@
 		}
 		m.node.Advance(r)
 	}
-	if a := m.node.Applied(); a >= m.node.SnapshotIndex()+16 {
+	if a := m.node.AppliedIndex(); a >= m.node.SnapshotIndex()+16 {
 		if c := m.node.Compact(a, []byte("s")); c != nil {
 			m.disk.Entries = slices.Clone(m.disk.Entries[c.Index-m.disk.Snapshot.Index:])
 			m.disk.Snapshot = *c
@@ -139,7 +139,7 @@
 // leader is one that can agree on something, as far as it knows.
 func (s *site) leader() *machine {
 	for _, m := range s.machines {
-		if m.node != nil && !m.cut && m.node.Serves() {
+		if m.node != nil && !m.cut && m.node.HasCommittedInTerm() {
 			return m
 		}
 	}
@@ -169,7 +169,7 @@
 				twoSteps(m.node, s.wanted, s.now-m.ledSince)
 			}
 		} else if _, next := m.policy.nextMembers(m.node); next != nil {
-			m.node.Change(next)
+			m.node.ProposeMembers(next)
 		}
 		if l := s.leader(); l != nil && l != m && !m.cut {
 			s.call(m, l)
@@ -207,7 +207,7 @@
 	case m.leaving && s.now%4 == 0 && s.fault != "two steps":
 		l.policy.markLeaving(m.id)
 	case !known && s.now%8 == 0:
-		l.node.Change(append(slices.Clone(ms), raft.Member{ID: m.id, Addr: m.addr, Joint: !m.older}))
+		l.node.ProposeMembers(append(slices.Clone(ms), raft.Member{ID: m.id, Addr: m.addr, SupportsJoint: !m.older}))
 		s.carry(l)
 	}
 }
@@ -274,9 +274,9 @@
 // end has a machine that is leaving do so once it may.
 func (s *site) end(m *machine) {
 	if s.now%4 == 0 {
-		m.node.Transfer()
+		m.node.TransferLeadership()
 	}
-	if s.now >= m.until || s.fault == "" && !m.node.Needed() {
+	if s.now >= m.until || s.fault == "" && !m.node.NeededForQuorum() {
 		m.node, m.leaving = nil, false
 		s.back(m, s.rng.IntN(100), func() { s.start(m) })
 	}
@@ -307,15 +307,15 @@
 	if s.bad == nil {
 		highest := slices.Max(slices.Collect(maps.Keys(s.agreed)))
 		for _, m := range s.machines {
-			if m.node.Applied()+30 < highest {
-				s.fail("%d has %d places of %d", m.id, m.node.Applied(), highest)
+			if m.node.AppliedIndex()+30 < highest {
+				s.fail("%d has %d places of %d", m.id, m.node.AppliedIndex(), highest)
 			}
 		}
 		older := slices.ContainsFunc(s.machines, func(m *machine) bool { return m.older }) // it may leave one voter more
 		if l := s.leader(); l == nil || !older && voterCount(l.node.Members()) != s.wanted {
 			s.fail("not %d voters", s.wanted)
-		} else if l.node.Commit() < highest {
-			s.fail("the leader knows that %d places are agreed, %d were", l.node.Commit(), highest)
+		} else if l.node.CommitIndex() < highest {
+			s.fail("the leader knows that %d places are agreed, %d were", l.node.CommitIndex(), highest)
 		}
 	}
 	if s.bad != nil {
@@ -336,21 +336,21 @@
 // twoSteps is how voters were replaced once: by one more and, 0.2 s later, one less;
 // silent ones after 3 s, as a leader counts them from its election on.
 func twoSteps(n *raft.Node, wanted, ledFor int) {
-	if !n.Serves() {
+	if !n.HasCommittedInTerm() {
 		return
 	}
 	ms := n.Members()
 	ready, gone, voters := -1, -1, 0
 	for i, m := range ms {
 		after := slices.ContainsFunc(ms[i+1:], func(o raft.Member) bool { return o.Addr == m.Addr })
-		switch quiet := min(n.Quiet(m.ID), ledFor); {
+		switch quiet := min(n.TicksSinceResponse(m.ID), ledFor); {
 		case m.Voter:
 			voters++
 			if after || quiet > 60 {
 				gone = i
 			}
 		case after || quiet > removeTicks:
-			n.Change(slices.Delete(slices.Clone(ms), i, i+1))
+			n.ProposeMembers(slices.Delete(slices.Clone(ms), i, i+1))
 			return
 		case quiet < electionTicks && n.CaughtUp(m.ID):
 			ready = i
@@ -360,8 +360,8 @@
 	switch {
 	case ready >= 0 && (voters < wanted || voters == wanted && gone >= 0):
 		next[ready].Voter = true
-		n.Change(next)
+		n.ProposeMembers(next)
 	case gone >= 0 && voters > wanted:
-		n.Change(slices.Delete(next, gone, gone+1))
+		n.ProposeMembers(slices.Delete(next, gone, gone+1))
 	}
 }
--- a/controlplane/replacement_test.go
+++ b/controlplane/replacement_test.go
@@ -111,7 +111,7 @@
 				even++
 			}
 			for _, m := range ms {
-				if x := s.by(m.ID); m.Old {
+				if x := s.by(m.ID); m.Outgoing {
 					if joint++; x != nil && x.older {
 						s.fail("%d is of an older version, and part of a joint change", m.ID)
 					}
@@ -125,7 +125,7 @@
 		if err := s.days(2, 1); err != nil {
 			t.Fatal(err)
 		}
-		if l := s.leader(); slices.ContainsFunc(l.node.Members(), func(m raft.Member) bool { return !m.Joint && s.by(m.ID) != nil }) {
+		if l := s.leader(); slices.ContainsFunc(l.node.Members(), func(m raft.Member) bool { return !m.SupportsJoint && s.by(m.ID) != nil }) {
 			t.Fatalf("seed %d: not all are known to understand joint changes: %v", seed, l.node.Members())
 		}
 	}
--- a/controlplane/restore.go
+++ b/controlplane/restore.go
@@ -43,7 +43,7 @@
 // Inspection is what the store of a member holds.
 type Inspection struct {
 	ID     raft.ID
-	Stored raft.Stored
+	Stored raft.PersistentState
 	// State is the state with the whole log applied to it. It may hold changes that were not
 	// acknowledged, as the log doesn't say which of its last entries are committed.
 	State *State
--- a/controlplane/sendqueue.go
+++ b/controlplane/sendqueue.go
@@ -81,7 +81,7 @@
 		q.waiting = append(q.waiting, m)
 		return true
 	}
-	weight := m.Weight()
+	weight := m.PayloadSize()
 	if len(q.waiting) >= maxQueuedMessages || q.bytes > 0 && q.bytes+weight > maxQueuedBytes {
 		return false
 	}
@@ -103,7 +103,7 @@
 	}
 	count, bytes := 0, 0
 	for count < len(q.waiting) {
-		if bytes += q.waiting[count].Weight(); q.bulk && bytes > maxBulkCall && count > 0 {
+		if bytes += q.waiting[count].PayloadSize(); q.bulk && bytes > maxBulkCall && count > 0 {
 			break
 		}
 		count++
@@ -119,7 +119,7 @@
 func (q *messageQueue) done() {
 	for i := range q.inFlight {
 		if q.bulk {
-			q.bytes -= q.inFlight[i].Weight()
+			q.bytes -= q.inFlight[i].PayloadSize()
 		}
 	}
 	clear(q.inFlight)
@@ -133,13 +133,13 @@
 		return false
 	}
 	return a.Snapshot == b.Snapshot || a.Snapshot != nil && b.Snapshot != nil &&
-		a.Snapshot.Index == b.Snapshot.Index && a.Sum == b.Sum
+		a.Snapshot.Index == b.Snapshot.Index && a.SnapshotChecksum == b.SnapshotChecksum
 }
 
 // payloadBytes is what messages have of entries and chunks, in bytes.
 func payloadBytes(messages []raft.Message) (bytes int) {
 	for i := range messages {
-		bytes += messages[i].Weight()
+		bytes += messages[i].PayloadSize()
 	}
 	return bytes
 }
--- a/controlplane/sim_client_test.go
+++ b/controlplane/sim_client_test.go
@@ -124,7 +124,7 @@
 	m := w.members[id]
 	progress := w.advanceOf(m, p)
 	if progress.needsRound {
-		m.node.Beat()
+		m.node.BroadcastHeartbeat()
 	}
 	if !progress.done {
 		w.carry(id)
--- a/controlplane/sim_faults_test.go
+++ b/controlplane/sim_faults_test.go
@@ -39,14 +39,14 @@
 	old := w.slots[slot]
 	w.die(old)
 	if w.fault == "a wiped member under its old id" {
-		*w.disks[old] = raft.Stored{Snapshot: raft.Snapshot{Members: w.disks[w.slots[(slot+1)%coreSize]].Snapshot.Members}}
+		*w.disks[old] = raft.PersistentState{Snapshot: raft.Snapshot{Members: w.disks[w.slots[(slot+1)%coreSize]].Snapshot.Members}}
 		w.start(old)
 		return
 	}
 	delete(w.disks, old)
 	w.next++
 	w.slots[slot] = w.next
-	w.disks[w.next] = &raft.Stored{}
+	w.disks[w.next] = &raft.PersistentState{}
 	w.start(w.next)
 }
 
--- a/controlplane/sim_member_test.go
+++ b/controlplane/sim_member_test.go
@@ -25,8 +25,8 @@
 // save is what the disk has after a Save of the log's store: all of it or nothing.
 func (w *world) save(id raft.ID, r raft.Ready) {
 	d := w.disks[id]
-	if r.Hard != nil {
-		d.Hard = *r.Hard
+	if r.HardState != nil {
+		d.HardState = *r.HardState
 	}
 	if r.Snapshot != nil {
 		d.Snapshot, d.Entries = *r.Snapshot, nil
@@ -65,7 +65,7 @@
 			w.restore(m, r.Snapshot.Data)
 		}
 		news := false
-		for _, e := range r.Committed {
+		for _, e := range r.CommittedEntries {
 			news = w.apply(m, e) || news
 		}
 		m.node.Advance(r)
@@ -83,7 +83,7 @@
 		}
 		m.unsynced = nil
 	}
-	if a := m.node.Applied(); w.losses && a%snapAt == 0 && a > m.node.SnapshotIndex() && len(m.unsynced) == 0 {
+	if a := m.node.AppliedIndex(); w.losses && a%snapAt == 0 && a > m.node.SnapshotIndex() && len(m.unsynced) == 0 {
 		data, err := cbor.Marshal(m.state)
 		if err != nil {
 			panic(err)
--- a/controlplane/sim_world_test.go
+++ b/controlplane/sim_world_test.go
@@ -22,7 +22,7 @@
 	slots   []raft.ID // of each machine, the member on it
 	next    raft.ID   // of the next empty disk
 	members map[raft.ID]*member
-	disks   map[raft.ID]*raft.Stored
+	disks   map[raft.ID]*raft.PersistentState
 	net     []raft.Message
 	deaf    map[[2]raft.ID]bool // one way
 	slow    map[[2]raft.ID]bool
@@ -77,7 +77,7 @@
 
 func newWorld(seed uint64, s shape, fault string) *world {
 	w := &world{shape: s, fault: fault, rng: rand.New(rand.NewPCG(seed, 9)), next: 100, members: map[raft.ID]*member{},
-		disks: map[raft.ID]*raft.Stored{}, deaf: map[[2]raft.ID]bool{}, slow: map[[2]raft.ID]bool{},
+		disks: map[raft.ID]*raft.PersistentState{}, deaf: map[[2]raft.ID]bool{}, slow: map[[2]raft.ID]bool{},
 		cut: map[raft.ID]int64{}, frozen: map[raft.ID]int{}}
 	var first raft.Snapshot
 	for i := range coreSize {
@@ -86,7 +86,7 @@
 	for i := range s.machines {
 		id := raft.ID(i + 1)
 		w.slots = append(w.slots, id)
-		w.disks[id] = &raft.Stored{}
+		w.disks[id] = &raft.PersistentState{}
 		if i < coreSize {
 			w.disks[id].Snapshot = first
 		}
@@ -104,7 +104,7 @@
 	d := w.disks[id]
 	m := &member{casRegister: casRegister{calls: map[uint64]*pendingCall{}},
 		node: raft.New(raft.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.rng.Uint64()},
-			raft.Stored{Hard: d.Hard, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})}
+			raft.PersistentState{HardState: d.HardState, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})}
 	w.restore(m, d.Snapshot.Data)
 	w.members[id] = m
 }
@@ -124,7 +124,7 @@
 			voters++
 		}
 	}
-	return voters == coreSize && l.node.Change(slices.Clone(l.node.Members())) == nil
+	return voters == coreSize && l.node.ProposeMembers(slices.Clone(l.node.Members())) == nil
 }
 
 // tend takes members in, and has the leader's policy decide who is to vote.
@@ -132,13 +132,13 @@
 	ms := l.node.Members()
 	for slot, id := range w.slots {
 		if w.members[id] != nil && !slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == id }) {
-			l.node.Change(append(slices.Clone(ms), raft.Member{ID: id, Addr: fmt.Sprint(slot), Joint: true}))
+			l.node.ProposeMembers(append(slices.Clone(ms), raft.Member{ID: id, Addr: fmt.Sprint(slot), SupportsJoint: true}))
 			return
 		}
 	}
 	l.policy.voters = coreSize
 	if _, next := l.policy.nextMembers(l.node); next != nil {
-		l.node.Change(next)
+		l.node.ProposeMembers(next)
 	}
 }
 
@@ -146,7 +146,7 @@
 
 func (w *world) leader() raft.ID {
 	for _, id := range w.ids() {
-		if n := w.members[id].node; n.Role() == raft.Leader && n.Serves() {
+		if n := w.members[id].node; n.Role() == raft.Leader && n.HasCommittedInTerm() {
 			return id
 		}
 	}
--- a/controlplane/slow_links_test.go
+++ b/controlplane/slow_links_test.go
@@ -58,7 +58,7 @@
 					w.propose(c.bytes)
 				}
 				l := w.leader()
-				return l != nil && w.snapshot > 0 && w.nodes[3].Applied()+1 >= l.Commit()
+				return l != nil && w.snapshot > 0 && w.nodes[3].AppliedIndex()+1 >= l.CommitIndex()
 			})
 			t.Logf("%s, seed %d: 4 MB in %v, longest gap %v, %d elections asked for", c.name, seed, took, w.gap, w.asked-asked)
 			if l := w.leader(); l == nil || l.Term() != term {
@@ -107,7 +107,7 @@
 		}
 		w.after(time.Second, trouble)
 		for w.now < 5*time.Minute && proposed < 400 {
-			if l := w.leader(); l != nil && !w.cut[l.Leader()] && l.LastIndex()-l.Commit() < 8 {
+			if l := w.leader(); l != nil && !w.cut[l.Leader()] && l.LastIndex()-l.CommitIndex() < 8 {
 				proposed++
 				w.propose(200 + w.rng.IntN(2)*w.rng.IntN(41<<10))
 			}
@@ -123,7 +123,7 @@
 		w.run(40 * tickInterval)
 		if !w.together() {
 			for id, n := range w.nodes {
-				t.Logf("%d: %v of term %d, leader %d, applied %d of %d, snapshot %d", id, n.Role(), n.Term(), n.Leader(), n.Applied(), n.LastIndex(), n.SnapshotIndex())
+				t.Logf("%d: %v of term %d, leader %d, applied %d of %d, snapshot %d", id, n.Role(), n.Term(), n.Leader(), n.AppliedIndex(), n.LastIndex(), n.SnapshotIndex())
 			}
 			t.Fatalf("seed %d: not together 2 s after the last trouble", seed)
 		}
@@ -146,14 +146,14 @@
 	}
 	w.until("a leader", 3*time.Second, func() bool { return w.leader() != nil && w.together() })
 	l := w.leader()
-	asked, term, before := w.asked, l.Term(), l.Commit()
+	asked, term, before := w.asked, l.Term(), l.CommitIndex()
 	w.gap = 0
 	for range 20 {
 		w.propose(400 << 10)
 		w.run(8 * time.Second)
 	}
-	if l != w.leader() || l.Term() != term || w.asked != asked || w.gap > electionTicks*tickInterval*4/5 || l.Commit() != before+20 {
-		t.Errorf("term %d after %d, %d elections asked for, nothing heard for %v, %d agreed", l.Term(), term, w.asked-asked, w.gap, l.Commit()-before)
+	if l != w.leader() || l.Term() != term || w.asked != asked || w.gap > electionTicks*tickInterval*4/5 || l.CommitIndex() != before+20 {
+		t.Errorf("term %d after %d, %d elections asked for, nothing heard for %v, %d agreed", l.Term(), term, w.asked-asked, w.gap, l.CommitIndex()-before)
 	}
 	t.Logf("longest gap %v", w.gap)
 }
@@ -204,14 +204,14 @@
 		w.start(id + 1)
 	}
 	w.until("a leader", 3*time.Second, func() bool { return w.leader() != nil })
-	for w.leader().Commit()%64 != 0 || w.encoded < coreSize {
+	for w.leader().CommitIndex()%64 != 0 || w.encoded < coreSize {
 		w.propose(100)
 		w.run(20 * time.Millisecond)
 	}
 	w.run(time.Second) // followers hear last of what is agreed
 	before := w.encoded
 	w.run(time.Minute)
-	if w.leader().Commit()%64 != 0 || w.encoded != before {
-		t.Errorf("%d encodings in a minute of rest at %d", w.encoded-before, w.leader().Commit())
+	if w.leader().CommitIndex()%64 != 0 || w.encoded != before {
+		t.Errorf("%d encodings in a minute of rest at %d", w.encoded-before, w.leader().CommitIndex())
 	}
 }
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -32,7 +32,7 @@
 		Role:          node.Role().String(),
 		Leader:        host.leaderAddr(),
 		Term:          node.Term(),
-		Commit:        node.Commit(),
+		Commit:        node.CommitIndex(),
 		Revision:      c.state.Revision,
 		DiskFails:     host.suspended && !host.stopped(),
 		Halted:        host.stopReason,
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -55,7 +55,7 @@
 
 // enqueue puts a message on its way. Called under the mutex.
 func (t *transport) enqueue(m raft.Message) {
-	key := queueKey{m.To, m.Bulk()}
+	key := queueKey{m.To, m.IsBulk()}
 	queue := t.queues[key]
 	if queue == nil {
 		addr := t.peerAddr(m.To)
@@ -103,7 +103,7 @@
 		t.cfg.Log.Debug("message delivery failed", "peer", addr, "bulk", key.bulk, "error", err)
 		if key.bulk {
 			t.mu.Lock()
-			t.host.node.Lost(key.to)
+			t.host.node.ReportSendFailure(key.to)
 			t.mu.Unlock()
 		}
 	}
--- a/raft/change_test.go
+++ b/raft/change_test.go
@@ -17,10 +17,10 @@
 	h := &hand{t: t, nodes: map[ID]*Node{}, down: map[ID]bool{}}
 	var ms []Member
 	for i := range voters + learners {
-		ms = append(ms, Member{ID: ID(i + 1), Voter: i < voters, Joint: true})
+		ms = append(ms, Member{ID: ID(i + 1), Voter: i < voters, SupportsJoint: true})
 	}
 	for _, m := range ms {
-		h.nodes[m.ID] = New(Config{ID: m.ID, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1}, Stored{Snapshot: Snapshot{Members: ms}})
+		h.nodes[m.ID] = New(Config{ID: m.ID, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1}, PersistentState{Snapshot: Snapshot{Members: ms}})
 	}
 	h.elect(1)
 	return h
@@ -89,24 +89,24 @@
 		{"both, by one that is in both", []ID{1, 2}, true}} {
 		h := newHand(t, 3, 1)
 		l := h.nodes[1]
-		if !l.Serves() {
+		if !l.HasCommittedInTerm() {
 			t.Fatal("no leader")
 		}
 		h.only(c.up...)
-		before := l.Commit()
-		if err := l.Change(swapped(l.Members(), 3, 4)); err != nil {
+		before := l.CommitIndex()
+		if err := l.ProposeMembers(swapped(l.Members(), 3, 4)); err != nil {
 			t.Fatal(err)
 		}
-		need := l.NextRound()
-		l.Beat()
+		need := l.NextReadIndexRound()
+		l.BroadcastHeartbeat()
 		h.play()
-		if got := l.Commit() > before; got != c.ok {
+		if got := l.CommitIndex() > before; got != c.ok {
 			t.Errorf("%s: agreed %v", c.name, got)
 		}
-		if got := l.Confirmed() >= need; got != c.ok {
+		if got := l.ConfirmedReadIndexRound() >= need; got != c.ok {
 			t.Errorf("%s: confirmed %v", c.name, got)
 		}
-		if got := len(outgoing(l.Members())) == 0 && !l.Changing(); got != c.ok {
+		if got := len(outgoing(l.Members())) == 0 && !l.MembershipChangePending(); got != c.ok {
 			t.Errorf("%s: through %v: %v", c.name, got, l.Members())
 		}
 		for range 25 {
@@ -139,11 +139,11 @@
 			h.only(1, 4)
 		}
 		l := h.nodes[1]
-		if err := l.Change(c.change(l.Members())); err != nil {
+		if err := l.ProposeMembers(c.change(l.Members())); err != nil {
 			t.Fatal(err)
 		}
 		if c.name == "a swap" { // the joint entry is agreed; the final one reaches 3 alone
-			for len(outgoing(l.Members())) == 0 || l.Commit() < l.since {
+			for len(outgoing(l.Members())) == 0 || l.CommitIndex() < l.since {
 				r := l.Ready()
 				l.Advance(r)
 				for _, m := range r.Messages {
@@ -175,12 +175,12 @@
 		h.elect(leaver)
 		serves := 0
 		for id := ID(2); id <= 4; id++ {
-			if k := h.nodes[id]; k.Serves() && k.Commit() >= last {
+			if k := h.nodes[id]; k.HasCommittedInTerm() && k.CommitIndex() >= last {
 				serves++
 			}
 		}
-		if serves != 1 || n.Role() == Leader || n.Needed() {
-			t.Errorf("%s: %d serve; the one without a vote is %v, needed %v", c.name, serves, n.Role(), n.Needed())
+		if serves != 1 || n.Role() == Leader || n.NeededForQuorum() {
+			t.Errorf("%s: %d serve; the one without a vote is %v, needed %v", c.name, serves, n.Role(), n.NeededForQuorum())
 		}
 	}
 }
@@ -190,7 +190,7 @@
 	t.Parallel()
 	h := newHand(t, 3, 1)
 	l := h.nodes[1]
-	if err := l.Change(swapped(l.Members(), 1, 4)); err != nil {
+	if err := l.ProposeMembers(swapped(l.Members(), 1, 4)); err != nil {
 		t.Fatal(err)
 	}
 	r := l.Ready()
@@ -202,22 +202,22 @@
 	h.only(2, 3, 4)
 	h.elect(3)
 	n := h.nodes[3]
-	if !n.Serves() || n.Changing() || len(outgoing(n.Members())) != 0 || find(n.Members(), 1).Voter || !find(n.Members(), 4).Voter {
-		t.Errorf("serves %v, members %v", n.Serves(), n.Members())
+	if !n.HasCommittedInTerm() || n.MembershipChangePending() || len(outgoing(n.Members())) != 0 || find(n.Members(), 1).Voter || !find(n.Members(), 4).Voter {
+		t.Errorf("serves %v, members %v", n.HasCommittedInTerm(), n.Members())
 	}
 	// The old leader still believes that it leads, and confirms nothing.
-	need := l.NextRound()
-	l.Beat()
+	need := l.NextReadIndexRound()
+	l.BroadcastHeartbeat()
 	h.down[1] = false
 	h.play()
-	if l.Confirmed() >= need && l.Role() == Leader || l.Role() == Leader {
+	if l.ConfirmedReadIndexRound() >= need && l.Role() == Leader || l.Role() == Leader {
 		t.Error("a leader without a vote goes on")
 	}
 	for range resendAfter(n.peers[1].outBytes) { // what went out while it was down is lost, and goes out again in time
 		n.Tick()
 		h.play()
 	}
-	if l.Needed() {
+	if l.NeededForQuorum() {
 		t.Error("a member whose vote is gone, and that knows it, is needed")
 	}
 }
@@ -227,17 +227,17 @@
 	t.Parallel()
 	h := newHand(t, 3, 1)
 	l := h.nodes[1]
-	if err := l.Change(swapped(l.Members(), 1, 4)); err != nil {
+	if err := l.ProposeMembers(swapped(l.Members(), 1, 4)); err != nil {
 		t.Fatal(err)
 	}
 	h.play()
 	next := 0
 	for _, id := range []ID{2, 3, 4} {
-		if h.nodes[id].Serves() {
+		if h.nodes[id].HasCommittedInTerm() {
 			next++
 		}
 	}
-	if l.Role() == Leader || next != 1 || h.nodes[2].Changing() {
+	if l.Role() == Leader || next != 1 || h.nodes[2].MembershipChangePending() {
 		t.Errorf("it is %v, %d others serve, %v", l.Role(), next, h.nodes[2].Members())
 	}
 }
@@ -259,27 +259,27 @@
 		set  []Member
 		want error
 	}{
-		"two more":                            {with(ms, func(m *Member) { m.Voter = true }), ErrStep},
-		"two less":                            {with(ms, func(m *Member) { m.Voter = m.ID == 1 }), ErrStep},
-		"none":                                {with(ms, func(m *Member) { m.Voter = false }), ErrStep},
-		"two for two":                         {with(ms, func(m *Member) { m.Voter = m.ID == 1 || m.ID > 3 }), ErrStep},
-		"a swap that drops":                   {slices.DeleteFunc(swapped(ms, 3, 4), func(m Member) bool { return m.ID == 3 }), ErrStep},
-		"a swap for one that isn't a learner": {append(with(ms, func(m *Member) { m.Voter = m.ID < 3 }), Member{ID: 9, Voter: true, Joint: true}), ErrJoint},
-		"a swap that claims an outgoing set":  {with(swapped(ms, 3, 4), func(m *Member) { m.Old = true }), nil},
+		"two more":                            {with(ms, func(m *Member) { m.Voter = true }), ErrInvalidChange},
+		"two less":                            {with(ms, func(m *Member) { m.Voter = m.ID == 1 }), ErrInvalidChange},
+		"none":                                {with(ms, func(m *Member) { m.Voter = false }), ErrInvalidChange},
+		"two for two":                         {with(ms, func(m *Member) { m.Voter = m.ID == 1 || m.ID > 3 }), ErrInvalidChange},
+		"a swap that drops":                   {slices.DeleteFunc(swapped(ms, 3, 4), func(m Member) bool { return m.ID == 3 }), ErrInvalidChange},
+		"a swap for one that isn't a learner": {append(with(ms, func(m *Member) { m.Voter = m.ID < 3 }), Member{ID: 9, Voter: true, SupportsJoint: true}), ErrJointUnsupported},
+		"a swap that claims an outgoing set":  {with(swapped(ms, 3, 4), func(m *Member) { m.Outgoing = true }), nil},
 	} {
 		n := l.Clone()
-		if err := n.Change(c.set); err != c.want {
+		if err := n.ProposeMembers(c.set); err != c.want {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
 		} else if err == nil && !slices.Equal(outgoing(n.Members()), []ID{1, 2, 3}) {
 			t.Errorf("%s: out go %v", name, outgoing(n.Members()))
 		}
 	}
-	old := with(ms, func(m *Member) { m.Joint = m.ID != 2 })
-	if err := l.Change(old); err != nil {
+	old := with(ms, func(m *Member) { m.SupportsJoint = m.ID != 2 })
+	if err := l.ProposeMembers(old); err != nil {
 		t.Fatal(err)
 	}
 	h.play()
-	if err := l.Change(swapped(l.Members(), 3, 4)); err != ErrJoint {
+	if err := l.ProposeMembers(swapped(l.Members(), 3, 4)); err != ErrJointUnsupported {
 		t.Errorf("a swap with a voter of an older version: %v", err)
 	}
 }
@@ -316,7 +316,7 @@
 		l.Tick()
 		l.Tick()
 		h.play()
-		if got := l.Bears(swapped(l.Members(), c.from, c.to)); got != c.want {
+		if got := l.CanCommitMembers(swapped(l.Members(), c.from, c.to)); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -333,7 +333,7 @@
 		n.Tick()
 	}
 	h.play()
-	if !h.nodes[2].Serves() || h.nodes[3].Role() != Follower || h.nodes[2].Term() != 2 {
+	if !h.nodes[2].HasCommittedInTerm() || h.nodes[3].Role() != Follower || h.nodes[2].Term() != 2 {
 		t.Errorf("%v and %v in term %d", h.nodes[2].Role(), h.nodes[3].Role(), h.nodes[2].Term())
 	}
 }
@@ -346,7 +346,7 @@
 	for _, p := range l.peers {
 		p.answered = false // as it is right after an election
 	}
-	if next := swapped(l.Members(), 3, 4); l.Bears(next) {
+	if next := swapped(l.Members(), 3, 4); l.CanCommitMembers(next) {
 		t.Error("borne, by members that were never heard of")
 	}
 }
@@ -360,12 +360,12 @@
 		h := newHand(t, 3, 1)
 		l, out := h.nodes[1], h.nodes[3]
 		h.only(1, 2, 4)
-		if err := l.Change(swapped(l.Members(), 3, 4)); err != nil {
+		if err := l.ProposeMembers(swapped(l.Members(), 3, 4)); err != nil {
 			t.Fatal(err)
 		}
 		h.play()
 		if dropped {
-			if err := l.Change(slices.DeleteFunc(slices.Clone(l.Members()), func(m Member) bool { return m.ID == 3 })); err != nil {
+			if err := l.ProposeMembers(slices.DeleteFunc(slices.Clone(l.Members()), func(m Member) bool { return m.ID == 3 })); err != nil {
 				t.Fatal(err)
 			}
 			h.play()
@@ -391,8 +391,8 @@
 		if l.Role() != Leader || l.Term() != term || out.Role() == Leader {
 			t.Errorf("dropped %v: the leader is %v in term %d, was in %d", dropped, l.Role(), l.Term(), term)
 		}
-		if !dropped && (out.votes1() || out.Leader() != 1 || out.Commit() != l.Commit()) {
-			t.Errorf("it votes: %v, follows %d, knows %d of %d", out.votes1(), out.Leader(), out.Commit(), l.Commit())
+		if !dropped && (out.votes1() || out.Leader() != 1 || out.CommitIndex() != l.CommitIndex()) {
+			t.Errorf("it votes: %v, follows %d, knows %d of %d", out.votes1(), out.Leader(), out.CommitIndex(), l.CommitIndex())
 		}
 	}
 }
@@ -401,7 +401,7 @@
 func TestSilenceOfTheLastLeader(t *testing.T) {
 	t.Parallel()
 	h := newHand(t, 3, 0)
-	h.nodes[1].Beat()
+	h.nodes[1].BroadcastHeartbeat()
 	h.play()
 	h.only(2, 3)
 	for range 30 {
@@ -410,7 +410,7 @@
 	}
 	h.net = nil
 	h.elect(2)
-	if n := h.nodes[2]; n.Role() != Leader || n.Quiet(1) < 30 || n.Quiet(3) > 1 {
-		t.Errorf("%v, the last leader is silent for %d ticks, the other for %d", n.Role(), n.Quiet(1), n.Quiet(2))
+	if n := h.nodes[2]; n.Role() != Leader || n.TicksSinceResponse(1) < 30 || n.TicksSinceResponse(3) > 1 {
+		t.Errorf("%v, the last leader is silent for %d ticks, the other for %d", n.Role(), n.TicksSinceResponse(1), n.TicksSinceResponse(2))
 	}
 }
--- a/raft/clone.go
+++ b/raft/clone.go
@@ -79,13 +79,13 @@
 	if m.Reject {
 		flags |= 1
 	}
-	if m.Force {
+	if m.LeadershipTransfer {
 		flags |= 2
 	}
-	if m.Joint {
+	if m.SupportsJoint {
 		flags |= 4
 	}
-	for _, v := range []uint64{flags, uint64(m.From), uint64(m.To), m.Term, m.Index, m.LogTerm, m.Commit, m.Round, m.Offset, m.Size, m.Sum, m.Tried, uint64(len(m.Entries))} {
+	for _, v := range []uint64{flags, uint64(m.From), uint64(m.To), m.Term, m.Index, m.LogTerm, m.Commit, m.Round, m.Offset, m.SnapshotSize, m.SnapshotChecksum, m.RejectedIndex, uint64(len(m.Entries))} {
 		b = binary.AppendUvarint(b, v)
 	}
 	for _, e := range m.Entries {
@@ -110,10 +110,10 @@
 		if m.Voter {
 			v |= 1
 		}
-		if m.Old {
+		if m.Outgoing {
 			v |= 2
 		}
-		if m.Joint {
+		if m.SupportsJoint {
 			v |= 4
 		}
 		b = binary.AppendUvarint(b, v)
--- a/raft/forgot_test.go
+++ b/raft/forgot_test.go
@@ -54,7 +54,7 @@
 		s.start(id)
 		n, r := s.nodes[id], rand.New(rand.NewPCG(seed, 8))
 		leads := func() bool { return s.nodes[l.cfg.ID] == l && l.Role() == Leader }
-		for i := 0; i < 400 && !n.Forgot() && leads(); i++ {
+		for i := 0; i < 400 && !n.LostDurability() && leads(); i++ {
 			if i%9 == 0 && r.IntN(2) == 0 {
 				l.Propose([]byte("more"))
 			}
@@ -85,8 +85,8 @@
 			continue
 		}
 		played++
-		if n.Forgot() != lost {
-			t.Errorf("seed %d: lost %v, told %v: it has up to %d, acknowledged %d", seed, lost, n.Forgot(), n.last(), l.peers[id].match)
+		if n.LostDurability() != lost {
+			t.Errorf("seed %d: lost %v, told %v: it has up to %d, acknowledged %d", seed, lost, n.LostDurability(), n.last(), l.peers[id].match)
 		}
 	}
 	if played < 120 {
@@ -96,7 +96,7 @@
 
 // carry carries out what a member has ready on a disk that nobody looks at.
 func (s *sim) carry(n *Node) {
-	for r := n.Ready(); !r.Empty() && !n.Forgot(); r = n.Ready() {
+	for r := n.Ready(); !r.Empty() && !n.LostDurability(); r = n.Ready() {
 		s.net = append(s.net, r.Messages...)
 		n.Advance(r)
 	}
--- a/raft/fuzz_test.go
+++ b/raft/fuzz_test.go
@@ -16,21 +16,21 @@
 		}
 		f.Add(data, byte(len(ms)))
 	}
-	add(Message{Kind: Append, From: 2, To: 1, Term: 9, Index: 3, LogTerm: 2, Commit: 4, Entries: []Entry{{Index: 4, Term: 9}}})
-	add(Message{Kind: Append, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: []Entry{{Index: 40, Term: 9}, {Index: 2, Term: 9}}})
-	add(Message{Kind: Vote, From: 2, To: 1, Term: 9, Force: true}, Message{Kind: Install, From: 3, To: 1, Term: 9, Snapshot: &Snapshot{Index: 7, Term: 4}})
-	add(Message{Kind: Campaign, From: 2, To: 1, Term: 3}, Message{Kind: VoteReply, From: 2, To: 1, Term: 4},
-		Message{Kind: AppendReply, From: 2, To: 1, Term: 4, Index: 1 << 60}, Message{Kind: AppendReply, From: 2, To: 1, Term: 4, Reject: true, Index: 1<<64 - 1})
+	add(Message{Kind: AppendEntries, From: 2, To: 1, Term: 9, Index: 3, LogTerm: 2, Commit: 4, Entries: []Entry{{Index: 4, Term: 9}}})
+	add(Message{Kind: AppendEntries, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: []Entry{{Index: 40, Term: 9}, {Index: 2, Term: 9}}})
+	add(Message{Kind: VoteRequest, From: 2, To: 1, Term: 9, LeadershipTransfer: true}, Message{Kind: InstallSnapshot, From: 3, To: 1, Term: 9, Snapshot: &Snapshot{Index: 7, Term: 4}})
+	add(Message{Kind: TimeoutNow, From: 2, To: 1, Term: 3}, Message{Kind: VoteReply, From: 2, To: 1, Term: 4},
+		Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: 4, Index: 1 << 60}, Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: 4, Reject: true, Index: 1<<64 - 1})
 	part := &Snapshot{Index: 9, Term: 4, Members: []Member{{ID: 1, Voter: true}}, Data: []byte("abc")}
-	add(Message{Kind: Piece, From: 2, To: 1, Term: 9, Snapshot: part, Size: 6}, Message{Kind: Piece, From: 2, To: 1, Term: 9, Snapshot: part, Offset: 3, Size: 6, Sum: 7},
-		Message{Kind: Piece, From: 2, To: 1, Term: 9, Snapshot: part, Offset: 1<<64 - 2, Size: 3}, Message{Kind: PieceReply, From: 3, To: 1, Term: 9, Index: 9, Offset: 1 << 63})
+	add(Message{Kind: SnapshotChunk, From: 2, To: 1, Term: 9, Snapshot: part, SnapshotSize: 6}, Message{Kind: SnapshotChunk, From: 2, To: 1, Term: 9, Snapshot: part, Offset: 3, SnapshotSize: 6, SnapshotChecksum: 7},
+		Message{Kind: SnapshotChunk, From: 2, To: 1, Term: 9, Snapshot: part, Offset: 1<<64 - 2, SnapshotSize: 3}, Message{Kind: SnapshotChunkReply, From: 3, To: 1, Term: 9, Index: 9, Offset: 1 << 63})
 	f.Fuzz(func(t *testing.T, data []byte, ticks byte) {
 		var ms []Message
 		if cbor.Unmarshal(data, &ms) != nil || len(ms) > 100 {
 			return
 		}
 		members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
-		n := New(Config{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1}, Stored{Hard: HardState{Term: 3}, Snapshot: Snapshot{Index: 1, Term: 1, Members: members},
+		n := New(Config{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1}, PersistentState{HardState: HardState{Term: 3}, Snapshot: Snapshot{Index: 1, Term: 1, Members: members},
 			Entries: []Entry{{Index: 2, Term: 2, Data: []byte("a")}, {Index: 3, Term: 2, Data: []byte("b")}}})
 		commit := uint64(0)
 		for _, m := range ms {
@@ -51,10 +51,10 @@
 				}
 				n.Advance(r)
 			}
-			if n.Commit() < commit || n.Commit() > n.last() {
-				t.Fatalf("agreed up to %d, then %d of %d", commit, n.Commit(), n.last())
+			if n.CommitIndex() < commit || n.CommitIndex() > n.last() {
+				t.Fatalf("agreed up to %d, then %d of %d", commit, n.CommitIndex(), n.last())
 			}
-			commit = n.Commit()
+			commit = n.CommitIndex()
 		}
 	})
 }
--- a/raft/golden_test.go
+++ b/raft/golden_test.go
@@ -18,8 +18,8 @@
 // one of them at least.
 func goldenValues() map[string]any {
 	members := []Member{
-		{ID: 0x1234567890abcdef, Addr: "10.1.2.3:7001", Voter: true, Old: true, Joint: true},
-		{ID: 2, Addr: "10.1.2.4:7001", Voter: true, Joint: true},
+		{ID: 0x1234567890abcdef, Addr: "10.1.2.3:7001", Voter: true, Outgoing: true, SupportsJoint: true},
+		{ID: 2, Addr: "10.1.2.4:7001", Voter: true, SupportsJoint: true},
 		{ID: 3, Addr: "10.1.2.5:7001"},
 	}
 	command := Entry{Index: 41, Term: 6, Data: []byte("set quota")}
@@ -38,23 +38,23 @@
 		"hard_state":              HardState{Term: 7, Vote: 2},
 		"hard_state_without_vote": HardState{Term: 7},
 
-		"message_01_pre_vote":               Message{Kind: PreVote, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7},
+		"message_01_pre_vote":               Message{Kind: PreVoteRequest, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7},
 		"message_02_pre_vote_reply":         Message{Kind: PreVoteReply, From: 2, To: 1, Term: 8},
 		"message_02_pre_vote_reply_reject":  Message{Kind: PreVoteReply, From: 2, To: 1, Term: 8, Reject: true},
-		"message_03_vote":                   Message{Kind: Vote, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7},
-		"message_03_vote_transfer":          Message{Kind: Vote, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7, Force: true},
+		"message_03_vote":                   Message{Kind: VoteRequest, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7},
+		"message_03_vote_transfer":          Message{Kind: VoteRequest, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7, LeadershipTransfer: true},
 		"message_04_vote_reply":             Message{Kind: VoteReply, From: 2, To: 1, Term: 8},
 		"message_04_vote_reply_reject":      Message{Kind: VoteReply, From: 2, To: 1, Term: 8, Reject: true},
-		"message_05_append":                 Message{Kind: Append, From: 1, To: 2, Term: 8, Index: 40, LogTerm: 6, Commit: 39, Round: 1001, Entries: []Entry{command, change}},
-		"message_05_append_heartbeat":       Message{Kind: Append, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7, Commit: 42, Round: 1002},
-		"message_06_append_reply":           Message{Kind: AppendReply, From: 2, To: 1, Term: 8, Index: 42, Round: 1002, Joint: true},
-		"message_06_append_reply_reject":    Message{Kind: AppendReply, From: 2, To: 1, Term: 8, Index: 39, Round: 1002, Reject: true, Joint: true, Tried: 41},
-		"message_07_install":                Message{Kind: Install, From: 1, To: 3, Term: 8, Round: 1002, Snapshot: &snapshot},
-		"message_08_campaign":               Message{Kind: Campaign, From: 1, To: 2, Term: 8},
-		"message_09_snapshot_chunk":         Message{Kind: Piece, From: 1, To: 3, Term: 8, Round: 1003, Snapshot: &chunk, Offset: 4, Size: 24, Sum: 0xfedcba9876543210},
-		"message_10_snapshot_chunk_reply":   Message{Kind: PieceReply, From: 3, To: 1, Term: 8, Round: 1003, Index: 40, Offset: 12, Sum: 0xfedcba9876543210},
-		"message_10_snapshot_chunk_refused": Message{Kind: PieceReply, From: 3, To: 1, Term: 8, Round: 1003, Index: 40, Reject: true, Sum: 0xfedcba9876543210},
-		"message_11_forgotten":              Message{Kind: Forgotten, From: 1, To: 2, Term: 8},
+		"message_05_append":                 Message{Kind: AppendEntries, From: 1, To: 2, Term: 8, Index: 40, LogTerm: 6, Commit: 39, Round: 1001, Entries: []Entry{command, change}},
+		"message_05_append_heartbeat":       Message{Kind: AppendEntries, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7, Commit: 42, Round: 1002},
+		"message_06_append_reply":           Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: 8, Index: 42, Round: 1002, SupportsJoint: true},
+		"message_06_append_reply_reject":    Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: 8, Index: 39, Round: 1002, Reject: true, SupportsJoint: true, RejectedIndex: 41},
+		"message_07_install":                Message{Kind: InstallSnapshot, From: 1, To: 3, Term: 8, Round: 1002, Snapshot: &snapshot},
+		"message_08_campaign":               Message{Kind: TimeoutNow, From: 1, To: 2, Term: 8},
+		"message_09_snapshot_chunk":         Message{Kind: SnapshotChunk, From: 1, To: 3, Term: 8, Round: 1003, Snapshot: &chunk, Offset: 4, SnapshotSize: 24, SnapshotChecksum: 0xfedcba9876543210},
+		"message_10_snapshot_chunk_reply":   Message{Kind: SnapshotChunkReply, From: 3, To: 1, Term: 8, Round: 1003, Index: 40, Offset: 12, SnapshotChecksum: 0xfedcba9876543210},
+		"message_10_snapshot_chunk_refused": Message{Kind: SnapshotChunkReply, From: 3, To: 1, Term: 8, Round: 1003, Index: 40, Reject: true, SnapshotChecksum: 0xfedcba9876543210},
+		"message_11_forgotten":              Message{Kind: DurabilityLost, From: 1, To: 2, Term: 8},
 	}
 }
 
@@ -107,7 +107,7 @@
 
 // A message of each kind has a golden file, and each field of a message is set in one.
 func TestGoldenFilesCoverMessages(t *testing.T) {
-	kinds, set := map[Kind]bool{}, map[string]bool{}
+	kinds, set := map[MessageKind]bool{}, map[string]bool{}
 	for _, v := range goldenValues() {
 		m, ok := v.(Message)
 		if !ok {
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	for kind := PreVote; kind <= Forgotten; kind++ {
+	for kind := PreVoteRequest; kind <= DurabilityLost; kind++ {
 		if !kinds[kind] {
 			t.Errorf("no golden message of kind %d", kind)
 		}
--- a/raft/losses_test.go
+++ b/raft/losses_test.go
@@ -79,7 +79,7 @@
 		delete(s.nodes, one)
 		delete(s.disks, one)
 		s.next++
-		s.disks[s.next] = &Stored{}
+		s.disks[s.next] = &PersistentState{}
 		s.start(s.next)
 	}
 	s.tend()
@@ -141,7 +141,7 @@
 	if s.refuses[id] > 0 {
 		s.refuses[id]--
 		if r := n.Ready(); r.MustSync() {
-			n.Resign()
+			n.StepDown()
 			return
 		}
 	}
@@ -155,8 +155,8 @@
 	if ids := s.ids(); len(ids) > 0 && s.rng.IntN(4) == 0 && len(s.reads) < 20 {
 		id := ids[s.rng.IntN(len(ids))]
 		if n := s.nodes[id]; n.Role() == Leader && s.frozen[id] == 0 {
-			s.reads = append(s.reads, read{id, n.Term(), n.NextRound(), s.highest()})
-			n.Beat()
+			s.reads = append(s.reads, read{id, n.Term(), n.NextReadIndexRound(), s.highest()})
+			n.BroadcastHeartbeat()
 			s.carry(id)
 		}
 	}
@@ -165,9 +165,9 @@
 		n := s.nodes[r.at]
 		switch {
 		case n == nil || n.Role() != Leader || n.Term() != r.term:
-		case n.Serves() && n.Confirmed() >= r.need:
-			if n.Applied() < r.acked {
-				s.fail("%d confirmed that it leads, knows %d places and %d were acknowledged before", r.at, n.Applied(), r.acked)
+		case n.HasCommittedInTerm() && n.ConfirmedReadIndexRound() >= r.need:
+			if n.AppliedIndex() < r.acked {
+				s.fail("%d confirmed that it leads, knows %d places and %d were acknowledged before", r.at, n.AppliedIndex(), r.acked)
 			}
 			s.granted++
 		default:
--- a/raft/model/mutants_test.go
+++ b/raft/model/mutants_test.go
@@ -32,7 +32,7 @@
 	{"one voter at a time, unless by a joint change", "node.go", "joint := added+taken > 1", "joint := false", "swaps of three", true},
 	{"a joint change is agreed on by both sets", "node.go", "least = min(least, majority(vs))", "if least == math.MaxUint64 { least = majority(vs) }", "swaps of three", false},
 	{"a joint change lets both sets elect", "node.go", "won = won && 2*yes > all", "won = 2*yes > all", "swaps of three", false},
-	{"a joint change is left once it is agreed", "node.go", "n.since <= n.commit && n.Serves()", "n.Serves()", "swaps of three", true},
+	{"a joint change is left once it is agreed", "node.go", "n.since <= n.commit && n.HasCommittedInTerm()", "n.HasCommittedInTerm()", "swaps of three", true},
 }
 
 // Each guard is needed: with any one of them taken out, a walk comes to a state that
--- a/raft/model/world.go
+++ b/raft/model/world.go
@@ -70,7 +70,7 @@
 	most int // entries in a message
 	tail int // entries behind a snapshot
 	node *raft.Node
-	disk raft.Stored
+	disk raft.PersistentState
 	// applied is the furthest that it ever had, of which the disk holds all.
 	applied uint64
 }
@@ -87,20 +87,20 @@
 func New(b Bounds) modelcheck.State {
 	var ms []raft.Member
 	for i := range b.Members {
-		ms = append(ms, raft.Member{ID: raft.ID(i + 1), Voter: true, Joint: true})
+		ms = append(ms, raft.Member{ID: raft.ID(i + 1), Voter: true, SupportsJoint: true})
 	}
 	for i := range b.Swaps { // learners, known to understand joint changes
-		ms = append(ms, raft.Member{ID: raft.ID(b.Members + i + 1), Joint: true})
+		ms = append(ms, raft.Member{ID: raft.ID(b.Members + i + 1), SupportsJoint: true})
 	}
 	w := &world{left: b}
 	for i := range b.Members + b.Changes + b.Swaps { // those that are not voters yet stand by
-		m := &member{id: raft.ID(i + 1), most: b.Entries, tail: b.Tail, disk: raft.Stored{Snapshot: raft.Snapshot{Members: ms}}}
+		m := &member{id: raft.ID(i + 1), most: b.Entries, tail: b.Tail, disk: raft.PersistentState{Snapshot: raft.Snapshot{Members: ms}}}
 		m.start()
 		w.members = append(w.members, m)
 	}
 	if b.Led {
 		first := w.members[0].node
-		first.Step(raft.Message{Kind: raft.Campaign, From: 2, To: 1, Term: first.Term()})
+		first.Step(raft.Message{Kind: raft.TimeoutNow, From: 2, To: 1, Term: first.Term()})
 		for w.host(0); len(w.net) > 0; {
 			m := w.net[0]
 			w.net = w.net[1:]
@@ -112,9 +112,9 @@
 }
 
 func (m *member) start() {
-	m.node = raft.New(raft.Config{ID: m.id, ElectionTicks: never, HeartbeatTicks: heartbeat, MostEntries: m.most,
-		TailEntries: cmp.Or(m.tail, -1), PieceBytes: 1, Window: 1},
-		raft.Stored{Hard: m.disk.Hard, Snapshot: m.disk.Snapshot, Entries: slices.Clone(m.disk.Entries)})
+	m.node = raft.New(raft.Config{ID: m.id, ElectionTicks: never, HeartbeatTicks: heartbeat, MaxEntriesPerMessage: m.most,
+		TrailingEntries: cmp.Or(m.tail, -1), ChunkBytes: 1, MaxInflightChunks: 1},
+		raft.PersistentState{HardState: m.disk.HardState, Snapshot: m.disk.Snapshot, Entries: slices.Clone(m.disk.Entries)})
 }
 
 func (w *world) clone() *world {
@@ -159,7 +159,7 @@
 			m.node.Step(msg)
 			return true
 		}
-		if msg.Kind == raft.Piece && !try(i, fmt.Sprint("arrives damaged: ", describe(msg)), &w.left.Damaged, func(c *world, m *member) bool {
+		if msg.Kind == raft.SnapshotChunk && !try(i, fmt.Sprint("arrives damaged: ", describe(msg)), &w.left.Damaged, func(c *world, m *member) bool {
 			c.net = slices.Delete(c.net, k, k+1)
 			s := *msg.Snapshot
 			s.Data = []byte{0xff}
@@ -186,7 +186,7 @@
 			if id == 1 {
 				other = 2
 			}
-			m.node.Step(raft.Message{Kind: raft.Campaign, From: other, To: id, Term: m.node.Term()})
+			m.node.Step(raft.Message{Kind: raft.TimeoutNow, From: other, To: id, Term: m.node.Term()})
 			return !leads && m.node.Role() != raft.Follower && (w.left.Candidates == 0 || i < w.left.Candidates)
 		}) && try(i, fmt.Sprint("crash of ", id), &w.left.Crashes, func(_ *world, m *member) bool {
 			m.start()
@@ -195,7 +195,7 @@
 		if !ok {
 			return
 		}
-		if a := n.Applied(); a > n.SnapshotIndex() && !try(i, fmt.Sprint("snapshot at ", id), &w.left.Snapshots, func(_ *world, m *member) bool {
+		if a := n.AppliedIndex(); a > n.SnapshotIndex() && !try(i, fmt.Sprint("snapshot at ", id), &w.left.Snapshots, func(_ *world, m *member) bool {
 			s := m.node.Compact(a, state(a, w.left.Pieces))
 			if s != nil {
 				m.disk.Entries = slices.Clone(m.disk.Entries[s.Index-m.disk.Snapshot.Index:])
@@ -218,7 +218,7 @@
 			}
 			return true
 		}) && try(i, fmt.Sprint("leader ", id, " steps down"), &w.left.Resigns, func(_ *world, m *member) bool {
-			m.node.Resign()
+			m.node.StepDown()
 			return true
 		})
 		if !ok {
@@ -226,14 +226,14 @@
 		}
 		for _, set := range changes(n.Members(), len(w.members)) {
 			if !try(i, fmt.Sprint("voters to be ", voters(set), " at ", id), &w.left.Changes, func(_ *world, m *member) bool {
-				return m.node.Change(set) == nil
+				return m.node.ProposeMembers(set) == nil
 			}) {
 				return
 			}
 		}
 		for _, set := range swaps(n.Members(), len(w.members), w.left.Out) {
 			if !try(i, fmt.Sprint("one voter for another: ", voters(set), " at ", id), &w.left.Swaps, func(_ *world, m *member) bool {
-				return m.node.Change(set) == nil
+				return m.node.ProposeMembers(set) == nil
 			}) {
 				return
 			}
@@ -243,7 +243,7 @@
 
 // begin notes a round that is about to begin.
 func (w *world) begin(m *member) {
-	w.rounds = append(w.rounds, round{m.id, m.node.Term(), m.node.NextRound(), len(w.agreed)})
+	w.rounds = append(w.rounds, round{m.id, m.node.Term(), m.node.NextReadIndexRound(), len(w.agreed)})
 }
 
 // changes are the sets of voters one step away, and one that is further.
@@ -280,7 +280,7 @@
 			if in >= 0 {
 				set[in].Voter = true
 			} else {
-				set = append(set, raft.Member{ID: id, Voter: true, Joint: true})
+				set = append(set, raft.Member{ID: id, Voter: true, SupportsJoint: true})
 			}
 			sets = append(sets, set)
 		}
@@ -306,8 +306,8 @@
 		if r.Empty() {
 			break
 		}
-		if r.Hard != nil {
-			m.disk.Hard = *r.Hard
+		if r.HardState != nil {
+			m.disk.HardState = *r.HardState
 		}
 		if s := r.Snapshot; s != nil {
 			if !bytes.Equal(s.Data, state(s.Index, w.left.Pieces)) || s.Index < m.applied {
@@ -322,11 +322,11 @@
 		for _, msg := range r.Messages {
 			w.send(msg)
 		}
-		for _, e := range r.Committed {
+		for _, e := range r.CommittedEntries {
 			w.apply(m.id, e)
 		}
 		m.node.Advance(r)
-		m.applied = m.node.Applied()
+		m.applied = m.node.AppliedIndex()
 	}
 	if m.node.Role() == raft.Leader {
 		term := int(m.node.Term())
@@ -386,18 +386,18 @@
 	}
 	for _, m := range w.members {
 		n := m.node
-		if n.Commit() > n.LastIndex() {
-			return fmt.Errorf("%d knows that %d places are agreed and has %d", m.id, n.Commit(), n.LastIndex())
+		if n.CommitIndex() > n.LastIndex() {
+			return fmt.Errorf("%d knows that %d places are agreed and has %d", m.id, n.CommitIndex(), n.LastIndex())
 		}
-		if n.Refused() > 0 && !w.damaged {
+		if n.RejectedSnapshots() > 0 && !w.damaged {
 			return fmt.Errorf("%d refuses a snapshot whose pieces came as they were sent", m.id)
 		}
-		if !n.Serves() {
+		if !n.HasCommittedInTerm() {
 			continue
 		}
 		for _, r := range w.rounds {
-			if r.leader == m.id && r.term == n.Term() && n.Confirmed() >= r.round && int(n.Commit()) < r.agreed {
-				return fmt.Errorf("%d has confirmed that it leads and knows %d of %d places that were agreed before", m.id, n.Commit(), r.agreed)
+			if r.leader == m.id && r.term == n.Term() && n.ConfirmedReadIndexRound() >= r.round && int(n.CommitIndex()) < r.agreed {
+				return fmt.Errorf("%d has confirmed that it leads and knows %d of %d places that were agreed before", m.id, n.CommitIndex(), r.agreed)
 			}
 		}
 	}
--- a/raft/node.go
+++ b/raft/node.go
@@ -10,21 +10,21 @@
 
 // Config are a member's settings, in ticks of the host.
 type Config struct {
-	ID             ID
-	ElectionTicks  int // least time without a leader before an election; up to twice as long
-	HeartbeatTicks int
-	Seed           uint64
-	MostEntries    int // of one message; 0: 32
+	ID                   ID
+	ElectionTicks        int // least time without a leader before an election; up to twice as long
+	HeartbeatTicks       int
+	Seed                 uint64
+	MaxEntriesPerMessage int // of one message; 0: 32
 
 	// The log is due to be cut behind a snapshot after so many entries (0: 64), or so many
 	// bytes of them (0: 512 KB), of which so many entries stay (0: 64; less than 0: none).
-	LogEntries, LogBytes, TailEntries int
+	SnapshotEntries, SnapshotBytes, TrailingEntries int
 	// Of a snapshot a message carries so many bytes (0: 16 KB), and so many messages are
 	// on their way (0: 2).
-	PieceBytes, Window int
+	ChunkBytes, MaxInflightChunks int
 	// Check, where set, tells whether the host can take over a snapshot; one that it can't
 	// is refused. It must depend on the snapshot alone.
-	Check func(*Snapshot) error
+	ValidateSnapshot func(*Snapshot) error
 }
 
 const (
@@ -45,10 +45,10 @@
 
 // The errors of Propose and Change.
 var (
-	ErrNotLeader = errors.New("raft: not the leader")
-	ErrPending   = errors.New("raft: a change of members is not through yet")
-	ErrStep      = errors.New("raft: a change may add one voter and take the vote of one at most")
-	ErrJoint     = errors.New("raft: not all voters are known to understand joint changes")
+	ErrNotLeader        = errors.New("raft: not the leader")
+	ErrChangePending    = errors.New("raft: a change of members is not through yet")
+	ErrInvalidChange    = errors.New("raft: a change may add one voter and take the vote of one at most")
+	ErrJointUnsupported = errors.New("raft: not all voters are known to understand joint changes")
 )
 
 // Node is one member. It is not safe for concurrent use.
@@ -115,15 +115,15 @@
 }
 
 // New returns a member with what its disk holds.
-func New(cfg Config, s Stored) *Node {
-	if cfg.MostEntries == 0 {
-		cfg.MostEntries = mostEntries
+func New(cfg Config, s PersistentState) *Node {
+	if cfg.MaxEntriesPerMessage == 0 {
+		cfg.MaxEntriesPerMessage = mostEntries
 	}
-	cfg.LogEntries, cfg.LogBytes = cmp.Or(cfg.LogEntries, logEntries), cmp.Or(cfg.LogBytes, logBytes)
-	cfg.TailEntries = cmp.Or(cfg.TailEntries, tailEntries)
-	cfg.PieceBytes, cfg.Window = cmp.Or(cfg.PieceBytes, pieceBytes), cmp.Or(cfg.Window, window)
+	cfg.SnapshotEntries, cfg.SnapshotBytes = cmp.Or(cfg.SnapshotEntries, logEntries), cmp.Or(cfg.SnapshotBytes, logBytes)
+	cfg.TrailingEntries = cmp.Or(cfg.TrailingEntries, tailEntries)
+	cfg.ChunkBytes, cfg.MaxInflightChunks = cmp.Or(cfg.ChunkBytes, pieceBytes), cmp.Or(cfg.MaxInflightChunks, window)
 	src := rand.NewPCG(cfg.Seed, uint64(cfg.ID))
-	n := &Node{cfg: cfg, src: src, rng: rand.New(src), hard: s.Hard, snap: s.Snapshot, entries: s.Entries,
+	n := &Node{cfg: cfg, src: src, rng: rand.New(src), hard: s.HardState, snap: s.Snapshot, entries: s.Entries,
 		base: s.Snapshot.Index, baseTerm: s.Snapshot.Term}
 	n.commit, n.applied, n.stored = s.Snapshot.Index, s.Snapshot.Index, n.last()
 	n.findMembers()
@@ -149,7 +149,7 @@
 func (n *Node) Members() []Member { return n.members }
 
 // Commit returns the index up to which the log is agreed.
-func (n *Node) Commit() uint64 { return n.commit }
+func (n *Node) CommitIndex() uint64 { return n.commit }
 
 // SnapshotIndex returns the index of the latest snapshot; some entries before it may be held.
 func (n *Node) SnapshotIndex() uint64 { return n.snap.Index }
@@ -158,10 +158,10 @@
 func (n *Node) LastIndex() uint64 { return n.last() }
 
 // Applied returns the index up to which entries were handed out for applying.
-func (n *Node) Applied() uint64 { return n.applied }
+func (n *Node) AppliedIndex() uint64 { return n.applied }
 
 // Quiet returns for how many ticks a leader has not heard of a member.
-func (n *Node) Quiet(id ID) int {
+func (n *Node) TicksSinceResponse(id ID) int {
 	if p := n.peers[id]; p != nil {
 		return p.quiet
 	}
@@ -176,22 +176,22 @@
 
 // Serves tells that this member leads and has agreed on something in its term:
 // what it has applied is all that was ever acknowledged.
-func (n *Node) Serves() bool {
+func (n *Node) HasCommittedInTerm() bool {
 	return n.role == Leader && n.term(n.commit) == n.hard.Term
 }
 
 // NextRound returns the round that a majority must answer to confirm that
 // this member still leads now; Confirmed the latest such round.
-func (n *Node) NextRound() uint64 { return n.round + 1 }
+func (n *Node) NextReadIndexRound() uint64 { return n.round + 1 }
 
 // Confirmed returns the latest round of heartbeats that a majority has answered.
-func (n *Node) Confirmed() uint64 {
+func (n *Node) ConfirmedReadIndexRound() uint64 {
 	return n.quorum(func(p *progress) uint64 { return p.round }, n.round)
 }
 
 // Forgot tells that this member holds less than it has acknowledged, as its leader knows:
 // its disk is one of earlier. It must promise nothing more under its id.
-func (n *Node) Forgot() bool { return n.forgot }
+func (n *Node) LostDurability() bool { return n.forgot }
 
 // ---- The log ----
 
@@ -218,7 +218,7 @@
 
 // portion is what one message carries of the entries behind an index.
 func (n *Node) portion(index uint64) []Entry {
-	es, bytes := n.after(index, n.cfg.MostEntries), 0
+	es, bytes := n.after(index, n.cfg.MaxEntriesPerMessage), 0
 	for i := range es {
 		if bytes += weight(&es[i]); bytes > mostBytes && i > 0 {
 			return slices.Clip(es[:i])
@@ -259,7 +259,7 @@
 	n.elapsed++
 	n.ledAgo++
 	if n.role != Leader {
-		if n.elapsed >= n.timeout && n.Needed() {
+		if n.elapsed >= n.timeout && n.NeededForQuorum() {
 			n.campaign(true)
 		}
 		return
@@ -290,12 +290,12 @@
 		}
 	}
 	if n.beat++; n.beat >= n.cfg.HeartbeatTicks {
-		n.Beat()
+		n.BroadcastHeartbeat()
 	}
 }
 
 // Beat makes a leader send a round of heartbeats now.
-func (n *Node) Beat() {
+func (n *Node) BroadcastHeartbeat() {
 	if n.role != Leader {
 		return
 	}
@@ -314,7 +314,7 @@
 // change that takes its vote isn't known to be agreed. Until then it stands for
 // election too: it may be the only one left that holds that change, and then it
 // can't vote for those who don't.
-func (n *Node) Needed() bool {
+func (n *Node) NeededForQuorum() bool {
 	if n.votes1() {
 		return true
 	}
@@ -339,14 +339,14 @@
 func (n *Node) campaign(pre bool) {
 	n.role, n.leader, n.votes, n.prevote = Candidate, 0, map[ID]bool{n.cfg.ID: true}, pre
 	n.elapsed, n.timeout = 0, n.cfg.ElectionTicks+n.rng.IntN(max(1, n.cfg.ElectionTicks))
-	kind, term := PreVote, n.hard.Term+1
+	kind, term := PreVoteRequest, n.hard.Term+1
 	if !pre {
-		kind = Vote
+		kind = VoteRequest
 		n.hard, n.hardDirty = HardState{Term: term, Vote: n.cfg.ID}, true
 	}
 	for _, m := range n.members {
 		if m.votes() && m.ID != n.cfg.ID {
-			n.send(Message{Kind: kind, To: m.ID, Term: term, Index: n.last(), LogTerm: n.term(n.last()), Force: n.force})
+			n.send(Message{Kind: kind, To: m.ID, Term: term, Index: n.last(), LogTerm: n.term(n.last()), LeadershipTransfer: n.force})
 		}
 	}
 	n.count()
@@ -387,7 +387,7 @@
 	}
 	n.write(n.last(), []Entry{{Index: n.last() + 1, Term: n.hard.Term}}) // so that earlier terms can be agreed on
 	n.advance()
-	n.Beat()
+	n.BroadcastHeartbeat()
 }
 
 // track makes progress records for the members, and drops those of others.
@@ -437,7 +437,7 @@
 
 // Transfer makes a leader that is about to end call an election at the member
 // that knows most.
-func (n *Node) Transfer() {
+func (n *Node) TransferLeadership() {
 	if n.role != Leader {
 		return
 	}
@@ -449,12 +449,12 @@
 		}
 	}
 	if best != 0 && n.peers[best].match == n.last() {
-		n.send(Message{Kind: Campaign, To: best, Term: n.hard.Term})
+		n.send(Message{Kind: TimeoutNow, To: best, Term: n.hard.Term})
 	}
 }
 
 // Resign makes a member give up leadership, as when its disk fails.
-func (n *Node) Resign() {
+func (n *Node) StepDown() {
 	if n.role == Leader {
 		n.follow(0)
 	}
@@ -479,19 +479,19 @@
 // Errors: [ErrNotLeader]; [ErrPending] while a change is under way or nothing of this
 // term is agreed; [ErrStep] for more than that; [ErrJoint] for a swap before all voters
 // of both sets are written down to understand one: add and remove one by one then.
-func (n *Node) Change(members []Member) error {
+func (n *Node) ProposeMembers(members []Member) error {
 	if n.role != Leader {
 		return ErrNotLeader
 	}
-	if !n.Serves() || n.Changing() { // the leader's own term must be agreed on before
-		return ErrPending
+	if !n.HasCommittedInTerm() || n.MembershipChangePending() { // the leader's own term must be agreed on before
+		return ErrChangePending
 	}
 	next, added, taken, dropped := slices.Clone(members), 0, 0, 0
 	for i := range next {
 		m := &next[i]
 		o := find(n.members, m.ID)
-		m.Old = o != nil && o.Voter
-		if m.Voter && !m.Old {
+		m.Outgoing = o != nil && o.Voter
+		if m.Voter && !m.Outgoing {
 			added++
 		}
 	}
@@ -504,12 +504,12 @@
 		}
 	}
 	if added > 1 || taken > 1 || added+dropped > 1 || len(voters(next)) == 0 {
-		return ErrStep
+		return ErrInvalidChange
 	}
 	if joint := added+taken > 1; !joint {
 		next = settled(next)
-	} else if !n.Understood(next) {
-		return ErrJoint
+	} else if !n.SupportsJointConsensus(next) {
+		return ErrJointUnsupported
 	}
 	return n.add(Entry{Members: next})
 }
@@ -518,19 +518,21 @@
 func settled(members []Member) []Member {
 	out := slices.Clone(members)
 	for i := range out {
-		out[i].Old = false
+		out[i].Outgoing = false
 	}
 	return out
 }
 
 // Changing tells that a change of members is under way: its last entry isn't agreed.
-func (n *Node) Changing() bool { return n.since > n.commit || len(outgoing(n.members)) > 0 }
+func (n *Node) MembershipChangePending() bool {
+	return n.since > n.commit || len(outgoing(n.members)) > 0
+}
 
 // Understood tells a leader that all voters, as they are and those to be, understand
 // joint changes. One that doesn't would elect and agree by one set alone.
-func (n *Node) Understood(members []Member) bool {
+func (n *Node) SupportsJointConsensus(members []Member) bool {
 	for _, m := range slices.Concat(n.members, members) {
-		if o := find(n.members, m.ID); m.votes() && (o == nil || !o.Joint) {
+		if o := find(n.members, m.ID); m.votes() && (o == nil || !o.SupportsJoint) {
 			return false
 		}
 	}
@@ -539,7 +541,7 @@
 
 // Heard tells a leader whether a member has answered it, and whether it understands
 // joint changes by what it said last.
-func (n *Node) Heard(id ID) (heard, joint bool) {
+func (n *Node) PeerResponse(id ID) (heard, joint bool) {
 	if id == n.cfg.ID {
 		return true, true
 	}
@@ -550,7 +552,7 @@
 // Bears tells a leader that a change to these members asks nobody for a majority that
 // it can't give: a majority of the voters as they are, and of those to be, were heard of
 // within an election time, and each voter to be that is none yet has all that is agreed.
-func (n *Node) Bears(members []Member) bool {
+func (n *Node) CanCommitMembers(members []Member) bool {
 	if n.role != Leader {
 		return false
 	}
@@ -571,7 +573,7 @@
 // leaveJoint adds the entry with the new set alone once the joint one is agreed, by a
 // leader of whose term something is.
 func (n *Node) leaveJoint() {
-	if n.role == Leader && len(outgoing(n.members)) > 0 && n.since <= n.commit && n.Serves() {
+	if n.role == Leader && len(outgoing(n.members)) > 0 && n.since <= n.commit && n.HasCommittedInTerm() {
 		n.add(Entry{Members: settled(n.members)})
 	}
 }
@@ -598,14 +600,14 @@
 // waits for what is large: it goes beside it, and may overtake it. It asks whether the
 // log fits up to where the next entries go; beside a snapshot it fits any log.
 func (n *Node) append(id ID, p *progress, heartbeat bool) {
-	m := Message{Kind: Append, To: id, Term: n.hard.Term, Commit: n.commit, Round: n.round}
+	m := Message{Kind: AppendEntries, To: id, Term: n.hard.Term, Commit: n.commit, Round: n.round}
 	if p.next > n.base {
 		m.Index, m.LogTerm = p.next-1, n.term(p.next-1)
 		if !p.paused {
 			m.Entries = n.portion(m.Index)
 		}
 	}
-	if heartbeat && (len(m.Entries) == 0 || m.Bulk()) {
+	if heartbeat && (len(m.Entries) == 0 || m.IsBulk()) {
 		h := m
 		h.Entries = nil
 		n.send(h)
@@ -618,7 +620,7 @@
 		return
 	}
 	n.send(m)
-	p.paused, p.out, p.outBytes, p.waited = true, m.Index+uint64(len(m.Entries)), m.Weight(), 0
+	p.paused, p.out, p.outBytes, p.waited = true, m.Index+uint64(len(m.Entries)), m.PayloadSize(), 0
 }
 
 // advance agrees on what a majority has stored, if it is of this term.
@@ -628,8 +630,8 @@
 	}
 	if at := n.quorum(func(p *progress) uint64 { return p.match }, n.stored); at > n.commit && n.term(at) == n.hard.Term {
 		n.commit = at
-		if !n.Needed() { // its vote went by its own change, which is agreed
-			n.Transfer()
+		if !n.NeededForQuorum() { // its vote went by its own change, which is agreed
+			n.TransferLeadership()
 			n.follow(0)
 		}
 	}
--- a/raft/resend_test.go
+++ b/raft/resend_test.go
@@ -8,7 +8,7 @@
 // 328 KB to five members each filled the memory of a leader. docs/incidents/0006)
 func TestEntriesOnTheirWayAreNotSentAgain(t *testing.T) {
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
-	n := New(Config{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1}, Stored{Snapshot: Snapshot{Members: members}})
+	n := New(Config{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1}, PersistentState{Snapshot: Snapshot{Members: members}})
 	sent := map[ID]int{} // bytes of entries
 	largest := 0
 	carry := func(answer bool) {
@@ -22,10 +22,10 @@
 				sent[m.To] += bytes
 				largest = max(largest, bytes)
 				switch {
-				case m.Kind == PreVote || m.Kind == Vote:
+				case m.Kind == PreVoteRequest || m.Kind == VoteRequest:
 					n.Step(Message{Kind: m.Kind + 1, From: m.To, To: 1, Term: m.Term})
-				case answer && m.To == 2 && m.Kind == Append:
-					n.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: m.Term, Round: m.Round, Index: m.Index + uint64(len(m.Entries))})
+				case answer && m.To == 2 && m.Kind == AppendEntries:
+					n.Step(Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: m.Term, Round: m.Round, Index: m.Index + uint64(len(m.Entries))})
 				}
 			}
 		}
@@ -45,7 +45,7 @@
 	}
 	clear(sent)
 	for range 8 { // a slow link: no answer yet, and a heartbeat for each of those who wait
-		n.Beat()
+		n.BroadcastHeartbeat()
 		carry(false)
 	}
 	if sent[2] > mostBytes {
@@ -62,7 +62,7 @@
 		n.Tick()
 		carry(true)
 	}
-	if n.Commit() != n.last() || largest > mostBytes {
-		t.Errorf("agreed up to %d of %d, the largest message has %d bytes", n.Commit(), n.last(), largest)
+	if n.CommitIndex() != n.last() || largest > mostBytes {
+		t.Errorf("agreed up to %d of %d, the largest message has %d bytes", n.CommitIndex(), n.last(), largest)
 	}
 }
--- a/raft/sim_test.go
+++ b/raft/sim_test.go
@@ -16,7 +16,7 @@
 	seed      uint64
 	rng       *rand.Rand
 	nodes     map[ID]*Node
-	disks     map[ID]*Stored
+	disks     map[ID]*PersistentState
 	applied   map[ID][]Entry
 	snaps     map[ID]uint64 // index up to which the applied entries begin
 	net       []Message
@@ -31,14 +31,14 @@
 }
 
 func newSim(t *testing.T, seed uint64, n int) *sim {
-	s := &sim{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), nodes: map[ID]*Node{}, disks: map[ID]*Stored{},
+	s := &sim{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), nodes: map[ID]*Node{}, disks: map[ID]*PersistentState{},
 		applied: map[ID][]Entry{}, acked: map[uint64]string{}, leaders: map[uint64]ID{}, cut: map[ID]bool{}, next: 100}
 	var first []Member
 	for i := range n {
-		first = append(first, Member{ID: ID(i + 1), Addr: fmt.Sprint(i + 1), Voter: true, Joint: true})
+		first = append(first, Member{ID: ID(i + 1), Addr: fmt.Sprint(i + 1), Voter: true, SupportsJoint: true})
 	}
 	for _, m := range first {
-		s.disks[m.ID] = &Stored{Snapshot: Snapshot{Members: first}}
+		s.disks[m.ID] = &PersistentState{Snapshot: Snapshot{Members: first}}
 		s.start(m.ID)
 	}
 	return s
@@ -51,8 +51,8 @@
 	d := s.disks[id]
 	s.applied[id] = nil
 	s.nodes[id] = New(Config{ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Seed: s.rng.Uint64(),
-		PieceBytes: 16 << (s.seed % 4 * 2), TailEntries: 6},
-		Stored{Hard: d.Hard, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})
+		ChunkBytes: 16 << (s.seed % 4 * 2), TrailingEntries: 6},
+		PersistentState{HardState: d.HardState, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})
 }
 
 func (s *sim) fail(format string, args ...any) {
@@ -64,7 +64,7 @@
 func (s *sim) host(id ID) {
 	n, d := s.nodes[id], s.disks[id]
 	for n != nil {
-		if n.Forgot() { // nothing here takes an older disk for its own
+		if n.LostDurability() { // nothing here takes an older disk for its own
 			s.fail("%d is said to have forgotten what it acknowledged", id)
 		}
 		r := n.Ready()
@@ -75,8 +75,8 @@
 			delete(s.nodes, id)
 			return
 		}
-		if r.Hard != nil {
-			d.Hard = *r.Hard
+		if r.HardState != nil {
+			d.HardState = *r.HardState
 		}
 		if r.Snapshot != nil {
 			if !bytes.Equal(r.Snapshot.Data, state(r.Snapshot.Index)) {
@@ -97,7 +97,7 @@
 		if r.Snapshot != nil {
 			s.applied[id] = nil
 		}
-		for _, e := range r.Committed {
+		for _, e := range r.CommittedEntries {
 			s.apply(id, e)
 		}
 		n.Advance(r)
@@ -108,7 +108,7 @@
 		}
 		s.leaders[n.Term()] = id
 	}
-	if a := n.Applied(); a > 0 && a%16 == 0 {
+	if a := n.AppliedIndex(); a > 0 && a%16 == 0 {
 		if snap := n.Compact(a, state(a)); snap != nil {
 			d.Entries = slices.Clone(d.Entries[snap.Index-d.Snapshot.Index:])
 			d.Snapshot = *snap
@@ -174,7 +174,7 @@
 
 func (s *sim) leader() *Node {
 	for _, id := range s.ids() {
-		if n := s.nodes[id]; n.Role() == Leader && n.Serves() {
+		if n := s.nodes[id]; n.Role() == Leader && n.HasCommittedInTerm() {
 			return n
 		}
 	}
@@ -207,7 +207,7 @@
 		delete(s.nodes, old)
 		delete(s.disks, old)
 		s.next++
-		s.disks[s.next] = &Stored{}
+		s.disks[s.next] = &PersistentState{}
 		s.start(s.next)
 	}
 	s.tend()
@@ -220,7 +220,7 @@
 			return false
 		}
 	}
-	return len(l.Members()) == 3 && len(s.disks) == 3 && l.Change(slices.Clone(l.Members())) == nil
+	return len(l.Members()) == 3 && len(s.disks) == 3 && l.ProposeMembers(slices.Clone(l.Members())) == nil
 }
 
 // tend does what the host of a leader does: takes in and takes out.
@@ -232,7 +232,7 @@
 	ms := l.Members()
 	for _, id := range sorted(s.disks) {
 		if find(ms, id) == nil {
-			l.Change(append(slices.Clone(ms), Member{ID: id, Addr: fmt.Sprint(id), Joint: true}))
+			l.ProposeMembers(append(slices.Clone(ms), Member{ID: id, Addr: fmt.Sprint(id), SupportsJoint: true}))
 			return
 		}
 	}
@@ -242,19 +242,19 @@
 		switch _, there := s.disks[m.ID]; {
 		case s.seed%2 == 0 && there && !m.Voter && gone >= 0 && l.CaughtUp(m.ID): // half the runs: one decision
 			next[i].Voter, next[gone].Voter = true, false
-			if l.Change(next) == nil {
+			if l.ProposeMembers(next) == nil {
 				s.swaps++
 			}
 			return
 		case !there && !m.Voter:
-			l.Change(slices.Delete(next, i, i+1))
+			l.ProposeMembers(slices.Delete(next, i, i+1))
 			return
 		case there && !m.Voter && l.CaughtUp(m.ID):
 			next[i].Voter = true
-			l.Change(next)
+			l.ProposeMembers(next)
 			return
 		case !there && len(voters(ms)) > 3:
-			l.Change(slices.Delete(next, i, i+1))
+			l.ProposeMembers(slices.Delete(next, i, i+1))
 			return
 		}
 	}
@@ -299,7 +299,7 @@
 		l := s.leader()
 		done = l != nil
 		for _, id := range s.ids() {
-			done = done && s.nodes[id].Commit() == l.Commit() && find(l.Members(), id) != nil
+			done = done && s.nodes[id].CommitIndex() == l.CommitIndex() && find(l.Members(), id) != nil
 		}
 	}
 	if !done {
@@ -314,8 +314,8 @@
 		highest = max(highest, at)
 	}
 	for _, id := range s.ids() {
-		if s.nodes[id].Commit() < highest {
-			s.fail("%d has agreed up to %d, but %d was acknowledged", id, s.nodes[id].Commit(), highest)
+		if s.nodes[id].CommitIndex() < highest {
+			s.fail("%d has agreed up to %d, but %d was acknowledged", id, s.nodes[id].CommitIndex(), highest)
 		}
 	}
 }
@@ -330,9 +330,9 @@
 		s.step()
 	}
 	l := s.leader()
-	need := l.NextRound()
-	l.Beat()
-	for i := 0; l.Confirmed() < need; i++ {
+	need := l.NextReadIndexRound()
+	l.BroadcastHeartbeat()
+	for i := 0; l.ConfirmedReadIndexRound() < need; i++ {
 		if i > 50 {
 			t.Fatal("a round is never confirmed")
 		}
@@ -343,9 +343,9 @@
 		if i > 60 {
 			t.Fatal("a leader that is cut off goes on leading")
 		}
-		before := l.Confirmed()
+		before := l.ConfirmedReadIndexRound()
 		s.step()
-		if l.Role() == Leader && l.Confirmed() != before && i > 5 {
+		if l.Role() == Leader && l.ConfirmedReadIndexRound() != before && i > 5 {
 			t.Fatal("a round is confirmed without a majority")
 		}
 	}
@@ -361,13 +361,13 @@
 	l := s.leader()
 	ms := l.Members()
 	two := append(slices.Clone(ms), Member{ID: 50, Voter: true}, Member{ID: 51, Voter: true})
-	if err := l.Change(two); err != ErrStep {
+	if err := l.ProposeMembers(two); err != ErrInvalidChange {
 		t.Errorf("two voters at once: %v", err)
 	}
-	if err := l.Change(append(slices.Clone(ms), Member{ID: 50})); err != nil {
+	if err := l.ProposeMembers(append(slices.Clone(ms), Member{ID: 50})); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Change(append(slices.Clone(ms), Member{ID: 51})); err != ErrPending {
+	if err := l.ProposeMembers(append(slices.Clone(ms), Member{ID: 51})); err != ErrChangePending {
 		t.Errorf("a second change at once: %v", err)
 	}
 }
@@ -383,20 +383,20 @@
 	l := s.leader()
 	for _, m := range l.Members() {
 		if m.ID != l.cfg.ID {
-			l.Step(Message{Kind: AppendReply, From: m.ID, To: l.cfg.ID, Term: l.Term(), Index: l.last(), Round: l.round})
+			l.Step(Message{Kind: AppendEntriesReply, From: m.ID, To: l.cfg.ID, Term: l.Term(), Index: l.last(), Round: l.round})
 		}
 	}
-	late, need := l.round, l.NextRound()
-	if l.Confirmed() != late {
-		t.Fatalf("round %d is confirmed, %d was answered by all", l.Confirmed(), late)
+	late, need := l.round, l.NextReadIndexRound()
+	if l.ConfirmedReadIndexRound() != late {
+		t.Fatalf("round %d is confirmed, %d was answered by all", l.ConfirmedReadIndexRound(), late)
 	}
-	l.Beat()
+	l.BroadcastHeartbeat()
 	for _, m := range l.Members() {
 		if m.ID != l.cfg.ID {
-			l.Step(Message{Kind: AppendReply, From: m.ID, To: l.cfg.ID, Term: l.Term(), Index: l.last(), Round: late})
+			l.Step(Message{Kind: AppendEntriesReply, From: m.ID, To: l.cfg.ID, Term: l.Term(), Index: l.last(), Round: late})
 		}
 	}
-	if l.Confirmed() >= need {
+	if l.ConfirmedReadIndexRound() >= need {
 		t.Error("late answers confirmed a later round")
 	}
 }
--- a/raft/snapshot.go
+++ b/raft/snapshot.go
@@ -23,7 +23,7 @@
 	// log is not kept for it any more.
 	silentTicks = 60
 	// MostSnapshot bounds the bytes of a snapshot that is taken in.
-	MostSnapshot = 64 << 20
+	MaxSnapshotBytes = 64 << 20
 )
 
 // transfer is a snapshot on its way to a member, as its leader sees it. It stays the
@@ -67,20 +67,20 @@
 		return
 	}
 	size := len(x.snap.Data)
-	if size <= n.cfg.PieceBytes { // as members of before pieces know it
+	if size <= n.cfg.ChunkBytes { // as members of before pieces know it
 		if x.sent == 0 {
 			s := x.snap
-			n.send(Message{Kind: Install, To: id, Term: n.hard.Term, Round: n.round, Snapshot: &s})
+			n.send(Message{Kind: InstallSnapshot, To: id, Term: n.hard.Term, Round: n.round, Snapshot: &s})
 			x.sent = max(1, size)
 		}
 		return
 	}
-	for x.sent < size && x.sent-x.acked < n.cfg.Window*n.cfg.PieceBytes {
+	for x.sent < size && x.sent-x.acked < n.cfg.MaxInflightChunks*n.cfg.ChunkBytes {
 		s := x.snap
-		end := min(size, x.sent+n.cfg.PieceBytes)
+		end := min(size, x.sent+n.cfg.ChunkBytes)
 		s.Data = s.Data[x.sent:end:end]
-		n.send(Message{Kind: Piece, To: id, Term: n.hard.Term, Round: n.round, Snapshot: &s,
-			Offset: uint64(x.sent), Size: uint64(size), Sum: x.sum})
+		n.send(Message{Kind: SnapshotChunk, To: id, Term: n.hard.Term, Round: n.round, Snapshot: &s,
+			Offset: uint64(x.sent), SnapshotSize: uint64(size), SnapshotChecksum: x.sum})
 		x.sent = end
 	}
 }
@@ -93,7 +93,7 @@
 	}
 	p.heard(m.Round, n.round)
 	x := p.snapshot
-	if x == nil || m.Index != x.snap.Index || m.Sum != x.sum {
+	if x == nil || m.Index != x.snap.Index || m.SnapshotChecksum != x.sum {
 		return // of another one
 	}
 	at := int(min(m.Offset, uint64(len(x.snap.Data))))
@@ -119,7 +119,7 @@
 
 // Lost tells a leader that what was on its way to a member beside heartbeats did not
 // arrive: it may be sent again before its time.
-func (n *Node) Lost(id ID) {
+func (n *Node) ReportSendFailure(id ID) {
 	p := n.peers[id]
 	if p == nil {
 		return
@@ -152,7 +152,7 @@
 }
 
 func (a *assembly) of(m *Message) bool {
-	return a.snap.Index == m.Snapshot.Index && a.snap.Term == m.Snapshot.Term && a.size == m.Size && a.sum == m.Sum
+	return a.snap.Index == m.Snapshot.Index && a.snap.Term == m.Snapshot.Term && a.size == m.SnapshotSize && a.sum == m.SnapshotChecksum
 }
 
 // older tells that a message has a later snapshot. A leader's only become later; a new
@@ -172,14 +172,14 @@
 	a := n.incoming
 	switch {
 	case a == nil || !a.of(&m) && a.older(&m):
-		a = &assembly{snap: *s, size: m.Size, sum: m.Sum}
-		a.snap.Data = make([]byte, 0, m.Size) // once: no piece moves the others
+		a = &assembly{snap: *s, size: m.SnapshotSize, sum: m.SnapshotChecksum}
+		a.snap.Data = make([]byte, 0, m.SnapshotSize) // once: no piece moves the others
 		n.incoming = a
 	case !a.of(&m):
 		return // late, of a transfer that was given up
 	}
 	a.term = m.Term
-	reply := Message{Kind: PieceReply, To: m.From, Term: n.hard.Term, Round: m.Round, Index: s.Index, Sum: m.Sum}
+	reply := Message{Kind: SnapshotChunkReply, To: m.From, Term: n.hard.Term, Round: m.Round, Index: s.Index, SnapshotChecksum: m.SnapshotChecksum}
 	if m.Offset == uint64(len(a.snap.Data)) { // else doubled, or one before it is missing
 		a.snap.Data = append(a.snap.Data, s.Data...)
 	}
@@ -211,9 +211,9 @@
 	switch {
 	case n.has(s):
 		n.commit = max(n.commit, s.Index)
-	case n.cfg.Check != nil && n.cfg.Check(s) != nil:
+	case n.cfg.ValidateSnapshot != nil && n.cfg.ValidateSnapshot(s) != nil:
 		n.refused++
-		n.send(Message{Kind: PieceReply, To: m.From, Term: n.hard.Term, Round: m.Round, Index: s.Index, Sum: xxhash.Sum64(s.Data), Reject: true})
+		n.send(Message{Kind: SnapshotChunkReply, To: m.From, Term: n.hard.Term, Round: m.Round, Index: s.Index, SnapshotChecksum: xxhash.Sum64(s.Data), Reject: true})
 		return
 	default:
 		n.snap, n.entries, n.installed, n.incoming = *s, nil, s, nil
@@ -221,7 +221,7 @@
 		n.commit, n.stored = s.Index, s.Index
 		n.findMembers()
 	}
-	n.send(Message{Kind: AppendReply, To: m.From, Term: n.hard.Term, Round: m.Round, Index: max(n.commit, s.Index)})
+	n.send(Message{Kind: AppendEntriesReply, To: m.From, Term: n.hard.Term, Round: m.Round, Index: max(n.commit, s.Index)})
 }
 
 // ---- When to make one ----
@@ -241,9 +241,9 @@
 		bytes += weight(&n.entries[i])
 	}
 	if n.role == Leader && n.keepsFor() {
-		return bytes >= max(n.cfg.LogBytes, len(n.snap.Data))
+		return bytes >= max(n.cfg.SnapshotBytes, len(n.snap.Data))
 	}
-	return bytes >= n.cfg.LogBytes || n.applied-n.snap.Index >= uint64(n.cfg.LogEntries)
+	return bytes >= n.cfg.SnapshotBytes || n.applied-n.snap.Index >= uint64(n.cfg.SnapshotEntries)
 }
 
 // Compact makes data a snapshot of the log up to an applied index. A tail stays for
@@ -259,8 +259,8 @@
 		}
 	}
 	first, bytes := index, 0 // the tail begins behind it
-	for first > n.base && index-first < uint64(max(0, n.cfg.TailEntries)) {
-		if bytes += weight(&n.entries[first-n.base-1]); bytes > n.cfg.LogBytes/2 {
+	for first > n.base && index-first < uint64(max(0, n.cfg.TrailingEntries)) {
+		if bytes += weight(&n.entries[first-n.base-1]); bytes > n.cfg.SnapshotBytes/2 {
 			break
 		}
 		first--
@@ -272,4 +272,4 @@
 }
 
 // Refused returns how many snapshots came damaged or could not be read here.
-func (n *Node) Refused() uint64 { return n.refused }
+func (n *Node) RejectedSnapshots() uint64 { return n.refused }
--- a/raft/snapshot_test.go
+++ b/raft/snapshot_test.go
@@ -13,8 +13,8 @@
 // alone is a member of three whose others are played by the test.
 func alone(id ID, check func(*Snapshot) error) *Node {
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
-	return New(Config{ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1, PieceBytes: 8, TailEntries: 4, Check: check},
-		Stored{Snapshot: Snapshot{Members: members}})
+	return New(Config{ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1, ChunkBytes: 8, TrailingEntries: 4, ValidateSnapshot: check},
+		PersistentState{Snapshot: Snapshot{Members: members}})
 }
 
 // carried does all that is ready, and returns what was to be sent and installed.
@@ -34,7 +34,7 @@
 	for at := 0; at < len(s.Data); at += size {
 		p := s
 		p.Data = s.Data[at:min(len(s.Data), at+size)]
-		out = append(out, Message{Kind: Piece, From: from, To: 1, Term: term, Snapshot: &p, Offset: uint64(at), Size: uint64(len(s.Data)), Sum: xxhash.Sum64(s.Data)})
+		out = append(out, Message{Kind: SnapshotChunk, From: from, To: 1, Term: term, Snapshot: &p, Offset: uint64(at), SnapshotSize: uint64(len(s.Data)), SnapshotChecksum: xxhash.Sum64(s.Data)})
 	}
 	return out
 }
@@ -91,8 +91,8 @@
 				}
 			}
 		}
-		if refused += n.Refused(); calm && n.Refused() > 0 {
-			t.Fatalf("seed %d: %d refused, and nothing was damaged", seed, n.Refused())
+		if refused += n.RejectedSnapshots(); calm && n.RejectedSnapshots() > 0 {
+			t.Fatalf("seed %d: %d refused, and nothing was damaged", seed, n.RejectedSnapshots())
 		}
 	}
 	if whole < 1000 || refused < 20 {
@@ -113,7 +113,7 @@
 		answer(l, 3)
 	}
 	data := bytes.Repeat([]byte("0123456789"), 20)
-	if l.Compact(l.Applied(), data) == nil {
+	if l.Compact(l.AppliedIndex(), data) == nil {
 		t.Fatal("no snapshot")
 	}
 	sent, first, installed := 0, l.SnapshotIndex(), 0
@@ -126,7 +126,7 @@
 				m := out[0]
 				out = out[1:]
 				switch {
-				case m.Kind == Piece && m.To == 2:
+				case m.Kind == SnapshotChunk && m.To == 2:
 					if m.Snapshot.Index != first {
 						t.Fatalf("pieces of %d, it began with %d", m.Snapshot.Index, first)
 					}
@@ -141,8 +141,8 @@
 					for _, r := range back {
 						l.Step(r)
 					}
-				case m.To == 3 && m.Kind == Append:
-					l.Step(Message{Kind: AppendReply, From: 3, To: 1, Term: m.Term, Round: m.Round, Index: m.Index + uint64(len(m.Entries))})
+				case m.To == 3 && m.Kind == AppendEntries:
+					l.Step(Message{Kind: AppendEntriesReply, From: 3, To: 1, Term: m.Term, Round: m.Round, Index: m.Index + uint64(len(m.Entries))})
 				}
 				more, _ := carried(l)
 				out = append(out, more...)
@@ -151,19 +151,19 @@
 	}
 	fault = unreadable
 	pass(60)
-	if installed != 0 || f.Refused() == 0 || f.Refused() > 3 || f.Commit() != 0 {
-		t.Fatalf("%d installed, %d refused in 60 ticks", installed, f.Refused())
+	if installed != 0 || f.RejectedSnapshots() == 0 || f.RejectedSnapshots() > 3 || f.CommitIndex() != 0 {
+		t.Fatalf("%d installed, %d refused in 60 ticks", installed, f.RejectedSnapshots())
 	}
 	for range 2 { // new snapshots meanwhile; the log still goes on from the first
 		l.Propose([]byte("y"))
 		pass(1)
-		l.Compact(l.Applied(), data[:50])
+		l.Compact(l.AppliedIndex(), data[:50])
 	}
 	fault, sent = nil, 0
 	lose = func(k int) bool { return k%5 == 0 }
 	pass(200)
-	if installed != 1 || f.Commit() != l.Commit() || sent > 60 {
-		t.Errorf("%d installed with %d pieces, it knows %d of %d", installed, sent, f.Commit(), l.Commit())
+	if installed != 1 || f.CommitIndex() != l.CommitIndex() || sent > 60 {
+		t.Errorf("%d installed with %d pieces, it knows %d of %d", installed, sent, f.CommitIndex(), l.CommitIndex())
 	}
 }
 
@@ -177,7 +177,7 @@
 		n.Tick()
 		out, _ := carried(n)
 		for _, m := range out {
-			if m.Kind == PreVote || m.Kind == Vote {
+			if m.Kind == PreVoteRequest || m.Kind == VoteRequest {
 				n.Step(Message{Kind: m.Kind + 1, From: m.To, To: 1, Term: m.Term})
 			}
 		}
@@ -189,7 +189,7 @@
 // answer has one member take all that the leader has.
 func answer(l *Node, id ID) {
 	carried(l)
-	l.Step(Message{Kind: AppendReply, From: id, To: 1, Term: l.Term(), Index: l.last()})
+	l.Step(Message{Kind: AppendEntriesReply, From: id, To: 1, Term: l.Term(), Index: l.last()})
 	carried(l)
 }
 
@@ -199,14 +199,14 @@
 	t.Parallel()
 	n := alone(1, nil)
 	for _, at := range []uint64{20, 10} {
-		n.Step(Message{Kind: Install, From: 2, To: 1, Term: 3, Snapshot: &Snapshot{Index: at, Term: 2, Data: state(at)}})
+		n.Step(Message{Kind: InstallSnapshot, From: 2, To: 1, Term: 3, Snapshot: &Snapshot{Index: at, Term: 2, Data: state(at)}})
 		for _, m := range pieces(2, 3, Snapshot{Index: at, Term: 2, Data: state(at)}, 16) {
 			n.Step(m)
 		}
 		carried(n)
 	}
-	if n.SnapshotIndex() != 20 || n.Commit() != 20 || n.Applied() != 20 {
-		t.Errorf("snapshot %d, agreed %d, applied %d", n.SnapshotIndex(), n.Commit(), n.Applied())
+	if n.SnapshotIndex() != 20 || n.CommitIndex() != 20 || n.AppliedIndex() != 20 {
+		t.Errorf("snapshot %d, agreed %d, applied %d", n.SnapshotIndex(), n.CommitIndex(), n.AppliedIndex())
 	}
 }
 
@@ -215,13 +215,13 @@
 func TestInstalledIsNotApplied(t *testing.T) {
 	t.Parallel()
 	n := alone(1, nil)
-	n.Step(Message{Kind: Install, From: 2, To: 1, Term: 3, Snapshot: &Snapshot{Index: 20, Term: 2, Data: state(20)}})
-	if n.Applied() != 0 {
-		t.Errorf("applied up to %d before the host did anything", n.Applied())
+	n.Step(Message{Kind: InstallSnapshot, From: 2, To: 1, Term: 3, Snapshot: &Snapshot{Index: 20, Term: 2, Data: state(20)}})
+	if n.AppliedIndex() != 0 {
+		t.Errorf("applied up to %d before the host did anything", n.AppliedIndex())
 	}
 	carried(n)
-	if n.Applied() != 20 {
-		t.Errorf("applied up to %d", n.Applied())
+	if n.AppliedIndex() != 20 {
+		t.Errorf("applied up to %d", n.AppliedIndex())
 	}
 }
 
@@ -230,7 +230,7 @@
 func TestTail(t *testing.T) {
 	t.Parallel()
 	l := leads(t)
-	l.Step(Message{Kind: Append, From: 2, To: 1, Term: l.Term() + 4, Index: 1, LogTerm: 1, Commit: 6, Entries: []Entry{
+	l.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: l.Term() + 4, Index: 1, LogTerm: 1, Commit: 6, Entries: []Entry{
 		{Index: 2, Term: 2}, {Index: 3, Term: 2}, {Index: 4, Term: 3}, {Index: 5, Term: 3}, {Index: 6, Term: 4}}})
 	carried(l)
 	if l.Compact(6, state(6)) == nil || l.base != 2 || l.baseTerm != 2 || l.SnapshotIndex() != 6 || l.LastIndex() != 6 || l.Term() != 5 {
@@ -241,12 +241,12 @@
 			t.Errorf("term of %d: %d, want %d", at, got, want)
 		}
 	}
-	small := New(Config{ID: 1, LogBytes: 1 << 10, LogEntries: 100}, Stored{Entries: []Entry{{Index: 1, Term: 1, Data: make([]byte, 400)}, {Index: 2, Term: 1, Data: make([]byte, 400)}}})
-	small.Step(Message{Kind: Append, From: 2, To: 1, Term: 1, Index: 2, LogTerm: 1, Commit: 2})
+	small := New(Config{ID: 1, SnapshotBytes: 1 << 10, SnapshotEntries: 100}, PersistentState{Entries: []Entry{{Index: 1, Term: 1, Data: make([]byte, 400)}, {Index: 2, Term: 1, Data: make([]byte, 400)}}})
+	small.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 1, Index: 2, LogTerm: 1, Commit: 2})
 	if carried(small); small.SnapshotDue() {
 		t.Error("due before its bytes")
 	}
-	small.Step(Message{Kind: Append, From: 2, To: 1, Term: 1, Index: 2, LogTerm: 1, Commit: 3, Entries: []Entry{{Index: 3, Term: 1, Data: make([]byte, 400)}}})
+	small.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 1, Index: 2, LogTerm: 1, Commit: 3, Entries: []Entry{{Index: 3, Term: 1, Data: make([]byte, 400)}}})
 	if carried(small); !small.SnapshotDue() || small.Compact(3, nil) == nil || small.base != 2 || small.SnapshotDue() {
 		t.Errorf("base %d: of 1 KB a half stays", small.base)
 	}
@@ -265,7 +265,7 @@
 				if m.To != 2 {
 					continue
 				}
-				if m.Bulk() {
+				if m.IsBulk() {
 					out = append(out, m)
 					continue
 				}
@@ -290,14 +290,14 @@
 	pass()
 	beats = 0
 	for range 5 {
-		l.Beat()
+		l.BroadcastHeartbeat()
 		pass()
 	}
 	if len(out) != 1 || beats != 5 || l.peers[2].round != l.round {
 		t.Fatalf("%d messages with entries, %d heartbeats, round %d of %d answered", len(out), beats, l.peers[2].round, l.round)
 	}
-	l.Lost(2) // it is not to come
-	l.Beat()
+	l.ReportSendFailure(2) // it is not to come
+	l.BroadcastHeartbeat()
 	pass()
 	if len(out) != 2 || beats != 6 {
 		t.Fatalf("after a loss: %d messages with entries, %d heartbeats", len(out), beats)
@@ -312,8 +312,8 @@
 		}
 		pass()
 	}
-	if f.LastIndex() != l.LastIndex() || l.Commit() != l.LastIndex() {
-		t.Errorf("it has %d of %d, agreed are %d", f.LastIndex(), l.LastIndex(), l.Commit())
+	if f.LastIndex() != l.LastIndex() || l.CommitIndex() != l.LastIndex() {
+		t.Errorf("it has %d of %d, agreed are %d", f.LastIndex(), l.LastIndex(), l.CommitIndex())
 	}
 }
 
@@ -329,7 +329,7 @@
 	p := l.peers[2]
 	p.next = l.last() + 1
 	for range 2 {
-		l.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: l.Term(), Index: 4, Reject: true, Tried: l.last()})
+		l.Step(Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: l.Term(), Index: 4, Reject: true, RejectedIndex: l.last()})
 	}
 	sent, _ := carried(l)
 	if p.next != 5 || len(sent) != 1 || sent[0].Index != 4 {
@@ -354,7 +354,7 @@
 	for _, m := range second[2:] {
 		n.Step(m)
 	}
-	if _, got := carried(n); len(got) != 1 || !bytes.Equal(got[0].Data, state(20)) || n.Refused() != 0 {
-		t.Errorf("%d installed, %d refused", len(got), n.Refused())
+	if _, got := carried(n); len(got) != 1 || !bytes.Equal(got[0].Data, state(20)) || n.RejectedSnapshots() != 0 {
+		t.Errorf("%d installed, %d refused", len(got), n.RejectedSnapshots())
 	}
 }
--- a/raft/step.go
+++ b/raft/step.go
@@ -8,33 +8,33 @@
 	switch {
 	case m.Term > n.hard.Term:
 		switch m.Kind {
-		case PreVote: // changes no term
+		case PreVoteRequest: // changes no term
 		case PreVoteReply:
 			if m.Reject {
 				n.newTerm(m.Term, 0)
 				return
 			}
-		case Vote:
-			if n.calm() && !m.Force {
+		case VoteRequest:
+			if n.calm() && !m.LeadershipTransfer {
 				return // a leader is alive: one that came back must not unseat it
 			}
 			n.newTerm(m.Term, 0)
-		case Append, Install, Piece:
+		case AppendEntries, InstallSnapshot, SnapshotChunk:
 			n.newTerm(m.Term, m.From)
 		default:
 			n.newTerm(m.Term, 0)
 		}
 	case m.Term < n.hard.Term:
 		switch m.Kind {
-		case Append, Install, Piece: // tells an old leader of the new term
-			n.send(Message{Kind: AppendReply, To: m.From, Term: n.hard.Term, Reject: true, Index: n.last()})
-		case PreVote:
+		case AppendEntries, InstallSnapshot, SnapshotChunk: // tells an old leader of the new term
+			n.send(Message{Kind: AppendEntriesReply, To: m.From, Term: n.hard.Term, Reject: true, Index: n.last()})
+		case PreVoteRequest:
 			n.send(Message{Kind: PreVoteReply, To: m.From, Term: n.hard.Term, Reject: true})
 		}
 		return
 	}
 	switch m.Kind {
-	case PreVote:
+	case PreVoteRequest:
 		if n.calm() {
 			return
 		}
@@ -49,7 +49,7 @@
 			reply.Term = n.hard.Term
 		}
 		n.send(reply)
-	case Vote:
+	case VoteRequest:
 		ok := (n.hard.Vote == 0 || n.hard.Vote == m.From) && n.leader == 0 && n.upToDate(m)
 		if ok {
 			n.hard.Vote, n.hardDirty, n.elapsed = m.From, true, 0
@@ -62,23 +62,23 @@
 				n.count()
 			}
 		}
-	case Append:
+	case AppendEntries:
 		n.heardLeader(m.From)
 		n.takeEntries(m)
-	case Install:
+	case InstallSnapshot:
 		n.heardLeader(m.From)
 		n.install(m)
-	case Piece:
+	case SnapshotChunk:
 		n.heardLeader(m.From)
 		n.takePiece(m)
-	case AppendReply:
+	case AppendEntriesReply:
 		n.appended(m)
-	case PieceReply:
+	case SnapshotChunkReply:
 		n.pieceTaken(m)
-	case Forgotten:
+	case DurabilityLost:
 		n.forgot = n.forgot || n.leader == m.From
-	case Campaign:
-		if n.Needed() {
+	case TimeoutNow:
+		if n.NeededForQuorum() {
 			n.force = true
 			n.campaign(false)
 			n.force = false
@@ -102,7 +102,7 @@
 		}
 		term = e.Term
 	}
-	if m.Kind != Install && m.Kind != Piece {
+	if m.Kind != InstallSnapshot && m.Kind != SnapshotChunk {
 		return true
 	}
 	s := m.Snapshot
@@ -110,7 +110,7 @@
 		return false
 	}
 	size := uint64(len(s.Data))
-	return m.Kind == Install || size > 0 && m.Size <= MostSnapshot && m.Offset <= m.Size && size <= m.Size-m.Offset
+	return m.Kind == InstallSnapshot || size > 0 && m.SnapshotSize <= MaxSnapshotBytes && m.Offset <= m.SnapshotSize && size <= m.SnapshotSize-m.Offset
 }
 
 // calm tells that a leader was heard of within the least election time.
@@ -132,7 +132,7 @@
 }
 
 func (n *Node) takeEntries(m Message) {
-	reply := Message{Kind: AppendReply, To: m.From, Term: n.hard.Term, Round: m.Round}
+	reply := Message{Kind: AppendEntriesReply, To: m.From, Term: n.hard.Term, Round: m.Round}
 	switch {
 	case m.Index < n.base: // agreed long since; the rest may be news
 		skip := n.base - m.Index
@@ -143,7 +143,7 @@
 		}
 		m.Entries = m.Entries[skip:]
 	case m.Index > n.last() || n.term(m.Index) != m.LogTerm:
-		reply.Reject, reply.Index, reply.Tried = true, min(n.last(), m.Index-1), m.Index
+		reply.Reject, reply.Index, reply.RejectedIndex = true, min(n.last(), m.Index-1), m.Index
 		n.send(reply)
 		return
 	}
@@ -171,15 +171,15 @@
 		return
 	}
 	p.heard(m.Round, n.round)
-	p.joint = m.Joint
+	p.joint = m.SupportsJoint
 	if m.Reject {
 		// The question went out after the answer that raised match had come, so this is none
 		// of before it: what fitted once in this term fits for good, unless it is gone.
-		if m.Tried != 0 && m.Tried <= p.match && m.Round > p.matchRound {
-			n.send(Message{Kind: Forgotten, To: m.From, Term: n.hard.Term})
+		if m.RejectedIndex != 0 && m.RejectedIndex <= p.match && m.Round > p.matchRound {
+			n.send(Message{Kind: DurabilityLost, To: m.From, Term: n.hard.Term})
 			return
 		}
-		if p.next <= n.base || m.Tried != 0 && m.Tried != p.next-1 {
+		if p.next <= n.base || m.RejectedIndex != 0 && m.RejectedIndex != p.next-1 {
 			return // a snapshot is on its way, or this is an answer to something before
 		}
 		if next := max(p.match+1, min(p.next-1, m.Index+1)); next < p.next { // else: in time, not at once
@@ -213,7 +213,7 @@
 }
 
 func (n *Node) send(m Message) {
-	m.From, m.Joint = n.cfg.ID, m.Kind == AppendReply
+	m.From, m.SupportsJoint = n.cfg.ID, m.Kind == AppendEntriesReply
 	n.out = append(n.out, m)
 }
 
@@ -222,14 +222,14 @@
 	r := Ready{Snapshot: n.installed, Messages: n.out, Entries: n.after(n.stored, len(n.entries))}
 	if n.hardDirty {
 		h := n.hard
-		r.Hard = &h
+		r.HardState = &h
 	}
 	from := n.applied
 	if n.installed != nil {
 		from = n.installed.Index
 	}
 	if n.commit > from { // of what is stored with this Ready or was before
-		r.Committed = n.after(from, int(n.commit-from))
+		r.CommittedEntries = n.after(from, int(n.commit-from))
 	}
 	return r
 }
@@ -241,8 +241,8 @@
 	if len(n.out) == 0 {
 		n.out = nil
 	}
-	if r.Hard != nil {
-		n.hardDirty = n.hard != *r.Hard
+	if r.HardState != nil {
+		n.hardDirty = n.hard != *r.HardState
 	}
 	if r.Snapshot == n.installed {
 		n.installed = nil
@@ -255,8 +255,8 @@
 			n.stored = max(n.stored, e.Index)
 		}
 	}
-	if k := len(r.Committed); k > 0 {
-		n.applied = max(n.applied, r.Committed[k-1].Index)
+	if k := len(r.CommittedEntries); k > 0 {
+		n.applied = max(n.applied, r.CommittedEntries[k-1].Index)
 	}
 	n.advance()
 }
--- a/raft/storage/golden_test.go
+++ b/raft/storage/golden_test.go
@@ -26,9 +26,9 @@
 // goldenMembers are a voter, a learner, and one on its way out of a joint change.
 func goldenMembers() []raft.Member {
 	return []raft.Member{
-		{ID: 7, Addr: "127.0.0.1:7001", Voter: true, Joint: true},
+		{ID: 7, Addr: "127.0.0.1:7001", Voter: true, SupportsJoint: true},
 		{ID: 1 << 63, Addr: "[::1]:7002"},
-		{ID: 9, Addr: "control-9.example.org:7003", Old: true},
+		{ID: 9, Addr: "control-9.example.org:7003", Outgoing: true},
 	}
 }
 
@@ -164,10 +164,10 @@
 }
 
 // goldenStore is what the store folder testdata/golden/store holds.
-func goldenStore() raft.Stored {
-	return raft.Stored{
-		Hard:     raft.HardState{Term: 3, Vote: 9},
-		Snapshot: raft.Snapshot{Index: 2, Term: 2, Members: goldenMembers(), Data: patternBytes(20_000)},
+func goldenStore() raft.PersistentState {
+	return raft.PersistentState{
+		HardState: raft.HardState{Term: 3, Vote: 9},
+		Snapshot:  raft.Snapshot{Index: 2, Term: 2, Members: goldenMembers(), Data: patternBytes(20_000)},
 		Entries: []raft.Entry{
 			{Index: 3, Term: 2, Data: []byte("third")},
 			{Index: 4, Term: 3, Data: patternBytes(3000)},
@@ -200,14 +200,14 @@
 	run(
 		func(s *Store) error { return s.Initialize(goldenIdentity, raft.Snapshot{Members: goldenMembers()[:1]}) },
 		func(s *Store) error {
-			return s.Save(raft.Ready{Hard: &raft.HardState{Term: 2, Vote: 7}, Entries: []raft.Entry{
+			return s.Save(raft.Ready{HardState: &raft.HardState{Term: 2, Vote: 7}, Entries: []raft.Entry{
 				{Index: 1, Term: 1, Data: []byte("first")}, {Index: 2, Term: 2, Data: []byte("second")},
 				{Index: 3, Term: 2, Data: []byte("third")}, {Index: 4, Term: 2, Data: []byte("replaced")},
 			}})
 		},
 	)
 	run(
-		func(s *Store) error { return s.Save(raft.Ready{Hard: &want.Hard, Entries: want.Entries[1:]}) },
+		func(s *Store) error { return s.Save(raft.Ready{HardState: &want.HardState, Entries: want.Entries[1:]}) },
 		func(s *Store) error { return s.Compact(want.Snapshot) },
 	)
 }
--- a/raft/storage/member_test.go
+++ b/raft/storage/member_test.go
@@ -16,19 +16,19 @@
 // memberState is what a store has acknowledged to a member.
 type memberState struct {
 	ID raft.ID
-	raft.Stored
+	raft.PersistentState
 }
 
 func readState(s *Store) (state memberState, err error) {
 	if state.ID, err = s.Identity(); err != nil {
 		return state, err
 	}
-	state.Stored, err = s.Load()
+	state.PersistentState, err = s.Load()
 	return state, err
 }
 
 func (s memberState) equal(o memberState) bool {
-	return s.ID == o.ID && s.Hard == o.Hard && equalSnapshots(s.Snapshot, o.Snapshot) &&
+	return s.ID == o.ID && s.HardState == o.HardState && equalSnapshots(s.Snapshot, o.Snapshot) &&
 		slices.EqualFunc(s.Entries, o.Entries, equalEntries)
 }
 
@@ -42,7 +42,7 @@
 
 func (s memberState) String() string {
 	return fmt.Sprintf("member %d, term %d, snapshot %d, %d entries",
-		s.ID, s.Hard.Term, s.Snapshot.Index, len(s.Entries))
+		s.ID, s.HardState.Term, s.Snapshot.Index, len(s.Entries))
 }
 
 func (s memberState) lastIndex() uint64 { return s.Snapshot.Index + uint64(len(s.Entries)) }
@@ -82,7 +82,7 @@
 
 // installSnapshot takes a snapshot from the leader.
 func (m *testMember) installSnapshot() storeCall {
-	snapshot := raft.Snapshot{Index: m.acknowledged.lastIndex() + 3, Term: m.acknowledged.Hard.Term, Data: m.data()}
+	snapshot := raft.Snapshot{Index: m.acknowledged.lastIndex() + 3, Term: m.acknowledged.HardState.Term, Data: m.data()}
 	m.pending.Snapshot, m.pending.Entries = snapshot, nil
 	return func(s *Store) error { return s.Save(raft.Ready{Snapshot: &snapshot}) }
 }
@@ -91,7 +91,7 @@
 	n := 1 + m.rand.IntN(len(m.acknowledged.Entries))
 	snapshot := raft.Snapshot{
 		Index: m.acknowledged.Snapshot.Index + uint64(n),
-		Term:  m.acknowledged.Hard.Term,
+		Term:  m.acknowledged.HardState.Term,
 		Data:  m.data(),
 	}
 	m.pending.Snapshot, m.pending.Entries = snapshot, m.pending.Entries[n:]
@@ -101,10 +101,10 @@
 func (m *testMember) save() storeCall {
 	var ready raft.Ready
 	if m.rand.IntN(3) == 0 {
-		m.pending.Hard = raft.HardState{Term: m.acknowledged.Hard.Term + 1, Vote: m.id}
-		ready.Hard = &m.pending.Hard
+		m.pending.HardState = raft.HardState{Term: m.acknowledged.HardState.Term + 1, Vote: m.id}
+		ready.HardState = &m.pending.HardState
 	}
-	if ready.Hard == nil || m.rand.IntN(2) == 0 {
+	if ready.HardState == nil || m.rand.IntN(2) == 0 {
 		ready.Entries = m.appendEntries()
 	}
 	return func(s *Store) error { return s.Save(ready) }
@@ -118,7 +118,7 @@
 	for range 1 + m.rand.IntN(3) {
 		m.pending.Entries = append(m.pending.Entries, raft.Entry{
 			Index: m.pending.lastIndex() + 1,
-			Term:  m.pending.Hard.Term,
+			Term:  m.pending.HardState.Term,
 			Data:  m.data(),
 		})
 	}
--- a/raft/storage/seal_test.go
+++ b/raft/storage/seal_test.go
@@ -18,14 +18,14 @@
 			t.Fatal(err)
 		}
 		first := raft.Ready{
-			Hard:    &raft.HardState{Term: 1},
-			Entries: []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b")},
+			HardState: &raft.HardState{Term: 1},
+			Entries:   []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b")},
 		}
 		if err := errors.Join(s.Initialize(7, raft.Snapshot{}), s.Save(first)); err != nil {
 			t.Fatal(err)
 		}
 		sealed := s.acknowledged
-		if err := s.Save(raft.Ready{Hard: &raft.HardState{Term: 2}}); err != nil {
+		if err := s.Save(raft.Ready{HardState: &raft.HardState{Term: 2}}); err != nil {
 			t.Fatal(err)
 		}
 		if gone != nil {
--- a/raft/storage/store.go
+++ b/raft/storage/store.go
@@ -130,10 +130,10 @@
 
 // Load reads everything that is stored. It fails with [ErrCorrupt] if it is not as it was
 // written.
-func (s *Store) Load() (stored raft.Stored, err error) {
+func (s *Store) Load() (stored raft.PersistentState, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err = s.readRecord(keyHardState, s.contents.hardState, &stored.Hard); err != nil {
+	if err = s.readRecord(keyHardState, s.contents.hardState, &stored.HardState); err != nil {
 		return stored, err
 	}
 	if err = s.readRecord(keySnapshot, s.contents.snapshot, &stored.Snapshot); err != nil {
@@ -198,8 +198,8 @@
 		return err
 	}
 	b := s.newBatch()
-	if ready.Hard != nil {
-		b.putHardState(*ready.Hard)
+	if ready.HardState != nil {
+		b.putHardState(*ready.HardState)
 	}
 	if ready.Snapshot != nil {
 		b.truncateFrom(b.after.snapshotIndex + 1)
--- a/raft/storage/store_test.go
+++ b/raft/storage/store_test.go
@@ -52,7 +52,7 @@
 	hardState := raft.HardState{Term: 2, Vote: 7}
 	for _, r := range []raft.Ready{
 		{Entries: []raft.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}},
-		{Hard: &hardState, Entries: []raft.Entry{entry(2, 2, "d")}},
+		{HardState: &hardState, Entries: []raft.Entry{entry(2, 2, "d")}},
 	} {
 		if err := s.Save(r); err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 	}
 	want := []raft.Entry{entry(1, 1, "a"), entry(2, 2, "d")}
 	stored, err := s.Load()
-	if err != nil || stored.Hard != hardState || !reflect.DeepEqual(stored.Entries, want) {
+	if err != nil || stored.HardState != hardState || !reflect.DeepEqual(stored.Entries, want) {
 		t.Errorf("%+v, %v", stored, err)
 	}
 	if err := s.Compact(raft.Snapshot{Index: 1, Term: 1}); err != nil {
@@ -144,7 +144,7 @@
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
-	if err := s.Save(raft.Ready{Hard: &raft.HardState{Term: 1}}); err == nil {
+	if err := s.Save(raft.Ready{HardState: &raft.HardState{Term: 1}}); err == nil {
 		t.Error("saved in a store that is closed")
 	}
 	open(t, dir)
@@ -156,28 +156,28 @@
 	d := newFaultDisk()
 	s := openSimulated(t, d)
 	hardState := raft.HardState{Term: 2, Vote: 7}
-	if err := errors.Join(s.Initialize(7, raft.Snapshot{}), s.Save(raft.Ready{Hard: &hardState})); err != nil {
+	if err := errors.Join(s.Initialize(7, raft.Snapshot{}), s.Save(raft.Ready{HardState: &hardState})); err != nil {
 		t.Fatal(err)
 	}
 	closeStore(s)
 	d.full = true
 	s = openSimulated(t, d)
 	s.reopenInterval = 0
-	if found, err := readState(s); err != nil || found.ID != 7 || found.Hard != hardState {
+	if found, err := readState(s); err != nil || found.ID != 7 || found.HardState != hardState {
 		t.Errorf("%v, %v", found, err)
 	}
 	next := raft.HardState{Term: 3, Vote: 8}
 	for range 5 {
-		if err := s.Save(raft.Ready{Hard: &next}); !errors.Is(err, syscall.ENOSPC) {
+		if err := s.Save(raft.Ready{HardState: &next}); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatalf("%v", err)
 		}
 	}
 	files := len(d.dirs[storeDir].visible)
 	d.full = false
-	if err := s.Save(raft.Ready{Hard: &next}); err != nil {
+	if err := s.Save(raft.Ready{HardState: &next}); err != nil {
 		t.Fatal(err)
 	}
-	if found, err := readState(s); err != nil || found.Hard != next {
+	if found, err := readState(s); err != nil || found.HardState != next {
 		t.Errorf("%v, %v", found, err)
 	}
 	if files > 8 {
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	d.failSyncs = 1
-	if err := s.Save(raft.Ready{Hard: &raft.HardState{Term: 9, Vote: 9}}); !errors.Is(err, syscall.EIO) {
+	if err := s.Save(raft.Ready{HardState: &raft.HardState{Term: 9, Vote: 9}}); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("%v", err)
 	}
 	closeStore(s) // the process ends; the machine goes on
--- a/raft/storage/upgrade_test.go
+++ b/raft/storage/upgrade_test.go
@@ -24,7 +24,7 @@
 	var b writeBatch
 	b.putIdentity(state.ID)
 	b.putSnapshot(state.Snapshot)
-	b.putHardState(state.Hard)
+	b.putHardState(state.HardState)
 	b.putEntries(state.Entries)
 	err = errors.Join(b.err, db.Write(&b.records, nil))
 	files.shutDown()
@@ -36,10 +36,10 @@
 func TestStoreFromBeforeTheSealIsUpgraded(t *testing.T) {
 	checkSeeds(t, *diskSeeds, func(seed uint64) error {
 		r := rand.New(rand.NewPCG(seed, 5))
-		m := &testMember{rand: r, id: 7, acknowledged: memberState{ID: 7, Stored: raft.Stored{
-			Hard:     raft.HardState{Term: 4, Vote: 7},
-			Snapshot: raft.Snapshot{Index: 5, Term: 3},
-			Entries:  []raft.Entry{entry(6, 3, "a"), entry(7, 4, "b")},
+		m := &testMember{rand: r, id: 7, acknowledged: memberState{ID: 7, PersistentState: raft.PersistentState{
+			HardState: raft.HardState{Term: 4, Vote: 7},
+			Snapshot:  raft.Snapshot{Index: 5, Term: 3},
+			Entries:   []raft.Entry{entry(6, 3, "a"), entry(7, 4, "b")},
 		}}}
 		d := newFaultDisk()
 		if err := writeUnsealedStore(d, m.acknowledged); err != nil {
--- a/raft/trace_test.go
+++ b/raft/trace_test.go
@@ -20,11 +20,11 @@
 func TestSeededRunsAreReproducible(t *testing.T) {
 	t.Parallel()
 	digest := xxhash.New()
-	sent := map[Kind]int{}
+	sent := map[MessageKind]int{}
 	for seed := range uint64(150) {
 		trace(t, digest, sent, seed)
 	}
-	for kind := PreVote; kind <= PieceReply; kind++ {
+	for kind := PreVoteRequest; kind <= SnapshotChunkReply; kind++ {
 		if sent[kind] < 20 {
 			t.Errorf("%d messages of kind %d were sent: too few to say anything", sent[kind], kind)
 		}
@@ -36,34 +36,34 @@
 
 // trace plays five members, two of them learners, under lost, late and doubled messages,
 // crashes, snapshots and changes of members, and adds all that they do to a digest.
-func trace(t *testing.T, digest *xxhash.Digest, sent map[Kind]int, seed uint64) {
+func trace(t *testing.T, digest *xxhash.Digest, sent map[MessageKind]int, seed uint64) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 77))
 	var members []Member
 	for id := ID(1); id <= 5; id++ {
-		members = append(members, Member{ID: id, Voter: id <= 3, Joint: true})
+		members = append(members, Member{ID: id, Voter: id <= 3, SupportsJoint: true})
 	}
-	disks, nodes := map[ID]*Stored{}, map[ID]*Node{}
+	disks, nodes := map[ID]*PersistentState{}, map[ID]*Node{}
 	start := func(id ID) {
 		d := disks[id]
-		nodes[id] = New(Config{ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Seed: seed, PieceBytes: 16 << (seed % 3 * 2), TailEntries: 3, LogEntries: 8},
-			Stored{Hard: d.Hard, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})
+		nodes[id] = New(Config{ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Seed: seed, ChunkBytes: 16 << (seed % 3 * 2), TrailingEntries: 3, SnapshotEntries: 8},
+			PersistentState{HardState: d.HardState, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})
 	}
 	for _, m := range members {
-		disks[m.ID] = &Stored{Snapshot: Snapshot{Members: members}}
+		disks[m.ID] = &PersistentState{Snapshot: Snapshot{Members: members}}
 		start(m.ID)
 	}
 	var network []Message
 	host := func(id ID) {
 		n, d := nodes[id], disks[id]
 		for r := n.Ready(); !r.Empty(); r = n.Ready() {
-			if data, err := cbor.Marshal([]any{r.Hard, r.Snapshot, r.Entries, r.Messages, r.Committed}); err != nil {
+			if data, err := cbor.Marshal([]any{r.HardState, r.Snapshot, r.Entries, r.Messages, r.CommittedEntries}); err != nil {
 				t.Fatal(err)
 			} else if _, err := digest.Write(data); err != nil {
 				t.Fatal(err)
 			}
-			if r.Hard != nil {
-				d.Hard = *r.Hard
+			if r.HardState != nil {
+				d.HardState = *r.HardState
 			}
 			if r.Snapshot != nil {
 				d.Snapshot, d.Entries = *r.Snapshot, nil
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 		if n.SnapshotDue() {
-			at := n.Applied()
+			at := n.AppliedIndex()
 			if s := n.Compact(at, bytes.Repeat([]byte{byte(at)}, int(40+at%40))); s != nil {
 				d.Entries = slices.Clone(d.Entries[s.Index-d.Snapshot.Index:])
 				d.Snapshot = *s
@@ -137,28 +137,28 @@
 	case 0, 1, 2, 3:
 		_, _, _ = n.Propose(bytes.Repeat([]byte{byte(step)}, 1+step%2*smallBytes))
 	case 4:
-		n.Beat()
+		n.BroadcastHeartbeat()
 	case 5:
-		n.Lost(ID(1 + rng.IntN(5)))
+		n.ReportSendFailure(ID(1 + rng.IntN(5)))
 	case 6: // one voter for another
 		i, j := rng.IntN(len(members)), rng.IntN(len(members))
 		members[i].Voter, members[j].Voter = members[j].Voter, members[i].Voter
-		if n.Bears(members) {
-			_ = n.Change(members)
+		if n.CanCommitMembers(members) {
+			_ = n.ProposeMembers(members)
 		}
 	case 7: // one voter more, or one less
 		i := rng.IntN(len(members))
 		members[i].Voter = !members[i].Voter
-		if n.Bears(members) && len(voters(members)) > 2 {
-			_ = n.Change(members)
+		if n.CanCommitMembers(members) && len(voters(members)) > 2 {
+			_ = n.ProposeMembers(members)
 		}
 	case 8:
 		if rng.IntN(10) == 0 {
-			n.Transfer()
+			n.TransferLeadership()
 		}
 	case 9:
 		if rng.IntN(10) == 0 {
-			n.Resign()
+			n.StepDown()
 		}
 	}
 }
--- a/raft/types.go
+++ b/raft/types.go
@@ -21,14 +21,14 @@
 	Voter bool   `cbor:"3,keyasint"` // counts toward majorities; else it only learns
 	// Old is set in a joint change only, by the leader: the member counts toward the
 	// majorities of the set that is on its way out.
-	Old bool `cbor:"4,keyasint,omitempty"`
+	Outgoing bool `cbor:"4,keyasint,omitempty"`
 	// Joint: it has said that it understands joint changes. Written down, as a leader
 	// must know it of voters that it never heard of.
-	Joint bool `cbor:"5,keyasint,omitempty"`
+	SupportsJoint bool `cbor:"5,keyasint,omitempty"`
 }
 
 // votes tells whether the member counts toward any majority.
-func (m *Member) votes() bool { return m.Voter || m.Old }
+func (m *Member) votes() bool { return m.Voter || m.Outgoing }
 
 // Entry is one place of the log.
 type Entry struct {
@@ -53,57 +53,57 @@
 }
 
 // Stored is what a host has on disk.
-type Stored struct {
-	Hard     HardState
-	Snapshot Snapshot
-	Entries  []Entry // those behind the snapshot, without a gap
+type PersistentState struct {
+	HardState HardState
+	Snapshot  Snapshot
+	Entries   []Entry // those behind the snapshot, without a gap
 }
 
 // Kind is the kind of a message.
-type Kind uint8
+type MessageKind uint8
 
 // The kinds of messages.
 const (
-	PreVote Kind = iota + 1
+	PreVoteRequest MessageKind = iota + 1
 	PreVoteReply
-	Vote
+	VoteRequest
 	VoteReply
-	Append // also the heartbeat
-	AppendReply
-	Install // a whole snapshot
-	Campaign
-	Piece // of a snapshot; members of before know neither this kind nor the next, and ignore both
-	PieceReply
+	AppendEntries // also the heartbeat
+	AppendEntriesReply
+	InstallSnapshot // a whole snapshot
+	TimeoutNow
+	SnapshotChunk // of a snapshot; members of before know neither this kind nor the next, and ignore both
+	SnapshotChunkReply
 	// Forgotten tells a member that its log lacks what it has acknowledged to this leader.
-	Forgotten
+	DurabilityLost
 )
 
 // Message goes from one member to another. It may be lost, late or doubled.
 type Message struct {
-	Kind     Kind      `cbor:"1,keyasint"`
-	From     ID        `cbor:"2,keyasint"`
-	To       ID        `cbor:"3,keyasint"`
-	Term     uint64    `cbor:"4,keyasint"`
-	Index    uint64    `cbor:"5,keyasint,omitempty"` // before the entries; in replies: matched, or the last of the log
-	LogTerm  uint64    `cbor:"6,keyasint,omitempty"`
-	Commit   uint64    `cbor:"7,keyasint,omitempty"`
-	Round    uint64    `cbor:"8,keyasint,omitempty"` // of heartbeats, echoed in replies
-	Reject   bool      `cbor:"9,keyasint,omitempty"`
-	Force    bool      `cbor:"10,keyasint,omitempty"` // a vote asked for by the leader itself
-	Joint    bool      `cbor:"20,keyasint,omitempty"` // in replies: the sender understands joint changes
-	Entries  []Entry   `cbor:"11,keyasint,omitempty"`
-	Snapshot *Snapshot `cbor:"12,keyasint,omitempty"` // of a piece: with the bytes from Offset on
+	Kind               MessageKind `cbor:"1,keyasint"`
+	From               ID          `cbor:"2,keyasint"`
+	To                 ID          `cbor:"3,keyasint"`
+	Term               uint64      `cbor:"4,keyasint"`
+	Index              uint64      `cbor:"5,keyasint,omitempty"` // before the entries; in replies: matched, or the last of the log
+	LogTerm            uint64      `cbor:"6,keyasint,omitempty"`
+	Commit             uint64      `cbor:"7,keyasint,omitempty"`
+	Round              uint64      `cbor:"8,keyasint,omitempty"` // of heartbeats, echoed in replies
+	Reject             bool        `cbor:"9,keyasint,omitempty"`
+	LeadershipTransfer bool        `cbor:"10,keyasint,omitempty"` // a vote asked for by the leader itself
+	SupportsJoint      bool        `cbor:"20,keyasint,omitempty"` // in replies: the sender understands joint changes
+	Entries            []Entry     `cbor:"11,keyasint,omitempty"`
+	Snapshot           *Snapshot   `cbor:"12,keyasint,omitempty"` // of a piece: with the bytes from Offset on
 	// Of a piece: where it begins, the size of the whole in bytes, and the xxhash of the
 	// whole. Of its reply: how many bytes are held, and the sum.
-	Offset uint64 `cbor:"13,keyasint,omitempty"`
-	Size   uint64 `cbor:"14,keyasint,omitempty"`
-	Sum    uint64 `cbor:"15,keyasint,omitempty"`
+	Offset           uint64 `cbor:"13,keyasint,omitempty"`
+	SnapshotSize     uint64 `cbor:"14,keyasint,omitempty"`
+	SnapshotChecksum uint64 `cbor:"15,keyasint,omitempty"`
 	// Tried is, in a rejection, the index that did not fit; 0 from members of before.
-	Tried uint64 `cbor:"16,keyasint,omitempty"`
+	RejectedIndex uint64 `cbor:"16,keyasint,omitempty"`
 }
 
 // Weight is what a message has of entries and snapshots, in bytes.
-func (m *Message) Weight() (bytes int) {
+func (m *Message) PayloadSize() (bytes int) {
 	for i := range m.Entries {
 		bytes += weight(&m.Entries[i])
 	}
@@ -115,7 +115,7 @@
 
 // Bulk tells that a message may take a link's time and must not delay the others:
 // heartbeats, votes and answers. It may be overtaken by them.
-func (m *Message) Bulk() bool { return m.Kind == Piece || m.Weight() > smallBytes }
+func (m *Message) IsBulk() bool { return m.Kind == SnapshotChunk || m.PayloadSize() > smallBytes }
 
 // Role is what a member is at the moment.
 type Role uint8
@@ -133,20 +133,20 @@
 // Entries (which replace all from their first index on) and sync them; send
 // Messages; apply Snapshot and then Committed.
 type Ready struct {
-	Hard      *HardState
-	Snapshot  *Snapshot
-	Entries   []Entry
-	Messages  []Message
-	Committed []Entry
+	HardState        *HardState
+	Snapshot         *Snapshot
+	Entries          []Entry
+	Messages         []Message
+	CommittedEntries []Entry
 }
 
 // Empty tells that there is nothing to do.
 func (r *Ready) Empty() bool {
-	return r.Hard == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.Messages) == 0 && len(r.Committed) == 0
+	return r.HardState == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.Messages) == 0 && len(r.CommittedEntries) == 0
 }
 
 // MustSync tells that something has to be on disk before the messages go out.
-func (r *Ready) MustSync() bool { return r.Hard != nil || r.Snapshot != nil || len(r.Entries) > 0 }
+func (r *Ready) MustSync() bool { return r.HardState != nil || r.Snapshot != nil || len(r.Entries) > 0 }
 
 // voters are the members that count toward a majority of the set on its way in,
 // outgoing those of the set on its way out: none, unless a joint change is under way.
@@ -161,7 +161,7 @@
 
 func outgoing(ms []Member) (ids []ID) {
 	for _, m := range ms {
-		if m.Old {
+		if m.Outgoing {
 			ids = append(ids, m.ID)
 		}
 	}
