--- a/dataplane/balance/balance.go
+++ b/dataplane/balance/balance.go
@@ -69,7 +69,7 @@
 	others  map[uint64]told
 	slow    float64
 	slowAt  float64
-	health  health.Record
+	health  health.Detector
 	awayTo  float64 // not at its address
 	goodAt  float64 // it answered last ...
 	badAt   float64 // ... and failed to
@@ -92,7 +92,7 @@
 	rate    float64 // requests a second of this limiter's, fading
 	rateAt  float64
 	demand  map[uint64]float64 // of the other limiters of the zone, as told
-	usual   health.Usual
+	usual   health.Baseline
 }
 
 // Set is what one limiter knows of the servers. It is not safe for concurrent use.
@@ -108,13 +108,13 @@
 	dirty    map[uint32]uint8
 	drawn    []*Member
 	dealtAt  float64
-	zones    map[string]*health.Record
+	zones    map[string]*health.Detector
 }
 
 // New returns a set for a limiter, by the hash of its name, in a zone.
 func New(zone string, self, seed uint64) *Set {
 	return &Set{zone: zone, self: self, rng: rand.New(rand.NewPCG(seed, 0xba1)), byID: map[string]*Member{},
-		byHash: map[uint32]*Member{}, services: map[string]*service{}, dirty: map[uint32]uint8{}, zones: map[string]*health.Record{}}
+		byHash: map[uint32]*Member{}, services: map[string]*service{}, dirty: map[uint32]uint8{}, zones: map[string]*health.Detector{}}
 }
 
 // Update takes in a whole list of servers. One with a new member id is a new
@@ -273,7 +273,7 @@
 	consider := func(members []*Member, pass int) {
 		for _, m := range members {
 			if m.State == api.Draining || slices.Contains(r.Tried, m) || now < m.fullTo ||
-				pass == 0 && (now < m.awayTo || m.health.Off(now) || s.dark(now, m.Zone)) {
+				pass == 0 && (now < m.awayTo || m.health.Ejected(now) || s.dark(now, m.Zone)) {
 				continue
 			}
 			c, load := float64(m.Capacity), m.Load(now)
@@ -311,7 +311,7 @@
 			if r.Once {
 				doubt = onceCost
 			}
-			cost += other*float64(m.rank) + foreign + doubt*m.health.Doubt(now) + 0.01*s.rng.Float64()
+			cost += other*float64(m.rank) + foreign + doubt*m.health.Suspicion(now) + 0.01*s.rng.Float64()
 			if best == nil || cost < bestCost {
 				best, bestCost, bestTime, bestLoad = m, cost, time, load
 			}
@@ -379,8 +379,8 @@
 	switch r {
 	case Good:
 		v := m.service
-		v.usual.Note(false)
-		m.health.Answered(now, &v.usual)
+		v.usual.Observe(false)
+		m.health.ObserveSuccess(now, &v.usual)
 		s.zoneAnswered(now, m)
 		v.n++
 		// Work is learnt from answers of servers as they are: queues and slowness are
@@ -402,13 +402,13 @@
 		}
 	case Failed, Unsent, Erred:
 		took = Failure
-		m.service.usual.Note(true)
+		m.service.usual.Observe(true)
 		if r != Erred {
 			s.zoneFailed(now, m, zoneWeight)
 		}
 		weight := 1.0
 		if r == Unsent {
-			weight = health.Sure
+			weight = health.ConclusiveWeight
 		}
 		s.failed(now, m, weight)
 	case Moved:
@@ -421,11 +421,11 @@
 func (s *Set) failed(now float64, m *Member, weight float64) {
 	off := 0
 	for _, o := range m.service.members {
-		if o.health.Off(now) {
+		if o.health.Ejected(now) {
 			off++
 		}
 	}
-	m.health.Failed(now, weight, &m.service.usual, 2*(off+1) <= len(m.service.members))
+	m.health.ObserveFailure(now, weight, &m.service.usual, 2*(off+1) <= len(m.service.members))
 }
 
 // Slowness is by how much longer than is typical a server takes, 1 at the least.
--- a/dataplane/balance/balance_test.go
+++ b/dataplane/balance/balance_test.go
@@ -133,7 +133,7 @@
 		now += 50
 	}
 	at := now
-	for k := 0; !a.health.Off(now) && k < 20; k++ {
+	for k := 0; !a.health.Ejected(now) && k < 20; k++ {
 		r := Good
 		if k%2 == 0 {
 			r = Erred
@@ -141,7 +141,7 @@
 		s.Done(now, a, r, 100)
 		now += 140
 	}
-	if !a.health.Off(now) || now-at > 1500 {
+	if !a.health.Ejected(now) || now-at > 1500 {
 		t.Fatalf("not kept off after %.0f ms", now-at)
 	}
 	for range 20 {
--- a/dataplane/balance/deal_test.go
+++ b/dataplane/balance/deal_test.go
@@ -136,7 +136,7 @@
 	m := s.services["s"].members[0]
 	s.Heard(0, ids[1], []Hint{{Server: m.Hash, Out: 2}})
 	s.Heard(1, ids[1], []Hint{{Server: m.Hash, Out: NotTold, Took: Failure}})
-	if got := m.Load(2); got != 2 || m.health.Doubt(2) == 0 {
-		t.Errorf("load %v, a doubt of %v", got, m.health.Doubt(2))
+	if got := m.Load(2); got != 2 || m.health.Suspicion(2) == 0 {
+		t.Errorf("load %v, a doubt of %v", got, m.health.Suspicion(2))
 	}
 }
--- a/dataplane/balance/zone.go
+++ b/dataplane/balance/zone.go
@@ -26,12 +26,12 @@
 // dark tells whether a zone is passed over.
 func (s *Set) dark(now float64, name string) bool {
 	z := s.zones[name]
-	return z != nil && z.Off(now)
+	return z != nil && z.Ejected(now)
 }
 
 // zoneFailed has a failure to be answered by a server speak against its zone.
 func (s *Set) zoneFailed(now float64, m *Member, weight float64) {
-	if m.health.Off(now) {
+	if m.health.Ejected(now) {
 		return
 	}
 	z := s.zones[m.Zone]
@@ -39,7 +39,7 @@
 		if len(s.zones) >= mostZones {
 			return
 		}
-		z = &health.Record{}
+		z = &health.Detector{}
 		s.zones[m.Zone] = z
 	}
 	m.badAt = now
@@ -50,7 +50,7 @@
 			break
 		}
 	}
-	z.Failed(now, weight, &m.service.usual, other && s.fails(now, m.Zone))
+	z.ObserveFailure(now, weight, &m.service.usual, other && s.fails(now, m.Zone))
 }
 
 // fails tells whether most servers of a zone that were tried just now failed.
@@ -74,7 +74,7 @@
 func (s *Set) zoneAnswered(now float64, m *Member) {
 	m.goodAt = now
 	if z := s.zones[m.Zone]; z != nil {
-		z.Answered(now, &m.service.usual)
+		z.ObserveSuccess(now, &m.service.usual)
 	}
 }
 
--- a/health/health.go
+++ b/health/health.go
@@ -1,109 +1,138 @@
-// Package health judges servers by how requests to them end. A server's word on
-// itself can be false either way, so only what it does counts: each failure speaks
-// against it and each answer for it, by how much likelier that would be at a server
-// that is ill than at one that is as the others are (Page, "Continuous Inspection
-// Schemes", 1954: the cumulative sum of log likelihood ratios). So three failures in
-// a row keep a server off, and so do four among ten answers; one among twenty does not,
-// and where all servers of a service fail alike none is kept off for it. What leaves no
-// doubt, as a connect in vain, weighs more: two are enough. A server that
-// was kept off comes back on trial: the next failure keeps it off for twice as long.
+// Package health detects unhealthy servers by how requests to them end: passive
+// outlier detection. Health checks that a server answers about itself can be wrong in
+// both directions, so only its answers to real requests count.
 //
-// It does no I/O, reads no clock and draws no numbers; times are in milliseconds.
+// A [Detector] keeps a cumulative sum of log likelihood ratios for one server (Page,
+// "Continuous Inspection Schemes", 1954). Each failure raises the score and each answer
+// lowers it, by how much more likely that end is at an unhealthy server than at one that
+// fails as often as the others of its service ([Baseline]). At the threshold the server is
+// ejected for a time: it gets no requests. So three failures in a row eject a server, and
+// so do four among ten answers; one among twenty does not, and where all servers of a
+// service fail alike none is ejected. Conclusive failures, such as a refused connection,
+// weigh more: two are enough. A server returns on probation: its next failure ejects it
+// again, for twice as long.
+//
+// The package does no I/O, reads no clock and draws no random numbers. Times are in
+// milliseconds on the caller's steady clock and must not go back. A value must not be
+// used by several goroutines at once.
 package health
 
 import "math"
 
 const (
-	illShare  = 0.35 // of the requests at a server that is ill fail
-	usualLow  = 0.02 // what fails at servers that are well, at the least ...
-	usualMost = 0.25 // ... and at the most
-	usualPart = 0.01 // of one request in the usual share
-	keepOffAt = 6.5  // sum at which a server is kept off: three failures among few answers
-	trialAt   = 4.5  // sum that a server comes back with: one failure keeps it off again
-	fadeMs    = 3000.0
-	offMs     = 1000.0 // the first time; doubled with each further one
-	offMost   = 8000.0
-	recovers  = 4 * offMost // without a failure: the next time is the first one again
+	// unhealthyFailureRate is the share of requests that fail at an unhealthy server, at
+	// the least. Lower: partial failures are found sooner, and healthy servers ejected by
+	// chance.
+	unhealthyFailureRate = 0.35
+	// minBaseline and maxBaseline bound the failure rate that a healthy server is taken to
+	// have, whatever its service's is.
+	minBaseline = 0.02
+	maxBaseline = 0.25
+	// maxUnhealthyRate bounds the failure rate that an unhealthy server is taken to have.
+	maxUnhealthyRate = 0.9
+	// unhealthyFactor is how many times the baseline an unhealthy server fails at.
+	unhealthyFactor = 3
+	// baselineSmoothing is the weight of one request in the moving average of a service.
+	baselineSmoothing = 0.01
+	// ejectionThreshold is the score at which a server is ejected.
+	ejectionThreshold = 6.5
+	// maxScore bounds the score, so that it decays within some seconds.
+	maxScore = 2 * ejectionThreshold
+	// probationScore is the score of a server that returns: one failure ejects it again.
+	probationScore = 4.5
+	// decayMs is the time in which a score without new requests falls to 1/e.
+	decayMs = 3000.0
+	// baseEjectionMs is how long a server is ejected the first time; it doubles each time,
+	// up to maxEjectionMs.
+	baseEjectionMs = 1000.0
+	maxEjectionMs  = 8000.0
+	// forgiveAfterMs is how long a server must not fail for its next ejection to count as
+	// the first one.
+	forgiveAfterMs = 4 * maxEjectionMs
 )
 
-// Sure is the weight of a failure that leaves no doubt.
-const Sure = 1.3
+// ConclusiveWeight is the weight of a failure that has no other explanation than the
+// server's state.
+const ConclusiveWeight = 1.3
 
-// Usual is the share of requests to a service that fail, at all its servers
-// together. The zero value knows of none.
-type Usual struct{ share float64 }
+// Baseline is the moving average of the failure rate of a service over all its servers.
+// The zero value has seen no failure.
+type Baseline struct{ rate float64 }
 
-// Note counts a request.
-func (u *Usual) Note(failed bool) {
-	u.share -= usualPart * u.share
+// Observe takes the end of one request into the average.
+func (b *Baseline) Observe(failed bool) {
+	b.rate -= baselineSmoothing * b.rate
 	if failed {
-		u.share += usualPart
+		b.rate += baselineSmoothing
 	}
 }
 
-// Share is the usual share of failures.
-func (u *Usual) Share() float64 { return u.share }
+// FailureRate is the share of requests that fail, from 0 to 1.
+func (b *Baseline) FailureRate() float64 { return b.rate }
 
-// ratios are what a failure and an answer add to a server's sum.
-func (u *Usual) ratios() (failure, answer float64) {
-	usual := min(max(usualLow, u.share), usualMost)
-	ill := max(illShare, min(0.9, 3*usual))
-	return math.Log(ill / usual), math.Log((1 - ill) / (1 - usual))
+// logRatios are what a failure adds to a server's score and what an answer adds, which is
+// negative.
+func (b *Baseline) logRatios() (failure, answer float64) {
+	healthy := min(max(minBaseline, b.rate), maxBaseline)
+	unhealthy := max(unhealthyFailureRate, min(maxUnhealthyRate, unhealthyFactor*healthy))
+	return math.Log(unhealthy / healthy), math.Log((1 - unhealthy) / (1 - healthy))
 }
 
-// Record is what speaks against one server. The zero value is of one that nothing
-// is known of.
-type Record struct {
-	sum   float64
-	at    float64
-	offTo float64
-	offs  int     // times that it was kept off, each soon after the one before
-	badAt float64 // the last failure
+// Detector scores one server. The zero value is that of a server without requests.
+type Detector struct {
+	score        float64 // of scoredAt; it decays from then on
+	scoredAt     float64
+	ejectedUntil float64
+	ejections    int // in a row, each within forgiveAfterMs of a failure
+	lastFailure  float64
 }
 
-func (r *Record) fade(now float64) {
-	if now > r.at {
-		r.sum *= math.Exp((r.at - now) / fadeMs)
-		r.at = now
+// decay brings the score up to now.
+func (d *Detector) decay(now float64) {
+	if now > d.scoredAt {
+		d.score *= math.Exp((d.scoredAt - now) / decayMs)
+		d.scoredAt = now
 	}
 }
 
-// Failed counts a failure, weighed: 1 for a request that failed, [Sure] where nothing
-// answers at all, less for what is told or may have other causes. spare tells whether the service can do without this server: one
-// that it can't is not kept off. It tells whether the server is kept off from now on.
-func (r *Record) Failed(now, weight float64, u *Usual, spare bool) bool {
-	r.fade(now)
-	if now-r.badAt > recovers {
-		r.offs = 0
+// ObserveFailure takes in a failed request and tells whether the server is ejected from
+// now on. The weight is 1 for a request that failed, [ConclusiveWeight] where nothing
+// answers at all, and less for what a peer reports or what may have other causes.
+// replaceable tells whether the service can do without this server: one that it can't do
+// without is never ejected.
+func (d *Detector) ObserveFailure(now, weight float64, b *Baseline, replaceable bool) bool {
+	d.decay(now)
+	if now-d.lastFailure > forgiveAfterMs {
+		d.ejections = 0
 	}
-	r.badAt = now
-	failure, _ := u.ratios()
-	r.sum = min(2*keepOffAt, r.sum+weight*failure)
-	if r.sum < keepOffAt || now < r.offTo || !spare {
+	d.lastFailure = now
+	failure, _ := b.logRatios()
+	d.score = min(maxScore, d.score+weight*failure)
+	if d.score < ejectionThreshold || d.Ejected(now) || !replaceable {
 		return false
 	}
-	r.offTo = now + min(offMost, offMs*math.Pow(2, float64(r.offs)))
-	r.offs++
-	r.sum, r.at = trialAt, r.offTo // it does not fade while nothing is tried
+	d.ejectedUntil = now + min(maxEjectionMs, baseEjectionMs*math.Pow(2, float64(d.ejections)))
+	d.ejections++
+	// The score begins to decay when the ejection ends: nothing is learnt meanwhile.
+	d.score, d.scoredAt = probationScore, d.ejectedUntil
 	return true
 }
 
-// Answered counts an answer of use.
-func (r *Record) Answered(now float64, u *Usual) {
-	if now < r.offTo {
-		return // to a request from before
+// ObserveSuccess takes in a usable answer.
+func (d *Detector) ObserveSuccess(now float64, b *Baseline) {
+	if d.Ejected(now) {
+		return // to a request that was sent before the ejection
 	}
-	r.fade(now)
-	_, answer := u.ratios()
-	r.sum = max(0, r.sum+answer)
+	d.decay(now)
+	_, answer := b.logRatios()
+	d.score = max(0, d.score+answer)
 }
 
-// Off tells whether the server is kept off.
-func (r *Record) Off(now float64) bool { return now < r.offTo }
+// Ejected tells whether the server must get no requests.
+func (d *Detector) Ejected(now float64) bool { return now < d.ejectedUntil }
 
-// Doubt is how much speaks against a server that is not kept off: 0 nothing, 1 nearly
-// enough.
-func (r *Record) Doubt(now float64) float64 {
-	r.fade(now)
-	return min(1, r.sum/keepOffAt)
+// Suspicion is how close a server that is not ejected is to the threshold, from 0 to 1.
+func (d *Detector) Suspicion(now float64) float64 {
+	d.decay(now)
+	return min(1, d.score/ejectionThreshold)
 }
