--- a/raft/change_test.go
+++ b/raft/change_test.go
@@ -58,13 +58,13 @@
 func (h *hand) elect(id ID) {
 	for other, n := range h.nodes {
 		if n.Role() != Leader {
-			n.elapsed = n.cfg.ElectionTicks
+			n.electionElapsed = n.cfg.ElectionTicks
 		}
 		if other != id {
-			n.timeout = 1 << 30
+			n.electionTimeout = 1 << 30
 		}
 	}
-	h.nodes[id].timeout = 0
+	h.nodes[id].electionTimeout = 0
 	h.nodes[id].Tick()
 	h.play()
 }
@@ -72,7 +72,7 @@
 // swapped are members with the vote of one given to another.
 func swapped(ms []Member, from, to ID) []Member {
 	out := slices.Clone(ms)
-	find(out, from).Voter, find(out, to).Voter = false, true
+	findMember(out, from).Voter, findMember(out, to).Voter = false, true
 	return out
 }
 
@@ -106,7 +106,7 @@
 		if got := l.ConfirmedReadIndexRound() >= need; got != c.ok {
 			t.Errorf("%s: confirmed %v", c.name, got)
 		}
-		if got := len(outgoing(l.Members())) == 0 && !l.MembershipChangePending(); got != c.ok {
+		if got := len(outgoingVoterIDs(l.Members())) == 0 && !l.MembershipChangePending(); got != c.ok {
 			t.Errorf("%s: through %v: %v", c.name, got, l.Members())
 		}
 		for range 25 {
@@ -143,7 +143,7 @@
 			t.Fatal(err)
 		}
 		if c.name == "a swap" { // the joint entry is agreed; the final one reaches 3 alone
-			for len(outgoing(l.Members())) == 0 || l.CommitIndex() < l.since {
+			for len(outgoingVoterIDs(l.Members())) == 0 || l.CommitIndex() < l.membersIndex {
 				r := l.Ready()
 				l.Advance(r)
 				for _, m := range r.Messages {
@@ -153,12 +153,12 @@
 					r := h.nodes[id].Ready()
 					h.nodes[id].Advance(r)
 					for _, m := range r.Messages {
-						if l.Step(m); len(outgoing(l.Members())) == 0 {
+						if l.Step(m); len(outgoingVoterIDs(l.Members())) == 0 {
 							break
 						}
 					}
 				}
-				if len(outgoing(l.Members())) == 0 {
+				if len(outgoingVoterIDs(l.Members())) == 0 {
 					break
 				}
 			}
@@ -166,10 +166,10 @@
 		}
 		h.play()
 		n := h.nodes[leaver]
-		if n.last() != l.last() || n.votes1() {
-			t.Fatalf("%s: it has %d places of %d, votes %v", c.name, n.last(), l.last(), n.votes1())
+		if n.LastIndex() != l.LastIndex() || n.isVoter() {
+			t.Fatalf("%s: it has %d places of %d, votes %v", c.name, n.LastIndex(), l.LastIndex(), n.isVoter())
 		}
-		last := n.last()
+		last := n.LastIndex()
 		h.only(2, 3, 4)
 		h.elect(2)
 		h.elect(leaver)
@@ -202,7 +202,7 @@
 	h.only(2, 3, 4)
 	h.elect(3)
 	n := h.nodes[3]
-	if !n.HasCommittedInTerm() || n.MembershipChangePending() || len(outgoing(n.Members())) != 0 || find(n.Members(), 1).Voter || !find(n.Members(), 4).Voter {
+	if !n.HasCommittedInTerm() || n.MembershipChangePending() || len(outgoingVoterIDs(n.Members())) != 0 || findMember(n.Members(), 1).Voter || !findMember(n.Members(), 4).Voter {
 		t.Errorf("serves %v, members %v", n.HasCommittedInTerm(), n.Members())
 	}
 	// The old leader still believes that it leads, and confirms nothing.
@@ -213,7 +213,7 @@
 	if l.ConfirmedReadIndexRound() >= need && l.Role() == Leader || l.Role() == Leader {
 		t.Error("a leader without a vote goes on")
 	}
-	for range resendAfter(n.peers[1].outBytes) { // what went out while it was down is lost, and goes out again in time
+	for range retransmitAfter(n.progress[1].inflightBytes) { // what went out while it was down is lost, and goes out again in time
 		n.Tick()
 		h.play()
 	}
@@ -270,8 +270,8 @@
 		n := l.Clone()
 		if err := n.ProposeMembers(c.set); err != c.want {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
-		} else if err == nil && !slices.Equal(outgoing(n.Members()), []ID{1, 2, 3}) {
-			t.Errorf("%s: out go %v", name, outgoing(n.Members()))
+		} else if err == nil && !slices.Equal(outgoingVoterIDs(n.Members()), []ID{1, 2, 3}) {
+			t.Errorf("%s: out go %v", name, outgoingVoterIDs(n.Members()))
 		}
 	}
 	old := with(ms, func(m *Member) { m.SupportsJoint = m.ID != 2 })
@@ -329,7 +329,7 @@
 	h.only(2, 3)
 	for _, id := range []ID{2, 3} {
 		n := h.nodes[id]
-		n.elapsed, n.timeout = 100, 0
+		n.electionElapsed, n.electionTimeout = 100, 0
 		n.Tick()
 	}
 	h.play()
@@ -343,8 +343,8 @@
 	t.Parallel()
 	h := newHand(t, 3, 1)
 	l := h.nodes[1]
-	for _, p := range l.peers {
-		p.answered = false // as it is right after an election
+	for _, p := range l.progress {
+		p.responded = false // as it is right after an election
 	}
 	if next := swapped(l.Members(), 3, 4); l.CanCommitMembers(next) {
 		t.Error("borne, by members that were never heard of")
@@ -370,7 +370,7 @@
 			}
 			h.play()
 		}
-		out.timeout = 1
+		out.electionTimeout = 1
 		term := l.Term()
 		for range 200 { // it asks for votes all the time
 			for _, id := range sorted(h.nodes) {
@@ -378,8 +378,8 @@
 			}
 			h.play()
 		}
-		if !out.votes1() || out.Term() != term {
-			t.Fatalf("dropped %v: it votes by its log: %v, term %d", dropped, out.votes1(), out.Term())
+		if !out.isVoter() || out.Term() != term {
+			t.Fatalf("dropped %v: it votes by its log: %v, term %d", dropped, out.isVoter(), out.Term())
 		}
 		h.only(1, 2, 3, 4)
 		for range 100 {
@@ -391,8 +391,8 @@
 		if l.Role() != Leader || l.Term() != term || out.Role() == Leader {
 			t.Errorf("dropped %v: the leader is %v in term %d, was in %d", dropped, l.Role(), l.Term(), term)
 		}
-		if !dropped && (out.votes1() || out.Leader() != 1 || out.CommitIndex() != l.CommitIndex()) {
-			t.Errorf("it votes: %v, follows %d, knows %d of %d", out.votes1(), out.Leader(), out.CommitIndex(), l.CommitIndex())
+		if !dropped && (out.isVoter() || out.Leader() != 1 || out.CommitIndex() != l.CommitIndex()) {
+			t.Errorf("it votes: %v, follows %d, knows %d of %d", out.isVoter(), out.Leader(), out.CommitIndex(), l.CommitIndex())
 		}
 	}
 }
--- /dev/null
+++ b/raft/compaction.go
@@ -0,0 +1,71 @@
+package raft
+
+// SnapshotDue tells that the applied log has grown enough for a snapshot; see
+// [Config.SnapshotBytes]. While a follower catches up from a snapshot the leader waits, so that
+// its log goes on from that one, until the log is larger than the snapshot: then a new one is
+// the shorter way.
+func (n *Node) SnapshotDue() bool {
+	if n.log.applied <= n.log.snapshot.Index {
+		return false
+	}
+	bytes := 0
+	for i := range n.log.entries[:n.log.applied-n.log.base] {
+		bytes += entrySize(&n.log.entries[i])
+	}
+	if n.role == Leader && n.isFollowerCatchingUp() {
+		return bytes >= max(n.cfg.SnapshotBytes, len(n.log.snapshot.Data))
+	}
+	return bytes >= n.cfg.SnapshotBytes || n.log.applied-n.log.snapshot.Index >= uint64(n.cfg.SnapshotEntries)
+}
+
+// isFollowerCatchingUp tells that the log must go on from a snapshot that a follower receives.
+func (n *Node) isFollowerCatchingUp() bool {
+	for _, p := range n.progress {
+		if p.needsLog() {
+			return true
+		}
+	}
+	return false
+}
+
+// Compact makes data the snapshot of the log up to an applied index (5.1), and returns the
+// snapshot, for the host to store. It returns nil, and does nothing, if there is a snapshot of
+// that index or a later one, or if the index is not applied and stored.
+func (n *Node) Compact(index uint64, data []byte) *Snapshot {
+	l := &n.log
+	if index <= l.snapshot.Index || index > l.applied || index > l.persisted {
+		return nil
+	}
+	s := Snapshot{Index: index, Term: l.term(index), Members: l.membersAt(index), Data: data}
+	base := n.trailingBase(index)
+	baseTerm := l.term(base)
+	l.entries = append([]Entry(nil), l.entries[base-l.base:]...)
+	l.base, l.baseTerm, l.snapshot = base, baseTerm, s
+	return &s
+}
+
+// membersAt returns the members as of an index that is held.
+func (l *entryLog) membersAt(index uint64) []Member {
+	members := l.snapshot.Members
+	for _, e := range l.entries[:index-l.base] {
+		if e.Members != nil {
+			members = e.Members
+		}
+	}
+	return members
+}
+
+// trailingBase returns the base of a log with a snapshot at an index. The entries from there to
+// the snapshot stay for followers that are a little behind: TrailingEntries at most, and half
+// of the bytes that make a snapshot due.
+func (n *Node) trailingBase(index uint64) uint64 {
+	base, bytes := index, 0
+	for base > n.log.base && index-base < uint64(max(0, n.cfg.TrailingEntries)) {
+		bytes += entrySize(&n.log.entries[base-n.log.base-1])
+		if bytes > n.cfg.SnapshotBytes/2 {
+			break
+		}
+		base--
+	}
+	return base
+}
--- a/raft/forgot_test.go
+++ b/raft/forgot_test.go
@@ -29,12 +29,12 @@
 				if s.nodes[id] == nil || s.nodes[l.cfg.ID] != l {
 					return false
 				}
-				if _, _, err := l.Propose(fmt.Appendf(nil, "%d at %d", i, l.last())); err != nil {
+				if _, _, err := l.Propose(fmt.Appendf(nil, "%d at %d", i, l.LastIndex())); err != nil {
 					return false
 				}
 				s.step()
 			}
-			for s.nodes[id] != nil && s.nodes[l.cfg.ID] == l && l.Role() == Leader && l.peers[id].match < l.last() {
+			for s.nodes[id] != nil && s.nodes[l.cfg.ID] == l && l.Role() == Leader && l.progress[id].matchIndex < l.LastIndex() {
 				s.step()
 			}
 			return s.nodes[id] != nil && s.nodes[l.cfg.ID] == l && l.Role() == Leader
@@ -86,7 +86,7 @@
 		}
 		played++
 		if n.LostDurability() != lost {
-			t.Errorf("seed %d: lost %v, told %v: it has up to %d, acknowledged %d", seed, lost, n.LostDurability(), n.last(), l.peers[id].match)
+			t.Errorf("seed %d: lost %v, told %v: it has up to %d, acknowledged %d", seed, lost, n.LostDurability(), n.LastIndex(), l.progress[id].matchIndex)
 		}
 	}
 	if played < 120 {
--- a/raft/fuzz_test.go
+++ b/raft/fuzz_test.go
@@ -51,8 +51,8 @@
 				}
 				n.Advance(r)
 			}
-			if n.CommitIndex() < commit || n.CommitIndex() > n.last() {
-				t.Fatalf("agreed up to %d, then %d of %d", commit, n.CommitIndex(), n.last())
+			if n.CommitIndex() < commit || n.CommitIndex() > n.LastIndex() {
+				t.Fatalf("agreed up to %d, then %d of %d", commit, n.CommitIndex(), n.LastIndex())
 			}
 			commit = n.CommitIndex()
 		}
--- a/raft/model/mutants_test.go
+++ b/raft/model/mutants_test.go
@@ -11,9 +11,10 @@
 
 // mutant is a guard of the agreement taken out.
 type mutant struct {
-	guard, file, has, becomes string
-	world                     string // in which that is found
-	slow                      bool   // that takes minutes
+	guard, file       string
+	original, mutated string // source text, and what it is replaced by
+	world             string // in which the violation is found
+	slow              bool   // finding it takes minutes
 }
 
 // mutants are the guards of docs/invariants.md that keep the log. The worlds have
@@ -21,18 +22,67 @@
 // A vote that is on disk before it is given is the host's part; that changes of voters
 // follow on each other takes five members to break (raft.TestOneChangeAtATime).
 var mutants = []mutant{
-	{"one vote a term", "step.go", "(n.hard.Vote == 0 || n.hard.Vote == m.From) && n.leader == 0", "n.leader == 0 || true", "elections", false},
-	{"a candidate's log must be up to date", "step.go", "return m.LogTerm > t || m.LogTerm == t && m.Index >= n.last()", "return t >= 0", "values and elections", false},
-	{"a majority agrees", "node.go", "return vs[(len(vs)-1)/2]", "return vs[len(vs)-1]", "elections", false},
-	{"a leader agrees on entries of its own term", "node.go", "at > n.commit && n.term(at) == n.hard.Term", "at > n.commit", "old terms", true},
-	{"rounds are echoed", "node.go", "p.round = max(p.round, min(round, rounds))", "p.round = rounds", "rounds", false},
-	{"a snapshot that is whole and wrong is not installed", "snapshot.go", "if xxhash.Sum64(a.snap.Data) != a.sum {", "if false {", "damage", false},
-	{"late messages cut nothing off", "step.go", "if n.term(e.Index) != e.Term { // keep", "if true { // keep", "late", false},
-	{"entries fit on what is before them", "step.go", "case m.Index > n.last() || n.term(m.Index) != m.LogTerm:", "case m.Index > n.last():", "three elections", false},
-	{"one voter at a time, unless by a joint change", "node.go", "joint := added+taken > 1", "joint := false", "swaps of three", true},
-	{"a joint change is agreed on by both sets", "node.go", "least = min(least, majority(vs))", "if least == math.MaxUint64 { least = majority(vs) }", "swaps of three", false},
-	{"a joint change lets both sets elect", "node.go", "won = won && 2*yes > all", "won = 2*yes > all", "swaps of three", false},
-	{"a joint change is left once it is agreed", "node.go", "n.since <= n.commit && n.HasCommittedInTerm()", "n.HasCommittedInTerm()", "swaps of three", true},
+	{
+		guard: "one vote a term", file: "election.go",
+		original: "(n.hardState.Vote == 0 || n.hardState.Vote == m.From) && n.leader == 0", mutated: "(n.leader == 0 || true)",
+		world: "elections",
+	},
+	{
+		guard: "a candidate's log must be up to date", file: "log.go",
+		original: "return term > lastTerm || term == lastTerm && index >= l.lastIndex()", mutated: "return lastTerm >= 0",
+		world: "values and elections",
+	},
+	{
+		guard: "a majority commits", file: "quorum.go",
+		original: "return values[(len(values)-1)/2]", mutated: "return values[len(values)-1]",
+		world: "elections",
+	},
+	{
+		guard: "a leader commits entries of its own term", file: "replication.go",
+		original: "index > n.log.committed && n.log.term(index) == n.hardState.Term", mutated: "index > n.log.committed",
+		world: "old terms", slow: true,
+	},
+	{
+		guard: "heartbeat rounds are copied into replies", file: "progress.go",
+		original: "p.acknowledgedRound = max(p.acknowledgedRound, min(round, latest))", mutated: "p.acknowledgedRound = latest",
+		world: "rounds",
+	},
+	{
+		guard: "a complete snapshot with a wrong checksum is not installed", file: "snapshot_receive.go",
+		original: "if xxhash.Sum64(a.snapshot.Data) != a.checksum {", mutated: "if false {",
+		world: "damage",
+	},
+	{
+		guard: "late messages cut off no entries", file: "replication.go",
+		original: "if n.log.term(e.Index) == e.Term {\n\t\t\tcontinue\n\t\t}\n\t\tif e.Index <= n.log.committed {",
+		mutated:  "if n.log.term(e.Index) != e.Term && e.Index <= n.log.committed {",
+		world:    "late",
+	},
+	{
+		guard: "entries match the entry before them", file: "replication.go",
+		original: "case m.Index > n.log.lastIndex() || n.log.term(m.Index) != m.LogTerm:", mutated: "case m.Index > n.log.lastIndex():",
+		world: "three elections",
+	},
+	{
+		guard: "one voter at a time, unless by a joint change", file: "membership.go",
+		original: "joint := change.added+change.removed > 1", mutated: "joint := false",
+		world: "swaps of three", slow: true,
+	},
+	{
+		guard: "both sets commit a joint change", file: "quorum.go",
+		original: "lowest = min(lowest, majorityValue(values))", mutated: "if lowest == math.MaxUint64 { lowest = majorityValue(values) }",
+		world: "swaps of three",
+	},
+	{
+		guard: "both sets elect during a joint change", file: "election.go",
+		original: "won = won && 2*granted > len(set)", mutated: "won = 2*granted > len(set)",
+		world: "swaps of three",
+	},
+	{
+		guard: "a joint change is left once it is committed", file: "membership.go",
+		original: "n.membersIndex <= n.log.committed && n.HasCommittedInTerm()", mutated: "n.HasCommittedInTerm()",
+		world: "swaps of three", slow: true,
+	},
 }
 
 // Each guard is needed: with any one of them taken out, a walk comes to a state that
@@ -55,12 +105,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n := strings.Count(string(source), m.has); n != 1 {
-				t.Fatalf("%s has %q %d times", m.file, m.has, n)
+			if n := strings.Count(string(source), m.original); n != 1 {
+				t.Fatalf("%s has %q %d times", m.file, m.original, n)
 			}
 			dir := t.TempDir()
 			changed, overlay := filepath.Join(dir, m.file), filepath.Join(dir, "overlay.json")
-			if err := os.WriteFile(changed, []byte(strings.Replace(string(source), m.has, m.becomes, 1)), 0o600); err != nil {
+			if err := os.WriteFile(changed, []byte(strings.Replace(string(source), m.original, m.mutated, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			text, err := json.Marshal(map[string]map[string]string{"Replace": {file: changed}})
--- a/raft/resend_test.go
+++ b/raft/resend_test.go
@@ -37,7 +37,7 @@
 	if n.Role() != Leader {
 		t.Fatal("no leader")
 	}
-	const size = mostBytes * 25 / 32
+	const size = maxEntriesBytes * 25 / 32
 	for range 4 {
 		if _, _, err := n.Propose(make([]byte, size)); err != nil {
 			t.Fatal(err)
@@ -48,21 +48,21 @@
 		n.BroadcastHeartbeat()
 		carry(false)
 	}
-	if sent[2] > mostBytes {
+	if sent[2] > maxEntriesBytes {
 		t.Errorf("%d bytes were sent to one that has not answered yet", sent[2])
 	}
-	for range 3 * resendAfter(size) {
+	for range 3 * retransmitAfter(size) {
 		n.Tick()
 		carry(false)
 	}
-	if sent[2] <= size || sent[2] > 5*mostBytes {
-		t.Errorf("%d bytes in %d ticks without an answer", sent[2], 3*resendAfter(size))
+	if sent[2] <= size || sent[2] > 5*maxEntriesBytes {
+		t.Errorf("%d bytes in %d ticks without an answer", sent[2], 3*retransmitAfter(size))
 	}
 	for range 30 {
 		n.Tick()
 		carry(true)
 	}
-	if n.CommitIndex() != n.last() || largest > mostBytes {
-		t.Errorf("agreed up to %d of %d, the largest message has %d bytes", n.CommitIndex(), n.last(), largest)
+	if n.CommitIndex() != n.LastIndex() || largest > maxEntriesBytes {
+		t.Errorf("agreed up to %d of %d, the largest message has %d bytes", n.CommitIndex(), n.LastIndex(), largest)
 	}
 }
--- a/raft/sim_test.go
+++ b/raft/sim_test.go
@@ -186,7 +186,7 @@
 	l := s.leader()
 	if l != nil && s.rng.IntN(3) == 0 {
 		s.value++
-		l.Propose(fmt.Appendf(nil, "%*d", 1+s.value%2*smallBytes, s.value)) // each second one on the lane of what is large
+		l.Propose(fmt.Appendf(nil, "%*d", 1+s.value%2*maxUrgentBytes, s.value)) // each second one on the lane of what is large
 	}
 	switch s.rng.IntN(60) {
 	case 0:
@@ -216,7 +216,7 @@
 // whole tells that three voters are there, live, and have all that is agreed.
 func (s *sim) whole(l *Node) bool {
 	for _, m := range l.Members() {
-		if n := s.nodes[m.ID]; n == nil || !m.Voter || m.ID != l.cfg.ID && !l.CaughtUp(m.ID) || find(n.members, m.ID) == nil {
+		if n := s.nodes[m.ID]; n == nil || !m.Voter || m.ID != l.cfg.ID && !l.CaughtUp(m.ID) || findMember(n.members, m.ID) == nil {
 			return false
 		}
 	}
@@ -231,7 +231,7 @@
 	}
 	ms := l.Members()
 	for _, id := range sorted(s.disks) {
-		if find(ms, id) == nil {
+		if findMember(ms, id) == nil {
 			l.ProposeMembers(append(slices.Clone(ms), Member{ID: id, Addr: fmt.Sprint(id), SupportsJoint: true}))
 			return
 		}
@@ -253,7 +253,7 @@
 			next[i].Voter = true
 			l.ProposeMembers(next)
 			return
-		case !there && len(voters(ms)) > 3:
+		case !there && len(voterIDs(ms)) > 3:
 			l.ProposeMembers(slices.Delete(next, i, i+1))
 			return
 		}
@@ -299,13 +299,13 @@
 		l := s.leader()
 		done = l != nil
 		for _, id := range s.ids() {
-			done = done && s.nodes[id].CommitIndex() == l.CommitIndex() && find(l.Members(), id) != nil
+			done = done && s.nodes[id].CommitIndex() == l.CommitIndex() && findMember(l.Members(), id) != nil
 		}
 	}
 	if !done {
 		for _, id := range s.ids() {
 			n := s.nodes[id]
-			s.t.Logf("%d %v term %d leader %d commit %d last %d snap %d members %v", id, n.role, n.hard.Term, n.leader, n.commit, n.last(), n.snap.Index, n.members)
+			s.t.Logf("%d %v term %d leader %d commit %d last %d snap %d members %v", id, n.role, n.hardState.Term, n.leader, n.log.committed, n.LastIndex(), n.log.snapshot.Index, n.members)
 		}
 		s.fail("the core did not come together again")
 	}
@@ -383,17 +383,17 @@
 	l := s.leader()
 	for _, m := range l.Members() {
 		if m.ID != l.cfg.ID {
-			l.Step(Message{Kind: AppendEntriesReply, From: m.ID, To: l.cfg.ID, Term: l.Term(), Index: l.last(), Round: l.round})
+			l.Step(Message{Kind: AppendEntriesReply, From: m.ID, To: l.cfg.ID, Term: l.Term(), Index: l.LastIndex(), Round: l.heartbeatRound})
 		}
 	}
-	late, need := l.round, l.NextReadIndexRound()
+	late, need := l.heartbeatRound, l.NextReadIndexRound()
 	if l.ConfirmedReadIndexRound() != late {
 		t.Fatalf("round %d is confirmed, %d was answered by all", l.ConfirmedReadIndexRound(), late)
 	}
 	l.BroadcastHeartbeat()
 	for _, m := range l.Members() {
 		if m.ID != l.cfg.ID {
-			l.Step(Message{Kind: AppendEntriesReply, From: m.ID, To: l.cfg.ID, Term: l.Term(), Index: l.last(), Round: late})
+			l.Step(Message{Kind: AppendEntriesReply, From: m.ID, To: l.cfg.ID, Term: l.Term(), Index: l.LastIndex(), Round: late})
 		}
 	}
 	if l.ConfirmedReadIndexRound() >= need {
--- a/raft/snapshot_test.go
+++ b/raft/snapshot_test.go
@@ -189,7 +189,7 @@
 // answer has one member take all that the leader has.
 func answer(l *Node, id ID) {
 	carried(l)
-	l.Step(Message{Kind: AppendEntriesReply, From: id, To: 1, Term: l.Term(), Index: l.last()})
+	l.Step(Message{Kind: AppendEntriesReply, From: id, To: 1, Term: l.Term(), Index: l.LastIndex()})
 	carried(l)
 }
 
@@ -233,11 +233,11 @@
 	l.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: l.Term() + 4, Index: 1, LogTerm: 1, Commit: 6, Entries: []Entry{
 		{Index: 2, Term: 2}, {Index: 3, Term: 2}, {Index: 4, Term: 3}, {Index: 5, Term: 3}, {Index: 6, Term: 4}}})
 	carried(l)
-	if l.Compact(6, state(6)) == nil || l.base != 2 || l.baseTerm != 2 || l.SnapshotIndex() != 6 || l.LastIndex() != 6 || l.Term() != 5 {
-		t.Errorf("base %d of term %d, snapshot %d, last %d", l.base, l.baseTerm, l.SnapshotIndex(), l.LastIndex())
+	if l.Compact(6, state(6)) == nil || l.log.base != 2 || l.log.baseTerm != 2 || l.SnapshotIndex() != 6 || l.LastIndex() != 6 || l.Term() != 5 {
+		t.Errorf("base %d of term %d, snapshot %d, last %d", l.log.base, l.log.baseTerm, l.SnapshotIndex(), l.LastIndex())
 	}
 	for at, want := range map[uint64]uint64{1: 0, 2: 2, 3: 2, 4: 3, 6: 4, 7: 0} {
-		if got := l.term(at); got != want {
+		if got := l.log.term(at); got != want {
 			t.Errorf("term of %d: %d, want %d", at, got, want)
 		}
 	}
@@ -247,8 +247,8 @@
 		t.Error("due before its bytes")
 	}
 	small.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 1, Index: 2, LogTerm: 1, Commit: 3, Entries: []Entry{{Index: 3, Term: 1, Data: make([]byte, 400)}}})
-	if carried(small); !small.SnapshotDue() || small.Compact(3, nil) == nil || small.base != 2 || small.SnapshotDue() {
-		t.Errorf("base %d: of 1 KB a half stays", small.base)
+	if carried(small); !small.SnapshotDue() || small.Compact(3, nil) == nil || small.log.base != 2 || small.SnapshotDue() {
+		t.Errorf("base %d: of 1 KB a half stays", small.log.base)
 	}
 }
 
@@ -282,7 +282,7 @@
 		l.Tick()
 		pass()
 	}
-	if l.peers[2].match != l.last() {
+	if l.progress[2].matchIndex != l.LastIndex() {
 		t.Fatal("the follower is not in step")
 	}
 	l.Propose(make([]byte, 10<<10))
@@ -293,8 +293,8 @@
 		l.BroadcastHeartbeat()
 		pass()
 	}
-	if len(out) != 1 || beats != 5 || l.peers[2].round != l.round {
-		t.Fatalf("%d messages with entries, %d heartbeats, round %d of %d answered", len(out), beats, l.peers[2].round, l.round)
+	if len(out) != 1 || beats != 5 || l.progress[2].acknowledgedRound != l.heartbeatRound {
+		t.Fatalf("%d messages with entries, %d heartbeats, round %d of %d answered", len(out), beats, l.progress[2].acknowledgedRound, l.heartbeatRound)
 	}
 	l.ReportSendFailure(2) // it is not to come
 	l.BroadcastHeartbeat()
@@ -326,14 +326,14 @@
 		l.Propose(make([]byte, 2<<10))
 		answer(l, 3)
 	}
-	p := l.peers[2]
-	p.next = l.last() + 1
+	p := l.progress[2]
+	p.nextIndex = l.LastIndex() + 1
 	for range 2 {
-		l.Step(Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: l.Term(), Index: 4, Reject: true, RejectedIndex: l.last()})
+		l.Step(Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: l.Term(), Index: 4, Reject: true, RejectedIndex: l.LastIndex()})
 	}
 	sent, _ := carried(l)
-	if p.next != 5 || len(sent) != 1 || sent[0].Index != 4 {
-		t.Errorf("%d messages, next is %d", len(sent), p.next)
+	if p.nextIndex != 5 || len(sent) != 1 || sent[0].Index != 4 {
+		t.Errorf("%d messages, next is %d", len(sent), p.nextIndex)
 	}
 }
 
--- a/raft/trace_test.go
+++ b/raft/trace_test.go
@@ -135,7 +135,7 @@
 	members := slices.Clone(n.Members())
 	switch rng.IntN(30) {
 	case 0, 1, 2, 3:
-		_, _, _ = n.Propose(bytes.Repeat([]byte{byte(step)}, 1+step%2*smallBytes))
+		_, _, _ = n.Propose(bytes.Repeat([]byte{byte(step)}, 1+step%2*maxUrgentBytes))
 	case 4:
 		n.BroadcastHeartbeat()
 	case 5:
@@ -149,7 +149,7 @@
 	case 7: // one voter more, or one less
 		i := rng.IntN(len(members))
 		members[i].Voter = !members[i].Voter
-		if n.CanCommitMembers(members) && len(voters(members)) > 2 {
+		if n.CanCommitMembers(members) && len(voterIDs(members)) > 2 {
 			_ = n.ProposeMembers(members)
 		}
 	case 8:
