--- a/raft/membership.go
+++ b/raft/membership.go
@@ -129,7 +129,8 @@
 // leaveJoint adds the entry with the new set of voters alone, once the joint one is committed,
 // on a leader that has committed in its term.
 func (n *Node) leaveJoint() {
-	if n.role == Leader && len(outgoingVoterIDs(n.members)) > 0 && n.membersIndex <= n.log.committed && n.HasCommittedInTerm() {
+	joint := len(outgoingVoterIDs(n.members)) > 0
+	if n.role == Leader && joint && n.membersIndex <= n.log.committed && n.HasCommittedInTerm() {
 		n.appendEntry(Entry{Members: withoutOutgoing(n.members)})
 	}
 }
--- a/raft/message.go
+++ b/raft/message.go
@@ -140,6 +140,9 @@
 	if m.Kind == InstallSnapshot {
 		return true
 	}
+	if m.SnapshotSize > MaxSnapshotBytes || m.Offset > m.SnapshotSize {
+		return false
+	}
 	size := uint64(len(s.Data))
-	return size > 0 && m.SnapshotSize <= MaxSnapshotBytes && m.Offset <= m.SnapshotSize && size <= m.SnapshotSize-m.Offset
+	return size > 0 && size <= m.SnapshotSize-m.Offset
 }
--- /dev/null
+++ b/raft/model/key.go
@@ -0,0 +1,48 @@
+package model
+
+import (
+	"bytes"
+	"encoding/binary"
+	"slices"
+)
+
+// AppendKey implements [modelcheck.State].
+func (s *state) AppendKey(b []byte) []byte {
+	b = s.appendObservations(b)
+	for _, m := range s.members {
+		b = m.node.AppendKey(append(b, '|'))
+	}
+	// The order in which messages were sent matters between the same two members only.
+	keys := make([][]byte, 0, len(s.inFlight))
+	for i := range s.inFlight {
+		m := &s.inFlight[i]
+		keys = append(keys, m.AppendKey([]byte{byte(m.From), byte(m.To)}))
+	}
+	slices.SortStableFunc(keys, func(x, y []byte) int { return bytes.Compare(x[:2], y[:2]) })
+	for _, k := range keys {
+		b = append(append(b, '/'), k...)
+	}
+	return b
+}
+
+// appendObservations appends what may still happen, and what was observed.
+func (s *state) appendObservations(b []byte) []byte {
+	l := s.left
+	for _, v := range []int{
+		l.Elections, l.Values, l.Heartbeats, l.Crashes, l.StepDowns, l.Duplicates, l.Changes, l.Swaps,
+		l.Snapshots, l.Damaged, len(s.committed), len(s.inFlight),
+	} {
+		b = append(b, byte(v))
+	}
+	for _, e := range s.committed {
+		b = append(binary.AppendUvarint(b, e.Term), e.Data...)
+		b = append(b, ';')
+	}
+	for _, id := range s.leaders {
+		b = append(b, byte(id))
+	}
+	for _, r := range s.requests {
+		b = append(b, byte(r.leader), byte(r.term), byte(r.round), byte(r.committed))
+	}
+	return b
+}
--- a/raft/model/mutants_test.go
+++ b/raft/model/mutants_test.go
@@ -9,87 +9,113 @@
 	"testing"
 )
 
-// mutant is a guard of the agreement taken out.
+// mutant is one guard of package raft, removed.
 type mutant struct {
 	guard, file       string
-	original, mutated string // source text, and what it is replaced by
+	original, mutated string // source text, and what replaces it
 	world             string // in which the violation is found
 	slow              bool   // finding it takes minutes
 }
 
-// mutants are the guards of docs/invariants.md that keep the log. The worlds have
-// no clocks, so that pre-votes and calm, which only keep the peace, are not among them.
-// A vote that is on disk before it is given is the host's part; that changes of voters
-// follow on each other takes five members to break (raft.TestOneChangeAtATime).
+// mutants are the guards of docs/invariants.md that keep the log safe. The worlds have no clocks,
+// so that pre-vote and check quorum, which only prevent disruption, are not among them. That a vote
+// is on disk before it is sent is up to the host. That membership changes follow on each other
+// takes five members to break (raft.TestSecondMembershipChangeIsRefused).
 var mutants = []mutant{
 	{
-		guard: "one vote a term", file: "election.go",
-		original: "(n.hardState.Vote == 0 || n.hardState.Vote == m.From) && n.leader == 0", mutated: "(n.leader == 0 || true)",
-		world: "elections",
+		guard:    "one vote a term",
+		file:     "election.go",
+		original: "(n.hardState.Vote == 0 || n.hardState.Vote == m.From) && n.leader == 0",
+		mutated:  "(n.leader == 0 || true)",
+		world:    "elections",
 	},
 	{
-		guard: "a candidate's log must be up to date", file: "log.go",
-		original: "return term > lastTerm || term == lastTerm && index >= l.lastIndex()", mutated: "return lastTerm >= 0",
-		world: "values and elections",
+		guard:    "a candidate's log must be up to date",
+		file:     "log.go",
+		original: "return term > lastTerm || term == lastTerm && index >= l.lastIndex()",
+		mutated:  "return lastTerm >= 0",
+		world:    "values and elections",
 	},
 	{
-		guard: "a majority commits", file: "quorum.go",
-		original: "return values[(len(values)-1)/2]", mutated: "return values[len(values)-1]",
-		world: "elections",
+		guard:    "a majority commits",
+		file:     "quorum.go",
+		original: "return values[(len(values)-1)/2]",
+		mutated:  "return values[len(values)-1]",
+		world:    "elections",
 	},
 	{
-		guard: "a leader commits entries of its own term", file: "replication.go",
-		original: "index > n.log.committed && n.log.term(index) == n.hardState.Term", mutated: "index > n.log.committed",
-		world: "old terms", slow: true,
+		guard:    "a leader commits entries of its own term",
+		file:     "replication.go",
+		original: "index > n.log.committed && n.log.term(index) == n.hardState.Term",
+		mutated:  "index > n.log.committed",
+		world:    "old terms",
+		slow:     true,
 	},
 	{
-		guard: "heartbeat rounds are copied into replies", file: "progress.go",
-		original: "p.acknowledgedRound = max(p.acknowledgedRound, min(round, latest))", mutated: "p.acknowledgedRound = latest",
-		world: "rounds",
+		guard:    "heartbeat rounds are copied into replies",
+		file:     "progress.go",
+		original: "p.acknowledgedRound = max(p.acknowledgedRound, min(round, latest))",
+		mutated:  "p.acknowledgedRound = latest",
+		world:    "rounds",
 	},
 	{
-		guard: "a complete snapshot with a wrong checksum is not installed", file: "snapshot_receive.go",
-		original: "if xxhash.Sum64(a.snapshot.Data) != a.checksum {", mutated: "if false {",
-		world: "damage",
+		guard:    "a complete snapshot with a wrong checksum is not installed",
+		file:     "snapshot_receive.go",
+		original: "if xxhash.Sum64(a.snapshot.Data) != a.checksum {",
+		mutated:  "if false {",
+		world:    "damage",
 	},
 	{
-		guard: "late messages cut off no entries", file: "replication.go",
+		guard:    "late messages cut off no entries",
+		file:     "replication.go",
 		original: "if n.log.term(e.Index) == e.Term {\n\t\t\tcontinue\n\t\t}\n\t\tif e.Index <= n.log.committed {",
 		mutated:  "if n.log.term(e.Index) != e.Term && e.Index <= n.log.committed {",
 		world:    "late",
 	},
 	{
-		guard: "entries match the entry before them", file: "replication.go",
-		original: "case m.Index > n.log.lastIndex() || n.log.term(m.Index) != m.LogTerm:", mutated: "case m.Index > n.log.lastIndex():",
-		world: "three elections",
+		guard:    "entries match the entry before them",
+		file:     "replication.go",
+		original: "case m.Index > n.log.lastIndex() || n.log.term(m.Index) != m.LogTerm:",
+		mutated:  "case m.Index > n.log.lastIndex():",
+		world:    "three elections",
 	},
 	{
-		guard: "one voter at a time, unless by a joint change", file: "membership.go",
-		original: "joint := change.added+change.removed > 1", mutated: "joint := false",
-		world: "swaps of three", slow: true,
+		guard:    "one voter at a time, unless by a joint change",
+		file:     "membership.go",
+		original: "joint := change.added+change.removed > 1",
+		mutated:  "joint := false",
+		world:    "swaps of three",
+		slow:     true,
 	},
 	{
-		guard: "both sets commit a joint change", file: "quorum.go",
-		original: "lowest = min(lowest, majorityValue(values))", mutated: "if lowest == math.MaxUint64 { lowest = majorityValue(values) }",
-		world: "swaps of three",
+		guard:    "both sets commit a joint change",
+		file:     "quorum.go",
+		original: "lowest = min(lowest, majorityValue(values))",
+		mutated:  "if lowest == math.MaxUint64 { lowest = majorityValue(values) }",
+		world:    "swaps of three",
 	},
 	{
-		guard: "both sets elect during a joint change", file: "election.go",
-		original: "won = won && 2*granted > len(set)", mutated: "won = 2*granted > len(set)",
-		world: "swaps of three",
+		guard:    "both sets elect during a joint change",
+		file:     "election.go",
+		original: "won = won && 2*granted > len(set)",
+		mutated:  "won = 2*granted > len(set)",
+		world:    "swaps of three",
 	},
 	{
-		guard: "a joint change is left once it is committed", file: "membership.go",
-		original: "n.membersIndex <= n.log.committed && n.HasCommittedInTerm()", mutated: "n.HasCommittedInTerm()",
-		world: "swaps of three", slow: true,
+		guard:    "a joint change is left once it is committed",
+		file:     "membership.go",
+		original: "n.membersIndex <= n.log.committed && n.HasCommittedInTerm()",
+		mutated:  "n.HasCommittedInTerm()",
+		world:    "swaps of three",
+		slow:     true,
 	},
 }
 
-// Each guard is needed: with any one of them taken out, a walk comes to a state that
-// should not be. The real source is compiled with that one line changed.
+// With any one guard removed, an exploration finds a violation: each guard is needed. The real
+// source is compiled with that one line changed.
 func TestEveryGuardIsNeeded(t *testing.T) {
-	if raced {
-		t.Skip("what runs here is a process of its own, and not a raced one")
+	if raceEnabled {
+		t.Skip("the exploration runs in a process of its own, which the race detector does not see")
 	}
 	for _, m := range mutants {
 		t.Run(m.guard, func(t *testing.T) {
@@ -97,37 +123,51 @@
 				t.Skip("no -slow")
 			}
 			t.Parallel()
-			file, err := filepath.Abs(filepath.Join("..", m.file))
-			if err != nil {
-				t.Fatal(err)
+			overlay := m.overlay(t)
+			run := "TestInvariantsHoldInSmallWorlds/^" + strings.ReplaceAll(m.world, " ", "_") + "$"
+			if _, isDeep := deepWorlds[m.world]; isDeep {
+				run = "TestInvariantsHoldInDeepWorld"
 			}
-			source, err := os.ReadFile(file)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if n := strings.Count(string(source), m.original); n != 1 {
-				t.Fatalf("%s has %q %d times", m.file, m.original, n)
-			}
-			dir := t.TempDir()
-			changed, overlay := filepath.Join(dir, m.file), filepath.Join(dir, "overlay.json")
-			if err := os.WriteFile(changed, []byte(strings.Replace(string(source), m.original, m.mutated, 1)), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			text, err := json.Marshal(map[string]map[string]string{"Replace": {file: changed}})
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(overlay, text, 0o600); err != nil {
-				t.Fatal(err)
-			}
-			run := "TestSmallWorlds/^" + strings.ReplaceAll(m.world, " ", "_") + "$"
-			if _, is := deep[m.world]; is {
-				run = "TestDeepWorlds"
-			}
-			out, err := exec.CommandContext(t.Context(), "go", "test", "-overlay", overlay, "-count=1", "-run", run, ".", "-world", m.world).CombinedOutput()
-			if err == nil || !strings.Contains(string(out), " events:\n") {
-				t.Errorf("not found: %v\n%s", err, out)
+			command := exec.CommandContext(t.Context(), "go", "test", "-overlay", overlay, "-count=1", "-run", run, ".",
+				"-world", m.world)
+			output, err := command.CombinedOutput()
+			if err == nil || !strings.Contains(string(output), traceMark) {
+				t.Errorf("not found: %v\n%s", err, output)
 			}
 		})
 	}
 }
+
+// traceMark is in the report of a violation, and not in that of a program that does not compile.
+const traceMark = " events:\n"
+
+// overlay writes the mutated source, and returns the file that has the go command compile it in
+// place of the original.
+func (m *mutant) overlay(t *testing.T) string {
+	t.Helper()
+	file, err := filepath.Abs(filepath.Join("..", m.file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	source, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if n := strings.Count(string(source), m.original); n != 1 {
+		t.Fatalf("%s has %q %d times", m.file, m.original, n)
+	}
+	dir := t.TempDir()
+	mutated, overlay := filepath.Join(dir, m.file), filepath.Join(dir, "overlay.json")
+	text := strings.Replace(string(source), m.original, m.mutated, 1)
+	if err := os.WriteFile(mutated, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	replace, err := json.Marshal(map[string]map[string]string{"Replace": {file: mutated}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(overlay, replace, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return overlay
+}
--- a/raft/model/norace_test.go
+++ b/raft/model/norace_test.go
@@ -2,4 +2,4 @@
 
 package model
 
-const raced = false
+const raceEnabled = false
--- a/raft/model/race_test.go
+++ b/raft/model/race_test.go
@@ -2,4 +2,4 @@
 
 package model
 
-const raced = true
+const raceEnabled = true
--- /dev/null
+++ b/raft/model/state.go
@@ -0,0 +1,194 @@
+package model
+
+import (
+	"bytes"
+	"cmp"
+	"slices"
+
+	"example.org/elmspan/lab/modelcheck"
+	"example.org/elmspan/raft"
+)
+
+const (
+	// neverTicks is an election time-out that does not come: elections are actions.
+	neverTicks = 1 << 40
+	// heartbeatTicks is the time between heartbeats. It is long enough for what is in flight
+	// to be sent again with the next one.
+	heartbeatTicks = 4
+)
+
+// state is one state of the model. Actions change a clone of it.
+type state struct {
+	left     Bounds // what may still happen
+	members  []*member
+	inFlight []raft.Message
+
+	// What was observed so far, for the invariants.
+	committed []raft.Entry  // from index 1 on, as they were first applied anywhere
+	leaders   []raft.ID     // by term; 0: none
+	requests  []readRequest // read index requests
+	damaged   bool          // a chunk was delivered damaged
+	violation error         // the first invariant that an action broke
+}
+
+// member is one member with its disk. Those that are not in the list of members yet stand by.
+type member struct {
+	id         raft.ID
+	maxEntries int // see [Bounds.MaxEntries]
+	trailing   int // see [Bounds.Trailing]
+	node       *raft.Node
+	disk       raft.PersistentState
+	applied    uint64 // the highest index that it has ever applied; the disk has all up to it
+}
+
+// readRequest is a read index request: the heartbeat round that confirms it, and how many entries
+// were committed when it was made.
+type readRequest struct {
+	leader    raft.ID
+	term      uint64
+	round     uint64
+	committed int
+}
+
+// New returns the initial state: members with empty disks.
+func New(b Bounds) modelcheck.State {
+	var initial []raft.Member
+	for i := range b.Members {
+		initial = append(initial, raft.Member{ID: raft.ID(i + 1), Voter: true, SupportsJoint: true})
+	}
+	for i := range b.Swaps { // learners that are known to understand joint changes
+		initial = append(initial, raft.Member{ID: raft.ID(b.Members + i + 1), SupportsJoint: true})
+	}
+	s := &state{left: b}
+	for i := range b.Members + b.Changes + b.Swaps {
+		m := &member{
+			id:         raft.ID(i + 1),
+			maxEntries: b.MaxEntries,
+			trailing:   b.Trailing,
+			disk:       raft.PersistentState{Snapshot: raft.Snapshot{Members: initial}},
+		}
+		m.start()
+		s.members = append(s.members, m)
+	}
+	if b.LeaderAtStart {
+		s.electFirst()
+	}
+	return s
+}
+
+// electFirst makes member 1 the leader, and delivers all that follows on it.
+func (s *state) electFirst() {
+	s.members[0].beginElection()
+	for s.runHost(0); len(s.inFlight) > 0; {
+		m := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
+		s.members[m.To-1].node.Step(m)
+		s.runHost(int(m.To) - 1)
+	}
+}
+
+// start starts the member's process with what its disk holds.
+func (m *member) start() {
+	m.node = raft.New(
+		raft.Config{
+			ID:                   m.id,
+			ElectionTicks:        neverTicks,
+			HeartbeatTicks:       heartbeatTicks,
+			MaxEntriesPerMessage: m.maxEntries,
+			TrailingEntries:      cmp.Or(m.trailing, -1),
+			ChunkBytes:           1,
+			MaxInflightChunks:    1,
+		},
+		raft.PersistentState{
+			HardState: m.disk.HardState,
+			Snapshot:  m.disk.Snapshot,
+			Entries:   slices.Clone(m.disk.Entries),
+		})
+}
+
+// beginElection makes the member begin an election, as if the leader had asked for it: that is
+// the only way without a pre-vote.
+func (m *member) beginElection() {
+	other := raft.ID(1)
+	if m.id == 1 {
+		other = 2
+	}
+	m.node.Step(raft.Message{Kind: raft.TimeoutNow, From: other, To: m.id, Term: m.node.Term()})
+}
+
+// clone returns a copy that shares its members; see mutableMember.
+func (s *state) clone() *state {
+	c := *s
+	c.members = slices.Clone(s.members)
+	c.inFlight, c.committed = slices.Clone(s.inFlight), slices.Clip(s.committed)
+	c.leaders, c.requests = slices.Clone(s.leaders), slices.Clip(s.requests)
+	return &c
+}
+
+// mutableMember gives a clone its own copy of a member, to be changed.
+func (s *state) mutableMember(i int) *member {
+	m := *s.members[i]
+	m.node = m.node.Clone()
+	s.members[i] = &m
+	return &m
+}
+
+// snapshotData is the replicated service's state at an index: a byte for each chunk.
+func snapshotData(index uint64, chunks int) []byte {
+	return bytes.Repeat([]byte{byte(index)}, max(1, chunks))
+}
+
+// runHost carries out all that a member has ready, in the order of package raft. A crash between
+// two steps is the same as one that happens after them with the messages lost.
+func (s *state) runHost(i int) *state {
+	m := s.members[i]
+	for r := m.node.Ready(); !r.Empty(); r = m.node.Ready() {
+		s.store(m, r)
+		for _, message := range r.Messages {
+			s.send(message)
+		}
+		for _, e := range r.CommittedEntries {
+			s.apply(m.id, e)
+		}
+		m.node.Advance(r)
+		m.applied = m.node.AppliedIndex()
+	}
+	if m.node.Role() == raft.Leader {
+		s.observeLeader(m.id, int(m.node.Term()))
+	}
+	return s
+}
+
+// store writes to a member's disk what has to be there before its messages are sent.
+func (s *state) store(m *member, r raft.Ready) {
+	if r.HardState != nil {
+		m.disk.HardState = *r.HardState
+	}
+	if r.Snapshot != nil {
+		s.checkInstalled(m, r.Snapshot)
+		m.disk.Snapshot, m.disk.Entries = *r.Snapshot, nil
+	}
+	if len(r.Entries) > 0 {
+		kept := r.Entries[0].Index - m.disk.Snapshot.Index - 1
+		m.disk.Entries = append(slices.Clone(m.disk.Entries[:kept]), r.Entries...)
+	}
+}
+
+// send puts a message in flight. Beyond the bound it loses the oldest between these two members.
+func (s *state) send(message raft.Message) {
+	if int(message.To) > len(s.members) {
+		return
+	}
+	sameLink := func(m raft.Message) bool { return m.From == message.From && m.To == message.To }
+	count := 0
+	for _, m := range s.inFlight {
+		if sameLink(m) {
+			count++
+		}
+	}
+	if count >= s.left.InFlight {
+		oldest := slices.IndexFunc(s.inFlight, sameLink)
+		s.inFlight = slices.Delete(s.inFlight, oldest, oldest+1)
+	}
+	s.inFlight = append(s.inFlight, message)
+}
--- a/raft/snapshot_send.go
+++ b/raft/snapshot_send.go
@@ -84,7 +84,13 @@
 	if size <= n.cfg.ChunkBytes { // older versions know this kind of message only
 		if t.sent == 0 {
 			s := t.snapshot
-			n.send(Message{Kind: InstallSnapshot, To: id, Term: n.hardState.Term, Round: n.heartbeatRound, Snapshot: &s})
+			n.send(Message{
+				Kind:     InstallSnapshot,
+				To:       id,
+				Term:     n.hardState.Term,
+				Round:    n.heartbeatRound,
+				Snapshot: &s,
+			})
 			t.sent = max(1, size)
 		}
 		return
--- a/raft/step.go
+++ b/raft/step.go
@@ -47,7 +47,13 @@
 func (n *Node) rejectOlderTerm(m Message) {
 	switch m.Kind {
 	case AppendEntries, InstallSnapshot, SnapshotChunk:
-		n.send(Message{Kind: AppendEntriesReply, To: m.From, Term: n.hardState.Term, Reject: true, Index: n.log.lastIndex()})
+		n.send(Message{
+			Kind:   AppendEntriesReply,
+			To:     m.From,
+			Term:   n.hardState.Term,
+			Index:  n.log.lastIndex(),
+			Reject: true,
+		})
 	case PreVoteRequest:
 		n.send(Message{Kind: PreVoteReply, To: m.From, Term: n.hardState.Term, Reject: true})
 	}
