--- a/operators/access.go
+++ b/operators/access.go
@@ -4,189 +4,163 @@
 	"context"
 	"errors"
 	"log/slog"
-	"math"
 	"net"
 	"net/http"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
-
-	"example.org/elmspan/bucket"
 )
 
-const (
-	mostCallers = 1024 // whose calls are counted; past it all others share one count
-	burstS      = 2.0  // seconds' worth of calls may come at once
-	busyAgain   = "0.2"
-)
+// busyRetryAfter is the Retry-After, in seconds, of a call past the limit of calls in flight.
+const busyRetryAfter = "0.2"
 
-// Limits are how much the interface does at a time.
+// Limits bound what the interface does. A field that is 0 sets no limit.
 type Limits struct {
-	CallsPerS float64 // of one caller; 0: no bound
-	InFlight  int     // calls of all callers; 0: no bound
+	CallsPerS float64 // calls a second of one caller, by its IP address; the burst is two seconds of it
+	InFlight  int     // calls of all callers at once
 }
 
-// AccessControl stands before the operator's interface.
+// AccessControl is the middleware before the operator interface. Its fields are set before
+// [AccessControl.Handler] is called, once, and not changed after.
 type AccessControl struct {
-	Registry *Registry // nil: everybody may do all
+	Registry *Registry // nil: everybody may make every call
 	Limits   Limits
-	Log      *slog.Logger
+	Log      *slog.Logger     // of the audit lines and the refusals
 	Now      func() time.Time // the time of day, for tokens that expire
-	start    time.Time
-	mu       sync.Mutex
-	inHand   int
-	rates    map[string]*rate
-}
 
-type rate struct {
-	balance float64
-	at      time.Duration
+	limiter *rateLimiter // set by Handler
+
+	mu       sync.Mutex
+	inFlight int // calls past all checks that are not answered yet; guarded by mu
 }
 
-type caller struct{}
+type callerKey struct{}
 
-// Caller is who makes the call of a context: an operator's name, or empty where
-// nobody is named.
+// Caller is the name of the operator who makes the call of a context. It is empty where
+// there is no operators file.
 func Caller(ctx context.Context) string {
-	name, _ := ctx.Value(caller{}).(string)
+	name, _ := ctx.Value(callerKey{}).(string)
 	return name
 }
 
-// Handler returns an interface that is guarded: 401 to strangers, 403 to those who
-// may not, 429 and 503 past the bounds. Calls that change something are written down.
-func (g *AccessControl) Handler(next http.Handler) http.Handler {
-	g.start, g.rates = time.Now(), map[string]*rate{}
+// Handler returns next behind the access control. It answers
+//   - 429 to a caller above its rate,
+//   - 401 to a call without a valid token, 403 where the role does not allow the call,
+//   - 503 where too many calls are in flight.
+//
+// The rate is checked first, so that guessing tokens is limited too. Only calls that pass
+// all checks count as in flight. Each call that may change something is logged when it is
+// answered.
+func (a *AccessControl) Handler(next http.Handler) http.Handler {
+	a.limiter = newRateLimiter(a.Limits.CallsPerS)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		need := RoleRead
-		if r.Method != http.MethodGet && r.Method != http.MethodHead {
-			need = RoleChange
-		}
-		host, _, err := net.SplitHostPort(r.RemoteAddr)
-		if err != nil {
-			host = r.RemoteAddr
-		}
-		if wait := g.take(host); wait > 0 {
+		address := callerAddress(r)
+		if wait := a.limiter.take(address); wait > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(wait, 'f', 2, 64))
 			http.Error(w, "too many calls", http.StatusTooManyRequests)
 			return
 		}
-		name, err := g.allowed(r, need)
+		role := requiredRole(r)
+		name, err := a.authorize(r, role)
 		if err != nil {
-			g.Log.Warn("operator refused", "call", r.URL.Path, "from", host, "who", name, "why", err)
-			status := http.StatusForbidden
-			if name == "" {
-				status = http.StatusUnauthorized
-				w.Header().Set("WWW-Authenticate", `Bearer realm="elmspan"`)
-			}
-			http.Error(w, err.Error(), status)
+			a.Log.Warn("operator refused", "call", r.URL.Path, "from", address, "who", name, "error", err)
+			refuse(w, err)
 			return
 		}
-		if !g.enter() {
-			w.Header().Set("Retry-After", busyAgain)
+		if !a.enter() {
+			w.Header().Set("Retry-After", busyRetryAfter)
 			http.Error(w, "too many calls in hand", http.StatusServiceUnavailable)
 			return
 		}
-		defer g.leave()
-		seen := &statusWriter{ResponseWriter: w, status: http.StatusOK}
-		next.ServeHTTP(seen, r.WithContext(context.WithValue(r.Context(), caller{}, name)))
-		if need == RoleChange {
-			g.Log.Info("audit", "call", r.URL.Path, "who", name, "from", host, "base", r.Header.Get("Base-Revision"),
-				"bytes", r.ContentLength, "status", seen.status)
+		defer a.leave()
+		recorder := &statusRecorder{ResponseWriter: w, status: http.StatusOK}
+		next.ServeHTTP(recorder, r.WithContext(context.WithValue(r.Context(), callerKey{}, name)))
+		if role == RoleChange {
+			a.Log.Info("audit", "call", r.URL.Path, "who", name, "from", address,
+				"base", r.Header.Get("Base-Revision"), "bytes", r.ContentLength, "status", recorder.status)
 		}
 	})
 }
 
-var (
-	errNoToken = errors.New("a token is needed: Authorization: Bearer TOKEN")
-	errUnknown = errors.New("the token is not known, or has expired")
-	errRole    = errors.New("the token's role does not allow this call")
-)
+// callerAddress is the IP address that a call comes from.
+func callerAddress(r *http.Request) string {
+	host, _, err := net.SplitHostPort(r.RemoteAddr)
+	if err != nil {
+		return r.RemoteAddr
+	}
+	return host
+}
 
-// allowed tells who calls, and whether that one may.
-func (g *AccessControl) allowed(r *http.Request, need Role) (name string, err error) {
-	if g.Registry == nil {
+// requiredRole is the role that a call needs: methods other than GET and HEAD may change
+// something.
+func requiredRole(r *http.Request) Role {
+	if r.Method == http.MethodGet || r.Method == http.MethodHead {
+		return RoleRead
+	}
+	return RoleChange
+}
+
+// authorize returns the name of the operator who makes a call. The error is one of
+// [ErrNoToken], [ErrUnknownToken] and [ErrRoleNotAllowed]; the name is known with the last.
+func (a *AccessControl) authorize(r *http.Request, required Role) (name string, err error) {
+	if a.Registry == nil {
 		return "", nil
 	}
 	scheme, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") || token == "" {
-		return "", errNoToken
-	}
-	o, ok := g.Registry.Authenticate(g.Now(), strings.TrimSpace(token))
-	switch {
-	case !ok:
-		return "", errUnknown
-	case !o.Role.allows(need):
-		return o.Name, errRole
-	}
-	return o.Name, nil
-}
-
-// take counts a call and tells how many seconds are too early for it.
-func (g *AccessControl) take(who string) (wait float64) {
-	if g.Limits.CallsPerS <= 0 {
-		return 0
+		return "", ErrNoToken
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now, most := time.Since(g.start), math.Max(1, burstS*g.Limits.CallsPerS)
-	v := g.rates[who]
-	if v == nil {
-		if len(g.rates) >= mostCallers {
-			g.forget(now, most)
-		}
-		if len(g.rates) >= mostCallers {
-			who = ""
-		}
-		if v = g.rates[who]; v == nil {
-			v = &rate{balance: most, at: now}
-			g.rates[who] = v
-		}
+	o, ok := a.Registry.Authenticate(a.Now(), strings.TrimSpace(token))
+	if !ok {
+		return "", ErrUnknownToken
 	}
-	v.balance = bucket.Refill(v.balance, (now - v.at).Seconds(), g.Limits.CallsPerS, most)
-	v.at = now
-	if v.balance < 1 {
-		return bucket.Wait(v.balance, 1, g.Limits.CallsPerS)
+	if !o.Role.allows(required) {
+		return o.Name, ErrRoleNotAllowed
 	}
-	v.balance--
-	return 0
+	return o.Name, nil
 }
 
-// forget drops callers whose balance is full again: nothing is known of them.
-func (g *AccessControl) forget(now time.Duration, most float64) {
-	for who, v := range g.rates {
-		if bucket.Refill(v.balance, (now-v.at).Seconds(), g.Limits.CallsPerS, most) >= most {
-			delete(g.rates, who)
-		}
+// refuse answers a call that is not authorized.
+func refuse(w http.ResponseWriter, err error) {
+	status := http.StatusUnauthorized
+	if errors.Is(err, ErrRoleNotAllowed) {
+		status = http.StatusForbidden
+	} else {
+		w.Header().Set("WWW-Authenticate", `Bearer realm="elmspan"`)
 	}
+	http.Error(w, err.Error(), status)
 }
 
-func (g *AccessControl) enter() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.Limits.InFlight > 0 && g.inHand >= g.Limits.InFlight {
+// enter counts a call as in flight. It reports false where the limit is reached.
+func (a *AccessControl) enter() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.Limits.InFlight > 0 && a.inFlight >= a.Limits.InFlight {
 		return false
 	}
-	g.inHand++
+	a.inFlight++
 	return true
 }
 
-func (g *AccessControl) leave() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.inHand--
+// leave ends what enter began.
+func (a *AccessControl) leave() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.inFlight--
 }
 
-// statusWriter notes the status of an answer.
-type statusWriter struct {
+// statusRecorder keeps the status of an answer for the audit line.
+type statusRecorder struct {
 	http.ResponseWriter
 	status int
 }
 
-func (w *statusWriter) WriteHeader(status int) {
+// WriteHeader keeps the status and passes it on.
+func (w *statusRecorder) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap is for http.ResponseController.
-func (w *statusWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap is for [http.ResponseController].
+func (w *statusRecorder) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/operators/certificate.go
+++ b/operators/certificate.go
@@ -6,30 +6,38 @@
 	"sync/atomic"
 )
 
-// Certificate is what the interface shows of itself, as it is on disk now.
+// Certificate is the TLS certificate of the operator interface as it was when it was last
+// read.
 type Certificate struct {
-	cert, key string
-	now       atomic.Pointer[tls.Certificate]
+	certFile, keyFile string
+	pair              atomic.Pointer[tls.Certificate] // replaced whole, never changed
 }
 
 // OpenCertificate reads a certificate with its chain, and its key, both in PEM.
-func OpenCertificate(cert, key string) (*Certificate, error) {
-	c := &Certificate{cert: cert, key: key}
+func OpenCertificate(certFile, keyFile string) (*Certificate, error) {
+	c := &Certificate{certFile: certFile, keyFile: keyFile}
 	return c, c.Reload()
 }
 
-// Reload reads the files again. What can't be used changes nothing.
+// Reload reads the files again. Files that can't be used are an error and leave the
+// certificate of before in force.
 func (c *Certificate) Reload() error {
-	pair, err := tls.LoadX509KeyPair(c.cert, c.key)
+	pair, err := tls.LoadX509KeyPair(c.certFile, c.keyFile)
 	if err != nil {
 		return fmt.Errorf("operators: %w", err)
 	}
-	c.now.Store(&pair)
+	c.pair.Store(&pair)
 	return nil
 }
 
-// Config is for a listener: TLS 1.3, with the certificate as it is at each handshake.
+// Config is the configuration of a listener: TLS 1.3, with the certificate as it is at
+// each handshake.
 func (c *Certificate) Config() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"http/1.1"},
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return c.now.Load(), nil }}
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		NextProtos: []string{"http/1.1"},
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+			return c.pair.Load(), nil
+		},
+	}
 }
--- a/operators/golden_test.go
+++ b/operators/golden_test.go
@@ -22,8 +22,7 @@
 	return data
 }
 
-// A file that an earlier release wrote is read, and written again to the same bytes. Its
-// tokens authenticate their operators until they expire.
+// A file that an earlier release wrote is read, and written again to the same bytes.
 func TestGoldenOperatorsFile(t *testing.T) {
 	golden := readGolden(t, "operators.toml")
 	list, err := Parse(golden)
@@ -42,24 +41,31 @@
 	if got, err := os.ReadFile(path); err != nil || !bytes.Equal(got, golden) {
 		t.Errorf("written again:\n%s\n%v, want\n%s", got, err, golden)
 	}
-	book, err := Open(path)
+}
+
+// The tokens of a file that an earlier release wrote authenticate their operators until
+// they expire.
+func TestGoldenTokens(t *testing.T) {
+	registry, err := Open(filepath.Join("testdata", "golden", "operators.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, token := range strings.Fields(string(readGolden(t, "tokens.txt"))) {
-		o, ok := book.Authenticate(expires.Add(-time.Second), token)
-		if !ok || o.Name != list[i].Name {
-			t.Errorf("the token of %s belongs to %+v, %v", list[i].Name, o, ok)
+	expires := time.Date(2027, 1, 2, 3, 4, 5, 0, time.UTC) // of ci
+	tokens := strings.Fields(string(readGolden(t, "tokens.txt")))
+	for i, name := range []string{"ops@example", "ci"} {
+		o, ok := registry.Authenticate(expires.Add(-time.Second), tokens[i])
+		if !ok || o.Name != name {
+			t.Errorf("the token of %s belongs to %+v, %v", name, o, ok)
 		}
-		if _, ok := book.Authenticate(expires, token); ok != list[i].Expires.IsZero() {
-			t.Errorf("the token of %s once it expires: %v", list[i].Name, ok)
+		if _, ok := registry.Authenticate(expires, tokens[i]); ok != (name != "ci") {
+			t.Errorf("the token of %s at the end of ci's: %v", name, ok)
 		}
 	}
 }
 
 // The audit line of a change is the one of earlier releases, but for its time.
 func TestGoldenAuditLine(t *testing.T) {
-	book, err := Open(filepath.Join("testdata", "golden", "operators.toml"))
+	registry, err := Open(filepath.Join("testdata", "golden", "operators.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +78,8 @@
 	}
 	log := slog.New(slog.NewTextHandler(&line, &slog.HandlerOptions{ReplaceAttr: withoutTime}))
 	now := func() time.Time { return time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC) }
-	guard := &AccessControl{Registry: book, Log: log, Now: now}
-	handler := guard.Handler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	access := &AccessControl{Registry: registry, Log: log, Now: now}
+	handler := access.Handler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusPreconditionFailed)
 	}))
 	r := httptest.NewRequest("POST", "/v1/Config.Replace", strings.NewReader("config"))
--- a/operators/operators_test.go
+++ b/operators/operators_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// someone is an operator in a file, with the token.
-func someone(t *testing.T, name string, role Role, expires time.Time) (Operator, string) {
+// newOperator returns an operator with its token.
+func newOperator(t *testing.T, name string, role Role, expires time.Time) (Operator, string) {
 	t.Helper()
 	o, token, err := New(name, role, expires)
 	if err != nil {
@@ -24,25 +24,36 @@
 	return o, token
 }
 
-// Who has no token, a wrong one or one that has expired is a stranger; a reader
-// changes nothing; each change is written down with who made it, and no token is.
-func TestWhoMayDoWhat(t *testing.T) {
-	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
-	reader, readToken := someone(t, "ops@example", RoleRead, time.Time{})
-	ci, ciToken := someone(t, "ci", RoleChange, now.Add(time.Hour))
-	old, oldToken := someone(t, "old", RoleChange, now.Add(-time.Hour))
-	path := filepath.Join(t.TempDir(), "operators.toml")
-	if err := Save(path, []Operator{reader, ci, old}); err != nil {
+// newRegistry is the registry of a file with these operators.
+func newRegistry(t *testing.T, list ...Operator) (path string, registry *Registry) {
+	t.Helper()
+	path = filepath.Join(t.TempDir(), "operators.toml")
+	if err := Save(path, list); err != nil {
 		t.Fatal(err)
 	}
-	book, err := Open(path)
+	registry, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return path, registry
+}
+
+// A call with no token, a wrong one or an expired one is unauthenticated. A reader changes
+// nothing. Each change is logged with who made it, and no token is logged.
+func TestAccessByTokenAndRole(t *testing.T) {
+	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
+	reader, readToken := newOperator(t, "ops@example", RoleRead, time.Time{})
+	ci, ciToken := newOperator(t, "ci", RoleChange, now.Add(time.Hour))
+	old, oldToken := newOperator(t, "old", RoleChange, now.Add(-time.Hour))
+	_, registry := newRegistry(t, reader, ci, old)
 	var log bytes.Buffer
-	g := &AccessControl{Registry: book, Log: slog.New(slog.NewTextHandler(&log, nil)), Now: func() time.Time { return now }}
+	access := &AccessControl{
+		Registry: registry,
+		Log:      slog.New(slog.NewTextHandler(&log, nil)),
+		Now:      func() time.Time { return now },
+	}
 	var who string
-	h := g.Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	handler := access.Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		who = Caller(r.Context())
 		w.WriteHeader(http.StatusPreconditionFailed)
 	}))
@@ -70,16 +81,17 @@
 		}
 		r.Header.Set("Base-Revision", "6")
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 		if w.Code != c.status || who != c.who {
 			t.Errorf("%s %q: %d by %q, want %d by %q", c.method, c.auth, w.Code, who, c.status, c.who)
 		}
 		if w.Code == 401 && w.Header().Get("WWW-Authenticate") == "" {
-			t.Error("a stranger is not told how to log in")
+			t.Error("a refused caller is not shown how to authenticate")
 		}
 	}
 	text := log.String()
-	if n := strings.Count(text, "msg=audit"); n != 1 || !strings.Contains(text, "who=ci") || !strings.Contains(text, "base=6") || !strings.Contains(text, "status=412") {
+	if n := strings.Count(text, "msg=audit"); n != 1 || !strings.Contains(text, "who=ci") ||
+		!strings.Contains(text, "base=6") || !strings.Contains(text, "status=412") {
 		t.Errorf("the log says:\n%s", text)
 	}
 	for _, secret := range []string{readToken, ciToken, oldToken, ci.Token} {
@@ -89,104 +101,125 @@
 	}
 }
 
-// The file is read again while it is used; one with faults changes nothing.
-func TestReload(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "operators.toml")
-	a, token := someone(t, "a", RoleRead, time.Time{})
-	if err := Save(path, []Operator{a}); err != nil {
-		t.Fatal(err)
-	}
-	book, err := Open(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if changed, err := book.Reload(); changed || err != nil {
+// The file is reloaded while it is used; one with faults changes nothing.
+func TestRegistryReload(t *testing.T) {
+	a, token := newOperator(t, "a", RoleRead, time.Time{})
+	path, registry := newRegistry(t, a)
+	if changed, err := registry.Reload(); changed || err != nil {
 		t.Errorf("changed %v, %v", changed, err)
 	}
-	if err := os.WriteFile(path, []byte("[[operator]]\nname = \"a b\"\nrole = \"all\"\nshoe = 44\n"), 0o600); err != nil {
+	faulty := []byte("[[operator]]\nname = \"a b\"\nrole = \"all\"\nshoe = 44\n")
+	if err := os.WriteFile(path, faulty, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, err = book.Reload()
+	_, err := registry.Reload()
 	for _, fault := range []string{`"a b"`, `"all"`, "token_sha256", "shoe"} {
 		if err == nil || !strings.Contains(err.Error(), fault) {
 			t.Errorf("%v does not name %s", err, fault)
 		}
 	}
-	if _, ok := book.Authenticate(time.Now(), token); !ok {
+	if _, ok := registry.Authenticate(time.Now(), token); !ok {
 		t.Error("a file with faults took the token away")
 	}
-	b, _ := someone(t, "b", RoleChange, time.Time{})
+	b, _ := newOperator(t, "b", RoleChange, time.Time{})
 	if err := Save(path, []Operator{b}); err != nil {
 		t.Fatal(err)
 	}
-	if changed, err := book.Reload(); !changed || err != nil {
+	if changed, err := registry.Reload(); !changed || err != nil {
 		t.Errorf("changed %v, %v", changed, err)
 	}
-	if _, ok := book.Authenticate(time.Now(), token); ok {
+	if _, ok := registry.Authenticate(time.Now(), token); ok {
 		t.Error("a token that was taken away is known")
 	}
 	if err := Save(path, []Operator{b, b}); err == nil {
-		t.Error("the same operator twice was written")
+		t.Error("the same operator was written twice")
 	}
 }
 
-// One caller can't take the interface from the others, and the table of callers
-// is bounded.
-func TestBounds(t *testing.T) { synctest.Test(t, testBounds) }
+// limitedInterface is an interface with limits; calls of /wait are in flight until they are
+// released.
+type limitedInterface struct {
+	access           *AccessControl
+	handler          http.Handler
+	entered, release chan struct{}
+}
 
-func testBounds(t *testing.T) {
-	g := &AccessControl{Limits: Limits{CallsPerS: 5, InFlight: 2}, Log: slog.New(slog.DiscardHandler), Now: time.Now}
-	in, out := make(chan bool), make(chan bool)
-	h := g.Handler(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+func newLimitedInterface(limits Limits) *limitedInterface {
+	i := &limitedInterface{
+		access:  &AccessControl{Limits: limits, Log: slog.New(slog.DiscardHandler), Now: time.Now},
+		entered: make(chan struct{}), release: make(chan struct{}),
+	}
+	i.handler = i.access.Handler(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
-			in <- true
-			<-out
+			i.entered <- struct{}{}
+			<-i.release
 		}
 	}))
-	call := func(from, path string) (int, string) {
-		r := httptest.NewRequest("GET", path, nil)
-		r.RemoteAddr = from + ":1"
-		w := httptest.NewRecorder()
-		h.ServeHTTP(w, r)
-		return w.Code, w.Header().Get("Retry-After")
-	}
-	refused := 0
-	for range 30 {
-		if code, again := call("10.0.0.1", "/"); code == 429 && again != "" {
+	return i
+}
+
+func (i *limitedInterface) call(from, path string) (status int, retryAfter string) {
+	r := httptest.NewRequest("GET", path, nil)
+	r.RemoteAddr = from + ":1"
+	w := httptest.NewRecorder()
+	i.handler.ServeHTTP(w, r)
+	return w.Code, w.Header().Get("Retry-After")
+}
+
+// refusedOf makes calls at once and counts those refused with a time to come back.
+func (i *limitedInterface) refusedOf(calls int, from string) (refused int) {
+	for range calls {
+		if status, retryAfter := i.call(from, "/"); status == 429 && retryAfter != "" {
 			refused++
 		}
 	}
-	if refused != 20 { // two seconds' worth may come at once
-		t.Errorf("%d of 30 calls at once were refused", refused)
-	}
-	time.Sleep(time.Second) // the bubble's
-	refused = 0
-	for range 30 {
-		if code, again := call("10.0.0.1", "/"); code == 429 && again != "" {
-			refused++
+	return refused
+}
+
+// One caller can't use up the interface for the others. Time is a synctest bubble's.
+func TestRateLimitOfOneCaller(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		limited := newLimitedInterface(Limits{CallsPerS: 5, InFlight: 2})
+		if n := limited.refusedOf(30, "10.0.0.1"); n != 20 { // the burst is two seconds of the rate
+			t.Errorf("%d of 30 calls at once were refused", n)
 		}
-	}
-	if refused != 25 {
-		t.Errorf("%d of 30 calls a second later were refused", refused)
-	}
-	if code, _ := call("10.0.0.2", "/"); code != 200 {
-		t.Errorf("another caller is answered %d", code)
-	}
-	for i := range 2 {
-		go call(fmt.Sprint("10.1.0.", i), "/wait")
-		<-in
-	}
-	if code, again := call("10.2.0.1", "/"); code != 503 || again == "" {
-		t.Errorf("a third call in hand is answered %d", code)
-	}
-	out <- true
-	out <- true
-	for i := range 3 * mostCallers {
-		g.take(fmt.Sprint(i))
-	}
-	if n := len(g.rates); n > mostCallers+1 {
-		t.Errorf("%d callers are remembered", n)
-	}
+		time.Sleep(time.Second)
+		if n := limited.refusedOf(30, "10.0.0.1"); n != 25 {
+			t.Errorf("%d of 30 calls a second later were refused", n)
+		}
+		if status, _ := limited.call("10.0.0.2", "/"); status != 200 {
+			t.Errorf("another caller is answered %d", status)
+		}
+	})
+}
+
+// The number of callers with a token bucket is bounded.
+func TestCallersWithABucketAreBounded(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		limiter := newLimitedInterface(Limits{CallsPerS: 5}).access.limiter
+		for i := range 3 * maxCallers {
+			limiter.take(fmt.Sprint(i))
+		}
+		if n := len(limiter.buckets); n > maxCallers+1 {
+			t.Errorf("%d callers have a bucket", n)
+		}
+	})
+}
+
+// A call past the limit of calls in flight is refused.
+func TestLimitOfCallsInFlight(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		limited := newLimitedInterface(Limits{CallsPerS: 5, InFlight: 2})
+		for i := range 2 {
+			go limited.call(fmt.Sprint("10.1.0.", i), "/wait")
+			<-limited.entered
+		}
+		if status, retryAfter := limited.call("10.2.0.1", "/"); status != 503 || retryAfter == "" {
+			t.Errorf("a third call in flight is answered %d", status)
+		}
+		limited.release <- struct{}{}
+		limited.release <- struct{}{}
+	})
 }
 
 func FuzzParse(f *testing.F) {
@@ -198,7 +231,7 @@
 			return
 		}
 		for _, o := range list { // what is read can be written and read again
-			if err := o.check(); err != nil {
+			if err := o.validate(); err != nil {
 				t.Error(err)
 			}
 		}
