--- a/keys/authority.go
+++ b/keys/authority.go
@@ -1,19 +1,21 @@
-// Package keys makes and holds the keys by which the system's own processes
-// know each other: an authority with certificates for mutual TLS, and a shared
-// key with which words between limiters are sealed. Keys are changed without a
-// restart, in three stages: all machines first trust the new ones, then use
-// them, then forget the old ones.
+// Package keys makes and holds the keys by which the system's own processes authenticate
+// each other: an authority with certificates for mutual TLS, and a shared key that seals
+// the gossip messages between limiters.
+//
+// An operator makes an authority with [InitAuthority] and a folder for each machine with
+// [Issue]. A process opens its machine's folder as a [Keyring], which has the TLS
+// configurations and the [Sealer]. [Rotate] replaces the keys without a restart, in three
+// stages: all machines first trust the new ones, then use them, then drop the old ones.
+// After each stage every machine's folder is issued again, and the processes reload it.
 package keys
 
 import (
-	"bytes"
 	"crypto/ecdsa"
 	"crypto/elliptic"
 	"crypto/rand"
 	"crypto/x509"
 	"crypto/x509/pkix"
 	"encoding/hex"
-	"encoding/pem"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -21,256 +23,161 @@
 	"net"
 	"os"
 	"path/filepath"
-	"strings"
 	"time"
 
 	"example.org/elmspan/internal/atomicfile"
 )
 
-// Files of an authority's folder, and of a machine's.
 const (
-	caFile    = "ca.pem"    // certificates that are trusted, the one in use first
-	caKeyFile = "ca.key"    // of the authority only
-	nextFile  = "next.key"  // of the authority only, between two stages
-	wordsFile = "words.key" // hex, a line each, the one in use first
-	certFile  = "node.pem"
-	keyFile   = "node.key"
-
-	caYears   = 10
-	backdated = time.Hour // clocks of machines differ
+	organization = "elmspan"
+	caYears      = 10
+	maxNodeDays  = 3650
+	serialBits   = 120
+	// backdate is how long before it is made a certificate becomes valid: the clocks of
+	// machines differ.
+	backdate = time.Hour
 )
 
-// ErrAuthorityExists tells that a folder has an authority already.
-var ErrAuthorityExists = errors.New("keys: there is an authority in this folder already")
-
-// InitAuthority makes an authority in a folder.
+// InitAuthority makes an authority in a folder, which is made where there is none. Where
+// the folder has one already the error is [ErrAuthorityExists].
 func InitAuthority(dir string, now time.Time) error {
 	if _, err := os.Stat(filepath.Join(dir, caKeyFile)); !errors.Is(err, fs.ErrNotExist) {
 		return errors.Join(ErrAuthorityExists, err)
 	}
-	if err := atomicfile.MkdirAll(dir, 0o700); err != nil {
+	if err := atomicfile.MkdirAll(dir, folderPerm); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	cert, key, err := newCA(now)
+	ca, err := newCA(now)
 	if err != nil {
 		return err
 	}
-	words, err := newWordsKey()
+	gossipKey, err := newGossipKey()
 	if err != nil {
 		return err
 	}
-	return write(dir, named{wordsFile, words}, named{caFile, cert}, named{caKeyFile, key}) // the last one is looked for above
+	// The CA's key is last: it marks a whole authority, see the check above.
+	return writeFiles(dir,
+		fileContent{gossipKeyFile, gossipKey},
+		fileContent{caFile, ca.certificate},
+		fileContent{caKeyFile, ca.key})
 }
 
-// Issue writes a machine's folder: its certificate, key, and what it trusts.
+// Issue writes a machine's folder out from the authority's folder dir: the machine's
+// certificate for an IP address, valid for 1 to 3650 days, its key, and what it trusts.
 func Issue(dir, out, name string, ip net.IP, days int, now time.Time) error {
-	if name == "" || ip == nil || days < 1 || days > 3650 {
+	if name == "" || ip == nil || days < 1 || days > maxNodeDays {
 		return fmt.Errorf("keys: a name, an address and 1 to 3650 days are needed, not %q, %v and %d", name, ip, days)
 	}
 	caPEM, err := os.ReadFile(filepath.Join(dir, caFile))
 	if err != nil {
 		return fmt.Errorf("keys: no authority; make one with 'elmspan keys init': %w", err)
 	}
-	words, err := os.ReadFile(filepath.Join(dir, wordsFile))
-	if err != nil {
-		return fmt.Errorf("keys: %w", err)
-	}
-	cas, err := certificates(caPEM)
+	gossipKeys, err := readFile(dir, gossipKeyFile)
 	if err != nil {
 		return err
 	}
-	caKey, err := readKey(filepath.Join(dir, caKeyFile))
+	cas, err := parseCertificates(caPEM)
 	if err != nil {
 		return err
 	}
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return fmt.Errorf("keys: %w", err)
-	}
-	serial, err := newSerial()
+	caKey, err := readPrivateKey(filepath.Join(dir, caKeyFile))
 	if err != nil {
 		return err
 	}
-	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: name, Organization: []string{"elmspan"}},
-		NotBefore: now.Add(-backdated), NotAfter: now.AddDate(0, 0, days), IPAddresses: []net.IP{ip}, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}, cas[0], &key.PublicKey, caKey)
-	if err != nil {
-		return fmt.Errorf("keys: signing: %w", err)
-	}
-	keyPEM, err := pemKey(key)
+	node, err := newNodeCertificate(cas[0], caKey, name, ip, now, now.AddDate(0, 0, days))
 	if err != nil {
 		return err
 	}
-	if err := atomicfile.MkdirAll(out, 0o700); err != nil {
+	if err := atomicfile.MkdirAll(out, folderPerm); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	return write(out, named{caFile, caPEM}, named{wordsFile, words}, named{certFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}, named{keyFile, keyPEM})
+	return writeFiles(out,
+		fileContent{caFile, caPEM},
+		fileContent{gossipKeyFile, gossipKeys},
+		fileContent{certFile, node.certificate},
+		fileContent{keyFile, node.key})
 }
 
-// Stage is a step of a change of keys.
-type Stage string
+// keyPair is a certificate and its private key, both in PEM.
+type keyPair struct{ certificate, key []byte }
 
-// The stages, in their order. After each, every machine is issued its folder anew.
-const (
-	StageAdded   Stage = "added"   // new ones are trusted beside the old ones
-	StageInUse   Stage = "in use"  // new ones are used
-	StageDropped Stage = "dropped" // old ones are trusted no more
-)
-
-// Rotate takes a change of keys one stage on and tells which was reached.
-func Rotate(dir string, now time.Time) (Stage, error) {
-	read := func(name string) ([]byte, error) {
-		data, err := os.ReadFile(filepath.Join(dir, name))
-		if err != nil {
-			err = fmt.Errorf("keys: %w", err)
-		}
-		return data, err
-	}
-	caPEM, err := read(caFile)
+// newCA makes a CA certificate that signs itself.
+func newCA(now time.Time) (keyPair, error) {
+	serial, err := newSerial()
 	if err != nil {
-		return "", err
+		return keyPair{}, err
+	}
+	template := &x509.Certificate{
+		SerialNumber: serial,
+		Subject: pkix.Name{
+			CommonName:   fmt.Sprintf("elmspan %x", serial.Bytes()[:4]),
+			Organization: []string{organization},
+		},
+		NotBefore:             now.Add(-backdate),
+		NotAfter:              now.AddDate(caYears, 0, 0),
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		MaxPathLenZero:        true,
+		KeyUsage:              x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
 	}
-	words, err := read(wordsFile)
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return "", err
-	}
-	blocks, lines := pemBlocks(caPEM), strings.Fields(string(words))
-	if len(blocks) == 0 || len(lines) == 0 || len(blocks) > 2 || len(lines) != len(blocks) {
-		return "", fmt.Errorf("keys: %s holds %d certificates and %s %d keys: this is no authority's folder", caFile, len(blocks), wordsFile, len(lines))
-	}
-	swapped := func(k int) ([]byte, []byte) { // the k-th first
-		a, b := [][]byte{blocks[k]}, []string{lines[k]}
-		for i := range blocks {
-			if i != k {
-				a, b = append(a, blocks[i]), append(b, lines[i])
-			}
-		}
-		return bytes.Join(a, nil), []byte(strings.Join(b, "\n") + "\n")
-	}
-	next, err := read(nextFile)
-	switch {
-	case err != nil && !errors.Is(err, fs.ErrNotExist):
-		return "", err
-	case err != nil && len(blocks) == 1:
-		cert, key, err := newCA(now)
-		if err != nil {
-			return "", err
-		}
-		more, err := newWordsKey()
-		if err != nil {
-			return "", err
-		}
-		return StageAdded, write(dir, named{caFile, append(caPEM, cert...)}, named{wordsFile, append([]byte(lines[0]+"\n"), more...)}, named{nextFile, key})
-	case err == nil:
-		ca, w := swapped(len(blocks) - 1)
-		if err := write(dir, named{caKeyFile, next}, named{caFile, ca}, named{wordsFile, w}); err != nil {
-			return "", err
-		}
-		return StageInUse, atomicfile.Remove(filepath.Join(dir, nextFile))
+		return keyPair{}, fmt.Errorf("keys: %w", err)
 	}
-	return StageDropped, write(dir, named{caFile, blocks[0]}, named{wordsFile, []byte(lines[0] + "\n")})
+	return sign(template, template, key, key)
 }
 
-// ---- Pieces ----
-
-func newCA(now time.Time) (cert, key []byte, err error) {
-	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return nil, nil, fmt.Errorf("keys: %w", err)
-	}
+// newNodeCertificate makes a certificate of a machine, for both ends of a connection.
+func newNodeCertificate(
+	ca *x509.Certificate, caKey any, name string, ip net.IP, now, notAfter time.Time,
+) (keyPair, error) {
 	serial, err := newSerial()
 	if err != nil {
-		return nil, nil, err
+		return keyPair{}, err
 	}
-	c := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: fmt.Sprintf("elmspan %x", serial.Bytes()[:4]), Organization: []string{"elmspan"}},
-		NotBefore: now.Add(-backdated), NotAfter: now.AddDate(caYears, 0, 0), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
-		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature}
-	der, err := x509.CreateCertificate(rand.Reader, c, c, &k.PublicKey, k)
-	if err != nil {
-		return nil, nil, fmt.Errorf("keys: %w", err)
+	template := &x509.Certificate{
+		SerialNumber: serial,
+		Subject:      pkix.Name{CommonName: name, Organization: []string{organization}},
+		NotBefore:    now.Add(-backdate),
+		NotAfter:     notAfter,
+		IPAddresses:  []net.IP{ip},
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
-	key, err = pemKey(k)
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), key, err
-}
-
-func newSerial() (*big.Int, error) {
-	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
+		return keyPair{}, fmt.Errorf("keys: %w", err)
 	}
-	return n.SetBit(n, 120, 1), nil // never short
+	return sign(template, ca, key, caKey)
 }
 
-func newWordsKey() ([]byte, error) {
-	k := make([]byte, 32)
-	if _, err := rand.Read(k); err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
+// sign makes the certificate of a key, signed with the parent's key.
+func sign(template, parent *x509.Certificate, key *ecdsa.PrivateKey, parentKey any) (keyPair, error) {
+	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, parentKey)
+	if err != nil {
+		return keyPair{}, fmt.Errorf("keys: signing: %w", err)
 	}
-	return []byte(hex.EncodeToString(k) + "\n"), nil
-}
-
-func pemKey(k *ecdsa.PrivateKey) ([]byte, error) {
-	der, err := x509.MarshalPKCS8PrivateKey(k)
+	keyPEM, err := encodePrivateKey(key)
 	if err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
+		return keyPair{}, err
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
+	return keyPair{encodeCertificate(der), keyPEM}, nil
 }
 
-func readKey(path string) (any, error) {
-	data, err := os.ReadFile(path)
+// newSerial draws a serial number. Its highest bit is set, so that all have one length.
+func newSerial() (*big.Int, error) {
+	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	b, _ := pem.Decode(data)
-	if b == nil {
-		return nil, fmt.Errorf("keys: %s holds no key", path)
-	}
-	k, err := x509.ParsePKCS8PrivateKey(b.Bytes)
-	if err != nil {
-		return nil, fmt.Errorf("keys: %s: %w", path, err)
-	}
-	return k, nil
-}
-
-func pemBlocks(data []byte) (out [][]byte) {
-	for {
-		var b *pem.Block
-		if b, data = pem.Decode(data); b == nil {
-			return out
-		}
-		out = append(out, pem.EncodeToMemory(b))
-	}
+	return n.SetBit(n, serialBits, 1), nil
 }
 
-func certificates(data []byte) ([]*x509.Certificate, error) {
-	var out []*x509.Certificate
-	for _, b := range pemBlocks(data) {
-		p, _ := pem.Decode(b)
-		c, err := x509.ParseCertificate(p.Bytes)
-		if err != nil {
-			return nil, fmt.Errorf("keys: %s: %w", caFile, err)
-		}
-		out = append(out, c)
-	}
-	if len(out) == 0 {
-		return nil, fmt.Errorf("keys: %s holds no certificate", caFile)
-	}
-	return out, nil
-}
-
-type named struct {
-	name string
-	data []byte
-}
-
-// write writes each file whole or not at all, one after the other, and each to
-// survive a loss of power.
-func write(dir string, files ...named) error {
-	for _, f := range files {
-		if err := atomicfile.WriteFile(filepath.Join(dir, f.name), f.data, 0o600); err != nil {
-			return fmt.Errorf("keys: %w", err)
-		}
+// newGossipKey draws a gossip key and returns the line of it in [gossipKeyFile].
+func newGossipKey() ([]byte, error) {
+	k := make([]byte, gossipKeyBytes)
+	if _, err := rand.Read(k); err != nil {
+		return nil, fmt.Errorf("keys: %w", err)
 	}
-	return nil
+	return []byte(hex.EncodeToString(k) + "\n"), nil
 }
--- a/keys/golden_test.go
+++ b/keys/golden_test.go
@@ -49,7 +49,7 @@
 // Keys that an earlier release wrote are read and encoded again to the same bytes.
 func TestGoldenKeyFiles(t *testing.T) {
 	for _, name := range []string{"authority/ca.key", "node/node.key", "rotating/ca.key", "rotating/next.key"} {
-		k, err := readKey(filepath.Join(goldenDir, name))
+		k, err := readPrivateKey(filepath.Join(goldenDir, name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -57,9 +57,9 @@
 		if !ok {
 			t.Fatalf("%s holds a %T", name, k)
 		}
-		again, err := pemKey(key)
-		if golden := readGolden(t, name); err != nil || !bytes.Equal(again, golden) {
-			t.Errorf("%s is written as %q, %v, want %q", name, again, err, golden)
+		encoded, err := encodePrivateKey(key)
+		if golden := readGolden(t, name); err != nil || !bytes.Equal(encoded, golden) {
+			t.Errorf("%s is written as %q, %v, want %q", name, encoded, err, golden)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 		if err := errors.Join(shake(t, ring, issued, ip), shake(t, issued, ring, ip)); err != nil {
 			t.Error(err)
 		}
-		had, has := ring.now.Load().cert.Leaf, issued.now.Load().cert.Leaf
+		had, has := ring.current.Load().certificate.Leaf, issued.current.Load().certificate.Leaf
 		if had.Subject.String() != has.Subject.String() || had.Issuer.String() != has.Issuer.String() ||
 			!had.NotBefore.Equal(has.NotBefore) || !had.NotAfter.Equal(has.NotAfter) || had.KeyUsage != has.KeyUsage ||
 			fmt.Sprint(had.ExtKeyUsage, had.IPAddresses) != fmt.Sprint(has.ExtKeyUsage, has.IPAddresses) {
@@ -122,7 +122,8 @@
 	if stage, err := Rotate(dir, now); err != nil || stage != StageInUse {
 		t.Fatalf("%s, %v", stage, err)
 	}
-	blocks, lines := pemBlocks(readGolden(t, "rotating/ca.pem")), strings.Fields(string(readGolden(t, "rotating/words.key")))
+	blocks := splitPEM(readGolden(t, "rotating/ca.pem"))
+	lines := strings.Fields(string(readGolden(t, "rotating/words.key")))
 	if len(blocks) != 2 || len(lines) != 2 {
 		t.Fatalf("%d certificates and %d keys", len(blocks), len(lines))
 	}
@@ -157,8 +158,11 @@
 			if got, err := sender.Seal(nil, text); err != nil || !bytes.Equal(got, golden) {
 				t.Errorf("datagram %d is sealed as %x, %v, want %x", i+1, got, err, golden)
 			}
-			head := fmt.Sprintf("S1\x01\x02\x03\x04\x05\x06\x07\x08\x11\x12\x13\x14\x15\x16\x17\x18\x00\x00\x00\x00\x00\x00\x00%c", i+1)
-			if !bytes.HasPrefix(golden, []byte(head)) {
+			header := "S1" +
+				"\x01\x02\x03\x04\x05\x06\x07\x08" +
+				"\x11\x12\x13\x14\x15\x16\x17\x18" +
+				"\x00\x00\x00\x00\x00\x00\x00" + string(rune(i+1))
+			if !bytes.HasPrefix(golden, []byte(header)) {
 				t.Errorf("datagram %d begins with %x", i+1, golden[:26])
 			}
 		}
--- a/keys/keyring.go
+++ b/keys/keyring.go
@@ -4,28 +4,27 @@
 	"crypto/sha256"
 	"crypto/tls"
 	"crypto/x509"
-	"encoding/hex"
 	"errors"
 	"fmt"
 	"net"
-	"os"
-	"path/filepath"
-	"strings"
 	"sync/atomic"
 	"time"
 )
 
-// Keyring holds one machine's keys, as they are on disk now.
+// Keyring holds the keys of one machine's folder as they were when it was last read. It is
+// safe for concurrent use. TLS configurations that it has returned use the present keys at
+// each handshake.
 type Keyring struct {
-	dir string
-	now atomic.Pointer[held]
+	dir     string
+	current atomic.Pointer[keySet] // never nil in an open keyring; replaced whole, never changed
 }
 
-type held struct {
-	sum   [sha256.Size]byte
-	cert  tls.Certificate
-	roots *x509.CertPool
-	words [][]byte // the one in use first
+// keySet is the content of a machine's folder.
+type keySet struct {
+	sum         [sha256.Size]byte // of all files
+	certificate tls.Certificate
+	roots       *x509.CertPool
+	gossipKeys  [][]byte // at least one, the one in use first
 }
 
 // Open reads a machine's folder.
@@ -37,87 +36,105 @@
 	return r, nil
 }
 
-// Reload reads the folder again and tells whether it has changed. What can't
-// be used changes nothing.
-func (r *Keyring) Reload() (bool, error) {
+// Reload reads the folder again and reports whether it has changed. Files that can't be
+// used are an error and leave the keys of before in force.
+func (r *Keyring) Reload() (changed bool, err error) {
 	files := map[string][]byte{}
-	h := sha256.New()
-	for _, name := range []string{caFile, certFile, keyFile, wordsFile} {
-		data, err := os.ReadFile(filepath.Join(r.dir, name))
+	hash := sha256.New()
+	for _, name := range []string{caFile, certFile, keyFile, gossipKeyFile} {
+		data, err := readFile(r.dir, name)
 		if err != nil {
-			return false, fmt.Errorf("keys: %w", err)
+			return false, err
 		}
 		files[name] = data
-		h.Write(data)
+		hash.Write(data)
 	}
-	next := &held{}
-	h.Sum(next.sum[:0])
-	if old := r.now.Load(); old != nil && old.sum == next.sum {
+	sum := [sha256.Size]byte(hash.Sum(nil))
+	if old := r.current.Load(); old != nil && old.sum == sum {
 		return false, nil
 	}
-	cas, err := certificates(files[caFile])
+	next, err := parseKeySet(files)
 	if err != nil {
 		return false, err
 	}
-	next.roots = x509.NewCertPool()
-	for _, c := range cas {
-		next.roots.AddCert(c)
+	next.sum = sum
+	r.current.Store(next)
+	return true, nil
+}
+
+// parseKeySet reads a folder's files. The machine's certificate is valid now, under the
+// authority in the same folder.
+func parseKeySet(files map[string][]byte) (*keySet, error) {
+	cas, err := parseCertificates(files[caFile])
+	if err != nil {
+		return nil, err
 	}
-	if next.cert, err = tls.X509KeyPair(files[certFile], files[keyFile]); err != nil {
-		return false, fmt.Errorf("keys: %s and %s: %w", certFile, keyFile, err)
+	set := &keySet{roots: x509.NewCertPool()}
+	for _, c := range cas {
+		set.roots.AddCert(c)
 	}
-	for _, line := range strings.Fields(string(files[wordsFile])) {
-		k, err := hex.DecodeString(line)
-		if err != nil || len(k) != 32 {
-			return false, fmt.Errorf("keys: %s: a line is no key of 32 bytes in hex", wordsFile)
-		}
-		next.words = append(next.words, k)
+	if set.certificate, err = tls.X509KeyPair(files[certFile], files[keyFile]); err != nil {
+		return nil, fmt.Errorf("keys: %s and %s: %w", certFile, keyFile, err)
 	}
-	if len(next.words) == 0 {
-		return false, fmt.Errorf("keys: %s holds no key", wordsFile)
+	if set.gossipKeys, err = parseGossipKeys(files[gossipKeyFile]); err != nil {
+		return nil, err
 	}
-	if err := verify([]*x509.Certificate{next.cert.Leaf}, next.roots, nil); err != nil {
-		return false, fmt.Errorf("keys: the machine's own certificate: %w", err)
+	if err := verify([]*x509.Certificate{set.certificate.Leaf}, set.roots, nil); err != nil {
+		return nil, fmt.Errorf("keys: the machine's own certificate: %w", err)
 	}
-	r.now.Store(next)
-	return true, nil
+	return set, nil
 }
 
 // Expires is when the machine's certificate ends.
-func (r *Keyring) Expires() time.Time { return r.now.Load().cert.Leaf.NotAfter }
+func (r *Keyring) Expires() time.Time { return r.current.Load().certificate.Leaf.NotAfter }
 
-// ServerConfig is the TLS configuration of a process that is called.
+// ServerConfig is the TLS configuration of a process that is called: clients need a
+// certificate of the same authority.
 func (r *Keyring) ServerConfig() *tls.Config {
-	c := r.common()
-	c.ClientAuth = tls.RequireAnyClientCert // verified by VerifyConnection, against what is trusted then
+	c := r.config()
+	// The roots of a tls.Config can't change, and ours do: VerifyConnection verifies the
+	// client against those that are trusted at the handshake.
+	c.ClientAuth = tls.RequireAnyClientCert
 	c.VerifyConnection = func(s tls.ConnectionState) error {
-		return verify(s.PeerCertificates, r.now.Load().roots, nil)
+		return verify(s.PeerCertificates, r.current.Load().roots, nil)
 	}
 	return c
 }
 
-// ClientConfig is the TLS configuration of a process that calls another at an address.
+// ClientConfig is the TLS configuration of a process that calls another one: the server
+// needs a certificate of the same authority for this IP address.
 func (r *Keyring) ClientConfig(ip net.IP) *tls.Config {
-	c := r.common()
-	c.InsecureSkipVerify = true // VerifyConnection does it, against what is trusted then
+	c := r.config()
+	// As above: VerifyConnection does the verification that this switches off.
+	c.InsecureSkipVerify = true
 	c.VerifyConnection = func(s tls.ConnectionState) error {
-		return verify(s.PeerCertificates, r.now.Load().roots, ip)
+		return verify(s.PeerCertificates, r.current.Load().roots, ip)
 	}
 	return c
 }
 
-func (r *Keyring) common() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
-		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &r.now.Load().cert, nil },
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &r.now.Load().cert, nil }}
+// config is what both ends have in common.
+func (r *Keyring) config() *tls.Config {
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		NextProtos: []string{"h2"},
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+			return &r.current.Load().certificate, nil
+		},
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			return &r.current.Load().certificate, nil
+		},
+	}
 }
 
-// verify tells whether a chain is the system's, and for an address where one is given.
+// verify returns nil where the first certificate was issued by one of the roots, and for
+// an IP address where one is given.
 func verify(chain []*x509.Certificate, roots *x509.CertPool, ip net.IP) error {
 	if len(chain) == 0 {
 		return errors.New("keys: no certificate")
 	}
-	if _, err := chain[0].Verify(x509.VerifyOptions{Roots: roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}); err != nil {
+	options := x509.VerifyOptions{Roots: roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
+	if _, err := chain[0].Verify(options); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	if ip == nil {
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -44,11 +44,10 @@
 func shake(t *testing.T, client, server *Keyring, ip net.IP) error {
 	t.Helper()
 	a, b := net.Pipe()
-	defer a.Close()
-	defer b.Close()
 	end := time.Now().Add(5 * time.Minute) // against a hang alone
-	a.SetDeadline(end)
-	b.SetDeadline(end)
+	if err := errors.Join(a.SetDeadline(end), b.SetDeadline(end)); err != nil {
+		t.Fatal(err)
+	}
 	served := make(chan error, 1)
 	go func() {
 		s := tls.Server(b, server.ServerConfig())
@@ -56,34 +55,32 @@
 		if err == nil {
 			_, err = s.Write([]byte("x")) // a client learns with the first byte that it was taken
 		}
-		b.Close()
-		served <- err
+		served <- errors.Join(err, b.Close())
 	}()
 	c := tls.Client(a, client.ClientConfig(ip))
 	err := c.Handshake()
 	if err == nil {
 		_, err = c.Read(make([]byte, 1))
 	}
-	a.Close()
-	return errors.Join(err, <-served)
+	return errors.Join(err, a.Close(), <-served)
 }
 
-// Machines of one authority know each other; one of another authority, or one
-// that speaks for another address, is refused.
-func TestOnlyTheSystems(t *testing.T) {
+// Machines of one authority authenticate each other; one of another authority, or one that
+// answers for another address, is refused.
+func TestMutualTLSWithinOneAuthority(t *testing.T) {
 	t.Parallel()
-	ca, foreign := authority(t), authority(t)
+	ca, other := authority(t), authority(t)
 	_, a := machine(t, ca)
 	_, b := machine(t, ca)
-	_, x := machine(t, foreign)
+	_, x := machine(t, other)
 	if err := shake(t, a, b, loopback); err != nil {
 		t.Error(err)
 	}
 	if shake(t, x, b, loopback) == nil {
-		t.Error("a foreign client is served")
+		t.Error("a other client is served")
 	}
 	if shake(t, a, x, loopback) == nil {
-		t.Error("a foreign server is taken for the system's")
+		t.Error("a other server is taken for the system's")
 	}
 	if shake(t, a, b, net.ParseIP("127.0.0.2")) == nil {
 		t.Error("a certificate for another address is taken")
@@ -93,8 +90,8 @@
 	}
 }
 
-// Keys are changed while all run: at every point of the change, machines that
-// have the new folder and such that have the old one know each other.
+// Keys are rotated while all processes run: at every point, machines with the new folder
+// and those with the old one authenticate each other.
 func TestRotation(t *testing.T) {
 	t.Parallel()
 	ca := authority(t)
@@ -105,11 +102,11 @@
 		if err := errors.Join(shake(t, a, b, loopback), shake(t, b, a, loopback)); err != nil {
 			t.Fatalf("%s: %v", when, err)
 		}
-		sealed, err := a.Sealer(1, 2).Seal(nil, []byte("word"))
+		sealed, err := a.Sealer(1, 2).Seal(nil, []byte("message"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := b.Sealer(3, 4).Open(nil, sealed); err != nil || string(got) != "word" {
+		if got, err := b.Sealer(3, 4).Open(nil, sealed); err != nil || string(got) != "message" {
 			t.Fatalf("%s: %q, %v", when, got, err)
 		}
 	}
@@ -143,17 +140,16 @@
 	talk("after a spoilt key on disk")
 }
 
-// A sealed word can't be read, changed, made or sent again much later by who
-// has no key.
-func TestSealedWords(t *testing.T) {
+// Who has no key can't read, change or make a sealed datagram, or send it again much later.
+func TestSealedDatagrams(t *testing.T) {
 	t.Parallel()
 	ca := authority(t)
 	_, a := machine(t, ca)
 	_, b := machine(t, ca)
 	_, x := machine(t, authority(t))
 	from, to := a.Sealer(1, 1), b.Sealer(2, 2)
-	first, err := from.Seal(nil, []byte("word"))
-	if err != nil || bytes.Contains(first, []byte("word")) || len(first) != 4+SealOverhead {
+	first, err := from.Seal(nil, []byte("message"))
+	if err != nil || bytes.Contains(first, []byte("message")) || len(first) != len("message")+SealOverhead {
 		t.Fatalf("%x, %v", first, err)
 	}
 	for i := range first {
@@ -166,18 +162,18 @@
 			t.Fatalf("cut after %d bytes and nobody sees it", i)
 		}
 	}
-	if len(to.lives) != 0 {
-		t.Error("who has no key takes a place")
+	if len(to.senders) != 0 {
+		t.Error("a sender without a key is remembered")
 	}
-	foreign, err := x.Sealer(1, 1).Seal(nil, []byte("word"))
+	other, err := x.Sealer(1, 1).Seal(nil, []byte("message"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := to.Open(nil, foreign); err == nil {
-		t.Error("a foreign word is taken")
+	if _, err := to.Open(nil, other); err == nil {
+		t.Error("a datagram of another authority is opened")
 	}
-	for range 2 * lateWindow {
-		sealed, err := from.Seal(nil, []byte("word"))
+	for range 2 * replayWindow {
+		sealed, err := from.Seal(nil, []byte("message"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,6 +182,6 @@
 		}
 	}
 	if _, err := to.Open(nil, first); err == nil {
-		t.Error("an old word is taken again")
+		t.Error("an old datagram is opened again")
 	}
 }
--- a/keys/seal.go
+++ b/keys/seal.go
@@ -6,132 +6,178 @@
 	"crypto/hkdf"
 	"crypto/sha256"
 	"encoding/binary"
-	"errors"
 	"fmt"
 )
 
-// A sealed word: "S1" | id of the sender u64 | its life u64 | number u64 | AES-256-GCM.
-// Each life of a sender has a key of its own, so that numbers can be counted.
+// A sealed datagram is
+//
+//	"S1" | sender u64 | incarnation u64 | number u64 | message and tag, AES-256-GCM
+//
+// with integers in big-endian order. The first four fields are authenticated too. Each
+// incarnation of a sender has a key of its own, derived from the shared gossip key, so
+// that the number, which counts its datagrams from 1, is a nonce that never repeats.
 const (
-	sealMagic = "S1"
-	sealHead  = len(sealMagic) + 24
-	// SealOverhead is how many bytes sealing adds.
-	SealOverhead = sealHead + 16
-	mostLives    = 8192
-	lateWindow   = 64 // numbers that may come so late
+	sealMagic         = "S1"
+	sealHeaderBytes   = len(sealMagic) + 3*8
+	senderOffset      = len(sealMagic)
+	incarnationOffset = senderOffset + 8
+	numberOffset      = incarnationOffset + 8
+	tagBytes          = 16
+	nonceBytes        = 12
+	// keyContext separates the derived keys from any other use of the gossip key. It is
+	// part of the wire format.
+	keyContext = "elmspan words "
 )
 
-// ErrNotSealed tells that a datagram was not sealed with a key that is trusted.
-var ErrNotSealed = errors.New("keys: a datagram is not sealed by the system")
+// SealOverhead is how many bytes longer than its message a sealed datagram is.
+const SealOverhead = sealHeaderBytes + tagBytes
 
-// Sealer seals and opens words. It is not safe for concurrent use: a process
-// has one for what it sends and one for what it hears.
+const (
+	// maxSenders is how many incarnations of senders are remembered. Past it all are
+	// forgotten, and with them which of their numbers have been seen.
+	maxSenders = 8192
+	// replayWindow is how far a number may be behind the highest one seen: datagrams
+	// arrive out of order.
+	replayWindow = 64
+)
+
+// Sealer seals gossip messages and opens sealed datagrams. It is not safe for concurrent
+// use: a process has one for sending and one for receiving.
 type Sealer struct {
-	ring       *Keyring
-	held       *held // that the following are for
-	self, life uint64
-	own        cipher.AEAD
-	number     uint64
-	lives      map[[2]uint64]*sender
+	ring    *Keyring
+	self    senderID
+	number  uint64                     // of the last datagram sealed
+	current *keySet                    // that sealing and the AEADs of senders are derived from
+	sealing cipher.AEAD                // of self, by the gossip key in use
+	senders map[senderID]*senderStatus // those of which a datagram was authentic
 }
 
-type sender struct {
-	aeads   []cipher.AEAD // by key
-	highest uint64
-}
+// senderID is one incarnation of a sender. An incarnation is drawn at random at each start
+// of a process, so that no key is used again with the same numbers.
+type senderID struct{ id, incarnation uint64 }
 
-// Sealer returns a sealer for one life of a sender.
-func (r *Keyring) Sealer(self, life uint64) *Sealer {
-	return &Sealer{ring: r, self: self, life: life, lives: map[[2]uint64]*sender{}}
+// senderStatus is what is known of one incarnation of a sender.
+type senderStatus struct {
+	aeads   []cipher.AEAD // by gossip key, in the order of the key set; nil: to be derived
+	highest uint64        // number of an authentic datagram
 }
 
-func aead(key []byte, id, life uint64) (cipher.AEAD, error) {
-	info := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte("elmspan words "), id), life)
-	k, err := hkdf.Key(sha256.New, key, nil, string(info), 32)
-	if err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
-	}
-	b, err := aes.NewCipher(k)
-	if err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
-	}
-	return cipher.NewGCM(b)
+// Sealer returns a sealer for one incarnation of a sender.
+func (r *Keyring) Sealer(self, incarnation uint64) *Sealer {
+	return &Sealer{ring: r, self: senderID{self, incarnation}, senders: map[senderID]*senderStatus{}}
 }
 
-// renew forgets what was derived from keys that have changed.
-func (s *Sealer) renew() error {
-	h := s.ring.now.Load()
-	if s.held == h {
-		return nil
-	}
-	var err error
-	if s.own, err = aead(h.words[0], s.self, s.life); err != nil {
-		return err
-	}
-	s.held = h
-	for _, l := range s.lives {
-		l.aeads = nil
-	}
-	return nil
-}
-
-func nonce(number uint64) []byte { return binary.BigEndian.AppendUint64(make([]byte, 4, 12), number) }
-
-// Seal adds a word, sealed, to a buffer.
-func (s *Sealer) Seal(out, word []byte) ([]byte, error) {
-	if err := s.renew(); err != nil {
+// Seal appends the sealed datagram of a message to a buffer.
+func (s *Sealer) Seal(out, message []byte) ([]byte, error) {
+	if err := s.followKeyring(); err != nil {
 		return nil, err
 	}
-	s.number++ // never used twice with one key: a life is drawn anew at each start
-	at := len(out)
+	s.number++
+	start := len(out)
 	out = append(out, sealMagic...)
-	for _, v := range []uint64{s.self, s.life, s.number} {
+	for _, v := range []uint64{s.self.id, s.self.incarnation, s.number} {
 		out = binary.BigEndian.AppendUint64(out, v)
 	}
-	return s.own.Seal(out, nonce(s.number), word, out[at:at+sealHead]), nil
+	header := out[start : start+sealHeaderBytes]
+	return s.sealing.Seal(out, nonce(s.number), message, header), nil
 }
 
-// Open returns the word in a datagram, in a buffer. Numbers that came before,
-// or that are far behind, are refused: nobody can send an old word again for long.
+// Open appends the message of a datagram to a buffer. The error is [ErrNotSealed] where
+// the datagram is not authentic, or its number is more than the replay window behind the
+// highest one of its sender.
 func (s *Sealer) Open(out, datagram []byte) ([]byte, error) {
 	if len(datagram) < SealOverhead || string(datagram[:len(sealMagic)]) != sealMagic {
 		return nil, ErrNotSealed
 	}
-	if err := s.renew(); err != nil {
+	if err := s.followKeyring(); err != nil {
 		return nil, err
 	}
-	head := datagram[:sealHead]
-	id, life, number := binary.BigEndian.Uint64(head[2:]), binary.BigEndian.Uint64(head[10:]), binary.BigEndian.Uint64(head[18:])
-	from := s.lives[[2]uint64{id, life}]
-	known := from != nil
+	header, sealed := datagram[:sealHeaderBytes], datagram[sealHeaderBytes:]
+	id := senderID{
+		id:          binary.BigEndian.Uint64(header[senderOffset:]),
+		incarnation: binary.BigEndian.Uint64(header[incarnationOffset:]),
+	}
+	number := binary.BigEndian.Uint64(header[numberOffset:])
+	sender, known := s.senders[id]
 	if !known {
-		from = &sender{}
+		sender = &senderStatus{}
 	}
-	if known && number+lateWindow < from.highest {
+	if known && number+replayWindow < sender.highest {
 		return nil, ErrNotSealed
 	}
-	if from.aeads == nil {
-		for _, k := range s.held.words {
-			a, err := aead(k, id, life)
-			if err != nil {
-				return nil, err
-			}
-			from.aeads = append(from.aeads, a)
-		}
+	if err := sender.deriveAEADs(s.current.gossipKeys, id); err != nil {
+		return nil, err
 	}
-	for _, a := range from.aeads {
-		word, err := a.Open(out, nonce(number), datagram[sealHead:], head)
+	for _, aead := range sender.aeads {
+		message, err := aead.Open(out, nonce(number), sealed, header)
 		if err != nil {
-			continue
+			continue // another trusted key may be the one
 		}
-		if !known { // only who holds a key takes a place
-			if len(s.lives) >= mostLives {
-				clear(s.lives)
-			}
-			s.lives[[2]uint64{id, life}] = from
+		if !known {
+			s.remember(id, sender)
 		}
-		from.highest = max(from.highest, number)
-		return word, nil
+		sender.highest = max(sender.highest, number)
+		return message, nil
 	}
 	return nil, ErrNotSealed
 }
+
+// followKeyring drops what was derived from keys that have changed.
+func (s *Sealer) followKeyring() error {
+	current := s.ring.current.Load()
+	if s.current == current {
+		return nil
+	}
+	var err error
+	if s.sealing, err = newAEAD(current.gossipKeys[0], s.self); err != nil {
+		return err
+	}
+	s.current = current
+	for _, sender := range s.senders {
+		sender.aeads = nil
+	}
+	return nil
+}
+
+// remember keeps the status of a sender. It is called after a datagram was found authentic
+// alone, so that nobody without a key can fill the table.
+func (s *Sealer) remember(id senderID, status *senderStatus) {
+	if len(s.senders) >= maxSenders {
+		clear(s.senders)
+	}
+	s.senders[id] = status
+}
+
+func (s *senderStatus) deriveAEADs(gossipKeys [][]byte, id senderID) error {
+	if s.aeads != nil {
+		return nil
+	}
+	for _, key := range gossipKeys {
+		aead, err := newAEAD(key, id)
+		if err != nil {
+			return err
+		}
+		s.aeads = append(s.aeads, aead)
+	}
+	return nil
+}
+
+// newAEAD derives the key of one incarnation of a sender (HKDF, RFC 5869).
+func newAEAD(gossipKey []byte, sender senderID) (cipher.AEAD, error) {
+	info := binary.BigEndian.AppendUint64([]byte(keyContext), sender.id)
+	info = binary.BigEndian.AppendUint64(info, sender.incarnation)
+	key, err := hkdf.Key(sha256.New, gossipKey, nil, string(info), gossipKeyBytes)
+	if err != nil {
+		return nil, fmt.Errorf("keys: %w", err)
+	}
+	block, err := aes.NewCipher(key)
+	if err != nil {
+		return nil, fmt.Errorf("keys: %w", err)
+	}
+	return cipher.NewGCM(block)
+}
+
+// nonce is four zero bytes and the number of a datagram.
+func nonce(number uint64) []byte {
+	return binary.BigEndian.AppendUint64(make([]byte, nonceBytes-8, nonceBytes), number)
+}
