--- /dev/null
+++ b/process/cluster_test.go
@@ -0,0 +1,150 @@
+package process
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"example.org/elmspan/api"
+	"example.org/elmspan/controlplane"
+	"example.org/elmspan/raft/storage"
+)
+
+// cluster is a control plane of three machines on loopback, each no more than its member's
+// host.
+type cluster struct {
+	t     *testing.T
+	addrs []string
+	dirs  []string
+	hosts []*memberHost
+	stops []func()
+	// withoutBootstrap is the machine whose settings have bootstrap off; -1: none.
+	withoutBootstrap int
+}
+
+// clusters counts them, so that each has an address of its own.
+var clusters atomic.Int32
+
+func newCluster(t *testing.T) *cluster {
+	c := &cluster{t: t, withoutBootstrap: -1, hosts: make([]*memberHost, 3), stops: make([]func(), 3)}
+	pid := os.Getpid()
+	// An address of no other test, so that ports stay free.
+	ip := fmt.Sprintf("127.%d.%d.%d", 64+pid>>16%64, pid>>8%256, 251+clusters.Add(1)%4)
+	for _, port := range freePorts(t, ip, 3) {
+		c.addrs = append(c.addrs, fmt.Sprintf("%s:%d", ip, port))
+		c.dirs = append(c.dirs, filepath.Join(t.TempDir(), "log"))
+	}
+	return c
+}
+
+// start starts a machine. wrapStore may be nil.
+func (c *cluster) start(i int, wrapStore func(*storage.Store) controlplane.Store) {
+	c.t.Helper()
+	conns, log := api.NewConnPool(nil), slog.New(slog.DiscardHandler)
+	h := &memberHost{
+		dir:       c.dirs[i],
+		client:    &controlplane.Client{Conns: conns, Log: log},
+		log:       log,
+		wrapStore: wrapStore,
+		cfg: controlplane.CoreConfig{
+			Addr: c.addrs[i], Seeds: c.addrs, Voters: 3, Conns: conns, Log: log, Seed: uint64(i),
+		},
+	}
+	h.client.SetMembers("", c.addrs)
+	if err := h.open(i != c.withoutBootstrap); err != nil {
+		c.t.Fatal(err)
+	}
+	l, err := net.Listen("tcp", c.addrs[i])
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	srv := api.NewServer(nil)
+	api.RegisterControl(srv, h)
+	api.RegisterBootstrap(srv, h)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { _ = srv.Serve(l) }() // returns when it is stopped
+	go func() { h.run(ctx); close(done) }()
+	c.hosts[i] = h
+	c.stops[i] = sync.OnceFunc(func() {
+		cancel()
+		srv.Stop()
+		<-done
+		conns.Close()
+		_ = h.close() // a store that the test has damaged may fail
+	})
+	c.t.Cleanup(c.stops[i])
+}
+
+// startAll starts the machines in this order.
+func (c *cluster) startAll(order ...int) {
+	c.t.Helper()
+	for _, i := range order {
+		c.start(i, nil)
+	}
+}
+
+// loseDisks stops machines, empties their disks, starts them again and waits until each has a
+// member. It returns the ids of the members before.
+func (c *cluster) loseDisks(machines ...int) (before []string) {
+	c.t.Helper()
+	for _, i := range machines {
+		before = append(before, c.hosts[i].core().Status().ID)
+		c.stops[i]()
+		if err := os.RemoveAll(c.dirs[i]); err != nil {
+			c.t.Fatal(err)
+		}
+	}
+	c.startAll(machines...)
+	for _, i := range machines {
+		c.waitUntil(func() bool { return c.hosts[i].core() != nil })
+	}
+	return before
+}
+
+// waitUntil waits as long as it takes: the time of the whole test bounds it.
+func (c *cluster) waitUntil(is func() bool) {
+	for !is() {
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+// replaceConfig puts a configuration in force, asked for at machine 2.
+func (c *cluster) replaceConfig(base, revision uint64) []byte {
+	c.t.Helper()
+	conf, err := cbor.Marshal(&api.Config{Revision: revision})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	r := c.hosts[2].client.Replace(c.t.Context(), &api.ReplaceRequest{Base: base, Config: conf})
+	if r.Status != http.StatusOK {
+		c.t.Fatalf("%d: %+v", revision, r)
+	}
+	return conf
+}
+
+// isVoter reports whether a machine's member is a voter and has a revision.
+func (c *cluster) isVoter(i int, revision uint64) bool {
+	core := c.hosts[i].core()
+	if core == nil {
+		return false
+	}
+	s := core.Status()
+	return s.Revision == revision && slices.Contains(s.Members, fmt.Sprintf("%s %s voter", s.ID, c.addrs[i]))
+}
+
+// waitForVoters waits until all three are voters and have a revision.
+func (c *cluster) waitForVoters(revision uint64) {
+	c.waitUntil(func() bool { return c.isVoter(0, revision) && c.isVoter(1, revision) && c.isVoter(2, revision) })
+}
--- a/process/local_call_test.go
+++ b/process/local_call_test.go
@@ -9,13 +9,14 @@
 	"example.org/elmspan/api"
 )
 
-// A core that waits for its disk holds up nobody beyond the end of their call, and at
-// most one call goes on behind it; once the disk is back it is asked again.
-func TestStalledCoreHoldsNobodyUp(t *testing.T) {
+// A member that waits for its disk delays no caller beyond the end of the call, and at most
+// one call goes on after its end. Once the disk is back the member is asked again.
+func TestStalledMemberDelaysNoCaller(t *testing.T) {
 	t.Parallel()
 	var busy atomic.Bool
 	stalled, entered, calls := make(chan struct{}), make(chan struct{}, 8), atomic.Int32{}
-	core := func(context.Context, *api.WatchRequest) (*api.WatchResponse, error) { // as one that waits for a mutex does, it heeds no context
+	// The member ignores the context, as one that waits for a mutex does.
+	member := func(context.Context, *api.WatchRequest) (*api.WatchResponse, error) {
 		calls.Add(1)
 		entered <- struct{}{}
 		<-stalled
@@ -26,11 +27,11 @@
 		<-entered
 		cancel()
 	}()
-	if _, err := callLocal(ctx, &busy, &api.WatchRequest{}, core); !errors.Is(err, context.Canceled) {
+	if _, err := callLocal(ctx, &busy, &api.WatchRequest{}, member); !errors.Is(err, context.Canceled) {
 		t.Fatalf("a call that is over: %v", err)
 	}
 	for range 3 {
-		if _, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, core); !errors.Is(err, errLocalBusy) {
+		if _, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, member); !errors.Is(err, errLocalBusy) {
 			t.Fatalf("a second call beside one that is not answered: %v", err)
 		}
 	}
@@ -39,7 +40,7 @@
 	}
 	close(stalled)
 	for {
-		n, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, core)
+		n, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, member)
 		if errors.Is(err, errLocalBusy) {
 			continue // the first one is about to end
 		}
--- a/process/operator_access_test.go
+++ b/process/operator_access_test.go
@@ -12,9 +12,9 @@
 	"example.org/elmspan/settings"
 )
 
-// What the tuning file names and can't be used ends the start, with the setting's
-// name; where it names nothing the interface is open.
-func TestGuardOfControl(t *testing.T) {
+// A file of the tuning that can't be used ends the start, with the setting's name; where none
+// is named the interface is open.
+func TestControlAccess(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad")
 	if err := os.WriteFile(bad, []byte("[[operator]]\nname = \"a\"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -24,13 +24,13 @@
 		"control.operators": {Operators: bad},
 		"control.cert":      {Cert: bad, Key: bad},
 	} {
-		var g guarded
-		if _, err := g.open(&c, next, log); err == nil || !strings.HasPrefix(err.Error(), setting+":") {
+		var access controlAccess
+		if _, err := access.open(&c, next, log); err == nil || !strings.HasPrefix(err.Error(), setting+":") {
 			t.Errorf("%s: %v", setting, err)
 		}
 	}
-	var g guarded
-	h, err := g.open(&settings.DefaultTuning().Control, next, log)
+	var access controlAccess
+	h, err := access.open(&settings.DefaultTuning().Control, next, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,5 +38,5 @@
 	if h.ServeHTTP(w, httptest.NewRequest("POST", "/v1/Config.Replace", nil)); w.Code != 200 {
 		t.Errorf("an open interface answers %d", w.Code)
 	}
-	g.renew(log) // nothing to read: nothing happens
+	access.reload(log) // nothing to read: nothing happens
 }
--- a/process/process.go
+++ b/process/process.go
@@ -1,6 +1,11 @@
-// Package process puts the planes together into one process of the system: the
-// data plane where the role serves clients, the operator's interface where it
-// serves control, a member of the core where the machine has a disk as well.
+// Package process composes the planes into one process of the system: the data plane where
+// the role serves clients, the operator interface where it serves control, and a Raft member
+// of the control plane where the machine has a disk for it as well.
+//
+// [New] opens everything that the settings name, or fails with an error that names the
+// setting. [Process.Run] serves until its context ends and then shuts down in order. New
+// has the start-up sequence, Run the one of shutting down; both give the reason for the
+// order at each step.
 package process
 
 import (
@@ -8,18 +13,13 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"maps"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"os"
 	"path/filepath"
-	"slices"
-	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"google.golang.org/grpc"
 
 	"example.org/elmspan/api"
@@ -27,374 +27,255 @@
 	"example.org/elmspan/dataplane"
 	"example.org/elmspan/keys"
 	"example.org/elmspan/membership"
-	"example.org/elmspan/raft"
 	"example.org/elmspan/settings"
 	"example.org/elmspan/telemetry"
 )
 
 const (
-	lookEvery   = time.Second // at the settings file, for changes without a signal
-	keysEvery   = 5           // looks between two at the keys
-	stopLinger  = 100 * time.Millisecond
-	headerTimes = 2 * time.Second
-	voters      = 3 // wanted, for one loss; two more for each further one
-	// leaveFor is how long after it was told to end a process may stay for a member of
-	// the core to hand its vote on, of the 6 s that it has until it is killed.
-	leaveFor = 4 * time.Second
+	// minVoters are enough for the loss of one machine; each further loss that the settings
+	// ask for needs two more.
+	minVoters = 3
+	// memberDir is the folder of the Raft member's store in the data directory.
+	memberDir = "log"
+
+	controlHeaderTimeout = 2 * time.Second
+	controlIdleTimeout   = 5 * time.Second
 )
 
-// Options are what a process is started with.
+// Options are what a process is started with. SettingsPath, Tuning and Log are needed.
 type Options struct {
-	SettingsPath string           // path of the node's file
-	TuningPath   string           // path of the tuning file, for changes of it; may be empty
-	Tuning       *settings.Tuning // what it said at the start
+	SettingsPath string           // of the node file
+	TuningPath   string           // of the tuning file, which is read again for log.level; may be empty
+	Tuning       *settings.Tuning // what the tuning file said at the start
 	Log          *slog.Logger
 	// Level, where set, follows log.level when the tuning file is read again.
 	Level *slog.LevelVar
 }
 
-// Process is one running process.
+// Process is one running process. Its fields are set by New and not changed after, but for
+// those that say so.
 type Process struct {
 	Options
 	log   *slog.Logger
-	ring  *keys.Keyring      // nil: the system's own processes speak in the clear
-	meter *telemetry.Metrics // nil: none are kept
-	seed  uint64             // of all that is drawn at random; each goroutine has a source of its own
-	cfg   atomic.Pointer[settings.Node]
-	look  chan struct{}
+	start time.Time
+	// seed of all that is drawn at random, a new one at each start; each goroutine has a
+	// source of its own.
+	seed     uint64
+	settings atomic.Pointer[settings.Node] // replaced whole by reloadSettings, never changed
+	reload   chan struct{}                 // a request to read the settings again
+
+	ring  *keys.Keyring      // nil: the system's own processes speak without TLS
+	meter *telemetry.Metrics // nil: no metrics are kept
 
 	conns   *api.ConnPool
 	client  *controlplane.Client
-	host    *host // of a member of the core; nil where the settings ask for none
-	gateway *dataplane.Gateway
-	members *membership.Service
-
-	internal  *grpc.Server
-	control   *http.Server
-	guard     guarded
-	listening []net.Listener
-	metered   net.Listener // of the metrics
-	peers     atomic.Int64 // limiters known
-	newsAt    atomic.Int64 // when the core last answered, since start
-	start     time.Time
-
-	// Of who is there, as [membership.Service] tells; see [Process.peersChanged].
-	edges map[string]bool   // limiters, by name
-	cores map[string]string // addresses of machines of the core, by name
+	member  *memberHost        // nil: the settings ask for no Raft member
+	gateway *dataplane.Gateway // nil: the role does not serve clients
+	peers   *membership.Service
+	known   knownPeers
+	watcher *watcher
 
-	// Of the goroutine that watches:
-	whole      [2]bool // tables of which the whole is asked for
-	coreFailed bool    // the core in this process could not answer
+	internalServer *grpc.Server
+	controlServer  *http.Server // nil: the role does not serve control
+	controlAccess  controlAccess
 
-	localCall atomic.Bool // the core in this process is at work on a call
+	internalListener, controlListener, metricsListener net.Listener // nil: not open
 }
 
-// New opens what the settings ask for.
+// New opens what the settings ask for. An error that has to do with a setting begins with
+// its name. What was opened is closed again after an error.
 func New(o Options) (*Process, error) {
 	cfg, err := settings.Read(o.SettingsPath)
 	if err != nil {
 		return nil, err
 	}
-	seed, log, tune := rand.Uint64(), o.Log, o.Tuning
-	p := &Process{Options: o, log: log, seed: seed, look: make(chan struct{}, 1), start: time.Now(),
-		edges: map[string]bool{}, cores: map[string]string{}}
-	if tune.TLS.Dir != "" {
-		if p.ring, err = keys.Open(tune.TLS.Dir); err != nil {
-			return nil, fmt.Errorf("tls.dir: %w", err)
-		}
-		log.Info("keys", "dir", tune.TLS.Dir, "expires", p.ring.Expires())
+	p := &Process{
+		Options: o,
+		log:     o.Log,
+		start:   time.Now(),
+		seed:    rand.Uint64(),
+		reload:  make(chan struct{}, 1),
+		known:   knownPeers{limiters: map[string]bool{}, members: map[string]string{}},
 	}
-	p.conns = api.NewConnPool(p.ring)
-	p.cfg.Store(cfg)
-	p.client = &controlplane.Client{Conns: p.conns, Log: log, Name: cfg.Name}
-	p.client.Status = p.status
-	p.client.SetMembers("", cfg.SeedAddrs())
-	if err := p.open(cfg, seed); err != nil {
-		return nil, errors.Join(err, p.close())
+	p.settings.Store(cfg)
+	if err := p.open(cfg); err != nil {
+		return nil, errors.Join(err, p.closeListeners(), p.member.close())
 	}
 	return p, nil
 }
 
-func (p *Process) open(cfg *settings.Node, seed uint64) (err error) {
-	if addr := p.Tuning.Metrics.Address; addr != "" {
-		l, err := net.Listen("tcp", addr)
-		if err != nil {
-			return fmt.Errorf("metrics.address: %w", err)
-		}
-		p.meter, p.metered = telemetry.New(), l
-		p.gauges()
-	}
-	if cfg.CoreMember() {
-		p.host = &host{dir: filepath.Join(cfg.DataDir, "log"), client: p.client, log: p.log,
-			cfg: controlplane.CoreConfig{Addr: cfg.InternalAddr(), Seeds: cfg.SeedAddrs(),
-				Voters: max(voters, 2*cfg.Tolerance.Machines+1), Conns: p.conns, Log: p.log, Seed: seed}}
-		if err = p.host.begin(cfg.Bootstrap); err != nil {
-			return err
-		}
-	}
-	if cfg.Serves("edge") {
-		if p.gateway, err = dataplane.New(cfg, dataplane.Options{Seed: seed, Log: p.log, Upstream: p.Tuning.Upstream, Link: p.Tuning.Link, Keys: p.ring, Metrics: p.meter,
-			Stranger: func(addr string) { p.members.ExchangeWith(addr) }}); err != nil {
-			return err
-		}
-	}
-	self := api.Peer{Name: cfg.Name, Addr: cfg.InternalAddr(), Zone: cfg.Zone, StartID: seed, Edge: cfg.Serves("edge"), Core: p.host != nil && p.host.whyOut() == ""}
-	if !cfg.Serves("edge") { // two processes of one machine have one node name
-		self.Name += "/" + cfg.Role
-	}
-	p.members = membership.New(self, func() []string { return p.cfg.Load().SeedAddrs() }, p.conns, seed, p.log, p.peersChanged)
-	p.internal = api.NewServer(p.ring)
-	api.RegisterMembership(p.internal, p.members)
-	if p.host != nil {
-		api.RegisterControl(p.internal, p.host)
-	}
-	api.RegisterBootstrap(p.internal, p.host) // a seed without a member answers as well
-	l, err := api.Listen(context.Background(), cfg.InternalAddr())
-	if err != nil {
-		return fmt.Errorf("internal_port_range: %w", err)
+// open is the start-up sequence. Nothing is answered before Run: connections that come
+// earlier wait at the listeners.
+func (p *Process) open(cfg *settings.Node) error {
+	// Keys first: every connection and every listener between processes uses them.
+	if err := p.openKeyring(); err != nil {
+		return err
+	}
+	p.newClient(cfg)
+	// Metrics before the parts that count in them.
+	if err := p.openMetrics(); err != nil {
+		return err
+	}
+	// The member's store before the heartbeats, which say whether this machine takes part in
+	// the control plane: that depends on what is on the disk.
+	if err := p.openMember(cfg); err != nil {
+		return err
+	}
+	// The gateway and the watcher before the heartbeats too, which hand every change of the
+	// peers to the gateway.
+	if err := p.openGateway(cfg); err != nil {
+		return err
+	}
+	p.newWatcher()
+	p.newPeers(cfg)
+	// The internal server answers for the member and the heartbeats.
+	if err := p.openInternalServer(cfg); err != nil {
+		return err
+	}
+	// The operator interface last: its calls go to all of the above.
+	return p.openControlServer(cfg)
+}
+
+func (p *Process) openKeyring() (err error) {
+	dir := p.Tuning.TLS.Dir
+	if dir == "" {
+		return nil
 	}
-	p.listening = append(p.listening, l)
-	if cfg.Serves("control") {
-		if l, err = net.Listen("tcp", cfg.Listeners.Control); err != nil {
-			return fmt.Errorf("listeners.control_port: %w", err)
-		}
-		p.listening = append(p.listening, l)
-		handler, err := p.guard.open(&p.Tuning.Control, p.client.Handler(), p.log)
-		if err != nil {
-			return err
-		}
-		p.control = &http.Server{Handler: handler, ReadHeaderTimeout: headerTimes,
-			IdleTimeout: 5 * time.Second, ErrorLog: slog.NewLogLogger(p.log.Handler(), slog.LevelDebug)}
+	if p.ring, err = keys.Open(dir); err != nil {
+		return fmt.Errorf("tls.dir: %w", err)
 	}
+	p.log.Info("keys loaded", "dir", dir, "expires", p.ring.Expires())
 	return nil
 }
 
-func (p *Process) close() error {
-	var errs []error
-	for _, l := range p.listening {
-		errs = append(errs, l.Close())
+// newClient makes the connections to other processes and the client of the control plane,
+// which knows the seeds at first.
+func (p *Process) newClient(cfg *settings.Node) {
+	p.conns = api.NewConnPool(p.ring)
+	p.client = &controlplane.Client{Conns: p.conns, Log: p.log, Name: cfg.Name, Status: p.status}
+	p.client.SetMembers("", cfg.SeedAddrs())
+}
+
+func (p *Process) openMetrics() (err error) {
+	addr := p.Tuning.Metrics.Address
+	if addr == "" {
+		return nil
 	}
-	if p.metered != nil {
-		errs = append(errs, p.metered.Close())
+	if p.metricsListener, err = net.Listen("tcp", addr); err != nil {
+		return fmt.Errorf("metrics.address: %w", err)
 	}
-	return errors.Join(append(errs, p.host.close())...)
+	p.meter = telemetry.New()
+	p.registerGauges()
+	return nil
 }
 
-// Reload has the settings file read again.
-func (p *Process) Reload() {
-	select {
-	case p.look <- struct{}{}:
-	default:
-	}
+func (p *Process) openMember(cfg *settings.Node) error {
+	if !cfg.CoreMember() {
+		return nil
+	}
+	p.member = &memberHost{
+		dir:    filepath.Join(cfg.DataDir, memberDir),
+		client: p.client,
+		log:    p.log,
+		cfg: controlplane.CoreConfig{
+			Addr:   cfg.InternalAddr(),
+			Seeds:  cfg.SeedAddrs(),
+			Voters: max(minVoters, 2*cfg.Tolerance.Machines+1),
+			Conns:  p.conns,
+			Log:    p.log,
+			Seed:   p.seed,
+		},
+	}
+	return p.member.open(cfg.Bootstrap)
 }
 
-// Run serves until the context ends, then leaves in order.
-func (p *Process) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(context.Background())
-	var tasks sync.WaitGroup
-	tasks.Go(func() { p.internal.Serve(p.listening[0]) })
-	if p.control != nil {
-		tasks.Go(func() { p.control.Serve(p.guard.listener(p.listening[1])) })
-	}
-	if p.host != nil {
-		tasks.Go(func() { p.host.run(work) })
-	}
-	tasks.Go(func() { p.members.Run(work) })
-	tasks.Go(func() { p.watch(work) })
-	tasks.Go(func() { p.discover(work) })
-	tasks.Go(func() { p.reloads(work) })
-	if p.meter != nil {
-		tasks.Go(func() {
-			if err := p.meter.Serve(work, p.metered); err != nil {
-				p.log.Error("metrics are not shown any more", "err", err)
-			}
-		})
-	}
-	p.log.Info("started", "name", p.cfg.Load().Name, "core", p.host != nil && p.host.whyOut() == "", "internal", p.cfg.Load().InternalAddr())
-	left := make(chan struct{})
-	gone := context.AfterFunc(ctx, func() { // leadership and vote are handed on while the traffic is finished
-		defer close(left)
-		end := time.NewTimer(leaveFor)
-		defer end.Stop()
-		var done <-chan struct{}
-		if core := p.host.core(); core != nil {
-			done = core.Leave()
-		}
-		p.members.Leave(work)
-		if done != nil {
-			select {
-			case <-done:
-			case <-end.C:
-				p.log.Warn("leaving with a vote that wasn't handed on in time")
-			}
-		}
+func (p *Process) openGateway(cfg *settings.Node) (err error) {
+	if !cfg.Serves(settings.RoleEdge) {
+		return nil
+	}
+	p.gateway, err = dataplane.New(cfg, dataplane.Options{
+		Seed:     p.seed,
+		Log:      p.log,
+		Upstream: p.Tuning.Upstream,
+		Link:     p.Tuning.Link,
+		Keys:     p.ring,
+		Metrics:  p.meter,
+		// An unknown limiter that sends gossip: an exchange with it makes it known.
+		Stranger: func(addr string) { p.peers.ExchangeWith(addr) },
 	})
-	defer gone()
-	if p.gateway != nil {
-		p.gateway.Run(ctx)
-	} else {
-		<-ctx.Done()
-		time.Sleep(stopLinger)
-	}
-	<-left
-	if p.control != nil {
-		end, cancel := context.WithTimeout(work, stopLinger)
-		p.control.Shutdown(end)
-		cancel()
-	}
-	stop()
-	p.internal.Stop()
-	if p.control != nil {
-		p.control.Close()
-	}
-	p.conns.Close()
-	tasks.Wait()
-	return p.host.close()
+	return err
 }
 
-// peersChanged takes in the processes of which something has changed.
-func (p *Process) peersChanged(changed []api.Peer) {
-	core := false
-	for _, q := range changed {
-		if q.Edge && q.State != membership.Dead {
-			p.edges[q.Name] = true
-		} else {
-			delete(p.edges, q.Name)
-		}
-		was, is := p.cores[q.Name], ""
-		if q.Core && q.State == membership.Alive {
-			is = q.Addr
-		}
-		if was == is {
-			continue
-		}
-		if core = true; is == "" {
-			delete(p.cores, q.Name)
-		} else {
-			p.cores[q.Name] = is
-		}
-	}
-	p.peers.Store(int64(max(1, len(p.edges))))
-	if core {
-		var addrs []string
-		for _, name := range slices.Sorted(maps.Keys(p.cores)) {
-			addrs = append(addrs, p.cores[name])
-		}
-		p.client.SetFallbacks(addrs)
-	}
-	if p.gateway != nil {
-		p.gateway.ChangePeers(changed)
+func (p *Process) newWatcher() {
+	p.watcher = &watcher{
+		name:    func() string { return p.settings.Load().Name },
+		seed:    p.seed,
+		start:   p.start,
+		log:     p.log,
+		conns:   p.conns,
+		client:  p.client,
+		member:  p.member,
+		gateway: p.gateway,
 	}
 }
 
-// gauges has the metrics show what is known of the core.
-func (p *Process) gauges() {
-	core := func(name string, of func(controlplane.CoreStatus) float64) {
-		p.meter.Gauge(name, func() float64 {
-			c := p.host.core()
-			if c == nil {
-				return 0
-			}
-			return of(c.Status())
-		})
+func (p *Process) newPeers(cfg *settings.Node) {
+	self := api.Peer{
+		Name:    cfg.Name,
+		Addr:    cfg.InternalAddr(),
+		Zone:    cfg.Zone,
+		StartID: p.seed,
+		Edge:    cfg.Serves(settings.RoleEdge),
+		Core:    p.member != nil && p.member.reasonOut() == "",
+	}
+	if !self.Edge { // the two processes of a machine have one node name
+		self.Name += "/" + cfg.Role
 	}
-	truth := map[bool]float64{true: 1}
-	core("elmspan_core_leader", func(s controlplane.CoreStatus) float64 { return truth[s.Role == raft.Leader.String()] })
-	core("elmspan_core_term", func(s controlplane.CoreStatus) float64 { return float64(s.Term) })
-	core("elmspan_core_commit_index", func(s controlplane.CoreStatus) float64 { return float64(s.Commit) })
-	core("elmspan_core_disk_fails", func(s controlplane.CoreStatus) float64 { return truth[s.DiskFails] })
-	p.meter.Gauge("elmspan_core_news_age_seconds", func() float64 { return (time.Since(p.start) - time.Duration(p.newsAt.Load())).Seconds() })
+	seeds := func() []string { return p.settings.Load().SeedAddrs() }
+	p.peers = membership.New(self, seeds, p.conns, p.seed, p.log, p.peersChanged)
 }
 
-// reloads reads the settings file again at a signal, or when it has changed.
-func (p *Process) reloads(ctx context.Context) {
-	t := time.NewTicker(lookEvery)
-	defer t.Stop()
-	sum, ticks := p.sum(), 0
-	for {
-		forced := false
-		select {
-		case <-ctx.Done():
-			return
-		case <-p.look:
-			forced = true
-		case <-t.C:
-		}
-		if ticks++; forced || ticks%keysEvery == 0 {
-			p.renew()
-		}
-		now := p.sum()
-		if now == sum && !forced {
-			continue
-		}
-		cfg, err := settings.Read(p.SettingsPath)
-		if err != nil {
-			p.log.Warn("kept the settings: the new ones can't be used", "err", err)
-			continue
-		}
-		sum = now
-		p.cfg.Store(cfg)
-		if p.gateway != nil {
-			p.gateway.Settings(cfg)
-		}
+func (p *Process) openInternalServer(cfg *settings.Node) (err error) {
+	p.internalServer = api.NewServer(p.ring)
+	api.RegisterMembership(p.internalServer, p.peers)
+	if p.member != nil {
+		api.RegisterControl(p.internalServer, p.member)
+	}
+	// A machine that bootstraps asks all seeds, and those without a member answer as well.
+	api.RegisterBootstrap(p.internalServer, p.member)
+	if p.internalListener, err = api.Listen(context.Background(), cfg.InternalAddr()); err != nil {
+		return fmt.Errorf("internal_port_range: %w", err)
 	}
+	return nil
 }
 
-// renew takes over new keys and what else may change while the process runs.
-func (p *Process) renew() {
-	if p.ring != nil {
-		switch changed, err := p.ring.Reload(); {
-		case err != nil:
-			p.log.Warn("kept the keys: the new ones can't be used", "err", err)
-		case changed:
-			p.log.Info("keys read again", "expires", p.ring.Expires())
-		}
+func (p *Process) openControlServer(cfg *settings.Node) (err error) {
+	if !cfg.Serves(settings.RoleControl) {
+		return nil
 	}
-	p.guard.renew(p.log)
-	if p.Level == nil || p.TuningPath == "" {
-		return
+	if p.controlListener, err = net.Listen("tcp", cfg.Listeners.Control); err != nil {
+		return fmt.Errorf("listeners.control_port: %w", err)
 	}
-	tune, err := settings.ReadTuning(p.TuningPath)
+	handler, err := p.controlAccess.open(&p.Tuning.Control, p.client.Handler(), p.log)
 	if err != nil {
-		p.log.Warn("kept the tuning: the new one can't be used", "err", err)
-		return
+		return err
 	}
-	var level slog.Level
-	if level.UnmarshalText([]byte(tune.Log.Level)) == nil && level != p.Level.Level() {
-		p.Level.Set(level)
-		p.log.Info("log level", "level", level)
+	p.controlServer = &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: controlHeaderTimeout,
+		IdleTimeout:       controlIdleTimeout,
+		ErrorLog:          slog.NewLogLogger(p.log.Handler(), slog.LevelDebug),
 	}
+	return nil
 }
 
-func (p *Process) sum() uint64 {
-	data, err := os.ReadFile(p.SettingsPath)
-	if err != nil {
-		return 0
-	}
-	return xxhash.Sum64(data)
-}
-
-// status is what the process shows of itself.
-func (p *Process) status() any {
-	var s struct {
-		Name    string
-		Limiter *dataplane.Status        `json:",omitempty"`
-		Core    *controlplane.CoreStatus `json:",omitempty"`
-		CoreOut string                   `json:",omitempty"` // why it takes no part in the core
-		Peers   []string
-	}
-	s.Name = p.cfg.Load().Name
-	if p.gateway != nil {
-		v := p.gateway.Status()
-		s.Limiter = &v
-	}
-	if c := p.host.core(); c != nil {
-		v := c.Status()
-		s.Core = &v
-	}
-	s.CoreOut = p.host.whyOut()
-	for _, q := range p.members.Peers() {
-		s.Peers = append(s.Peers, fmt.Sprintf("%s %s %s", q.Name, q.Addr, [...]string{"alive", "leaving", "dead"}[min(2, q.State)]))
+// closeListeners closes what New has opened and nobody serves.
+func (p *Process) closeListeners() error {
+	var errs []error
+	for _, l := range []net.Listener{p.internalListener, p.controlListener, p.metricsListener} {
+		if l != nil {
+			errs = append(errs, l.Close())
+		}
 	}
-	return s
+	return errors.Join(errs...)
 }
--- /dev/null
+++ b/process/reload.go
@@ -0,0 +1,108 @@
+package process
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"example.org/elmspan/settings"
+)
+
+const (
+	// settingsInterval is how often the settings file is looked at for changes.
+	settingsInterval = time.Second
+	// filesEvery is how many looks at the settings are between two at keys, operators,
+	// certificate and tuning.
+	filesEvery = 5
+)
+
+// Reload has the settings file and all other files read again soon. It does not block.
+func (p *Process) Reload() {
+	select {
+	case p.reload <- struct{}{}:
+	default: // one is asked for already
+	}
+}
+
+// followSettings reads files again when they have changed, or when Reload was called, until
+// the context ends. A file that can't be used changes nothing.
+func (p *Process) followSettings(ctx context.Context) {
+	ticker := time.NewTicker(settingsInterval)
+	defer ticker.Stop()
+	loaded, looks := p.settingsSum(), 0
+	for {
+		forced := false
+		select {
+		case <-ctx.Done():
+			return
+		case <-p.reload:
+			forced = true
+		case <-ticker.C:
+		}
+		if looks++; forced || looks%filesEvery == 0 {
+			p.reloadKeys()
+			p.controlAccess.reload(p.log)
+			p.reloadLogLevel()
+		}
+		sum := p.settingsSum()
+		if (forced || sum != loaded) && p.reloadSettings() {
+			loaded = sum
+		}
+	}
+}
+
+// settingsSum is a hash of the settings file, 0 where it can't be read.
+func (p *Process) settingsSum() uint64 {
+	data, err := os.ReadFile(p.SettingsPath)
+	if err != nil {
+		return 0
+	}
+	return xxhash.Sum64(data)
+}
+
+// reloadSettings reports whether the settings file could be used.
+func (p *Process) reloadSettings() bool {
+	cfg, err := settings.Read(p.SettingsPath)
+	if err != nil {
+		p.log.Warn("settings rejected, the old ones stay in force", "error", err)
+		return false
+	}
+	p.settings.Store(cfg)
+	if p.gateway != nil {
+		p.gateway.Settings(cfg)
+	}
+	return true
+}
+
+func (p *Process) reloadKeys() {
+	if p.ring == nil {
+		return
+	}
+	changed, err := p.ring.Reload()
+	switch {
+	case err != nil:
+		p.log.Warn("keys rejected, the old ones stay in force", "error", err)
+	case changed:
+		p.log.Info("keys reloaded", "expires", p.ring.Expires())
+	}
+}
+
+// reloadLogLevel takes over the one setting of the tuning file that may change.
+func (p *Process) reloadLogLevel() {
+	if p.Level == nil || p.TuningPath == "" {
+		return
+	}
+	tuning, err := settings.ReadTuning(p.TuningPath)
+	if err != nil {
+		p.log.Warn("tuning rejected, the old one stays in force", "error", err)
+		return
+	}
+	var level slog.Level
+	if level.UnmarshalText([]byte(tuning.Log.Level)) == nil && level != p.Level.Level() {
+		p.Level.Set(level)
+		p.log.Info("log level changed", "level", level)
+	}
+}
--- a/process/watch.go
+++ b/process/watch.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"log/slog"
 	"math/rand/v2"
 	"sync/atomic"
 	"time"
@@ -11,186 +11,243 @@
 
 	"example.org/elmspan/api"
 	"example.org/elmspan/controlplane"
+	"example.org/elmspan/dataplane"
 	"example.org/elmspan/internal/backoff"
 	"example.org/elmspan/versioned"
 )
 
 const (
-	watchWait  = 1500 * time.Millisecond // an answer without news
-	watchSpare = 600 * time.Millisecond  // ... comes this much later at the latest
-	// A member that did not answer in time is passed over, and the next is asked for
-	// a lease at once: within what is left of the lease each of the core can be asked.
+	// watchWait is how long a member waits for something new before it answers a watch, and
+	// watchMargin how much later its answer may come.
+	watchWait   = 1500 * time.Millisecond
+	watchMargin = 600 * time.Millisecond
+	// urgentTimeout is for a watch that is answered at once, by a process that needs a lease
+	// or a full table: within the rest of a lease each member can be asked.
 	urgentTimeout = 450 * time.Millisecond
-	// A machine without power, or that has not started again yet, says nothing: who
-	// has no lease does not wait for it as long as for a member that was reached.
-	reachWait    = 120 * time.Millisecond
-	fetchTimeout = 2 * time.Second       // for a long difference, beyond that
-	firstWait    = 30 * time.Millisecond // between two tries at a core that does not answer ...
-	longestWait  = 400 * time.Millisecond
-	urgentWait   = 100 * time.Millisecond
+	// connectTimeout is how long an urgent watch waits for a connection. A machine without
+	// power, or one that has not started yet, does not answer at all; it is not waited for as
+	// long as a member that was reached.
+	connectTimeout = 120 * time.Millisecond
+	// fetchTimeout is for the chunks of a delta that did not fit into the response.
+	fetchTimeout = 2 * time.Second
+	// minRetryPause and maxRetryPause are between two failed watches, and noLeaseRetryPause
+	// is the longest while there is no lease: nothing can be served meanwhile.
+	minRetryPause     = 30 * time.Millisecond
+	maxRetryPause     = 400 * time.Millisecond
+	noLeaseRetryPause = 100 * time.Millisecond
 )
 
-// watch asks the core with the versions that are held here, and takes in what
-// it answers, until the context ends.
-func (p *Process) watch(ctx context.Context) {
-	pauses := backoff.New(firstWait, longestWait, rand.New(rand.NewPCG(p.seed, 1)))
+// watchRandom makes the watcher's random numbers differ from others of the same seed.
+const watchRandom = 1
+
+// watcher keeps the data plane up to date: it asks a member of the control plane for what is
+// newer than the versions that the gateway has, and for a lease. Its fields up to gateway are
+// set before run and not changed.
+type watcher struct {
+	name    func() string // of this node
+	seed    uint64
+	start   time.Time // of the process; times are counted from it
+	log     *slog.Logger
+	conns   *api.ConnPool
+	client  *controlplane.Client
+	member  *memberHost        // nil: none in this process
+	gateway *dataplane.Gateway // nil: no data plane; the member list and the leases are followed alone
+
+	// lastLease is when a response with a lease last came, since start. Read by any goroutine.
+	lastLease atomic.Int64
+
+	// Of the goroutine in run:
+	needsFull   [2]bool // by table: a delta did not match, the full table is asked for
+	localFailed bool    // the member in this process could not answer the last watch
+
+	localBusy atomic.Bool // the member in this process has not answered a call yet
+}
+
+// sinceLease is how long ago a response with a lease came, or the process started.
+func (w *watcher) sinceLease() time.Duration {
+	return time.Since(w.start) - time.Duration(w.lastLease.Load())
+}
+
+// run watches until the context ends.
+func (w *watcher) run(ctx context.Context) {
+	pauses := backoff.New(minRetryPause, maxRetryPause, rand.New(rand.NewPCG(w.seed, watchRandom)))
 	failed := false
 	for ctx.Err() == nil {
-		if failed = !p.ask(ctx, failed); !failed {
+		failed = !w.watchOnce(ctx, failed)
+		if !failed {
 			pauses.Reset()
 			continue
 		}
 		pause := pauses.Next()
-		if p.gateway != nil && !p.gateway.Leased() {
-			pause = min(pause, urgentWait) // nothing can be served meanwhile
+		if w.gateway != nil && !w.gateway.Leased() {
+			pause = min(pause, noLeaseRetryPause)
 		}
 		backoff.Sleep(ctx, pause)
 	}
 }
 
-// member is whom a process asks: the core in it, or one over the network.
-type member struct {
-	conn  *grpc.ClientConn // nil: no network is between
-	watch func(context.Context, *api.WatchRequest) (*api.WatchResponse, error)
-	fetch func(context.Context, *api.FetchRequest) (*api.Chunk, error)
+// watchCall is one watch.
+type watchCall struct {
+	request *api.WatchRequest
+	// leaseStart is what a lease is counted from: no later than when the request is made, so
+	// that it ends here before it ends for the member that granted it.
+	leaseStart time.Duration
+	urgent     bool // an answer is needed at once
+	timeout    time.Duration
 }
 
-// whom returns the member to ask, and its address; "" is the core in this process.
-func (p *Process) whom() (m member, addr string, ok bool) {
-	if core := p.host.core(); core != nil && !p.coreFailed {
-		return member{nil, func(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
-			return callLocal(ctx, &p.localCall, q, core.Watch)
-		},
-			func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
-				return callLocal(ctx, &p.localCall, q, core.Fetch)
-			}}, "", true
+// newWatchCall asks for what is newer than the versions that are here.
+func (w *watcher) newWatchCall(urgent bool) watchCall {
+	call := watchCall{
+		request:    &api.WatchRequest{Name: w.name(), WaitMs: watchWait.Milliseconds()},
+		leaseStart: time.Since(w.start),
+		urgent:     urgent,
+		timeout:    watchWait + watchMargin,
 	}
-	if addr = p.client.WatchMember(); addr == "" {
-		return m, "", false
+	if g := w.gateway; g != nil {
+		call.request.Revision, call.request.ServersVersion, call.leaseStart = g.Revision(), g.Servers(), g.Since()
+		call.urgent = urgent || !g.Leased() || call.request.Revision == 0
 	}
-	conn, err := p.conns.Conn(addr)
-	if err != nil {
-		p.log.Debug("the core can't be called", "addr", addr, "err", err)
-		return m, addr, false
+	if w.needsFull[api.ConfigTable] {
+		call.request.Revision = 0
 	}
-	return member{conn, func(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
-		return api.CallWatch(ctx, conn, q)
-	},
-		func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) { return api.CallFetch(ctx, conn, q) }}, addr, true
-}
-
-var errLocalBusy = errors.New("process: the core here has not answered an earlier call yet")
-
-// callLocal calls the core in this process and waits until the context ends, at most:
-// the core may be waiting for its disk, and the others of the core answer meanwhile. At
-// most one call goes on behind its end.
-func callLocal[Q, R any](ctx context.Context, busy *atomic.Bool, q *Q, call func(context.Context, *Q) (*R, error)) (*R, error) {
-	if !busy.CompareAndSwap(false, true) {
-		return nil, errLocalBusy
-	}
-	type answer struct {
-		r   *R
-		err error
-	}
-	ch := make(chan answer, 1)
-	go func() {
-		r, err := call(ctx, q)
-		busy.Store(false)
-		ch <- answer{r, err}
-	}()
-	select {
-	case a := <-ch:
-		return a.r, a.err
-	case <-ctx.Done():
-		return nil, ctx.Err()
+	if w.needsFull[api.ServerTable] {
+		call.request.ServersVersion = 0
 	}
+	if call.urgent || w.needsFull[api.ConfigTable] || w.needsFull[api.ServerTable] {
+		call.request.WaitMs, call.timeout = 0, urgentTimeout
+	}
+	return call
 }
 
-// passOver has another member asked next.
-func (p *Process) passOver(addr string) {
-	p.coreFailed = addr == "" && p.host.core() != nil // the core in this process is tried every other time
-	p.client.WatchMemberFailed(addr)
-}
-
-// ask asks once. It tells whether it was answered with a lease.
-func (p *Process) ask(ctx context.Context, urgent bool) bool {
-	q := &api.WatchRequest{Name: p.cfg.Load().Name, WaitMs: watchWait.Milliseconds()}
-	asked, timeout := time.Since(p.start), watchWait+watchSpare
-	if g := p.gateway; g != nil {
-		q.Revision, q.ServersVersion, asked = g.Revision(), g.Servers(), g.Since()
-		urgent = urgent || !g.Leased() || q.Revision == 0
-	}
-	if p.whole[api.ConfigTable] {
-		q.Revision = 0
-	}
-	if p.whole[api.ServerTable] {
-		q.ServersVersion = 0
-	}
-	if urgent || p.whole[api.ConfigTable] || p.whole[api.ServerTable] {
-		q.WaitMs, timeout = 0, urgentTimeout
-	}
-	m, addr, ok := p.whom()
+// watchOnce makes one watch. It reports whether it was answered with a lease and everything in
+// the answer is in force. urgent has it answered at once.
+func (w *watcher) watchOnce(ctx context.Context, urgent bool) bool {
+	call := w.newWatchCall(urgent)
+	m, ok := w.chooseMember()
 	if !ok {
-		p.passOver(addr)
-		return false
-	}
-	if urgent && m.conn != nil && !api.WaitReady(ctx, m.conn, reachWait) {
-		p.log.Debug("the core is not reached", "addr", addr)
-		p.passOver(addr)
+		w.memberFailed(m.addr)
 		return false
 	}
-	call, cancel := context.WithTimeout(ctx, timeout)
-	n, err := m.watch(call, q)
-	cancel()
-	if err != nil {
-		p.log.Debug("the core does not answer", "addr", addr, "err", err)
-		p.passOver(addr)
+	response := w.callMember(ctx, call, m)
+	if response == nil {
+		w.memberFailed(m.addr)
 		return false
 	}
-	p.client.ObserveWatchResponse(n)
-	if !n.Lease {
-		p.passOver(addr)
+	w.client.ObserveWatchResponse(response)
+	if !response.Lease {
+		w.memberFailed(m.addr)
 		return false
 	}
-	p.coreFailed = false
-	p.newsAt.Store(int64(time.Since(p.start)))
-	if p.gateway == nil {
+	w.localFailed = false
+	w.lastLease.Store(int64(time.Since(w.start)))
+	if w.gateway == nil {
 		return true
 	}
-	if !p.take(ctx, m, n) {
+	if !w.applyResponse(ctx, m, response) {
 		return false
 	}
-	if p.gateway.Revision() >= n.Revision {
-		p.gateway.Grant(asked + time.Duration(n.LeaseDelayMs)*time.Millisecond)
+	// A lease is for the revision that the member had: only a gateway that has it may use it.
+	if w.gateway.Revision() >= response.Revision {
+		w.gateway.Grant(call.leaseStart + time.Duration(response.LeaseDelayMs)*time.Millisecond)
 	}
 	return true
 }
 
-// take takes in what is new.
-func (p *Process) take(ctx context.Context, m member, n *api.WatchResponse) bool {
-	return p.table(ctx, m, api.ConfigTable, n.ConfigDelta, func(r *versioned.DeltaReader) error { return p.gateway.ChangeConfig(r) }) &&
-		p.table(ctx, m, api.ServerTable, n.ServersDelta, func(r *versioned.DeltaReader) error { return p.gateway.ChangeServers(r, n.ClockMs) })
+// callMember makes the call of a watch. It returns nil where it was not answered.
+func (w *watcher) callMember(ctx context.Context, call watchCall, m watchedMember) *api.WatchResponse {
+	if call.urgent && m.conn != nil && !api.WaitReady(ctx, m.conn, connectTimeout) {
+		w.log.Debug("control plane member not reached", "peer", m.addr)
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, call.timeout)
+	defer cancel()
+	response, err := m.watch(ctx, call.request)
+	if err != nil {
+		w.log.Debug("watch failed", "peer", m.addr, "error", err)
+		return nil
+	}
+	return response
+}
+
+// watchedMember is a member that is asked: the one in this process, or one over the network.
+type watchedMember struct {
+	addr  string           // empty: the one in this process
+	conn  *grpc.ClientConn // nil: the one in this process
+	watch func(context.Context, *api.WatchRequest) (*api.WatchResponse, error)
+	fetch func(context.Context, *api.FetchRequest) (*api.Chunk, error)
+}
+
+// chooseMember returns the member to ask: the one in this process, unless it could not answer
+// last time. ok is false where none is known or it can't be called.
+func (w *watcher) chooseMember() (m watchedMember, ok bool) {
+	if core := w.member.core(); core != nil && !w.localFailed {
+		return watchedMember{
+			watch: func(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
+				return callLocal(ctx, &w.localBusy, q, core.Watch)
+			},
+			fetch: func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
+				return callLocal(ctx, &w.localBusy, q, core.Fetch)
+			},
+		}, true
+	}
+	m.addr = w.client.WatchMember()
+	if m.addr == "" {
+		return m, false
+	}
+	conn, err := w.conns.Conn(m.addr)
+	if err != nil {
+		w.log.Debug("control plane member not reached", "peer", m.addr, "error", err)
+		return m, false
+	}
+	m.conn = conn
+	m.watch = func(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
+		return api.CallWatch(ctx, conn, q)
+	}
+	m.fetch = func(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
+		return api.CallFetch(ctx, conn, q)
+	}
+	return m, true
 }
 
-// table takes in the difference of one table. Where it does not fit what is held
-// here, the whole is asked for next time.
-func (p *Process) table(ctx context.Context, m member, table uint8, parcel *api.EncodedDelta, take func(*versioned.DeltaReader) error) bool {
-	if parcel == nil {
+// memberFailed has another member asked next. The one in this process is passed over once.
+func (w *watcher) memberFailed(addr string) {
+	w.localFailed = addr == "" && w.member.core() != nil
+	w.client.WatchMemberFailed(addr)
+}
+
+// applyResponse puts what is new in force: the configuration, then the server list. It
+// reports whether both are.
+func (w *watcher) applyResponse(ctx context.Context, m watchedMember, r *api.WatchResponse) bool {
+	applyServers := func(delta *versioned.DeltaReader) error { return w.gateway.ChangeServers(delta, r.ClockMs) }
+	return w.applyDelta(ctx, m, api.ConfigTable, r.ConfigDelta, w.gateway.ChangeConfig) &&
+		w.applyDelta(ctx, m, api.ServerTable, r.ServersDelta, applyServers)
+}
+
+// applyDelta fetches what is missing of a table's delta and applies it. Where it does not
+// match what is here, the full table is asked for next time.
+func (w *watcher) applyDelta(
+	ctx context.Context, m watchedMember, table uint8, encoded *api.EncodedDelta,
+	apply func(*versioned.DeltaReader) error,
+) bool {
+	if encoded == nil {
 		return true
 	}
-	call, cancel := context.WithTimeout(ctx, fetchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	data, err := controlplane.FetchDelta(call, parcel, m.fetch, table)
+	data, err := controlplane.FetchDelta(ctx, encoded, m.fetch, table)
 	if err != nil {
-		p.log.Debug("a difference was not had", "table", table, "to", parcel.To, "err", err)
+		w.log.Debug("fetching a delta failed", "peer", m.addr, "table", table, "to", encoded.To, "error", err)
 		return false
 	}
-	r, err := versioned.OpenDelta(data)
+	delta, err := versioned.OpenDelta(data)
 	if err == nil {
-		err = take(r)
+		err = apply(delta)
 	}
-	if p.whole[table] = err != nil; err != nil {
-		p.log.Warn("a difference does not fit what is held here: asking for the whole", "table", table, "from", parcel.From, "to", parcel.To, "err", err)
+	w.needsFull[table] = err != nil
+	if err != nil {
+		w.log.Warn("delta rejected, full table requested", "table", table,
+			"from", encoded.From, "to", encoded.To, "error", err)
 	}
 	return err == nil
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -18,6 +18,12 @@
 // NodeFileEnv is the variable that holds the path of the file.
 const NodeFileEnv = "ELMSPAN_NODE_FILE"
 
+// The roles that a process may serve.
+const (
+	RoleEdge    = "edge"    // clients: the data plane
+	RoleControl = "control" // operators, and the control plane
+)
+
 // Node are a process's settings.
 type Node struct {
 	Name            string            `toml:"node_name"`
