--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -47,7 +47,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !n.CoreMember() || !n.Bootstrap || n.InternalAddr() != "10.1.0.13:7560" || n.Tolerance.Machines != 2 || n.ZoneMap["10.2.0.0/16"] != "b" {
+	if !n.CoreMember() || !n.Bootstrap || n.InternalAddr() != "10.1.0.13:7560" ||
+		n.Tolerance.Machines != 2 || n.ZoneMap["10.2.0.0/16"] != "b" {
 		t.Errorf("%+v", n)
 	}
 }
@@ -79,7 +80,8 @@
 	}
 	_, errNode := Read("testdata/none.toml")
 	_, errTuning := ReadTuning("testdata/none.toml")
-	if got, want := fmt.Sprintln(errNode)+fmt.Sprintln(errTuning), string(readGolden(t, "missing-files.txt")); got != want {
+	got, want := fmt.Sprintln(errNode)+fmt.Sprintln(errTuning), string(readGolden(t, "missing-files.txt"))
+	if got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/node_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-const sound = `
+// validNode is a node file without faults.
+const validNode = `
 node_name = "edge-a-1"
 role = "gateway"
 served_roles = ["edge", "control"]
@@ -33,12 +34,14 @@
 rate_per_s = 54.0
 `
 
-func TestSound(t *testing.T) {
-	n, err := Parse([]byte(sound))
+// A valid file is accepted; two processes of a machine have an internal port each.
+func TestValidNodeFile(t *testing.T) {
+	n, err := Parse([]byte(validNode))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !n.CoreMember() || n.InternalAddr() != "10.1.0.13:7560" || strings.Join(n.SeedAddrs(), " ") != "10.1.0.13:7560 10.2.0.13:7560" {
+	if !n.CoreMember() || n.InternalAddr() != "10.1.0.13:7560" ||
+		strings.Join(n.SeedAddrs(), " ") != "10.1.0.13:7560 10.2.0.13:7560" {
 		t.Errorf("core %v, %s, %v", n.CoreMember(), n.InternalAddr(), n.SeedAddrs())
 	}
 	n.ServedRoles = []string{"edge"}
@@ -48,7 +51,7 @@
 }
 
 // Each fault is named by its field, and all of them at once.
-func TestFaults(t *testing.T) {
+func TestFaultsOfANodeFile(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`node_name = "edge-a-1"`, ``, "node_name"},
 		{`node_name = "edge-a-1"`, `node_name = 7`, "node_name"},
@@ -71,22 +74,23 @@
 		{`rate_per_s = 54.0`, `rate_per_s = 0`, "cloud_api.rate_per_s"},
 		{`[cloud_api]`, `[cloud_api`, "line"},
 	} {
-		text := strings.Replace(sound, c.old, c.new, 1)
+		text := strings.Replace(validNode, c.old, c.new, 1)
 		_, err := Parse([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q for %q: %v, want one line with %q", c.new, c.old, err, c.want)
 		}
 	}
-	if _, err := Parse([]byte(strings.NewReplacer("drain_ms = 3000", "", "grace_s = 6", "").Replace(sound))); strings.Count(err.Error(), "\n") != 1 {
+	twoFaults := strings.NewReplacer("drain_ms = 3000", "", "grace_s = 6", "").Replace(validNode)
+	if _, err := Parse([]byte(twoFaults)); strings.Count(err.Error(), "\n") != 1 {
 		t.Errorf("two faults: %v", err)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sound))
-	f.Fuzz(func(t *testing.T, b []byte) {
+	f.Add([]byte(validNode))
+	f.Fuzz(func(_ *testing.T, b []byte) {
 		if n, err := Parse(b); err == nil {
-			n.InternalAddr() // what was found sound can be used
+			n.InternalAddr() // what was accepted can be used
 			n.SeedAddrs()
 		}
 	})
--- a/settings/tree_test.go
+++ b/settings/tree_test.go
@@ -10,6 +10,11 @@
 	"testing"
 )
 
+// hasNoSource reports whether a folder is passed over: hidden ones, build outputs, records.
+func hasNoSource(folder string) bool {
+	return strings.HasPrefix(folder, ".") || slices.Contains([]string{"target", "journal", "testdata"}, folder)
+}
+
 // The tree at the head of docs/design.md names every folder with Go source, and
 // no other.
 func TestTreeOfTheDesignIsTrue(t *testing.T) {
@@ -26,7 +31,7 @@
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && (strings.HasPrefix(d.Name(), ".") && path != ".." || d.Name() == "target" || d.Name() == "journal" || d.Name() == "testdata"):
+		case d.IsDir() && path != ".." && hasNoSource(d.Name()):
 			return fs.SkipDir
 		case strings.HasSuffix(path, ".go"):
 			found = append(found, filepath.ToSlash(filepath.Dir(strings.TrimPrefix(path, "../"))))
--- a/settings/tuning_test.go
+++ b/settings/tuning_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"os"
+	"reflect"
 	"strings"
 	"testing"
 )
 
-// Every fault of a tuning file is named with its setting; what is left out has
-// its default.
+// Every fault of a tuning file is named with its setting; what is left out has its default.
 func TestTuning(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevel = \"loud\"":                      "log.level",
@@ -30,14 +30,37 @@
 	}
 }
 
+// Each field of the tuning file has an entry in the table, in the same order, and each entry
+// has a field and says everything.
+func TestEveryTunableIsDescribed(t *testing.T) {
+	var fields []string
+	tables := reflect.TypeFor[Tuning]()
+	for i := range tables.NumField() {
+		table := tables.Field(i)
+		for k := range table.Type.NumField() {
+			fields = append(fields, table.Tag.Get("toml")+"."+table.Type.Field(k).Tag.Get("toml"))
+		}
+	}
+	var described []string
+	for _, d := range tunables {
+		described = append(described, d.name)
+		if d.takes == "" || d.meaning == "" || d.tradeOff == "" {
+			t.Errorf("%s: %+v", d.name, d)
+		}
+	}
+	if !reflect.DeepEqual(fields, described) {
+		t.Errorf("fields\n%v, described\n%v", fields, described)
+	}
+}
+
 // The reference page is the one that the code makes.
 func TestReferencePage(t *testing.T) {
-	var b strings.Builder
-	if err := WriteReference(&b); err != nil {
+	var page strings.Builder
+	if err := WriteReference(&page); err != nil {
 		t.Fatal(err)
 	}
-	page, err := os.ReadFile("../docs/tuning.md")
-	if err != nil || string(page) != b.String() {
+	written, err := os.ReadFile("../docs/tuning.md")
+	if err != nil || string(written) != page.String() {
 		t.Errorf("docs/tuning.md is not what 'elmspan reference' writes: %v", err)
 	}
 }
