--- a/versioned/delta.go
+++ b/versioned/delta.go
@@ -1,7 +1,3 @@
-// Package versioned keeps the newest version of a table and what changed on the
-// way to it, so that whoever holds an older version is told the difference, and
-// the whole only where it is too far behind. A difference is encoded once for
-// all that hold the same version, and is read a row at a time.
 package versioned
 
 import (
@@ -9,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"iter"
 	"maps"
 
 	"github.com/cespare/xxhash/v2"
@@ -17,92 +14,102 @@
 	"example.org/elmspan/internal/compression"
 )
 
+// Bounds on a delta that is decoded.
 const (
-	mostRows  = 1 << 20
-	mostWhole = 64 << 20 // bytes of a difference when it is unpacked
-	maxNested = 16
+	maxRows              = 1 << 20
+	maxDecompressedBytes = 64 << 20
+	maxNestedLevels      = 16
+	maxArrayElements     = 1 << 18
+	maxMapPairs          = 1 << 16
 )
 
-// Head begins an encoded difference.
+// DeltaHeader begins an encoded delta.
 type DeltaHeader struct {
-	From     uint64 `cbor:"1,keyasint"` // the version it builds on; 0: none, it is the whole
-	To       uint64 `cbor:"2,keyasint"`
-	Checksum uint64 `cbor:"3,keyasint"` // over the table's rows afterwards; see [Mark]
-	RowCount int    `cbor:"4,keyasint"`
+	// From is the version that the delta builds on. 0: none, the table is complete.
+	From uint64 `cbor:"1,keyasint"`
+	// To is the version that it leads to.
+	To uint64 `cbor:"2,keyasint"`
+	// Checksum is over the rows of version To: the exclusive or of their [RowChecksum].
+	Checksum uint64 `cbor:"3,keyasint"`
+	// RowCount is the number of rows that follow.
+	RowCount int `cbor:"4,keyasint"`
 }
 
-// Row is one row of a table. A row without a value is one that went.
+// Row is one row of a delta. Without a value it is a tombstone: the row was removed.
 type Row struct {
 	Key   string          `cbor:"1,keyasint"`
 	Value cbor.RawMessage `cbor:"2,keyasint,omitempty"`
 }
 
-// ErrUnreadable tells that bytes are no difference.
-var ErrMalformed = errors.New("delta: a difference can't be read")
-
-// Mark is a row's part in the sum over a table: the sum is the exclusive or of
-// all marks. Who applies a difference keeps the marks of what it holds and
-// compares the sum; where it differs, the whole is asked for.
+// RowChecksum is a row's part of the checksum over a table, which is the exclusive or of all
+// of them. A receiver that applies deltas row by row keeps the sum up to date by them.
 func RowChecksum(key string, value []byte) uint64 {
 	h := xxhash.New()
-	h.WriteString(key)
-	h.Write([]byte{0})
-	h.Write(value)
+	// A digest's writes never fail.
+	_, _ = h.WriteString(key)
+	_, _ = h.Write([]byte{0})
+	_, _ = h.Write(value)
 	return h.Sum64()
 }
 
-// encode writes a difference.
-func encode(h DeltaHeader, rows func(yield func(Row) bool)) ([]byte, error) {
+// encodeDelta returns the encoded form of a header and its rows.
+func encodeDelta(header DeltaHeader, rows iter.Seq[Row]) ([]byte, error) {
 	var b bytes.Buffer
 	e := cbor.NewEncoder(&b)
-	if err := e.Encode(h); err != nil {
-		return nil, fmt.Errorf("delta: %w", err)
+	if err := e.Encode(header); err != nil {
+		return nil, fmt.Errorf("versioned: encoding a header: %w", err)
 	}
 	for r := range rows {
 		if err := e.Encode(r); err != nil {
-			return nil, fmt.Errorf("delta: %w", err)
+			return nil, fmt.Errorf("versioned: encoding row %q: %w", r.Key, err)
 		}
 	}
 	out, err := compression.Pack(b.Bytes())
 	if err != nil {
-		return nil, fmt.Errorf("delta: %w", err)
+		return nil, fmt.Errorf("versioned: %w", err)
 	}
 	return out, nil
 }
 
-// Reader reads a difference.
+// DeltaReader decodes a delta. It is not safe for concurrent use.
 type DeltaReader struct {
 	DeltaHeader
 	dec  *cbor.Decoder
-	left int
+	left int // rows that have not been read
 }
 
-var mode = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxNestedLevels: maxNested, MaxArrayElements: 1 << 18, MaxMapPairs: 1 << 16}.DecMode()
+var decMode = func() cbor.DecMode {
+	m, err := cbor.DecOptions{
+		MaxNestedLevels:  maxNestedLevels,
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      maxMapPairs,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
 	return m
 }()
 
-// Open reads the head of an encoded difference.
+// OpenDelta decodes the header of an encoded delta. The rows are read with
+// [DeltaReader.Next] or [DeltaReader.ApplyTo]. The error is [ErrMalformed].
 func OpenDelta(data []byte) (*DeltaReader, error) {
-	from, err := compression.Reader(data, mostWhole)
+	decompressed, err := compression.Reader(data, maxDecompressedBytes)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	r := &DeltaReader{dec: mode.NewDecoder(from)}
+	r := &DeltaReader{dec: decMode.NewDecoder(decompressed)}
 	if err := r.dec.Decode(&r.DeltaHeader); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
+		return nil, fmt.Errorf("%w: header: %w", ErrMalformed, err)
 	}
-	if r.RowCount < 0 || r.RowCount > mostRows {
+	if r.RowCount < 0 || r.RowCount > maxRows {
 		return nil, fmt.Errorf("%w: %d rows", ErrMalformed, r.RowCount)
 	}
 	r.left = r.RowCount
 	return r, nil
 }
 
-// Next returns the next row, [io.EOF] after the last. The row is the caller's.
+// Next returns the next row, which is the caller's. The error is [io.EOF] after the last row,
+// else [ErrMalformed].
 func (r *DeltaReader) Next() (Row, error) {
 	if r.left == 0 {
 		return Row{}, io.EOF
@@ -110,50 +117,60 @@
 	r.left--
 	var row Row
 	if err := r.dec.Decode(&row); err != nil {
-		return Row{}, fmt.Errorf("%w: %v", ErrMalformed, err)
+		return Row{}, malformedRow(err)
 	}
 	return row, nil
 }
 
-// Onto returns the table that a difference makes of rows of a version, checked
-// by its sum. The rows given stay as they are.
+// malformedRow hides the cause: [io.EOF] of a delta that is cut short is not the end of its
+// rows.
+func malformedRow(cause error) error {
+	return fmt.Errorf("%w: row: %s", ErrMalformed, cause.Error())
+}
+
+// ApplyTo returns the rows of version To, given those of the receiver's version. The rows
+// given stay as they are. Nothing is returned unless all of the delta fits: the error is
+// [ErrVersion], [ErrMalformed] or [ErrChecksum].
 func (r *DeltaReader) ApplyTo(version uint64, rows map[string][]byte) (map[string][]byte, error) {
-	switch {
-	case r.To <= version:
-		return nil, fmt.Errorf("delta: version %d is not above %d", r.To, version)
-	case r.From != 0 && r.From != version:
-		return nil, fmt.Errorf("delta: a difference on version %d, not %d", r.From, version)
-	case r.From == 0:
-		rows = nil
-	}
-	out := maps.Clone(rows)
+	if r.To <= version {
+		return nil, fmt.Errorf("%w: version %d is not above %d", ErrVersion, r.To, version)
+	}
+	if r.From != 0 && r.From != version {
+		return nil, fmt.Errorf("%w: it builds on %d, not on %d", ErrVersion, r.From, version)
+	}
+	var out map[string][]byte
+	if r.From != 0 {
+		out = maps.Clone(rows)
+	}
 	if out == nil {
 		out = map[string][]byte{}
 	}
+	if err := r.applyRows(out); err != nil {
+		return nil, err
+	}
+	checksum := uint64(0)
+	for k, v := range out {
+		checksum ^= RowChecksum(k, v)
+	}
+	if checksum != r.Checksum {
+		return nil, ErrChecksum
+	}
+	return out, nil
+}
+
+func (r *DeltaReader) applyRows(rows map[string][]byte) error {
 	for {
 		row, err := r.Next()
 		if errors.Is(err, io.EOF) {
-			break
+			return nil
 		}
 		if err != nil {
-			return nil, err
+			return err
 		}
 		if row.Value == nil {
-			delete(out, row.Key)
+			delete(rows, row.Key)
 		} else {
-			out[row.Key] = row.Value
+			rows[row.Key] = row.Value
 		}
 	}
-	sum := uint64(0)
-	for k, v := range out {
-		sum ^= RowChecksum(k, v)
-	}
-	if sum != r.Checksum {
-		return nil, ErrChecksum
-	}
-	return out, nil
 }
-
-// ErrSum tells that a difference does not lead to the table that it speaks of:
-// the whole is wanted.
-var ErrChecksum = errors.New("delta: another sum than the difference says")
