--- /dev/null
+++ b/membership/fleet_test.go
@@ -0,0 +1,84 @@
+package membership
+
+import (
+	"fmt"
+	"time"
+
+	"example.org/elmspan/api"
+)
+
+func testPeer(i int) api.Peer {
+	return api.Peer{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("10.0.0.", i, ":1"), StartID: uint64(i + 1), Edge: true}
+}
+
+// fleet exchanges heartbeats as Service does, without sockets.
+type fleet struct {
+	views      map[string]*View
+	now        time.Duration
+	statements int // sent in all exchanges
+}
+
+func newFleet(n int) *fleet {
+	f := &fleet{views: map[string]*View{}, now: time.Second}
+	for i := range n {
+		f.views[testPeer(i).Name] = NewView(testPeer(i))
+	}
+	return f
+}
+
+// round has every process send its heartbeats once, and returns how many that were.
+func (f *fleet) round() int {
+	f.now += heartbeatInterval
+	heartbeats := 0
+	for name, v := range f.views {
+		v.DetectFailures(f.now)
+		watchers := v.Watchers(name)
+		if len(watchers) == 0 {
+			watchers = []string{"n0"} // the seed
+		}
+		for _, w := range watchers {
+			other := f.views[w]
+			if other == nil || other == v {
+				continue
+			}
+			heartbeats++
+			f.exchange(v, other)
+		}
+	}
+	return heartbeats
+}
+
+func (f *fleet) exchange(from, to *View) {
+	for heartbeat := from.Heartbeat(f.now); heartbeat != nil; {
+		response := to.HandleHeartbeat(f.now, heartbeat)
+		f.statements += len(heartbeat.Peers) + len(response.Peers)
+		heartbeat = from.HandleResponse(f.now, response)
+	}
+}
+
+// converged tells whether all views are equal.
+func (f *fleet) converged() bool {
+	for _, v := range f.views {
+		if v.Digest() != f.views["n0"].Digest() {
+			return false
+		}
+	}
+	return len(f.views["n0"].Peers()) >= len(f.views)
+}
+
+// converge runs rounds until all views are equal.
+func (f *fleet) converge() {
+	for !f.converged() {
+		f.round()
+	}
+}
+
+// allKnowDead tells whether every view has a process as dead.
+func (f *fleet) allKnowDead(name string) bool {
+	for _, v := range f.views {
+		if p, _ := v.Peer(name); p.State != Dead {
+			return false
+		}
+	}
+	return true
+}
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -14,13 +14,15 @@
 	"example.org/elmspan/api"
 )
 
-// goldenViews are two views that differ: each was told of processes that the other does
+// goldenViews are two views that differ: each has learned of processes that the other does
 // not know, and one of them is leaving.
 func goldenViews() (a, b *View, now time.Duration) {
 	now = 10 * time.Second
 	peer := func(i int, state uint8) api.Peer {
-		return api.Peer{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("10.0.0.", i, ":9"), Zone: "z", StartID: uint64(1000 + i),
-			Incarnation: uint64(i), State: state, Edge: i%2 == 0, Core: i%3 == 0}
+		return api.Peer{
+			Name: fmt.Sprint("n", i), Addr: fmt.Sprint("10.0.0.", i, ":9"), Zone: "z", StartID: uint64(1000 + i),
+			Incarnation: uint64(i), State: state, Edge: i%2 == 0, Core: i%3 == 0,
+		}
 	}
 	a, b = NewView(peer(1, Alive)), NewView(peer(2, Alive))
 	for i := 3; i < 30; i++ {
@@ -36,23 +38,25 @@
 }
 
 // Two views exchange the same heartbeats, byte for byte, as they did in an earlier
-// version (f96d826): digests, parts and order included.
+// version (f96d826): digests, buckets and order included.
 func TestGoldenHeartbeatExchange(t *testing.T) {
 	a, b, now := goldenViews()
 	first := a.Heartbeat(now)
-	reply := b.HandleHeartbeat(now, first)
-	second := a.HandleResponse(now, reply)
+	response := b.HandleHeartbeat(now, first)
+	second := a.HandleResponse(now, response)
 	if second == nil {
 		t.Fatal("there is no second round")
 	}
 	last := b.HandleHeartbeat(now, second)
-	if again := a.HandleResponse(now, last); again != nil {
-		t.Errorf("a third round: %+v", again)
+	if third := a.HandleResponse(now, last); third != nil {
+		t.Errorf("a third round: %+v", third)
 	}
 	if a.Digest() != b.Digest() || len(a.Peers()) != 31 {
 		t.Errorf("the views differ after the exchange; %d processes", len(a.Peers()))
 	}
-	for name, message := range map[string]any{"1-heartbeat": first, "2-reply": reply, "3-heartbeat": second, "4-reply": last} {
+	for name, message := range map[string]any{
+		"1-heartbeat": first, "2-response": response, "3-heartbeat": second, "4-response": last,
+	} {
 		want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".cbor"))
 		if err != nil {
 			t.Fatal(err)
@@ -62,7 +66,7 @@
 		}
 		read := reflect.New(reflect.TypeOf(message).Elem()).Interface()
 		if err := cbor.Unmarshal(want, read); err != nil || !reflect.DeepEqual(read, message) {
-			t.Errorf("%s is read as %+v (%v)", name, read, err)
+			t.Errorf("%s is decoded as %+v (%v)", name, read, err)
 		}
 	}
 }
