--- /dev/null
+++ b/discovery/client_test.go
@@ -0,0 +1,138 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"testing"
+	"time"
+
+	"example.org/elmspan/api"
+)
+
+// platform is a platform on a clock of the test, with a rate limit in calls per second and a
+// burst of as many.
+type platform struct {
+	pages    int
+	ratePerS float64
+	credit   float64 // calls that it accepts now
+	slept    time.Duration
+	calls    int
+	rejected int
+}
+
+func newPlatform(pages int, ratePerS, credit float64) *platform {
+	return &platform{pages: pages, ratePerS: ratePerS, credit: credit}
+}
+
+func (p *platform) fetchPage(token string) (*page, error) {
+	p.calls++
+	if p.credit < 1 {
+		p.rejected++
+		return nil, ErrRateLimited
+	}
+	p.credit--
+	at, _ := strconv.Atoi(token) // no token is page 0
+	out := &page{Members: []api.Server{{ID: fmt.Sprint("i-", at), Addr: "10.0.0.1:80", Upstream: "u"}}}
+	if at+1 < p.pages {
+		next := strconv.Itoa(at + 1)
+		out.Next = &next
+	}
+	return out, nil
+}
+
+// rejecting answers like the platform, but rejects page 60 the given number of times.
+func (p *platform) rejecting(times int) func(token string) (*page, error) {
+	return func(token string) (*page, error) {
+		if token == "60" && times > 0 {
+			times--
+			return nil, ErrRateLimited
+		}
+		return p.fetchPage(token)
+	}
+}
+
+func (p *platform) sleep(d time.Duration) bool {
+	p.slept += d
+	p.credit = min(p.ratePerS, p.credit+p.ratePerS*d.Seconds())
+	return true
+}
+
+// readAll reads the list, paced for a rate limit.
+func (p *platform) readAll(ratePerS float64, fetch func(string) (*page, error)) ([]api.Server, int, error) {
+	r := pageReader{ratePerS: ratePerS, fetchPage: fetch, sleep: p.sleep}
+	return r.readAll()
+}
+
+// A long list is read within the platform's rate, time after time, and a short one at once.
+// (Found at 9,700 servers and 50 calls per second: each time the 51st page of 194 was
+// rejected, and no limiter ever served.)
+func TestLongListIsReadWithinTheRate(t *testing.T) {
+	for _, c := range []struct {
+		pages    int
+		ratePerS float64
+		maxTime  time.Duration
+	}{
+		{7, 50, 0},
+		{25, 50, 0},
+		{194, 50, 5 * time.Second},
+		{194, 200, time.Second},
+		{1900, 50, 50 * time.Second},
+	} {
+		p := newPlatform(c.pages, c.ratePerS, c.ratePerS)
+		for round := range 3 {
+			p.slept = 0
+			list, pages, err := p.readAll(c.ratePerS, p.fetchPage)
+			if err != nil || pages != c.pages || len(list) != c.pages {
+				t.Fatalf("%+v, round %d: %d servers in %d pages, %v", c, round, len(list), pages, err)
+			}
+			if p.slept > c.maxTime {
+				t.Errorf("%+v, round %d took %v", c, round, p.slept)
+			}
+			p.sleep(max(0, 2*time.Second-p.slept)) // until the next round
+		}
+		if p.rejected != 0 {
+			t.Errorf("%+v: rejected %d times", c, p.rejected)
+		}
+	}
+}
+
+// Where others use up the rate a long list continues at the page that was rejected, a bounded
+// number of times; a short one is left to the caller to ask for again.
+func TestRateLimitedPlatform(t *testing.T) {
+	t.Run("long list", func(t *testing.T) {
+		p, rejections := newPlatform(100, 50, 40), 0
+		fetch := p.rejecting(3)
+		count := func(token string) (*page, error) {
+			out, err := fetch(token)
+			if err != nil {
+				rejections++
+			}
+			return out, err
+		}
+		if list, _, err := p.readAll(50, count); err != nil || len(list) != 100 || rejections != 3 {
+			t.Errorf("%d servers, %d rejections, %v", len(list), rejections, err)
+		}
+	})
+	t.Run("always rejected", func(t *testing.T) {
+		p := newPlatform(100, 50, 40)
+		if _, _, err := p.readAll(50, p.rejecting(1<<30)); !errors.Is(err, ErrRateLimited) || p.calls > 200 {
+			t.Errorf("%d calls, %v", p.calls, err)
+		}
+	})
+	t.Run("short list", func(t *testing.T) {
+		p := newPlatform(5, 50, 3)
+		_, _, err := p.readAll(50, p.fetchPage)
+		if !errors.Is(err, ErrRateLimited) || p.calls != 4 || p.slept != 0 {
+			t.Errorf("%d calls, %v waited, %v", p.calls, p.slept, err)
+		}
+	})
+}
+
+// Without a rate limit nothing is paced.
+func TestListWithoutRateIsNotPaced(t *testing.T) {
+	p := newPlatform(300, 1e9, 1e9)
+	if list, _, err := p.readAll(0, p.fetchPage); err != nil || len(list) != 300 || p.slept != 0 {
+		t.Errorf("%d servers, %v waited, %v", len(list), p.slept, err)
+	}
+}
--- a/discovery/endpoints.go
+++ b/discovery/endpoints.go
@@ -2,125 +2,99 @@
 
 import "example.org/elmspan/api"
 
-const (
-	mostLatched = 8192 // servers that are remembered as draining or gone
-	missesGone  = 2    // answers of the platform in a row without a server: it is gone
-)
+// missesUntilRemoved is in how many answers in a row a server must be missing to count as
+// removed. One may slip from one page of the list to another between two calls.
+const missesUntilRemoved = 2
 
-// Latch remembers which servers were seen draining or gone. A server's life goes
-// one way: in service, draining, gone. Whatever an answer of the platform says
-// that is older than another, or a list that is told late or by one who knows
-// less: what was seen further on that way is not taken back. Ids name one life
-// of a server and are not used again. The zero value is ready for use.
-type OneWayStates struct {
-	seen  map[string]bool // draining, or gone: true
-	order []string        // oldest first
-}
-
-// Pass corrects a server's state by what was seen before; false: it is gone.
-func (l *OneWayStates) Apply(s *api.Server) bool {
-	gone, seen := l.seen[s.ID]
-	switch {
-	case gone:
-		return false
-	case seen:
-		s.State = api.Draining
-	case s.State == api.Draining:
-		l.note(s.ID, false)
-	}
-	return true
-}
-
-// End notes that a server is gone.
-func (l *OneWayStates) MarkRemoved(id string) { l.note(id, true) }
-
-func (l *OneWayStates) note(id string, gone bool) {
-	if l.seen == nil {
-		l.seen = map[string]bool{}
-	}
-	if _, had := l.seen[id]; !had {
-		if l.order = append(l.order, id); len(l.order) > mostLatched {
-			delete(l.seen, l.order[0])
-			l.order = l.order[1:]
-		}
-	}
-	l.seen[id] = gone
-}
-
-// Roster is the list of servers as the answers of the platform give it, one
-// after the other. The zero value knows none. It reads no clock.
+// EndpointList is the list of servers that follows from the answers of the platform, merged one
+// after the other. The zero value is empty. It reads no clock, and is not safe for concurrent
+// use.
 type EndpointList struct {
-	latch   OneWayStates
-	servers map[string]*listed
+	states  OneWayStates
+	servers map[string]*endpoint // by id
 }
 
-type listed struct {
-	api.Server
-	warmAtMs float64 // the server is slow until then
-	misses   int     // answers in a row that did not have it
+type endpoint struct {
+	api.Server         // with WarmupMs 0: warmAtMs has it
+	warmAtMs   float64 // when its slow start ends, on the caller's clock
+	misses     int     // answers in a row that did not have it
 }
 
-// Merge takes in an answer. news: something else than time has changed. doubt: a
-// server is missing for the first time. It may be gone, or have slipped from one
-// page of the list to another between two calls: another answer soon will tell.
-func (r *EndpointList) Merge(nowMs float64, answer []api.Server) (news, doubt bool) {
-	if r.servers == nil {
-		r.servers = map[string]*listed{}
-	}
-	is := make(map[string]bool, len(answer))
+// Merge takes in an answer at a time on the caller's clock, in milliseconds. changed: the list
+// is another, apart from the time that slow starts have left. uncertain: a server is missing
+// for the first time, and another answer soon will tell whether it was removed.
+func (l *EndpointList) Merge(nowMs float64, answer []api.Server) (changed, uncertain bool) {
+	present := make(map[string]bool, len(answer))
 	for _, s := range answer {
-		if !r.latch.Apply(&s) {
+		if !l.states.Apply(&s) {
 			continue
 		}
-		is[s.ID] = true
-		warm := nowMs + s.WarmupMs
-		s.WarmupMs = 0
-		old := r.servers[s.ID]
-		if old == nil {
-			r.servers[s.ID] = &listed{Server: s, warmAtMs: warm}
-			news = true
-			continue
-		}
-		old.misses = 0
-		if old.Server != s {
-			old.Server, news = s, true
-		}
+		present[s.ID] = true
+		changed = l.update(s, nowMs) || changed
 	}
-	for id, s := range r.servers {
-		if is[id] {
+	for id, e := range l.servers {
+		if present[id] {
 			continue
 		}
-		if s.misses++; s.State == api.Draining || s.misses >= missesGone {
-			r.latch.MarkRemoved(id)
-			delete(r.servers, id)
-			news = true
+		e.misses++
+		if e.State == api.Draining || e.misses >= missesUntilRemoved {
+			l.remove(id)
+			changed = true
 		} else {
-			doubt = true
+			uncertain = true
 		}
 	}
-	return news, doubt
+	return changed, uncertain
+}
+
+// update takes in a server of an answer, and tells whether the list has changed. The end of the
+// slow start is that of the first answer.
+func (l *EndpointList) update(s api.Server, nowMs float64) bool {
+	warmAtMs := nowMs + s.WarmupMs
+	s.WarmupMs = 0
+	e := l.servers[s.ID]
+	if e == nil {
+		l.add(s, warmAtMs)
+		return true
+	}
+	e.misses = 0
+	if e.Server == s {
+		return false
+	}
+	e.Server = s
+	return true
 }
 
-// Seed puts in a server as another roster had it.
-func (r *EndpointList) Add(s api.Server, warmAtMs float64) {
-	if r.servers == nil {
-		r.servers = map[string]*listed{}
+func (l *EndpointList) add(s api.Server, warmAtMs float64) {
+	if l.servers == nil {
+		l.servers = map[string]*endpoint{}
 	}
-	if r.latch.Apply(&s) {
+	l.servers[s.ID] = &endpoint{Server: s, warmAtMs: warmAtMs}
+}
+
+func (l *EndpointList) remove(id string) {
+	l.states.MarkRemoved(id)
+	delete(l.servers, id)
+}
+
+// Add takes over a server from another list, with the end of its slow start on the caller's
+// clock, in milliseconds. One that was removed from this list is ignored.
+func (l *EndpointList) Add(s api.Server, warmAtMs float64) {
+	if l.states.Apply(&s) {
 		s.WarmupMs = 0
-		r.servers[s.ID] = &listed{Server: s, warmAtMs: warmAtMs}
+		l.add(s, warmAtMs)
 	}
 }
 
-// All calls a function for each server, with until when it is slow from its
-// start, until it returns false.
-func (r *EndpointList) All(yield func(s api.Server, warmAtMs float64) bool) {
-	for _, s := range r.servers {
-		if !yield(s.Server, s.warmAtMs) {
+// All is an iterator over the servers, in no order, with the end of each one's slow start on
+// the caller's clock, in milliseconds.
+func (l *EndpointList) All(yield func(s api.Server, warmAtMs float64) bool) {
+	for _, e := range l.servers {
+		if !yield(e.Server, e.warmAtMs) {
 			return
 		}
 	}
 }
 
 // Len is the number of servers.
-func (r *EndpointList) Len() int { return len(r.servers) }
+func (l *EndpointList) Len() int { return len(l.servers) }
--- a/discovery/endpoints_test.go
+++ b/discovery/endpoints_test.go
@@ -13,100 +13,121 @@
 	return api.Server{ID: id, Upstream: "s", Addr: "10.0.0.1:80", Zone: "z", Capacity: 2, State: state}
 }
 
-func states(r *EndpointList) map[string]string {
+// inService and draining are servers in a state.
+func inService(id string) api.Server { return server(id, api.InService) }
+func draining(id string) api.Server  { return server(id, api.Draining) }
+
+// states returns the state of each server of a list.
+func states(l *EndpointList) map[string]string {
 	out := map[string]string{}
-	for s := range r.All {
+	for s := range l.All {
 		out[s.ID] = s.State
 	}
 	return out
 }
 
-// What was seen draining is not taken for ready by an answer that is older, nor
-// what was gone; one that only slipped from a page is there again. (Found by the
-// users: a machine that was being emptied got work again after the process that
-// asks the platform had died and come back.)
-func TestNothingComesBack(t *testing.T) {
-	var r EndpointList
+// A server that was seen draining is not in service again by an answer that is older, and one
+// that was removed does not come back; one that only slipped from a page does. (Found by the
+// users: a machine that was being drained got work again after the process that asks the
+// platform had died and come back.)
+func TestRemovedServersStayRemoved(t *testing.T) {
+	var l EndpointList
 	steps := []struct {
-		answer      []api.Server
-		want        string
-		news, doubt bool
+		answer             []api.Server
+		want               string
+		changed, uncertain bool
 	}{
-		{[]api.Server{server("a", api.InService), server("b", api.InService)}, "map[a:in_service b:in_service]", true, false},
-		{[]api.Server{server("a", api.Draining), server("b", api.InService)}, "map[a:draining b:in_service]", true, false},
-		{[]api.Server{server("a", api.InService), server("b", api.InService)}, "map[a:draining b:in_service]", false, false},
-		{[]api.Server{server("a", api.Draining)}, "map[a:draining b:in_service]", false, true},
-		{[]api.Server{server("a", api.Draining), server("b", api.InService)}, "map[a:draining b:in_service]", false, false},
-		{[]api.Server{server("b", api.InService)}, "map[b:in_service]", true, false},
-		{[]api.Server{server("a", api.InService), server("b", api.InService)}, "map[b:in_service]", false, false},
-		{[]api.Server{server("c", api.InService)}, "map[b:in_service c:in_service]", true, true},
-		{[]api.Server{server("c", api.InService)}, "map[c:in_service]", true, false},
-		{[]api.Server{server("b", api.InService), server("c", api.InService)}, "map[c:in_service]", false, false},
+		{[]api.Server{inService("a"), inService("b")}, "map[a:in_service b:in_service]", true, false},
+		{[]api.Server{draining("a"), inService("b")}, "map[a:draining b:in_service]", true, false},
+		{[]api.Server{inService("a"), inService("b")}, "map[a:draining b:in_service]", false, false},
+		{[]api.Server{draining("a")}, "map[a:draining b:in_service]", false, true},
+		{[]api.Server{draining("a"), inService("b")}, "map[a:draining b:in_service]", false, false},
+		{[]api.Server{inService("b")}, "map[b:in_service]", true, false},
+		{[]api.Server{inService("a"), inService("b")}, "map[b:in_service]", false, false},
+		{[]api.Server{inService("c")}, "map[b:in_service c:in_service]", true, true},
+		{[]api.Server{inService("c")}, "map[c:in_service]", true, false},
+		{[]api.Server{inService("b"), inService("c")}, "map[c:in_service]", false, false},
 	}
 	for i, s := range steps {
-		news, doubt := r.Merge(float64(i), s.answer)
-		if got := fmt.Sprint(states(&r)); got != s.want || news != s.news || doubt != s.doubt {
-			t.Fatalf("step %d: %s, news %v, doubt %v; want %+v", i, got, news, doubt, s)
+		changed, uncertain := l.Merge(float64(i), s.answer)
+		if got := fmt.Sprint(states(&l)); got != s.want || changed != s.changed || uncertain != s.uncertain {
+			t.Fatalf("step %d: %s, changed %v, uncertain %v; want %+v", i, got, changed, uncertain, s)
 		}
 	}
 }
 
-// Whatever order answers come in, and from whichever of two that ask: each
-// server's life goes one way at whoever merges them.
-func TestLivesGoOneWay(t *testing.T) {
-	for seed := range uint64(300) {
-		rng := rand.New(rand.NewPCG(seed, 5))
-		var answers [][]api.Server // in true order
-		life := map[string]int{}
-		for step := range 30 {
-			if step < 10 {
-				life[fmt.Sprint("s", step)] = 0
+// The stages of a server, in their order.
+const (
+	stageInService = iota
+	stageDraining
+	stageRemoved
+)
+
+// answersOfAPlatform returns the answers in their true order, and all ids.
+func answersOfAPlatform(rng *rand.Rand) (answers [][]api.Server, stages map[string]int) {
+	stages = map[string]int{}
+	for step := range 30 {
+		if step < 10 {
+			stages[fmt.Sprint("s", step)] = stageInService
+		}
+		var answer []api.Server
+		for id, stage := range stages {
+			if rng.IntN(6) == 0 && stage < stageRemoved {
+				stages[id]++
 			}
-			var now []api.Server
-			for id, at := range life {
-				if rng.IntN(6) == 0 && at < 2 {
-					life[id]++
-				}
-				if life[id] < 2 {
-					now = append(now, server(id, []string{api.InService, api.Draining}[life[id]]))
-				}
+			if stages[id] < stageRemoved {
+				answer = append(answer, server(id, []string{api.InService, api.Draining}[stages[id]]))
 			}
-			answers = append(answers, now)
 		}
-		var r EndpointList
-		rank := map[string]int{}
+		answers = append(answers, answer)
+	}
+	return answers, stages
+}
+
+// stageOf returns the stage that a list has a server in.
+func stageOf(list map[string]string, id string) int {
+	state, ok := list[id]
+	if !ok {
+		return stageRemoved
+	}
+	return slices.Index([]string{api.InService, api.Draining}, state)
+}
+
+// Whatever the order of the answers, and whichever of two processes asked: in a list that
+// merges them the state of a server moves in one direction.
+func TestStatesMoveOneWay(t *testing.T) {
+	for seed := range uint64(300) {
+		rng := rand.New(rand.NewPCG(seed, 5))
+		answers, ids := answersOfAPlatform(rng)
+		var l EndpointList
+		furthest := map[string]int{} // the stages that were seen in the list
 		for i := range answers {
-			r.Merge(float64(i), answers[max(0, i-rng.IntN(4))]) // some answers are late
-			got := states(&r)
-			for id, at := range rank {
-				state, is := got[id]
-				is1 := slices.Index([]string{api.InService, api.Draining}, state)
-				if !is {
-					is1 = 2
-				}
-				if is1 < at && at != 0 {
-					t.Fatalf("seed %d: %s went from %d to %q", seed, id, at, state)
+			l.Merge(float64(i), answers[max(0, i-rng.IntN(4))]) // some answers are late
+			got := states(&l)
+			for id, stage := range furthest {
+				if now := stageOf(got, id); now < stage && stage != stageInService {
+					t.Fatalf("seed %d: %s went from stage %d to %q", seed, id, stage, got[id])
 				}
 			}
-			for id := range life {
-				switch state, is := got[id]; {
-				case !is && rank[id] != 0:
-					rank[id] = 2
-				case state == api.Draining:
-					rank[id] = 1
+			for id := range ids {
+				switch stage := stageOf(got, id); {
+				case stage == stageRemoved && furthest[id] != stageInService:
+					furthest[id] = stageRemoved
+				case stage == stageDraining:
+					furthest[id] = stageDraining
 				}
 			}
 		}
 	}
 }
 
-// Servers without end leave a bounded memory.
-func TestLatchIsBounded(t *testing.T) {
-	var l OneWayStates
-	for i := range 3 * mostLatched {
-		l.MarkRemoved(fmt.Sprint(i))
+// The memory of any number of servers is bounded.
+func TestOneWayStatesAreBounded(t *testing.T) {
+	var o OneWayStates
+	for i := range 3 * maxRemembered {
+		o.MarkRemoved(fmt.Sprint(i))
 	}
-	if len(l.seen) > mostLatched || len(l.order) > mostLatched {
-		t.Errorf("%d, %d", len(l.seen), len(l.order))
+	if len(o.removed) > maxRemembered || len(o.order) > maxRemembered {
+		t.Errorf("%d, %d", len(o.removed), len(o.order))
 	}
 }
