--- a/api/control.go
+++ b/api/control.go
@@ -27,7 +27,7 @@
 	Watch(context.Context, *WatchRequest) (*WatchResponse, error)
 	// Replace proposes a configuration (compare and swap on its revision).
 	Replace(context.Context, *ReplaceRequest) (*ControlResponse, error)
-	// Get reads the configuration, its history or the whole state.
+	// Get reads the configuration, its history or the complete state.
 	Get(context.Context, *GetRequest) (*ControlResponse, error)
 	// Join adds a member, or announces that one is leaving.
 	Join(context.Context, *JoinRequest) (*ControlResponse, error)
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -53,9 +53,15 @@
 	return []raft.Message{
 		{Kind: raft.AppendEntries, From: 7, To: 8, Term: 3, Index: 40, LogTerm: 2, Commit: 39, Round: 11,
 			Entries: []raft.Entry{{Index: 41, Term: 3, Data: []byte("entry")}, {Index: 42, Term: 3, Members: members}}},
-		{Kind: raft.AppendEntriesReply, From: 8, To: 7, Term: 3, Index: 42, Reject: true, LeadershipTransfer: true, SupportsJoint: true, RejectedIndex: 41},
-		{Kind: raft.SnapshotChunk, From: 7, To: 8, Term: 3, Offset: 16384, SnapshotSize: 40000, SnapshotChecksum: 0xfedcba9876543210,
-			Snapshot: &raft.Snapshot{Index: 30, Term: 2, Members: members, Data: []byte("bytes")}},
+		{
+			Kind: raft.AppendEntriesReply, From: 8, To: 7, Term: 3, Index: 42, Reject: true, LeadershipTransfer: true,
+			SupportsJoint: true, RejectedIndex: 41,
+		},
+		{
+			Kind: raft.SnapshotChunk, From: 7, To: 8, Term: 3, Offset: 16384, SnapshotSize: 40000,
+			SnapshotChecksum: 0xfedcba9876543210,
+			Snapshot:         &raft.Snapshot{Index: 30, Term: 2, Members: members, Data: []byte("bytes")},
+		},
 	}
 }
 
--- a/api/watch.go
+++ b/api/watch.go
@@ -14,7 +14,7 @@
 	Revision uint64 `cbor:"2,keyasint"`
 	// ServersVersion is that of the caller's server list. 0: it has none and gets the complete table.
 	ServersVersion uint64 `cbor:"3,keyasint"`
-	// WaitMs is how long the response may be held back until there is something newer, in
+	// WaitMs is how long the response may wait until there is something newer, in
 	// milliseconds. 0: it is answered at once.
 	WaitMs int64 `cbor:"4,keyasint"`
 }
@@ -25,7 +25,7 @@
 	// in, and no configuration newer than Revision had been acknowledged to an operator by
 	// then. Without it the fields below, other than Leader and Members, say nothing.
 	Lease bool `cbor:"1,keyasint,omitempty"`
-	// LeaseDelayMs is how long the call had been held when the confirmation began, in
+	// LeaseDelayMs is how long the call had waited when the confirmation began, in
 	// milliseconds. The caller's lease begins that much after it sent the request.
 	LeaseDelayMs int64 `cbor:"2,keyasint,omitempty"`
 	// Revision is that of the newest committed configuration. 0: there is none yet.
--- a/controlplane/endpointlist.go
+++ b/controlplane/endpointlist.go
@@ -10,7 +10,7 @@
 
 // endpointList is the list of servers at one member: the leader's own, made of the platform's
 // answers, or what the leader sent. A new leader goes on with what the one before sent it: its
-// versions are higher, and what was seen draining or gone stays so (discovery.Latch).
+// versions are higher, and what was seen draining or gone stays so (discovery.OneWayStates).
 // It does no I/O; in a Core it is guarded by Core.mu.
 type endpointList struct {
 	roster discovery.EndpointList // of the platform's answers, at the leader
--- a/discovery/doc.go
+++ b/discovery/doc.go
@@ -2,7 +2,7 @@
 // follows from the answers.
 //
 // [ListServers] asks the platform. Within the system one process does that for all, the leader
-// of the control plane; a limiter that has heard nothing of the control plane for long asks
+// of the control plane; a limiter that has not reached the control plane for long asks
 // for itself, the more rarely the more limiters there are, so that the platform's rate limit
 // holds.
 //
--- a/membership/incarnation.go
+++ b/membership/incarnation.go
@@ -55,7 +55,7 @@
 	switch {
 	case r == nil:
 		// A dead process that is not known here is not learned of: otherwise those who have
-		// forgotten it would be told of it again and again.
+		// forgotten it would learn of it again and again.
 		if p.State == Dead || len(v.peers) >= maxPeers {
 			return false
 		}
--- a/versioned/golden_test.go
+++ b/versioned/golden_test.go
@@ -33,7 +33,7 @@
 	const from, to = 5, 7
 	for name, more := range map[string]int{"small": 0, "compressed": 400} {
 		first, second := goldenRows(t, more)
-		for kind, since := range map[string]uint64{"whole": 0, "difference": from} {
+		for kind, since := range map[string]uint64{"complete": 0, "difference": from} {
 			t.Run(name+"-"+kind, func(t *testing.T) {
 				data, err := os.ReadFile(filepath.Join("testdata", "golden", name+"-"+kind+".delta"))
 				if err != nil {
