--- a/controlplane/configchange.go
+++ b/controlplane/configchange.go
@@ -11,7 +11,7 @@
 // fields and changes none of those before:
 //
 //   - received: an [api.ReplaceRequest], the bytes that an operator sent;
-//   - validated (configStore.validate): base, revision, print, rows and entry are set;
+//   - validated (configStore.validate): base, revision, content, rows and entry are set;
 //   - proposed (casRegister.advance): a pendingCall holds it, with the term and index of its entry;
 //   - committed (configStore.buildCommitted): made anew from the log, with revision, rows and
 //     delta; a follower was never sent the other fields;
@@ -19,7 +19,7 @@
 type configChange struct {
 	base     uint64      // the revision that it replaces
 	revision uint64      // its own
-	print    fingerprint // of the bytes as they were sent
+	content  fingerprint // of the bytes as they were sent
 	entry    []byte      // the log entry that brings it
 	// rows are shared with others and never changed.
 	rows  *api.ConfigRows
@@ -27,7 +27,7 @@
 }
 
 // newConfigChange validates a configuration. Rows that are as they were before are shared.
-func newConfigChange(q *api.ReplaceRequest, print fingerprint, before *api.ConfigRows) (*configChange, error) {
+func newConfigChange(q *api.ReplaceRequest, content fingerprint, before *api.ConfigRows) (*configChange, error) {
 	rows, err := api.ValidateConfig(q.Config, before)
 	if err == nil {
 		err = validateSize(q.Config)
@@ -39,13 +39,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &configChange{base: q.Base, revision: rows.Revision, print: print, rows: rows, entry: entry}, nil
+	return &configChange{base: q.Base, revision: rows.Revision, content: content, rows: rows, entry: entry}, nil
 }
 
 // isNewestOf tells whether a state's newest configuration is this one.
 func (c *configChange) isNewestOf(s *State) bool {
 	n := len(s.Applied)
-	return n > 0 && s.Revision == c.revision && s.Applied[n-1] == appliedRevision{c.revision, c.print}
+	return n > 0 && s.Revision == c.revision && s.Applied[n-1] == appliedRevision{c.revision, c.content}
 }
 
 // validateSize tells why a sound configuration could not be sent to watchers once it is
--- a/controlplane/configsnapshot.go
+++ b/controlplane/configsnapshot.go
@@ -35,7 +35,8 @@
 	if err != nil {
 		if s.unreadableIndex != snapshot.Index {
 			s.unreadableIndex = snapshot.Index
-			s.cfg.Log.Error("snapshot is unreadable", "index", snapshot.Index, "bytes", len(snapshot.Data), "error", err)
+			s.cfg.Log.Error("snapshot is unreadable",
+				"index", snapshot.Index, "bytes", len(snapshot.Data), "error", err)
 		}
 		return err
 	}
@@ -59,7 +60,8 @@
 	s.checkedSnapshot = nil
 	s.adopt(decoded)
 	s.endCallsUpTo(snapshot.Index)
-	s.cfg.Log.Info("snapshot installed", "index", snapshot.Index, "bytes", len(snapshot.Data), "revision", s.state.Revision)
+	s.cfg.Log.Info("snapshot installed",
+		"index", snapshot.Index, "bytes", len(snapshot.Data), "revision", s.state.Revision)
 	return nil
 }
 
--- a/controlplane/configstore.go
+++ b/controlplane/configstore.go
@@ -78,14 +78,14 @@
 // validate makes a received configuration a validated one, which can be proposed. Called
 // without the mutex, as a large one takes long to parse.
 func (s *configStore) validate(q *api.ReplaceRequest) (*configChange, error) {
-	print := fingerprintOf(q.Config)
+	content := fingerprintOf(q.Config)
 	s.mu.Lock()
 	last, before := s.validated, s.rows
 	s.mu.Unlock()
-	if last != nil && last.print == print && last.base == q.Base {
+	if last != nil && last.content == content && last.base == q.Base {
 		return last, nil
 	}
-	change, err := newConfigChange(q, print, before)
+	change, err := newConfigChange(q, content, before)
 	if err != nil {
 		return nil, err
 	}
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -45,21 +45,21 @@
 }
 
 // Core is one member of the core. It joins the parts that do its work, each in a file of its
-// own with its own state; doc.go says how they work together. One mutex guards them all, as
-// what one step changes in several of them must be seen together.
+// own with its own state; the package comment says how they work together. One mutex guards
+// them all, as what one step changes in several of them must be seen together.
 type Core struct {
-	cfg CoreConfig
+	cfg CoreConfig // never changed
 	mu  sync.Mutex // guards all that follows
 
-	lifecycle
-	notifier
-	raftHost
-	configStore
-	readIndexBatcher
-	watchServer
-	memberManager
-	transport
-	endpointManager
+	lifecycle lifecycle
+	notify    notifier
+	host      raftHost
+	store     configStore
+	reads     readIndexBatcher
+	watches   watchServer
+	members   memberManager
+	transport transport
+	endpoints endpointManager
 }
 
 // lifecycle is the time in which a member runs.
@@ -68,6 +68,9 @@
 	tasks sync.WaitGroup  // goroutines that end with ctx; Run waits for them
 }
 
+// ended tells whether Run's context has ended.
+func (l *lifecycle) ended() bool { return l.ctx != nil && l.ctx.Err() != nil }
+
 // BootstrapID is the id of a first voter: all derive it from its address.
 func BootstrapID(addr string) raft.ID {
 	return raft.ID(xxhash.Sum64String("bootstrap/"+addr) | 1)
@@ -87,21 +90,22 @@
 	}
 	snapshot, err := decodeSnapshot(&stored.Snapshot)
 	if err != nil {
-		return nil, fmt.Errorf("%w: snapshot: %v", storage.ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: snapshot: %w", storage.ErrCorrupt, err)
 	}
 	c := &Core{cfg: cfg}
 	c.connectParts()
-	c.adopt(snapshot)
-	c.id = id
-	c.node = raft.New(raft.Config{
+	c.store.adopt(snapshot)
+	c.host.id = id
+	c.host.node = raft.New(raft.Config{
 		ID:               id,
 		ElectionTicks:    electionTicks,
 		HeartbeatTicks:   heartbeatTicks,
 		Seed:             cfg.Seed,
-		ValidateSnapshot: c.checkSnapshot,
+		ValidateSnapshot: c.store.checkSnapshot,
 	}, stored)
-	cfg.Log.Info("core member opened", "member", hexID(id), "entries", len(stored.Entries), "term", stored.HardState.Term,
-		"revision", c.state.Revision, "members", len(stored.Snapshot.Members))
+	cfg.Log.Info("core member opened", "member", hexID(id),
+		"entries", len(stored.Entries), "term", stored.HardState.Term,
+		"revision", c.store.state.Revision, "members", len(stored.Snapshot.Members))
 	return c, nil
 }
 
@@ -126,56 +130,41 @@
 
 // connectParts gives each part those that it works with.
 func (c *Core) connectParts() {
-	c.notifier = newNotifier()
-	c.raftHost = raftHost{
-		cfg: &c.cfg, mu: &c.mu, life: &c.lifecycle, notify: &c.notifier,
-		transport: &c.transport, machine: &c.configStore, roleChanged: c.roleChangedTo,
+	c.notify = newNotifier()
+	c.host = raftHost{
+		cfg: &c.cfg, mu: &c.mu, lifecycle: &c.lifecycle, notify: &c.notify,
+		transport: &c.transport, machine: &c.store, roleChanged: c.roleChangedTo,
 	}
-	c.configStore = configStore{
-		cfg: &c.cfg, mu: &c.mu, host: &c.raftHost, reads: &c.readIndexBatcher, watches: &c.watchServer,
-		notify: &c.notifier, casRegister: casRegister{calls: map[uint64]*pendingCall{}},
+	c.store = configStore{
+		cfg: &c.cfg, mu: &c.mu, host: &c.host, reads: &c.reads, watches: &c.watches, notify: &c.notify,
+		casRegister: casRegister{calls: map[uint64]*pendingCall{}},
 	}
-	c.readIndexBatcher = readIndexBatcher{
-		cfg: &c.cfg, mu: &c.mu, life: &c.lifecycle, host: &c.raftHost, notify: &c.notifier,
-		endpoints: &c.endpointManager,
+	c.reads = readIndexBatcher{
+		cfg: &c.cfg, mu: &c.mu, lifecycle: &c.lifecycle, host: &c.host, notify: &c.notify, endpoints: &c.endpoints,
 	}
-	c.watchServer = watchServer{
-		mu: &c.mu, host: &c.raftHost, store: &c.configStore, reads: &c.readIndexBatcher,
-		endpoints: &c.endpointManager, notify: &c.notifier,
+	c.watches = watchServer{
+		mu: &c.mu, host: &c.host, store: &c.store, reads: &c.reads, endpoints: &c.endpoints, notify: &c.notify,
 	}
-	c.memberManager = memberManager{
-		cfg: &c.cfg, mu: &c.mu, life: &c.lifecycle, host: &c.raftHost, policy: memberPolicy{voters: c.cfg.Voters},
+	c.members = memberManager{
+		cfg: &c.cfg, mu: &c.mu, lifecycle: &c.lifecycle, host: &c.host,
+		policy: memberPolicy{voters: c.cfg.Voters},
 	}
 	c.transport = transport{
-		cfg: &c.cfg, mu: &c.mu, life: &c.lifecycle, host: &c.raftHost,
+		cfg: &c.cfg, mu: &c.mu, lifecycle: &c.lifecycle, host: &c.host,
 		queues: map[queueKey]*sendQueue{}, callTimeout: callTimeoutFor, acceptsChunks: map[raft.ID]bool{},
 		reassemblies: map[raft.ID]*reassembly{}, senderAddrs: map[raft.ID]string{},
 	}
-	c.endpointManager = endpointManager{cfg: &c.cfg, mu: &c.mu, host: &c.raftHost, notify: &c.notifier}
+	c.endpoints = endpointManager{cfg: &c.cfg, mu: &c.mu, host: &c.host, notify: &c.notify}
 }
 
 // roleChangedTo has the parts take note of another role or leader.
 func (c *Core) roleChangedTo(role raft.Role) {
-	c.forgetChunks()
+	c.transport.forgetChunks()
 	if role == raft.Leader {
-		c.servers.becomeLeader()
+		c.endpoints.servers.becomeLeader()
 	}
 }
 
-// Leads tells whether this member leads now.
-func (c *Core) Leads() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.leads()
-}
-
-// TookPart tells whether this member has taken part: it knows of a term, or of an entry.
-func (c *Core) TookPart() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.node.Term() > 0 || c.node.LastIndex() > 0
-}
-
 // Run takes part until the context ends; then it hands leadership on. Where the store loses
 // something meanwhile it returns [storage.ErrCorrupt] at once: the member must not go on, as it
 // can't tell what it has promised, and one with a new id begins in its place.
@@ -183,30 +172,30 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	c.mu.Lock()
-	c.ctx = ctx
+	c.lifecycle.ctx = ctx
 	c.mu.Unlock()
-	c.tasks.Go(func() { c.follow(ctx) })
+	c.lifecycle.tasks.Go(func() { c.endpoints.follow(ctx) })
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			c.mu.Lock()
-			c.node.StepDown()
-			c.notifyWatchers()
+			c.host.node.StepDown()
+			c.notify.notifyWatchers()
 			c.mu.Unlock()
-			c.tasks.Wait()
+			c.lifecycle.tasks.Wait()
 			return nil
 		case <-ticker.C:
 		}
 		joins, err := c.runTick()
 		if err != nil {
 			stop()
-			c.tasks.Wait()
+			c.lifecycle.tasks.Wait()
 			return err
 		}
 		if joins {
-			c.tasks.Go(func() { c.requestJoin(ctx) })
+			c.lifecycle.tasks.Go(func() { c.members.requestJoin(ctx) })
 		}
 	}
 }
@@ -216,14 +205,14 @@
 func (c *Core) runTick() (joins bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tick()
-	if !c.suspended {
-		c.policy.ticks++
-		c.reconcile()
+	c.host.tick()
+	if !c.host.suspended {
+		c.members.policy.ticks++
+		c.members.reconcile()
 	}
-	c.handleReady()
-	if c.lostDurability != nil {
-		return false, c.lostDurability
+	c.host.handleReady()
+	if c.host.lostDurability != nil {
+		return false, c.host.lostDurability
 	}
-	return c.isolated() && !c.suspended && c.policy.ticks%joinTicks == 0, nil
+	return c.host.isolated() && !c.host.suspended && c.members.policy.ticks%joinTicks == 0, nil
 }
--- a/controlplane/core_test.go
+++ b/controlplane/core_test.go
@@ -147,23 +147,23 @@
 		}
 	}
 	lost := c.addrs[0]
-	l0 := c.cores[lost].id
+	l0 := c.cores[lost].host.id
 	c.stops[lost]()
 	c.until("another leader", func() bool {
 		return slices.ContainsFunc(c.addrs, func(a string) bool { return c.cores[a] != nil && c.cores[a].Leads() })
 	})
 	c.start(lost, memory(t), false)
 	back := c.cores[lost]
-	if back.id == l0 {
+	if back.host.id == l0 {
 		t.Fatal("a member without its disk has its old id")
 	}
 	c.until("the new member has the old one's vote", func() bool {
 		back.mu.Lock()
 		defer back.mu.Unlock()
-		ms := back.node.Members()
-		votes := slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == back.id && m.Voter })
+		ms := back.host.node.Members()
+		votes := slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == back.host.id && m.Voter })
 		old := slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == l0 })
-		return votes && !old && back.state.Revision == 9
+		return votes && !old && back.store.state.Revision == 9
 	})
 	c.stops[c.addrs[1]]() // the other two go on
 	if got := replace(cl, 9, config(t, 10)); got != http.StatusOK {
--- a/controlplane/coresim_checks_test.go
+++ b/controlplane/coresim_checks_test.go
@@ -16,7 +16,7 @@
 func (l *life) leave(d *api.DeliverRequest) {
 	w := l.w
 	l.core.mu.Lock()
-	role, term, sets := l.core.node.Role(), l.core.node.Term(), l.core.node.Members()
+	role, term, sets := l.core.host.node.Role(), l.core.host.node.Term(), l.core.host.node.Members()
 	l.core.mu.Unlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -124,7 +124,7 @@
 // look holds what a member has taken against what others have.
 func (w *coreWorld) look(l *life) {
 	l.core.mu.Lock()
-	has := slices.Clone(l.core.state.Applied)
+	has := slices.Clone(l.core.store.state.Applied)
 	l.core.mu.Unlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -156,7 +156,7 @@
 	for _, m := range w.machines {
 		c := m.life.core
 		c.mu.Lock()
-		k, n := len(c.state.Applied), c.node
+		k, n := len(c.store.state.Applied), c.host.node
 		ok := n.Leader() != 0 && !n.MembershipChangePending() && n.AppliedIndex() == n.CommitIndex()
 		if n.HasCommittedInTerm() {
 			led++
--- a/controlplane/coresim_faults_test.go
+++ b/controlplane/coresim_faults_test.go
@@ -22,7 +22,7 @@
 		select {
 		case <-l.ended:
 			if !errors.Is(l.err, storage.ErrCorrupt) {
-				w.fail("Run ends with %v, %s", l.err, l.core.stopReason)
+				w.fail("Run ends with %v, %s", l.err, l.core.host.stopReason)
 				return
 			}
 			w.powerOff(m)
@@ -57,7 +57,7 @@
 	var leader raft.ID
 	for _, l := range lives {
 		l.core.mu.Lock()
-		ms, of, changing := l.core.node.Members(), l.core.node.Leader(), l.core.node.MembershipChangePending()
+		ms, of, changing := l.core.host.node.Members(), l.core.host.node.Leader(), l.core.host.node.MembershipChangePending()
 		l.core.mu.Unlock()
 		if of == 0 || leader != 0 && of != leader || changing || len(ms) != len(w.machines) ||
 			slices.ContainsFunc(ms, func(x raft.Member) bool { return !x.Voter || !slices.Contains(ids, x.ID) }) {
--- a/controlplane/coresim_test.go
+++ b/controlplane/coresim_test.go
@@ -135,8 +135,8 @@
 	}
 	if w.seed%2 == 0 { // snapshots, often
 		st, _ := l.Load()
-		core.node = raft.New(raft.Config{ID: core.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: cfg.Seed,
-			ValidateSnapshot: core.checkSnapshot, SnapshotEntries: 12, TrailingEntries: 3}, st)
+		core.host.node = raft.New(raft.Config{ID: core.host.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: cfg.Seed,
+			ValidateSnapshot: core.store.checkSnapshot, SnapshotEntries: 12, TrailingEntries: 3}, st)
 	}
 	l.core = core
 	srv, lis := api.NewServer(nil), w.net.listen(m.addr)
--- a/controlplane/delta.go
+++ b/controlplane/delta.go
@@ -16,17 +16,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return &api.EncodedDelta{From: b.From, To: b.To, Size: len(b.Data), Data: b.Data[:min(len(b.Data), api.ChunkSize)]}, nil
+	first := b.Data[:min(len(b.Data), api.ChunkSize)]
+	return &api.EncodedDelta{From: b.From, To: b.To, Size: len(b.Data), Data: first}, nil
 }
 
 // FetchDelta returns all of a delta whose first chunk has come. The others are fetched one after
-// the other; table is api.ConfigTable or api.ServerTable. It returns [ErrDeltaGone] where the
+// the other; table is api.ConfigTable or api.ServerTable. It returns [ErrDeltaUnavailable] where the
 // member has it no more.
 func FetchDelta(ctx context.Context, first *api.EncodedDelta,
 	fetch func(context.Context, *api.FetchRequest) (*api.Chunk, error), table uint8,
 ) ([]byte, error) {
 	if first.Size > maxDeltaBytes || len(first.Data) > first.Size {
-		return nil, ErrDeltaGone
+		return nil, ErrDeltaUnavailable
 	}
 	data := first.Data
 	for len(data) < first.Size {
@@ -35,7 +36,7 @@
 			return nil, err
 		}
 		if len(chunk.Data) == 0 || len(data)+len(chunk.Data) > first.Size {
-			return nil, ErrDeltaGone
+			return nil, ErrDeltaUnavailable
 		}
 		data = append(data, chunk.Data...)
 	}
--- a/controlplane/disk_test.go
+++ b/controlplane/disk_test.go
@@ -45,15 +45,15 @@
 	}
 	d := &slowDisk{c, store, t, make(chan struct{}), make(chan error), make(chan struct{})}
 	c.cfg.Store = d
-	c.ctx = t.Context()
+	c.lifecycle.ctx = t.Context()
 	for _, to := range []raft.ID{2, 3} {
 		for _, bulk := range []bool{false, true} {
-			c.queues[queueKey{to, bulk}] = newSendQueue(bulk)
+			c.transport.queues[queueKey{to, bulk}] = newSendQueue(bulk)
 		}
 	}
 	t.Cleanup(func() {
 		close(d.over)
-		c.tasks.Wait()
+		c.lifecycle.tasks.Wait()
 	})
 	return d
 }
@@ -74,7 +74,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, bulk := range []bool{false, true} {
-		l := d.queues[queueKey{2, bulk}]
+		l := d.transport.queues[queueKey{2, bulk}]
 		out = append(out, l.take()...)
 		l.done()
 	}
@@ -88,14 +88,14 @@
 }
 
 // rest waits until nothing is carried out any more.
-func (d *slowDisk) rest() { d.tasks.Wait() }
+func (d *slowDisk) rest() { d.lifecycle.tasks.Wait() }
 
 // tick has ticks pass as Run does.
 func (d *slowDisk) tick(n int) {
 	for range n {
 		d.mu.Lock()
-		d.Core.tick()
-		d.handleReady()
+		d.Core.host.tick()
+		d.host.handleReady()
 		d.mu.Unlock()
 	}
 }
@@ -154,15 +154,15 @@
 // lead makes the member the leader of a term.
 func (d *slowDisk) lead() uint64 {
 	d.t.Helper()
-	for d.node.Role() != raft.Candidate {
+	for d.host.node.Role() != raft.Candidate {
 		d.tick(1)
 	}
-	term := d.node.Term() + 1
+	term := d.host.node.Term() + 1
 	d.get(raft.Message{Kind: raft.PreVoteReply, Term: term})
 	d.write(nil)
 	d.rest()
 	d.get(raft.Message{Kind: raft.VoteReply, Term: term})
-	if d.node.Role() != raft.Leader {
+	if d.host.node.Role() != raft.Leader {
 		d.t.Fatal("it does not lead")
 	}
 	return term
@@ -191,7 +191,7 @@
 	// Agreed on by the two others with it: the other's disk and, later, this one's.
 	reply := raft.Message{Kind: raft.AppendEntriesReply, Term: term, Index: 6, Round: 1 << 20}
 	d.get(reply)
-	if d.node.AppliedIndex() >= 6 {
+	if d.host.node.AppliedIndex() >= 6 {
 		t.Fatal("applied before it is on disk")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -200,7 +200,7 @@
 		t.Errorf("answered before it is applied: %+v, %v", n, err)
 	}
 	d.tick(stallTicks)
-	if d.Leads() || d.node.Role() == raft.Leader || !d.Status().DiskFails {
+	if d.Leads() || d.host.node.Role() == raft.Leader || !d.Status().DiskFails {
 		t.Error("it leads though its disk doesn't answer")
 	}
 	d.sent()
@@ -220,17 +220,17 @@
 func TestCandidateWaitsForItsDisk(t *testing.T) {
 	t.Parallel()
 	d := newSlowDisk(t)
-	for d.node.Role() != raft.Candidate {
+	for d.host.node.Role() != raft.Candidate {
 		d.tick(1)
 	}
 	d.sent()
-	term := d.node.Term() + 1
+	term := d.host.node.Term() + 1
 	d.get(raft.Message{Kind: raft.PreVoteReply, Term: term})
 	<-d.entered
 	d.tick(stallTicks - 1)
 	d.result <- nil
 	d.rest()
-	if out := d.sent(); len(out) != 1 || out[0].Kind != raft.VoteRequest || out[0].Term != term || d.node.Term() != term {
-		t.Errorf("term %d, not %d: %+v", d.node.Term(), term, out)
+	if out := d.sent(); len(out) != 1 || out[0].Kind != raft.VoteRequest || out[0].Term != term || d.host.node.Term() != term {
+		t.Errorf("term %d, not %d: %+v", d.host.node.Term(), term, out)
 	}
 }
--- a/controlplane/endpointlist.go
+++ b/controlplane/endpointlist.go
@@ -13,10 +13,10 @@
 // versions are higher, and what was seen draining or gone stays so (discovery.OneWayStates).
 // It does no I/O; in a Core it is guarded by Core.mu.
 type endpointList struct {
-	roster discovery.EndpointList // of the platform's answers, at the leader
-	table  versioned.Table        // the list, as it is sent
-	start  time.Time              // when this member's clock of the table began
-	skew   float64                // ms of the table's clock, which is the first leader's, against this member's
+	endpoints discovery.EndpointList // of the platform's answers, at the leader
+	table     versioned.Table        // the list, as it is sent
+	start     time.Time              // when this member's clock of the table began
+	skew      float64                // ms of the table's clock, which is the first leader's, against this member's
 }
 
 // clockMs is the time on the table's clock.
@@ -29,12 +29,12 @@
 
 // becomeLeader has this member go on with what it was sent as a follower.
 func (l *endpointList) becomeLeader() {
-	l.roster = discovery.EndpointList{}
+	l.endpoints = discovery.EndpointList{}
 	for id, row := range l.table.Rows() {
 		// At the beginning of the table's clock, so that until when a server is slow stays
 		// what it was: else each row would change, and limiters be sent the complete list.
 		if s, err := api.ParseServerRow(id, row, 0); err == nil {
-			l.roster.Add(s, s.WarmupMs)
+			l.endpoints.Add(s, s.WarmupMs)
 		}
 	}
 }
@@ -42,12 +42,12 @@
 // merge takes in the platform's answer in a term. changed: watchers are to be notified;
 // uncertain: another answer is wanted soon.
 func (l *endpointList) merge(term uint64, answer []api.Server) (changed, uncertain bool, err error) {
-	changed, uncertain = l.roster.Merge(l.clockMs(), answer)
+	changed, uncertain = l.endpoints.Merge(l.clockMs(), answer)
 	if !changed && l.table.Version() != 0 {
 		return false, uncertain, nil
 	}
-	rows := make(map[string][]byte, l.roster.Len())
-	for s, warm := range l.roster.All {
+	rows := make(map[string][]byte, l.endpoints.Len())
+	for s, warm := range l.endpoints.All {
 		if rows[s.ID], err = api.EncodeServerRow(s, warm); err != nil {
 			return false, uncertain, err
 		}
--- a/controlplane/faults_test.go
+++ b/controlplane/faults_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
-	if err != nil || c.state.Revision != 3 || c.configs.Version() != 3 {
+	if err != nil || c.store.state.Revision != 3 || c.watches.configs.Version() != 3 {
 		t.Errorf("one that can be read: %v", err)
 	}
 }
@@ -94,7 +94,7 @@
 		}
 	}
 	install := func(index uint64, data []byte, inPieces bool) {
-		s := raft.Snapshot{Index: index, Term: 4, Members: c.node.Members(), Data: data}
+		s := raft.Snapshot{Index: index, Term: 4, Members: c.host.node.Members(), Data: data}
 		if !inPieces {
 			deliver(raft.Message{Kind: raft.InstallSnapshot, Snapshot: &s})
 			return
@@ -109,16 +109,16 @@
 	for i, inPieces := range []bool{false, true} {
 		install(uint64(9+i), bad(t, 7), inPieces)
 		st, err := store.Load()
-		if err != nil || st.Snapshot.Index != 5 || c.state.Revision != 3 || c.configs.Version() != 3 || c.node.CommitIndex() != 5 || c.stopReason != "" {
-			t.Fatalf("in pieces %v: revision %d, agreed up to %d, on disk up to %d, %q, %v", inPieces, c.state.Revision, c.node.CommitIndex(), st.Snapshot.Index, c.stopReason, err)
+		if err != nil || st.Snapshot.Index != 5 || c.store.state.Revision != 3 || c.watches.configs.Version() != 3 || c.host.node.CommitIndex() != 5 || c.host.stopReason != "" {
+			t.Fatalf("in pieces %v: revision %d, agreed up to %d, on disk up to %d, %q, %v", inPieces, c.store.state.Revision, c.host.node.CommitIndex(), st.Snapshot.Index, c.host.stopReason, err)
 		}
 	}
-	if c.node.RejectedSnapshots() != 2 {
-		t.Errorf("%d refused", c.node.RejectedSnapshots())
+	if c.host.node.RejectedSnapshots() != 2 {
+		t.Errorf("%d refused", c.host.node.RejectedSnapshots())
 	}
 	install(12, good(t, 8), true)
-	if st, err := store.Load(); err != nil || st.Snapshot.Index != 12 || c.state.Revision != 8 || c.configs.Version() != 8 {
-		t.Errorf("after one that can be read: revision %d, on disk up to %d, %v", c.state.Revision, st.Snapshot.Index, err)
+	if st, err := store.Load(); err != nil || st.Snapshot.Index != 12 || c.store.state.Revision != 8 || c.watches.configs.Version() != 8 {
+		t.Errorf("after one that can be read: revision %d, on disk up to %d, %v", c.store.state.Revision, st.Snapshot.Index, err)
 	}
 }
 
@@ -147,15 +147,15 @@
 	}
 	step(raft.Message{Kind: raft.AppendEntries, Index: 5, LogTerm: 1, Commit: 6, Entries: []raft.Entry{{Index: 6, Term: 4, Data: data}}})
 	s := c.Status()
-	if s.Halted == "" || s.Revision != 3 || s.Role == raft.Leader.String() || c.node.AppliedIndex() != 5 {
+	if s.Halted == "" || s.Revision != 3 || s.Role == raft.Leader.String() || c.host.node.AppliedIndex() != 5 {
 		t.Errorf("%+v", s)
 	}
 	step(raft.Message{Kind: raft.TimeoutNow})
 	for range 100 {
-		c.handleReady()
+		c.host.handleReady()
 	}
-	if c.node.Role() == raft.Leader || c.node.Term() != 4 || c.stopReason == "" {
-		t.Errorf("%v of term %d, %q", c.node.Role(), c.node.Term(), c.stopReason)
+	if c.host.node.Role() == raft.Leader || c.host.node.Term() != 4 || c.host.stopReason == "" {
+		t.Errorf("%v of term %d, %q", c.host.node.Role(), c.host.node.Term(), c.host.stopReason)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -200,10 +200,10 @@
 		t.Fatal(err)
 	}
 	p := &pendingCall{index: 7, term: 1}
-	c.calls[7] = p
-	changed := c.changed
+	c.store.calls[7] = p
+	changed := c.notify.changed
 	if _, err := c.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: []raft.Message{{Kind: raft.InstallSnapshot, From: 2, To: 1, Term: 4,
-		Snapshot: &raft.Snapshot{Index: 9, Term: 4, Members: c.node.Members(), Data: good(t, 8)}}}}); err != nil {
+		Snapshot: &raft.Snapshot{Index: 9, Term: 4, Members: c.host.node.Members(), Data: good(t, 8)}}}}); err != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -211,7 +211,7 @@
 	default:
 		t.Error("those who wait for news are not woken")
 	}
-	if p.answer == nil || p.answer.Status != 0 || len(c.calls) != 0 || c.state.Revision != 8 {
-		t.Errorf("a call whose entry the snapshot stands for: %+v, revision %d", p.answer, c.state.Revision)
+	if p.answer == nil || p.answer.Status != 0 || len(c.store.calls) != 0 || c.store.state.Revision != 8 {
+		t.Errorf("a call whose entry the snapshot stands for: %+v, revision %d", p.answer, c.store.state.Revision)
 	}
 }
--- a/controlplane/host.go
+++ b/controlplane/host.go
@@ -27,7 +27,7 @@
 type raftHost struct {
 	cfg       *CoreConfig
 	mu        *sync.Mutex // Core.mu
-	life      *lifecycle
+	lifecycle *lifecycle
 	notify    *notifier
 	transport *transport
 	machine   stateMachine
@@ -107,7 +107,7 @@
 		h.checkLostDurability(fmt.Errorf("%w: the log lacks entries that were acknowledged to the leader",
 			storage.ErrCorrupt))
 	}
-	for !h.stopped() && (h.life.ctx == nil || h.life.ctx.Err() == nil) {
+	for !h.stopped() && !h.lifecycle.ended() {
 		ready := h.node.Ready()
 		if h.handling {
 			if !h.suspended {
@@ -124,16 +124,11 @@
 			h.node.Advance(ready)
 			continue
 		}
-		h.handling = true
-		if h.life.ctx == nil { // before Run there are no goroutines
+		if h.lifecycle.ctx == nil { // before Run there are no goroutines
 			h.handleBatches()
 			return
 		}
-		h.life.tasks.Go(func() {
-			h.mu.Lock()
-			defer h.mu.Unlock()
-			h.handleBatches()
-		})
+		h.startHandling()
 		break
 	}
 	if !h.stopped() {
@@ -141,9 +136,20 @@
 	}
 }
 
+// startHandling has a goroutine handle what the node has ready.
+func (h *raftHost) startHandling() {
+	h.handling = true
+	h.lifecycle.tasks.Go(func() {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.handleBatches()
+	})
+}
+
 // handleBatches handles what the node has ready, one batch after the other, until there is
 // nothing more or the disk fails.
 func (h *raftHost) handleBatches() {
+	h.handling = true
 	for !h.stopped() {
 		ready := h.node.Ready()
 		if ready.Empty() && len(h.pendingMessages) == 0 {
--- a/controlplane/lanes_test.go
+++ b/controlplane/lanes_test.go
@@ -146,14 +146,14 @@
 			t.Fatal(err)
 		}
 		c.cfg.Conns = n.conns()
-		c.ctx = t.Context()
+		c.lifecycle.ctx = t.Context()
 		t.Cleanup(c.cfg.Conns.Close)
-		send := func(ms ...raft.Message) error { return c.send(2, addr, ms) }
+		send := func(ms ...raft.Message) error { return c.transport.send(2, addr, ms) }
 		if err := send(raft.Message{Kind: raft.AppendEntries, Term: 4}); err != nil {
 			t.Fatal(err)
 		}
 		forgets := r.forget
-		if err := send(ms...); (err != nil) != forgets || forgets && !errors.Is(err, errChunksGone) {
+		if err := send(ms...); (err != nil) != forgets || forgets && !errors.Is(err, errChunksLost) {
 			t.Errorf("%v", err)
 		}
 		if forgets {
@@ -208,7 +208,7 @@
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
 		n := 0
-		for _, takes := range leader.acceptsChunks {
+		for _, takes := range leader.transport.acceptsChunks {
 			if takes {
 				n++
 			}
@@ -240,7 +240,7 @@
 	c.until("all have it", func() bool {
 		for _, k := range c.cores {
 			k.mu.Lock()
-			has := k.state.Revision == 5
+			has := k.store.state.Revision == 5
 			k.mu.Unlock()
 			if !has {
 				return false
--- a/controlplane/leave_test.go
+++ b/controlplane/leave_test.go
@@ -12,8 +12,8 @@
 func (c *cluster) members() (leader *Core, ms []raft.Member) {
 	for _, k := range c.cores {
 		k.mu.Lock()
-		if k.node.HasCommittedInTerm() && !k.node.MembershipChangePending() {
-			leader, ms = k, slices.Clone(k.node.Members())
+		if k.host.node.HasCommittedInTerm() && !k.host.node.MembershipChangePending() {
+			leader, ms = k, slices.Clone(k.host.node.Members())
 		}
 		k.mu.Unlock()
 	}
@@ -43,7 +43,7 @@
 				leader.mu.Lock()
 				defer leader.mu.Unlock()
 				return !slices.ContainsFunc(ms, func(m raft.Member) bool {
-					return m.ID != leader.id && !leader.policy.promotable(leader.node, m.ID) || !m.SupportsJoint
+					return m.ID != leader.host.id && !leader.members.policy.promotable(leader.host.node, m.ID) || !m.SupportsJoint
 				})
 			}
 			c.until("all are there", whole)
@@ -52,7 +52,7 @@
 			changes := func() (n uint64) {
 				for _, k := range c.cores {
 					k.mu.Lock()
-					n = max(n, k.node.CommitIndex())
+					n = max(n, k.host.node.CommitIndex())
 					k.mu.Unlock()
 				}
 				return n
@@ -70,7 +70,7 @@
 				took = max(took, time.Since(from))
 				if machines > 3 {
 					core.mu.Lock()
-					voted := core.node.NeededForQuorum()
+					voted := core.host.node.NeededForQuorum()
 					core.mu.Unlock()
 					if voted {
 						t.Errorf("%s goes with its vote", a)
@@ -86,7 +86,7 @@
 				revision += 2
 				c.start(a, dirs[a], false)
 				c.until("all are there again", whole)
-				if c.cores[a].id != core.id {
+				if c.cores[a].host.id != core.host.id {
 					t.Fatalf("%s came back as another", a)
 				}
 			}
--- a/controlplane/lost_test.go
+++ b/controlplane/lost_test.go
@@ -60,16 +60,16 @@
 				{Kind: raft.AppendEntries, From: 2, To: 1, Term: 4, Index: 5, LogTerm: 1, Commit: 205, Entries: es}}}); err != nil {
 				t.Fatal(err)
 			}
-			if m.suspended != (c.disk.save != nil || c.ends) {
-				t.Errorf("it goes on answering: %v", !m.suspended)
+			if m.host.suspended != (c.disk.save != nil || c.ends) {
+				t.Errorf("it goes on answering: %v", !m.host.suspended)
 			}
 			if !c.ends {
-				if m.lostDurability != nil || m.stopReason != "" {
-					t.Errorf("ended by %v, %q", m.lostDurability, m.stopReason)
+				if m.host.lostDurability != nil || m.host.stopReason != "" {
+					t.Errorf("ended by %v, %q", m.host.lostDurability, m.host.stopReason)
 				}
 				return
 			}
-			if s := m.Status(); s.Halted == "" || s.DiskFails || m.node.Role() == raft.Leader {
+			if s := m.Status(); s.Halted == "" || s.DiskFails || m.host.node.Role() == raft.Leader {
 				t.Errorf("%+v", s)
 			}
 			if err := m.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) {
@@ -98,11 +98,11 @@
 		}
 	}
 	deliver(raft.Message{Kind: raft.AppendEntries, From: 2, Index: 9, LogTerm: 4, Round: 3})
-	if deliver(raft.Message{Kind: raft.DurabilityLost, From: 3}); m.lostDurability != nil {
+	if deliver(raft.Message{Kind: raft.DurabilityLost, From: 3}); m.host.lostDurability != nil {
 		t.Error("it believes another than its leader")
 	}
 	deliver(raft.Message{Kind: raft.DurabilityLost, From: 2})
-	if err := m.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) || m.stopReason == "" {
-		t.Errorf("Run ends with %v, %q", err, m.stopReason)
+	if err := m.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) || m.host.stopReason == "" {
+		t.Errorf("Run ends with %v, %q", err, m.host.stopReason)
 	}
 }
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -20,10 +20,10 @@
 // is to change memberPolicy decides. All fields are guarded by Core.mu, which is given up during
 // calls to other members.
 type memberManager struct {
-	cfg  *CoreConfig
-	mu   *sync.Mutex // Core.mu
-	life *lifecycle
-	host *raftHost
+	cfg       *CoreConfig
+	mu        *sync.Mutex // Core.mu
+	lifecycle *lifecycle
+	host      *raftHost
 
 	policy memberPolicy
 }
@@ -74,7 +74,8 @@
 	case known, q.Leaving:
 		return &api.ControlResponse{Status: http.StatusOK}, nil
 	}
-	err := node.ProposeMembers(append(slices.Clone(members), raft.Member{ID: q.ID, Addr: q.Addr, SupportsJoint: q.Joint}))
+	joining := raft.Member{ID: q.ID, Addr: q.Addr, SupportsJoint: q.Joint}
+	err := node.ProposeMembers(append(slices.Clone(members), joining))
 	m.host.handleReady()
 	if err != nil {
 		return &api.ControlResponse{Reason: err.Error()}, nil
@@ -123,12 +124,12 @@
 	done := make(chan struct{})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life.ctx == nil {
+	if m.lifecycle.ctx == nil {
 		close(done)
 		return done
 	}
-	ctx, finish := m.life.ctx, sync.OnceFunc(func() { close(done) })
-	m.life.tasks.Go(func() {
+	ctx, finish := m.lifecycle.ctx, sync.OnceFunc(func() { close(done) })
+	m.lifecycle.tasks.Go(func() {
 		defer finish()
 		ticker := time.NewTicker(leaveInterval)
 		defer ticker.Stop()
--- a/controlplane/readindex.go
+++ b/controlplane/readindex.go
@@ -22,18 +22,18 @@
 type readIndexBatcher struct {
 	cfg       *CoreConfig
 	mu        *sync.Mutex // Core.mu
-	life      *lifecycle
+	lifecycle *lifecycle
 	host      *raftHost
 	notify    *notifier
 	endpoints *endpointManager
 
 	heartbeatDue  bool // a round of heartbeats is scheduled, as leader
 	lastHeartbeat time.Time
-	next          *readIndexBatch // asked with the next call to the leader
-	asking        bool            // a goroutine asks the leader
+	next          *readIndexBatch // part of the next call to the leader
+	querying      bool            // a goroutine asks the leader
 }
 
-// readIndexBatch is what one call asks the leader for all who wait.
+// readIndexBatch is one call to the leader for all who wait.
 type readIndexBatch struct {
 	done   chan struct{}         // closed when the call is over
 	answer api.ReadIndexResponse // of the leader; not OK where there was none
@@ -130,7 +130,12 @@
 		return &api.ReadIndexResponse{}, nil
 	}
 	servers := &b.endpoints.servers
-	return &api.ReadIndexResponse{OK: true, Index: index, ServersVersion: servers.table.Version(), ClockMs: servers.clockMs()}, nil
+	return &api.ReadIndexResponse{
+		OK:             true,
+		Index:          index,
+		ServersVersion: servers.table.Version(),
+		ClockMs:        servers.clockMs(),
+	}, nil
 }
 
 // confirmRead waits until it is sure that all that was acknowledged before this call is applied
@@ -176,29 +181,29 @@
 func (b *readIndexBatcher) joinBatch() *readIndexBatch {
 	if b.next == nil {
 		b.next = &readIndexBatch{done: make(chan struct{})}
-		if !b.asking && b.life.ctx != nil {
-			b.asking = true
-			b.life.tasks.Go(b.askLeader)
+		if !b.querying && b.lifecycle.ctx != nil {
+			b.querying = true
+			b.lifecycle.tasks.Go(b.queryLeader)
 		}
 	}
 	return b.next
 }
 
-// askLeader asks for all who wait, one call after the other, until nobody does.
-func (b *readIndexBatcher) askLeader() {
+// queryLeader asks for all who wait, one call after the other, until nobody does.
+func (b *readIndexBatcher) queryLeader() {
 	for {
-		backoff.Sleep(b.life.ctx, readIndexInterval)
+		backoff.Sleep(b.lifecycle.ctx, readIndexInterval)
 		b.mu.Lock()
 		batch, addr := b.next, b.host.leaderAddr()
 		b.next = nil
 		if batch == nil {
-			b.asking = false
+			b.querying = false
 			b.mu.Unlock()
 			return
 		}
 		b.mu.Unlock()
 		if conn, err := b.cfg.Conns.Conn(addr); addr != "" && err == nil {
-			ctx, cancel := context.WithTimeout(b.life.ctx, readIndexTimeout)
+			ctx, cancel := context.WithTimeout(b.lifecycle.ctx, readIndexTimeout)
 			if answer, err := api.CallReadIndex(ctx, conn); err == nil {
 				batch.answer = *answer
 			}
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -51,14 +51,15 @@
 	// What is answered from what is known here must be the newest, and known by one who
 	// is in touch with a majority: a leader that has been cut off must neither read back
 	// an old version, nor reject a change or confirm it because of one.
-	confirmed := node.HasCommittedInTerm() && node.ConfirmedReadIndexRound() >= p.readRound && node.AppliedIndex() >= node.CommitIndex()
+	confirmed := node.HasCommittedInTerm() && node.ConfirmedReadIndexRound() >= p.readRound &&
+		node.AppliedIndex() >= node.CommitIndex()
 	if p.get {
 		return g.read(confirmed)
 	}
 	if !node.HasCommittedInTerm() {
 		return callProgress{needsRound: true}
 	}
-	if d := g.state.Evaluate(p.base, p.revision, p.print); d.Outcome != OutcomeAcceptable {
+	if d := g.state.Evaluate(p.base, p.revision, p.content); d.Outcome != OutcomeAcceptable {
 		if !confirmed {
 			return callProgress{needsRound: true}
 		}
@@ -87,7 +88,8 @@
 	}
 	p.index, p.term = index, term
 	if other := g.calls[index]; other != nil {
-		other.answer = &api.ControlResponse{} // its entry was cut off here; whether it was committed elsewhere is unknown
+		// Its entry was cut off here; whether it was committed elsewhere is unknown.
+		other.answer = &api.ControlResponse{}
 	}
 	g.calls[index] = p
 	return callProgress{}
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &pendingCall{configChange: configChange{base: base, revision: revision, print: fingerprintOf([]byte(config)), entry: data}}
+	return &pendingCall{configChange: configChange{base: base, revision: revision, content: fingerprintOf([]byte(config)), entry: data}}
 }
 
 // calmWorld is a world without clients in which nothing happens by itself.
--- /dev/null
+++ b/controlplane/service.go
@@ -0,0 +1,80 @@
+package controlplane
+
+import (
+	"context"
+
+	"example.org/elmspan/api"
+)
+
+// A Core answers the calls of the control plane by the part that each concerns. Together they
+// are an [api.Control].
+
+// Replace takes a configuration that follows on another. Status is 200 once it is committed and
+// applied, 400 where it is not valid, 412 where it doesn't follow on the current one, 503 where
+// it can't be told any more whether it was applied; 0 from a member that can't say.
+func (c *Core) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
+	return c.store.Replace(ctx, q)
+}
+
+// Get reads the configuration, or another part of the state, as of after the call. Status is
+// 200, or 404 where there is none; 0 from a member that can't say.
+func (c *Core) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
+	return c.store.Get(ctx, q)
+}
+
+// Watch answers a limiter when there is something new, or when its wait is over.
+func (c *Core) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
+	return c.watches.Watch(ctx, q)
+}
+
+// Fetch returns one more chunk of a delta; an empty one where there is none.
+func (c *Core) Fetch(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
+	return c.watches.Fetch(ctx, q)
+}
+
+// ReadIndex answers a member that asks for those who wait at it.
+func (c *Core) ReadIndex(ctx context.Context, q *api.Empty) (*api.ReadIndexResponse, error) {
+	return c.reads.ReadIndex(ctx, q)
+}
+
+// Deliver takes in messages of other members.
+func (c *Core) Deliver(ctx context.Context, q *api.DeliverRequest) (*api.DeliverResponse, error) {
+	return c.transport.Deliver(ctx, q)
+}
+
+// Join takes a process in, or lets a member go. Status is 200, or 409 where a voter leaves and
+// there is no standby; 0 from a member that can't say.
+func (c *Core) Join(ctx context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
+	return c.members.Join(ctx, q)
+}
+
+// Addrs are the addresses of the core, as far as known: the seeds and the present members.
+func (c *Core) Addrs() []string { return c.members.Addrs() }
+
+// HandOver has a leader that is about to end call an election elsewhere.
+func (c *Core) HandOver() { c.members.HandOver() }
+
+// Leave has this member hand on what others count on before its process ends: its leadership,
+// and where there is a standby its vote. It goes on taking part meanwhile, until Run's context
+// ends. The channel is closed once the others don't need it any more, or can't do without.
+func (c *Core) Leave() <-chan struct{} { return c.members.Leave() }
+
+// SetServers takes in the platform's answer, where this member leads. changed: it changed the
+// list; uncertain: another answer is wanted soon.
+func (c *Core) SetServers(answer []api.Server) (changed, uncertain bool) {
+	return c.endpoints.SetServers(answer)
+}
+
+// Leads tells whether this member leads now.
+func (c *Core) Leads() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.host.leads()
+}
+
+// TookPart tells whether this member has taken part: it knows of a term, or of an entry.
+func (c *Core) TookPart() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.host.node.Term() > 0 || c.host.node.LastIndex() > 0
+}
--- a/controlplane/sim_client_test.go
+++ b/controlplane/sim_client_test.go
@@ -39,7 +39,7 @@
 }
 
 func (c *client) pending() *pendingCall {
-	p := &pendingCall{get: c.in.get, configChange: configChange{base: c.in.base, revision: c.in.revision, print: c.in.print}}
+	p := &pendingCall{get: c.in.get, configChange: configChange{base: c.in.base, revision: c.in.revision, content: c.in.print}}
 	if !p.get {
 		var err error
 		if p.entry, err = encodeReplaceCommand(p.base, p.revision, c.in.config); err != nil {
@@ -139,12 +139,12 @@
 		case w.fault == "reads without a confirmation" && p.get && m.state.Revision != 0:
 			return callProgress{done: true, result: api.ControlResponse{Status: http.StatusOK}}
 		case w.fault == "turned down without a confirmation" && !p.get:
-			if d := m.state.Evaluate(p.base, p.revision, p.print); d.Outcome != OutcomeAcceptable {
+			if d := m.state.Evaluate(p.base, p.revision, p.content); d.Outcome != OutcomeAcceptable {
 				return callProgress{done: true, result: d.result()}
 			}
 		case w.fault == "told apart by number alone" && !p.get:
 			if i := slices.IndexFunc(m.state.Applied, func(t appliedRevision) bool { return t.Revision == p.revision }); i >= 0 {
-				p.print = m.state.Applied[i].fingerprint
+				p.content = m.state.Applied[i].fingerprint
 			}
 		case w.fault == "confirmed before it is agreed" && !p.get:
 			progress := m.advance(m.node, p)
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -26,18 +26,18 @@
 func (c *Core) Status() CoreStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	host, node := &c.raftHost, c.node
+	host, node := &c.host, c.host.node
 	s := CoreStatus{
 		ID:            hexID(host.id),
 		Role:          node.Role().String(),
 		Leader:        host.leaderAddr(),
 		Term:          node.Term(),
 		Commit:        node.CommitIndex(),
-		Revision:      c.state.Revision,
+		Revision:      c.store.state.Revision,
 		DiskFails:     host.suspended && !host.stopped(),
 		Halted:        host.stopReason,
-		Watches:       c.waiting,
-		NewsBytes:     c.configs.CachedBytes() + c.servers.table.CachedBytes(),
+		Watches:       c.watches.waiting,
+		NewsBytes:     c.watches.configs.CachedBytes() + c.endpoints.servers.table.CachedBytes(),
 		NewsBytesMost: 4*versioned.MaxCachedBytes + maxWatches*api.ChunkSize,
 	}
 	for _, m := range node.Members() {
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -30,10 +30,10 @@
 // goroutine for each queue that makes one call at a time. All fields are guarded by Core.mu,
 // which is given up during calls; the queues have a lock of their own, see [sendQueue].
 type transport struct {
-	cfg  *CoreConfig
-	mu   *sync.Mutex // Core.mu
-	life *lifecycle
-	host *raftHost
+	cfg       *CoreConfig
+	mu        *sync.Mutex // Core.mu
+	lifecycle *lifecycle
+	host      *raftHost
 
 	queues        map[queueKey]*sendQueue
 	callTimeout   func(bytes int) time.Duration // of a call with so many bytes of payload
@@ -59,12 +59,12 @@
 	queue := t.queues[key]
 	if queue == nil {
 		addr := t.peerAddr(m.To)
-		if addr == "" || t.life.ctx == nil {
+		if addr == "" || t.lifecycle.ctx == nil {
 			return
 		}
 		queue = newSendQueue(key.bulk)
 		t.queues[key] = queue
-		t.life.tasks.Go(func() { t.deliverFrom(queue, key, addr) })
+		t.lifecycle.tasks.Go(func() { t.deliverFrom(queue, key, addr) })
 	}
 	queue.put(m)
 }
@@ -97,7 +97,7 @@
 		if err == nil {
 			continue
 		}
-		if t.life.ctx.Err() != nil {
+		if t.lifecycle.ctx.Err() != nil {
 			return
 		}
 		t.cfg.Log.Debug("message delivery failed", "peer", addr, "bulk", key.bulk, "error", err)
@@ -114,7 +114,7 @@
 func (t *transport) awaitMessage(queue *sendQueue, key queueKey, idle *time.Timer) bool {
 	idle.Reset(queueIdleTime)
 	select {
-	case <-t.life.ctx.Done():
+	case <-t.lifecycle.ctx.Done():
 		return false
 	case <-queue.wake:
 	case <-idle.C:
@@ -173,7 +173,7 @@
 			t.mu.Lock()
 			t.acceptsChunks[to] = r.AcceptsChunks
 			t.mu.Unlock()
-			return errChunksGone
+			return errChunksLost
 		}
 		offset = r.ReceivedBytes
 	}
@@ -183,7 +183,7 @@
 // call makes one call to a member, with so many bytes of payload.
 func (t *transport) call(conn *grpc.ClientConn, bytes int, d *api.DeliverRequest) (*api.DeliverResponse, error) {
 	d.From, d.Addr = t.host.id, t.cfg.Addr
-	ctx, cancel := context.WithTimeout(t.life.ctx, t.callTimeout(bytes))
+	ctx, cancel := context.WithTimeout(t.lifecycle.ctx, t.callTimeout(bytes))
 	defer cancel()
 	return api.CallDeliver(ctx, conn, d)
 }
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -153,7 +153,7 @@
 	version := func(k *Core) uint64 {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		return k.servers.table.Version()
+		return k.endpoints.servers.table.Version()
 	}
 	want := version(first)
 	for addr, k := range c.cores {
@@ -248,15 +248,15 @@
 	c.until("all is applied", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		return k.state.Revision == changed
+		return k.store.state.Revision == changed
 	})
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if v := k.configs.Version(); v != changed {
+	if v := k.watches.configs.Version(); v != changed {
 		t.Errorf("limiters are told version %d", v)
 	}
 	for r := range uint64(changed - 1) {
-		if b, err := k.configs.DeltaSince(r + 1); err != nil || b.From != 0 || b.To != changed {
+		if b, err := k.watches.configs.DeltaSince(r + 1); err != nil || b.From != 0 || b.To != changed {
 			t.Errorf("version %d was made a table: a difference from %d to %d, %v", r+1, b.From, b.To, err)
 		}
 	}
