--- a/controlplane/chunks.go
+++ b/controlplane/chunks.go
@@ -20,12 +20,11 @@
 type reassembly struct {
 	data []byte
 	size int    // of the complete messages
-	sum  uint64 // XXH64 of them, which also tells them from others
+	sum  uint64 // XXH64 of them, which also identifies them
 }
 
 // add takes a chunk in and returns how many bytes are held, and the complete messages once they
-// are there. A chunk that doesn't follow on what is held changes nothing: its sender is told
-// what is.
+// are there. A chunk that doesn't follow on what is held changes nothing: the answer says what is.
 func (r *reassembly) add(chunk *api.MessageChunk) (held int, complete []byte) {
 	if chunk.Size != r.size || chunk.Checksum != r.sum || r.data == nil {
 		if chunk.Offset != 0 || chunk.Size < len(chunk.Data) || chunk.Size > maxChunkedBytes {
--- a/controlplane/configchange.go
+++ b/controlplane/configchange.go
@@ -42,13 +42,13 @@
 	return &configChange{base: q.Base, revision: rows.Revision, content: content, rows: rows, entry: entry}, nil
 }
 
-// isNewestOf tells whether a state's newest configuration is this one.
+// isNewestOf reports whether a state's newest configuration is this one.
 func (c *configChange) isNewestOf(s *State) bool {
 	n := len(s.Applied)
 	return n > 0 && s.Revision == c.revision && s.Applied[n-1] == appliedRevision{c.revision, c.content}
 }
 
-// validateSize tells why a sound configuration could not be sent to watchers once it is
+// validateSize returns why a sound configuration could not be sent to watchers once it is
 // committed: it could not be unpacked again. That its rows can be read follows from its
 // soundness (api.FuzzParseConfig); to read them here too would cost a leader some MB.
 func validateSize(config []byte) error {
--- a/controlplane/configsnapshot.go
+++ b/controlplane/configsnapshot.go
@@ -28,7 +28,7 @@
 	return d, err
 }
 
-// checkSnapshot tells whether a snapshot can be installed. A member that went on without would
+// checkSnapshot reports whether a snapshot can be installed. A member that went on without would
 // answer from an older state, and might lead with it.
 func (s *configStore) checkSnapshot(snapshot *raft.Snapshot) error {
 	decoded, err := decodeSnapshot(snapshot)
--- a/controlplane/configstore.go
+++ b/controlplane/configstore.go
@@ -136,7 +136,7 @@
 
 // applyEntries applies committed entries, and publishes the newest configuration: of several at
 // once, as after a start, the last alone. Its rows are made before, with the mutex given up, and
-// the batch is applied in one step. An error tells that the configuration can't be sent to
+// the batch is applied in one step. An error means that the configuration can't be sent to
 // watchers; then nothing of the batch is applied.
 func (s *configStore) applyEntries(entries []raft.Entry) error {
 	committed, err := s.buildCommitted(entries)
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -23,7 +23,7 @@
 	joinTicks      = 8 // between two requests of an isolated member to be taken in
 )
 
-// CoreConfig is what a member is told.
+// CoreConfig is what a member needs to begin.
 type CoreConfig struct {
 	Addr      string   // its own internal address
 	Seeds     []string // internal addresses; the first voters where Bootstrap is set
@@ -35,7 +35,7 @@
 	Seed      uint64 // of the election time-outs
 }
 
-// Store keeps a member's promises: a [storage.Store], which says what each error means.
+// Store keeps a member's durable state: a [storage.Store], which says what each error means.
 type Store interface {
 	Identity() (raft.ID, error)
 	Initialize(raft.ID, raft.Snapshot) error
@@ -68,7 +68,7 @@
 	tasks sync.WaitGroup  // goroutines that end with ctx; Run waits for them
 }
 
-// ended tells whether Run's context has ended.
+// ended reports whether Run's context has ended.
 func (l *lifecycle) ended() bool { return l.ctx != nil && l.ctx.Err() != nil }
 
 // BootstrapID is the id of a first voter: all derive it from its address.
@@ -167,7 +167,7 @@
 
 // Run takes part until the context ends; then it hands leadership on. Where the store loses
 // something meanwhile it returns [storage.ErrCorrupt] at once: the member must not go on, as it
-// can't tell what it has promised, and one with a new id begins in its place.
+// can't know what it has acknowledged, and one with a new id begins in its place.
 func (c *Core) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/controlplane/disk.go
+++ b/controlplane/disk.go
@@ -15,13 +15,13 @@
 // begin notes that a write starts.
 func (d *diskMonitor) begin() { d.waiting, d.ticks = true, 0 }
 
-// end notes that the write has returned, and tells whether it had stalled.
+// end notes that the write has returned, and reports whether it had stalled.
 func (d *diskMonitor) end() (stalled bool) {
 	d.waiting = false
 	return d.ticks >= stallTicks
 }
 
-// tick counts one tick of waiting, and tells whether the write stalls as of this one.
+// tick counts one tick of waiting, and reports whether the write stalls as of this one.
 func (d *diskMonitor) tick() (stalls bool) {
 	if !d.waiting {
 		return false
--- a/controlplane/endpoints.go
+++ b/controlplane/endpoints.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// followOnce makes one watch at the leader, and tells whether the next may follow at once.
+// followOnce makes one watch at the leader, and reports whether the next may follow at once.
 func (m *endpointManager) followOnce(ctx context.Context, addr string, version uint64) bool {
 	conn, err := m.cfg.Conns.Conn(addr)
 	if err != nil {
--- a/controlplane/host.go
+++ b/controlplane/host.go
@@ -40,13 +40,13 @@
 	// handling: a goroutine handles what the node has ready, one batch after the other. Only it
 	// changes the applied state, and what the node counts as stored and applied.
 	handling bool
-	// pendingMessages are sent once what they promise is on disk.
+	// pendingMessages are sent once what they acknowledge is on disk.
 	pendingMessages []raft.Message
-	// suspended: nothing is promised or answered, as the disk takes no writes or, where
+	// suspended: nothing is acknowledged or answered, as the disk takes no writes or, where
 	// stopReason says why, as this member can't go on.
 	suspended        bool
 	stopReason       string // why this member stopped serving for good; empty: it serves
-	lostDurability   error  // the store lost what was promised: Run returns it
+	lostDurability   error  // the store lost what was acknowledged: Run returns it
 	role             raft.Role
 	leader           raft.ID
 	confirmedRound   uint64 // read index round that readers were last notified of
@@ -57,7 +57,7 @@
 
 func (h *raftHost) leads() bool { return h.node.Role() == raft.Leader && !h.suspended }
 
-// stopped tells whether this member has stopped serving for good.
+// stopped reports whether this member has stopped serving for good.
 func (h *raftHost) stopped() bool { return h.stopReason != "" }
 
 // leaderAddr is the address of the leader, empty where none is known.
@@ -79,7 +79,7 @@
 	return out
 }
 
-// isolated tells whether no leader is known, or this process is no member.
+// isolated reports whether no leader is known, or this process is no member.
 func (h *raftHost) isolated() bool {
 	isSelf := func(m raft.Member) bool { return m.ID == h.id }
 	return h.node.Leader() == 0 || !slices.ContainsFunc(h.node.Members(), isSelf)
@@ -168,15 +168,15 @@
 	}
 }
 
-// sendUnrestricted sends of a Ready those messages that promise nothing which is not on disk
-// yet; the others wait until what comes with them is. A leader's own messages are
+// sendUnrestricted sends of a Ready those messages that acknowledge nothing which is not on
+// disk yet; the others wait until what comes with them is. A leader's own messages are
 // unrestricted: it counts toward a majority only what it has stored itself.
 func (h *raftHost) sendUnrestricted(ready *raft.Ready) {
 	unsaved := ready.HardState != nil || ready.Snapshot != nil
 	for _, m := range ready.Messages {
-		promisesNothing := h.node.Role() == raft.Leader || m.Kind == raft.AppendEntriesReply &&
+		unrestricted := h.node.Role() == raft.Leader || m.Kind == raft.AppendEntriesReply &&
 			(m.Reject || len(ready.Entries) == 0 || m.Index < ready.Entries[0].Index)
-		if promisesNothing && !unsaved {
+		if unrestricted && !unsaved {
 			h.transport.enqueue(m)
 		} else {
 			h.pendingMessages = append(h.pendingMessages, m)
@@ -185,8 +185,8 @@
 	h.node.Advance(raft.Ready{Messages: ready.Messages})
 }
 
-// persistAndApply handles one batch. The order keeps promises: first the batch is on disk, then
-// the messages go out that promise it, then it is installed and applied. It tells whether the
+// persistAndApply handles one batch. The order matters: first the batch is on disk, then the
+// messages go out that acknowledge it, then it is installed and applied. It reports whether the
 // next batch may follow.
 func (h *raftHost) persistAndApply(ready raft.Ready) bool {
 	h.sendUnrestricted(&ready)
@@ -224,7 +224,7 @@
 }
 
 // handleWriteError suspends this member until a write succeeds, with the messages kept that
-// wait for it. A store that has lost what was promised ends the member's part.
+// wait for it. A store that has lost what was acknowledged ends the member's part.
 func (h *raftHost) handleWriteError(err error, due []raft.Message) {
 	if h.checkLostDurability(err) {
 		return
@@ -238,7 +238,7 @@
 }
 
 // writeToDisk waits for the disk with the mutex given up. A member whose disk keeps it waiting
-// for longer than an election takes promises and answers nothing meanwhile.
+// for longer than an election takes is suspended meanwhile.
 func (h *raftHost) writeToDisk(write func() error) error {
 	h.disk.begin()
 	h.mu.Unlock()
@@ -251,7 +251,7 @@
 	return err
 }
 
-// compact cuts the log behind a snapshot, and tells whether one could be made.
+// compact cuts the log behind a snapshot, and reports whether one could be made.
 func (h *raftHost) compact() bool {
 	index := h.node.AppliedIndex()
 	data, err := h.machine.encodeSnapshot()
@@ -293,8 +293,8 @@
 	h.stopServing(reason, err)
 }
 
-// checkLostDurability ends this member's part where an error tells that its store has lost what
-// was promised.
+// checkLostDurability ends this member's part where an error says that its store has lost what
+// was acknowledged.
 func (h *raftHost) checkLostDurability(err error) bool {
 	if !errors.Is(err, storage.ErrCorrupt) {
 		return false
@@ -304,7 +304,7 @@
 	return true
 }
 
-// stopServing has this member promise and answer nothing any more.
+// stopServing has this member acknowledge and answer nothing any more.
 func (h *raftHost) stopServing(reason string, err error) {
 	h.stopReason = fmt.Sprintf("%s: %v", reason, err)
 	h.suspended = true
--- a/controlplane/memberpolicy.go
+++ b/controlplane/memberpolicy.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// A voter that was not heard of for replaceTicks gives its vote to a standby; a member
+	// A voter that did not answer for replaceTicks gives its vote to a standby; a member
 	// without a vote is removed after removeTicks. A leader that is lost too must be replaced
 	// within the 4 s that a machine is given to be whole again: up to 1 s for the election, this
 	// time-out as its successor counts it, and the change.
@@ -33,13 +33,13 @@
 	p.leaving[id] = p.ticks + leavingTicks
 }
 
-// promotable tells that a member may be given a vote: it was heard of, has all that is
+// promotable reports that a member may be given a vote: it answered lately, has all that is
 // committed and doesn't leave.
 func (p *memberPolicy) promotable(n *raft.Node, id raft.ID) bool {
 	return n.TicksSinceResponse(id) < electionTicks && n.CaughtUp(id) && p.leaving[id] <= p.ticks
 }
 
-// hasStandby tells that a member without a vote is there, caught up or not.
+// hasStandby reports that a member without a vote is there, caught up or not.
 func (p *memberPolicy) hasStandby(n *raft.Node) bool {
 	return slices.ContainsFunc(n.Members(), func(m raft.Member) bool {
 		return !m.Voter && !m.Outgoing && n.TicksSinceResponse(m.ID) < electionTicks && p.leaving[m.ID] <= p.ticks
@@ -56,8 +56,8 @@
 	isReplaced // its successor has joined from its address: its disk is lost
 )
 
-// timeout is for how many ticks a voter may not be heard of. One that has not answered this
-// leader at all was not heard of when it was elected either: to count anew from each election
+// timeout is for how many ticks a voter may give no answer. One that has not answered this
+// leader at all gave none when it was elected either: to count anew from each election
 // would let leaders that are lost one after the other put off its replacement.
 func (p *memberPolicy) timeout(n *raft.Node, id raft.ID) int {
 	if answered, _ := n.PeerResponse(id); !answered {
@@ -66,7 +66,7 @@
 	return replaceTicks
 }
 
-// demotion tells whether and why the member at index i is to lose its vote.
+// demotion returns whether and why the member at index i is to lose its vote.
 func (p *memberPolicy) demotion(n *raft.Node, members []raft.Member, i int) demotionReason {
 	m := &members[i]
 	switch {
@@ -176,7 +176,7 @@
 	return next
 }
 
-// isVoter tells whether a member counts toward a majority.
+// isVoter reports whether a member counts toward a majority.
 func isVoter(members []raft.Member, id raft.ID) bool {
 	return slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == id && (m.Voter || m.Outgoing) })
 }
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -147,7 +147,7 @@
 	return done
 }
 
-// announceLeaving hands leadership on, or tells the leader that this member leaves. done:
+// announceLeaving hands leadership on, or notifies the leader that this member leaves. done:
 // nothing more is to be waited for.
 func (m *memberManager) announceLeaving(ctx context.Context) (done bool) {
 	m.HandOver()
@@ -167,7 +167,7 @@
 	return !needed || err == nil && r.Status == http.StatusConflict
 }
 
-// leadsAlone tells whether this member leads and hears of no other voter.
+// leadsAlone reports whether this member leads and no other voter answers.
 func (m *memberManager) leadsAlone() bool {
 	node := m.host.node
 	if node.Role() != raft.Leader {
--- a/controlplane/readindex.go
+++ b/controlplane/readindex.go
@@ -165,7 +165,7 @@
 	return answer.OK && b.waitFor(ctx, func() waitState { return b.applied(answer.Index, answer.ServersVersion) })
 }
 
-// applied tells whether what is answered from here has come to an index and a version of the
+// applied reports whether what is answered from here has come to an index and a version of the
 // list of servers.
 func (b *readIndexBatcher) applied(index, servers uint64) waitState {
 	switch {
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -95,7 +95,7 @@
 	return callProgress{}
 }
 
-// apply applies a committed entry, and tells whether it brought a configuration.
+// apply applies a committed entry, and reports whether it brought a configuration.
 func (g *casRegister) apply(e raft.Entry) (replaced bool) {
 	var r api.ControlResponse
 	if len(e.Data) > 0 {
--- a/controlplane/sendqueue.go
+++ b/controlplane/sendqueue.go
@@ -71,7 +71,7 @@
 	bytes    int // of entries and chunks of both; 0 in a control queue
 }
 
-// put has a message wait, and tells whether there was room. A full control queue drops its
+// put has a message wait, and reports whether there was room. A full control queue drops its
 // oldest, as the newest say most; a full bulk queue takes no more.
 func (q *messageQueue) put(m raft.Message) bool {
 	if !q.bulk {
@@ -115,7 +115,7 @@
 	return q.inFlight
 }
 
-// done tells that the call is over.
+// done notes that the call is over.
 func (q *messageQueue) done() {
 	for i := range q.inFlight {
 		if q.bulk {
@@ -126,7 +126,7 @@
 	q.inFlight = q.inFlight[:0]
 }
 
-// samePayload tells that two messages carry the same.
+// samePayload reports that two messages carry the same.
 func samePayload(a, b *raft.Message) bool {
 	if a.Kind != b.Kind || a.Term != b.Term || a.Index != b.Index || a.Offset != b.Offset ||
 		len(a.Entries) != len(b.Entries) {
--- a/controlplane/service.go
+++ b/controlplane/service.go
@@ -11,7 +11,7 @@
 
 // Replace takes a configuration that follows on another. Status is 200 once it is committed and
 // applied, 400 where it is not valid, 412 where it doesn't follow on the current one, 503 where
-// it can't be told any more whether it was applied; 0 from a member that can't say.
+// it isn't remembered any more whether it was applied; 0 from a member that can't say.
 func (c *Core) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
 	return c.store.Replace(ctx, q)
 }
@@ -65,14 +65,14 @@
 	return c.endpoints.SetServers(answer)
 }
 
-// Leads tells whether this member leads now.
+// Leads reports whether this member leads now.
 func (c *Core) Leads() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.host.leads()
 }
 
-// TookPart tells whether this member has taken part: it knows of a term, or of an entry.
+// TookPart reports whether this member has taken part: it knows of a term, or of an entry.
 func (c *Core) TookPart() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -16,10 +16,10 @@
 	Halted           string // why it stopped serving for good; empty: it serves
 	Members          []string
 	// Watches wait here for changes. What is held for them: encoded deltas, and
-	// for each a chunk at most, so NewsBytesMost in all.
+	// for each a chunk at most, so MaxDeltaBytes in all.
 	Watches       int
-	NewsBytes     int
-	NewsBytesMost int
+	DeltaBytes    int `json:"NewsBytes"`
+	MaxDeltaBytes int `json:"NewsBytesMost"`
 }
 
 // Status returns what this member knows.
@@ -37,8 +37,8 @@
 		DiskFails:     host.suspended && !host.stopped(),
 		Halted:        host.stopReason,
 		Watches:       c.watches.waiting,
-		NewsBytes:     c.watches.configs.CachedBytes() + c.endpoints.servers.table.CachedBytes(),
-		NewsBytesMost: 4*versioned.MaxCachedBytes + maxWatches*api.ChunkSize,
+		DeltaBytes:    c.watches.configs.CachedBytes() + c.endpoints.servers.table.CachedBytes(),
+		MaxDeltaBytes: 4*versioned.MaxCachedBytes + maxWatches*api.ChunkSize,
 	}
 	for _, m := range node.Members() {
 		kind := "learner"
--- a/controlplane/watch.go
+++ b/controlplane/watch.go
@@ -89,7 +89,7 @@
 
 func (w *watchServer) leaderUnknown() bool { return !w.host.leads() && w.host.leaderAddr() == "" }
 
-// awaitChange waits for something newer than a watch names, for as long as it says. It tells
+// awaitChange waits for something newer than a watch names, for as long as it says. It reports
 // whether the call is still there.
 func (w *watchServer) awaitChange(ctx context.Context, q *api.WatchRequest) bool {
 	timeout := time.NewTimer(max(1, min(maxWatchTime, time.Duration(q.WaitMs)*time.Millisecond)))
--- a/lab/controlbench/held_test.go
+++ b/lab/controlbench/held_test.go
@@ -85,12 +85,12 @@
 	held := heap() - base - own
 	s := core.Status()
 	t.Logf("%d watchers, %d routes: the core holds %.1f MB; differences %.2f MB; queues %.1f MB, %d pieces", watchers, routes, held/1e6,
-		float64(s.NewsBytes)/1e6, float64(queues)/1e6, len(pieces))
+		float64(s.DeltaBytes)/1e6, float64(queues)/1e6, len(pieces))
 	if held > most {
 		t.Errorf("the core holds %.1f MB for %d watchers, %.1f at most", held/1e6, watchers, most/1e6)
 	}
-	if s.NewsBytes > s.NewsBytesMost || queues > 2*watchers*2*api.ChunkSize {
-		t.Errorf("%d bytes of differences of %d at most, %d of queues", s.NewsBytes, s.NewsBytesMost, queues)
+	if s.DeltaBytes > s.MaxDeltaBytes || queues > 2*watchers*2*api.ChunkSize {
+		t.Errorf("%d bytes of differences of %d at most, %d of queues", s.DeltaBytes, s.MaxDeltaBytes, queues)
 	}
 	runtime.KeepAlive(given)
 	runtime.KeepAlive(pieces)
