--- a/controlplane/bubble_test.go
+++ b/controlplane/bubble_test.go
@@ -187,3 +187,8 @@
 	time.Sleep(linkDelay)
 	return c.Conn.Write(b)
 }
+
+// serveUntilStopped serves calls until the server is stopped, at which Serve ends.
+func serveUntilStopped(server *grpc.Server, listener net.Listener) {
+	_ = server.Serve(listener)
+}
--- a/controlplane/core_under_faults_test.go
+++ b/controlplane/core_under_faults_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-var coreSeeds = flag.Uint64("core.seeds", 24, "runs of TestCoresUnderFaults")
+var coreSeeds = flag.Uint64("core.seeds", 24, "runs of TestCoresKeepPromisesUnderFaults")
 
-// Real cores, three and five, with orders by four operators that pick the same numbers and
-// are sent again until they are answered, while writes take up to 2 s, disks are full,
-// stores are lost or found corrupt, machines are cut off, one way too, and power is lost
-// by one, a majority or all, in the middle of a write and right after an acknowledgement.
-// Whatever the loop of [Core] sends while its store writes: no vote, term or
-// acknowledgement leaves before it is stored, nothing is told to be agreed that a majority
-// has not stored, and operators are answered the history of one register.
-func TestCoresUnderFaults(t *testing.T) {
+// Real cores, three and five, with commands by four operators that pick the same revisions and
+// are sent again until they are answered, while writes take up to 2 s, disks are full, disks
+// are lost or found corrupt, machines are cut off, one way too, and power is lost by one, a
+// majority or all, in the middle of a write and right after an acknowledgement. Whatever
+// [Core] sends while its store writes: no vote, term or acknowledgement is sent before it is
+// stored, nothing is said to be committed that a majority has not stored, and operators are
+// answered the history of one register.
+func TestCoresKeepPromisesUnderFaults(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
-	var sent, beside, checked, torn, powers, lost, calls, changes int
+	var total faultCounts
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range *coreSeeds {
 			runInBubble(t, fmt.Sprint(seed), func(t *testing.T) {
@@ -27,22 +27,19 @@
 				if seed%4 == 3 {
 					machines = 5
 				}
-				w := newCoreWorld(t, seed, machines)
-				if err := w.play(60); err != nil {
+				c := newFaultyCluster(t, seed, machines)
+				if err := c.play(60); err != nil {
 					t.Fatalf("seed %d: %v", seed, err)
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				s := &w.seen
-				sent, beside, checked, torn = sent+s.sent, beside+s.beside, checked+s.checked, torn+s.torn
-				powers, lost, calls, changes = powers+s.powers, lost+s.lost, calls+s.calls, changes+s.taken
+				total.add(&c.counts)
 			})
 		}
 	})
-	n := int(*coreSeeds)
-	t.Logf("%d runs: %d messages, %d of them beside a write, %d acknowledgements of entries; %d losses of power, %d in a write; %d stores lost; %d calls, %d changes",
-		n, sent, beside, checked, powers, torn, lost, calls, changes)
-	if !t.Failed() && (beside < 20*n || torn < n || lost < n || calls < 20*n || changes < 5*n) {
-		t.Error("too little to show anything")
+	runs := int(*coreSeeds)
+	t.Logf("%d runs: %+v", runs, total)
+	if !t.Failed() && !total.enough(runs) {
+		t.Error("too few to show anything")
 	}
 }
--- a/controlplane/coresim_checks_test.go
+++ b/controlplane/coresim_checks_test.go
@@ -12,189 +12,238 @@
 	"example.org/elmspan/raft"
 )
 
-// leave holds what leaves a member against what its store holds at this moment.
-func (l *life) leave(d *api.DeliverRequest) {
-	w := l.w
-	l.core.mu.Lock()
-	role, term, sets := l.core.host.node.Role(), l.core.host.node.Term(), l.core.host.node.Members()
-	l.core.mu.Unlock()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if l.ctx.Err() != nil {
+// checkMessages holds what a member sends against what its disk holds at this moment.
+func (p *memberProcess) checkMessages(d *api.DeliverRequest) {
+	c := p.cluster
+	p.core.mu.Lock()
+	role, term, members := p.core.host.node.Role(), p.core.host.node.Term(), p.core.host.node.Members()
+	p.core.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if p.ctx.Err() != nil {
 		return
 	}
 	if d.Chunk != nil {
-		w.failed("a message in parts: it is not looked at")
+		c.failLocked("a chunked message: it is not checked")
 	}
 	for i := range d.Messages {
 		m := &d.Messages[i]
-		w.seen.sent++
-		if l.pending != nil {
-			w.seen.beside++
+		c.counts.messages++
+		if p.unsynced != nil {
+			c.counts.besideWrite++
 		}
-		if why := w.promises(l.p, m, role == raft.Candidate && m.Term == term); why != "" {
-			w.failed("%x: %s leaves, and its store holds term %d, vote %x, up to %d: %+v", uint64(l.p.id), why,
-				l.p.stored.HardState.Term, uint64(l.p.stored.HardState.Vote), l.p.stored.Snapshot.Index+uint64(len(l.p.stored.Entries)), m)
+		check := messageCheck{
+			cluster:   c,
+			disk:      p.disk,
+			message:   m,
+			candidate: role == raft.Candidate && m.Term == term,
 		}
-		if m.Kind == raft.AppendEntries && m.Commit > w.agreed && role == raft.Leader && m.Term == term {
-			w.majority(m, sets)
+		if promise := check.unkeptPromise(); promise != "" {
+			hard := p.disk.stored.HardState
+			c.failLocked("%x: %s is sent, and its disk holds term %d, vote %x, up to %d: %+v",
+				uint64(p.disk.id), promise, hard.Term, uint64(hard.Vote), p.disk.lastIndex(), m)
+		}
+		leads := role == raft.Leader && m.Term == term
+		if m.Kind == raft.AppendEntries && m.Commit > c.commitIndex && leads {
+			c.checkCommit(m, members)
 		}
 	}
 }
 
-// promises tells what a message says that the sender's store does not bear out. What is of
-// an earlier term than the stored one is none any more: its batch may hold what came after.
-// Nor is the log of one that is no candidate any more: it counts no votes, and the leader
-// of its term may have had it cut off its log's end in the same batch.
-func (w *coreWorld) promises(p *platter, m *raft.Message, stands bool) (why string) {
-	hard := p.stored.HardState
-	if m.Kind != raft.PreVoteRequest && (m.Kind != raft.PreVoteReply || m.Reject) && m.Term > hard.Term {
+// messageCheck holds one message against the disk of its sender. It is made under the mutex.
+type messageCheck struct {
+	cluster   *faultyCluster
+	disk      *simulatedDisk
+	message   *raft.Message
+	candidate bool // the sender is a candidate of the message's term
+}
+
+// unkeptPromise names what a message promises that the sender's disk does not hold, empty
+// where there is nothing.
+//
+// A message of an earlier term than the stored one promises nothing any more: its batch may
+// hold what came after. Nor does the log of a sender that is no candidate any more: it counts
+// no votes, and the leader of its term may have had the end of its log truncated in the same
+// batch.
+func (c *messageCheck) unkeptPromise() string {
+	m, hard := c.message, c.disk.stored.HardState
+	withoutTerm := m.Kind == raft.PreVoteRequest || m.Kind == raft.PreVoteReply && !m.Reject
+	if !withoutTerm && m.Term > hard.Term {
 		return "a term"
 	}
-	terms := w.told[m.Term]
-	tell := func(index, term uint64) {
-		if terms == nil {
-			terms = map[uint64]uint64{}
-			w.told[m.Term] = terms
-		}
-		if t, known := terms[index]; known && t != term {
-			w.failed("term %d has two leaders: entry %d is of terms %d and %d", m.Term, index, t, term)
-		}
-		terms[index] = term
-	}
 	switch m.Kind {
 	case raft.AppendEntries:
 		if m.LogTerm > 0 {
-			tell(m.Index, m.LogTerm)
+			c.noteSent(m.Index, m.LogTerm)
 		}
 		for _, e := range m.Entries {
-			tell(e.Index, e.Term)
+			c.noteSent(e.Index, e.Term)
 		}
 	case raft.SnapshotChunk, raft.InstallSnapshot:
-		tell(m.Snapshot.Index, m.Snapshot.Term)
+		c.noteSent(m.Snapshot.Index, m.Snapshot.Term)
 	case raft.VoteRequest:
-		if m.Term == hard.Term && (hard.Vote != m.From || stands && !p.holds(m.Index, m.LogTerm)) {
-			return "a candidate's word"
+		if m.Term == hard.Term && (hard.Vote != m.From || c.candidate && !c.disk.holds(m.Index, m.LogTerm)) {
+			return "a vote for itself"
 		}
 	case raft.VoteReply:
 		if !m.Reject && m.Term == hard.Term && hard.Vote != m.To {
 			return "a vote"
 		}
 	case raft.AppendEntriesReply:
-		if m.Reject || m.Term != hard.Term || m.Index == 0 {
-			return ""
-		}
-		w.seen.checked++
-		if t, known := terms[m.Index]; !known && m.Index > p.stored.Snapshot.Index {
-			return "an acknowledgement of what no leader sent"
-		} else if !p.holds(m.Index, t) {
-			return "an acknowledgement"
-		}
+		return c.unkeptAcknowledgement()
+	}
+	return ""
+}
+
+// noteSent notes the term of an entry that a leader sent: two leaders of one term would differ.
+func (c *messageCheck) noteSent(index, term uint64) {
+	sent := c.cluster.sentTerms[c.message.Term]
+	if sent == nil {
+		sent = map[uint64]uint64{}
+		c.cluster.sentTerms[c.message.Term] = sent
+	}
+	if other, known := sent[index]; known && other != term {
+		c.cluster.failLocked("term %d has two leaders: entry %d is of terms %d and %d",
+			c.message.Term, index, other, term)
+	}
+	sent[index] = term
+}
+
+func (c *messageCheck) unkeptAcknowledgement() string {
+	m := c.message
+	if m.Reject || m.Term != c.disk.stored.HardState.Term || m.Index == 0 {
+		return ""
+	}
+	c.cluster.counts.acknowledgements++
+	term, known := c.cluster.sentTerms[m.Term][m.Index]
+	switch {
+	case !known && m.Index > c.disk.stored.Snapshot.Index:
+		return "an acknowledgement of what no leader sent"
+	case !c.disk.holds(m.Index, term):
+		return "an acknowledgement"
 	}
 	return ""
 }
 
-// majority holds what a leader tells to be agreed, for the first time, against the stores.
-func (w *coreWorld) majority(m *raft.Message, members []raft.Member) {
-	t, known := w.told[m.Term][m.Commit]
+// quorumCount counts the voters that hold an entry.
+type quorumCount struct {
+	voters, holding int
+}
+
+func (q *quorumCount) add(holds bool) {
+	q.voters++
+	if holds {
+		q.holding++
+	}
+}
+
+func (q *quorumCount) isMajority() bool {
+	return 2*q.holding > q.voters
+}
+
+// checkCommit holds a commit index that a leader sends for the first time against the disks.
+func (c *faultyCluster) checkCommit(m *raft.Message, members []raft.Member) {
+	term, known := c.sentTerms[m.Term][m.Commit]
 	if !known {
 		return
 	}
-	has, of, old, ofOld := 0, 0, 0, 0
-	for _, x := range members {
-		p := w.stores[x.ID]
-		holds := p != nil && p.holds(m.Commit, t)
-		if x.Voter {
-			if of++; holds {
-				has++
-			}
+	var incoming, outgoing quorumCount
+	for _, member := range members {
+		disk := c.disks[member.ID]
+		holds := disk != nil && disk.holds(m.Commit, term)
+		if member.Voter {
+			incoming.add(holds)
 		}
-		if x.Outgoing {
-			if ofOld++; holds {
-				old++
-			}
+		if member.Outgoing {
+			outgoing.add(holds)
 		}
 	}
-	if 2*has <= of || ofOld > 0 && 2*old <= ofOld {
-		w.failed("a leader tells that %d of term %d is agreed, which %d of %d voters have stored, %d of %d before: %+v", m.Commit, t, has, of, old, ofOld, members)
+	if !incoming.isMajority() || outgoing.voters > 0 && !outgoing.isMajority() {
+		c.failLocked("a leader sends that %d of term %d is committed; of the voters %+v hold it, of those before %+v: %+v",
+			m.Commit, term, incoming, outgoing, members)
 	}
-	w.agreed = m.Commit
+	c.commitIndex = m.Commit
 }
 
-// look holds what a member has taken against what others have.
-func (w *coreWorld) look(l *life) {
-	l.core.mu.Lock()
-	has := slices.Clone(l.core.store.state.Applied)
-	l.core.mu.Unlock()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	k := min(len(has), len(w.chain))
-	if !slices.Equal(has[:k], w.chain[:k]) {
-		w.failed("a member has taken %v, another %v", has, w.chain)
+// checkApplied holds what a member has applied against what others have, and against what was
+// sent and refused.
+func (c *faultyCluster) checkApplied(p *memberProcess) {
+	p.core.mu.Lock()
+	applied := slices.Clone(p.core.store.state.Applied)
+	p.core.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	common := min(len(applied), len(c.chain))
+	if !slices.Equal(applied[:common], c.chain[:common]) {
+		c.failLocked("a member has applied %v, another %v", applied, c.chain)
 		return
 	}
-	for _, v := range has[k:] {
+	for _, a := range applied[common:] {
 		before := uint64(0)
-		if n := len(w.chain); n > 0 {
-			before = w.chain[n-1].Revision
+		if n := len(c.chain); n > 0 {
+			before = c.chain[n-1].Revision
 		}
-		if o, sent := w.orders[v.fingerprint]; !sent || o.base != before || o.revision != v.Revision {
-			w.failed("revision %d is taken on top of %d, ordered was %+v", v.Revision, before, o)
+		command, sent := c.commands[a.fingerprint]
+		if !sent || command.base != before || command.revision != a.Revision {
+			c.failLocked("revision %d is applied on top of %d, the command was %+v", a.Revision, before, command)
 		}
-		w.chain = append(w.chain, v)
+		c.chain = append(c.chain, a)
 	}
-	for _, v := range w.chain {
-		if w.refused[v.fingerprint] {
-			w.failed("revision %d was refused and is in a member's past", v.Revision)
+	for _, a := range c.chain {
+		if c.refused[a.fingerprint] {
+			c.failLocked("revision %d was refused and is applied", a.Revision)
 		}
 	}
 }
 
-// level tells that all machines have all that was taken, by one leader.
-func (w *coreWorld) level() bool {
-	led := 0
-	for _, m := range w.machines {
-		c := m.life.core
-		c.mu.Lock()
-		k, n := len(c.store.state.Applied), c.host.node
-		ok := n.Leader() != 0 && !n.MembershipChangePending() && n.AppliedIndex() == n.CommitIndex()
-		if n.HasCommittedInTerm() {
-			led++
-		}
-		c.mu.Unlock()
-		w.mu.Lock()
-		ok = ok && k == len(w.chain)
-		w.mu.Unlock()
-		if !ok {
+// converged tells that all machines have applied all that any has, under one leader.
+func (c *faultyCluster) converged() bool {
+	leaders := 0
+	for _, m := range c.machines {
+		core := m.process.core
+		core.mu.Lock()
+		applied, node := len(core.store.state.Applied), core.host.node
+		settled := node.Leader() != 0 && !node.MembershipChangePending() && node.AppliedIndex() == node.CommitIndex()
+		if node.HasCommittedInTerm() {
+			leaders++
+		}
+		core.mu.Unlock()
+		c.locked(func() { settled = settled && applied == len(c.chain) })
+		if !settled {
 			return false
 		}
 	}
-	return led == 1
+	return leaders == 1
 }
 
-// verdict holds the whole history against what all have in the end.
-func (w *coreWorld) verdict() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.seen.taken = len(w.chain)
-	for _, op := range w.history {
+// checkHistory holds the whole history against what all have applied in the end.
+func (c *faultyCluster) checkHistory() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts.applied = len(c.chain)
+	for _, op := range c.history {
 		in, out := op.Input.(input), op.Output.(output)
-		is := slices.ContainsFunc(w.chain, func(v appliedRevision) bool { return v.fingerprint == in.print })
-		if !in.get && out.status == http.StatusOK && !is {
-			w.failed("revision %d on %d was acknowledged and is gone", in.revision, in.base)
+		applied := slices.ContainsFunc(c.chain, func(a appliedRevision) bool { return a.fingerprint == in.print })
+		if !in.get && out.status == http.StatusOK && !applied {
+			c.failLocked("revision %d on %d was acknowledged and is gone", in.revision, in.base)
 		}
 	}
-	if w.fault != nil {
-		return w.fault
+	if c.failure != nil {
+		return c.failure
 	}
-	h := &world{history: w.history}
+	h := &registerSim{history: c.history}
 	if got := h.linearizable(); got != porcupine.Ok {
-		var b strings.Builder
-		for _, op := range h.history {
-			in, out := op.Input.(input), op.Output.(output)
-			fmt.Fprintf(&b, "\n%d: %d to %d: get %t, base %d, revision %d: %d, revision %d", op.ClientId, op.Call, op.Return, in.get, in.base, in.revision, out.status, out.revision)
-		}
-		return fmt.Errorf("not the history of one register: %v%s", got, &b)
+		return fmt.Errorf("not the history of one register: %v%s", got, describeHistory(h.history))
 	}
 	return nil
 }
+
+func describeHistory(history []porcupine.Operation) string {
+	var b strings.Builder
+	for _, op := range history {
+		in, out := op.Input.(input), op.Output.(output)
+		fmt.Fprintf(&b, "\n%d: %d to %d: get %t, base %d, revision %d: %d, revision %d",
+			op.ClientId, op.Call, op.Return, in.get, in.base, in.revision, out.status, out.revision)
+	}
+	return b.String()
+}
--- a/controlplane/coresim_disk_test.go
+++ b/controlplane/coresim_disk_test.go
@@ -9,42 +9,53 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// platter is what a store keeps over a loss of power.
-type platter struct {
+// simulatedDisk is what a store keeps over a loss of power.
+type simulatedDisk struct {
 	id     raft.ID
 	stored raft.PersistentState
 }
 
 // holds tells whether an entry is stored.
-func (p *platter) holds(index, term uint64) bool {
-	if index <= p.stored.Snapshot.Index {
+func (d *simulatedDisk) holds(index, term uint64) bool {
+	if index <= d.stored.Snapshot.Index {
 		return true
 	}
-	i := index - p.stored.Snapshot.Index - 1
-	return i < uint64(len(p.stored.Entries)) && p.stored.Entries[i].Term == term
+	i := index - d.stored.Snapshot.Index - 1
+	return i < uint64(len(d.stored.Entries)) && d.stored.Entries[i].Term == term
 }
 
-func (l *life) Identity() (raft.ID, error) {
-	l.w.mu.Lock()
-	defer l.w.mu.Unlock()
-	return l.p.id, nil
+// lastIndex is the index of the last entry that is stored.
+func (d *simulatedDisk) lastIndex() uint64 {
+	return d.stored.Snapshot.Index + uint64(len(d.stored.Entries))
 }
 
-func (l *life) Load() (raft.PersistentState, error) {
-	l.w.mu.Lock()
-	defer l.w.mu.Unlock()
-	st := l.p.stored
-	st.Entries = slices.Clone(st.Entries)
-	return st, nil
+// Identity and the methods after it make a memberProcess the Store of its core.
+func (p *memberProcess) Identity() (raft.ID, error) {
+	p.cluster.mu.Lock()
+	defer p.cluster.mu.Unlock()
+	return p.disk.id, nil
 }
 
-func (l *life) Initialize(id raft.ID, first raft.Snapshot) error {
-	return l.write(func(p *platter) { *p = platter{id: id, stored: raft.PersistentState{Snapshot: first}} })
+// Load returns what is stored.
+func (p *memberProcess) Load() (raft.PersistentState, error) {
+	p.cluster.mu.Lock()
+	defer p.cluster.mu.Unlock()
+	stored := p.disk.stored
+	stored.Entries = slices.Clone(stored.Entries)
+	return stored, nil
 }
 
-func (l *life) Save(r raft.Ready) error {
-	return l.write(func(p *platter) {
-		s := &p.stored
+// Initialize begins a store.
+func (p *memberProcess) Initialize(id raft.ID, first raft.Snapshot) error {
+	return p.write(func(d *simulatedDisk) {
+		*d = simulatedDisk{id: id, stored: raft.PersistentState{Snapshot: first}}
+	})
+}
+
+// Save stores a batch.
+func (p *memberProcess) Save(r raft.Ready) error {
+	return p.write(func(d *simulatedDisk) {
+		s := &d.stored
 		if r.HardState != nil {
 			s.HardState = *r.HardState
 		}
@@ -58,50 +69,70 @@
 	})
 }
 
-func (l *life) Compact(snap raft.Snapshot) error {
-	return l.write(func(p *platter) {
-		if s := &p.stored; snap.Index > s.Snapshot.Index {
-			s.Entries, s.Snapshot = slices.Clone(s.Entries[snap.Index-s.Snapshot.Index:]), snap
+// Compact replaces entries by a snapshot.
+func (p *memberProcess) Compact(snapshot raft.Snapshot) error {
+	return p.write(func(d *simulatedDisk) {
+		s := &d.stored
+		if snapshot.Index > s.Snapshot.Index {
+			s.Entries = slices.Clone(s.Entries[snapshot.Index-s.Snapshot.Index:])
+			s.Snapshot = snapshot
 		}
 	})
 }
 
-// write takes its time, and lasts when it returns. One that fails may have been kept.
-func (l *life) write(change func(*platter)) error {
-	w, m := l.w, l.m
-	w.mu.Lock()
-	if l.ctx.Err() != nil {
-		w.mu.Unlock()
-		return errPower
+// writePlan is how a write goes.
+type writePlan struct {
+	takes   time.Duration
+	fails   bool
+	kept    bool // although it fails
+	corrupt bool // it finds out that the disk is
+}
+
+// planWrite draws how a write goes. Called under the mutex.
+func (p *memberProcess) planWrite() writePlan {
+	m, calm, now := p.machine, p.cluster.calm, time.Now()
+	plan := writePlan{takes: time.Duration(1+m.rng.IntN(20)) * time.Millisecond}
+	if !calm && (now.Before(m.slowUntil) || m.rng.IntN(50) == 0) {
+		plan.takes = time.Duration(1+m.rng.IntN(2000)) * time.Millisecond
 	}
-	next := *l.p
-	change(&next)
-	l.pending = &next.stored
-	now := time.Now()
-	takes := time.Duration(1+m.rng.IntN(20)) * time.Millisecond
-	if !w.calm && (now.Before(m.slow) || m.rng.IntN(50) == 0) {
-		takes = time.Duration(1+m.rng.IntN(2000)) * time.Millisecond
+	plan.fails = now.Before(m.failsUntil) && !calm
+	plan.kept = m.rng.IntN(4) == 0
+	plan.corrupt = m.corrupt
+	return plan
+}
+
+// write changes the disk. It takes a while, and is durable when it returns. One that fails may
+// have been kept.
+func (p *memberProcess) write(change func(*simulatedDisk)) error {
+	c := p.cluster
+	c.mu.Lock()
+	if p.ctx.Err() != nil {
+		c.mu.Unlock()
+		return errPowerLost
 	}
-	fails, kept, corrupt := now.Before(m.fails) && !w.calm, m.rng.IntN(4) == 0, m.corrupt
-	w.mu.Unlock()
+	next := *p.disk
+	change(&next)
+	p.unsynced = &next.stored
+	plan := p.planWrite()
+	c.mu.Unlock()
 	select {
-	case <-time.After(takes):
-	case <-l.ctx.Done():
+	case <-time.After(plan.takes):
+	case <-p.ctx.Done():
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	l.pending = nil
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p.unsynced = nil
 	switch {
-	case l.ctx.Err() != nil: // powerOff has decided what is kept
-		return errPower
-	case corrupt && m.corrupt:
-		return fmt.Errorf("%w: something promised is gone", storage.ErrCorrupt)
-	case fails && !kept:
-		return errDisk
+	case p.ctx.Err() != nil: // powerOff has decided what is kept
+		return errPowerLost
+	case plan.corrupt && p.machine.corrupt:
+		return fmt.Errorf("%w: something acknowledged is gone", storage.ErrCorrupt)
+	case plan.fails && !plan.kept:
+		return errNoSpace
 	}
-	*l.p = next
-	if fails {
-		return errDisk
+	*p.disk = next
+	if plan.fails {
+		return errNoSpace
 	}
 	return nil
 }
--- a/controlplane/coresim_faults_test.go
+++ b/controlplane/coresim_faults_test.go
@@ -9,58 +9,52 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// tend looks at all members, and has one whose store was found corrupt begin anew.
-func (w *coreWorld) tend() {
-	for _, m := range w.machines {
-		w.mu.Lock()
-		l := m.life
-		w.mu.Unlock()
-		if l == nil {
+// superviseMembers checks what all members have applied, and starts one whose store was found
+// corrupt anew.
+func (c *faultyCluster) superviseMembers() {
+	for _, m := range c.machines {
+		var p *memberProcess
+		c.locked(func() { p = m.process })
+		if p == nil {
 			continue
 		}
-		w.look(l)
+		c.checkApplied(p)
 		select {
-		case <-l.ended:
-			if !errors.Is(l.err, storage.ErrCorrupt) {
-				w.fail("Run ends with %v, %s", l.err, l.core.host.stopReason)
-				return
-			}
-			w.powerOff(m)
-			w.mu.Lock()
-			if m.corrupt {
-				w.forget(m)
-			}
-			w.mu.Unlock()
-			w.start(m, false)
+		case <-p.ended:
 		default:
+			continue
+		}
+		if !errors.Is(p.err, storage.ErrCorrupt) {
+			c.fail("Run ends with %v, %s", p.err, p.core.host.stopReason)
+			return
 		}
+		c.powerOff(m)
+		c.locked(func() {
+			if m.corrupt {
+				c.loseDisk(m)
+			}
+		})
+		c.start(m, false)
 	}
 }
 
-// whole tells that all members are there and at one on who they are: a store can be lost.
-func (w *coreWorld) whole() bool {
-	var ids []raft.ID
-	var lives []*life
-	w.mu.Lock()
-	ok := true
-	for _, m := range w.machines {
-		ok = ok && m.life != nil && !m.corrupt && m.life.p == m.platter
-		ids, lives = append(ids, m.platter.id), append(lives, m.life)
-	}
-	for _, k := range w.links {
-		ok = ok && !k.cut
-	}
-	w.mu.Unlock()
+// canLoseDisk tells that all members run, are in touch, and agree on who they are and who
+// leads: one disk can be lost.
+func (c *faultyCluster) canLoseDisk() bool {
+	processes, ids, ok := c.healthyProcesses()
 	if !ok {
 		return false
 	}
 	var leader raft.ID
-	for _, l := range lives {
-		l.core.mu.Lock()
-		ms, of, changing := l.core.host.node.Members(), l.core.host.node.Leader(), l.core.host.node.MembershipChangePending()
-		l.core.mu.Unlock()
-		if of == 0 || leader != 0 && of != leader || changing || len(ms) != len(w.machines) ||
-			slices.ContainsFunc(ms, func(x raft.Member) bool { return !x.Voter || !slices.Contains(ids, x.ID) }) {
+	for _, p := range processes {
+		p.core.mu.Lock()
+		members, of := p.core.host.node.Members(), p.core.host.node.Leader()
+		changing := p.core.host.node.MembershipChangePending()
+		p.core.mu.Unlock()
+		if of == 0 || leader != 0 && of != leader || changing || len(members) != len(c.machines) {
+			return false
+		}
+		if slices.ContainsFunc(members, func(m raft.Member) bool { return !m.Voter || !slices.Contains(ids, m.ID) }) {
 			return false
 		}
 		leader = of
@@ -68,81 +62,116 @@
 	return true
 }
 
-// strike has something happen.
-func (w *coreWorld) strike() {
-	rng := w.rng
-	one := w.machines[rng.IntN(len(w.machines))]
+// healthyProcesses returns the members and their ids. ok is false where a machine is off or
+// has lost its disk, or a link is cut.
+func (c *faultyCluster) healthyProcesses() (processes []*memberProcess, ids []raft.ID, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, m := range c.machines {
+		if m.process == nil || m.corrupt || m.process.disk != m.disk {
+			return nil, nil, false
+		}
+		processes, ids = append(processes, m.process), append(ids, m.disk.id)
+	}
+	for _, link := range c.links {
+		if link.cut {
+			return nil, nil, false
+		}
+	}
+	return processes, ids, true
+}
+
+// injectFault has one thing happen.
+func (c *faultyCluster) injectFault() {
+	rng := c.rng
+	one := c.machines[rng.IntN(len(c.machines))]
 	until := time.Now().Add(time.Duration(200+rng.IntN(3000)) * time.Millisecond)
-	kind, some, coin := rng.IntN(20), rng.Perm(len(w.machines))[:len(w.machines)/2+1], rng.IntN(3)
-	set := func(f func()) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		f()
+	event := rng.IntN(20)
+	majority := rng.Perm(len(c.machines))[:len(c.machines)/2+1]
+	way := rng.IntN(3)
+	switch {
+	case event <= 1:
+		c.awaitWrite(one)
+		c.powerOff(one)
+	case event == 2:
+		c.powerOff(one)
+	case event <= 4:
+		// One after the other, the last one drawn first.
+		for _, i := range slices.Backward(majority) {
+			c.powerOff(c.machines[i])
+		}
+	case event <= 6:
+		c.powerOff(c.machines...)
+	case event == 7:
+		c.locked(func() { c.failAllAtNext = true })
+	case event <= 13:
+		c.locked(func() { c.injectLinkFault(event, one, majority, way) })
+	case event <= 15:
+		c.locked(func() { one.failsUntil = until })
+	case event == 16:
+		c.locked(func() { one.slowUntil = until })
+	case c.canLoseDisk():
+		c.injectDiskLoss(event, one)
+	}
+}
+
+// awaitWrite waits for a write of a machine, if there is one soon.
+func (c *faultyCluster) awaitWrite(m *faultyMachine) {
+	for range 100 {
+		writes := false
+		c.locked(func() { writes = m.process != nil && m.process.unsynced != nil })
+		if writes {
+			return
+		}
+		time.Sleep(time.Millisecond)
 	}
-	switch kind {
-	case 0, 1: // in the middle of a write, where there is one soon
-		for range 100 {
-			writes := false
-			set(func() { writes = one.life != nil && one.life.pending != nil })
-			if writes {
-				break
+}
+
+// injectLinkFault cuts, slows or repairs links. Called under the mutex.
+func (c *faultyCluster) injectLinkFault(event int, one *faultyMachine, majority []int, way int) {
+	switch {
+	case event == 8:
+		c.partition(majority)
+	case event <= 10: // one machine is cut off, or what it sends alone, or what it is sent
+		for _, other := range c.machines {
+			if other != one {
+				c.links[addrPair{one.addr, other.addr}].cut = way != 0
+				c.links[addrPair{other.addr, one.addr}].cut = way != 1
 			}
-			time.Sleep(time.Millisecond)
 		}
-		w.powerOff(one)
-	case 2:
-		w.powerOff(one)
-	case 3, 4:
-		for _, i := range some {
-			defer w.powerOff(w.machines[i])
+	case event <= 12:
+		c.repairLinks()
+	default:
+		for _, other := range c.machines {
+			c.links[addrPair{one.addr, other.addr}].slow = 250 * time.Millisecond
 		}
-	case 5, 6:
-		w.powerOff(w.machines...)
-	case 7:
-		set(func() { w.trap = true })
-	case 8: // the core falls in two
-		set(func() {
-			for i, a := range w.machines {
-				for j, b := range w.machines {
-					if slices.Contains(some, i) != slices.Contains(some, j) {
-						w.links[[2]string{a.addr, b.addr}].cut = true
-					}
-				}
-			}
-		})
-	case 9, 10: // one machine is cut off, or its words alone, or what it hears
-		set(func() {
-			for _, o := range w.machines {
-				if o != one {
-					w.links[[2]string{one.addr, o.addr}].cut = coin != 0
-					w.links[[2]string{o.addr, one.addr}].cut = coin != 1
-				}
-			}
-		})
-	case 11, 12:
-		set(func() {
-			for _, k := range w.links {
-				k.cut, k.slow = false, 0
-			}
-		})
-	case 13:
-		set(func() {
-			for _, o := range w.machines {
-				w.links[[2]string{one.addr, o.addr}].slow = 250 * time.Millisecond
+	}
+}
+
+// partition cuts a majority off from the others.
+func (c *faultyCluster) partition(majority []int) {
+	for i, a := range c.machines {
+		for j, b := range c.machines {
+			if slices.Contains(majority, i) != slices.Contains(majority, j) {
+				c.links[addrPair{a.addr, b.addr}].cut = true
 			}
-		})
-	case 14, 15:
-		set(func() { one.fails = until })
-	case 16:
-		set(func() { one.slow = until })
-	case 17, 18:
-		if w.whole() {
-			w.powerOff(one)
-			set(func() { w.forget(one) })
-		}
-	case 19:
-		if w.whole() {
-			set(func() { one.corrupt = true })
 		}
 	}
 }
+
+// repairLinks ends all faults of links. Called under the mutex.
+func (c *faultyCluster) repairLinks() {
+	for _, link := range c.links {
+		link.cut, link.slow = false, 0
+	}
+}
+
+// injectDiskLoss has a machine lose its disk, or find it corrupt at the next write.
+func (c *faultyCluster) injectDiskLoss(event int, m *faultyMachine) {
+	if event == 19 {
+		c.locked(func() { m.corrupt = true })
+		return
+	}
+	c.powerOff(m)
+	c.locked(func() { c.loseDisk(m) })
+}
--- a/controlplane/coresim_network_test.go
+++ b/controlplane/coresim_network_test.go
@@ -10,40 +10,50 @@
 	"example.org/elmspan/api"
 )
 
-// carryCall is on the way of each call that the member makes.
-func (l *life) carryCall(ctx context.Context, method string, q, r any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-	to := strings.TrimPrefix(conn.Target(), "passthrough:///")
-	if d, ok := q.(*api.DeliverRequest); ok {
-		l.leave(d)
+// interceptCall carries each call that a member makes over the links, there and back, and
+// checks the messages in it.
+func (p *memberProcess) interceptCall(
+	ctx context.Context,
+	method string,
+	request, response any,
+	conn *grpc.ClientConn,
+	invoke grpc.UnaryInvoker,
+	opts ...grpc.CallOption,
+) error {
+	from, to := p.machine.addr, strings.TrimPrefix(conn.Target(), "passthrough:///")
+	if d, ok := request.(*api.DeliverRequest); ok {
+		p.checkMessages(d)
 	}
-	if err := l.w.pass(ctx, l, l.m.addr, to); err != nil {
+	if err := p.transmit(ctx, addrPair{from, to}); err != nil {
 		return err
 	}
-	if err := invoke(ctx, method, q, r, conn, opts...); err != nil {
+	if err := invoke(ctx, method, request, response, conn, opts...); err != nil {
 		return err
 	}
-	return l.w.pass(ctx, l, to, l.m.addr)
+	return p.transmit(ctx, addrPair{to, from})
 }
 
-// pass carries something one way: it takes a while, or it is lost and the caller gives up.
-func (w *coreWorld) pass(ctx context.Context, l *life, from, to string) error {
-	w.mu.Lock()
-	link := w.links[[2]string{from, to}]
-	cut, wait := link.cut, time.Duration(0)
-	if link.slow > 0 {
-		wait = time.Duration(link.rng.Int64N(int64(link.slow)))
-	}
-	w.mu.Unlock()
-	if cut || l.ctx.Err() != nil {
+// transmit carries something one way: it takes a while, or it is lost and the caller gives up.
+func (p *memberProcess) transmit(ctx context.Context, way addrPair) error {
+	cut, delay := false, time.Duration(0)
+	p.cluster.locked(func() {
+		link := p.cluster.links[way]
+		cut = link.cut
+		if link.slow > 0 {
+			delay = time.Duration(link.rng.Int64N(int64(link.slow)))
+		}
+	})
+	if cut || p.ctx.Err() != nil {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if wait > 0 {
-		select {
-		case <-time.After(wait):
-		case <-ctx.Done():
-			return ctx.Err()
-		}
+	if delay == 0 {
+		return nil
+	}
+	select {
+	case <-time.After(delay):
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
 	}
-	return nil
 }
--- a/controlplane/coresim_operators_test.go
+++ b/controlplane/coresim_operators_test.go
@@ -13,125 +13,187 @@
 	"example.org/elmspan/api"
 )
 
-// operate makes one call after the other, each until it is answered clearly.
-func (w *coreWorld) operate(id int) {
-	rng := rand.New(rand.NewPCG(w.seed, uint64(500+id)))
-	newest, learn := uint64(0), true
+// runOperator makes one call after the other, each until it is answered clearly.
+func (c *faultyCluster) runOperator(id int) {
+	rng := rand.New(rand.NewPCG(c.seed, uint64(500+id)))
+	newest, mustRead := uint64(0), true
 	for n := 0; ; n++ {
 		time.Sleep(time.Duration(20+rng.IntN(400)) * time.Millisecond)
-		in := input{get: learn || rng.IntN(4) == 0, base: newest, revision: newest + 1 + rng.Uint64N(3)}
+		call := input{
+			get:      mustRead || rng.IntN(4) == 0,
+			base:     newest,
+			revision: newest + 1 + rng.Uint64N(3),
+		}
 		if rng.IntN(30) == 0 && newest > 0 {
-			in.revision = newest // never valid
+			call.revision = newest // never valid
 		}
-		w.mu.Lock()
-		over := w.calm || w.fault != nil
-		w.mu.Unlock()
-		if over {
+		done := false
+		c.locked(func() { done = c.calm || c.failure != nil })
+		if done {
 			return
 		}
-		out, _ := w.bring(id, rng, in, fmt.Sprint("operator-", id, "-", n))
-		if learn = out.status == http.StatusPreconditionFailed; out.status == http.StatusOK {
-			newest = out.revision
+		result, _ := c.submit(id, rng, call, fmt.Sprint("operator-", id, "-", n))
+		mustRead = result.status == http.StatusPreconditionFailed
+		if result.status == http.StatusOK {
+			newest = result.revision
 		}
 	}
 }
 
-// bring makes a call, with a configuration of its own, and notes what came of it.
-func (w *coreWorld) bring(id int, rng *rand.Rand, in input, name string) (out output, answered bool) {
+// submittedCall is a call and what was known when it was made.
+type submittedCall struct {
+	client       int
+	in           input
+	at           int64
+	acknowledged uint64 // the highest revision
+}
+
+// submit makes a call, with a configuration of its own, and records its result. answered is
+// false where no member had one.
+func (c *faultyCluster) submit(client int, rng *rand.Rand, in input, name string) (result output, answered bool) {
+	config := &api.Config{
+		Revision:  in.revision,
+		Upstreams: []api.Upstream{{Name: name}},
+	}
 	var err error
-	if in.config, err = cbor.Marshal(&api.Config{Revision: in.revision, Upstreams: []api.Upstream{{Name: name}}}); err != nil {
-		w.fail("%v", err)
-		return out, false
+	if in.config, err = cbor.Marshal(config); err != nil {
+		c.fail("%v", err)
+		return result, false
 	}
 	in.print = fingerprintOf(in.config)
-	w.mu.Lock()
-	if !in.get {
-		w.orders[in.print] = in
-	}
-	w.clock++
-	call, floor := w.clock, w.acked
-	w.seen.calls++
-	w.mu.Unlock()
-	out, answered = w.ask(rng, in)
-	w.end(id, call, floor, in, out, answered)
-	return out, answered
+	call := submittedCall{client: client, in: in}
+	c.locked(func() {
+		if !in.get {
+			c.commands[in.print] = in
+		}
+		c.clock++
+		call.at, call.acknowledged = c.clock, c.acknowledged
+		c.counts.calls++
+	})
+	result, answered = c.callUntilAnswered(rng, in)
+	c.record(call, result, answered)
+	return result, answered
 }
 
-// ask sends a call to one member after the other, unchanged, until one answers.
-func (w *coreWorld) ask(rng *rand.Rand, in input) (out output, answered bool) {
-	at := rng.IntN(len(w.machines))
+// callUntilAnswered sends a call to one member after the other, unchanged, until one answers.
+func (c *faultyCluster) callUntilAnswered(rng *rand.Rand, in input) (result output, answered bool) {
+	at := rng.IntN(len(c.machines))
 	for range 400 {
-		w.mu.Lock()
-		l, over := w.machines[at].life, w.fault != nil
-		w.mu.Unlock()
-		if over {
-			return out, false
+		var p *memberProcess
+		failed := false
+		c.locked(func() { p, failed = c.machines[at].process, c.failure != nil })
+		if failed {
+			return result, false
 		}
-		r := &api.ControlResponse{}
-		if l != nil {
-			ctx, cancel := context.WithTimeout(l.ctx, time.Duration(200+rng.IntN(1500))*time.Millisecond)
-			var err error
-			if in.get {
-				r, err = l.core.Get(ctx, &api.GetRequest{})
-			} else {
-				r, err = l.core.Replace(ctx, &api.ReplaceRequest{Base: in.base, Config: in.config})
-			}
-			cancel()
-			if err != nil {
-				w.fail("a call: %v", err)
-				return out, false
-			}
-			if l.ctx.Err() != nil {
-				r = &api.ControlResponse{} // it died with the answer
-			}
-		}
-		if r.Status != 0 && r.Status != http.StatusServiceUnavailable && rng.IntN(12) > 0 { // else: the answer is lost
-			out = output{status: r.Status, revision: in.revision, print: in.print}
-			if in.get && r.Status == http.StatusOK {
-				c, err := api.ParseConfig(r.Config)
-				if err != nil {
-					w.fail("what is read back: %v", err)
-					return out, false
-				}
-				out.revision, out.print = c.Revision, fingerprintOf(r.Config)
-			}
-			return out, true
+		response, err := p.call(rng, in)
+		if err != nil {
+			c.fail("a call: %v", err)
+			return result, false
 		}
-		at = rng.IntN(len(w.machines))
-		for i, m := range w.machines {
-			if r.Leader == m.addr && rng.IntN(4) > 0 {
-				at = i
+		unanswered := response.Status == 0 || response.Status == http.StatusServiceUnavailable
+		if !unanswered && rng.IntN(12) > 0 { // else the answer is lost
+			result, err = resultOf(in, response)
+			if err != nil {
+				c.fail("what is read back: %v", err)
 			}
+			return result, err == nil
 		}
+		at = c.nextMachine(rng, response.Leader)
 		time.Sleep(time.Duration(1+rng.IntN(60)) * time.Millisecond)
 	}
-	return out, false
+	return result, false
 }
 
-// end notes what came of a call.
-func (w *coreWorld) end(id int, call int64, floor uint64, in input, out output, answered bool) {
-	w.mu.Lock()
-	w.clock++
-	op := porcupine.Operation{ClientId: id, Input: in, Call: call, Output: out, Return: w.clock}
-	var struck []*coreMachine
-	switch {
-	case !answered && in.get: // says nothing
-		w.mu.Unlock()
+// call makes a call to a member. Without one, or one that loses power, the response is empty.
+func (p *memberProcess) call(rng *rand.Rand, in input) (*api.ControlResponse, error) {
+	if p == nil {
+		return &api.ControlResponse{}, nil
+	}
+	ctx, cancel := context.WithTimeout(p.ctx, time.Duration(200+rng.IntN(1500))*time.Millisecond)
+	defer cancel()
+	var response *api.ControlResponse
+	var err error
+	if in.get {
+		response, err = p.core.Get(ctx, &api.GetRequest{})
+	} else {
+		response, err = p.core.Replace(ctx, &api.ReplaceRequest{Base: in.base, Config: in.config})
+	}
+	if err != nil {
+		return nil, err
+	}
+	if p.ctx.Err() != nil { // it lost power with the answer
+		return &api.ControlResponse{}, nil
+	}
+	return response, nil
+}
+
+// resultOf is the output of a call that was answered.
+func resultOf(in input, response *api.ControlResponse) (output, error) {
+	result := output{status: response.Status, revision: in.revision, print: in.print}
+	if !in.get || response.Status != http.StatusOK {
+		return result, nil
+	}
+	config, err := api.ParseConfig(response.Config)
+	if err != nil {
+		return output{}, err
+	}
+	result.revision, result.print = config.Revision, fingerprintOf(response.Config)
+	return result, nil
+}
+
+// nextMachine is the machine to call next: mostly the one that is said to lead.
+func (c *faultyCluster) nextMachine(rng *rand.Rand, leader string) int {
+	at := rng.IntN(len(c.machines))
+	for i, m := range c.machines {
+		if leader == m.addr && rng.IntN(4) > 0 {
+			at = i
+		}
+	}
+	return at
+}
+
+// record adds a call to the history. At an acknowledgement all may lose power.
+func (c *faultyCluster) record(call submittedCall, result output, answered bool) {
+	in := call.in
+	if !answered && in.get { // says nothing
+		c.locked(func() { c.clock++ })
 		return
-	case !answered:
-		op.ClientId, op.Return = 1000+len(w.history), openEnd
-	case in.get && (out.status != http.StatusOK && floor > 0 || out.status == http.StatusOK && out.revision < floor):
-		w.failed("a read is answered %d, revision %d, after %d was acknowledged", out.status, out.revision, floor)
-	case in.get:
-	case out.status == http.StatusOK:
-		w.acked = max(w.acked, in.revision)
-		if w.trap {
-			w.trap, struck = false, w.machines
+	}
+	var losePower []*faultyMachine
+	c.locked(func() {
+		c.clock++
+		op := porcupine.Operation{
+			ClientId: call.client,
+			Input:    in,
+			Call:     call.at,
+			Output:   result,
+			Return:   c.clock,
 		}
-	default:
-		w.refused[in.print] = true
+		switch {
+		case !answered:
+			op.ClientId, op.Return = 1000+len(c.history), openEnd
+		case in.get:
+			c.checkRead(call, result)
+		case result.status == http.StatusOK:
+			c.acknowledged = max(c.acknowledged, in.revision)
+			if c.failAllAtNext {
+				c.failAllAtNext, losePower = false, c.machines
+			}
+		default:
+			c.refused[in.print] = true
+		}
+		c.history = append(c.history, op)
+	})
+	c.powerOff(losePower...)
+}
+
+// checkRead checks that a read is not older than what was acknowledged before it. Called under
+// the mutex.
+func (c *faultyCluster) checkRead(call submittedCall, result output) {
+	outdated := result.status == http.StatusOK && result.revision < call.acknowledged
+	missing := result.status != http.StatusOK && call.acknowledged > 0
+	if outdated || missing {
+		c.failLocked("a read is answered %d, revision %d, after %d was acknowledged",
+			result.status, result.revision, call.acknowledged)
 	}
-	w.history = append(w.history, op)
-	w.mu.Unlock()
-	w.powerOff(struck...)
 }
--- a/controlplane/export.go
+++ b/controlplane/export.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"errors"
 	"fmt"
 	"hash/crc32"
 
@@ -19,10 +18,6 @@
 	exportHeaderSize = len(exportMagic) + crc32.Size
 )
 
-// ErrInvalidExport tells that a file is no export, not a complete one, or holds a state that
-// no control plane can have.
-var ErrInvalidExport = errors.New("controlplane: not a complete export of a state")
-
 // Export encodes a state as an export.
 func Export(s *State) ([]byte, error) {
 	body, err := cbor.Marshal(s)
--- a/controlplane/linksim_test.go
+++ b/controlplane/linksim_test.go
@@ -13,279 +13,388 @@
 	"example.org/elmspan/raft"
 )
 
-// linked is a core whose members are joined by links with a bandwidth and a delay: the
-// real nodes, the real lanes with their time-outs, and a clock of its own. What is put
-// on a link is carried in turn, whatever lane it is of.
-type linked struct {
-	t     *testing.T
-	rng   *rand.Rand
-	now   time.Duration
-	queue events
-	nodes map[raft.ID]*raft.Node
-	disks map[raft.ID]*raft.PersistentState
-	lanes map[way]*messageQueue
-	life  map[raft.ID]int
-	busy  map[[2]raft.ID]time.Duration // until when a link carries what was put on it
-	link  func(from, to raft.ID) (bytesPerS float64, delay time.Duration)
-	lossy float64 // share of requests and answers that a slow link loses
-	cut   map[raft.ID]bool
-	size  int // bytes of the state
-
-	asked    int // pre-votes sent: elections that somebody would have liked
-	snapshot int // installed
-	encoded  int
-	gap      time.Duration // the longest that a member heard nothing of a leader in these links
-	heard    map[raft.ID]time.Duration
+const (
+	mbit = 125_000 // bytes a second
+	// callOverhead is what a call and its answer take of a link each, beside what they carry.
+	callOverhead = 200
+	// messageOverhead is what a message takes of a call beside its entries or chunk.
+	messageOverhead = 100
+)
+
+// linkSim are members joined by links with a bandwidth and a delay: the real raft nodes, the
+// real send queues with their time-outs, and a clock of its own. What is put on a link is
+// carried in turn, whatever queue it is of.
+type linkSim struct {
+	t      *testing.T
+	rng    *rand.Rand
+	now    time.Duration
+	events eventQueue
+
+	nodes       map[raft.ID]*raft.Node
+	disks       map[raft.ID]*raft.PersistentState
+	incarnation map[raft.ID]int
+	stateSize   int // bytes
+
+	queues    map[queueID]*messageQueue
+	speed     func(from, to raft.ID) linkSpeed
+	busyUntil map[link]time.Duration // when a link has carried what was put on it
+	lossRate  float64                // of calls and answers on links of 1 Mbit/s or less
+	cut       map[raft.ID]bool
+
+	preVotes    int // sent: elections that a member would have liked
+	installed   int // snapshots
+	encoded     int // snapshots
+	lastContact map[raft.ID]time.Duration
+	longestGap  time.Duration // in which a member got nothing from a leader in these links
+}
+
+// linkSpeed is how fast one direction of a link is.
+type linkSpeed struct {
+	bytesPerSecond float64
+	delay          time.Duration
 }
 
-// way is one lane from one member to another.
-type way struct {
+// queueID is one send queue from one member to another.
+type queueID struct {
 	from raft.ID
 	queueKey
 }
 
+// event is something that happens at a time.
 type event struct {
-	at   time.Duration
-	turn int
-	do   func()
+	at    time.Duration
+	order int // of events at the same time
+	do    func()
 }
 
-type events struct {
-	list []event
-	turn int
+// eventQueue is a heap of events.
+type eventQueue struct {
+	list  []event
+	added int
 }
 
-func (e *events) Len() int { return len(e.list) }
-func (e *events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e.list[i].at, e.list[j].at), cmp.Compare(e.list[i].turn, e.list[j].turn)) < 0
+func (q *eventQueue) Len() int { return len(q.list) }
+
+func (q *eventQueue) Less(i, j int) bool {
+	a, b := &q.list[i], &q.list[j]
+	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order)) < 0
 }
-func (e *events) Swap(i, j int) { e.list[i], e.list[j] = e.list[j], e.list[i] }
-func (e *events) Push(x any)    { e.list = append(e.list, x.(event)) }
-func (e *events) Pop() any {
-	x := e.list[len(e.list)-1]
-	e.list = e.list[:len(e.list)-1]
+
+func (q *eventQueue) Swap(i, j int) { q.list[i], q.list[j] = q.list[j], q.list[i] }
+
+func (q *eventQueue) Push(x any) { q.list = append(q.list, x.(event)) }
+
+func (q *eventQueue) Pop() any {
+	last := len(q.list) - 1
+	x := q.list[last]
+	q.list = q.list[:last]
 	return x
 }
 
-func newLinked(t *testing.T, seed uint64, size int) *linked {
-	w := &linked{t: t, rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[raft.ID]*raft.Node{}, disks: map[raft.ID]*raft.PersistentState{},
-		lanes: map[way]*messageQueue{}, busy: map[[2]raft.ID]time.Duration{}, cut: map[raft.ID]bool{}, size: size,
-		life: map[raft.ID]int{}, heard: map[raft.ID]time.Duration{},
-		link: func(_, _ raft.ID) (float64, time.Duration) { return 12.5e6, time.Millisecond }}
+// newLinkSim has three voters on disks, none of which runs, and fast links.
+func newLinkSim(t *testing.T, seed uint64, stateSize int) *linkSim {
+	t.Helper()
+	s := &linkSim{
+		t:           t,
+		rng:         rand.New(rand.NewPCG(seed, 3)),
+		nodes:       map[raft.ID]*raft.Node{},
+		disks:       map[raft.ID]*raft.PersistentState{},
+		incarnation: map[raft.ID]int{},
+		stateSize:   stateSize,
+		queues:      map[queueID]*messageQueue{},
+		speed:       sameSpeed(100*mbit, time.Millisecond),
+		busyUntil:   map[link]time.Duration{},
+		cut:         map[raft.ID]bool{},
+		lastContact: map[raft.ID]time.Duration{},
+	}
 	var first raft.Snapshot
-	for i := range coreSize {
+	for i := range simVoters {
 		first.Members = append(first.Members, raft.Member{ID: raft.ID(i + 1), Voter: true})
 	}
 	for _, m := range first.Members {
-		w.disks[m.ID] = &raft.PersistentState{Snapshot: first}
+		s.disks[m.ID] = &raft.PersistentState{Snapshot: first}
 	}
-	return w
+	return s
 }
 
-func (w *linked) after(d time.Duration, do func()) {
-	w.queue.turn++
-	heap.Push(&w.queue, event{w.now + d, w.queue.turn, do})
+// sameSpeed is the speed of all links.
+func sameSpeed(bytesPerSecond float64, delay time.Duration) func(_, _ raft.ID) linkSpeed {
+	return func(_, _ raft.ID) linkSpeed { return linkSpeed{bytesPerSecond, delay} }
 }
 
-func (w *linked) run(d time.Duration) {
-	end := w.now + d
-	for len(w.queue.list) > 0 && w.queue.list[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+// after has something happen after a while.
+func (s *linkSim) after(d time.Duration, do func()) {
+	s.events.added++
+	heap.Push(&s.events, event{at: s.now + d, order: s.events.added, do: do})
+}
+
+// run has time pass.
+func (s *linkSim) run(d time.Duration) {
+	end := s.now + d
+	for len(s.events.list) > 0 && s.events.list[0].at <= end {
+		e := heap.Pop(&s.events).(event)
+		s.now = e.at
 		e.do()
 	}
-	w.now = end
+	s.now = end
 }
 
-// until runs until something is so, and tells how long that took.
-func (w *linked) until(what string, most time.Duration, is func() bool) time.Duration {
-	w.t.Helper()
-	begun := w.now
-	for !is() {
-		if w.now-begun >= most {
-			w.t.Fatalf("%s: not within %v", what, most)
+// waitUntil runs until a condition holds, and tells how long that took.
+func (s *linkSim) waitUntil(what string, limit time.Duration, condition func() bool) time.Duration {
+	s.t.Helper()
+	began := s.now
+	for !condition() {
+		if s.now-began >= limit {
+			s.t.Fatalf("%s: not within %v", what, limit)
 		}
-		w.run(5 * time.Millisecond)
+		s.run(5 * time.Millisecond)
 	}
-	return w.now - begun
+	return s.now - began
 }
 
-func (w *linked) start(id raft.ID) {
-	if w.nodes[id] != nil {
+// start starts a member from its disk, unless it runs.
+func (s *linkSim) start(id raft.ID) {
+	if s.nodes[id] != nil {
 		return
 	}
-	w.life[id]++
-	life, d := w.life[id], *w.disks[id]
-	d.Entries = slices.Clone(d.Entries)
-	w.nodes[id] = raft.New(raft.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.rng.Uint64()}, d)
-	w.heard[id] = w.now
+	s.incarnation[id]++
+	incarnation, stored := s.incarnation[id], *s.disks[id]
+	stored.Entries = slices.Clone(stored.Entries)
+	s.nodes[id] = raft.New(raft.Config{
+		ID:             id,
+		ElectionTicks:  electionTicks,
+		HeartbeatTicks: heartbeatTicks,
+		Seed:           s.rng.Uint64(),
+	}, stored)
+	s.lastContact[id] = s.now
 	var tick func()
 	tick = func() {
-		if w.life[id] != life || w.nodes[id] == nil {
+		if s.incarnation[id] != incarnation || s.nodes[id] == nil {
 			return
 		}
-		w.nodes[id].Tick()
-		w.carry(id)
-		w.after(tickInterval, tick)
+		s.nodes[id].Tick()
+		s.handleReady(id)
+		s.after(tickInterval, tick)
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(tickInterval))), tick)
+	s.after(time.Duration(s.rng.Int64N(int64(tickInterval))), tick)
 }
 
-// end has a process end with all that it had in hand; its disk stays.
-func (w *linked) end(id raft.ID) {
-	delete(w.nodes, id)
-	for k := range w.lanes {
-		if k.from == id {
-			delete(w.lanes, k)
+func (s *linkSim) startAll() {
+	for id := range raft.ID(simVoters) {
+		s.start(id + 1)
+	}
+}
+
+// stop ends a member with all that it had to send; its disk stays.
+func (s *linkSim) stop(id raft.ID) {
+	delete(s.nodes, id)
+	for queue := range s.queues {
+		if queue.from == id {
+			delete(s.queues, queue)
 		}
 	}
 }
 
-// stamped is the state at an index.
-func (w *linked) stamped(index uint64) []byte {
-	data := make([]byte, w.size)
+// stateAt is the state at an index of the log.
+func (s *linkSim) stateAt(index uint64) []byte {
+	data := make([]byte, s.stateSize)
 	binary.BigEndian.PutUint64(data, index)
-	binary.BigEndian.PutUint64(data[w.size-8:], index)
+	binary.BigEndian.PutUint64(data[s.stateSize-8:], index)
 	return data
 }
 
-// carry is the host of a member, as [Core] is.
-func (w *linked) carry(id raft.ID) {
-	n, d := w.nodes[id], w.disks[id]
-	for r := n.Ready(); !r.Empty(); r = n.Ready() {
-		if r.HardState != nil {
-			d.HardState = *r.HardState
-		}
-		if s := r.Snapshot; s != nil {
-			if !bytes.Equal(s.Data, w.stamped(s.Index)) {
-				w.t.Fatalf("%d installs what is not the state at %d", id, s.Index)
-			}
-			w.snapshot++
-			d.Snapshot, d.Entries = *s, nil
-		}
-		if len(r.Entries) > 0 {
-			d.Entries = append(slices.Clip(d.Entries[:r.Entries[0].Index-d.Snapshot.Index-1]), r.Entries...)
-		}
+// handleReady has a member persist, send and apply what is ready, as [Core] does.
+func (s *linkSim) handleReady(id raft.ID) {
+	node, disk := s.nodes[id], s.disks[id]
+	for r := node.Ready(); !r.Empty(); r = node.Ready() {
+		s.save(id, &r)
 		for _, m := range r.Messages {
-			w.send(m)
+			s.send(m)
 		}
-		n.Advance(r)
+		node.Advance(r)
+	}
+	if !node.SnapshotDue() {
+		return
 	}
-	if n.SnapshotDue() {
-		w.encoded++
-		if s := n.Compact(n.AppliedIndex(), w.stamped(n.AppliedIndex())); s != nil {
-			d.Entries = slices.Clone(d.Entries[s.Index-d.Snapshot.Index:])
-			d.Snapshot = *s
+	s.encoded++
+	applied := node.AppliedIndex()
+	if snapshot := node.Compact(applied, s.stateAt(applied)); snapshot != nil {
+		disk.Entries = slices.Clone(disk.Entries[snapshot.Index-disk.Snapshot.Index:])
+		disk.Snapshot = *snapshot
+	}
+}
+
+// save stores a batch. A snapshot must be the state at its index.
+func (s *linkSim) save(id raft.ID, r *raft.Ready) {
+	disk := s.disks[id]
+	if r.HardState != nil {
+		disk.HardState = *r.HardState
+	}
+	if snapshot := r.Snapshot; snapshot != nil {
+		if !bytes.Equal(snapshot.Data, s.stateAt(snapshot.Index)) {
+			s.t.Fatalf("%d installs what is not the state at %d", id, snapshot.Index)
 		}
+		s.installed++
+		disk.Snapshot, disk.Entries = *snapshot, nil
+	}
+	if len(r.Entries) > 0 {
+		keep := r.Entries[0].Index - disk.Snapshot.Index - 1
+		disk.Entries = append(slices.Clip(disk.Entries[:keep]), r.Entries...)
 	}
 }
 
-func (w *linked) send(m raft.Message) {
+// send puts a message into its queue.
+func (s *linkSim) send(m raft.Message) {
 	if m.Kind == raft.PreVoteRequest {
-		w.asked++
+		s.preVotes++
+	}
+	id := queueID{m.From, queueKey{m.To, m.IsBulk()}}
+	queue := s.queues[id]
+	if queue == nil {
+		queue = &messageQueue{bulk: id.bulk}
+		s.queues[id] = queue
+	}
+	queue.put(m)
+	s.beginCall(id, queue)
+}
+
+// simCall is one call of a send queue. A large one goes in chunks, each after the answer to
+// the one before, as [transport.send] has it.
+type simCall struct {
+	sim      *linkSim
+	queue    *messageQueue
+	id       queueID
+	messages []raft.Message
+	left     int // bytes that were not sent yet
+	chunks   int // that were sent
+	ended    bool
+}
+
+// beginCall begins the next call of a queue, if none is in flight.
+func (s *linkSim) beginCall(id queueID, queue *messageQueue) {
+	messages := slices.Clone(queue.take())
+	if len(messages) == 0 {
+		return
 	}
-	k := way{m.From, queueKey{m.To, m.IsBulk()}}
-	q := w.lanes[k]
-	if q == nil {
-		q = &messageQueue{bulk: k.bulk}
-		w.lanes[k] = q
+	c := &simCall{
+		sim:      s,
+		queue:    queue,
+		id:       id,
+		messages: messages,
+		left:     payloadBytes(messages) + messageOverhead*len(messages),
 	}
-	q.put(m)
-	w.call(k, q)
+	c.sendChunk()
 }
 
-// call begins the next call of a lane, if none is out.
-func (w *linked) call(k way, q *messageQueue) {
-	ms := slices.Clone(q.take())
-	if len(ms) == 0 {
+// sendChunk sends the next chunk.
+func (c *simCall) sendChunk() {
+	if c.ended {
 		return
 	}
-	left, over := payloadBytes(ms)+100*len(ms), false
-	finish := func(arrived bool) {
-		if over || w.lanes[k] != q {
-			return
+	size := min(c.left, max(chunkBytes, messageOverhead*len(c.messages)))
+	c.left -= size
+	last := c.left == 0
+	c.chunks++
+	chunk := c.chunks
+	c.sim.after(callTimeoutFor(size), func() {
+		if chunk == c.chunks { // no answer has come
+			c.end(false)
 		}
-		over = true
-		q.done()
-		if n := w.nodes[k.from]; !arrived && k.bulk && n != nil {
-			n.ReportSendFailure(k.to)
-		}
-		w.call(k, q)
+	})
+	c.sim.transmit(link{c.id.from, c.id.to}, callOverhead+size, func() { c.arrive(last) })
+}
+
+// arrive has a chunk arrive. With the last one the messages are stepped.
+func (c *simCall) arrive(last bool) {
+	s, to := c.sim, c.id.to
+	node := s.nodes[to]
+	if node == nil {
+		return
 	}
-	var part func()
-	arrive := func(last bool) {
-		n := w.nodes[k.to]
-		if n == nil {
-			return
-		}
-		if !last { // the next one, when this one is answered
-			w.put(k.to, k.from, 200, part)
-			return
-		}
-		for _, m := range ms {
-			if m.Kind == raft.AppendEntries || m.Kind == raft.SnapshotChunk {
-				w.gap = max(w.gap, w.now-w.heard[k.to])
-				w.heard[k.to] = w.now
-			}
-			n.Step(m)
-		}
-		w.carry(k.to)
-		w.put(k.to, k.from, 200, func() { finish(true) })
+	back := link{to, c.id.from}
+	if !last {
+		s.transmit(back, callOverhead, c.sendChunk)
+		return
 	}
-	calls := 0
-	part = func() { // as [Core.send] has it
-		if over {
-			return
+	for _, m := range c.messages {
+		if m.Kind == raft.AppendEntries || m.Kind == raft.SnapshotChunk {
+			s.longestGap = max(s.longestGap, s.now-s.lastContact[to])
+			s.lastContact[to] = s.now
 		}
-		size := min(left, max(chunkBytes, 100*len(ms)))
-		left -= size
-		last := left == 0
-		calls++
-		this := calls
-		w.after(callTimeoutFor(size), func() {
-			if this == calls {
-				finish(false)
-			}
-		})
-		w.put(k.from, k.to, 200+size, func() { arrive(last) })
+		node.Step(m)
+	}
+	s.handleReady(to)
+	s.transmit(back, callOverhead, func() { c.end(true) })
+}
+
+// end ends a call, and begins the next one.
+func (c *simCall) end(answered bool) {
+	s := c.sim
+	if c.ended || s.queues[c.id] != c.queue {
+		return
+	}
+	c.ended = true
+	c.queue.done()
+	if node := s.nodes[c.id.from]; !answered && c.id.bulk && node != nil {
+		node.ReportSendFailure(c.id.to)
 	}
-	part()
+	s.beginCall(c.id, c.queue)
 }
 
-// put has a link carry so many bytes after those before them.
-func (w *linked) put(from, to raft.ID, size int, do func()) {
-	speed, delay := w.link(from, to)
-	if w.cut[from] || w.cut[to] || speed <= mbit && w.rng.Float64() < w.lossy {
+// transmit has a link carry so many bytes after those before them.
+func (s *linkSim) transmit(way link, size int, arrived func()) {
+	speed := s.speed(way[0], way[1])
+	if s.cut[way[0]] || s.cut[way[1]] {
 		return
 	}
-	pair := [2]raft.ID{from, to}
-	w.busy[pair] = max(w.now, w.busy[pair]) + time.Duration(float64(size)/speed*float64(time.Second))
-	w.after(w.busy[pair]+delay-w.now, do)
+	if speed.bytesPerSecond <= mbit && s.rng.Float64() < s.lossRate {
+		return
+	}
+	takes := time.Duration(float64(size) / speed.bytesPerSecond * float64(time.Second))
+	s.busyUntil[way] = max(s.now, s.busyUntil[way]) + takes
+	s.after(s.busyUntil[way]+speed.delay-s.now, arrived)
 }
 
-func (w *linked) leader() *raft.Node {
-	for id := range raft.ID(coreSize) {
-		if n := w.nodes[id+1]; n != nil && n.HasCommittedInTerm() {
+// leader is a member that has committed in its term as a leader, nil for none.
+func (s *linkSim) leader() *raft.Node {
+	for id := range raft.ID(simVoters) {
+		if n := s.nodes[id+1]; n != nil && n.HasCommittedInTerm() {
 			return n
 		}
 	}
 	return nil
 }
 
-// together tells that all live members have applied all that is agreed.
-func (w *linked) together() bool {
-	l := w.leader()
-	for _, n := range w.nodes {
-		if l == nil || n.AppliedIndex() != l.CommitIndex() || n.Leader() != l.Leader() {
+// awaitLeader runs until there is a leader.
+func (s *linkSim) awaitLeader() {
+	s.t.Helper()
+	s.waitUntil("a leader", 3*time.Second, func() bool { return s.leader() != nil })
+}
+
+// converged tells that all members that run have applied all that is committed.
+func (s *linkSim) converged() bool {
+	leader := s.leader()
+	for _, n := range s.nodes {
+		if leader == nil || n.AppliedIndex() != leader.CommitIndex() || n.Leader() != leader.Leader() {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *linked) propose(size int) {
-	if l := w.leader(); l != nil {
-		l.Propose(bytes.Repeat([]byte{'x'}, size))
-		w.carry(l.Leader())
+// propose has the leader, if there is one, propose an entry of so many bytes. Where it can't
+// be proposed, the commit index shows it.
+func (s *linkSim) propose(size int) {
+	if leader := s.leader(); leader != nil {
+		_, _, _ = leader.Propose(bytes.Repeat([]byte{'x'}, size))
+		s.handleReady(leader.Leader())
+	}
+}
+
+// proposeMany has so many entries proposed, one after the other.
+func (s *linkSim) proposeMany(n, size int) {
+	for range n {
+		s.propose(size)
+		s.run(10 * time.Millisecond)
 	}
 }
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -3,175 +3,205 @@
 import (
 	"fmt"
 	"net/http"
+	"slices"
 	"testing"
 
 	"example.org/elmspan/api"
 	"example.org/elmspan/raft"
 )
 
-// order is a call that replaces the configuration.
-func order(t *testing.T, base, revision uint64, config string) *pendingCall {
+// replaceCall is a call that replaces the configuration.
+func replaceCall(base, revision uint64, config string) *pendingCall {
+	return newPendingCall(&input{
+		base:     base,
+		revision: revision,
+		print:    fingerprintOf([]byte(config)),
+		config:   []byte(config),
+	})
+}
+
+// quietSim is a simulation without clients in which no fault happens by itself. A test steps it.
+type quietSim struct {
+	*registerSim
+	t *testing.T
+}
+
+func newQuietSim(t *testing.T, seed uint64) *quietSim {
 	t.Helper()
-	data, err := encodeReplaceCommand(base, revision, []byte(config))
-	if err != nil {
-		t.Fatal(err)
+	config := simConfig{machines: simVoters, remembered: maxAppliedRevisions}
+	s := &quietSim{newRegisterSim(seed, config, ""), t}
+	s.calm = true
+	return s
+}
+
+// await steps until a condition holds.
+func (s *quietSim) await(what string, condition func() bool) {
+	s.t.Helper()
+	if err := s.until(condition); err != nil {
+		s.t.Fatalf("%s: %v", what, err)
 	}
-	return &pendingCall{configChange: configChange{base: base, revision: revision, content: fingerprintOf([]byte(config)), entry: data}}
 }
 
-// calmWorld is a world without clients in which nothing happens by itself.
-func calmWorld(seed uint64) *world {
-	w := newWorld(seed, shape{machines: coreSize, remembered: maxAppliedRevisions}, "")
-	w.calm = true
-	return w
+func (s *quietSim) awaitLeader() raft.ID {
+	s.t.Helper()
+	s.await("a leader", func() bool { return s.leader() != 0 })
+	return s.leader()
 }
 
-func (w *world) until(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for range settleIn {
-		if ok() {
-			return
+// awaitOtherLeader is the leader of those who are not cut off.
+func (s *quietSim) awaitOtherLeader(cutOff raft.ID) raft.ID {
+	s.t.Helper()
+	leader := raft.ID(0)
+	s.await("another leader", func() bool {
+		i := slices.IndexFunc(s.slots, func(id raft.ID) bool { return id != cutOff && s.members[id].leads() })
+		if i >= 0 {
+			leader = s.slots[i]
 		}
-		w.step()
-	}
-	t.Fatalf("not within %d steps: %s", settleIn, what)
+		return i >= 0
+	})
+	return leader
 }
 
-// ends has a call end at a member, and returns its status.
-func (w *world) ends(t *testing.T, at raft.ID, p *pendingCall) (r api.ControlResponse) {
-	t.Helper()
-	w.until(t, "the call's end", func() (done bool) {
-		r, done = w.drive(at, p)
+// callUntilDone has a call end at a member, and returns its result.
+func (s *quietSim) callUntilDone(at raft.ID, p *pendingCall) api.ControlResponse {
+	s.t.Helper()
+	var result api.ControlResponse
+	s.await("the call's end", func() bool {
+		var done bool
+		result, done = s.drive(at, p)
 		return done
 	})
-	return r
+	return result
 }
 
-// others is the leader of those who are not cut off.
-func (w *world) others(t *testing.T, off raft.ID) (at raft.ID) {
-	t.Helper()
-	w.until(t, "another leader", func() bool {
-		for _, id := range w.slots {
-			if n := w.members[id].node; id != off && n.Role() == raft.Leader && n.HasCommittedInTerm() {
-				at = id
-			}
-		}
-		return at != 0
-	})
-	return at
+// requireStatus requires that a call ends with a status.
+func (s *quietSim) requireStatus(at raft.ID, p *pendingCall, want int) {
+	s.t.Helper()
+	if r := s.callUntilDone(at, p); r.Status != want {
+		s.t.Errorf("get %t, revision %d on %d: %+v, want %d", p.get, p.revision, p.base, r, want)
+	}
 }
 
-// A leader that is cut off for 20 s, both ways or one way, answers nothing from
-// what it knew: no read, no refusal, no confirmation, neither of what is new nor
-// of what it had taken itself. Once it is back all have their answers, and what
-// the others took meanwhile is in force. (Told by the users: it went on handing
-// out an old configuration, or refused orders, or confirmed them.)
-func TestCutOffLeaderSaysNothing(t *testing.T) {
-	for seed := range uint64(20) {
-		for _, way := range []struct {
-			name        string
-			says, hears bool
-		}{{"both ways", true, true}, {"what it says", true, false}, {"what it hears", false, true}} {
-			w := calmWorld(seed)
-			w.until(t, "a leader", func() bool { return w.leader() != 0 })
-			off := w.leader()
-			first := order(t, 0, 5, "first")
-			if r := w.ends(t, off, first); r.Status != http.StatusOK {
-				t.Fatalf("the first: %+v", r)
-			}
-			w.isolate(off, way.says, way.hears)
-			calls := []*pendingCall{{get: true}, order(t, 0, 5, "first"), order(t, 0, 7, "lost"), order(t, 5, 4, "invalid"), order(t, 5, 6, "mine")}
-			var second *pendingCall
-			for step := range longCut {
-				w.step()
-				for i, p := range calls {
-					r, done := w.drive(off, p)
-					if done && r.Status != 0 {
-						t.Fatalf("seed %d, %s, step %d: call %d is answered %+v", seed, way.name, step, i, r)
-					}
-					if done && r.Status == 0 { // asked again
-						calls[i] = &pendingCall{get: p.get, configChange: p.configChange}
-					}
-				}
-				if second == nil && step > longCut/2 {
-					l := w.others(t, off)
-					base := w.members[l].state.Revision
-					second = order(t, base, 9, "theirs")
-					if r := w.ends(t, l, second); r.Status != http.StatusOK {
-						t.Fatalf("seed %d, %s: the others answer %+v", seed, way.name, r)
-					}
-				}
-			}
-			clear(w.deaf)
-			w.until(t, "all at one", func() bool { return w.leader() != 0 && w.level() })
-			l := w.leader()
-			for _, c := range []struct {
-				p    *pendingCall
-				want int
-			}{{order(t, 0, 5, "first"), 200}, {order(t, 0, 7, "lost"), 412}, {order(t, second.base, 9, "theirs"), 200}, {&pendingCall{get: true}, 200}} {
-				if r := w.ends(t, l, c.p); r.Status != c.want {
-					t.Errorf("seed %d, %s: in the end %+v, want %d", seed, way.name, r, c.want)
-				}
-			}
-			if got := w.members[l].state.Revision; got != 9 {
-				t.Errorf("seed %d, %s: revision %d in the end", seed, way.name, got)
-			}
-			if w.torn != nil {
-				t.Error(w.torn)
+// requireProposed requires that a member proposes a call, and has no result yet.
+func (s *quietSim) requireProposed(m *simMember, p *pendingCall) {
+	s.t.Helper()
+	if m.advance(m.node, p).done || p.index == 0 {
+		s.t.Fatalf("not proposed: %+v", p)
+	}
+}
+
+// A leader that is cut off for 20 s, both ways or one way, answers nothing from what it knew:
+// no read, no refusal, no confirmation, neither of what is new nor of what it had applied
+// itself. Once it is back all have their results, and what the others applied meanwhile is in
+// force. (Reported by the users: it went on answering with an old configuration, or refused
+// commands, or confirmed them.)
+func TestCutOffLeaderAnswersNothing(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		from, to bool
+	}{
+		{"both ways", true, true},
+		{"what it sends", true, false},
+		{"what it is sent", false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for seed := range uint64(20) {
+				t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+					requireSilenceWhileCutOff(t, seed, c.from, c.to)
+				})
 			}
-		}
+		})
 	}
 }
 
-// An order whose answer was lost is sent again to another member while its first
-// entry is still on its way: it is in the log twice, with another change between,
-// and is acknowledged.
-func TestOrderTwiceInTheLog(t *testing.T) {
-	w := calmWorld(1)
-	w.until(t, "a leader", func() bool { return w.leader() != 0 })
-	l := w.leader()
-	a, again, b, late := order(t, 0, 2, "a"), order(t, 0, 2, "a"), order(t, 2, 4, "b"), order(t, 0, 3, "c")
-	m := w.members[l]
-	for _, p := range []*pendingCall{a, late, again} { // none is agreed on yet
-		if m.advance(m.node, p).done || p.index == 0 {
-			t.Fatalf("not proposed: %+v", p)
-		}
+func requireSilenceWhileCutOff(t *testing.T, seed uint64, from, to bool) {
+	t.Helper()
+	s := newQuietSim(t, seed)
+	cutOff := s.awaitLeader()
+	s.requireStatus(cutOff, replaceCall(0, 5, "first"), http.StatusOK)
+	s.isolate(cutOff, from, to)
+	calls := []*pendingCall{
+		{get: true},
+		replaceCall(0, 5, "first"),
+		replaceCall(0, 7, "lost"),
+		replaceCall(5, 4, "invalid"),
+		replaceCall(5, 6, "mine"),
 	}
-	m.drop(a) // its caller is gone
-	for _, c := range []struct {
-		p    *pendingCall
-		want int
-	}{{again, http.StatusOK}, {late, http.StatusPreconditionFailed}, {b, http.StatusOK}, {order(t, 0, 2, "a"), http.StatusOK}, {order(t, 2, 4, "other"), http.StatusPreconditionFailed}} {
-		if r := w.ends(t, l, c.p); r.Status != c.want {
-			t.Errorf("revision %d on %d: %+v, want %d", c.p.revision, c.p.base, r, c.want)
+	var second *pendingCall
+	for step := range longCut {
+		s.step()
+		s.requireNoResults(cutOff, calls)
+		if second == nil && step > longCut/2 {
+			leader := s.awaitOtherLeader(cutOff)
+			second = replaceCall(s.members[leader].state.Revision, 9, "theirs")
+			s.requireStatus(leader, second, http.StatusOK)
 		}
 	}
-	if got := fmt.Sprint(m.state.Revisions()); got != "[2 4]" {
-		t.Errorf("taken: %s", got)
+	clear(s.blocked)
+	s.await("convergence", func() bool { return s.leader() != 0 && s.converged() })
+	leader := s.leader()
+	s.requireStatus(leader, replaceCall(0, 5, "first"), http.StatusOK)
+	s.requireStatus(leader, replaceCall(0, 7, "lost"), http.StatusPreconditionFailed)
+	s.requireStatus(leader, replaceCall(second.base, 9, "theirs"), http.StatusOK)
+	s.requireStatus(leader, &pendingCall{get: true}, http.StatusOK)
+	if got := s.members[leader].state.Revision; got != 9 {
+		t.Errorf("revision %d in the end", got)
+	}
+	if s.diverged != nil {
+		t.Error(s.diverged)
 	}
 }
 
-// The place of an entry that was given up is taken by another one's: who waited
-// for the first is told at once that there is no telling, and when he goes nobody
-// waits for the second in vain.
-func TestPlaceTakenByAnother(t *testing.T) {
-	w := calmWorld(1)
-	w.until(t, "a leader", func() bool { return w.leader() != 0 })
-	l := w.leader()
-	m := w.members[l]
-	first, second := order(t, 0, 2, "first"), order(t, 0, 3, "second")
-	if m.advance(m.node, first).done || first.index == 0 {
-		t.Fatal("not proposed")
+// requireNoResults has a member go on with calls, none of which may have a result. A call that
+// ends without one is made again.
+func (s *quietSim) requireNoResults(at raft.ID, calls []*pendingCall) {
+	s.t.Helper()
+	for i, p := range calls {
+		r, done := s.drive(at, p)
+		if done && r.Status != 0 {
+			s.t.Fatalf("step %d: call %d is answered %+v", s.now, i, r)
+		}
+		if done {
+			calls[i] = &pendingCall{get: p.get, configChange: p.configChange}
+		}
 	}
-	m.calls[m.node.LastIndex()+1] = first // as after the log behind it was cut off
-	if m.advance(m.node, second).done || second.index == 0 {
-		t.Fatal("not proposed")
+}
+
+// A command whose answer was lost is sent again while its first entry is still on its way: it
+// is in the log twice, with another change between, and is acknowledged.
+func TestCommandTwiceInTheLogIsAcknowledged(t *testing.T) {
+	s := newQuietSim(t, 1)
+	leader := s.awaitLeader()
+	m := s.members[leader]
+	first, again, late := replaceCall(0, 2, "a"), replaceCall(0, 2, "a"), replaceCall(0, 3, "c")
+	for _, p := range []*pendingCall{first, late, again} { // none is committed yet
+		s.requireProposed(m, p)
 	}
+	m.drop(first) // its caller is gone
+	s.requireStatus(leader, again, http.StatusOK)
+	s.requireStatus(leader, late, http.StatusPreconditionFailed)
+	s.requireStatus(leader, replaceCall(2, 4, "b"), http.StatusOK)
+	s.requireStatus(leader, replaceCall(0, 2, "a"), http.StatusOK)
+	s.requireStatus(leader, replaceCall(2, 4, "other"), http.StatusPreconditionFailed)
+	if got := m.state.Revisions(); !slices.Equal(got, []uint64{2, 4}) {
+		t.Errorf("revisions %v", got)
+	}
+}
+
+// The index of an entry that was truncated is taken by that of another call: the first call
+// ends at once without a result, and when its caller goes the second is still answered.
+func TestIndexTakenByAnotherEntryEndsTheCall(t *testing.T) {
+	s := newQuietSim(t, 1)
+	leader := s.awaitLeader()
+	m := s.members[leader]
+	first, second := replaceCall(0, 2, "first"), replaceCall(0, 3, "second")
+	s.requireProposed(m, first)
+	m.calls[m.node.LastIndex()+1] = first // as after its entry was truncated
+	s.requireProposed(m, second)
 	if progress := m.advance(m.node, first); !progress.done || progress.result.Status != 0 {
-		t.Errorf("the first is told %+v, %t", progress.result, progress.done)
+		t.Errorf("the first: %+v", progress)
 	}
 	m.drop(first)
-	if r := w.ends(t, l, second); r.Status != http.StatusPreconditionFailed { // the first's entry was agreed on before it
-		t.Errorf("the second is told %+v", r)
-	}
+	// The first one's entry is committed before it all the same.
+	s.requireStatus(leader, second, http.StatusPreconditionFailed)
 }
--- a/controlplane/replacement_sim_test.go
+++ b/controlplane/replacement_sim_test.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -10,60 +11,70 @@
 )
 
 const (
-	syncTicks   = 80  // after so long a machine that is back is whole again
-	mostSilence = 100 // without anything agreed on
+	repairTicks     = 80  // a machine that is back for so long counts as repaired
+	maxTicksWithout = 100 // a commit
+	killTicks       = 50  // a machine that is told to leave is killed after so long
+	neverRepaired   = 1 << 40
 )
 
-// site is a core on machines that are lost one after another, the next one as soon
-// as the one before is whole again. The members and the policy are the real ones, a step
-// is a tick.
-type site struct {
+// replacementSim are members on machines that are lost one after another, the next one as soon
+// as the one before is repaired. The raft nodes and the policy are the real ones, a step is a
+// tick.
+type replacementSim struct {
+	seed     uint64
 	rng      *rand.Rand
-	machines []*machine
-	net      []raft.Message
-	agreed   map[uint64]string
-	wanted   int
-	next     raft.ID
 	now      int
-	value    int
-	last     int    // step at which something was agreed on
-	fault    string // what is done as it once was
-	changes  int    // of members, agreed on
-	silence  int    // the longest time without anything agreed on
-	seed     uint64
-	bad      error
-	story    []string
-	see      func([]raft.Member) // of each agreed change
-	mixed    bool                // some machines are of an older version
-	hard     bool                // it is the leader each time, for good, and its successor is there at once
+	machines []*simMachine
+	net      []raft.Message
+	nextID   raft.ID // of the next member with an empty disk
+	voters   int     // wanted
+
+	formerPolicy   bool // voters are replaced as they once were, see replaceInTwoSteps
+	alwaysLeader   bool // it is the leader that is lost, for good, and its successor is there at once
+	mixedVersions  bool // some machines don't support joint changes
+	observeChanges func([]raft.Member)
+
+	committed   map[uint64]string // by index
+	lastCommit  int               // step
+	longestGap  int               // without a commit, in steps
+	changes     int               // of members, committed
+	nextPayload int
+	losses      []string
+	failure     error
 }
 
-// machine is one disk, and the process on it.
-type machine struct {
-	id       raft.ID
-	addr     string
-	disk     raft.PersistentState
-	node     *raft.Node // nil: down
-	policy   memberPolicy
-	cut      bool
-	ledSince int
-	older    bool // doesn't understand joint changes
-	leaving  bool
-	until    int // when it is killed, leaving or not
-
-	back      func() // makes it whole again
-	backAt    int
+// simMachine is one disk, and the member on it.
+type simMachine struct {
+	id           raft.ID
+	addr         string
+	disk         raft.PersistentState
+	node         *raft.Node // nil: down
+	policy       memberPolicy
+	cut          bool
+	notLeaderAt  int  // the last step at which it didn't lead
+	withoutJoint bool // its version doesn't support joint changes
+	leaving      bool
+	killAt       int // when it is killed, leaving or not
+
+	repair    func()
+	repairAt  int
 	lostUntil int
 }
 
-func newSite(seed uint64, voters, standBy int, fault string) *site {
-	s := &site{rng: rand.New(rand.NewPCG(seed, 3)), agreed: map[uint64]string{}, wanted: voters, next: 100, fault: fault, seed: seed}
+func newReplacementSim(seed uint64, voters, standbys int) *replacementSim {
+	s := &replacementSim{
+		seed:      seed,
+		rng:       rand.New(rand.NewPCG(seed, 3)),
+		nextID:    100,
+		voters:    voters,
+		committed: map[uint64]string{},
+	}
 	var first []raft.Member
 	for i := range voters {
 		first = append(first, raft.Member{ID: raft.ID(i + 1), Addr: fmt.Sprint("a", i), Voter: true})
 	}
-	for i := range voters + standBy {
-		m := &machine{id: raft.ID(i + 1), addr: fmt.Sprint("a", i)}
+	for i := range voters + standbys {
+		m := &simMachine{id: raft.ID(i + 1), addr: fmt.Sprint("a", i)}
 		if i < voters {
 			m.disk.Snapshot.Members = first
 		}
@@ -73,71 +84,97 @@
 	return s
 }
 
-func (s *site) start(m *machine) {
+func (s *replacementSim) start(m *simMachine) {
 	m.leaving, m.cut = false, false
-	m.policy = memberPolicy{voters: s.wanted, ticks: s.now}
+	m.policy = memberPolicy{voters: s.voters, ticks: s.now}
 	m.disk.Entries = slices.Clone(m.disk.Entries)
-	m.node = raft.New(raft.Config{ID: m.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: s.rng.Uint64()}, m.disk)
+	m.node = raft.New(raft.Config{
+		ID:             m.id,
+		ElectionTicks:  electionTicks,
+		HeartbeatTicks: heartbeatTicks,
+		Seed:           s.rng.Uint64(),
+	}, m.disk)
 }
 
-// empty has a machine start with nothing on its disk.
-func (s *site) empty(m *machine) {
-	s.next++
-	m.id, m.disk = s.next, raft.PersistentState{}
+// startEmpty has a machine start with nothing on its disk.
+func (s *replacementSim) startEmpty(m *simMachine) {
+	s.nextID++
+	m.id, m.disk = s.nextID, raft.PersistentState{}
 	s.start(m)
 }
 
-func (s *site) fail(format string, args ...any) {
-	if s.bad == nil {
-		s.bad = fmt.Errorf("seed %d, step %d: %s", s.seed, s.now, fmt.Sprintf(format, args...))
+func (s *replacementSim) fail(format string, args ...any) {
+	if s.failure == nil {
+		s.failure = fmt.Errorf("seed %d, step %d: %s", s.seed, s.now, fmt.Sprintf(format, args...))
 	}
 }
 
-func (s *site) carry(m *machine) {
+// handleReady has a machine persist, send and apply what is ready.
+func (s *replacementSim) handleReady(m *simMachine) {
 	for r := m.node.Ready(); !r.Empty(); r = m.node.Ready() {
-		if r.HardState != nil {
-			m.disk.HardState = *r.HardState
-		}
-		if r.Snapshot != nil {
-			m.disk.Snapshot, m.disk.Entries = *r.Snapshot, nil
-		}
-		if len(r.Entries) > 0 {
-			keep := r.Entries[0].Index - m.disk.Snapshot.Index - 1
-			m.disk.Entries = append(slices.Clip(m.disk.Entries[:keep]), r.Entries...)
-		}
+		m.save(&r)
 		for _, msg := range r.Messages {
-			msg.SupportsJoint = msg.SupportsJoint && !m.older
+			msg.SupportsJoint = msg.SupportsJoint && !m.withoutJoint
 			s.net = append(s.net, msg)
 		}
-		for _, e := range r.CommittedEntries {
-			text := fmt.Sprint(e.Term, " ", string(e.Data))
-			if had, is := s.agreed[e.Index]; is && had != text {
-				s.fail("place %d held %q and now %q at %d", e.Index, had, text, m.id)
-			} else if !is {
-				s.agreed[e.Index], s.last = text, s.now
-				if e.Members != nil {
-					s.changes++
-					if s.see != nil {
-						s.see(e.Members)
-					}
-					if k := voterCount(e.Members); k != s.wanted && s.fault == "" && !s.mixed {
-						s.fail("%d voters", k)
-					}
-				}
-			}
+		for i := range r.CommittedEntries {
+			s.commit(m, &r.CommittedEntries[i])
 		}
 		m.node.Advance(r)
 	}
-	if a := m.node.AppliedIndex(); a >= m.node.SnapshotIndex()+16 {
-		if c := m.node.Compact(a, []byte("s")); c != nil {
-			m.disk.Entries = slices.Clone(m.disk.Entries[c.Index-m.disk.Snapshot.Index:])
-			m.disk.Snapshot = *c
+	m.compact()
+}
+
+// save stores a batch.
+func (m *simMachine) save(r *raft.Ready) {
+	if r.HardState != nil {
+		m.disk.HardState = *r.HardState
+	}
+	if r.Snapshot != nil {
+		m.disk.Snapshot, m.disk.Entries = *r.Snapshot, nil
+	}
+	if len(r.Entries) > 0 {
+		keep := r.Entries[0].Index - m.disk.Snapshot.Index - 1
+		m.disk.Entries = append(slices.Clip(m.disk.Entries[:keep]), r.Entries...)
+	}
+}
+
+// compact makes a snapshot where one is due.
+func (m *simMachine) compact() {
+	applied := m.node.AppliedIndex()
+	if applied < m.node.SnapshotIndex()+snapshotEntries {
+		return
+	}
+	if snapshot := m.node.Compact(applied, []byte("s")); snapshot != nil {
+		m.disk.Entries = slices.Clone(m.disk.Entries[snapshot.Index-m.disk.Snapshot.Index:])
+		m.disk.Snapshot = *snapshot
+	}
+}
+
+// commit notes an entry that a machine applies, or requires that it is the one of before.
+func (s *replacementSim) commit(m *simMachine, e *raft.Entry) {
+	entry := fmt.Sprint(e.Term, " ", string(e.Data))
+	if had, known := s.committed[e.Index]; known {
+		if had != entry {
+			s.fail("index %d held %q and now %q at %d", e.Index, had, entry, m.id)
 		}
+		return
+	}
+	s.committed[e.Index], s.lastCommit = entry, s.now
+	if e.Members == nil {
+		return
+	}
+	s.changes++
+	if s.observeChanges != nil {
+		s.observeChanges(e.Members)
+	}
+	if n := voterCount(e.Members); n != s.voters && !s.formerPolicy && !s.mixedVersions {
+		s.fail("%d voters", n)
 	}
 }
 
-// leader is one that can agree on something, as far as it knows.
-func (s *site) leader() *machine {
+// leader is a machine that can commit, as far as it knows.
+func (s *replacementSim) leader() *simMachine {
 	for _, m := range s.machines {
 		if m.node != nil && !m.cut && m.node.HasCommittedInTerm() {
 			return m
@@ -146,73 +183,94 @@
 	return nil
 }
 
-func (s *site) step() {
+func (s *replacementSim) step() {
 	s.now++
 	for _, m := range s.machines {
-		if m.back != nil && s.now >= m.backAt {
-			m.back()
-			m.back = nil
-		}
-		if m.leaving {
-			s.end(m)
-		}
-		if m.node == nil {
-			continue
-		}
-		m.node.Tick()
-		m.policy.ticks = s.now
-		if m.node.Role() != raft.Leader {
-			m.ledSince = s.now
-		}
-		if s.fault == "two steps" || m.older {
-			if s.now%4 == 0 {
-				twoSteps(m.node, s.wanted, s.now-m.ledSince)
-			}
-		} else if _, next := m.policy.nextMembers(m.node); next != nil {
-			m.node.ProposeMembers(next)
-		}
-		if l := s.leader(); l != nil && l != m && !m.cut {
-			s.call(m, l)
-		}
-		s.carry(m)
+		s.stepMachine(m)
 	}
 	if l := s.leader(); l != nil && s.now%3 == 0 {
-		s.value++
-		l.node.Propose(fmt.Append(nil, s.value))
-		s.carry(l)
-	}
-	for range 2 { // two ways in the time of a tick
-		msgs := s.net
-		s.net = nil
-		for _, msg := range msgs {
-			from, to := s.by(msg.From), s.by(msg.To)
-			if from == nil || to == nil || from.cut || to.cut || to.node == nil || s.rng.IntN(50) == 0 {
-				continue
-			}
-			to.node.Step(msg)
-			s.carry(to)
+		s.nextPayload++
+		// Where it can't be proposed, the gap without a commit shows it.
+		_, _, _ = l.node.Propose(fmt.Append(nil, s.nextPayload))
+		s.handleReady(l)
+	}
+	for range 2 { // there and back in the time of a tick
+		s.deliver()
+	}
+	gap := s.now - s.lastCommit
+	s.longestGap = max(s.longestGap, gap)
+	if gap > maxTicksWithout {
+		s.fail("nothing was committed for %d steps", gap)
+	}
+}
+
+// stepMachine has a tick pass at a machine.
+func (s *replacementSim) stepMachine(m *simMachine) {
+	if m.repair != nil && s.now >= m.repairAt {
+		m.repair()
+		m.repair = nil
+	}
+	if m.leaving {
+		s.leave(m)
+	}
+	if m.node == nil {
+		return
+	}
+	m.node.Tick()
+	m.policy.ticks = s.now
+	if m.node.Role() != raft.Leader {
+		m.notLeaderAt = s.now
+	}
+	s.reconcileMembers(m)
+	if l := s.leader(); l != nil && l != m && !m.cut {
+		s.callLeader(m, l)
+	}
+	s.handleReady(m)
+}
+
+// reconcileMembers has a machine propose the members that there should be. A proposal is
+// refused where another change is pending; then the next step makes it again.
+func (s *replacementSim) reconcileMembers(m *simMachine) {
+	if s.formerPolicy || m.withoutJoint {
+		if s.now%4 == 0 {
+			replaceInTwoSteps(m.node, s.voters, s.now-m.notLeaderAt)
 		}
+		return
 	}
-	s.silence = max(s.silence, s.now-s.last)
-	if s.now-s.last > mostSilence {
-		s.fail("nothing was agreed on for %d steps", s.now-s.last)
+	if _, next := m.policy.nextMembers(m.node); next != nil {
+		_ = m.node.ProposeMembers(next)
+	}
+}
+
+// deliver delivers what was sent; one message in fifty is lost.
+func (s *replacementSim) deliver() {
+	messages := s.net
+	s.net = nil
+	for _, msg := range messages {
+		from, to := s.machine(msg.From), s.machine(msg.To)
+		if from == nil || to == nil || from.cut || to.cut || to.node == nil || s.rng.IntN(50) == 0 {
+			continue
+		}
+		to.node.Step(msg)
+		s.handleReady(to)
 	}
 }
 
-// call is what a member asks the leader by calls: to be taken in, or let go.
-func (s *site) call(m, l *machine) {
-	ms := l.node.Members()
-	known := slices.ContainsFunc(ms, func(x raft.Member) bool { return x.ID == m.id })
+// callLeader is what a member asks the leader for: to be taken in, or let go.
+func (s *replacementSim) callLeader(m, l *simMachine) {
+	members := l.node.Members()
+	known := slices.ContainsFunc(members, func(x raft.Member) bool { return x.ID == m.id })
 	switch {
-	case m.leaving && s.now%4 == 0 && s.fault != "two steps":
+	case m.leaving && s.now%4 == 0 && !s.formerPolicy:
 		l.policy.markLeaving(m.id)
 	case !known && s.now%8 == 0:
-		l.node.ProposeMembers(append(slices.Clone(ms), raft.Member{ID: m.id, Addr: m.addr, SupportsJoint: !m.older}))
-		s.carry(l)
+		joins := raft.Member{ID: m.id, Addr: m.addr, SupportsJoint: !m.withoutJoint}
+		_ = l.node.ProposeMembers(append(slices.Clone(members), joins)) // it asks again
+		s.handleReady(l)
 	}
 }
 
-func (s *site) by(id raft.ID) *machine {
+func (s *replacementSim) machine(id raft.ID) *simMachine {
 	for _, m := range s.machines {
 		if m.id == id {
 			return m
@@ -221,147 +279,194 @@
 	return nil
 }
 
-func (s *site) steps(n int) {
-	for i := 0; i < n && s.bad == nil; i++ {
+func (s *replacementSim) steps(n int) {
+	for i := 0; i < n && s.failure == nil; i++ {
 		s.step()
 	}
 }
 
-// lose has a machine lost in one of the ways in which they are. It is lost until it or
-// its successor has been back for so long that it counts as whole.
-func (s *site) lose(m *machine) {
-	ways := []string{"crash", "cut", "leave", "wiped", "replaced", "restart"}
-	how := ways[s.rng.IntN(len(ways))]
-	if s.hard {
-		how = "replaced"
-	}
-	s.story = append(s.story, fmt.Sprintf("%d: %s of %s", s.now, how, m.addr))
-	down, back := s.rng.IntN(200), func() { s.start(m) }
-	if s.hard {
+// lossKind is how a machine is lost.
+type lossKind string
+
+const (
+	lossCrash    lossKind = "crash"
+	lossCut      lossKind = "cut"
+	lossLeave    lossKind = "leave" // told to end, it has some time; it comes back with its disk
+	lossWiped    lossKind = "wiped"
+	lossReplaced lossKind = "replaced" // for good, by one at another address
+	lossRestart  lossKind = "restart"
+)
+
+var lossKinds = []lossKind{lossCrash, lossCut, lossLeave, lossWiped, lossReplaced, lossRestart}
+
+// lose has a machine lost. It is lost until it or its successor has been back for repairTicks.
+func (s *replacementSim) lose(m *simMachine) {
+	kind := lossKinds[s.rng.IntN(len(lossKinds))]
+	if s.alwaysLeader {
+		kind = lossReplaced
+	}
+	s.losses = append(s.losses, fmt.Sprintf("%d: %s of %s", s.now, kind, m.addr))
+	down := s.rng.IntN(200)
+	if s.alwaysLeader {
 		down = s.rng.IntN(10)
 	}
-	switch how {
-	case "cut":
+	switch kind {
+	case lossLeave:
+		m.leaving, m.killAt, m.lostUntil = true, s.now+killTicks, neverRepaired
+		return
+	case lossCut:
 		m.cut = true
-		back = func() { m.cut = false }
-	case "leave": // told to end, it has some time; it comes back with its disk
-		m.leaving, m.until, m.lostUntil = true, s.now+50, never
+		s.repairAfter(m, down, func() { m.cut = false })
 		return
-	case "restart":
+	case lossRestart:
 		down /= 10
-	case "wiped":
-		back = func() { s.empty(m) }
-	case "replaced": // for good, by one at another address
-		back = func() {
-			m.addr = fmt.Sprint("b", s.next)
-			s.empty(m)
-		}
-	}
-	if how != "cut" {
-		m.node = nil
 	}
-	s.back(m, down, back)
+	m.node = nil
+	s.repairAfter(m, down, func() { s.comeBack(m, kind) })
 }
 
-const never = 1 << 40
+// comeBack starts a machine that was lost, or its successor.
+func (s *replacementSim) comeBack(m *simMachine, kind lossKind) {
+	switch kind {
+	case lossReplaced:
+		m.addr = fmt.Sprint("b", s.nextID)
+		s.startEmpty(m)
+	case lossWiped:
+		s.startEmpty(m)
+	default:
+		s.start(m)
+	}
+}
 
-// back has something happen that makes a machine whole again.
-func (s *site) back(m *machine, after int, do func()) {
-	at := s.now + 1 + after
-	m.back, m.backAt, m.lostUntil = do, at, at+syncTicks
+// repairAfter has a machine come back after so many ticks.
+func (s *replacementSim) repairAfter(m *simMachine, ticks int, repair func()) {
+	at := s.now + 1 + ticks
+	m.repair, m.repairAt, m.lostUntil = repair, at, at+repairTicks
 }
 
-// end has a machine that is leaving do so once it may.
-func (s *site) end(m *machine) {
+// leave has a machine that is leaving end once it may, or when it is killed.
+func (s *replacementSim) leave(m *simMachine) {
 	if s.now%4 == 0 {
 		m.node.TransferLeadership()
 	}
-	if s.now >= m.until || s.fault == "" && !m.node.NeededForQuorum() {
+	if s.now >= m.killAt || !s.formerPolicy && !m.node.NeededForQuorum() {
 		m.node, m.leaving = nil, false
-		s.back(m, s.rng.IntN(100), func() { s.start(m) })
+		s.repairAfter(m, s.rng.IntN(100), func() { s.start(m) })
+	}
+}
+
+func (s *replacementSim) isLost(m *simMachine) bool { return m.lostUntil > s.now }
+
+func (s *replacementSim) lostMachines() int {
+	lost := 0
+	for _, m := range s.machines {
+		if s.isLost(m) {
+			lost++
+		}
 	}
+	return lost
 }
 
-// days are runs of losses, one as soon as one before is made good: so many at once.
-func (s *site) days(losses, atOnce int) error {
-	s.steps(syncTicks)
-	for losses > 0 && s.bad == nil {
+// run has so many losses happen, each as soon as one before is repaired: at most so many at
+// once. It returns the first broken rule.
+func (s *replacementSim) run(losses, atOnce int) error {
+	s.steps(repairTicks)
+	for losses > 0 && s.failure == nil {
 		s.step()
-		lost := 0
-		for _, m := range s.machines {
-			if m.lostUntil > s.now {
-				lost++
-			}
+		m := s.machines[s.rng.IntN(len(s.machines))]
+		if s.lostMachines() >= atOnce || s.isLost(m) || s.rng.IntN(3) == 0 {
+			continue
 		}
-		if m := s.machines[s.rng.IntN(len(s.machines))]; lost < atOnce && m.lostUntil <= s.now && s.rng.IntN(3) > 0 {
-			if l := s.leader(); l != nil && l.lostUntil <= s.now && (s.hard || s.rng.IntN(3) == 0) {
-				m = l // the one that knows most
-			}
-			s.lose(m)
-			losses--
+		if l := s.leader(); l != nil && !s.isLost(l) && (s.alwaysLeader || s.rng.IntN(3) == 0) {
+			m = l // the one that knows most
 		}
+		s.lose(m)
+		losses--
 	}
-	for s.bad == nil && slices.ContainsFunc(s.machines, func(m *machine) bool { return m.lostUntil > s.now }) {
+	for s.failure == nil && s.lostMachines() > 0 {
 		s.step()
 	}
-	if s.bad == nil {
-		highest := slices.Max(slices.Collect(maps.Keys(s.agreed)))
-		for _, m := range s.machines {
-			if m.node.AppliedIndex()+30 < highest {
-				s.fail("%d has %d places of %d", m.id, m.node.AppliedIndex(), highest)
-			}
-		}
-		older := slices.ContainsFunc(s.machines, func(m *machine) bool { return m.older }) // it may leave one voter more
-		if l := s.leader(); l == nil || !older && voterCount(l.node.Members()) != s.wanted {
-			s.fail("not %d voters", s.wanted)
-		} else if l.node.CommitIndex() < highest {
-			s.fail("the leader knows that %d places are agreed, %d were", l.node.CommitIndex(), highest)
-		}
+	if s.failure == nil {
+		s.checkRepaired()
 	}
-	if s.bad != nil {
-		return fmt.Errorf("%w, after %q", s.bad, s.story)
+	if s.failure != nil {
+		return fmt.Errorf("%w, after %q", s.failure, s.losses)
 	}
 	return nil
 }
 
-func voterCount(ms []raft.Member) (n int) {
-	for _, m := range ms {
+// checkRepaired checks that all machines have what was committed, and that there are as many
+// voters as are wanted.
+func (s *replacementSim) checkRepaired() {
+	highest := slices.Max(slices.Collect(maps.Keys(s.committed)))
+	for _, m := range s.machines {
+		if applied := m.node.AppliedIndex(); applied+30 < highest {
+			s.fail("%d has applied %d of %d entries", m.id, applied, highest)
+		}
+	}
+	// A machine without joint changes may leave one voter more.
+	anyNumber := slices.ContainsFunc(s.machines, func(m *simMachine) bool { return m.withoutJoint })
+	l := s.leader()
+	switch {
+	case l == nil || !anyNumber && voterCount(l.node.Members()) != s.voters:
+		s.fail("not %d voters", s.voters)
+	case l.node.CommitIndex() < highest:
+		s.fail("the leader knows that %d entries are committed, %d were", l.node.CommitIndex(), highest)
+	}
+}
+
+// awaitNewLeader steps until another machine than one leads.
+func (s *replacementSim) awaitNewLeader(former *simMachine) (*simMachine, error) {
+	for range maxTicksWithout + 1 {
+		if l := s.leader(); l != nil && l != former {
+			return l, nil
+		}
+		s.step()
+	}
+	return nil, errors.New("no new leader")
+}
+
+func voterCount(members []raft.Member) int {
+	voters := 0
+	for _, m := range members {
 		if m.Voter {
-			n++
+			voters++
 		}
 	}
-	return n
+	return voters
 }
 
-// twoSteps is how voters were replaced once: by one more and, 0.2 s later, one less;
-// silent ones after 3 s, as a leader counts them from its election on.
-func twoSteps(n *raft.Node, wanted, ledFor int) {
+// replaceInTwoSteps is how voters were replaced once: by one more and, 0.2 s later, one less;
+// silent ones after 3 s, as a leader counts them from its election on. Its proposals may be
+// refused; then it makes them again.
+func replaceInTwoSteps(n *raft.Node, wanted, ledFor int) {
 	if !n.HasCommittedInTerm() {
 		return
 	}
-	ms := n.Members()
-	ready, gone, voters := -1, -1, 0
-	for i, m := range ms {
-		after := slices.ContainsFunc(ms[i+1:], func(o raft.Member) bool { return o.Addr == m.Addr })
-		switch quiet := min(n.TicksSinceResponse(m.ID), ledFor); {
+	members := n.Members()
+	promote, demote, voters := -1, -1, 0
+	for i, m := range members {
+		replaced := slices.ContainsFunc(members[i+1:], func(o raft.Member) bool { return o.Addr == m.Addr })
+		switch silence := min(n.TicksSinceResponse(m.ID), ledFor); {
 		case m.Voter:
 			voters++
-			if after || quiet > 60 {
-				gone = i
+			if replaced || silence > 60 {
+				demote = i
 			}
-		case after || quiet > removeTicks:
-			n.ProposeMembers(slices.Delete(slices.Clone(ms), i, i+1))
+		case replaced || silence > removeTicks:
+			_ = n.ProposeMembers(slices.Delete(slices.Clone(members), i, i+1))
 			return
-		case quiet < electionTicks && n.CaughtUp(m.ID):
-			ready = i
+		case silence < electionTicks && n.CaughtUp(m.ID):
+			promote = i
 		}
 	}
-	next := slices.Clone(ms)
-	switch {
-	case ready >= 0 && (voters < wanted || voters == wanted && gone >= 0):
-		next[ready].Voter = true
-		n.ProposeMembers(next)
-	case gone >= 0 && voters > wanted:
-		n.ProposeMembers(slices.Delete(next, gone, gone+1))
+	next := slices.Clone(members)
+	if promote >= 0 && (voters < wanted || voters == wanted && demote >= 0) {
+		next[promote].Voter = true
+		_ = n.ProposeMembers(next)
+		return
+	}
+	if demote >= 0 && voters > wanted {
+		_ = n.ProposeMembers(slices.Delete(next, demote, demote+1))
 	}
 }
--- a/controlplane/restore.go
+++ b/controlplane/restore.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 
@@ -11,9 +10,6 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// ErrStoreNotEmpty tells that a state was to be restored into a store that has one.
-var ErrStoreNotEmpty = errors.New("controlplane: the store has a state already; a restore needs an empty folder")
-
 // Restore writes a state into an empty store: that of a first voter, whose log starts with
 // this state. All seeds must be restored from the same state, and the control plane that had
 // it before must be gone for good.
--- a/controlplane/sim_client_test.go
+++ b/controlplane/sim_client_test.go
@@ -11,17 +11,17 @@
 	"example.org/elmspan/raft"
 )
 
-// client makes one call after the other.
-type client struct {
-	id      int
-	seen    uint64 // the newest version that it knows
-	in      input
-	begun   int64
-	at      raft.ID
-	p       *pendingCall
-	patient int // steps until it asks another member
-	tries   int
-	busy    bool
+// simClient makes one call after the other.
+type simClient struct {
+	id       int
+	newest   uint64 // the newest revision that it knows
+	busy     bool
+	in       input // the call it makes
+	calledAt int64
+	member   raft.ID      // that is called
+	call     *pendingCall // at that member; nil: it calls none now
+	patience int          // steps until it calls another member
+	tries    int
 }
 
 // input and output are those of the register, for the checkers.
@@ -38,141 +38,168 @@
 	print    fingerprint
 }
 
-func (c *client) pending() *pendingCall {
-	p := &pendingCall{get: c.in.get, configChange: configChange{base: c.in.base, revision: c.in.revision, content: c.in.print}}
+// newPendingCall is a call as a member gets it.
+func newPendingCall(in *input) *pendingCall {
+	p := &pendingCall{get: in.get}
+	p.base, p.revision, p.content = in.base, in.revision, in.print
 	if !p.get {
 		var err error
-		if p.entry, err = encodeReplaceCommand(p.base, p.revision, c.in.config); err != nil {
+		if p.entry, err = encodeReplaceCommand(p.base, p.revision, in.config); err != nil {
 			panic(err)
 		}
 	}
 	return p
 }
 
-// ask has a client go on with its call, or begin one.
-func (w *world) ask(c *client) {
+// stepClient has a client go on with its call, or begin one.
+func (s *registerSim) stepClient(c *simClient) {
 	if !c.busy {
-		if w.calm || w.rng.IntN(6) > 0 {
+		if s.calm || s.rng.IntN(6) > 0 {
 			return
 		}
-		c.busy, c.begun, c.tries, c.p = true, w.tick(), 0, nil
-		c.in = input{get: w.rng.IntN(3) == 0, base: c.seen, revision: c.seen + 1 + w.rng.Uint64N(3)} // others pick the same numbers
-		if w.rng.IntN(30) == 0 {
-			c.in.revision = c.seen // never valid
-		}
-		c.in.config = fmt.Append(nil, c.in.revision, c.id, w.now)
-		c.in.print = fingerprintOf(c.in.config)
+		s.beginCall(c)
 	}
-	if c.p != nil {
-		if c.patient--; c.patient > 0 && w.members[c.at] != nil {
+	if c.call != nil {
+		c.patience--
+		if c.patience > 0 && s.members[c.member] != nil {
 			return
 		}
-		if m := w.members[c.at]; m != nil {
-			m.drop(c.p)
+		if m := s.members[c.member]; m != nil {
+			m.drop(c.call)
 		}
-		c.p = nil // no clear answer here
+		c.call = nil // no clear answer here
 	}
-	if c.tries++; c.tries > mostTries {
-		w.end(c, output{}, true)
+	c.tries++
+	if c.tries > maxCallTries {
+		s.end(c, output{}, true)
 		return
 	}
-	if w.rng.IntN(3) > 0 {
+	if s.rng.IntN(3) > 0 {
 		return
 	}
-	c.at, c.patient = w.slots[w.rng.IntN(len(w.slots))], 10+w.rng.IntN(30)
-	c.p = c.pending()
+	c.member, c.patience = s.slots[s.rng.IntN(len(s.slots))], 10+s.rng.IntN(30)
+	c.call = newPendingCall(&c.in)
+}
+
+// beginCall draws a client's next call. Other clients pick the same revisions.
+func (s *registerSim) beginCall(c *simClient) {
+	c.busy, c.calledAt, c.tries, c.call = true, s.tick(), 0, nil
+	c.in = input{
+		get:      s.rng.IntN(3) == 0,
+		base:     c.newest,
+		revision: c.newest + 1 + s.rng.Uint64N(3),
+	}
+	if s.rng.IntN(30) == 0 {
+		c.in.revision = c.newest // never valid
+	}
+	c.in.config = fmt.Append(nil, c.in.revision, c.id, s.now)
+	c.in.print = fingerprintOf(c.in.config)
 }
 
 // answer has a member go on with the calls that are at it.
-func (w *world) answer(id raft.ID) {
-	m := w.members[id]
-	if m == nil || w.frozen[id] > 0 {
+func (s *registerSim) answer(id raft.ID) {
+	m := s.members[id]
+	if m == nil || s.frozen[id] > 0 {
 		return
 	}
-	for _, c := range w.clients {
-		if !c.busy || c.p == nil || c.at != id {
+	for _, c := range s.clients {
+		if !c.busy || c.call == nil || c.member != id {
 			continue
 		}
-		r, done := w.drive(id, c.p)
-		if w.members[id] != m {
+		r, done := s.drive(id, c.call)
+		if s.members[id] != m { // it lost power
 			return
 		}
-		if !done {
-			continue
+		if done {
+			s.receive(c, &r, m)
 		}
-		if r.Status == 0 || r.Status == http.StatusServiceUnavailable {
-			c.p = nil
-			continue
-		}
-		if w.rng.IntN(12) == 0 {
-			c.p = nil // the answer is lost: the call is sent again unchanged
-			if w.losses && w.rng.IntN(3) == 0 {
-				c.tries = -w.rng.IntN(600) // ... for as long as it takes, and others go on meanwhile
-			}
-			continue
-		}
-		out := output{status: r.Status, revision: m.state.Revision}
-		if k := len(m.state.Applied); k > 0 {
-			out.print = m.state.Applied[k-1].fingerprint
+	}
+}
+
+// receive has a client get a member's answer. One in twelve is lost.
+func (s *registerSim) receive(c *simClient, r *api.ControlResponse, m *simMember) {
+	if r.Status == 0 || r.Status == http.StatusServiceUnavailable {
+		c.call = nil
+		return
+	}
+	if s.rng.IntN(12) == 0 {
+		c.call = nil // the call is sent again unchanged
+		if s.losses && s.rng.IntN(3) == 0 {
+			c.tries = -s.rng.IntN(600) // ... for as long as it takes, and others go on meanwhile
 		}
-		w.end(c, out, false)
+		return
+	}
+	out := output{status: r.Status, revision: m.state.Revision}
+	if n := len(m.state.Applied); n > 0 {
+		out.print = m.state.Applied[n-1].fingerprint
 	}
+	s.end(c, out, false)
 }
 
-// drive carries a call on at a member.
-func (w *world) drive(id raft.ID, p *pendingCall) (r api.ControlResponse, done bool) {
-	m := w.members[id]
-	progress := w.advanceOf(m, p)
+// drive has a member go on with a call.
+func (s *registerSim) drive(id raft.ID, p *pendingCall) (r api.ControlResponse, done bool) {
+	m := s.members[id]
+	progress := s.advance(m, p)
 	if progress.needsRound {
 		m.node.BroadcastHeartbeat()
 	}
 	if !progress.done {
-		w.carry(id)
+		s.handleReady(id)
 	}
 	return progress.result, progress.done
 }
 
-// advanceOf is the register's advance, or that of one with a fault in it.
-func (w *world) advanceOf(m *member, p *pendingCall) callProgress {
-	if m.node.Role() == raft.Leader && p.index == 0 {
-		switch {
-		case w.fault == "reads without a confirmation" && p.get && m.state.Revision != 0:
-			return callProgress{done: true, result: api.ControlResponse{Status: http.StatusOK}}
-		case w.fault == "turned down without a confirmation" && !p.get:
-			if d := m.state.Evaluate(p.base, p.revision, p.content); d.Outcome != OutcomeAcceptable {
-				return callProgress{done: true, result: d.result()}
-			}
-		case w.fault == "told apart by number alone" && !p.get:
-			if i := slices.IndexFunc(m.state.Applied, func(t appliedRevision) bool { return t.Revision == p.revision }); i >= 0 {
-				p.content = m.state.Applied[i].fingerprint
-			}
-		case w.fault == "confirmed before it is agreed" && !p.get:
-			progress := m.advance(m.node, p)
-			if p.index != 0 {
-				progress.result, progress.done = api.ControlResponse{Status: http.StatusOK}, true
-			}
-			return progress
+// advance advances a call as the register does, or as one with a planted fault.
+func (s *registerSim) advance(m *simMember, p *pendingCall) callProgress {
+	if m.node.Role() != raft.Leader || p.index != 0 {
+		return m.advance(m.node, p)
+	}
+	succeeds := callProgress{done: true, result: api.ControlResponse{Status: http.StatusOK}}
+	switch {
+	case s.fault == faultReadsUnconfirmed && p.get && m.state.Revision != 0:
+		return succeeds
+	case s.fault == faultRefusesUnconfirmed && !p.get:
+		if d := m.state.Evaluate(p.base, p.revision, p.content); d.Outcome != OutcomeAcceptable {
+			return callProgress{done: true, result: d.result()}
+		}
+	case s.fault == faultIgnoresFingerprint && !p.get:
+		i := slices.IndexFunc(m.state.Applied, func(a appliedRevision) bool { return a.Revision == p.revision })
+		if i >= 0 {
+			p.content = m.state.Applied[i].fingerprint
 		}
+	case s.fault == faultConfirmsProposed && !p.get:
+		progress := m.advance(m.node, p)
+		if p.index != 0 {
+			return succeeds
+		}
+		return progress
 	}
 	return m.advance(m.node, p)
 }
 
-func (w *world) end(c *client, out output, open bool) {
-	c.busy, c.p = false, nil
-	op := porcupine.Operation{ClientId: c.id, Input: c.in, Call: c.begun, Output: out, Return: w.tick()}
+// end ends a client's call. open: it has no clear answer, and may still take effect.
+func (s *registerSim) end(c *simClient, out output, open bool) {
+	c.busy, c.call = false, nil
+	op := porcupine.Operation{
+		ClientId: c.id,
+		Input:    c.in,
+		Call:     c.calledAt,
+		Output:   out,
+		Return:   s.tick(),
+	}
 	if open {
 		if c.in.get {
 			return // says nothing
 		}
 		// The checker wants one call at a time of each client: this one goes on as
 		// another's.
-		op.ClientId, op.Return = 1000+len(w.history), openEnd
+		op.ClientId, op.Return = 1000+len(s.history), openEnd
 	}
-	w.history = append(w.history, op)
+	s.history = append(s.history, op)
 	switch {
 	case out.status == http.StatusOK && !c.in.get:
-		c.seen = max(c.seen, c.in.revision)
+		c.newest = max(c.newest, c.in.revision)
 	case out.status != 0:
-		c.seen = max(c.seen, out.revision)
+		c.newest = max(c.newest, out.revision)
 	}
 }
--- a/controlplane/sim_faults_test.go
+++ b/controlplane/sim_faults_test.go
@@ -6,104 +6,142 @@
 	"example.org/elmspan/raft"
 )
 
-func (w *world) die(id raft.ID) {
-	delete(w.members, id)
-	delete(w.frozen, id)
+// The faults that can be planted in the members of a simulation, for the checkers to find.
+const (
+	faultReadsUnconfirmed         = "reads without a confirmation"
+	faultRefusesUnconfirmed       = "refuses without a confirmation"
+	faultIgnoresFingerprint       = "distinguishes commands by their revision alone"
+	faultRemembersFour            = "remembers four revisions"
+	faultAppliesWithoutEvaluation = "evaluates before proposing, and not when applying"
+	faultConfirmsProposed         = "confirms before it is committed"
+	faultAnswersByIndexAlone      = "answers by another's entry"
+	faultSendsBeforeSync          = "sends before the disk has synced"
+	faultWipedKeepsID             = "a wiped member keeps its id"
+)
+
+// powerOff has a member lose power. Its disk keeps what was saved.
+func (s *registerSim) powerOff(id raft.ID) {
+	delete(s.members, id)
+	delete(s.frozen, id)
 }
 
-// closing is a fault right after an acknowledgement at a leader.
-func (w *world) closing(id raft.ID) {
-	if !w.losses {
-		w.die(id)
+// failAfterAcknowledgement is a fault at a leader right after it has acknowledged something.
+func (s *registerSim) failAfterAcknowledgement(id raft.ID) {
+	if !s.losses {
+		s.powerOff(id)
 		return
 	}
-	whole := w.whole(w.members[id])
-	switch w.rng.IntN(4) {
+	canLoseDisk := s.canLoseDisk(s.members[id])
+	switch s.rng.IntN(4) {
 	case 0:
-		w.die(id)
+		s.powerOff(id)
 	case 1: // all lose power
-		clear(w.members)
+		clear(s.members)
 	case 2: // one disk is lost while all others lose power
-		clear(w.members)
+		clear(s.members)
 		fallthrough
 	case 3: // one disk is lost
-		w.die(id)
-		if whole {
-			w.wipe(slices.Index(w.slots, id))
+		s.powerOff(id)
+		if canLoseDisk {
+			s.wipe(slices.Index(s.slots, id))
 		}
 	}
 }
 
-// wipe takes a machine's disk away: what starts there is another member.
-func (w *world) wipe(slot int) {
-	old := w.slots[slot]
-	w.die(old)
-	if w.fault == "a wiped member under its old id" {
-		*w.disks[old] = raft.PersistentState{Snapshot: raft.Snapshot{Members: w.disks[w.slots[(slot+1)%coreSize]].Snapshot.Members}}
-		w.start(old)
+// wipe takes a machine's disk away: what starts there is a new member.
+func (s *registerSim) wipe(slot int) {
+	old := s.slots[slot]
+	s.powerOff(old)
+	if s.fault == faultWipedKeepsID {
+		neighbour := s.slots[(slot+1)%simVoters]
+		first := raft.Snapshot{Members: s.disks[neighbour].Snapshot.Members}
+		*s.disks[old] = raft.PersistentState{Snapshot: first}
+		s.start(old)
 		return
 	}
-	delete(w.disks, old)
-	w.next++
-	w.slots[slot] = w.next
-	w.disks[w.next] = &raft.PersistentState{}
-	w.start(w.next)
+	delete(s.disks, old)
+	s.nextID++
+	s.slots[slot] = s.nextID
+	s.disks[s.nextID] = &raft.PersistentState{}
+	s.start(s.nextID)
 }
 
-// isolate cuts a member off: what it says, what it hears, or both.
-func (w *world) isolate(id raft.ID, says, hears bool) {
-	for _, o := range w.slots {
-		if o != id {
-			w.deaf[[2]raft.ID{id, o}] = says
-			w.deaf[[2]raft.ID{o, id}] = hears
+// isolate blocks the links of a member: those from it, those to it, or both.
+func (s *registerSim) isolate(id raft.ID, from, to bool) {
+	for _, other := range s.slots {
+		if other != id {
+			s.blocked[link{id, other}] = from
+			s.blocked[link{other, id}] = to
 		}
 	}
 }
 
-// strike has something happen.
-func (w *world) strike() {
-	slot := w.rng.IntN(len(w.slots))
-	one, other := w.slots[slot], w.slots[w.rng.IntN(len(w.slots))]
-	switch w.rng.IntN(60) {
-	case 0:
-		w.die(one)
-	case 1, 2, 3:
-		w.deaf[[2]raft.ID{one, other}] = true
-	case 4: // a leader is cut off
-		for _, id := range w.ids() {
-			if w.members[id].node.Role() == raft.Leader {
-				w.isolate(id, w.rng.IntN(2) == 0, true)
-			}
-		}
-	case 5, 6:
-		clear(w.deaf)
-		clear(w.slow)
-	case 7:
-		w.frozen[one] = 20 + w.rng.IntN(60)
-	case 8, 9, 10, 11:
-		if w.members[one] == nil {
-			w.start(one)
-		}
-	case 12:
-		clear(w.members) // all lose power
-		clear(w.frozen)
-		for _, id := range w.slots {
-			w.start(id)
+// injectFault has one thing happen, or nothing.
+func (s *registerSim) injectFault() {
+	slot := s.rng.IntN(len(s.slots))
+	one, other := s.slots[slot], s.slots[s.rng.IntN(len(s.slots))]
+	switch event := s.rng.IntN(60); {
+	case event == 0:
+		s.powerOff(one)
+	case event <= 3:
+		s.blocked[link{one, other}] = true
+	case event == 4:
+		s.isolateLeaders()
+	case event <= 6:
+		clear(s.blocked)
+		clear(s.slow)
+	case event == 7:
+		s.frozen[one] = 20 + s.rng.IntN(60)
+	case event <= 11:
+		if s.members[one] == nil {
+			s.start(one)
 		}
-	case 13:
-		if w.losses {
-			w.slow[[2]raft.ID{one, other}] = true
+	case event == 12:
+		s.restartAll()
+	case event == 13:
+		if s.losses {
+			s.slow[link{one, other}] = true
 		}
-	case 14: // for 20 s, the leader rather than another
-		if l := w.leader(); l != 0 && w.rng.IntN(2) == 0 {
-			one = l
-		}
-		if w.losses && len(w.cut) == 0 {
-			w.cut[one] = w.now + longCut
-		}
-	case 15, 16, 17, 18:
-		if l := w.leader(); w.losses && l != 0 && len(w.cut) == 0 && w.whole(w.members[l]) {
-			w.wipe(slot)
+	case event == 14:
+		s.cutOff(one)
+	case event <= 18:
+		s.loseDisk(slot)
+	}
+}
+
+// loseDisk wipes a machine, in a simulation with losses, where that can't lose what is committed.
+func (s *registerSim) loseDisk(slot int) {
+	leader := s.leader()
+	if s.losses && leader != 0 && len(s.cut) == 0 && s.canLoseDisk(s.members[leader]) {
+		s.wipe(slot)
+	}
+}
+
+// isolateLeaders cuts each leader off: all that it is sent, and half of the time what it sends.
+func (s *registerSim) isolateLeaders() {
+	for _, id := range s.ids() {
+		if s.members[id].node.Role() == raft.Leader {
+			s.isolate(id, s.rng.IntN(2) == 0, true)
 		}
 	}
 }
+
+// restartAll has all members lose power and start again.
+func (s *registerSim) restartAll() {
+	clear(s.members)
+	clear(s.frozen)
+	for _, id := range s.slots {
+		s.start(id)
+	}
+}
+
+// cutOff cuts a member off for 20 s, in a simulation with losses; half of the time the leader in
+// its place.
+func (s *registerSim) cutOff(id raft.ID) {
+	if leader := s.leader(); leader != 0 && s.rng.IntN(2) == 0 {
+		id = leader
+	}
+	if s.losses && len(s.cut) == 0 {
+		s.cut[id] = s.now + longCut
+	}
+}
--- a/controlplane/sim_world_test.go
+++ b/controlplane/sim_world_test.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -9,276 +10,379 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"example.org/elmspan/api"
 	"example.org/elmspan/raft"
 )
 
-// world is a core without sockets or disks: members that store, send and apply as
-// [Core] does, and clients whose calls go to whichever machine, again and again
-// until there is an answer.
-type world struct {
-	shape
-	fault   string // planted
-	rng     *rand.Rand
+// registerSim is a control plane without sockets or disks: members that persist, send and
+// apply as [Core] does, and clients whose calls go to whichever machine, again and again until
+// there is an answer. All that happens comes from the seed.
+type registerSim struct {
+	simConfig
+	fault string // planted, empty for none
+	rng   *rand.Rand
+	now   int64 // in steps, of a tick of 50 ms
+	clock int64 // rises with each event that is ordered
+	calm  bool  // no more faults and no more calls but those under way
+
 	slots   []raft.ID // of each machine, the member on it
-	next    raft.ID   // of the next empty disk
-	members map[raft.ID]*member
+	nextID  raft.ID   // of the member on the next empty disk
+	members map[raft.ID]*simMember
 	disks   map[raft.ID]*raft.PersistentState
+
 	net     []raft.Message
-	deaf    map[[2]raft.ID]bool // one way
-	slow    map[[2]raft.ID]bool
-	cut     map[raft.ID]int64 // off from all others until then, in steps
-	frozen  map[raft.ID]int
-	now     int64 // steps of a tick of 50 ms
-	clock   int64 // rises with each thing that happens
-	calm    bool
-	clients []*client
-	history []porcupine.Operation
-	chain   []version // what was taken, in the order of the log
-	torn    error     // two members differ
+	blocked map[link]bool
+	slow    map[link]bool
+	cut     map[raft.ID]int64 // off from all others until that step
+	frozen  map[raft.ID]int   // does nothing for so many steps
+
+	clients  []*simClient
+	history  []porcupine.Operation
+	chain    []appliedVersion // in the order of the log
+	diverged error            // two members have applied different versions
 }
 
-// shape is what is in a world.
-type shape struct {
+// simConfig is the size of a simulation.
+type simConfig struct {
 	clients, machines, steps int
-	losses                   bool // disks too are lost, members replaced, logs cut short, links slow
-	remembered               int  // versions, for orders sent again
+	// losses: disks too are lost, members replaced, logs truncated, links slow.
+	losses     bool
+	remembered int // revisions, for commands that are sent again
 }
 
-// The worlds: small ones for the checker of linearizability, and ones at size, of
-// 55 s, for the check that takes time in proportion to the history.
+// Small simulations are for the checker of linearizability, large ones, of 55 s, for the check
+// that takes time in proportion to the history.
 var (
-	small  = shape{clients: 4, machines: 3, steps: 700, remembered: maxAppliedRevisions}
-	atSize = shape{clients: 8, machines: 4, steps: 1100, losses: true, remembered: maxAppliedRevisions}
+	smallSim = simConfig{
+		clients:    4,
+		machines:   3,
+		steps:      700,
+		remembered: maxAppliedRevisions,
+	}
+	largeSim = simConfig{
+		clients:    8,
+		machines:   4,
+		steps:      1100,
+		losses:     true,
+		remembered: maxAppliedRevisions,
+	}
+)
+
+const (
+	simVoters          = 3
+	firstReplacementID = raft.ID(100) // members with an empty disk have higher ids
+	maxCallTries       = 300
+	snapshotEntries    = 16  // between snapshots
+	longCut            = 400 // steps: 20 s
+	settleSteps        = 1500
+	maxNetwork         = 300 // messages under way; where there are more, the oldest are lost
+	keptNetwork        = 200
+	// openEnd is the end of calls without a clear answer: they may take effect at any time.
+	openEnd = int64(1) << 40
+	// maxModelSteps bounds the search for a linearization: beyond it is Unknown, which fails.
+	maxModelSteps = 2_000_000
 )
 
-type member struct {
+// link is one direction between two members: from, to.
+type link [2]raft.ID
+
+// simMember is a member that runs.
+type simMember struct {
 	casRegister
 	node     *raft.Node
 	policy   memberPolicy
-	unsynced []raft.Ready // of one that promises before the disk has it
+	unsynced []raft.Ready // of one with faultSendsBeforeSync
 }
 
-// version is one that was taken: at is when some member first applied it.
-type version struct {
+// appliedVersion is a configuration that was applied.
+type appliedVersion struct {
 	base, revision uint64
 	print          fingerprint
-	at             int64
+	at             int64 // when some member first applied it
 }
 
-const (
-	coreSize   = 3 // voters
-	mostTries  = 300
-	snapAt     = 16             // entries between snapshots
-	longCut    = 400            // steps: 20 s
-	openEnd    = int64(1) << 40 // of calls without a clear answer: they may take effect at any time
-	settleIn   = 1500           // steps
-	mostChecks = 2_000_000      // places tried for a history to be linearizable; Unknown fails
-)
-
-func newWorld(seed uint64, s shape, fault string) *world {
-	w := &world{shape: s, fault: fault, rng: rand.New(rand.NewPCG(seed, 9)), next: 100, members: map[raft.ID]*member{},
-		disks: map[raft.ID]*raft.PersistentState{}, deaf: map[[2]raft.ID]bool{}, slow: map[[2]raft.ID]bool{},
-		cut: map[raft.ID]int64{}, frozen: map[raft.ID]int{}}
+func newRegisterSim(seed uint64, config simConfig, fault string) *registerSim {
+	s := &registerSim{
+		simConfig: config,
+		fault:     fault,
+		rng:       rand.New(rand.NewPCG(seed, 9)),
+		nextID:    firstReplacementID,
+		members:   map[raft.ID]*simMember{},
+		disks:     map[raft.ID]*raft.PersistentState{},
+		blocked:   map[link]bool{},
+		slow:      map[link]bool{},
+		cut:       map[raft.ID]int64{},
+		frozen:    map[raft.ID]int{},
+	}
 	var first raft.Snapshot
-	for i := range coreSize {
+	for i := range simVoters {
 		first.Members = append(first.Members, raft.Member{ID: raft.ID(i + 1), Addr: fmt.Sprint(i), Voter: true})
 	}
-	for i := range s.machines {
+	for i := range config.machines {
 		id := raft.ID(i + 1)
-		w.slots = append(w.slots, id)
-		w.disks[id] = &raft.PersistentState{}
-		if i < coreSize {
-			w.disks[id].Snapshot = first
+		s.slots = append(s.slots, id)
+		s.disks[id] = &raft.PersistentState{}
+		if i < simVoters {
+			s.disks[id].Snapshot = first
 		}
-		w.start(id)
+		s.start(id)
 	}
-	for i := range s.clients {
-		w.clients = append(w.clients, &client{id: i})
+	for i := range config.clients {
+		s.clients = append(s.clients, &simClient{id: i})
 	}
-	return w
+	return s
 }
 
-func (w *world) tick() int64 { w.clock++; return w.clock }
+// disksLost is how many disks were lost.
+func (s *registerSim) disksLost() int { return int(s.nextID - firstReplacementID) }
 
-func (w *world) start(id raft.ID) {
-	d := w.disks[id]
-	m := &member{casRegister: casRegister{calls: map[uint64]*pendingCall{}},
-		node: raft.New(raft.Config{ID: id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.rng.Uint64()},
-			raft.PersistentState{HardState: d.HardState, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})}
-	w.restore(m, d.Snapshot.Data)
-	w.members[id] = m
+func (s *registerSim) tick() int64 {
+	s.clock++
+	return s.clock
+}
+
+// start starts a member from its disk.
+func (s *registerSim) start(id raft.ID) {
+	disk := s.disks[id]
+	stored := raft.PersistentState{
+		HardState: disk.HardState,
+		Snapshot:  disk.Snapshot,
+		Entries:   slices.Clone(disk.Entries),
+	}
+	m := &simMember{
+		casRegister: casRegister{calls: map[uint64]*pendingCall{}},
+		node: raft.New(raft.Config{
+			ID:             id,
+			ElectionTicks:  electionTicks,
+			HeartbeatTicks: heartbeatTicks,
+			Seed:           s.rng.Uint64(),
+		}, stored),
+	}
+	m.restore(disk.Snapshot.Data)
+	s.members[id] = m
 }
 
 // chance is one in so many, but none once all is calm.
-func (w *world) chance(of int) bool { return !w.calm && w.rng.IntN(of) == 0 }
+func (s *registerSim) chance(of int) bool { return !s.calm && s.rng.IntN(of) == 0 }
 
-// whole tells that all members live and no change of members is under way: a disk
-// can be lost. Some may lack what was agreed on last.
-func (w *world) whole(l *member) bool {
+// canLoseDisk tells that all members live and no change of members is pending: a disk can be
+// lost. Some may lack what was committed last.
+func (s *registerSim) canLoseDisk(leader *simMember) bool {
 	voters := 0
-	for _, m := range l.node.Members() {
-		if w.members[m.ID] == nil || !slices.Contains(w.slots, m.ID) {
+	for _, m := range leader.node.Members() {
+		if s.members[m.ID] == nil || !slices.Contains(s.slots, m.ID) {
 			return false
 		}
 		if m.Voter {
 			voters++
 		}
 	}
-	return voters == coreSize && l.node.ProposeMembers(slices.Clone(l.node.Members())) == nil
+	return voters == simVoters && leader.node.ProposeMembers(slices.Clone(leader.node.Members())) == nil
 }
 
-// tend takes members in, and has the leader's policy decide who is to vote.
-func (w *world) tend(l *member) {
-	ms := l.node.Members()
-	for slot, id := range w.slots {
-		if w.members[id] != nil && !slices.ContainsFunc(ms, func(m raft.Member) bool { return m.ID == id }) {
-			l.node.ProposeMembers(append(slices.Clone(ms), raft.Member{ID: id, Addr: fmt.Sprint(slot), SupportsJoint: true}))
+// reconcileMembers takes members in, and has the leader's policy decide who is to vote. A
+// proposal is refused where another change is pending; then the next step makes it again.
+func (s *registerSim) reconcileMembers(leader *simMember) {
+	members := leader.node.Members()
+	for slot, id := range s.slots {
+		known := slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == id })
+		if s.members[id] != nil && !known {
+			joins := raft.Member{ID: id, Addr: fmt.Sprint(slot), SupportsJoint: true}
+			_ = leader.node.ProposeMembers(append(slices.Clone(members), joins))
 			return
 		}
 	}
-	l.policy.voters = coreSize
-	if _, next := l.policy.nextMembers(l.node); next != nil {
-		l.node.ProposeMembers(next)
+	leader.policy.voters = simVoters
+	if _, next := leader.policy.nextMembers(leader.node); next != nil {
+		_ = leader.node.ProposeMembers(next)
 	}
 }
 
-func (w *world) ids() []raft.ID { return slices.Sorted(maps.Keys(w.members)) }
+// ids are those of the members that run, in order.
+func (s *registerSim) ids() []raft.ID { return slices.Sorted(maps.Keys(s.members)) }
 
-func (w *world) leader() raft.ID {
-	for _, id := range w.ids() {
-		if n := w.members[id].node; n.Role() == raft.Leader && n.HasCommittedInTerm() {
+// leader is a member that leads and has committed in its term, 0 for none.
+func (s *registerSim) leader() raft.ID {
+	for _, id := range s.ids() {
+		if s.members[id].leads() {
 			return id
 		}
 	}
 	return 0
 }
 
-func (w *world) step() {
-	w.now++
-	if !w.calm {
-		w.strike()
+func (m *simMember) leads() bool {
+	return m.node.Role() == raft.Leader && m.node.HasCommittedInTerm()
+}
+
+func (s *registerSim) step() {
+	s.now++
+	if !s.calm {
+		s.injectFault()
 	}
-	for id, until := range w.cut {
-		if w.now > until {
-			delete(w.cut, id)
-		}
+	maps.DeleteFunc(s.cut, func(_ raft.ID, until int64) bool { return s.now > until })
+	for _, id := range s.ids() {
+		s.tickMember(id)
 	}
-	for _, id := range w.ids() {
-		if w.members[id] == nil {
-			continue
-		}
-		if w.frozen[id] > 0 {
-			w.frozen[id]--
-			continue
-		}
-		m := w.members[id]
-		m.node.Tick()
-		m.policy.ticks++
-		if w.losses && m.node.Role() == raft.Leader {
-			w.tend(m)
-		}
-		w.carry(id)
+	s.deliver()
+	for _, c := range s.clients {
+		s.stepClient(c)
 	}
-	msgs := w.net
-	w.net = nil
-	w.rng.Shuffle(len(msgs), func(i, j int) { msgs[i], msgs[j] = msgs[j], msgs[i] })
-	for _, x := range msgs {
-		m, way := w.members[x.To], [2]raft.ID{x.From, x.To}
-		switch {
-		case m == nil || w.deaf[way] || w.cut[x.From] > 0 || w.cut[x.To] > 0 || w.chance(40):
-			continue
-		case w.frozen[x.To] > 0 || w.rng.IntN(4) == 0 || w.slow[way] && w.rng.IntN(12) > 0:
-			w.net = append(w.net, x) // later
-			continue
-		case w.losses && w.chance(25):
-			w.net = append(w.net, x) // doubled
-		}
-		m.node.Step(x)
-		w.carry(x.To)
+	for _, id := range s.ids() {
+		s.answer(id)
+	}
+}
+
+// tickMember has a tick pass at a member.
+func (s *registerSim) tickMember(id raft.ID) {
+	m := s.members[id]
+	if m == nil {
+		return
 	}
-	if len(w.net) > 300 {
-		w.net = w.net[len(w.net)-200:]
+	if s.frozen[id] > 0 {
+		s.frozen[id]--
+		return
 	}
-	for _, c := range w.clients {
-		w.ask(c)
+	m.node.Tick()
+	m.policy.ticks++
+	if s.losses && m.node.Role() == raft.Leader {
+		s.reconcileMembers(m)
+	}
+	s.handleReady(id)
+}
+
+// deliver delivers what was sent, in any order: some of it is lost, late or doubled.
+func (s *registerSim) deliver() {
+	messages := s.net
+	s.net = nil
+	s.rng.Shuffle(len(messages), func(i, j int) { messages[i], messages[j] = messages[j], messages[i] })
+	for i := range messages {
+		s.deliverMessage(&messages[i])
 	}
-	for _, id := range w.ids() {
-		w.answer(id)
+	if len(s.net) > maxNetwork {
+		s.net = s.net[len(s.net)-keptNetwork:]
 	}
 }
 
-// settle lets calm come, until all members are at one and every call has its end.
-// What is not at one by then is in the error.
-func (w *world) settle() error {
-	w.calm = true
-	clear(w.deaf)
-	clear(w.slow)
-	clear(w.cut)
-	clear(w.frozen)
-	for _, id := range w.slots {
-		if w.members[id] == nil {
-			w.start(id)
-		}
+func (s *registerSim) deliverMessage(msg *raft.Message) {
+	to, way := s.members[msg.To], link{msg.From, msg.To}
+	switch {
+	case to == nil || s.blocked[way] || s.cut[msg.From] > 0 || s.cut[msg.To] > 0 || s.chance(40):
+		return
+	case s.frozen[msg.To] > 0 || s.rng.IntN(4) == 0 || s.slow[way] && s.rng.IntN(12) > 0:
+		s.net = append(s.net, *msg) // late
+		return
+	case s.losses && s.chance(25):
+		s.net = append(s.net, *msg) // doubled
 	}
+	to.node.Step(*msg)
+	s.handleReady(msg.To)
+}
+
+// settle lets calm come, until all members have converged and every call has its end. What has
+// not converged by then is in the error.
+func (s *registerSim) settle() error {
+	s.beCalm()
 	var read *pendingCall
-	at := raft.ID(0)
-	for range settleIn {
-		w.step()
-		l := w.leader()
-		if l == 0 || slices.ContainsFunc(w.clients, func(c *client) bool { return c.busy }) || !w.level() {
+	readAt := raft.ID(0)
+	for range settleSteps {
+		s.step()
+		leader := s.leader()
+		if leader == 0 || s.hasCalls() || !s.converged() {
 			continue
 		}
-		if l != at {
-			read, at = &pendingCall{get: true}, l
+		if leader != readAt {
+			read, readAt = &pendingCall{get: true}, leader
 		}
-		r, done := w.drive(l, read)
-		if !done {
-			continue
-		}
-		if n := len(w.chain); n == 0 && r.Status == http.StatusNotFound ||
-			n > 0 && r.Status == http.StatusOK && w.members[l].state.Revision == w.chain[n-1].revision {
-			return nil
+		if r, done := s.drive(leader, read); done {
+			return s.checkLastRead(leader, &r)
 		}
-		return fmt.Errorf("in the end %d is read back, with status %d", w.members[l].state.Revision, r.Status)
 	}
-	for _, c := range w.clients {
+	for _, c := range s.clients {
 		if c.busy && !c.in.get {
-			w.end(c, output{}, true)
+			s.end(c, output{}, true)
 		}
 	}
-	if w.remembered < maxAppliedRevisions && w.leader() != 0 && w.level() { // what is forgotten has no clear answer
+	// A command that is forgotten has no clear answer, so that its call does not end.
+	if s.remembered < maxAppliedRevisions && s.leader() != 0 && s.converged() {
 		return nil
 	}
-	return fmt.Errorf("the core has not settled after %d steps", settleIn)
+	return fmt.Errorf("not settled after %d steps", settleSteps)
+}
+
+// beCalm ends all faults.
+func (s *registerSim) beCalm() {
+	s.calm = true
+	clear(s.blocked)
+	clear(s.slow)
+	clear(s.cut)
+	clear(s.frozen)
+	for _, id := range s.slots {
+		if s.members[id] == nil {
+			s.start(id)
+		}
+	}
 }
 
-// level tells that all machines have applied the same.
-func (w *world) level() bool {
+func (s *registerSim) hasCalls() bool {
+	return slices.ContainsFunc(s.clients, func(c *simClient) bool { return c.busy })
+}
+
+// checkLastRead checks that the newest version is read back in the end.
+func (s *registerSim) checkLastRead(leader raft.ID, r *api.ControlResponse) error {
+	revision := s.members[leader].state.Revision
+	n := len(s.chain)
+	switch {
+	case n == 0 && r.Status == http.StatusNotFound:
+		return nil
+	case n > 0 && r.Status == http.StatusOK && revision == s.chain[n-1].revision:
+		return nil
+	}
+	return fmt.Errorf("in the end %d is read back, with status %d", revision, r.Status)
+}
+
+// converged tells that all machines have applied the same.
+func (s *registerSim) converged() bool {
 	var first *State
-	for _, id := range w.slots {
-		m := w.members[id]
+	for _, id := range s.slots {
+		m := s.members[id]
 		if m == nil {
 			return false
 		}
 		if first == nil {
 			first = &m.state
-		} else if m.state.Revision != first.Revision || !slices.Equal(m.state.Applied, first.Applied) {
+		}
+		if m.state.Revision != first.Revision || !slices.Equal(m.state.Applied, first.Applied) {
 			return false
 		}
 	}
 	return true
 }
 
-// play has all of it happen.
-func (w *world) play() error {
-	for range w.steps {
-		w.step()
-		if w.torn != nil {
-			return w.torn
+// errStepLimit tells that a condition did not hold within settleSteps.
+var errStepLimit = errors.New("not within the limit of steps")
+
+// until steps until a condition holds.
+func (s *registerSim) until(condition func() bool) error {
+	for range settleSteps {
+		if condition() {
+			return nil
+		}
+		s.step()
+	}
+	return errStepLimit
+}
+
+// play has all of it happen. It returns the first broken rule that a run finds by itself.
+func (s *registerSim) play() error {
+	for range s.steps {
+		s.step()
+		if s.diverged != nil {
+			return s.diverged
 		}
 	}
-	if err := w.settle(); err != nil {
+	if err := s.settle(); err != nil {
 		return err
 	}
-	return w.torn
+	return s.diverged
 }
--- a/controlplane/state.go
+++ b/controlplane/state.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"errors"
 	"slices"
 
 	"example.org/elmspan/api"
@@ -21,10 +20,6 @@
 	maxPreviousBytes     = 512 << 10
 )
 
-// ErrRevisionNotKept tells that the configuration of a revision is not part of the state: it
-// was never applied, or is too old.
-var ErrRevisionNotKept = errors.New("controlplane: no configuration of this revision is kept")
-
 // State is the replicated state of the control plane: the newest configuration, as it was
 // sent, those before it, and which revisions were applied. It does no I/O and reads no clock:
 // the same entries in the same order give the same state on every member, see [State.Apply].
