--- a/controlplane/bubble_test.go
+++ b/controlplane/bubble_test.go
@@ -38,9 +38,9 @@
 	t.Run(name, func(t *testing.T) { inBubble(t, test) })
 }
 
-// memory is a folder whose disk is memory where the machine has such (Linux), so that
+// memoryDir is a folder whose disk is memory where the machine has such (Linux), so that
 // nobody waits for other programs' writes: what a loss of power takes is not asked here.
-func memory(t *testing.T) string {
+func memoryDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "elmspan-test-")
 	if err != nil {
@@ -56,9 +56,9 @@
 
 const linkDelay = 100 * time.Microsecond // of a write
 
-// links are what lies between machines.
-type links interface {
-	addr() string // that no other machine has
+// testNetwork is what lies between machines.
+type testNetwork interface {
+	newAddr() string // that no other machine has
 	listen(addr string) net.Listener
 	conns() *api.ConnPool
 }
@@ -109,24 +109,24 @@
 
 func (p *pipes) Addr() net.Addr { return &net.UnixAddr{Name: "memory", Net: "unix"} }
 
-// network is what lies between the machines of a bubble: connections in memory. Those
+// pipeNetwork is what lies between the machines of a bubble: connections in memory. Those
 // to addresses at which nobody listens are refused.
-type network struct {
+type pipeNetwork struct {
 	mu sync.Mutex
 	at map[string]*pipes
 	n  int // addresses given out
 }
 
-func newNetwork() *network { return &network{at: map[string]*pipes{}} }
+func newPipeNetwork() *pipeNetwork { return &pipeNetwork{at: map[string]*pipes{}} }
 
-func (n *network) addr() string {
+func (n *pipeNetwork) newAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.n++
 	return fmt.Sprintf("10.0.0.%d:1", n.n)
 }
 
-func (n *network) listen(addr string) net.Listener {
+func (n *pipeNetwork) listen(addr string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := newPipes()
@@ -134,7 +134,7 @@
 	return delayed{l}
 }
 
-func (n *network) dial(ctx context.Context, addr string) (net.Conn, error) {
+func (n *pipeNetwork) dial(ctx context.Context, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.at[addr]
 	n.mu.Unlock()
@@ -149,15 +149,17 @@
 }
 
 // conns are a machine's connections to the others.
-func (n *network) conns() *api.ConnPool { return api.NewConnPool(nil, grpc.WithContextDialer(n.dial)) }
+func (n *pipeNetwork) conns() *api.ConnPool {
+	return api.NewConnPool(nil, grpc.WithContextDialer(n.dial))
+}
 
-// loopback is a network of real sockets: it says nothing of time.
-type loopback struct {
+// loopbackNetwork is a network of real sockets: it says nothing of time.
+type loopbackNetwork struct {
 	t   *testing.T
 	new map[string]net.Listener // not asked for yet
 }
 
-func (n *loopback) addr() string {
+func (n *loopbackNetwork) newAddr() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		n.t.Fatal(err)
@@ -166,9 +168,9 @@
 	return l.Addr().String()
 }
 
-func (n *loopback) listen(addr string) net.Listener { return n.new[addr] }
+func (n *loopbackNetwork) listen(addr string) net.Listener { return n.new[addr] }
 
-func (n *loopback) conns() *api.ConnPool { return api.NewConnPool(nil) }
+func (n *loopbackNetwork) conns() *api.ConnPool { return api.NewConnPool(nil) }
 
 // delayed gives what is written at either end of a connection its time on the way.
 type delayed struct{ net.Listener }
--- a/controlplane/coresim_test.go
+++ b/controlplane/coresim_test.go
@@ -26,7 +26,7 @@
 	t         *testing.T
 	seed      uint64
 	rng       *rand.Rand // of the events
-	net       *network
+	net       *pipeNetwork
 	machines  []*faultyMachine
 	operators sync.WaitGroup
 	starts    uint64
@@ -124,7 +124,7 @@
 		t:         t,
 		seed:      seed,
 		rng:       rand.New(rand.NewPCG(seed, 21)),
-		net:       newNetwork(),
+		net:       newPipeNetwork(),
 		links:     map[addrPair]*faultyLink{},
 		sentTerms: map[uint64]map[uint64]uint64{},
 		disks:     map[raft.ID]*simulatedDisk{},
@@ -133,7 +133,7 @@
 	}
 	for i := range machines {
 		c.machines = append(c.machines, &faultyMachine{
-			addr: c.net.addr(),
+			addr: c.net.newAddr(),
 			rng:  rand.New(rand.NewPCG(seed, 100+uint64(i))),
 			disk: &simulatedDisk{},
 		})
--- a/controlplane/disk_test.go
+++ b/controlplane/disk_test.go
@@ -39,7 +39,7 @@
 }
 
 func newSlowDisk(t *testing.T) *slowDisk {
-	c, store, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, store, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: validState(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -23,7 +23,7 @@
 func replaceInTurn(t *testing.T, cl *Client, n uint64) {
 	t.Helper()
 	for base := range n {
-		if got := replace(cl, base, config(t, base+1)); got != http.StatusOK {
+		if got := replaceConfig(cl, base, testConfig(t, base+1)); got != http.StatusOK {
 			t.Fatalf("revision %d: %d", base+1, got)
 		}
 	}
@@ -33,7 +33,7 @@
 func requireConfigAt(ctx context.Context, t *testing.T, cl *Client, revision uint64) {
 	t.Helper()
 	r := cl.Get(ctx, &api.GetRequest{Revision: revision})
-	if r.Status != http.StatusOK || !bytes.Equal(r.Config, config(t, revision)) {
+	if r.Status != http.StatusOK || !bytes.Equal(r.Config, testConfig(t, revision)) {
 		t.Errorf("revision %d: %d %s", revision, r.Status, r.Reason)
 	}
 }
@@ -42,7 +42,7 @@
 	inBubble(t, func(t *testing.T) {
 		cl := newCluster(t).client()
 		replaceInTurn(t, cl, 4)
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		if r := cl.Get(ctx, &api.GetRequest{Versions: true}); !slices.Equal(r.Versions, []uint64{1, 2, 3, 4}) {
 			t.Errorf("revisions %+v", r)
@@ -72,7 +72,7 @@
 		c := newCluster(t)
 		cl := c.client()
 		replaceInTurn(t, cl, 3)
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		export := cl.Get(ctx, &api.GetRequest{State: true})
 		if export.Status != http.StatusOK {
@@ -86,10 +86,10 @@
 		for _, revision := range []uint64{1, 2, 3} {
 			requireConfigAt(ctx, t, cl, revision)
 		}
-		if got := replace(cl, 2, config(t, 3)); got != http.StatusOK {
+		if got := replaceConfig(cl, 2, testConfig(t, 3)); got != http.StatusOK {
 			t.Errorf("a call that was acknowledged, sent again: %d", got)
 		}
-		if got := replace(cl, 3, config(t, 4)); got != http.StatusOK {
+		if got := replaceConfig(cl, 3, testConfig(t, 4)); got != http.StatusOK {
 			t.Errorf("a change after the restore: %d", got)
 		}
 	})
@@ -103,7 +103,7 @@
 		c.t.Fatal(err)
 	}
 	for _, addr := range c.addrs {
-		dir := memory(c.t)
+		dir := memoryDir(c.t)
 		store, err := storage.Open(dir)
 		if err != nil {
 			c.t.Fatal(err)
@@ -117,7 +117,7 @@
 
 func TestImportRefusesDamagedExports(t *testing.T) {
 	var s State
-	applyReplace(t, &s, 0, 3, config(t, 3))
+	applyReplace(t, &s, 0, 3, testConfig(t, 3))
 	file, err := Export(&s)
 	if err != nil {
 		t.Fatal(err)
@@ -136,8 +136,8 @@
 
 func TestRestoreNeedsASeedAndAnEmptyStore(t *testing.T) {
 	var s State
-	applyReplace(t, &s, 0, 3, config(t, 3))
-	store := openStore(t, memory(t))
+	applyReplace(t, &s, 0, 3, testConfig(t, 3))
+	store := openStore(t, memoryDir(t))
 	seeds := []string{"10.0.0.1:1"}
 	if Restore(store, "10.0.0.9:1", seeds, &s) == nil {
 		t.Error("restored at a machine that is no seed")
@@ -153,25 +153,10 @@
 	}
 }
 
-// openStore opens a store until the test ends.
-func openStore(t *testing.T, dir string) *storage.Store {
-	t.Helper()
-	store, err := storage.Open(dir)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		if err := store.Close(); err != nil {
-			t.Error(err)
-		}
-	})
-	return store
-}
-
 // A log and a snapshot of the first format, with configurations as they were sent, are read;
 // what is written after them is in the newest format.
 func TestFirstFormatIsRead(t *testing.T) {
-	dir := filepath.Join(memory(t), "log")
+	dir := filepath.Join(memoryDir(t), "log")
 	if err := os.Mkdir(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
@@ -187,10 +172,10 @@
 		t.Fatalf("%+v, %v", found, err)
 	}
 	s := found.State
-	if got := applyReplace(t, s, 6, 8, config(t, 8)); got != OutcomeApplied {
+	if got := applyReplace(t, s, 6, 8, testConfig(t, 8)); got != OutcomeApplied {
 		t.Fatalf("outcome %d", got)
 	}
-	if got, err := s.Config(); err != nil || !bytes.Equal(got, config(t, 8)) || s.Uncompressed != nil {
+	if got, err := s.Config(); err != nil || !bytes.Equal(got, testConfig(t, 8)) || s.Uncompressed != nil {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
 }
@@ -200,7 +185,7 @@
 	data, err := cbor.Marshal(struct {
 		Revision uint64 `cbor:"1,keyasint"`
 		Config   []byte `cbor:"2,keyasint"`
-	}{revision, config(t, revision)})
+	}{revision, testConfig(t, revision)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +198,7 @@
 		Base     uint64 `cbor:"1,keyasint"`
 		Revision uint64 `cbor:"2,keyasint"`
 		Config   []byte `cbor:"3,keyasint"`
-	}{base, revision, config(t, revision)})
+	}{base, revision, testConfig(t, revision)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controlplane/faults_test.go
+++ b/controlplane/faults_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"log/slog"
 	"strings"
 	"testing"
 
@@ -16,26 +15,10 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// member opens a core member on a disk that holds a snapshot; its two peers are played by the test.
-func openMember(t *testing.T, first raft.Snapshot) (*Core, *storage.Store, error) {
+// unreadableState is a state that is well formed and can't be told to limiters: its configuration is cut off.
+func unreadableState(t *testing.T, revision uint64) []byte {
 	t.Helper()
-	store, err := storage.Open(memory(t))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { store.Close() })
-	first.Members = []raft.Member{{ID: 1, Addr: "a", Voter: true}, {ID: 2, Addr: "b", Voter: true}, {ID: 3, Addr: "c", Voter: true}}
-	if err := store.Initialize(1, first); err != nil {
-		t.Fatal(err)
-	}
-	c, err := NewCore(CoreConfig{Addr: "a", Voters: 3, Store: store, Conns: api.NewConnPool(nil), Log: slog.New(slog.DiscardHandler), Seed: 1})
-	return c, store, err
-}
-
-// bad is a state that is well formed and can't be told to limiters: its configuration is cut off.
-func bad(t *testing.T, revision uint64) []byte {
-	t.Helper()
-	packed, err := compression.Pack(config(t, revision)[:10])
+	packed, err := compression.Pack(testConfig(t, revision)[:10])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,30 +29,16 @@
 	return data
 }
 
-func good(t *testing.T, revision uint64) []byte {
-	t.Helper()
-	var s State
-	p, err := encodeReplaceCommand(0, revision, config(t, revision))
-	if err != nil || s.Apply(p).Outcome != OutcomeApplied {
-		t.Fatal("no state", err)
-	}
-	data, err := cbor.Marshal(s)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return data
-}
-
 // A member whose own state can't be read doesn't begin with an empty one: it says that
 // its disk is corrupt, and the process begins a new member.
 func TestUnreadableStateOnDisk(t *testing.T) {
 	t.Parallel()
-	for name, data := range map[string][]byte{"not CBOR": {0xff, 1, 2}, "no configuration in it": bad(t, 3), "cut off": good(t, 3)[:20]} {
+	for name, data := range map[string][]byte{"not CBOR": {0xff, 1, 2}, "no configuration in it": unreadableState(t, 3), "cut off": validState(t, 3)[:20]} {
 		if _, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: data}); !errors.Is(err, storage.ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: validState(t, 3)})
 	if err != nil || c.store.state.Revision != 3 || c.watches.configs.Version() != 3 {
 		t.Errorf("one that can be read: %v", err)
 	}
@@ -80,7 +49,7 @@
 // state, stored the snapshot, and went on.)
 func TestUnreadableSnapshotIsRefused(t *testing.T) {
 	t.Parallel()
-	c, store, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, store, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: validState(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +76,7 @@
 		}
 	}
 	for i, inPieces := range []bool{false, true} {
-		install(uint64(9+i), bad(t, 7), inPieces)
+		install(uint64(9+i), unreadableState(t, 7), inPieces)
 		st, err := store.Load()
 		if err != nil || st.Snapshot.Index != 5 || c.store.state.Revision != 3 || c.watches.configs.Version() != 3 || c.host.node.CommitIndex() != 5 || c.host.stopReason != "" {
 			t.Fatalf("in pieces %v: revision %d, agreed up to %d, on disk up to %d, %q, %v", inPieces, c.store.state.Revision, c.host.node.CommitIndex(), st.Snapshot.Index, c.host.stopReason, err)
@@ -116,7 +85,7 @@
 	if c.host.node.RejectedSnapshots() != 2 {
 		t.Errorf("%d refused", c.host.node.RejectedSnapshots())
 	}
-	install(12, good(t, 8), true)
+	install(12, validState(t, 8), true)
 	if st, err := store.Load(); err != nil || st.Snapshot.Index != 12 || c.store.state.Revision != 8 || c.watches.configs.Version() != 8 {
 		t.Errorf("after one that can be read: revision %d, on disk up to %d, %v", c.store.state.Revision, st.Snapshot.Index, err)
 	}
@@ -127,11 +96,11 @@
 // gave limiters the older rows under a lease, and could lead.)
 func TestMemberThatCanNotApplyHalts(t *testing.T) {
 	t.Parallel()
-	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: validState(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	packed, err := compression.Pack(config(t, 7)[:10])
+	packed, err := compression.Pack(testConfig(t, 7)[:10])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +134,7 @@
 	if r, err := c.Get(t.Context(), &api.GetRequest{}); err != nil || r.Status != 0 {
 		t.Errorf("a read is answered: %+v, %v", r, err)
 	}
-	if r, err := c.Replace(t.Context(), &api.ReplaceRequest{Base: 3, Config: config(t, 9)}); err != nil || r.Status != 0 {
+	if r, err := c.Replace(t.Context(), &api.ReplaceRequest{Base: 3, Config: testConfig(t, 9)}); err != nil || r.Status != 0 {
 		t.Errorf("a change is answered: %+v, %v", r, err)
 	}
 	if k, err := c.ReadIndex(t.Context(), &api.Empty{}); err != nil || k.OK {
@@ -183,10 +152,10 @@
 	if err := validateSize(long); err == nil {
 		t.Error("one longer than can be read back")
 	}
-	if _, err := api.ParseConfig(config(t, 3)[:10]); err == nil {
+	if _, err := api.ParseConfig(testConfig(t, 3)[:10]); err == nil {
 		t.Error("one that is cut off")
 	}
-	if err := validateSize(config(t, 3)); err != nil {
+	if err := validateSize(testConfig(t, 3)); err != nil {
 		t.Error(err)
 	}
 }
@@ -195,7 +164,7 @@
 // entries it stands for: what came of them is not told, they are made again elsewhere.
 func TestSnapshotsWakeThoseWhoWait(t *testing.T) {
 	t.Parallel()
-	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	c, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: validState(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -203,7 +172,7 @@
 	c.store.calls[7] = p
 	changed := c.notify.changed
 	if _, err := c.Deliver(t.Context(), &api.DeliverRequest{From: 2, Addr: "b", Messages: []raft.Message{{Kind: raft.InstallSnapshot, From: 2, To: 1, Term: 4,
-		Snapshot: &raft.Snapshot{Index: 9, Term: 4, Members: c.host.node.Members(), Data: good(t, 8)}}}}); err != nil {
+		Snapshot: &raft.Snapshot{Index: 9, Term: 4, Members: c.host.node.Members(), Data: validState(t, 8)}}}}); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/controlplane/leave_test.go
+++ b/controlplane/leave_test.go
@@ -28,11 +28,11 @@
 	t.Parallel()
 	for name, machines := range map[string]int{"three": 3, "a fourth stands by": 4} {
 		runInBubble(t, name, func(t *testing.T) {
-			c := noCluster(t, machines)
+			c := newStoppedCluster(t, machines)
 			all, dirs := c.addrs, map[string]string{}
 			c.addrs = all[:3]
 			for i, a := range all {
-				dirs[a] = memory(t)
+				dirs[a] = memoryDir(t)
 				c.start(a, dirs[a], i < 3)
 			}
 			whole := func() bool {
@@ -46,7 +46,7 @@
 					return m.ID != leader.host.id && !leader.members.policy.promotable(leader.host.node, m.ID) || !m.SupportsJoint
 				})
 			}
-			c.until("all are there", whole)
+			c.waitUntil("all are there", whole)
 			cl := c.client()
 			revision := uint64(0)
 			changes := func() (n uint64) {
@@ -64,7 +64,7 @@
 				done := core.Leave()
 				select {
 				case <-done:
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					t.Fatalf("%s isn't let go", a)
 				}
 				took = max(took, time.Since(from))
@@ -76,16 +76,16 @@
 						t.Errorf("%s goes with its vote", a)
 					}
 				}
-				if got := replace(cl, revision, config(t, revision+1)); got != 200 {
+				if got := replaceConfig(cl, revision, testConfig(t, revision+1)); got != 200 {
 					t.Fatalf("while %s leaves: %d", a, got)
 				}
 				c.stops[a]()
-				if got := replace(cl, revision+1, config(t, revision+2)); got != 200 {
+				if got := replaceConfig(cl, revision+1, testConfig(t, revision+2)); got != 200 {
 					t.Fatalf("without %s: %d", a, got)
 				}
 				revision += 2
 				c.start(a, dirs[a], false)
-				c.until("all are there again", whole)
+				c.waitUntil("all are there again", whole)
 				if c.cores[a].host.id != core.host.id {
 					t.Fatalf("%s came back as another", a)
 				}
--- a/controlplane/lost_test.go
+++ b/controlplane/lost_test.go
@@ -45,7 +45,7 @@
 		"the disk is full": {forgetful{save: errors.New("no space")}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+			m, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: validState(t, 3)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -86,7 +86,7 @@
 // disk is one of earlier. Nobody but its leader is believed.
 func TestOlderDiskEndsTheMember(t *testing.T) {
 	t.Parallel()
-	m, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: good(t, 3)})
+	m, _, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: validState(t, 3)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controlplane/partition_harness_test.go
+++ b/controlplane/partition_harness_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"strconv"
@@ -12,228 +11,295 @@
 	"time"
 
 	"example.org/elmspan/api"
-	"example.org/elmspan/raft/storage"
 )
 
-// cuts is what lies between the machines of a core: one of them may be cut off,
-// both ways or one way, and answers to operators may be lost.
-type cuts struct {
-	mu          sync.Mutex
-	off         string // "": none
-	says, hears bool   // which way it still gets through
-	calls       bool   // other calls than those of the agreement get through
-	mute        bool   // orders are taken and not answered
+const (
+	operatorPatience = time.Second            // so long an operator waits for an answer
+	answeredIn       = 850 * time.Millisecond // that it can't be said
+)
+
+// partition is what lies between the machines of a cluster: one of them may be cut off, both
+// ways or one way, and answers to operators may be lost.
+type partition struct {
+	mu sync.Mutex // guards all that follows
+
+	cutOff      string // address, empty for none
+	sends       bool   // its messages get through
+	receives    bool   // those to it do
+	callsPass   bool   // other calls than those with messages get through
+	loseAnswers bool   // commands are applied and not answered
+}
+
+// cut cuts a machine off, but for what it sends or receives.
+func (p *partition) cut(addr string, sends, receives bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cutOff, p.sends, p.receives, p.callsPass = addr, sends, receives, false
 }
 
-func (c *cuts) set(off string, says, hears bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.off, c.says, c.hears, c.calls = off, says, hears, false
+// end ends a cut.
+func (p *partition) end() {
+	p.cut("", false, false)
 }
 
-// lag has one machine hear nothing of the agreement, while all else gets through.
-func (c *cuts) lag(off string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.off, c.says, c.hears, c.calls = off, true, false, true
+// lag has a machine receive no messages, while all else gets through.
+func (p *partition) lag(addr string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cutOff, p.sends, p.receives, p.callsPass = addr, true, false, true
 }
 
-func (c *cuts) setMute(v bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.mute = v
+func (p *partition) setLoseAnswers(lose bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.loseAnswers = lose
 }
 
-// cuttable is a member as the others reach it. What is cut is silent, until the
-// caller gives up.
-type cuttable struct {
+// blocksMessages tells whether messages from one machine to another are cut.
+func (p *partition) blocksMessages(from, to string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cutOff == "" {
+		return false
+	}
+	return from == p.cutOff && !p.sends || to == p.cutOff && !p.receives
+}
+
+// blocksCalls tells whether other calls are cut. They don't name who calls: one end may be the
+// machine that is cut off. They need both ways.
+func (p *partition) blocksCalls() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cutOff != "" && !p.callsPass
+}
+
+func (p *partition) losesAnswers() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.loseAnswers
+}
+
+// partitionedMember is a member as the others reach it. A call that is cut has no answer until
+// its caller gives up.
+type partitionedMember struct {
 	*Core
-	cuts *cuts
-	addr string
+	partition *partition
+	addr      string
 }
 
-func silence[R any](ctx context.Context) (*R, error) {
+func noAnswer(ctx context.Context) error {
 	<-ctx.Done()
-	return nil, ctx.Err()
+	return ctx.Err()
 }
 
-func (c *cuttable) Deliver(ctx context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
-	c.cuts.mu.Lock()
-	lost := c.cuts.off != "" && (d.Addr == c.cuts.off && !c.cuts.says || c.addr == c.cuts.off && !c.cuts.hears)
-	c.cuts.mu.Unlock()
-	if lost {
-		return silence[api.DeliverResponse](ctx)
+// Deliver takes in messages, unless they are cut.
+func (m *partitionedMember) Deliver(ctx context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
+	if m.partition.blocksMessages(d.Addr, m.addr) {
+		return nil, noAnswer(ctx)
 	}
-	return c.Core.Deliver(ctx, d)
-}
-
-// cut tells of the other calls, which don't name who calls, that one end may be
-// the machine that is cut off. They need both ways.
-func (c *cuttable) cut() bool {
-	c.cuts.mu.Lock()
-	defer c.cuts.mu.Unlock()
-	return c.cuts.off != "" && !c.cuts.calls
+	return m.Core.Deliver(ctx, d)
 }
 
-func (c *cuttable) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
-	if c.cut() {
-		return silence[api.WatchResponse](ctx)
+// Watch answers a limiter, unless calls are cut.
+func (m *partitionedMember) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
+	if m.partition.blocksCalls() {
+		return nil, noAnswer(ctx)
 	}
-	return c.Core.Watch(ctx, q)
+	return m.Core.Watch(ctx, q)
 }
 
-func (c *cuttable) ReadIndex(ctx context.Context, q *api.Empty) (*api.ReadIndexResponse, error) {
-	if c.cut() {
-		return silence[api.ReadIndexResponse](ctx)
+// ReadIndex answers a member, unless calls are cut.
+func (m *partitionedMember) ReadIndex(ctx context.Context, q *api.Empty) (*api.ReadIndexResponse, error) {
+	if m.partition.blocksCalls() {
+		return nil, noAnswer(ctx)
 	}
-	return c.Core.ReadIndex(ctx, q)
+	return m.Core.ReadIndex(ctx, q)
 }
 
-func (c *cuttable) Join(ctx context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
-	if c.cut() {
-		return silence[api.ControlResponse](ctx)
+// Join answers a member, unless calls are cut.
+func (m *partitionedMember) Join(ctx context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
+	if m.partition.blocksCalls() {
+		return nil, noAnswer(ctx)
 	}
-	return c.Core.Join(ctx, q)
+	return m.Core.Join(ctx, q)
 }
 
-func (c *cuttable) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
-	if c.cut() {
-		return silence[api.ControlResponse](ctx)
+// Get answers a client, unless calls are cut.
+func (m *partitionedMember) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
+	if m.partition.blocksCalls() {
+		return nil, noAnswer(ctx)
 	}
-	return c.Core.Get(ctx, q)
+	return m.Core.Get(ctx, q)
 }
 
-func (c *cuttable) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
-	if c.cut() {
-		return silence[api.ControlResponse](ctx)
+// Replace answers a client, unless calls are cut or the answers are lost.
+func (m *partitionedMember) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
+	if m.partition.blocksCalls() {
+		return nil, noAnswer(ctx)
 	}
-	r, err := c.Core.Replace(ctx, q)
-	c.cuts.mu.Lock()
-	mute := c.cuts.mute
-	c.cuts.mu.Unlock()
-	if mute && err == nil && r.Status == http.StatusOK {
-		return silence[api.ControlResponse](ctx)
+	r, err := m.Core.Replace(ctx, q)
+	if err == nil && r.Status == http.StatusOK && m.partition.losesAnswers() {
+		return nil, noAnswer(ctx)
 	}
 	return r, err
 }
 
-// cutCore is a core of three machines that keep their disks over a restart.
-type cutCore struct {
+// partitionedCluster are three machines that keep their disks over a restart.
+type partitionedCluster struct {
 	*cluster
-	cuts cuts
-	dirs map[string]string
+	partition partition
+	dirs      map[string]string
 }
 
-func newCutCore(t *testing.T) *cutCore {
-	c := &cutCore{cluster: noCluster(t, 3), dirs: map[string]string{}}
-	for _, a := range c.addrs {
-		c.dirs[a] = memory(t)
-		c.start(a)
+func newPartitionedCluster(t *testing.T) *partitionedCluster {
+	t.Helper()
+	c := &partitionedCluster{
+		cluster: newStoppedCluster(t, 3),
+		dirs:    map[string]string{},
+	}
+	for _, addr := range c.addrs {
+		c.dirs[addr] = memoryDir(t)
+		c.start(addr)
 	}
 	return c
 }
 
-func (c *cutCore) start(addr string) {
+func (c *partitionedCluster) start(addr string) {
 	c.t.Helper()
-	store, err := storage.Open(c.dirs[addr])
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	conns := c.net.conns()
-	core, err := NewCore(CoreConfig{Addr: addr, Seeds: c.addrs, Bootstrap: true, Voters: 3, Store: store, Conns: conns,
-		Log: slog.New(slog.DiscardHandler), Seed: uint64(len(c.cores))})
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	c.run(addr, c.net.listen(addr), core, &cuttable{core, &c.cuts, addr}, func() {
-		conns.Close()
-		store.Close()
-	})
+	core := c.open(addr, c.dirs[addr], true)
+	c.serve(addr, c.net.listen(addr), core, &partitionedMember{core, &c.partition, addr})
 }
 
-func (c *cutCore) restart(addr string) {
+func (c *partitionedCluster) restart(addr string) {
 	c.t.Helper()
 	c.stops[addr]()
 	c.start(addr)
 }
 
-// leads returns the machine that leads, of all but one.
-func (c *cutCore) leads(but string) (addr string) {
-	c.until("a leader", func() bool {
-		for a, k := range c.cores {
-			if a != but && k.Leads() {
-				addr = a
+func (c *partitionedCluster) restartOthers(than string) {
+	c.t.Helper()
+	for _, addr := range c.others(than) {
+		c.restart(addr)
+	}
+}
+
+// others are all machines but one.
+func (c *partitionedCluster) others(than string) []string {
+	var others []string
+	for _, addr := range c.addrs {
+		if addr != than {
+			others = append(others, addr)
+		}
+	}
+	return others
+}
+
+// awaitLeaderAddr returns the machine that leads, of all but one.
+func (c *partitionedCluster) awaitLeaderAddr(but string) string {
+	c.t.Helper()
+	leader := ""
+	c.waitUntil("a leader", func() bool {
+		for addr, core := range c.cores {
+			if addr != but && core.Leads() {
+				leader = addr
 			}
 		}
-		return addr != ""
+		return leader != ""
 	})
-	return addr
+	return leader
 }
 
-// at is the process of a machine, as operators reach it.
-func (c *cutCore) at(addr string) *Client {
-	cl := c.client()
-	cl.SetLocalCore(c.cores[addr])
-	return cl
+// clientAt is the client in the process of a machine.
+func (c *partitionedCluster) clientAt(addr string) *Client {
+	client := c.client()
+	client.SetLocalCore(c.cores[addr])
+	return client
 }
 
-// operator makes a call at a process and returns the answer, and how long it took.
-func operator(h http.Handler, base string, body []byte) (*httptest.ResponseRecorder, time.Duration) {
+// operatorCall is an operator's call over HTTP, a read where there is no configuration.
+type operatorCall struct {
+	name   string
+	base   uint64
+	config []byte
+}
+
+// operatorAnswer is the answer, and how long it took.
+type operatorAnswer struct {
+	status     int
+	retryAfter string
+	body       []byte
+	took       time.Duration
+}
+
+func (q *operatorCall) do(handler http.Handler) operatorAnswer {
 	r := httptest.NewRequest(http.MethodGet, "/v1/Config.Get", nil)
-	if body != nil {
-		r = httptest.NewRequest(http.MethodPost, "/v1/Config.Replace", bytes.NewReader(body))
-		r.Header.Set("Base-Revision", base)
+	if q.config != nil {
+		r = httptest.NewRequest(http.MethodPost, "/v1/Config.Replace", bytes.NewReader(q.config))
+		r.Header.Set("Base-Revision", strconv.FormatUint(q.base, 10))
 	}
 	w, began := httptest.NewRecorder(), time.Now()
-	h.ServeHTTP(w, r)
-	return w, time.Since(began)
+	handler.ServeHTTP(w, r)
+	return operatorAnswer{
+		status:     w.Code,
+		retryAfter: w.Header().Get("Retry-After"),
+		body:       w.Body.Bytes(),
+		took:       time.Since(began),
+	}
 }
 
-// take brings a configuration to those who are not cut off, whoever leads them by
-// then, until there is a clear answer.
-func (c *cutCore) take(off string, base uint64, body []byte) (status int) {
+// isUnavailable tells that an operator is told when to try again.
+func (a *operatorAnswer) isUnavailable() bool {
+	return a.status == http.StatusServiceUnavailable && a.retryAfter != ""
+}
+
+// replaceUntilAnswered sends a configuration to those who are not cut off, whoever leads them
+// by then, until there is a clear answer. It returns its status.
+func (c *partitionedCluster) replaceUntilAnswered(cutOff string, base uint64, config []byte) int {
 	c.t.Helper()
-	c.until("an answer", func() bool {
-		w, _ := operator(c.at(c.leads(off)).Handler(), strconv.FormatUint(base, 10), body)
-		status = w.Code
+	call := operatorCall{base: base, config: config}
+	status := 0
+	c.waitUntil("an answer", func() bool {
+		status = call.do(c.clientAt(c.awaitLeaderAddr(cutOff)).Handler()).status
 		return status != http.StatusServiceUnavailable
 	})
 	return status
 }
 
-// sayNothing has operators and a limiter ask a machine that is cut off: no call has
-// a clear answer, all have one in time, and nothing of what it knows goes out.
-func (c *cutCore) sayNothing(off, when string, brings bool) {
+// requireSilence requires of a machine that is cut off that no operator's call has a clear
+// answer, that all have one in time, and that a limiter is told nothing of what it knows.
+// withNew: a new configuration is sent too. Not where what the machine sends gets through: the
+// others might commit it.
+func (c *partitionedCluster) requireSilence(cutOff, when string, withNew bool) {
 	c.t.Helper()
-	h := c.at(off).Handler()
-	calls := []struct {
-		what, base string
-		body       []byte
-	}{{"what was taken, sent again", "0", config(c.t, 5)}, {"what has lost", "0", config(c.t, 7)}, {"what is invalid there", "5", config(c.t, 3)}, {"a read", "", nil}}
-	if brings { // not where it may still be heard: the others might agree on it
-		calls = append(calls, struct {
-			what, base string
-			body       []byte
-		}{"a new one", "5", config(c.t, 9)})
-	}
-	var all sync.WaitGroup
+	calls := []operatorCall{
+		{"what was applied, sent again", 0, testConfig(c.t, 5)},
+		{"what has lost", 0, testConfig(c.t, 7)},
+		{"what is invalid there", 5, testConfig(c.t, 3)},
+		{name: "a read"},
+	}
+	if withNew {
+		calls = append(calls, operatorCall{"a new one", 5, testConfig(c.t, 9)})
+	}
+	handler := c.clientAt(cutOff).Handler()
+	var callers sync.WaitGroup
 	for _, q := range calls {
-		all.Go(func() {
-			w, took := operator(h, q.base, q.body)
-			if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
-				c.t.Errorf("%s: %s is answered %d, Retry-After %q: %.60q", when, q.what, w.Code, w.Header().Get("Retry-After"), w.Body)
+		callers.Go(func() {
+			a := q.do(handler)
+			if !a.isUnavailable() {
+				c.t.Errorf("%s: %s is answered %d, Retry-After %q: %.60q", when, q.name, a.status, a.retryAfter, a.body)
 			}
-			if took >= operatorPatience || took > answeredIn {
-				c.t.Errorf("%s: %s is answered after %v, an operator waits for a second", when, q.what, took)
+			if a.took >= operatorPatience || a.took > answeredIn {
+				c.t.Errorf("%s: %s is answered after %v", when, q.name, a.took)
 			}
 		})
 	}
-	all.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	callers.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		if n, err := c.cores[off].Watch(ctx, &api.WatchRequest{}); err != nil || n.Lease || n.ConfigDelta != nil || n.ServersDelta != nil {
-			c.t.Errorf("%s: a limiter is told %+v, %v", when, n, err)
+		r, err := c.cores[cutOff].Watch(ctx, &api.WatchRequest{})
+		if err != nil || r.Lease || r.ConfigDelta != nil || r.ServersDelta != nil {
+			c.t.Errorf("%s: a limiter is told %+v, %v", when, r, err)
 		}
 	})
-	all.Wait()
+	callers.Wait()
 }
--- a/controlplane/partition_test.go
+++ b/controlplane/partition_test.go
@@ -6,229 +6,247 @@
 	"fmt"
 	"math"
 	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"example.org/elmspan/api"
 )
 
-const (
-	operatorPatience = time.Second            // so long an operator waits for an answer
-	answeredIn       = 850 * time.Millisecond // that it can't be said
-)
-
-// A machine of the core is cut off for a time, as leader or not, both ways or one
-// way, is started again meanwhile, and the others are after it: until it is back it
-// says that it can't say, in time, to every operator; limiters have neither a
-// lease nor a configuration of it. Once it is back it tells the newest. (Told by the
-// users: it went on handing out an old configuration, refused orders, or confirmed
-// them.)
-func TestCutOffMachine(t *testing.T) {
+// A machine is cut off for a time, as leader or not, both ways or one way, is started again
+// meanwhile, and the others are after it. Until it is back it answers every operator, in time,
+// that it can't say; limiters get neither a lease nor a configuration from it. Once it is back
+// it answers with the newest. (Reported by the users: it went on answering with an old
+// configuration, refused commands, or confirmed them.)
+func TestCutOffMachineAnswersNothing(t *testing.T) {
 	t.Parallel()
-	for _, v := range []struct {
-		name              string
-		leader            bool
-		says, hears, anew bool
-	}{
-		{"the leader", true, false, false, true}, {"another", false, false, false, true},
-		{"a leader that is heard", true, true, false, false}, {"a leader that hears", true, false, true, false},
+	for _, c := range []cutOffCase{
+		{name: "the leader", leader: true, restarts: true},
+		{name: "a follower", restarts: true},
+		{name: "a leader that sends", leader: true, sends: true},
+		{name: "a leader that receives", leader: true, receives: true},
 	} {
-		runInBubble(t, v.name, func(t *testing.T) {
-			c := newCutCore(t)
-			off := c.leads("")
-			if replace(c.at(off), 0, config(t, 5)) != http.StatusOK {
-				t.Fatal("the first was not taken")
-			}
-			for _, a := range c.addrs {
-				if !v.leader && a != c.leads("") {
-					off = a
-				}
-			}
-			c.until("it has the first", func() bool { return c.cores[off].Status().Revision == 5 })
-			c.cuts.set(off, v.says, v.hears)
-			c.sayNothing(off, "at once", !v.says)
-			if got := c.take(off, 5, config(t, 6)); got != http.StatusOK {
-				t.Fatalf("the others answer %d", got)
-			}
-			c.sayNothing(off, "after the others took another", !v.says)
-			if v.anew {
-				c.restart(off)
-				c.sayNothing(off, "started again", !v.says)
-				for _, a := range c.addrs {
-					if a != off {
-						c.restart(a)
-					}
-				}
-				c.sayNothing(off, "after the others were started again", !v.says)
-				if got := c.take(off, 5, config(t, 6)); got != http.StatusOK {
-					t.Errorf("sent again to the others: %d", got)
-				}
-			}
-			c.cuts.set("", false, false)
-			h := c.at(off).Handler()
-			c.until("it reads back", func() bool {
-				w, _ := operator(h, "", nil)
-				if w.Code == http.StatusOK && !bytes.Equal(w.Body.Bytes(), config(t, 6)) {
-					t.Fatalf("an old one is read back: %q", w.Body)
-				}
-				return w.Code == http.StatusOK
-			})
-			for _, q := range []struct {
-				base uint64
-				body []byte
-				want int
-			}{{0, config(t, 5), 200}, {5, config(t, 6), 200}, {0, config(t, 7), 412}, {6, config(t, 3), 400}} {
-				if got := replace(c.at(off), q.base, q.body); got != q.want {
-					t.Errorf("once it is back, on %d: %d, want %d", q.base, got, q.want)
-				}
-			}
-		})
+		runInBubble(t, c.name, c.run)
 	}
 }
 
-// The answer to an order that was taken is lost; it is sent again to another
-// machine, after another change, after its leader has gone, and is acknowledged.
-// Eight come at once, of two operators that picked the same numbers: one of each
-// pair is taken.
-func TestOrdersSentAgainElsewhere(t *testing.T) { inBubble(t, testOrdersSentAgainElsewhere) }
+type cutOffCase struct {
+	name            string
+	leader          bool
+	sends, receives bool // although it is cut off
+	restarts        bool
+}
 
-func testOrdersSentAgainElsewhere(t *testing.T) {
-	c := newCutCore(t)
-	l := c.leads("")
-	var others []string
-	for _, a := range c.addrs {
-		if a != l {
-			others = append(others, a)
-		}
+func (v *cutOffCase) run(t *testing.T) {
+	c := newPartitionedCluster(t)
+	cutOff := c.awaitLeaderAddr("")
+	if replaceConfig(c.clientAt(cutOff), 0, testConfig(t, 5)) != http.StatusOK {
+		t.Fatal("the first was not applied")
 	}
-	c.cuts.setMute(true)
-	first := c.at(others[0])
-	first.SetMembers(l, nil)
-	w, _ := operator(first.Handler(), "0", config(t, 5))
-	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
-		t.Fatalf("without an answer of the leader: %d", w.Code)
+	if !v.leader {
+		cutOff = c.others(c.awaitLeaderAddr(""))[1]
 	}
-	if got := replace(c.at(l), 5, config(t, 6)); got != http.StatusOK {
-		t.Fatalf("on top of it: %d", got)
+	c.waitUntil("it has the first", func() bool { return c.cores[cutOff].Status().Revision == 5 })
+	c.partition.cut(cutOff, v.sends, v.receives)
+	c.requireSilence(cutOff, "at once", !v.sends)
+	if got := c.replaceUntilAnswered(cutOff, 5, testConfig(t, 6)); got != http.StatusOK {
+		t.Fatalf("the others answer %d", got)
 	}
-	c.cuts.setMute(false)
-	for _, a := range c.addrs {
-		if got := replace(c.at(a), 0, config(t, 5)); got != http.StatusOK {
-			t.Errorf("sent again to %s: %d", a, got)
+	c.requireSilence(cutOff, "after the others applied another", !v.sends)
+	if v.restarts {
+		c.restart(cutOff)
+		c.requireSilence(cutOff, "started again", !v.sends)
+		c.restartOthers(cutOff)
+		c.requireSilence(cutOff, "after the others were started again", !v.sends)
+		if got := c.replaceUntilAnswered(cutOff, 5, testConfig(t, 6)); got != http.StatusOK {
+			t.Errorf("sent again to the others: %d", got)
 		}
 	}
-	c.stops[l]()
-	if got := replace(c.at(others[1]), 0, config(t, 5)); got != http.StatusOK {
-		t.Errorf("sent again to the next leader: %d", got)
+	c.partition.end()
+	c.requireNewestReadBack(cutOff, testConfig(t, 6))
+	for _, q := range []struct {
+		base, revision uint64
+		want           int
+	}{
+		{0, 5, http.StatusOK},
+		{5, 6, http.StatusOK},
+		{0, 7, http.StatusPreconditionFailed},
+		{6, 3, http.StatusBadRequest},
+	} {
+		if got := replaceConfig(c.clientAt(cutOff), q.base, testConfig(t, q.revision)); got != q.want {
+			t.Errorf("once it is back, %d on %d: %d, want %d", q.revision, q.base, got, q.want)
+		}
 	}
-	base := uint64(6)
-	for round := range 3 {
-		named := func(i int) []byte {
-			data, err := cbor.Marshal(&api.Config{Revision: base + 1, Upstreams: []api.Upstream{{Name: fmt.Sprint("operator-", i)}}})
-			if err != nil {
-				t.Fatal(err)
-			}
-			return data
-		}
-		got := make([]int, 8)
-		var all sync.WaitGroup
-		for i := range got {
-			all.Go(func() { // two orders, each sent four times
-				got[i] = http.StatusServiceUnavailable
-				h := c.at(others[i/2%2]).Handler()
-				for end := time.Now().Add(patience); got[i] == http.StatusServiceUnavailable && time.Now().Before(end); {
-					w, _ := operator(h, strconv.FormatUint(base, 10), named(i%2))
-					got[i] = w.Code
-				}
-			})
-		}
-		all.Wait()
-		count := map[int]int{}
-		for i, code := range got {
-			if count[code]++; code != got[i%2] {
-				t.Errorf("round %d: one order is answered %d and %d", round, code, got[i%2])
+}
+
+// requireNewestReadBack requires that a machine reads back a configuration, and none before it.
+func (c *partitionedCluster) requireNewestReadBack(addr string, config []byte) {
+	c.t.Helper()
+	handler := c.clientAt(addr).Handler()
+	c.waitUntil("it reads back", func() bool {
+		a := (&operatorCall{}).do(handler)
+		if a.status == http.StatusOK && !bytes.Equal(a.body, config) {
+			c.t.Fatalf("an old one is read back: %q", a.body)
+		}
+		return a.status == http.StatusOK
+	})
+}
+
+// The answer to a command that was applied is lost. It is sent again to another machine, after
+// another change, after its leader has gone, and is acknowledged.
+func TestCommandSentAgainElsewhereIsAcknowledged(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		c := newPartitionedCluster(t)
+		leader := c.awaitLeaderAddr("")
+		others := c.others(leader)
+		c.loseAnswerOfFirst(leader, others[0])
+		for _, addr := range c.addrs {
+			if got := replaceConfig(c.clientAt(addr), 0, testConfig(t, 5)); got != http.StatusOK {
+				t.Errorf("sent again to %s: %d", addr, got)
 			}
 		}
-		if count[http.StatusOK] != 4 || count[http.StatusPreconditionFailed] != 4 {
-			t.Errorf("round %d: %v", round, count)
+		c.stops[leader]()
+		if got := replaceConfig(c.clientAt(others[1]), 0, testConfig(t, 5)); got != http.StatusOK {
+			t.Errorf("sent again to the next leader: %d", got)
 		}
-		base++
-	}
+		// Two commands, each sent four times at once.
+		for round := range uint64(3) {
+			c.requireOneOfTwoCommands(others, 6+round)
+		}
+	})
 }
 
-// While a member lags, the leader is cut off, and so on, and the others take changes:
-// whichever member gives a limiter a lease, with it comes no older configuration
-// than one that was acknowledged before the limiter asked. A lease holds from then
-// for revoke_ms less 0.5 s, so nobody serves by a version that was replaced for longer
-// than that after the acknowledgement.
-func TestLeasesAreOfTheNewest(t *testing.T) { inBubble(t, testLeasesAreOfTheNewest) }
+// loseAnswerOfFirst has revision 5 applied without an answer, and revision 6 on top of it.
+func (c *partitionedCluster) loseAnswerOfFirst(leader, at string) {
+	c.t.Helper()
+	c.partition.setLoseAnswers(true)
+	client := c.clientAt(at)
+	client.SetMembers(leader, nil)
+	a := (&operatorCall{base: 0, config: testConfig(c.t, 5)}).do(client.Handler())
+	if !a.isUnavailable() {
+		c.t.Fatalf("without an answer of the leader: %d", a.status)
+	}
+	if got := replaceConfig(c.clientAt(leader), 5, testConfig(c.t, 6)); got != http.StatusOK {
+		c.t.Fatalf("on top of it: %d", got)
+	}
+	c.partition.setLoseAnswers(false)
+}
 
-func testLeasesAreOfTheNewest(t *testing.T) {
-	c := newCutCore(t)
-	c.leads("")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
-	defer cancel()
-	var acked, leases atomic.Uint64
-	over := make(chan struct{})
-	var watchers sync.WaitGroup
-	for a, k := range c.cores {
-		watchers.Go(func() {
-			for ctx.Err() == nil {
-				select {
-				case <-over:
-					return
-				default:
-				}
-				before := acked.Load()
-				n, err := k.Watch(ctx, &api.WatchRequest{Revision: before, ServersVersion: math.MaxUint64})
-				if err != nil {
-					t.Error(err)
-					return
-				}
-				time.Sleep(time.Millisecond) // else the bubble's clock stands where an answer waits for nothing
-				if !n.Lease {
-					continue
-				}
-				leases.Add(1)
-				if n.Revision < before {
-					t.Errorf("%s gives a lease with revision %d, %d was acknowledged before", a, n.Revision, before)
-				}
+// requireOneOfTwoCommands sends eight calls at once to two machines, of two operators that
+// picked the same revision, and requires that one of the two is applied.
+func (c *partitionedCluster) requireOneOfTwoCommands(machines []string, base uint64) {
+	c.t.Helper()
+	statuses := make([]int, 8)
+	var callers sync.WaitGroup
+	for i := range statuses {
+		name := fmt.Sprint("operator-", i%2)
+		call := operatorCall{
+			base: base,
+			config: encodeConfig(c.t, &api.Config{
+				Revision:  base + 1,
+				Upstreams: []api.Upstream{{Name: name}},
+			}),
+		}
+		callers.Go(func() {
+			statuses[i] = http.StatusServiceUnavailable
+			handler := c.clientAt(machines[i/2%2]).Handler()
+			deadline := time.Now().Add(testTimeout)
+			for statuses[i] == http.StatusServiceUnavailable && time.Now().Before(deadline) {
+				statuses[i] = call.do(handler).status
 			}
 		})
 	}
-	version := uint64(0)
-	bring := func(off string, n int) {
-		for range n {
-			if got := c.take(off, version, config(t, version+1)); got != http.StatusOK {
-				t.Fatalf("revision %d: %d", version+1, got)
-			}
-			version++
-			acked.Store(version)
+	callers.Wait()
+	count := map[int]int{}
+	for i, status := range statuses {
+		count[status]++
+		if status != statuses[i%2] {
+			c.t.Errorf("on %d: one command is answered %d and %d", base, status, statuses[i%2])
 		}
 	}
-	for range 3 {
-		bring("", 3)
-		off := c.leads("")
-		late := c.addrs[0]
-		if late == off {
-			late = c.addrs[1]
-		}
-		c.cuts.lag(late) // the leader confirms to it what it has not applied
-		bring(late, 3)
-		c.cuts.set(off, false, false)
-		bring(off, 3)
-		c.cuts.set("", false, false)
+	if count[http.StatusOK] != 4 || count[http.StatusPreconditionFailed] != 4 {
+		c.t.Errorf("on %d: statuses %v", base, count)
 	}
-	had := leases.Load()
-	c.until("leases once all is calm", func() bool { return leases.Load() > had+6 })
-	close(over)
-	watchers.Wait()
-	if version != 27 {
-		t.Errorf("%d changes", version)
+}
+
+// While a member lags, the leader is cut off, and so on, and the others apply changes:
+// whichever member grants a limiter a lease, with it comes no older configuration than one that
+// was acknowledged before the limiter asked. A lease holds from then for revoke_ms less 0.5 s,
+// so nobody serves a configuration that was replaced for longer than that after the
+// acknowledgement.
+func TestLeasesComeWithTheNewestConfiguration(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		c := newPartitionedCluster(t)
+		c.awaitLeaderAddr("")
+		w := &leaseWatch{t: t, done: make(chan struct{})}
+		var watchers sync.WaitGroup
+		for addr, core := range c.cores {
+			watchers.Go(func() { w.watch(addr, core) })
+		}
+		for range 3 {
+			c.replaceInTurn(w, "", 3)
+			cutOff := c.awaitLeaderAddr("")
+			lagging := c.others(cutOff)[0]
+			c.partition.lag(lagging) // the leader confirms to it what it has not applied
+			c.replaceInTurn(w, lagging, 3)
+			c.partition.cut(cutOff, false, false)
+			c.replaceInTurn(w, cutOff, 3)
+			c.partition.end()
+		}
+		before := w.leases.Load()
+		c.waitUntil("leases once all is calm", func() bool { return w.leases.Load() > before+6 })
+		close(w.done)
+		watchers.Wait()
+		if acknowledged := w.acknowledged.Load(); acknowledged != 27 {
+			t.Errorf("%d changes", acknowledged)
+		}
+	})
+}
+
+// leaseWatch checks the leases that members grant.
+type leaseWatch struct {
+	t            *testing.T
+	done         chan struct{}
+	acknowledged atomic.Uint64 // the highest revision
+	leases       atomic.Uint64 // granted
+}
+
+// replaceInTurn has changes applied, one on top of the other, by those who are not cut off.
+func (c *partitionedCluster) replaceInTurn(w *leaseWatch, cutOff string, changes int) {
+	c.t.Helper()
+	for range changes {
+		base := w.acknowledged.Load()
+		if got := c.replaceUntilAnswered(cutOff, base, testConfig(c.t, base+1)); got != http.StatusOK {
+			c.t.Fatalf("revision %d: %d", base+1, got)
+		}
+		w.acknowledged.Store(base + 1)
+	}
+}
+
+// watch watches a member until all is done, for testTimeout at most.
+func (w *leaseWatch) watch(addr string, core *Core) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	defer cancel()
+	for ctx.Err() == nil {
+		select {
+		case <-w.done:
+			return
+		default:
+		}
+		before := w.acknowledged.Load()
+		r, err := core.Watch(ctx, &api.WatchRequest{Revision: before, ServersVersion: math.MaxUint64})
+		if err != nil {
+			w.t.Error(err)
+			return
+		}
+		time.Sleep(time.Millisecond) // else the bubble's clock stands where an answer waits for nothing
+		if !r.Lease {
+			continue
+		}
+		w.leases.Add(1)
+		if r.Revision < before {
+			w.t.Errorf("%s grants a lease with revision %d, %d was acknowledged before", addr, r.Revision, before)
+		}
 	}
 }
--- a/controlplane/state_test.go
+++ b/controlplane/state_test.go
@@ -178,7 +178,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var s State
 			for i := range uint64(3) {
-				if got := applyReplace(t, &s, 2*i, 2*i+2, config(t, 2*i+2)); got != OutcomeApplied {
+				if got := applyReplace(t, &s, 2*i, 2*i+2, testConfig(t, 2*i+2)); got != OutcomeApplied {
 					t.Fatal(got)
 				}
 			}
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -13,19 +13,6 @@
 	"example.org/elmspan/versioned"
 )
 
-func (c *cluster) leader() *Core {
-	var leader *Core
-	c.until("a leader", func() bool {
-		for _, k := range c.cores {
-			if k.Leads() {
-				leader = k
-			}
-		}
-		return leader != nil
-	})
-	return leader
-}
-
 func servers(states ...string) (out []api.Server) {
 	for i, s := range states {
 		out = append(out, api.Server{ID: fmt.Sprint("i-", i), Upstream: "s", Addr: fmt.Sprint("10.0.0.", i, ":80"), Zone: "z", Capacity: 2, State: s})
@@ -36,7 +23,7 @@
 // listOf is the list of servers that a member tells, by id.
 func listOf(t *testing.T, k *Core) map[string]string {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	n, err := k.Watch(ctx, &api.WatchRequest{})
 	if err != nil || !n.Lease || n.ServersDelta == nil {
@@ -67,15 +54,15 @@
 
 func testEveryMemberAnswers(t *testing.T) {
 	c := newCluster(t)
-	if replace(c.client(), 0, config(t, 5)) != http.StatusOK {
+	if replaceConfig(c.client(), 0, testConfig(t, 5)) != http.StatusOK {
 		t.Fatal("not taken")
 	}
-	leader := c.leader()
+	leader := c.awaitLeader()
 	leader.SetServers(servers(api.InService, api.Draining))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for addr, k := range c.cores {
-		c.until("an answer of "+addr, func() bool {
+		c.waitUntil("an answer of "+addr, func() bool {
 			n, err := k.Watch(ctx, &api.WatchRequest{})
 			return err == nil && n.Lease && n.Revision == 5 && n.ConfigDelta != nil && n.ServersDelta != nil
 		})
@@ -111,18 +98,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := replace(cl, base, data); got != http.StatusOK {
+		if got := replaceConfig(cl, base, data); got != http.StatusOK {
 			t.Fatalf("revision %d: %d", conf.Revision, got)
 		}
 	}
 	put(0)
 	conf.Revision, conf.Routes[7].TimeoutMs = 2, 200
 	put(1)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for addr, k := range c.cores {
 		var n *api.WatchResponse
-		c.until("news of "+addr, func() (ok bool) {
+		c.waitUntil("news of "+addr, func() (ok bool) {
 			var err error
 			n, err = k.Watch(ctx, &api.WatchRequest{Revision: 1, ServersVersion: math.MaxUint64})
 			return err == nil && n.Lease && n.Revision == 2
@@ -144,10 +131,10 @@
 
 func testListOverAChangeOfLeader(t *testing.T) {
 	c := newCluster(t)
-	if replace(c.client(), 0, config(t, 1)) != http.StatusOK {
+	if replaceConfig(c.client(), 0, testConfig(t, 1)) != http.StatusOK {
 		t.Fatal("not taken")
 	}
-	first := c.leader()
+	first := c.awaitLeader()
 	first.SetServers(servers(api.InService, api.InService, api.InService))
 	first.SetServers(servers(api.InService, api.Draining, api.InService))
 	version := func(k *Core) uint64 {
@@ -157,14 +144,14 @@
 	}
 	want := version(first)
 	for addr, k := range c.cores {
-		c.until("the list at "+addr, func() bool { return version(k) == want })
+		c.waitUntil("the list at "+addr, func() bool { return version(k) == want })
 	}
 	for addr, k := range c.cores {
 		if k == first {
 			c.stops[addr]()
 		}
 	}
-	next := c.leader()
+	next := c.awaitLeader()
 	next.SetServers(servers(api.InService, api.InService, api.InService)) // older than what was seen
 	if got := fmt.Sprint(listOf(t, next)); got != "map[i-0:in_service i-1:draining i-2:in_service]" {
 		t.Errorf("the new leader tells %s", got)
@@ -233,19 +220,19 @@
 
 func testChangesAppliedAtOnceAreToldOnce(t *testing.T) {
 	const changed = 20
-	c := noCluster(t, 1)
-	addr, dir := c.addrs[0], memory(t)
+	c := newStoppedCluster(t, 1)
+	addr, dir := c.addrs[0], memoryDir(t)
 	c.start(addr, dir, true)
 	cl := c.client()
 	for r := range uint64(changed) {
-		if got := replace(cl, r, config(t, r+1)); got != http.StatusOK {
+		if got := replaceConfig(cl, r, testConfig(t, r+1)); got != http.StatusOK {
 			t.Fatalf("revision %d: %d", r+1, got)
 		}
 	}
 	c.stops[addr]()
 	c.start(addr, dir, false)
 	k := c.cores[addr]
-	c.until("all is applied", func() bool {
+	c.waitUntil("all is applied", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return k.store.state.Revision == changed
