--- a/tools/equal-days.sh
+++ b/tools/equal-days.sh
@@ -2,14 +2,23 @@
 # Plays simulated days on two revisions with equal seeds and compares every figure
 # but the time that the run took. A change that only renames and moves leaves all equal.
 #
+# A day of 300 limiters is compared up to its tenth second. From the cut in its second
+# half on two plays of one program differ a little, already at f96d826: what goes into a
+# gossip message that can't take all, and in which order demands are summed, follows the
+# iteration order of Go maps. So over its whole length its figures must be near (NEAR
+# percent, 5), and the verdict on them says so.
+#
 # Usage: tools/equal-days.sh OLD_REVISION [NEW_REVISION]     (NEW_REVISION: HEAD)
 #
 # The days are those of the old revision, each with SEEDS seeds (1) and every policy
 # in POLICY (elmspan; all: those to compare with too). Exit code: 0 all figures are
-# equal, 1 some differ, 2 it could not run.
+# equal, or near where that is said, 1 some differ, 2 it could not run.
 set -euo pipefail
 
-readonly days=(docs/days/zone.toml docs/days/grown.toml docs/days/large.toml)
+# Each day, and after a colon the seconds of it that are played, where not all.
+readonly exact=(docs/days/zone.toml docs/days/grown.toml docs/days/large.toml:10)
+readonly near=(docs/days/large.toml)
+readonly tolerance=${NEAR:-5} # percent; figures below 100 may differ by as many units
 readonly seeds=${SEEDS:-1}
 readonly policy=${POLICY:-elmspan}
 
@@ -22,11 +31,12 @@
   (cd "$scratch/$name" && go build -o elmspan-lab ./cmd/elmspan-lab) || fail "$revision does not build"
 }
 
-# play NAME DAY: writes the report, and each day's figures in full precision, to
-# $scratch/NAME.out. The line on the time taken and the column heads are left out.
+# play NAME DAY[:SECONDS]: writes the report, and each day's figures in full precision,
+# to $scratch/NAME.out. The line on the time taken and the column heads are left out.
 play() {
-  local name=$1 day=$2 code=0
-  "$scratch/$name/elmspan-lab" simulate "$scratch/old/$day" --seeds "$seeds" --policy "$policy" \
+  local name=$1 day=${2%:*} seconds=${2#"${2%:*}"} code=0
+  seconds=${seconds#:}
+  "$scratch/$name/elmspan-lab" simulate "$scratch/old/$day" --seconds "${seconds:-0}" --seeds "$seeds" --policy "$policy" \
     --csv "$scratch/$name.csv" >"$scratch/$name.report" 2>"$scratch/$name.log" || code=$?
   # 3: a rule was broken; the report says which, and it must be equal too.
   if [ "$code" != 0 ] && [ "$code" != 3 ]; then cat "$scratch/$name.log" >&2; fail "$day: $name: exit code $code"; fi
@@ -40,13 +50,20 @@
 # numbers FILE: every number, one a line, with the number of its line in front.
 numbers() { grep -noE -- '-?[0-9]+(\.[0-9]+)?(e[+-]?[0-9]+)?' "$1"; }
 
-# compare DAY: prints the verdict on one day and returns whether it is equal.
-compare() {
+# figures DAY: takes the numbers out of both reports and prints how many there are.
+figures() {
   numbers "$scratch/old.out" >"$scratch/old.numbers"
   numbers "$scratch/new.out" >"$scratch/new.numbers"
   local count
   count=$(wc -l <"$scratch/old.numbers")
   if [ "$count" -lt 20 ]; then fail "$1: only $count figures were found"; fi
+  echo "$count"
+}
+
+# compare DAY: prints the verdict on one day and returns whether it is equal.
+compare() {
+  local count
+  count=$(figures "$1")
   if cmp -s "$scratch/old.numbers" "$scratch/new.numbers"; then
     echo "$1: $count of $count figures equal"
     return 0
@@ -56,6 +73,23 @@
   return 1
 }
 
+# resemble DAY: prints the verdict on one day and returns whether all figures are near.
+resemble() {
+  local count
+  count=$(figures "$1")
+  if paste -d' ' "$scratch/old.numbers" "$scratch/new.numbers" | tr ':' ' ' | awk -v tolerance="$tolerance" '
+    { off = $2 > $4 ? $2 - $4 : $4 - $2; bound = tolerance / 100 * ($2 > 100 ? $2 : 100)
+      if ($2 < 1 && $2 > 0) bound = tolerance / 100 * $2 # shares
+      if ($1 != $3 || off > bound) { print "line " $1 ": old " $2 ", new " $4; bad = 1 } }
+    END { exit bad }'; then
+    echo "$1, whole: $count figures within $tolerance %"
+    return 0
+  fi
+  echo "$1, whole: not all within $tolerance % (- old, + new):"
+  diff -u "$scratch/old.out" "$scratch/new.out" | sed 1,2d || true
+  return 1
+}
+
 if [ $# -lt 1 ] || [ $# -gt 2 ]; then sed -n 's/^# \(Usage.*\)/\1/p' "$0" >&2; exit 2; fi
 cd "$(dirname "$0")/.."
 old=$(git rev-parse --verify --quiet "$1^{commit}") || fail "$1: no such revision"
@@ -71,9 +105,14 @@
 build "$new" new
 echo "old ${old:0:7}, new ${new:0:7}, seeds $seeds, policy $policy"
 equal=0
-for day in "${days[@]}"; do
+for day in "${exact[@]}"; do
   play old "$day"
   play new "$day"
   compare "$day" || equal=1
 done
+for day in "${near[@]}"; do
+  play old "$day"
+  play new "$day"
+  resemble "$day" || equal=1
+done
 exit "$equal"
