--- a/cmd/elmspan-lab/load.go
+++ b/cmd/elmspan-lab/load.go
@@ -66,7 +66,7 @@
 	for i := range day.Classes {
 		k := &day.Classes[i]
 		for at := rng.ExpFloat64() / (k.PerS * c.X); at < day.LengthS; at += rng.ExpFloat64() / (k.PerS * c.X) {
-			tenant, _ := day.Draw(rng, "", 0)
+			tenant, _ := day.DrawTenant(rng, "", 0)
 			all = append(all, sending{time.Duration(at * float64(time.Second)), k, tenant.Name})
 		}
 	}
@@ -135,7 +135,7 @@
 // send sends what is due, each at its time, and reports.
 func (t *Target) send(ctx context.Context, day *scenario.Day, all []sending) error {
 	begun := time.Now()
-	ledger := checker.New(scenario.Retries{}, func() time.Duration { return time.Since(begun) })
+	ledger := checker.New(scenario.RetryBudget{}, func() time.Duration { return time.Since(begun) })
 	tally := checker.NewTally(day)
 	client := emulator.NewClient(t.Host, t.Front, day.Seed)
 	defer client.Close()
--- a/cmd/elmspan-lab/main.go
+++ b/cmd/elmspan-lab/main.go
@@ -207,13 +207,13 @@
 	of   func(*simulation.Result) float64
 }{
 	{"served", func(r *simulation.Result) float64 { return r.Served() }},
-	{"in aim", func(r *simulation.Result) float64 { return r.InAim() }},
+	{"in aim", func(r *simulation.Result) float64 { return r.InTarget() }},
 	{"p50 ms", func(r *simulation.Result) float64 { return r.Quantile(50) }},
 	{"p99 ms", func(r *simulation.Result) float64 { return r.Quantile(99) }},
 	{"words/s", func(r *simulation.Result) float64 { return r.WordsPerS }},
 	{"bytes/s", func(r *simulation.Result) float64 { return r.BytesPerS }},
 	{"heartbeats/s", func(r *simulation.Result) float64 { return r.BeatsPerS }},
-	{"rules broken", func(r *simulation.Result) float64 { return float64(len(r.Counts)) }},
+	{"rules broken", func(r *simulation.Result) float64 { return float64(len(r.ViolationCounts)) }},
 }
 
 func rows(cells []simulation.Cell, name string) (head []string, out [][]string) {
@@ -338,7 +338,7 @@
 	}
 	for _, cell := range cells {
 		for _, r := range cell.Results {
-			if cell.Policy == simulation.Elmspan && !r.Sound() {
+			if cell.Policy == simulation.Elmspan && !r.Passed() {
 				return errRule
 			}
 		}
--- a/cmd/elmspan/tools.go
+++ b/cmd/elmspan/tools.go
@@ -127,7 +127,7 @@
 			return err
 		}
 	}
-	if !r.Sound() {
+	if !r.Passed() {
 		return errRule
 	}
 	return nil
--- a/lab/checker/judge_test.go
+++ b/lab/checker/judge_test.go
@@ -18,56 +18,56 @@
 func TestJudge(t *testing.T) {
 	good := Run{Service: "filing", Member: "m", Tenant: "t"}
 	with := func(change func(*Run)) Run { r := good; change(&r); return r }
-	for want, play := range map[string]func(*Ledger){
-		"": func(l *Ledger) {
+	for want, play := range map[string]func(*Log){
+		"": func(l *Log) {
 			l.Ran("a", good, false)
-			l.Answered("a", 200, SealOf("m", "a", []byte("x")), []byte("x"))
+			l.Answered("a", 200, Seal("m", "a", []byte("x")), []byte("x"))
 		},
-		"TWICE":   func(l *Ledger) { l.Ran("a", good, false); l.Ran("a", good, false) },
-		"REFUSED": func(l *Ledger) { l.Ran("a", good, false); l.Answered("a", 503, "", nil) },
-		"MIXED": func(l *Ledger) {
+		"TWICE":   func(l *Log) { l.Ran("a", good, false); l.Ran("a", good, false) },
+		"REFUSED": func(l *Log) { l.Ran("a", good, false); l.Answered("a", 503, "", nil) },
+		"MIXED": func(l *Log) {
 			l.Ran("a", good, false)
-			l.Answered("a", 200, SealOf("m", "a", []byte("x")), []byte("y"))
+			l.Answered("a", 200, Seal("m", "a", []byte("x")), []byte("y"))
 		},
-		"ROUTE":   func(l *Ledger) { l.Ran("a", with(func(r *Run) { r.Service = "search" }), false) },
-		"UNASKED": func(l *Ledger) { l.Ran("b", good, false) },
-		"UNASKED tenant": func(l *Ledger) {
+		"ROUTE":   func(l *Log) { l.Ran("a", with(func(r *Run) { r.Service = "search" }), false) },
+		"UNASKED": func(l *Log) { l.Ran("b", good, false) },
+		"UNASKED tenant": func(l *Log) {
 			l.Ran("a", with(func(r *Run) { r.Tenant = "other" }), false)
 		},
-		"UNASKED key":  func(l *Ledger) { l.Ran("a", good, true) },
-		"UNASKED body": func(l *Ledger) { l.Ran("a", with(func(r *Run) { r.Body = 9 }), false) },
-		"DRAIN": func(l *Ledger) {
+		"UNASKED key":  func(l *Log) { l.Ran("a", good, true) },
+		"UNASKED body": func(l *Log) { l.Ran("a", with(func(r *Run) { r.Body = 9 }), false) },
+		"DRAIN": func(l *Log) {
 			l.draining["m"] = l.clock() - 4*time.Second
 			l.Ran("a", good, false)
 		},
-		"CONFIG": func(l *Ledger) {
+		"CONFIG": func(l *Log) {
 			l.revoked["k"] = l.clock() - 6*time.Second
 			l.Ran("a", good, false)
 		},
-		"BUDGET": func(l *Ledger) {
+		"BUDGET": func(l *Log) {
 			for range 7 {
 				l.Arrived("a", "search")
 			}
 		},
-		"QUOTA": func(l *Ledger) {
+		"QUOTA": func(l *Log) {
 			l.quotas["t"] = quota{10, 10}
 			for i := range 90 {
 				id := fmt.Sprint("q", i)
-				l.Sent(id, &Try{Class: lookup, Tenant: "t"})
+				l.Sent(id, &Attempt{Class: lookup, Tenant: "t"})
 				l.Ran(id, Run{Service: "search", Tenant: "t"}, false)
 			}
 		},
 	} {
-		l := New(scenario.Retries{Ratio: 0.1, Slack: 5, WindowS: 10}, func() time.Duration { return time.Minute })
-		l.Sent("a", &Try{Class: once, Tenant: "t", Key: "k"})
+		l := New(scenario.RetryBudget{Ratio: 0.1, Slack: 5, WindowS: 10}, func() time.Duration { return time.Minute })
+		l.Sent("a", &Attempt{Class: once, Tenant: "t", Key: "k"})
 		play(l)
-		l.Close()
+		l.Finish()
 		rule := want
 		if len(rule) > 7 {
 			rule = rule[:7]
 		}
 		if n := len(l.counts); rule == "" && n > 0 || rule != "" && (n != 1 || l.counts[rule] == 0) {
-			t.Errorf("%q: %v %v", want, l.counts, l.broken)
+			t.Errorf("%q: %v %v", want, l.counts, l.violations)
 		}
 	}
 }
--- a/lab/checker/ledger.go
+++ b/lab/checker/ledger.go
@@ -22,31 +22,31 @@
 	QuotaWindowS   = 5.0
 	QuotaOvershoot = 0.1
 	QuotaSlack     = 20.0
-	mostBroken     = 20
+	maxViolations  = 20
 )
 
-// Ledger is what the parties saw. Times are since the start of traffic.
-type Ledger struct {
+// Log is what the parties saw. Times are since the start of traffic.
+type Log struct {
 	clock func() time.Duration
 
-	mu       sync.Mutex
-	sent     map[string]*Try
-	runs     map[string][]Run
-	arrived  map[string]int       // times that it came to a server, run or not
-	further  map[string][]float64 // by service, when one came that was no first one
-	firsts   map[string][]float64
-	budget   scenario.Retries
-	draining map[string]time.Duration // since when the list shows a member as draining or gone
-	revoked  map[string]time.Duration // keys, since the acknowledgement
-	quotas   map[string]quota
-	broken   []string
-	counts   map[string]int // of broken rules
+	mu         sync.Mutex
+	sent       map[string]*Attempt
+	runs       map[string][]Run
+	arrivals   map[string]int       // times that it came to a server, run or not
+	retries    map[string][]float64 // by service, when one came that was no first one
+	firsts     map[string][]float64
+	budget     scenario.RetryBudget
+	draining   map[string]time.Duration // since when the list shows a member as draining or gone
+	revoked    map[string]time.Duration // keys, since the acknowledgement
+	quotas     map[string]quota
+	violations []string
+	counts     map[string]int // of broken rules
 }
 
 type quota struct{ rate, burst float64 }
 
-// Try is one try of a client.
-type Try struct {
+// Attempt is one try of a client.
+type Attempt struct {
 	Class  *scenario.Class
 	Tenant string
 	Key    string
@@ -63,50 +63,50 @@
 }
 
 // New returns an empty ledger on a clock that runs from the start of traffic.
-func New(budget scenario.Retries, clock func() time.Duration) *Ledger {
-	return &Ledger{clock: clock, budget: budget, sent: map[string]*Try{}, runs: map[string][]Run{}, arrived: map[string]int{},
-		further: map[string][]float64{}, firsts: map[string][]float64{}, draining: map[string]time.Duration{},
+func New(budget scenario.RetryBudget, clock func() time.Duration) *Log {
+	return &Log{clock: clock, budget: budget, sent: map[string]*Attempt{}, runs: map[string][]Run{}, arrivals: map[string]int{},
+		retries: map[string][]float64{}, firsts: map[string][]float64{}, draining: map[string]time.Duration{},
 		revoked: map[string]time.Duration{}, quotas: map[string]quota{}, counts: map[string]int{}}
 }
 
-// Breaks notes a broken rule that a party saw itself.
-func (l *Ledger) Breaks(rule, format string, args ...any) {
+// Violation notes a broken rule that a party saw itself.
+func (l *Log) Violation(rule, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breaks(rule, format, args...)
+	l.violation(rule, format, args...)
 }
 
-// Drains notes that the platform shows a server as draining from now on.
-func (l *Ledger) Drains(member string) {
+// Draining notes that the platform shows a server as draining from now on.
+func (l *Log) Draining(member string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining[member] = l.clock()
 }
 
 // Revoked notes that the loss of a key is acknowledged from now on.
-func (l *Ledger) Revoked(key string) {
+func (l *Log) Revoked(key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revoked[key] = l.clock()
 }
 
 // Quota notes what a tenant may have.
-func (l *Ledger) Quota(tenant string, rate, burst float64) {
+func (l *Log) Quota(tenant string, rate, burst float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.quotas[tenant] = quota{rate, burst}
 }
 
-// breaks notes a broken rule. Called under the mutex.
-func (l *Ledger) breaks(rule, format string, args ...any) {
+// violation notes a broken rule. Called under the mutex.
+func (l *Log) violation(rule, format string, args ...any) {
 	l.counts[rule]++
-	if len(l.broken) < mostBroken {
-		l.broken = append(l.broken, fmt.Sprintf("%.3f s %s: %s", l.clock().Seconds(), rule, fmt.Sprintf(format, args...)))
+	if len(l.violations) < maxViolations {
+		l.violations = append(l.violations, fmt.Sprintf("%.3f s %s: %s", l.clock().Seconds(), rule, fmt.Sprintf(format, args...)))
 	}
 }
 
 // Sent notes that a client sends a try.
-func (l *Ledger) Sent(id string, s *Try) {
+func (l *Log) Sent(id string, s *Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s.at = l.clock()
@@ -114,67 +114,67 @@
 }
 
 // Arrived notes that a request came to a server, whether it runs or not.
-func (l *Ledger) Arrived(id, service string) {
+func (l *Log) Arrived(id, service string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := l.clock().Seconds()
-	if l.arrived[id]++; l.arrived[id] == 1 {
+	if l.arrivals[id]++; l.arrivals[id] == 1 {
 		l.firsts[service] = append(l.firsts[service], at)
 	} else {
-		l.further[service] = append(l.further[service], at)
+		l.retries[service] = append(l.retries[service], at)
 	}
 }
 
 // Ran notes that a server runs a request, and checks what it got.
-func (l *Ledger) Ran(id string, r Run, sawKey bool) {
+func (l *Log) Ran(id string, r Run, sawKey bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.at = l.clock()
 	s := l.sent[id]
 	switch {
 	case s == nil:
-		l.breaks("UNASKED", "%s ran %q, which no client sent", r.Member, id)
+		l.violation("UNASKED", "%s ran %q, which no client sent", r.Member, id)
 		return
 	case s.Tenant != r.Tenant || sawKey:
-		l.breaks("UNASKED", "%s was told the tenant %q for %q, or the key", r.Member, r.Tenant, s.Tenant)
+		l.violation("UNASKED", "%s was told the tenant %q for %q, or the key", r.Member, r.Tenant, s.Tenant)
 	case s.Body != r.Body:
-		l.breaks("UNASKED", "%s got another body with %s", r.Member, id)
+		l.violation("UNASKED", "%s got another body with %s", r.Member, id)
 	case s.Class.Service != r.Service:
-		l.breaks("ROUTE", "%s ran at %s, %s is its service", id, r.Service, s.Class.Service)
+		l.violation("ROUTE", "%s ran at %s, %s is its service", id, r.Service, s.Class.Service)
 	}
 	if at, ok := l.draining[r.Member]; ok && r.at-at > DrainMs*time.Millisecond {
-		l.breaks("DRAIN", "%s got %s %v after it was shown as draining", r.Member, id, r.at-at)
+		l.violation("DRAIN", "%s got %s %v after it was shown as draining", r.Member, id, r.at-at)
 	}
 	if at, ok := l.revoked[s.Key]; ok && s.at-at > RevokeMs*time.Millisecond {
-		l.breaks("CONFIG", "%s ran with a key that was taken away %v before", id, s.at-at)
+		l.violation("CONFIG", "%s ran with a key that was taken away %v before", id, s.at-at)
 	}
 	l.runs[id] = append(l.runs[id], r)
-	if n := len(l.runs[id]); n > 1 && !s.Class.Repeatable() {
-		l.breaks("TWICE", "%s (%s) ran %d times", id, s.Class.Name, n)
+	if n := len(l.runs[id]); n > 1 && !s.Class.Idempotent() {
+		l.violation("TWICE", "%s (%s) ran %d times", id, s.Class.Name, n)
 	}
 }
 
 // Answered notes what a client got.
-func (l *Ledger) Answered(id string, status int, seal string, body []byte) {
+func (l *Log) Answered(id string, status int, seal string, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.sent[id]
 	s.status = status
-	ok := slices.ContainsFunc(l.runs[id], func(r Run) bool { return seal == SealOf(r.Member, id, body) })
+	ok := slices.ContainsFunc(l.runs[id], func(r Run) bool { return seal == Seal(r.Member, id, body) })
 	if status/100 == 2 && !ok {
-		l.breaks("MIXED", "%s got a success with the seal %q and %d bytes that no run of it gave", id, seal, len(body))
+		l.violation("MIXED", "%s got a success with the seal %q and %d bytes that no run of it gave", id, seal, len(body))
 	}
 }
 
-// Close checks what can only be told at the end.
-func (l *Ledger) Close() {
+// Finish checks what can only be told at the end.
+func (l *Log) Finish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	byTenant := map[string][]float64{}
 	for id, rs := range l.runs {
 		s := l.sent[id]
-		if s.status != 0 && !s.Class.Repeatable() && (s.status == 429 || s.status == 503 || s.status == 408 || s.status == 421) {
-			l.breaks("REFUSED", "%s was answered %d and has run", id, s.status)
+		if s.status != 0 && !s.Class.Idempotent() && (s.status == 429 || s.status == 503 || s.status == 408 || s.status == 421) {
+			l.violation("REFUSED", "%s was answered %d and has run", id, s.status)
 		}
 		byTenant[s.Tenant] = append(byTenant[s.Tenant], rs[0].at.Seconds())
 	}
@@ -190,22 +190,22 @@
 				j++
 			}
 			if n := float64(i - j + 1); n > most {
-				l.breaks("QUOTA", "%s ran %.0f requests in %v s up to %.1f s, %.0f are the most", t, n, QuotaWindowS, at[i], most)
+				l.violation("QUOTA", "%s ran %.0f requests in %v s up to %.1f s, %.0f are the most", t, n, QuotaWindowS, at[i], most)
 				break
 			}
 		}
 	}
-	l.closeBudgets()
+	l.checkRetryBudgets()
 }
 
-// closeBudgets checks the further tries of each service in each window.
-func (l *Ledger) closeBudgets() {
+// checkRetryBudgets checks the further tries of each service in each window.
+func (l *Log) checkRetryBudgets() {
 	b := l.budget
 	if b.Ratio <= 0 {
 		return
 	}
-	for _, service := range slices.Sorted(maps.Keys(l.further)) {
-		more, firsts := l.further[service], l.firsts[service]
+	for _, service := range slices.Sorted(maps.Keys(l.retries)) {
+		more, firsts := l.retries[service], l.firsts[service]
 		from, i, j := 0, 0, 0
 		for k, at := range more { // times grow
 			for more[from] < at-b.WindowS {
@@ -218,14 +218,14 @@
 				j++
 			}
 			if n, most := float64(k-from+1), b.Ratio*float64(j-i)+b.Slack; n > most {
-				l.breaks("BUDGET", "%s got %.0f further tries in %v s up to %.1f s, %.0f are the most", service, n, b.WindowS, at, most)
+				l.violation("BUDGET", "%s got %.0f further tries in %v s up to %.1f s, %.0f are the most", service, n, b.WindowS, at, most)
 				break
 			}
 		}
 	}
 }
 
-// SealOf is the stamp of a server on an answer.
-func SealOf(member, id string, body []byte) string {
+// Seal is the stamp of a server on an answer.
+func Seal(member, id string, body []byte) string {
 	return fmt.Sprintf("%s.%08x", member, crc32.ChecksumIEEE(append([]byte(member+"/"+id+"/"), body...)))
 }
--- a/lab/checker/report.go
+++ b/lab/checker/report.go
@@ -19,14 +19,14 @@
 
 // Report is what came of a day.
 type Report struct {
-	Classes []string
-	Stats   map[string]*Stats
-	Seconds []Second
-	Broken  []string       // the first broken rules, as they were seen
-	Counts  map[string]int // of broken rules
-	Exits   int            // processes that ended by themselves
-	Missed  int            // configurations that were never acknowledged
-	Notes   []string       // what else is worth knowing, a line each
+	Classes         []string
+	Stats           map[string]*Stats
+	Seconds         []Second
+	Violations      []string       // the first broken rules, as they were seen
+	ViolationCounts map[string]int // of broken rules
+	UnexpectedExits int            // processes that ended by themselves
+	MissedChanges   int            // configurations that were never acknowledged
+	Notes           []string       // what else is worth knowing, a line each
 }
 
 // Second is one second of traffic, by when requests were first sent.
@@ -66,7 +66,7 @@
 	sec.Asked++
 	s.Tries += tries
 	switch {
-	case status/100 == 2 && float64(took)/float64(time.Millisecond) <= c.AimMs:
+	case status/100 == 2 && float64(took)/float64(time.Millisecond) <= c.TargetMs:
 		s.InAim++
 		sec.InAim++
 	case status/100 == 2:
@@ -88,17 +88,17 @@
 }
 
 // Report closes a day: nothing is counted any more.
-func (t *Tally) Report(l *Ledger) *Report {
-	l.Close()
+func (t *Tally) Report(l *Log) *Report {
+	l.Finish()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return &Report{Classes: t.classes, Stats: t.stats, Seconds: t.secs, Broken: slices.Clone(l.broken), Counts: maps.Clone(l.counts)}
+	return &Report{Classes: t.classes, Stats: t.stats, Seconds: t.secs, Violations: slices.Clone(l.violations), ViolationCounts: maps.Clone(l.counts)}
 }
 
 // Progress says how far it is.
-func (t *Tally) Progress(l *Ledger) string {
+func (t *Tally) Progress(l *Log) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	asked, good := 0, 0
@@ -110,8 +110,8 @@
 	return fmt.Sprintf("%5.1f s  %d asked, %d served, %d rules broken", l.clock().Seconds(), asked, good, len(l.counts))
 }
 
-// Sound tells that no rule was broken and no process ended by itself.
-func (r *Report) Sound() bool { return len(r.Counts) == 0 && r.Exits == 0 }
+// Passed tells that no rule was broken and no process ended by itself.
+func (r *Report) Passed() bool { return len(r.ViolationCounts) == 0 && r.UnexpectedExits == 0 }
 
 // Served is the share of the requests within the quotas that were answered with success.
 func (r *Report) Served() float64 {
@@ -122,9 +122,9 @@
 	return float64(served) / float64(max(1, asked))
 }
 
-// InAim is the share of the requests within the quotas that were answered
+// InTarget is the share of the requests within the quotas that were answered
 // with success within their aim.
-func (r *Report) InAim() float64 {
+func (r *Report) InTarget() float64 {
 	asked, good := 0, 0
 	for _, s := range r.Stats {
 		asked, good = asked+s.Asked-s.Beyond, good+s.InAim
@@ -142,21 +142,21 @@
 			float64(s.Latency.ValueAtQuantile(50))/1000, float64(s.Latency.ValueAtQuantile(99))/1000)
 	}
 	t.Flush()
-	fmt.Fprintf(w, "served %.4f of what was within the quotas, %.4f in its aim\n", r.Served(), r.InAim())
+	fmt.Fprintf(w, "served %.4f of what was within the quotas, %.4f in its aim\n", r.Served(), r.InTarget())
 	for _, n := range r.Notes {
 		fmt.Fprintln(w, n)
 	}
-	if r.Exits > 0 {
-		fmt.Fprintf(w, "%d processes ended by themselves\n", r.Exits)
+	if r.UnexpectedExits > 0 {
+		fmt.Fprintf(w, "%d processes ended by themselves\n", r.UnexpectedExits)
 	}
-	if len(r.Counts) == 0 {
+	if len(r.ViolationCounts) == 0 {
 		fmt.Fprintln(w, "no rule broken")
 		return
 	}
-	for _, rule := range slices.Sorted(maps.Keys(r.Counts)) {
-		fmt.Fprintf(w, "BROKEN %s %d times\n", rule, r.Counts[rule])
+	for _, rule := range slices.Sorted(maps.Keys(r.ViolationCounts)) {
+		fmt.Fprintf(w, "BROKEN %s %d times\n", rule, r.ViolationCounts[rule])
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintln(w, "  "+b)
 	}
 }
--- a/lab/controlbench/added.go
+++ b/lab/controlbench/added.go
@@ -198,7 +198,7 @@
 				}
 				try := h.Get("Attempt-Id")
 				if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nMember-Id: %s\r\nServer-Seal: %s\r\nKeep-Alive: timeout=60\r\nContent-Length: %d\r\n\r\n%s",
-					try, id, checker.SealOf(id, try, body), n, body); err != nil {
+					try, id, checker.Seal(id, try, body), n, body); err != nil {
 					return
 				}
 			}
--- a/lab/emulator/ask.go
+++ b/lab/emulator/ask.go
@@ -72,7 +72,7 @@
 
 func (c *Client) ask(ctx context.Context, a ask) (status, tries int) {
 	deadline := time.Now().Add(time.Duration(a.class.DeadlineMs * float64(time.Millisecond)))
-	for tries < scenario.MostTries && time.Now().Before(deadline) && ctx.Err() == nil {
+	for tries < scenario.MaxAttempts && time.Now().Before(deadline) && ctx.Err() == nil {
 		to := a.entry(tries)
 		if to == "" {
 			backoff.Sleep(ctx, nobodyPause)
@@ -83,10 +83,10 @@
 		var wait time.Duration
 		var unread bool
 		status, wait, unread = c.try(&a, to, id, deadline)
-		if !a.class.Again(status, unread) {
+		if !a.class.ShouldRetry(status, unread) {
 			break
 		}
-		pause := scenario.Pause(tries, wait)
+		pause := scenario.RetryDelay(tries, wait)
 		if time.Now().Add(pause).After(deadline) {
 			break
 		}
@@ -97,11 +97,11 @@
 
 // try sends a request once. unread tells that the limiter can't have read it.
 func (c *Client) try(a *ask, to, id string, deadline time.Time) (status int, wait time.Duration, unread bool) {
-	conn, err := c.conn(to, a.class.Repeatable())
+	conn, err := c.conn(to, a.class.Idempotent())
 	if err != nil {
 		return 0, 0, true
 	}
-	body := make([]byte, a.class.Body)
+	body := make([]byte, a.class.RequestBytes)
 	for i := range body {
 		body[i] = id[i%len(id)]
 	}
@@ -140,7 +140,7 @@
 	if v, err := strconv.ParseFloat(h.Get("Retry-After"), 64); err == nil && v > 0 && v < 60 {
 		wait = time.Duration(v * float64(time.Second))
 	}
-	if h.Closes() || !a.class.Repeatable() {
+	if h.Closes() || !a.class.Idempotent() {
 		conn.Close()
 	} else {
 		c.keep(to, conn)
--- a/lab/emulator/client.go
+++ b/lab/emulator/client.go
@@ -44,7 +44,7 @@
 		l.tasks.Go(func() {
 			for ctx.Err() == nil {
 				l.mu.Lock()
-				t, x := l.f.spec.Draw(l.rng, l.hot, l.hotX)
+				t, x := l.f.spec.DrawTenant(l.rng, l.hot, l.hotX)
 				pause := l.rng.ExpFloat64() / (c.PerS * x)
 				l.seq++
 				n, zone, client := l.seq, l.rng.IntN(len(l.f.spec.Zones)), l.rng.IntN(clientCount)
@@ -71,7 +71,7 @@
 		id:  func(try int) string { return fmt.Sprintf("%08x%04x%04x", n, try, l.f.spec.Seed&0xffff) },
 		key: func() string { return l.f.operator.key(t.Name) },
 		sent: func(id, key string, body []byte) {
-			l.f.ledger.Sent(id, &checker.Try{Class: c, Tenant: t.Name, Key: key, Body: crc32.ChecksumIEEE(body)})
+			l.f.ledger.Sent(id, &checker.Attempt{Class: c, Tenant: t.Name, Key: key, Body: crc32.ChecksumIEEE(body)})
 		},
 		answered: l.f.ledger.Answered,
 	})
--- a/lab/emulator/fleet.go
+++ b/lab/emulator/fleet.go
@@ -41,7 +41,7 @@
 	args     []string // of the gateway
 	dir      string
 	log      io.Writer
-	ledger   *checker.Ledger
+	ledger   *checker.Log
 	start    atomic.Int64 // of traffic, in ns since epoch
 	platform *platform
 	nodes    []*node
@@ -86,14 +86,14 @@
 	if spec.PerZone > mostPerZone {
 		return nil, fmt.Errorf("emulator: machines_per_zone: %d: up to %d; more can be simulated", spec.PerZone, mostPerZone)
 	}
-	for i := range spec.Troubles {
-		if t := &spec.Troubles[i]; !t.Emulated() {
+	for i := range spec.Faults {
+		if t := &spec.Faults[i]; !t.Emulated() {
 			return nil, fmt.Errorf("emulator: troubles.%d.kind: %s can only be simulated", i, t.Kind)
 		}
 	}
 	f := &Fleet{spec: spec, args: program[1:], dir: dir, log: log, rng: rand.New(rand.NewPCG(spec.Seed, 3))}
 	f.begin()
-	f.ledger = checker.New(spec.Retries, f.sinceStart)
+	f.ledger = checker.New(spec.RetryBudget, f.sinceStart)
 	base, err := freePorts()
 	if err != nil {
 		return nil, err
@@ -203,7 +203,7 @@
 rate_per_s = %v
 `, n.name, n.ip, n.zone, f.ports.internal, f.ports.internal+10, strings.Join(seeds, ", "), bootstrap, quorum, data,
 		n.front, n.ready, n.control, checker.DrainMs, checker.ConfigApplyMs, checker.RevokeMs, checker.QuotaWindowS, checker.QuotaOvershoot, checker.QuotaSlack,
-		f.spec.Retries.Ratio, f.spec.Retries.WindowS, f.spec.Retries.Slack, f.platform.addr, cloudPerS)
+		f.spec.RetryBudget.Ratio, f.spec.RetryBudget.WindowS, f.spec.RetryBudget.Slack, f.platform.addr, cloudPerS)
 	if err := os.WriteFile(filepath.Join(n.dir, "node.toml"), []byte(text), 0o644); err != nil {
 		return fmt.Errorf("emulator: %w", err)
 	}
@@ -370,7 +370,7 @@
 			rollout = f.rollout.run(ctx)
 		}
 	})
-	for _, t := range f.spec.Troubles {
+	for _, t := range f.spec.Faults {
 		tasks.Go(func() { f.strike(life, t) })
 	}
 	tasks.Go(func() {
@@ -433,12 +433,12 @@
 	f.platform.mu.Unlock()
 	f.operator.mu.Lock()
 	r.Notes = append(r.Notes, fmt.Sprintf("%d configurations acknowledged, %d missed", len(f.operator.acks), f.operator.missed))
-	r.Missed = f.operator.missed
+	r.MissedChanges = f.operator.missed
 	f.operator.mu.Unlock()
 	f.noting.Lock()
 	r.Notes = append(r.Notes, f.notes...)
 	f.noting.Unlock()
-	r.Exits = int(f.exits.Load())
+	r.UnexpectedExits = int(f.exits.Load())
 	return r
 }
 
--- a/lab/emulator/fleet_test.go
+++ b/lab/emulator/fleet_test.go
@@ -26,13 +26,13 @@
 	}
 	s.LengthS, s.Keys = 6, true
 	for i := range s.Classes { // clients wait as long as a busy machine needs
-		s.Classes[i].AimMs *= 4
+		s.Classes[i].TargetMs *= 4
 		s.Classes[i].DeadlineMs *= 4
 	}
-	s.Troubles = []scenario.Trouble{{Kind: "config", At: 0.5}, {Kind: "release", At: 1, Count: 1}, {Kind: "kill", At: 1.5, For: 1},
-		{Kind: "lost_answers", At: 2, For: 2, Count: 4, X: 0.1}, {Kind: "stutter", At: 2.5, For: 2, Count: 4, X: 0.3}, {Kind: "bad_config", At: 3},
-		{Kind: "grey", How: "errors", At: 3, For: 1, Count: 2, X: 0.4}, {Kind: "forget", At: 3.2, For: 1, Count: 3, X: 0.1},
-		{Kind: "flap", At: 3.4, For: 1, Count: 1, X: 0.3}, {Kind: "drain_race", At: 3.6, Count: 1}, {Kind: "race", At: 4.6, For: 0.8}}
+	s.Faults = []scenario.Fault{{Kind: "config", AtS: 0.5}, {Kind: "release", AtS: 1, Count: 1}, {Kind: "kill", AtS: 1.5, ForS: 1},
+		{Kind: "lost_answers", AtS: 2, ForS: 2, Count: 4, Factor: 0.1}, {Kind: "stutter", AtS: 2.5, ForS: 2, Count: 4, Factor: 0.3}, {Kind: "bad_config", AtS: 3},
+		{Kind: "grey", Mode: "errors", AtS: 3, ForS: 1, Count: 2, Factor: 0.4}, {Kind: "forget", AtS: 3.2, ForS: 1, Count: 3, Factor: 0.1},
+		{Kind: "flap", AtS: 3.4, ForS: 1, Count: 1, Factor: 0.3}, {Kind: "drain_race", AtS: 3.6, Count: 1}, {Kind: "race", AtS: 4.6, ForS: 0.8}}
 	f, err := NewFleet(s, []string{bin, "gateway"}, filepath.Join(dir, "fleet"), os.Stderr)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	r.Write(os.Stderr)
-	if !r.Sound() || r.Served() < 0.5 || r.Missed > 0 {
-		t.Errorf("sound %v, served %v, missed %d", r.Sound(), r.Served(), r.Missed)
+	if !r.Passed() || r.Served() < 0.5 || r.MissedChanges > 0 {
+		t.Errorf("sound %v, served %v, missed %d", r.Passed(), r.Served(), r.MissedChanges)
 	}
 }
--- a/lab/emulator/operator.go
+++ b/lab/emulator/operator.go
@@ -97,7 +97,7 @@
 			Prefix:    "/" + k.Name + "/",
 			Type:      k.Type,
 			TimeoutMs: k.DeadlineMs * o.timeout,
-			TargetMs:  k.AimMs,
+			TargetMs:  k.TargetMs,
 			Upstream:  k.Service,
 			Retries:   2,
 		})
@@ -202,7 +202,7 @@
 	both.Wait()
 	switch {
 	case racers[0].acked && racers[1].acked:
-		o.fleet.ledger.Breaks("CONFIG", "two changes on top of version %d are both acknowledged", base)
+		o.fleet.ledger.Violation("CONFIG", "two changes on top of version %d are both acknowledged", base)
 	case racers[0].acked:
 		o.acknowledge(racers[0].revision, racers[0].body, time.Since(begun))
 	case racers[1].acked:
@@ -241,7 +241,7 @@
 			continue
 		}
 		if status, _ := o.call(ctx, 1, http.MethodPost, replacePath, o.revision(), body); status == http.StatusOK {
-			o.fleet.ledger.Breaks("CONFIG", "a configuration with %s was acknowledged", name)
+			o.fleet.ledger.Violation("CONFIG", "a configuration with %s was acknowledged", name)
 		}
 	}
 }
@@ -283,13 +283,13 @@
 		}
 		if status, body := o.call(ctx, i, http.MethodGet, "/v1/Config.Get", 0, nil); status == http.StatusOK {
 			if !bytes.Equal(body, want) {
-				o.fleet.ledger.Breaks("CONFIG", "what is read back is not what was acknowledged as %d", base)
+				o.fleet.ledger.Violation("CONFIG", "what is read back is not what was acknowledged as %d", base)
 			}
 			return
 		}
 		backoff.Sleep(ctx, 100*time.Millisecond)
 	}
-	o.fleet.ledger.Breaks("CONFIG", "the configuration can't be read back")
+	o.fleet.ledger.Violation("CONFIG", "the configuration can't be read back")
 }
 
 // target is the machine that a call goes to: another one each time.
--- a/lab/emulator/platform.go
+++ b/lab/emulator/platform.go
@@ -22,7 +22,7 @@
 // platform keeps the list of servers and knows which limiters get connections.
 type platform struct {
 	addr   string
-	ledger *checker.Ledger
+	ledger *checker.Log
 
 	mu      sync.Mutex
 	servers []*server
@@ -33,7 +33,7 @@
 	misses  map[string]int // of limiters, by ready address
 }
 
-func startPlatform(addr string, l *checker.Ledger) (*platform, error) {
+func startPlatform(addr string, l *checker.Log) (*platform, error) {
 	p := &platform{ledger: l, tokens: cloudPerS, at: time.Now(), misses: map[string]int{}}
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -65,7 +65,7 @@
 	for _, s := range p.servers {
 		s.mu.Lock()
 		e := api.Server{ID: s.id, Upstream: s.service, Addr: s.addr, Zone: s.zone, Revision: "v1", Capacity: s.spec.Slots, State: "in_service",
-			WarmupMs: max(0, 1000*(s.spec.ColdS-time.Since(s.born).Seconds()))}
+			WarmupMs: max(0, 1000*(s.spec.WarmupS-time.Since(s.born).Seconds()))}
 		if s.draining {
 			e.State = api.Draining
 		}
@@ -92,7 +92,7 @@
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
-	p.ledger.Drains(s.id)
+	p.ledger.Draining(s.id)
 }
 
 func (p *platform) gone(s *server) {
--- a/lab/emulator/rollout.go
+++ b/lab/emulator/rollout.go
@@ -75,7 +75,7 @@
 	rolled := time.Since(begun)
 	changes := f.operator.acknowledged() - before
 	if changes == 0 {
-		f.ledger.Breaks("CONFIG", "no change was acknowledged during the roll-out")
+		f.ledger.Violation("CONFIG", "no change was acknowledged during the roll-out")
 	}
 	killed := time.Now()
 	if err := r.killAll(ctx); err != nil {
@@ -118,7 +118,7 @@
 		old := n.process()
 		n.end()
 		if state := old.cmd.ProcessState; !state.Success() {
-			r.fleet.ledger.Breaks(upgradeRule, "%s did not end in order: %v", n.name, state)
+			r.fleet.ledger.Violation(upgradeRule, "%s did not end in order: %v", n.name, state)
 		}
 		revision := r.fleet.operator.revision()
 		if err := r.wait(ctx, n, func(s *nodeStatus) bool { return s.restarted(n, old) && s.has(revision) }); err != nil {
@@ -158,7 +158,7 @@
 // was acknowledged, and returns its revision.
 func (r *rollout) inForceEverywhere(ctx context.Context) (uint64, error) {
 	if !r.fleet.operator.change(ctx) { // and one more, so that the new builds alone agree on it
-		r.fleet.ledger.Breaks("CONFIG", "no change was acknowledged after all had been killed")
+		r.fleet.ledger.Violation("CONFIG", "no change was acknowledged after all had been killed")
 	}
 	revision := r.fleet.operator.revision()
 	for _, n := range r.fleet.nodes {
@@ -176,9 +176,9 @@
 		path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", n.process().cmd.Process.Pid))
 		switch {
 		case err != nil:
-			r.fleet.ledger.Breaks(upgradeRule, "%s: which program it runs can't be told: %v", n.name, err)
+			r.fleet.ledger.Violation(upgradeRule, "%s: which program it runs can't be told: %v", n.name, err)
 		case path != r.program:
-			r.fleet.ledger.Breaks(upgradeRule, "%s still runs %s", n.name, path)
+			r.fleet.ledger.Violation(upgradeRule, "%s still runs %s", n.name, path)
 		default:
 			count++
 		}
--- a/lab/emulator/rollout_test.go
+++ b/lab/emulator/rollout_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	for i := range day.Classes {
-		day.Classes[i].AimMs *= 4
+		day.Classes[i].TargetMs *= 4
 		day.Classes[i].DeadlineMs *= 4
 	}
 	return day
@@ -45,7 +45,7 @@
 	buildGateway(t, before)
 	buildGateway(t, after)
 	day := readPatientDay(t)
-	day.PerZone, day.Troubles = 1, nil
+	day.PerZone, day.Faults = 1, nil
 	day.Shorten(1)
 	f, err := NewFleet(day, []string{before, "gateway"}, filepath.Join(dir, "fleet"), os.Stderr)
 	if err != nil {
@@ -61,8 +61,8 @@
 		t.Fatal(err)
 	}
 	r.Write(os.Stderr)
-	if !r.Sound() || r.Served() < 0.5 || r.Missed > 0 {
-		t.Errorf("sound %v, served %v, missed %d", r.Sound(), r.Served(), r.Missed)
+	if !r.Passed() || r.Served() < 0.5 || r.MissedChanges > 0 {
+		t.Errorf("sound %v, served %v, missed %d", r.Passed(), r.Served(), r.MissedChanges)
 	}
 	if notes := strings.Join(r.Notes, "\n"); !strings.Contains(notes, "3 of 3 machines on the new build") {
 		t.Errorf("the report says nothing of the new build: %s", notes)
@@ -103,8 +103,8 @@
 			t.Errorf("%s: %d machines on the new build", program, n)
 		}
 	}
-	if r := f.report(); r.Counts[upgradeRule] != 1 {
-		t.Errorf("broken: %v", r.Broken)
+	if r := f.report(); r.ViolationCounts[upgradeRule] != 1 {
+		t.Errorf("broken: %v", r.Violations)
 	}
 	if err := f.RollOut(t.TempDir()); err == nil {
 		t.Error("a folder is taken for a program")
--- a/lab/emulator/server.go
+++ b/lab/emulator/server.go
@@ -28,7 +28,7 @@
 	id, service, addr, zone string
 	spec                    *scenario.Service
 	classes                 map[string]*scenario.Class // by path prefix
-	ledger                  *checker.Ledger
+	ledger                  *checker.Log
 	slots                   chan struct{}
 	born                    time.Time
 
@@ -50,7 +50,7 @@
 	owed sync.Map // by connection: the second answer of a stutter, due with the next
 }
 
-func startServer(id, addr, zone string, spec *scenario.Service, classes map[string]*scenario.Class, l *checker.Ledger, seed uint64) (*server, error) {
+func startServer(id, addr, zone string, spec *scenario.Service, classes map[string]*scenario.Class, l *checker.Log, seed uint64) (*server, error) {
 	s := &server{id: id, service: spec.Name, addr: addr, zone: zone, spec: spec, classes: classes, ledger: l,
 		slots: make(chan struct{}, spec.Slots), born: time.Now(), rng: rand.New(rand.NewPCG(seed, 5)), slow: 1, conns: map[net.Conn]bool{}}
 	var err error
@@ -164,7 +164,7 @@
 	}
 	s.mu.Unlock()
 	if full {
-		if s.spec.Hangs {
+		if s.spec.HangsWhenFull {
 			<-until.C
 			return false
 		}
@@ -183,7 +183,7 @@
 	defer func() { <-s.slots }()
 	s.ledger.Ran(id, checker.Run{Service: s.service, Member: s.id, Tenant: h.Get("Tenant-Name"), Body: crc32.ChecksumIEEE(body)}, h.Get("Authorization") != "")
 	s.mu.Lock()
-	work := class.Work(s.rng, s.slow, time.Since(s.born).Seconds() < s.spec.ColdS)
+	work := class.DrawWork(s.rng, s.slow, time.Since(s.born).Seconds() < s.spec.WarmupS)
 	lost, dead, draining := s.rng.Float64() < s.lose, s.dead, s.draining
 	stutters, late := s.rng.Float64() < s.stutter, s.rng.IntN(2) == 0
 	s.mu.Unlock()
@@ -206,13 +206,13 @@
 		<-until.C
 		return false
 	}
-	out := bytes.Repeat([]byte(id), class.Bytes/max(1, len(id))+1)[:class.Bytes]
+	out := bytes.Repeat([]byte(id), class.AnswerBytes/max(1, len(id))+1)[:class.AnswerBytes]
 	closes := ""
 	if draining {
 		closes = "Connection: close\r\n"
 	}
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: %s\r\nKeep-Alive: timeout=8\r\n%sContent-Length: %d\r\n\r\n", id, checker.SealOf(s.id, id, out), closes, len(out))
+	fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: %s\r\nKeep-Alive: timeout=8\r\n%sContent-Length: %d\r\n\r\n", id, checker.Seal(s.id, id, out), closes, len(out))
 	b.Write(out)
 	if stutters && !late { // in one piece with the next answer, or while the connection rests
 		b.Write(b.Bytes())
--- a/lab/emulator/trouble.go
+++ b/lab/emulator/trouble.go
@@ -13,13 +13,13 @@
 )
 
 // strike has a trouble happen at its time.
-func (f *Fleet) strike(ctx context.Context, t scenario.Trouble) {
-	if !backoff.Sleep(ctx, time.Duration(t.At*float64(time.Second))) {
+func (f *Fleet) strike(ctx context.Context, t scenario.Fault) {
+	if !backoff.Sleep(ctx, time.Duration(t.AtS*float64(time.Second))) {
 		return
 	}
 	fmt.Fprintf(f.log, "%5.1f s  %s\n", f.sinceStart().Seconds(), t.Kind)
 	count := max(1, t.Count)
-	lasting := time.Duration(max(t.For, 0.5) * float64(time.Second))
+	lasting := time.Duration(max(t.ForS, 0.5) * float64(time.Second))
 	switch t.Kind {
 	case "kill", "kill_all":
 		if t.Kind == "kill_all" {
@@ -62,7 +62,7 @@
 			f.replace(ctx, s, t.Kind == "reuse")
 		}
 	case "flap":
-		f.flap(ctx, f.platform.pick(f.perm, count), time.Duration(max(t.X, 0.2)*float64(time.Second)), lasting)
+		f.flap(ctx, f.platform.pick(f.perm, count), time.Duration(max(t.Factor, 0.2)*float64(time.Second)), lasting)
 	case "drain_race":
 		f.drainRace(ctx, count)
 	case "race":
@@ -72,15 +72,15 @@
 			s.mu.Lock()
 			switch t.Kind {
 			case "slow":
-				s.slow = max(2, t.X)
+				s.slow = max(2, t.Factor)
 			case "stutter":
-				s.stutter = max(0.03, t.X)
+				s.stutter = max(0.03, t.Factor)
 			case "grey":
-				s.grey, s.ill = t.How, max(0.03, t.X)
+				s.grey, s.ill = t.Mode, max(0.03, t.Factor)
 			case "forget":
-				s.forget = time.Duration(max(0.05, t.X) * float64(time.Second))
+				s.forget = time.Duration(max(0.05, t.Factor) * float64(time.Second))
 			default:
-				s.lose = max(0.03, t.X)
+				s.lose = max(0.03, t.Factor)
 			}
 			s.mu.Unlock()
 			time.AfterFunc(lasting, func() {
@@ -90,7 +90,7 @@
 			})
 		}
 	case "hot_tenant":
-		f.load.heat(f.spec.Tenants[0].Name, max(2, t.X))
+		f.load.heat(f.spec.Tenants[0].Name, max(2, t.Factor))
 		backoff.Sleep(ctx, lasting)
 		f.load.heat("", 1)
 	case "config":
--- a/lab/scenario/model.go
+++ b/lab/scenario/model.go
@@ -9,12 +9,12 @@
 
 // What follows is how clients and servers behave, on loopback and simulated.
 
-// MostTries is how often a client sends a request at the most.
-const MostTries = 4
+// MaxAttempts is how often a client sends a request at the most.
+const MaxAttempts = 4
 
-// Draw picks whose request comes next, and by how many times requests come
+// DrawTenant picks whose request comes next, and by how many times requests come
 // faster while one tenant (empty: none) sends hotX times its usual.
-func (s *Day) Draw(rng *rand.Rand, hot string, hotX float64) (t *Tenant, faster float64) {
+func (s *Day) DrawTenant(rng *rand.Rand, hot string, hotX float64) (t *Tenant, faster float64) {
 	x := rng.Float64() * s.Shares()
 	t = &s.Tenants[0]
 	for i := range s.Tenants {
@@ -36,37 +36,37 @@
 // Shorten ends the day earlier; troubles past its end don't strike.
 func (s *Day) Shorten(seconds float64) {
 	s.LengthS = seconds
-	var within []Trouble
-	for _, t := range s.Troubles {
-		if t.At <= seconds {
+	var within []Fault
+	for _, t := range s.Faults {
+		if t.AtS <= seconds {
 			within = append(within, t)
 		}
 	}
-	s.Troubles = within
+	s.Faults = within
 }
 
-// Again tells whether a client sends a request again after a status (0: no
+// ShouldRetry tells whether a client sends a request again after a status (0: no
 // answer): one that may run twice, or that was promised not to have run, or that
 // the limiter can't have read. What is wrong with it stays so.
-func (c *Class) Again(status int, unread bool) bool {
+func (c *Class) ShouldRetry(status int, unread bool) bool {
 	switch {
 	case status/100 == 2, status == 400, status == 401, status == 404, status == 413:
 		return false
 	case status == 429, status == 503, status == 408, status == 421:
 		return true
 	}
-	return c.Repeatable() || unread
+	return c.Idempotent() || unread
 }
 
-// Pause is how long a client waits after so many tries, told to come back after
+// RetryDelay is how long a client waits after so many tries, told to come back after
 // a wait.
-func Pause(tries int, wait time.Duration) time.Duration {
+func RetryDelay(tries int, wait time.Duration) time.Duration {
 	return max(wait, time.Duration(tries)*10*time.Millisecond)
 }
 
-// Work draws how long a server works on a request, in milliseconds: so many
+// DrawWork draws how long a server works on a request, in milliseconds: so many
 // times as long as usual, and twice that while it is cold.
-func (c *Class) Work(rng *rand.Rand, slow float64, cold bool) float64 {
+func (c *Class) DrawWork(rng *rand.Rand, slow float64, cold bool) float64 {
 	ms := c.WorkMs * slow * math.Exp(0.5*rng.NormFloat64()-0.125)
 	if cold {
 		ms *= 2
@@ -74,17 +74,17 @@
 	return ms
 }
 
-// mostCopies bounds what stands for many in a day's file.
-const mostCopies = 20_000
+// maxCopies bounds what stands for many in a day's file.
+const maxCopies = 20_000
 
-// copies puts what stands for many in a day's file in the place of it: services with
+// expandCopies puts what stands for many in a day's file in the place of it: services with
 // their servers and classes' requests divided among them, and tenants with their share.
-func (s *Day) copies() error {
+func (s *Day) expandCopies() error {
 	var services []Service
 	var tenants []Tenant
 	into := map[string][]string{} // names of the copies
 	for i, v := range s.Services {
-		if v.Copies < 0 || v.Copies > min(mostCopies, max(1, v.Servers)) {
+		if v.Copies < 0 || v.Copies > min(maxCopies, max(1, v.Servers)) {
 			return fmt.Errorf("services.%d.copies: %d: from 0 to the number of servers", i, v.Copies)
 		}
 		if v.Copies == 0 {
@@ -110,8 +110,8 @@
 		}
 	}
 	for i, t := range s.Tenants {
-		if t.Copies < 0 || t.Copies > mostCopies {
-			return fmt.Errorf("tenants.%d.copies: %d: from 0 to %d", i, t.Copies, mostCopies)
+		if t.Copies < 0 || t.Copies > maxCopies {
+			return fmt.Errorf("tenants.%d.copies: %d: from 0 to %d", i, t.Copies, maxCopies)
 		}
 		if t.Copies == 0 {
 			tenants = append(tenants, t)
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -10,8 +10,8 @@
 	for name, spoil := range map[string]func(*Day){
 		"no zones":         func(s *Day) { s.Zones = nil },
 		"unknown service":  func(s *Day) { s.Classes[0].Service = "x" },
-		"unknown trouble":  func(s *Day) { s.Troubles[0].Kind = "x" },
-		"trouble too late": func(s *Day) { s.Troubles[0].At = 1e6 },
+		"unknown trouble":  func(s *Day) { s.Faults[0].Kind = "x" },
+		"trouble too late": func(s *Day) { s.Faults[0].AtS = 1e6 },
 		"nobody asks":      func(s *Day) { s.Tenants = nil },
 	} {
 		s, err = Read("../../docs/fleet.toml")
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		spoil(s)
-		if s.Check() == nil {
+		if s.Validate() == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -31,7 +31,7 @@
 		Classes: []Class{{Name: "c", Service: "s", PerS: 30}, {Name: "p", Service: "o", PerS: 5}},
 		Tenants: []Tenant{{Name: "t", Share: 8, Copies: 4}, {Name: "u", Share: 1}}}
 	perS, shares := d.PerS(), d.Shares()
-	if err := d.copies(); err != nil {
+	if err := d.expandCopies(); err != nil {
 		t.Fatal(err)
 	}
 	servers := 0
@@ -45,7 +45,7 @@
 		t.Errorf("names: %+v %+v", d.Classes, d.Tenants)
 	}
 	for _, bad := range []Day{{Services: []Service{{Name: "s", Servers: 1, Copies: 2}}}, {Tenants: []Tenant{{Copies: -1}}}} {
-		if bad.copies() == nil {
+		if bad.expandCopies() == nil {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
--- a/lab/simulation/bytes_test.go
+++ b/lab/simulation/bytes_test.go
@@ -19,8 +19,8 @@
 	}
 	d.LengthS = 1
 	r := play(t, d, "")
-	t.Logf("%d limiters, %.0f words, %.0f bytes, %.4f in aim", r.Limiters, r.WordsPerS, r.BytesPerS, r.InAim())
-	if r.WordsPerS > 220 || r.BytesPerS > 47_000 || r.InAim() < 0.97 || !r.Sound() {
-		t.Errorf("%d limiters: %.0f words, %.0f bytes a second, %.4f in aim, broken %v", r.Limiters, r.WordsPerS, r.BytesPerS, r.InAim(), r.Broken)
+	t.Logf("%d limiters, %.0f words, %.0f bytes, %.4f in aim", r.Limiters, r.WordsPerS, r.BytesPerS, r.InTarget())
+	if r.WordsPerS > 220 || r.BytesPerS > 47_000 || r.InTarget() < 0.97 || !r.Passed() {
+		t.Errorf("%d limiters: %.0f words, %.0f bytes a second, %.4f in aim, broken %v", r.Limiters, r.WordsPerS, r.BytesPerS, r.InTarget(), r.Violations)
 	}
 }
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -30,7 +30,7 @@
 		c := &f.day.Classes[i]
 		var next func()
 		next = func() {
-			t, x := f.day.Draw(f.rng, f.hot, f.hotX)
+			t, x := f.day.DrawTenant(f.rng, f.hot, f.hotX)
 			f.engine.after(1000*f.rng.ExpFloat64()/(c.PerS*x), func() {
 				if f.engine.now >= f.day.LengthS*1000 {
 					return
@@ -45,12 +45,12 @@
 		}
 		next()
 	}
-	for _, t := range f.day.Troubles {
+	for _, t := range f.day.Faults {
 		if !t.Simulated() {
 			f.skipped = append(f.skipped, t.Kind)
 			continue
 		}
-		f.engine.after(t.At*1000, func() { f.strike(t) })
+		f.engine.after(t.AtS*1000, func() { f.strike(t) })
 	}
 }
 
@@ -81,7 +81,7 @@
 // try sends the request once more.
 func (r *request) try() {
 	f := r.f
-	if r.tries >= scenario.MostTries || f.engine.now >= r.deadline {
+	if r.tries >= scenario.MaxAttempts || f.engine.now >= r.deadline {
 		r.end()
 		return
 	}
@@ -105,7 +105,7 @@
 			f.engine.after(f.delay(r.zone, n.zone), func() { answer(0, 0, false) })
 			return
 		}
-		f.ledger.Sent(id, &checker.Try{Class: r.class, Tenant: r.tenant.Name})
+		f.ledger.Sent(id, &checker.Attempt{Class: r.class, Tenant: r.tenant.Name})
 		x := &flight{id: id, tenant: r.tenant.Name, class: r.class, from: r.zone, until: r.deadline, reply: answer}
 		n.whenAwake(func() {
 			if f.engine.now < r.deadline {
@@ -121,13 +121,13 @@
 func (r *request) answered(status int, waitMs float64, read bool) {
 	f := r.f
 	r.status = status
-	if !r.class.Again(status, !read) {
+	if !r.class.ShouldRetry(status, !read) {
 		r.end()
 		return
 	}
 	ms := float64(time.Millisecond)
-	pause := float64(scenario.Pause(r.tries, time.Duration(waitMs*ms))) / ms
-	if r.tries >= scenario.MostTries || f.engine.now+pause > r.deadline {
+	pause := float64(scenario.RetryDelay(r.tries, time.Duration(waitMs*ms))) / ms
+	if r.tries >= scenario.MaxAttempts || f.engine.now+pause > r.deadline {
 		r.end()
 		return
 	}
--- a/lab/simulation/fleet.go
+++ b/lab/simulation/fleet.go
@@ -51,7 +51,7 @@
 	day     *scenario.Day
 	policy  string
 	rng     *rand.Rand
-	ledger  *checker.Ledger
+	ledger  *checker.Log
 	tally   *checker.Tally
 	nodes   []*node
 	byID    map[uint64]*node
@@ -76,7 +76,7 @@
 	f := &fleet{day: day, policy: cmp.Or(o.Policy, Elmspan), rng: rand.New(rand.NewPCG(day.Seed, 0x51)), tally: checker.NewTally(day),
 		byID: map[uint64]*node{}, byName: map[string]*node{}, servers: map[string]*server{}}
 	f.engine.now = -settleMs
-	f.ledger = checker.New(day.Retries, func() time.Duration { return time.Duration(f.engine.now * float64(time.Millisecond)) })
+	f.ledger = checker.New(day.RetryBudget, func() time.Duration { return time.Duration(f.engine.now * float64(time.Millisecond)) })
 	if err := f.build(); err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 		f.engine.until(f.engine.now + 100)
 	}
 	if f.open > 0 {
-		f.ledger.Breaks("LOST", "%d requests never ended", f.open)
+		f.ledger.Violation("LOST", "%d requests never ended", f.open)
 	}
 	r.Report, r.Events = f.tally.Report(f.ledger), f.engine.done
 	r.Notes = append(r.Notes, fmt.Sprintf("%d limiters, each sends words to %.0f others: %.0f words, %.0f bytes, %.1f heartbeats a second",
@@ -135,7 +135,7 @@
 	for i := range f.day.Services {
 		v := &f.day.Services[i]
 		for k := range v.Servers {
-			f.startServer(v, f.day.Zones[k%len(f.day.Zones)]).bornMs = f.engine.now - 1000*v.ColdS
+			f.startServer(v, f.day.Zones[k%len(f.day.Zones)]).bornMs = f.engine.now - 1000*v.WarmupS
 		}
 	}
 	f.look()
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -53,7 +53,7 @@
 	f := n.f
 	n.life++
 	p, err := newPolicy(f.policy, limiter.Config{Self: n.id, Life: n.life<<32 | n.id>>32, Zone: n.zone, Seed: f.rng.Uint64(),
-		RetryRatio: f.day.Retries.Ratio, RetrySlack: f.day.Retries.Slack,
+		RetryRatio: f.day.RetryBudget.Ratio, RetrySlack: f.day.RetryBudget.Slack,
 		Words: settings.DefaultTuning().Link.GossipBudget(f.day.Network.LinkMbps, f.day.Network.CPUShare)})
 	if err != nil {
 		return err
@@ -107,7 +107,7 @@
 	b := w.Append(nil)
 	n.traffic.word(w, len(b))
 	o := f.byID[to]
-	if o == nil || f.rng.Float64() < f.day.Network.WordsLoss || f.cutOff(n, o) {
+	if o == nil || f.rng.Float64() < f.day.Network.GossipLoss || f.cutOff(n, o) {
 		return
 	}
 	f.engine.after(f.delay(n.zone, o.zone), func() {
@@ -116,7 +116,7 @@
 		}
 		var got gossip.Word
 		if err := got.Decode(b); err != nil {
-			f.ledger.Breaks("WORDS", "a word of %s can't be read: %v", n.name, err)
+			f.ledger.Violation("WORDS", "a word of %s can't be read: %v", n.name, err)
 			return
 		}
 		o.whenAwake(func() {
@@ -236,8 +236,8 @@
 		return
 	}
 	now := n.clock()
-	x.course = n.policy.begin(limiter.Request{Service: x.class.Service, Bulk: x.class.Type == api.Download, Repeatable: x.class.Repeatable(),
-		Held: true, Tries: 2, ArrivedMs: now, DeadlineMs: now + x.until - f.engine.now, AimMs: x.class.AimMs})
+	x.course = n.policy.begin(limiter.Request{Service: x.class.Service, Bulk: x.class.Type == api.Download, Repeatable: x.class.Idempotent(),
+		Held: true, Tries: 2, ArrivedMs: now, DeadlineMs: now + x.until - f.engine.now, AimMs: x.class.TargetMs})
 	x.launch(false)
 	if wait, may := x.course.hedgeMs(); may && !x.over {
 		f.engine.after(wait, func() {
@@ -328,7 +328,7 @@
 	}
 	seal := ""
 	if status == 200 {
-		seal = checker.SealOf(by, x.id, nil)
+		seal = checker.Seal(by, x.id, nil)
 	}
 	f.engine.after(f.delay(n.zone, x.from), func() {
 		f.ledger.Answered(x.id, status, seal, nil)
--- a/lab/simulation/server.go
+++ b/lab/simulation/server.go
@@ -42,7 +42,7 @@
 
 func (s *server) entry(now float64) api.Server {
 	e := api.Server{ID: s.id, Upstream: s.spec.Name, Addr: s.id, Zone: s.zone, Revision: "v1", Capacity: s.spec.Slots,
-		State: "in_service", WarmupMs: max(0, 1000*s.spec.ColdS-(now-s.bornMs))}
+		State: "in_service", WarmupMs: max(0, 1000*s.spec.WarmupS-(now-s.bornMs))}
 	if s.draining {
 		e.State = api.Draining
 	}
@@ -54,7 +54,7 @@
 	e := &s.f.engine
 	s.f.ledger.Arrived(j.id, s.spec.Name)
 	if s.busy+len(s.queue) >= s.spec.Slots+s.spec.Queue {
-		if s.spec.Hangs {
+		if s.spec.HangsWhenFull {
 			e.after(j.deadline-e.now, func() { j.end(balance.Failed, true, false) })
 			return
 		}
@@ -79,7 +79,7 @@
 		}
 		s.busy++
 		s.f.ledger.Ran(j.id, checker.Run{Service: s.spec.Name, Member: s.id, Tenant: j.tenant}, false)
-		work := j.class.Work(s.f.rng, s.slow, e.now-s.bornMs < 1000*s.spec.ColdS)
+		work := j.class.DrawWork(s.f.rng, s.slow, e.now-s.bornMs < 1000*s.spec.WarmupS)
 		lost := s.f.rng.Float64() < s.lose
 		e.after(work, func() {
 			if s.dead {
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -51,7 +51,7 @@
 	r := rs[0]
 	var one, two bytes.Buffer
 	r.Write(&one)
-	if !r.Sound() || r.Served() < 0.97 {
+	if !r.Passed() || r.Served() < 0.97 {
 		t.Errorf("served %v\n%s", r.Served(), one.String())
 	}
 	if rs[1].Write(&two); one.String() != two.String() {
@@ -66,7 +66,7 @@
 func TestChoiceInLargeFleets(t *testing.T) {
 	t.Parallel()
 	d := day(t)
-	d.Troubles, d.LengthS = nil, 3
+	d.Faults, d.LengthS = nil, 3
 	if err := errors.Join(Vary(d, "machines_per_zone", 25), Vary(d, "load", 2.5)); err != nil {
 		t.Fatal(err)
 	}
@@ -74,8 +74,8 @@
 	rs := plays(t, d, policies...)
 	own := rs[0]
 	for i, p := range policies[1:] {
-		if other := rs[i+1]; own.Quantile(95) > other.Quantile(95) || own.InAim() < 0.97 {
-			t.Errorf("p95 %v ms, %v in aim; %s has %v and %v", own.Quantile(95), own.InAim(), p, other.Quantile(95), other.InAim())
+		if other := rs[i+1]; own.Quantile(95) > other.Quantile(95) || own.InTarget() < 0.97 {
+			t.Errorf("p95 %v ms, %v in aim; %s has %v and %v", own.Quantile(95), own.InTarget(), p, other.Quantile(95), other.InTarget())
 		}
 	}
 	if own.Targets > 60 || own.WordsPerS > 1500 {
@@ -87,19 +87,19 @@
 // sweep is the same whether its days run side by side or not.
 func TestTroubles(t *testing.T) {
 	t.Parallel()
-	retries := scenario.Retries{Ratio: 0.2, Slack: 20, WindowS: 5}
+	retries := scenario.RetryBudget{Ratio: 0.2, Slack: 20, WindowS: 5}
 	calm := day(t)
-	calm.LengthS, calm.Retries, calm.Troubles = 6, retries, nil
+	calm.LengthS, calm.RetryBudget, calm.Faults = 6, retries, nil
 	undisturbed := play(t, calm, "").Events
 	for _, kind := range []string{"kill", "freeze", "cut", "crash", "release", "lost_answers", "slow", "hot_tenant", "kill_all"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			d := day(t)
-			d.LengthS, d.Retries = 6, retries
-			d.Troubles = []scenario.Trouble{{Kind: kind, At: 1, For: 1.5, Count: 2, X: 4}}
+			d.LengthS, d.RetryBudget = 6, retries
+			d.Faults = []scenario.Fault{{Kind: kind, AtS: 1, ForS: 1.5, Count: 2, Factor: 4}}
 			r := play(t, d, "")
-			if !r.Sound() || r.Served() < 0.5 {
-				t.Errorf("%s: served %v, broken %v", kind, r.Served(), r.Broken)
+			if !r.Passed() || r.Served() < 0.5 {
+				t.Errorf("%s: served %v, broken %v", kind, r.Served(), r.Violations)
 			}
 			if r.Events == undisturbed {
 				t.Errorf("%s: nothing happened", kind)
@@ -107,7 +107,7 @@
 		})
 	}
 	d := day(t)
-	d.LengthS, d.Troubles = 2, nil
+	d.LengthS, d.Faults = 2, nil
 	for range 2 {
 		cells, err := Sweep(context.Background(), d, "load", []float64{0.5, 1}, []string{Elmspan}, 2, nil)
 		if err != nil {
@@ -143,11 +143,11 @@
 		d.Classes[i].PerS *= 4
 	}
 	d.LengthS = 10
-	d.Troubles = []scenario.Trouble{{Kind: "zone_dark", At: 2, For: 4}, {Kind: "zone_slow", At: 7, For: 2, X: 4}}
+	d.Faults = []scenario.Fault{{Kind: "zone_dark", AtS: 2, ForS: 4}, {Kind: "zone_slow", AtS: 7, ForS: 2, Factor: 4}}
 	rs := plays(t, d, "", "two-choices")
 	own, other := rs[0], rs[1]
-	if !own.Sound() || own.InAim() < 0.95 || own.InAim() < other.InAim() {
-		t.Errorf("sound %v, %v in aim; two choices have %v", own.Sound(), own.InAim(), other.InAim())
+	if !own.Passed() || own.InTarget() < 0.95 || own.InTarget() < other.InTarget() {
+		t.Errorf("sound %v, %v in aim; two choices have %v", own.Passed(), own.InTarget(), other.InTarget())
 	}
-	t.Logf("%v in aim; two choices have %v", own.InAim(), other.InAim())
+	t.Logf("%v in aim; two choices have %v", own.InTarget(), other.InTarget())
 }
--- a/lab/simulation/sweep.go
+++ b/lab/simulation/sweep.go
@@ -32,17 +32,17 @@
 	case "servers":
 		scale(d, 1, v)
 	case "words_loss":
-		d.Network.WordsLoss = v
+		d.Network.GossipLoss = v
 	case "quota_x":
 		for i := range d.Tenants {
-			d.Tenants[i].Quota = v
+			d.Tenants[i].QuotaFactor = v
 		}
 	case "seed":
 		d.Seed = uint64(v)
 	default:
 		return fmt.Errorf("simulation: no parameter %q; there are machines_per_zone, load, servers, words_loss, quota_x, seed", name)
 	}
-	return d.Check()
+	return d.Validate()
 }
 
 func scale(d *scenario.Day, load, servers float64) {
@@ -57,7 +57,7 @@
 func clone(d *scenario.Day) *scenario.Day {
 	c := *d
 	c.Zones, c.Services, c.Classes = slices.Clone(d.Zones), slices.Clone(d.Services), slices.Clone(d.Classes)
-	c.Tenants, c.Troubles = slices.Clone(d.Tenants), slices.Clone(d.Troubles)
+	c.Tenants, c.Faults = slices.Clone(d.Tenants), slices.Clone(d.Faults)
 	return &c
 }
 
@@ -116,7 +116,7 @@
 				cells[i].Results[k] = r
 				if done != nil {
 					done(fmt.Sprintf("%s %s=%v seed %d: served %.4f, in aim %.4f, %d rules broken", cells[i].Policy, name, cells[i].Value, d.Seed,
-						r.Served(), r.InAim(), len(r.Counts)))
+						r.Served(), r.InTarget(), len(r.ViolationCounts)))
 				}
 			})
 		}
@@ -154,10 +154,10 @@
 		if err != nil {
 			return false, err
 		}
-		_, least, _ := cells[0].Over(func(r *Result) float64 { return r.InAim() })
+		_, least, _ := cells[0].Over(func(r *Result) float64 { return r.InTarget() })
 		broken := 0
 		for _, r := range cells[0].Results {
-			broken += len(r.Counts)
+			broken += len(r.ViolationCounts)
 		}
 		if done != nil {
 			done(fmt.Sprintf("%.2f times the servers: %.4f in aim, %d rules broken", x, least, broken))
--- a/lab/simulation/trouble.go
+++ b/lab/simulation/trouble.go
@@ -6,9 +6,9 @@
 )
 
 // strike has a trouble happen.
-func (f *fleet) strike(t scenario.Trouble) {
+func (f *fleet) strike(t scenario.Fault) {
 	count := max(1, t.Count)
-	lasting := 1000 * max(t.For, 0.5)
+	lasting := 1000 * max(t.ForS, 0.5)
 	switch t.Kind {
 	case "kill", "kill_all":
 		if t.Kind == "kill_all" {
@@ -34,7 +34,7 @@
 		var slowed []*server
 		for _, e := range f.list() {
 			if s := f.servers[e.ID]; s.zone == f.day.Zones[len(f.day.Zones)-1] {
-				s.slow = max(2, t.X)
+				s.slow = max(2, t.Factor)
 				slowed = append(slowed, s)
 			}
 		}
@@ -52,7 +52,7 @@
 		for _, s := range f.someServers(count) {
 			f.startServer(s.spec, s.zone)
 			s.draining = true
-			f.ledger.Drains(s.id)
+			f.ledger.Draining(s.id)
 			f.engine.after(checker.DrainMs+500, func() {
 				s.stop()
 				delete(f.servers, s.id)
@@ -61,14 +61,14 @@
 	case "lost_answers", "slow":
 		for _, s := range f.someServers(count) {
 			if t.Kind == "slow" {
-				s.slow = max(2, t.X)
+				s.slow = max(2, t.Factor)
 			} else {
-				s.lose = max(0.03, t.X)
+				s.lose = max(0.03, t.Factor)
 			}
 			f.engine.after(lasting, func() { s.slow, s.lose = 1, 0 })
 		}
 	case "hot_tenant":
-		f.hot, f.hotX = f.day.Tenants[0].Name, max(2, t.X)
+		f.hot, f.hotX = f.day.Tenants[0].Name, max(2, t.Factor)
 		f.engine.after(lasting, func() { f.hot = "" })
 	}
 }
