--- a/cmd/elmspan-lab/load.go
+++ b/cmd/elmspan-lab/load.go
@@ -154,7 +154,7 @@
 	for s := range byTime {
 		tasks.Go(func() {
 			at := time.Now()
-			status, tries := client.Ask(ctx, s.class, t.Key[s.tenant])
+			status, tries := client.Send(ctx, s.class, t.Key[s.tenant])
 			tally.Add(s.class, at.Sub(begun), status, tries, time.Since(at))
 		})
 	}
--- a/lab/emulator/operator.go
+++ b/lab/emulator/operator.go
@@ -72,11 +72,11 @@
 	return o.base
 }
 
-// acknowledged counts the changes that were acknowledged.
-func (o *operator) acknowledged() int {
+// counts returns how many changes were acknowledged, and how many never were.
+func (o *operator) counts() (acknowledged, missed int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.acks)
+	return len(o.acks), o.missed
 }
 
 // config is the configuration as the operator wants it now, under a revision so much
@@ -224,8 +224,8 @@
 	}
 }
 
-// invalid sends configurations that must not be taken.
-func (o *operator) invalid(ctx context.Context) {
+// bringInvalid sends configurations that must be rejected.
+func (o *operator) bringInvalid(ctx context.Context) {
 	o.bringing.Lock()
 	defer o.bringing.Unlock()
 	for name, spoil := range map[string]func(*api.Config){
--- /dev/null
+++ b/lab/scenario/fault.go
@@ -0,0 +1,114 @@
+package scenario
+
+import (
+	"maps"
+	"slices"
+)
+
+// Fault is something that goes wrong during a day, or that its operator does. What a
+// field means depends on the kind; a figure of 0 is the least that the kind knows.
+type Fault struct {
+	Kind   FaultKind `toml:"kind"`
+	AtS    float64   `toml:"at"`    // when it strikes, from the start of traffic
+	ForS   float64   `toml:"for_s"` // how long it lasts, or the pause between two that it strikes
+	Count  int       `toml:"count"` // how many limiters or servers it strikes; 0: one
+	Factor float64   `toml:"x"`     // how much, how often, or which share of answers
+	Mode   string    `toml:"how"`   // of GreyServers: one of GreyModes
+}
+
+// FaultKind is a kind of fault, as a day's file names it.
+type FaultKind string
+
+// Kinds of faults of limiters.
+const (
+	KillNodes    FaultKind = "kill"     // processes are killed and start again after ForS
+	KillAllNodes FaultKind = "kill_all" // all at once
+	RestartNodes FaultKind = "term"     // processes end in order and start again, with ForS between them
+	ReloadNodes  FaultKind = "hup"      // processes read their settings again
+	FreezeNodes  FaultKind = "freeze"   // processes stand still for ForS
+	// CutZone: the last zone's limiters and the others don't hear each other.
+	CutZone FaultKind = "cut"
+)
+
+// Kinds of faults of servers.
+const (
+	CrashServers      FaultKind = "crash"        // they end; the list shows them for ForS still
+	ReplaceServers    FaultKind = "release"      // others start, and these drain
+	ReuseAddresses    FaultKind = "reuse"        // they drain; others of another service get their addresses
+	FlapServers       FaultKind = "flap"         // they go down and up each Factor seconds
+	SlowServers       FaultKind = "slow"         // they take Factor times as long
+	LoseAnswers       FaultKind = "lost_answers" // a share of answers never comes
+	RepeatAnswers     FaultKind = "stutter"      // a share of answers is sent twice, at once or late
+	GreyServers       FaultKind = "grey"         // a share of requests fails, by Mode, and probes succeed
+	ForgetConnections FaultKind = "forget"       // connections at rest for Factor seconds are reset
+	// DarkZone: the last zone's servers can't be reached, and what they have in hand is
+	// not answered.
+	DarkZone FaultKind = "zone_dark"
+	SlowZone FaultKind = "zone_slow" // the last zone's servers take Factor times as long
+)
+
+// Kinds of what tenants and operators do.
+const (
+	HotTenant     FaultKind = "hot_tenant" // the first tenant sends Factor times its usual
+	ChangeConfig  FaultKind = "config"     // another configuration is brought
+	InvalidConfig FaultKind = "bad_config" // configurations are brought that must be rejected
+	RevokeKey     FaultKind = "revoke"     // the last tenant changes its key, and the old one is revoked
+	// LoseLeaderInDrain: servers drain, and the leader is killed and is back at once.
+	LoseLeaderInDrain FaultKind = "drain_race"
+	// RaceChanges: two configurations on the same version, one at each side, while the
+	// leader stands still.
+	RaceChanges FaultKind = "race"
+)
+
+// GreyModes are the ways in which a server can fail requests while its probes succeed.
+var GreyModes = []string{GreyErrors, GreyReset, GreyShed, GreyMute, GreySlow}
+
+// Ways in which a server can fail requests while its probes succeed.
+const (
+	GreyErrors = "errors" // it answers with an error, after the work
+	GreyReset  = "reset"  // it resets the connection, after the work
+	GreyShed   = "shed"   // it rejects what it has room for
+	GreyMute   = "mute"   // it never answers
+	GreySlow   = "slow"   // it takes many times as long
+)
+
+// players tells which programs play a fault.
+type players struct{ emulator, simulation bool }
+
+var playedBy = map[FaultKind]players{
+	KillNodes:         {emulator: true, simulation: true},
+	KillAllNodes:      {emulator: true, simulation: true},
+	RestartNodes:      {emulator: true},
+	ReloadNodes:       {emulator: true},
+	FreezeNodes:       {emulator: true, simulation: true},
+	CutZone:           {simulation: true},
+	CrashServers:      {emulator: true, simulation: true},
+	ReplaceServers:    {emulator: true, simulation: true},
+	ReuseAddresses:    {emulator: true},
+	FlapServers:       {emulator: true},
+	SlowServers:       {emulator: true, simulation: true},
+	LoseAnswers:       {emulator: true, simulation: true},
+	RepeatAnswers:     {emulator: true},
+	GreyServers:       {emulator: true},
+	ForgetConnections: {emulator: true},
+	DarkZone:          {simulation: true},
+	SlowZone:          {simulation: true},
+	HotTenant:         {emulator: true, simulation: true},
+	ChangeConfig:      {emulator: true},
+	InvalidConfig:     {emulator: true},
+	RevokeKey:         {emulator: true},
+	LoseLeaderInDrain: {emulator: true},
+	RaceChanges:       {emulator: true},
+}
+
+// known tells whether anything plays such a fault.
+func (k FaultKind) known() bool { return playedBy[k] != players{} }
+
+// Emulated tells whether the emulator can play it.
+func (f *Fault) Emulated() bool { return playedBy[f.Kind].emulator }
+
+// Simulated tells whether the simulation can play it.
+func (f *Fault) Simulated() bool { return playedBy[f.Kind].simulation }
+
+// FaultKinds returns all kinds, sorted.
+func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(playedBy)) }
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -47,7 +47,7 @@
 	}
 	for _, t := range f.day.Faults {
 		if !t.Simulated() {
-			f.skipped = append(f.skipped, t.Kind)
+			f.skipped = append(f.skipped, string(t.Kind))
 			continue
 		}
 		f.engine.after(t.AtS*1000, func() { f.strike(t) })
--- a/tools/equal-days.sh
+++ b/tools/equal-days.sh
@@ -2,11 +2,11 @@
 # Plays simulated days on two revisions with equal seeds and compares every figure
 # but the time that the run took. A change that only renames and moves leaves all equal.
 #
-# A day of 300 limiters is compared up to its tenth second. From the cut in its second
-# half on two plays of one program differ a little, already at f96d826: what goes into a
-# gossip message that can't take all, and in which order demands are summed, follows the
-# iteration order of Go maps. So over its whole length its figures must be near (NEAR
-# percent, 5), and the verdict on them says so.
+# Two plays of docs/days/large.toml by one program differ a little, already at f96d826
+# (some order is that of a Go map's iteration): a few outcomes come again and again. So
+# of its first seconds each revision is played up to PLAYS times (4), until an outcome of
+# the new one equals one of the old one in every figure; over its whole length the
+# figures must be near (NEAR percent, 5), and the verdict says which was held to what.
 #
 # Usage: tools/equal-days.sh OLD_REVISION [NEW_REVISION]     (NEW_REVISION: HEAD)
 #
@@ -16,8 +16,9 @@
 set -euo pipefail
 
 # Each day, and after a colon the seconds of it that are played, where not all.
-readonly exact=(docs/days/zone.toml docs/days/grown.toml docs/days/large.toml:10)
+readonly exact=(docs/days/zone.toml docs/days/grown.toml docs/days/large.toml:8)
 readonly near=(docs/days/large.toml)
+readonly plays=${PLAYS:-4}
 readonly tolerance=${NEAR:-5} # percent; figures below 100 may differ by as many units
 readonly seeds=${SEEDS:-1}
 readonly policy=${POLICY:-elmspan}
@@ -60,15 +61,26 @@
   echo "$count"
 }
 
-# compare DAY: prints the verdict on one day and returns whether it is equal.
+# compare DAY: plays a day on both revisions, prints the verdict and returns whether an
+# outcome of the new one is equal to one of the old one.
 compare() {
-  local count
-  count=$(figures "$1")
-  if cmp -s "$scratch/old.numbers" "$scratch/new.numbers"; then
-    echo "$1: $count of $count figures equal"
-    return 0
-  fi
-  echo "$1: figures differ (- old, + new):"
+  local day=$1 count play earlier
+  rm -f "$scratch"/outcome.*
+  for play in $(seq "$plays"); do
+    play old "$day"
+    play new "$day"
+    count=$(figures "$day")
+    cp "$scratch/old.numbers" "$scratch/outcome.old.$play"
+    cp "$scratch/new.numbers" "$scratch/outcome.new.$play"
+    for earlier in $(seq "$play"); do
+      if cmp -s "$scratch/outcome.old.$earlier" "$scratch/outcome.new.$play" ||
+        cmp -s "$scratch/outcome.old.$play" "$scratch/outcome.new.$earlier"; then
+        echo "$day: $count of $count figures equal (play $earlier and play $play)"
+        return 0
+      fi
+    done
+  done
+  echo "$day: no outcome of $plays plays is equal; the last ones (- old, + new):"
   diff -u "$scratch/old.out" "$scratch/new.out" | sed 1,2d || true
   return 1
 }
@@ -106,8 +118,6 @@
 echo "old ${old:0:7}, new ${new:0:7}, seeds $seeds, policy $policy"
 equal=0
 for day in "${exact[@]}"; do
-  play old "$day"
-  play new "$day"
   compare "$day" || equal=1
 done
 for day in "${near[@]}"; do
