--- a/telemetry/golden_test.go
+++ b/telemetry/golden_test.go
@@ -3,16 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
-	"fmt"
-	"io"
-	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-	"time"
 )
 
 func readGolden(t *testing.T, name string) []byte {
@@ -52,35 +46,11 @@
 // Metrics are exposed as by an earlier release: names, labels, bounds, and the series that
 // takes what is beyond the limit of series.
 func TestGoldenExposition(t *testing.T) {
-	m := New()
-	m.Count("elmspan_requests_total", 2, Label{"route", `a"b`}, Label{"code", "200"})
-	m.Observe("elmspan_request_duration_seconds", 120*time.Millisecond, Label{"route", "r"})
-	m.Gauge("elmspan_peers", func() float64 { return 7 })
-	for i := range 2050 {
-		m.Count("elmspan_many", 1, Label{"route", fmt.Sprint(i)})
-	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	served := make(chan error, 1)
-	go func() { served <- m.Serve(t.Context(), l) }()
-	t.Cleanup(func() { // the test's context has ended
-		if err := <-served; err != nil {
-			t.Error(err)
-		}
-	})
-	resp, err := http.Get("http://" + l.Addr().String() + "/metrics")
-	if err != nil {
-		t.Fatal(err)
-	}
-	exposed, err := io.ReadAll(resp.Body)
-	if err = errors.Join(err, resp.Body.Close()); err != nil {
-		t.Fatal(err)
-	}
+	exposed := expose(t, fillMetrics(2050))
 	var got strings.Builder
-	for line := range strings.Lines(string(exposed)) {
-		if strings.HasPrefix(line, "elmspan_") && (!strings.HasPrefix(line, "elmspan_many") || strings.Contains(line, `"other"`)) {
+	for line := range strings.Lines(exposed) {
+		ownOfMany := strings.HasPrefix(line, "elmspan_many") && !strings.Contains(line, `"other"`)
+		if strings.HasPrefix(line, "elmspan_") && !ownOfMany {
 			got.WriteString(line)
 		}
 	}
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,10 +1,13 @@
-// Package telemetry keeps the metrics of one process and shows them to
-// Prometheus. A nil [Metrics] keeps none and costs next to nothing, so that the
-// planes need not ask whether they are on.
+// Package telemetry keeps the metrics of one process and exposes them to Prometheus, and
+// records what a process uses: see [StartRecording].
+//
+// A nil [Metrics] keeps none and costs next to nothing, so that the planes need not ask
+// whether metrics are on. All methods of Metrics may be called concurrently.
 package telemetry
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -15,99 +18,131 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// mostSeries bounds the label sets, as routes and services come from
-// configurations; what is beyond goes under "other".
-const mostSeries = 2048
+const (
+	// maxSeries bounds the counters, as routes and services come from configurations. What is
+	// beyond it counts under the label value "other".
+	maxSeries = 2048
+	// maxHistograms bounds the histograms likewise: each has a series for each bound.
+	maxHistograms = maxSeries / 8
 
-// Bounds of times in seconds: from a tenth of a millisecond, fine round the aims
-// of answers (50 ms to 1 s).
-var bounds = []float64{.0005, .001, .0025, .005, .01, .025, .05, .075, .1, .15, .2, .3, .4, .5, .75, 1, 1.5, 2.5, 5, 10, 30}
+	otherValue = "other"
 
-// Metrics are the metrics of one process.
+	headerTimeout = 2 * time.Second
+	idleTimeout   = 30 * time.Second
+	writeTimeout  = 10 * time.Second
+)
+
+// histogramBounds are the upper bounds of a histogram's buckets in seconds: from half a
+// millisecond, with small steps around the latency targets of routes (50 ms to 1 s).
+var histogramBounds = []float64{
+	.0005, .001, .0025, .005, .01, .025, .05, .075, .1, .15, .2, .3, .4, .5, .75, 1, 1.5, 2.5, 5, 10, 30,
+}
+
+// Metrics are the metrics of one process. Make them with [New].
 type Metrics struct {
 	set *metrics.Set
 
-	mu     sync.Mutex
-	counts map[string]*metrics.Counter
-	times  map[string]*metrics.PrometheusHistogram
+	mu         sync.Mutex
+	counters   map[string]*metrics.Counter             // by series; guarded by mu
+	histograms map[string]*metrics.PrometheusHistogram // by series; guarded by mu
 }
 
 // New returns empty metrics.
 func New() *Metrics {
-	return &Metrics{set: metrics.NewSet(), counts: map[string]*metrics.Counter{}, times: map[string]*metrics.PrometheusHistogram{}}
+	return &Metrics{
+		set:        metrics.NewSet(),
+		counters:   map[string]*metrics.Counter{},
+		histograms: map[string]*metrics.PrometheusHistogram{},
+	}
 }
 
-// Label is a name and its value.
+// Label is a label's name and its value.
 type Label struct{ Name, Value string }
 
+// series is the name of a series as Prometheus writes it.
 func series(name string, labels []Label) string {
 	if len(labels) == 0 {
 		return name
 	}
 	var b strings.Builder
 	b.WriteString(name)
-	for i, l := range labels {
-		b.WriteByte("{,"[min(i, 1)])
+	separator := byte('{')
+	for _, l := range labels {
+		b.WriteByte(separator)
+		separator = ','
 		fmt.Fprintf(&b, "%s=%q", l.Name, l.Value)
 	}
 	b.WriteByte('}')
 	return b.String()
 }
 
-func other(labels []Label) []Label {
-	out := make([]Label, len(labels))
+// otherSeries is the series that all those of a name beyond the bound share.
+func otherSeries(name string, labels []Label) string {
+	shared := make([]Label, len(labels))
 	for i, l := range labels {
-		out[i] = Label{l.Name, "other"}
+		shared[i] = Label{l.Name, otherValue}
 	}
-	return out
+	return series(name, shared)
 }
 
-// Count adds to a counter.
+// Count adds n to a counter.
 func (m *Metrics) Count(name string, n int, labels ...Label) {
 	if m == nil {
 		return
 	}
+	m.counter(name, labels).Add(n)
+}
+
+// counter returns the counter of a series, or the shared one past the bound.
+func (m *Metrics) counter(name string, labels []Label) *metrics.Counter {
 	key := series(name, labels)
 	m.mu.Lock()
-	c := m.counts[key]
+	defer m.mu.Unlock()
+	c := m.counters[key]
 	if c == nil {
-		if len(m.counts) >= mostSeries {
-			key = series(name, other(labels))
+		if len(m.counters) >= maxSeries {
+			key = otherSeries(name, labels)
 		}
 		c = m.set.GetOrCreateCounter(key)
-		m.counts[key] = c
+		m.counters[key] = c
 	}
-	m.mu.Unlock()
-	c.Add(n)
+	return c
 }
 
-// Observe adds a time to a histogram.
+// Observe adds a duration to a histogram, in seconds.
 func (m *Metrics) Observe(name string, d time.Duration, labels ...Label) {
 	if m == nil {
 		return
 	}
+	m.histogram(name, labels).Update(d.Seconds())
+}
+
+// histogram returns the histogram of a series, or the shared one past the bound.
+func (m *Metrics) histogram(name string, labels []Label) *metrics.PrometheusHistogram {
 	key := series(name, labels)
 	m.mu.Lock()
-	h := m.times[key]
+	defer m.mu.Unlock()
+	h := m.histograms[key]
 	if h == nil {
-		if len(m.times) >= mostSeries/8 {
-			key = series(name, other(labels))
+		if len(m.histograms) >= maxHistograms {
+			key = otherSeries(name, labels)
 		}
-		h = m.set.GetOrCreatePrometheusHistogramExt(key, bounds)
-		m.times[key] = h
+		h = m.set.GetOrCreatePrometheusHistogramExt(key, histogramBounds)
+		m.histograms[key] = h
 	}
-	m.mu.Unlock()
-	h.Update(d.Seconds())
+	return h
 }
 
-// Gauge shows what a function returns whenever it is read.
-func (m *Metrics) Gauge(name string, of func() float64, labels ...Label) {
+// Gauge shows what a function returns whenever the metrics are read. The function may be
+// called at any time and must not block.
+func (m *Metrics) Gauge(name string, value func() float64, labels ...Label) {
 	if m != nil {
-		m.set.GetOrCreateGauge(series(name, labels), of)
+		m.set.GetOrCreateGauge(series(name, labels), value)
 	}
 }
 
-// Serve shows the metrics at /metrics of an address until the context ends.
+// Serve answers GET /metrics at a listener until the context ends, and then returns nil. It
+// closes the listener.
 func (m *Metrics) Serve(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -115,10 +150,15 @@
 		m.set.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second}
-	stop := context.AfterFunc(ctx, func() { srv.Close() })
+	srv := &http.Server{
+		Handler:           mux,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		WriteTimeout:      writeTimeout,
+	}
+	stop := context.AfterFunc(ctx, func() { _ = srv.Close() }) // Serve returns what matters
 	defer stop()
-	if err := srv.Serve(l); err != http.ErrServerClosed {
+	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("telemetry: %w", err)
 	}
 	return nil
--- a/telemetry/usage.go
+++ b/telemetry/usage.go
@@ -14,116 +14,181 @@
 	"time"
 )
 
-// Usage is what a process has used since some time.
+// Usage is what a process has used since some time. Its fields' names are those of the JSON
+// files that a [Recording] leaves.
+//
+// It is what a process knows of itself, by the kernel's getrusage(2) and the Go runtime. What
+// a bench can see of other processes by proc(5) is lab/controlbench's own Usage.
 type Usage struct {
-	WallS     float64
-	UserS     float64 // processor time, in its own code
-	KernelS   float64 // ... and in the kernel for it
+	WallS     float64 // seconds of time; set by a Recording alone
+	UserS     float64 // processor seconds in the process's own code
+	KernelS   float64 // processor seconds in the kernel for it
 	Collector float64 // processor seconds of the garbage collector, by the runtime's own estimate
-	WakeUps   float64 // its threads waited for something and went on (voluntary context switches)
+	WakeUps   float64 // how often a thread waited for something and went on (voluntary context switches)
 	Collected float64 // cycles of the garbage collector
-	Objects   float64 // allocated
-	AllocMB   float64
-	HeapMB    float64 // live at the last collection; not a difference
-	PeakMB    float64 // the most that was resident, pages of the program's file included; not a difference
+	Objects   float64 // objects allocated
+	AllocMB   float64 // 10^6 bytes allocated
+	HeapMB    float64 // 10^6 bytes live at the last collection; not a difference
+	PeakMB    float64 // 10^6 bytes resident at most, pages of the program's file included; not a difference
 }
 
-// ReadUsage returns what this process has used since its start. The kernel's counts
-// are those of proc(5) and getrusage(2); what can't be had is 0.
+// The runtime's metrics that ReadUsage reads.
+const (
+	metricCollector = "/cpu/classes/gc/total:cpu-seconds"
+	metricHeapLive  = "/gc/heap/live:bytes"
+	metricObjects   = "/gc/heap/allocs:objects"
+	metricAllocated = "/gc/heap/allocs:bytes"
+	metricCycles    = "/gc/cycles/total:gc-cycles"
+)
+
+// ReadUsage returns what this process has used since its start. What can't be read is 0.
 func ReadUsage() Usage {
-	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	samples := []metrics.Sample{{Name: "/cpu/classes/gc/total:cpu-seconds"}, {Name: "/gc/heap/live:bytes"},
-		{Name: "/gc/heap/allocs:objects"}, {Name: "/gc/heap/allocs:bytes"}, {Name: "/gc/cycles/total:gc-cycles"}}
+	var r syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
+		r = syscall.Rusage{}
+	}
+	value := readRuntime(metricCollector, metricHeapLive, metricObjects, metricAllocated, metricCycles)
+	return Usage{
+		UserS:     time.Duration(r.Utime.Nano()).Seconds(),
+		KernelS:   time.Duration(r.Stime.Nano()).Seconds(),
+		WakeUps:   float64(r.Nvcsw),
+		PeakMB:    float64(r.Maxrss) / 1000,
+		Collector: value[metricCollector],
+		HeapMB:    value[metricHeapLive] / 1e6,
+		Objects:   value[metricObjects],
+		AllocMB:   value[metricAllocated] / 1e6,
+		Collected: value[metricCycles],
+	}
+}
+
+// readRuntime returns metrics of the Go runtime by name. One that the runtime does not have
+// is 0.
+func readRuntime(names ...string) map[string]float64 {
+	samples := make([]metrics.Sample, len(names))
+	for i, name := range names {
+		samples[i].Name = name
+	}
 	metrics.Read(samples)
-	of := func(i int) float64 {
-		switch v := samples[i].Value; v.Kind() {
+	out := map[string]float64{}
+	for _, s := range samples {
+		switch s.Value.Kind() {
 		case metrics.KindUint64:
-			return float64(v.Uint64())
+			out[s.Name] = float64(s.Value.Uint64())
 		case metrics.KindFloat64:
-			return v.Float64()
+			out[s.Name] = s.Value.Float64()
 		}
-		return 0
 	}
-	return Usage{UserS: time.Duration(u.Utime.Nano()).Seconds(), KernelS: time.Duration(u.Stime.Nano()).Seconds(), WakeUps: float64(u.Nvcsw),
-		Collector: of(0), HeapMB: of(1) / 1e6, Objects: of(2), AllocMB: of(3) / 1e6, Collected: of(4), PeakMB: float64(u.Maxrss) / 1000}
+	return out
+}
+
+// Since is what was used since an earlier reading of the same process. HeapMB and PeakMB
+// remain those of the later one.
+func (u Usage) Since(earlier Usage) Usage {
+	u.WallS -= earlier.WallS
+	u.UserS -= earlier.UserS
+	u.KernelS -= earlier.KernelS
+	u.Collector -= earlier.Collector
+	u.WakeUps -= earlier.WakeUps
+	u.Collected -= earlier.Collected
+	u.Objects -= earlier.Objects
+	u.AllocMB -= earlier.AllocMB
+	return u
 }
 
-// Since is what was used since an earlier look.
-func (s Usage) Since(b Usage) Usage {
-	s.WallS -= b.WallS
-	s.UserS -= b.UserS
-	s.KernelS -= b.KernelS
-	s.Collector -= b.Collector
-	s.WakeUps -= b.WakeUps
-	s.Collected -= b.Collected
-	s.Objects -= b.Objects
-	s.AllocMB -= b.AllocMB
-	return s
+// add adds what another process has used, all fields.
+func (u *Usage) add(other Usage) {
+	u.WallS += other.WallS
+	u.UserS += other.UserS
+	u.KernelS += other.KernelS
+	u.Collector += other.Collector
+	u.WakeUps += other.WakeUps
+	u.Collected += other.Collected
+	u.Objects += other.Objects
+	u.AllocMB += other.AllocMB
+	u.HeapMB += other.HeapMB
+	u.PeakMB += other.PeakMB
 }
 
-// Recording is a profile of this process that is being made.
+// Recording is a CPU profile of this process that is being written.
 type Recording struct {
-	path  string
+	path  string // without the extension
 	out   *os.File
-	begun time.Time
+	began time.Time
 	start Usage
 }
 
+const (
+	profileExtension = ".pprof"
+	usageExtension   = ".json"
+)
+
 // StartRecording begins to write a CPU profile of this process to DIR/NAME.PID.pprof, for
-// `go tool pprof`. What was spent goes into a file beside it; see [WriteUsageReport].
+// `go tool pprof`. There can be one at a time. At its end what was used goes into a file
+// beside it, see [WriteUsageReport].
 func StartRecording(dir, name string) (*Recording, error) {
 	path := filepath.Join(dir, fmt.Sprintf("%s.%d", strings.ReplaceAll(name, "/", "-"), os.Getpid()))
-	out, err := os.Create(path + ".pprof")
+	out, err := os.Create(path + profileExtension)
 	if err != nil {
 		return nil, fmt.Errorf("telemetry: %w", err)
 	}
 	if err := pprof.StartCPUProfile(out); err != nil {
 		return nil, errors.Join(fmt.Errorf("telemetry: %w", err), out.Close())
 	}
-	return &Recording{path, out, time.Now(), ReadUsage()}, nil
+	return &Recording{path: path, out: out, began: time.Now(), start: ReadUsage()}, nil
 }
 
-// Close ends the profile.
+// Close ends the profile and writes what was used meanwhile.
 func (r *Recording) Close() error {
-	s := ReadUsage().Since(r.start)
-	s.WallS = time.Since(r.begun).Seconds()
+	used := ReadUsage().Since(r.start)
+	used.WallS = time.Since(r.began).Seconds()
 	pprof.StopCPUProfile()
-	data, err := json.Marshal(s)
+	data, err := json.Marshal(used)
 	if err == nil {
-		err = os.WriteFile(r.path+".json", data, 0o644)
+		err = os.WriteFile(r.path+usageExtension, data, 0o644)
 	}
 	return errors.Join(err, r.out.Close())
 }
 
-// WriteUsageReport writes for a person what the processes spent whose profiles are in a
-// folder, on the mean: a process that was killed wrote nothing.
+// WriteUsageReport writes for a person the mean of what the processes used whose recordings
+// are in a folder. A process that was killed has left nothing there. No file at all is an
+// error, and so is one that can't be read.
 func WriteUsageReport(w io.Writer, dir string) error {
-	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
+	files, err := filepath.Glob(filepath.Join(dir, "*"+usageExtension))
 	if err != nil {
 		return fmt.Errorf("telemetry: %w", err)
 	}
 	var sum Usage
-	for _, f := range files {
-		var s Usage
-		data, err := os.ReadFile(f)
-		if err == nil {
-			err = json.Unmarshal(data, &s)
-		}
+	for _, file := range files {
+		u, err := readUsageFile(file)
 		if err != nil {
-			return fmt.Errorf("telemetry: %s: %w", f, err)
+			return fmt.Errorf("telemetry: %s: %w", file, err)
 		}
-		sum = sum.Since(Usage{-s.WallS, -s.UserS, -s.KernelS, -s.Collector, -s.WakeUps, -s.Collected, -s.Objects, -s.AllocMB, 0, 0})
-		sum.HeapMB += s.HeapMB
-		sum.PeakMB += s.PeakMB
+		sum.add(u)
 	}
-	n := float64(len(files))
 	if sum.WallS <= 0 {
 		return fmt.Errorf("telemetry: no process below %s has written what it spent", dir)
 	}
-	fmt.Fprintf(w, "a process, of %d, on the mean of %.1f s: processor %.2f %% of a core (%.2f own code, of which %.2f collector; %.2f kernel)\n", len(files), sum.WallS/n,
-		100*(sum.UserS+sum.KernelS)/sum.WallS, 100*sum.UserS/sum.WallS, 100*sum.Collector/sum.WallS, 100*sum.KernelS/sum.WallS)
-	fmt.Fprintf(w, "  a second: %.0f wake-ups, %.1f collections, %.0f objects, %.0f KB allocated; heap %.1f MB, resident at its peak %.1f MB\n",
-		sum.WakeUps/sum.WallS, sum.Collected/sum.WallS, sum.Objects/sum.WallS, 1000*sum.AllocMB/sum.WallS, sum.HeapMB/n, sum.PeakMB/n)
-	return nil
+	return sum.writeMeans(w, len(files))
+}
+
+func readUsageFile(path string) (u Usage, err error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return u, err
+	}
+	err = json.Unmarshal(data, &u)
+	return u, err
+}
+
+// writeMeans writes the means of a sum over processes.
+func (u *Usage) writeMeans(w io.Writer, processes int) error {
+	n := float64(processes)
+	percent := func(seconds float64) float64 { return 100 * seconds / u.WallS }
+	_, err := fmt.Fprintf(w, "a process, of %d, on the mean of %.1f s: processor %.2f %% of a core "+
+		"(%.2f own code, of which %.2f collector; %.2f kernel)\n"+
+		"  a second: %.0f wake-ups, %.1f collections, %.0f objects, %.0f KB allocated; "+
+		"heap %.1f MB, resident at its peak %.1f MB\n",
+		processes, u.WallS/n, percent(u.UserS+u.KernelS), percent(u.UserS), percent(u.Collector), percent(u.KernelS),
+		u.WakeUps/u.WallS, u.Collected/u.WallS, u.Objects/u.WallS, 1000*u.AllocMB/u.WallS, u.HeapMB/n, u.PeakMB/n)
+	return err
 }
