--- a/process/discovery.go
+++ b/process/discovery.go
@@ -6,8 +6,10 @@
 	"math/rand/v2"
 	"time"
 
+	"example.org/elmspan/api"
 	"example.org/elmspan/discovery"
 	"example.org/elmspan/internal/backoff"
+	"example.org/elmspan/settings"
 )
 
 const (
@@ -114,12 +116,8 @@
 			continue
 		}
 		lastRequest, schedule.requested = now, true
-		list, pages, err := discovery.ListServers(ctx, cfg.Cloud.Address, cfg.Cloud.RatePerS)
-		if errors.Is(err, discovery.ErrRateLimited) {
-			backoff.Sleep(ctx, rateLimitedPause+backoff.Spread(rateLimitedPause, rng))
-		}
+		list, pages, err := p.requestServers(ctx, &cfg.Cloud, rng)
 		if err != nil {
-			p.log.Warn("server list request failed", "error", err)
 			continue
 		}
 		schedule.pages = pages
@@ -134,3 +132,18 @@
 		}
 	}
 }
+
+// requestServers asks the platform once for the whole list. An error is logged here; after one
+// for the platform's rate it waits.
+func (p *Process) requestServers(
+	ctx context.Context, cloud *settings.Cloud, rng *rand.Rand,
+) (list []api.Server, pages int, err error) {
+	list, pages, err = discovery.ListServers(ctx, cloud.Address, cloud.RatePerS)
+	if errors.Is(err, discovery.ErrRateLimited) {
+		backoff.Sleep(ctx, rateLimitedPause+backoff.Spread(rateLimitedPause, rng))
+	}
+	if err != nil {
+		p.log.Warn("server list request failed", "error", err)
+	}
+	return list, pages, err
+}
--- a/process/member_service.go
+++ b/process/member_service.go
@@ -10,8 +10,8 @@
 // The methods of [api.Control], which other processes call: each is answered by the member
 // that takes part now, or with errNoMember.
 
-// callMember calls a method of the member that takes part now.
-func callMember[Q, R any](
+// forward calls a method of the member that takes part now.
+func forward[Q, R any](
 	ctx context.Context, h *memberHost, request *Q,
 	method func(*controlplane.Core, context.Context, *Q) (*R, error),
 ) (*R, error) {
@@ -24,35 +24,35 @@
 
 // Watch is [controlplane.Core.Watch].
 func (h *memberHost) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
-	return callMember(ctx, h, q, (*controlplane.Core).Watch)
+	return forward(ctx, h, q, (*controlplane.Core).Watch)
 }
 
 // Replace is [controlplane.Core.Replace].
 func (h *memberHost) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
-	return callMember(ctx, h, q, (*controlplane.Core).Replace)
+	return forward(ctx, h, q, (*controlplane.Core).Replace)
 }
 
 // Get is [controlplane.Core.Get].
 func (h *memberHost) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
-	return callMember(ctx, h, q, (*controlplane.Core).Get)
+	return forward(ctx, h, q, (*controlplane.Core).Get)
 }
 
 // Join is [controlplane.Core.Join].
 func (h *memberHost) Join(ctx context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
-	return callMember(ctx, h, q, (*controlplane.Core).Join)
+	return forward(ctx, h, q, (*controlplane.Core).Join)
 }
 
 // Deliver is [controlplane.Core.Deliver].
 func (h *memberHost) Deliver(ctx context.Context, q *api.DeliverRequest) (*api.DeliverResponse, error) {
-	return callMember(ctx, h, q, (*controlplane.Core).Deliver)
+	return forward(ctx, h, q, (*controlplane.Core).Deliver)
 }
 
 // Fetch is [controlplane.Core.Fetch].
 func (h *memberHost) Fetch(ctx context.Context, q *api.FetchRequest) (*api.Chunk, error) {
-	return callMember(ctx, h, q, (*controlplane.Core).Fetch)
+	return forward(ctx, h, q, (*controlplane.Core).Fetch)
 }
 
 // ReadIndex is [controlplane.Core.ReadIndex].
 func (h *memberHost) ReadIndex(ctx context.Context, q *api.Empty) (*api.ReadIndexResponse, error) {
-	return callMember(ctx, h, q, (*controlplane.Core).ReadIndex)
+	return forward(ctx, h, q, (*controlplane.Core).ReadIndex)
 }
--- a/process/watch.go
+++ b/process/watch.go
@@ -129,7 +129,7 @@
 		w.memberFailed(m.addr)
 		return false
 	}
-	response := w.callMember(ctx, call, m)
+	response := w.call(ctx, call, m)
 	if response == nil {
 		w.memberFailed(m.addr)
 		return false
@@ -154,8 +154,8 @@
 	return true
 }
 
-// callMember makes the call of a watch. It returns nil where it was not answered.
-func (w *watcher) callMember(ctx context.Context, call watchCall, m watchedMember) *api.WatchResponse {
+// call makes the call of a watch. It returns nil where it was not answered.
+func (w *watcher) call(ctx context.Context, call watchCall, m watchedMember) *api.WatchResponse {
 	if call.urgent && m.conn != nil && !api.WaitReady(ctx, m.conn, connectTimeout) {
 		w.log.Debug("control plane member not reached", "peer", m.addr)
 		return nil
