--- a/dataplane/attempt/attempt.go
+++ b/dataplane/attempt/attempt.go
@@ -1,171 +1,193 @@
-// Package attempt decides what the end of a try at a server means, without I/O, clock
-// or goroutines: from what was sent and what was seen, whether the request may have
-// run, what its client can be told and whether the connection can be used again
-// ([Judge], [Evidence.Reusable]); from how the tries so far have ended, whether another
-// server may get it, or what the last word is ([Course]).
+// Package attempt classifies the end of an attempt at a server, without I/O, clock or
+// goroutines. From what was written and what came back, [Classify] says whether the server
+// may have run the request, what the client can be answered and what it means for the
+// server's health; [Evidence.Reusable] whether the connection may carry another request.
+// A [Tracker] keeps the attempts of one request and decides whether another server may get
+// it, or which status ends it.
 //
-// What it rests on, of what servers promise (RFC 9110, 9.2.2 and 9.3.1; RFC 9112, 9.6
-// and 9.2):
-//   - bytes of which none were taken by a connection have reached nobody;
-//   - an answer with Not-Executed, and status 421, say that the request has not run
-//     and never will;
-//   - nothing else says so: after any byte, a reset, a close, silence or nonsense
-//     leave open whether it ran, or still runs;
-//   - an answer belongs to the request whose Attempt-Id it bears, once.
+// The rules rest on what servers promise (RFC 9110, 9.2.2 and 9.3.1; RFC 9112, 9.2 and 9.6):
+//   - a request of which a connection took no byte has reached nobody;
+//   - an answer with Not-Executed, and status 421, say that the request has not run and
+//     never will;
+//   - nothing else says so: after any byte, a reset, a close, a time-out or a malformed
+//     answer leave open whether it ran, or still runs;
+//   - an answer belongs to the request whose Attempt-Id it carries, once.
 package attempt
 
-import "example.org/elmspan/dataplane/balance"
+import (
+	"net/http"
 
-// Written is how much of a request its connection has taken.
-type Written int
+	"example.org/elmspan/dataplane/balance"
+)
+
+// WriteProgress is how much of a request its connection took.
+type WriteProgress int
 
-// How much was written.
+// The write progress of an attempt.
 const (
-	Nothing Written = iota // not a byte: no server has it
-	Part                   // a server may have what it needs to begin
-	Whole
+	NotWritten    WriteProgress = iota // no byte: no server has it
+	PartlyWritten                      // the server may have enough to begin
+	FullyWritten
 )
 
-// Owner is whose an answer is.
-type Owner int
+// ResponseOwner is the request that an answer belongs to.
+type ResponseOwner int
 
-// The owners.
+// The owners of an answer.
 const (
-	Nobodys  Owner = iota // without an id, or with several: it could be anybody's
-	Anothers              // with another request's id
-	Own
+	OwnerUnknown ResponseOwner = iota // without an Attempt-Id, or with several
+	OtherRequest                      // with the Attempt-Id of another request
+	ThisRequest
 )
 
-// OwnerOf tells whose an answer is to a request with the id mine, by the id that it
-// bears and how often it bears one.
-func OwnerOf(id string, times int, mine string) Owner {
+// OwnerOf returns the owner of an answer to the request with the id requestID. responseID is
+// the Attempt-Id that the answer carries, and count how many it carries.
+func OwnerOf(responseID string, count int, requestID string) ResponseOwner {
 	switch {
-	case id == "" || times != 1:
-		return Nobodys
-	case id != mine:
-		return Anothers
+	case responseID == "" || count != 1:
+		return OwnerUnknown
+	case responseID != requestID:
+		return OtherRequest
 	}
-	return Own
+	return ThisRequest
 }
 
-// MostStrays is how many answers that belong to other requests are read past on a
-// connection, before one's own.
-const MostStrays = 2
+// MaxStrayResponses is how many answers to other requests are skipped on a connection
+// before the request's own.
+const MaxStrayResponses = 2
 
-// ReadPast tells whether to go on reading behind an answer of an owner other than
-// [Own], the one of that count on this connection: bounded tells that its end is
-// certain and not too far.
-func ReadPast(o Owner, count int, bounded bool) bool {
-	return o == Anothers && count <= MostStrays && bounded
+// ShouldSkip tells whether to skip an answer whose owner is not [ThisRequest] and to read
+// the next one. count is how many of them came on this connection, this one included;
+// bounded tells that its end is known and not too far.
+func ShouldSkip(o ResponseOwner, count int, bounded bool) bool {
+	return o == OtherRequest && count <= MaxStrayResponses && bounded
 }
 
-// Seen is what came back on a connection to which a request was written.
-type Seen int
+// ResponseProgress is how much of an answer came back for a request that was written.
+type ResponseProgress int
 
-// What came back.
+// The progress of an answer.
 const (
-	// Silence: no head of an answer that is one's own. The time was up, the connection
-	// ended, what came was no answer, or it was another's.
-	Silence Seen = iota
-	// Aborted: the client's body broke off, so that the server never had the whole.
-	Aborted
-	// Broken: one's own head, behind which the body ended early or can't be read.
-	Broken
-	// Begun: one's own head and the beginning of a long body, which is passed on as it
-	// comes.
-	Begun
-	// Answered: one's own answer, whole.
-	Answered
+	// NoResponse: no head of this request's own answer. The time was up, the connection
+	// ended, the answer was malformed, or it belonged to another request.
+	NoResponse ResponseProgress = iota
+	// RequestAborted: the client's body broke off, so that the server never had all of it.
+	RequestAborted
+	// Truncated: the head came, and the body ended early or was malformed.
+	Truncated
+	// Streaming: the head and the beginning of a long body came; it is forwarded as it comes.
+	Streaming
+	// Complete: the whole answer came.
+	Complete
 )
 
-// Evidence is all that is known of a try that has ended, or whose answer has begun.
+// Evidence is all that is known of an attempt that has ended, or whose answer is
+// [Streaming].
 type Evidence struct {
-	Written     Written
-	Seen        Seen
-	Status      int  // from Broken on
-	NotExecuted bool // the server says that it did not run the request
-	Sealed      bool // its seal, no encoding, and an end that shows
-	Closes      bool // the connection ends after the answer
-	NoBody      bool // the request was HEAD: a stray body would not show
-	Strays      int  // answers of others that came before
-	Behind      int  // bytes that stand behind the answer
+	Written        WriteProgress
+	Response       ResponseProgress
+	Status         int  // from Truncated on
+	NotExecuted    bool // the server says that it did not run the request
+	Sealed         bool // the answer has Server-Seal, no encoding, and an end that shows
+	Closes         bool // the connection ends after the answer
+	HeadRequest    bool // the method is HEAD: the body of a stray answer would not show
+	StrayResponses int  // answers to other requests that came before
+	TrailingBytes  int  // bytes that were read behind the answer
 }
 
-// Say is what a client can be told after a try.
-type Say int
+// ClientAnswer is what a client can be answered after an attempt.
+type ClientAnswer int
 
-// What can be told.
+// The answers to a client.
 const (
-	Nought  Say = iota // nothing yet: another try, or see [Course.Final]
-	Servers            // the server's answer, unchanged
-	Failure            // 502, in place of a failure of the server's that can't be passed on
-	Fault              // what the client did wrong
+	NoAnswer       ClientAnswer = iota // none yet: another attempt, or [Tracker.FinalStatus]
+	ServerResponse                     // the server's answer, unchanged
+	BadGateway                         // 502, in place of a server's failure that can't be forwarded
+	ClientError                        // the error in the client's own request
 )
 
-// Verdict is what a try comes to.
-type Verdict struct {
-	Result balance.Result // what it says about the server
-	Ran    bool           // the request may have run, or may still run
-	Say    Say
+// Classification is the meaning of an attempt's end.
+type Classification struct {
+	Result     balance.Result // for the server's load and health
+	MayHaveRun bool           // the server may have run the request, or may still run it
+	Answer     ClientAnswer
 }
 
-// Judge tells what a try comes to.
-func Judge(e Evidence) Verdict {
-	switch {
-	case e.Written == Nothing:
-		return Verdict{Result: balance.Unsent}
-	case e.Seen == Aborted:
-		return Verdict{balance.Given, true, Fault}
-	case e.Seen == Silence:
-		return Verdict{balance.Failed, true, Nought}
-	}
-	success := e.Status/100 == 2
+// Classify returns the meaning of an attempt's end.
+func Classify(e Evidence) Classification {
 	switch {
-	case success && e.Sealed && e.Seen != Broken:
-		return Verdict{balance.Good, true, Servers}
-	case success: // not the server's, or not all of it
-		return Verdict{balance.Failed, true, Nought}
-	case e.Status == 421:
-		return Verdict{Result: balance.Moved}
-	case e.NotExecuted && e.Status == 400 && e.Seen != Broken: // no other server would take it
-		return Verdict{balance.Good, false, Servers}
+	case e.Written == NotWritten:
+		return Classification{Result: balance.Unsent}
+	case e.Response == RequestAborted:
+		return Classification{balance.Given, true, ClientError}
+	case e.Response == NoResponse:
+		return Classification{balance.Failed, true, NoAnswer}
+	case e.Status/100 == 2:
+		return classifySuccess(e)
+	case e.Status == http.StatusMisdirectedRequest:
+		return Classification{Result: balance.Moved}
 	case e.NotExecuted:
-		return Verdict{Result: balance.Full}
-	case e.Status == 408, e.Status == 429, e.Status == 503:
-		// These would promise that it has not run, which the server did not say.
-		return Verdict{balance.Failed, true, Failure}
+		return classifyNotExecuted(e)
+	}
+	return classifyFailure(e)
+}
+
+// classifySuccess forwards a success only if the server sealed it and all of it can come.
+func classifySuccess(e Evidence) Classification {
+	if e.Sealed && e.Response != Truncated {
+		return Classification{balance.Good, true, ServerResponse}
+	}
+	return Classification{balance.Failed, true, NoAnswer}
+}
+
+// classifyNotExecuted lets another server have the request, unless none would take it.
+func classifyNotExecuted(e Evidence) Classification {
+	if e.Status == http.StatusBadRequest && e.Response != Truncated {
+		return Classification{balance.Good, false, ServerResponse}
+	}
+	return Classification{Result: balance.Full}
+}
+
+// classifyFailure classifies an answer that is no success and does not say whether the
+// request ran.
+func classifyFailure(e Evidence) Classification {
+	switch e.Status {
+	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		// These would promise the client that it has not run, which the server did not say.
+		return Classification{balance.Failed, true, BadGateway}
 	}
-	// A failure that breaks off tells nothing whole: passed on, it would either look
-	// complete or end the client's connection, with what else is under way on it.
-	say := Servers
-	if e.Seen == Broken {
-		say = Failure
+	// A truncated failure would either look complete to the client, or end its connection
+	// and with it the other requests on it.
+	answer := ServerResponse
+	if e.Response == Truncated {
+		answer = BadGateway
 	}
 	switch {
-	case e.Status == 504: // its time was up, which says nothing of the server
-		return Verdict{balance.Given, true, say}
+	case e.Status == http.StatusGatewayTimeout: // the time was up, which is not the server's fault
+		return Classification{balance.Given, true, answer}
 	case e.Status >= 500:
-		return Verdict{balance.Erred, true, say}
-	case e.Seen == Broken:
-		return Verdict{balance.Failed, true, say}
+		return Classification{balance.Erred, true, answer}
+	case e.Response == Truncated:
+		return Classification{balance.Failed, true, answer}
 	}
-	return Verdict{balance.Good, true, say}
+	return Classification{balance.Good, true, answer}
 }
 
-// Reusable tells whether the connection may carry another request, once the answer is
-// [Answered]. A server that has lost count once may do so again; and to pass over a
-// stray answer to HEAD one would have to know that it is one.
+// Reusable tells whether the connection may carry another request once the answer is
+// [Complete]. A server that sent a stray answer may send another one, and to skip a stray
+// answer to HEAD one would have to know that it has no body.
 func (e Evidence) Reusable() bool {
-	return e.Written == Whole && e.Seen == Answered && !e.Closes && !e.NoBody && e.Strays == 0 && e.Behind == 0
+	clean := !e.HeadRequest && e.StrayResponses == 0 && e.TrailingBytes == 0
+	return e.Written == FullyWritten && e.Response == Complete && !e.Closes && clean
 }
 
-// Rules are the decisions that a gateway puts into effect. Others than [Standard] are
-// for tests that have to see that faults in them are found.
+// Rules are the decisions that a gateway applies. Tests replace them to show that a fault
+// in each one is found.
 type Rules struct {
-	OwnerOf  func(id string, times int, mine string) Owner
-	Judge    func(Evidence) Verdict
+	OwnerOf  func(responseID string, count int, requestID string) ResponseOwner
+	Classify func(Evidence) Classification
 	Reusable func(Evidence) bool
 }
 
-// Standard are the decisions of this package.
-func Standard() Rules { return Rules{OwnerOf, Judge, Evidence.Reusable} }
+// DefaultRules returns the decisions of this package.
+func DefaultRules() Rules { return Rules{OwnerOf, Classify, Evidence.Reusable} }
--- a/dataplane/client_test.go
+++ b/dataplane/client_test.go
@@ -170,7 +170,7 @@
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		const clients, rounds = 6, 60
-		s := newStage(t, attempt.Standard())
+		s := newStage(t, attempt.DefaultRules())
 		s.renew()
 		var mu sync.Mutex
 		broken := func(format string, args ...any) {
--- a/dataplane/forward.go
+++ b/dataplane/forward.go
@@ -116,7 +116,7 @@
 	}
 	age, sent := c.Age(), time.Now()
 	c.Expect(math.MaxInt)
-	e := attempt.Evidence{Written: attempt.Whole, NoBody: r.head.Method == "HEAD"}
+	e := attempt.Evidence{Written: attempt.FullyWritten, HeadRequest: r.head.Method == "HEAD"}
 	b := heads.Get().(*bytes.Buffer)
 	b.Reset()
 	r.writeHead(b, m.ID)
@@ -126,26 +126,26 @@
 	switch {
 	case err != nil && n == 0:
 		c.Note(age, true)
-		return outcome{result: g.rules.Judge(attempt.Evidence{Written: attempt.Nothing}).Result}
+		return outcome{result: g.rules.Classify(attempt.Evidence{Written: attempt.NotWritten}).Result}
 	case err == nil && r.stream != nil:
 		r.started = true
 		err = r.streamTo(c, g.view.Load().maxBody, g.link)
 		var fault *h1.Error
 		if errors.As(err, &fault) {
-			e.Written, e.Seen = attempt.Part, attempt.Aborted
+			e.Written, e.Response = attempt.PartlyWritten, attempt.RequestAborted
 			return g.outcome(e, &answer{status: fault.Status, reason: "malformed", why: fault.Why, closes: true})
 		}
 	}
 	if err != nil { // its answer may stand there all the same: a server need not read all that it turns away
-		e.Written = attempt.Part
+		e.Written = attempt.PartlyWritten
 	}
-	head, err := g.ownAnswer(c.In, r.head, &e.Strays)
+	head, err := g.ownAnswer(c.In, r.head, &e.StrayResponses)
 	c.Note(age, c.Died() != nil)
 	if c.Forgotten(age) && time.Since(sent) < forgottenIn {
 		g.forgotten(m.ID, age)
 	}
-	if e.Strays > 0 {
-		g.strayed(m.ID, e.Strays, err)
+	if e.StrayResponses > 0 {
+		g.strayed(m.ID, e.StrayResponses, err)
 	}
 	if err != nil {
 		return g.outcome(e, nil)
@@ -161,7 +161,7 @@
 	if err != nil { // no answer that two would read alike
 		return g.outcome(e, nil)
 	}
-	e.Seen, e.Status, e.NotExecuted = attempt.Broken, head.Status, head.Get("Not-Executed") != ""
+	e.Response, e.Status, e.NotExecuted = attempt.Truncated, head.Status, head.Get("Not-Executed") != ""
 	e.Sealed = head.Get("Server-Seal") != "" && head.Get("Content-Encoding") == "" && framing != h1.TillEnds
 	e.Closes = head.Closes() || framing == h1.TillEnds
 	a := &answer{status: head.Status, from: head, length: framing}
@@ -177,16 +177,16 @@
 			return g.outcome(e, nil)
 		case body.Done():
 			a.length = int64(len(a.body))
-			if e.NoBody { // what GET would have is told all the same
+			if e.HeadRequest { // what GET would have is told all the same
 				a.length, _ = head.AnswerBody("GET")
 			}
-			e.Seen, e.Behind = attempt.Answered, c.In.Buffered()
+			e.Response, e.TrailingBytes = attempt.Complete, c.In.Buffered()
 			o := g.outcome(e, a)
 			o.keep = g.rules.Reusable(e)
 			return o
 		}
 	}
-	e.Seen = attempt.Begun
+	e.Response = attempt.Streaming
 	a.rest, a.free = body, g.freeing(c, e)
 	return g.outcome(e, a)
 }
@@ -195,7 +195,7 @@
 // itself, so that the evidence on all others stays on the stack.)
 func (g *Gateway) freeing(c *conn, e attempt.Evidence) func(whole bool) {
 	return func(whole bool) {
-		if e.Seen, e.Behind = attempt.Answered, c.In.Buffered(); whole && g.rules.Reusable(e) {
+		if e.Response, e.TrailingBytes = attempt.Complete, c.In.Buffered(); whole && g.rules.Reusable(e) {
 			g.pool.Put(c)
 		} else {
 			c.Close()
@@ -205,12 +205,12 @@
 
 // outcome is how a try ended, by what was seen of it and the answer that this brought.
 func (g *Gateway) outcome(e attempt.Evidence, a *answer) outcome {
-	v := g.rules.Judge(e)
-	o := outcome{result: v.Result, ran: v.Ran}
-	switch v.Say {
-	case attempt.Servers, attempt.Fault:
+	v := g.rules.Classify(e)
+	o := outcome{result: v.Result, ran: v.MayHaveRun}
+	switch v.Answer {
+	case attempt.ServerResponse, attempt.ClientError:
 		o.answer = a
-	case attempt.Failure:
+	case attempt.BadGateway:
 		o.answer = barePledge.answer(0)
 	}
 	return o
@@ -232,13 +232,13 @@
 			return nil, err
 		}
 		owner := g.rules.OwnerOf(h.Get("Attempt-Id"), h.Count("Attempt-Id"), req.Get("Attempt-Id"))
-		if owner == attempt.Own {
+		if owner == attempt.ThisRequest {
 			return h, nil
 		}
 		*strays++
 		framing, err := h.AnswerBody("GET")
 		bounded := err == nil && framing != h1.TillEnds && framing <= strayBody
-		if !attempt.ReadPast(owner, *strays, bounded) {
+		if !attempt.ShouldSkip(owner, *strays, bounded) {
 			return nil, errStray
 		}
 		body := h1.NewBody(in, framing)
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -99,7 +99,7 @@
 func New(cfg *settings.Node, o Options) (*Gateway, error) {
 	seed, log := o.Seed, o.Log
 	g := &Gateway{cfg: cfg, log: log, meter: o.Metrics, ring: o.Keys, stranger: o.Stranger, start: time.Now(), life: rand.Uint64(), self: xxhash.Sum64String(cfg.Name),
-		rules: attempt.Standard(),
+		rules: attempt.DefaultRules(),
 		rng:   rand.New(rand.NewPCG(seed, 0xfa7e)), others: map[uint64]other{},
 		conns: map[*clientConn]struct{}{}, waiting: map[*limiter.Flight]chan struct{}{}, open: listenersClose, linger: lingerFor, writeFor: writeFor}
 	fds := cfg.Limits.MaxFDs
--- a/dataplane/limiter/flight.go
+++ b/dataplane/limiter/flight.go
@@ -25,7 +25,7 @@
 	l       *Limiter
 	r       Request
 	choice  balance.Request
-	course  attempt.Course
+	course  attempt.Tracker
 	askedAt float64 // for a long answer; see [Flight.Berth]
 }
 
@@ -33,7 +33,7 @@
 func (l *Limiter) NewFlight(r Request) *Flight {
 	r.Tries = max(1, r.Tries)
 	return &Flight{l: l, r: r, choice: balance.Request{Service: r.Service, Bulk: r.Bulk, Once: !r.Repeatable},
-		course: attempt.Course{Repeatable: r.Repeatable}}
+		course: attempt.Tracker{Idempotent: r.Repeatable}}
 }
 
 // Parallel tells whether two servers may have the request at the same time. Two
@@ -46,7 +46,7 @@
 // request was never sent, waitMs tells when to come back: it is refused.
 func (f *Flight) Launch(now float64, hedge bool) (m *balance.Member, waitMs float64, refused bool) {
 	left := f.r.DeadlineMs - now
-	if left <= 0 || f.course.Sent() >= f.r.Tries {
+	if left <= 0 || f.course.Started() >= f.r.Tries {
 		return nil, 0, false
 	}
 	// A queue that is longer than the aim allows serves nobody better: what is beyond
@@ -57,14 +57,14 @@
 		left /= 2
 	}
 	f.choice.LeftMs, f.choice.Idle = left, hedge
-	further := f.course.Came() || hedge // what reaches a server once more comes out of what was saved up
+	further := f.course.ReachedServer() || hedge // what reaches a server once more comes out of what was saved up
 	m, waitMs = f.l.choose(now, f.choice, further)
 	if m == nil {
 		return nil, waitMs, !further
 	}
 	f.ask(now)
 	f.choice.Tried = append(f.choice.Tried, m)
-	f.course.Begin()
+	f.course.Start()
 	return m, 0, false
 }
 
@@ -74,19 +74,19 @@
 // What follows.
 const (
 	Deliver  = attempt.Deliver
-	Await    = attempt.Await
-	Relaunch = attempt.Relaunch
-	Stop     = attempt.Stop
+	Await    = attempt.Wait
+	Relaunch = attempt.Retry
+	Stop     = attempt.GiveUp
 )
 
-// Ended notes how a try ended; see [attempt.Course.Ended].
+// Ended notes how a try ended; see [attempt.Tracker.Finish].
 func (f *Flight) Ended(result balance.Result, ran, answered, started bool) Next {
-	return f.course.Ended(result, ran, answered, started)
+	return f.course.Finish(result, ran, answered, started)
 }
 
 // Status is the status of the final answer where no server gave one; see
-// [attempt.Course.Final].
-func (f *Flight) Status(now float64) int { return f.course.Final(now >= f.r.DeadlineMs) }
+// [attempt.Tracker.FinalStatus].
+func (f *Flight) Status(now float64) int { return f.course.FinalStatus(now >= f.r.DeadlineMs) }
 
 // HedgeMs is after what time a second server is tried beside the first; false
 // where that is of no use.
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -461,7 +461,7 @@
 			t.Run(fmt.Sprintf("%s kept=%v", kind, kept), func(t *testing.T) {
 				t.Parallel()
 				inFakeTime(t, func(t testing.TB) {
-					fault, seconds := play(t, attempt.Standard(), kind, kept, moves)
+					fault, seconds := play(t, attempt.DefaultRules(), kind, kept, moves)
 					if fault != "" {
 						t.Error(fault)
 					}
@@ -492,7 +492,7 @@
 		for _, kept := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s kept=%v", kind, kept), func(t *testing.T) {
 				t.Parallel()
-				if fault, _ := play(t, attempt.Standard(), kind, kept, some); fault != "" {
+				if fault, _ := play(t, attempt.DefaultRules(), kind, kept, some); fault != "" {
 					t.Error(fault)
 				}
 			})
@@ -590,17 +590,17 @@
 func TestPlantedFaultsAreFound(t *testing.T) {
 	t.Parallel()
 	with := func(change func(*attempt.Rules)) attempt.Rules {
-		r := attempt.Standard()
+		r := attempt.DefaultRules()
 		change(&r)
 		return r
 	}
-	judged := func(change func(attempt.Evidence) (attempt.Verdict, bool)) attempt.Rules {
+	judged := func(change func(attempt.Evidence) (attempt.Classification, bool)) attempt.Rules {
 		return with(func(r *attempt.Rules) {
-			r.Judge = func(e attempt.Evidence) attempt.Verdict {
+			r.Classify = func(e attempt.Evidence) attempt.Classification {
 				if v, turned := change(e); turned {
 					return v
 				}
-				return attempt.Judge(e)
+				return attempt.Classify(e)
 			}
 		})
 	}
@@ -610,16 +610,16 @@
 		want  string
 	}{
 		"ids are not compared": {with(func(r *attempt.Rules) {
-			r.OwnerOf = func(string, int, string) attempt.Owner { return attempt.Own }
+			r.OwnerOf = func(string, int, string) attempt.ResponseOwner { return attempt.ThisRequest }
 		}), "get", "the answer is to"},
 		"a connection with bytes behind an answer is used again": {with(func(r *attempt.Rules) {
-			r.Reusable = func(e attempt.Evidence) bool { e.Behind = 0; return e.Reusable() }
+			r.Reusable = func(e attempt.Evidence) bool { e.TrailingBytes = 0; return e.Reusable() }
 		}), "once", "the next filing is answered 502"},
-		"a reset after bytes is taken for unsent": {judged(func(e attempt.Evidence) (attempt.Verdict, bool) {
-			return attempt.Verdict{Result: balance.Unsent}, e.Seen == attempt.Silence
+		"a reset after bytes is taken for unsent": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
+			return attempt.Classification{Result: balance.Unsent}, e.Response == attempt.NoResponse
 		}), "once", "ran 2 times"},
-		"a bare 503 is passed on": {judged(func(e attempt.Evidence) (attempt.Verdict, bool) {
-			return attempt.Verdict{Result: balance.Failed, Ran: true, Say: attempt.Servers}, e.Status == 503 && !e.NotExecuted && e.Seen == attempt.Answered
+		"a bare 503 is passed on": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
+			return attempt.Classification{Result: balance.Failed, MayHaveRun: true, Answer: attempt.ServerResponse}, e.Status == 503 && !e.NotExecuted && e.Response == attempt.Complete
 		}), "once", "answered 503, but it ran"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -638,7 +638,7 @@
 func TestLateAnswerOfTheSlowerOne(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		s := newStage(t, attempt.Standard())
+		s := newStage(t, attempt.DefaultRules())
 		s.renew()
 		for range 10 { // what is usual is learnt
 			s.warm()
--- a/dataplane/stutter_test.go
+++ b/dataplane/stutter_test.go
@@ -41,7 +41,7 @@
 			"without an id":         {before: stray("", length(other), other), once: 502},
 			"with two ids":          {before: stray(of("x")+of("a1"), length(other), other), once: 502},
 			"without an end":        {before: stray(of("x"), "", other), once: 502},
-			"more than can be":      {before: strings.Repeat(stray(of("x"), length(other), other), attempt.MostStrays+1), once: 502},
+			"more than can be":      {before: strings.Repeat(stray(of("x"), length(other), other), attempt.MaxStrayResponses+1), once: 502},
 			"instead of one's own":  {before: stray(of("x"), length(other), other), silent: true, once: 502},
 			"broken off":            {before: stray(of("x"), "Content-Length: 999\r\n", other), silent: true, once: 502},
 			"behind, in one piece":  {after: stray(of("a1"), length(other), other), once: 200},
