--- a/cmd/elmspan-lab/load.go
+++ b/cmd/elmspan-lab/load.go
@@ -161,7 +161,9 @@
 	tasks.Wait()
 	r := tally.Report(ledger)
 	r.Notes = append(r.Notes, "rules can't be judged from the clients' side alone: the servers are not ours")
-	r.Write(os.Stdout)
+	if err := r.Write(os.Stdout); err != nil {
+		return err
+	}
 	return ctx.Err()
 }
 
--- a/cmd/elmspan-lab/main.go
+++ b/cmd/elmspan-lab/main.go
@@ -128,7 +128,9 @@
 	for _, cell := range cells {
 		for k, r := range cell.Results {
 			fmt.Printf("== %s, seed %d\n", cell.Policy, day.Seed+uint64(k))
-			r.Write(os.Stdout)
+			if err := r.Write(os.Stdout); err != nil {
+				return err
+			}
 		}
 	}
 	fmt.Printf("%d days of %.0f s in %.1f s\n", len(cells)*c.Seeds, day.LengthS, time.Since(begun).Seconds())
@@ -263,8 +265,8 @@
 		r := c.Results[0]
 		g, q := plots.Line{Name: c.Policy}, plots.Line{Name: c.Policy}
 		for i, s := range r.Seconds {
-			if n := s.Asked - s.Beyond; n > 0 {
-				v := float64(s.InAim) / float64(n)
+			if n := s.Requests - s.OverQuota; n > 0 {
+				v := float64(s.InTarget) / float64(n)
 				g.Points = append(g.Points, plots.Point{X: float64(i), Y: v, Low: v, High: v})
 			}
 		}
--- a/cmd/elmspan/call.go
+++ b/cmd/elmspan/call.go
@@ -14,7 +14,7 @@
 	"example.org/elmspan/api"
 )
 
-const callFor = 5 * time.Second
+const callTimeout = 5 * time.Second
 
 // callerFlags say who calls the operator's interface, and whom it believes.
 type callerFlags struct {
@@ -24,7 +24,7 @@
 
 // call asks a process; its plain text is the error where it does not say 200.
 func (f *callerFlags) call(method, control, path string, header http.Header, body []byte) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), callFor)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	client, scheme := http.DefaultClient, "http"
 	if f.CA != "" {
--- a/cmd/elmspan/check.go
+++ b/cmd/elmspan/check.go
@@ -41,6 +41,7 @@
 	return nil
 }
 
+// checkFile returns every fault of a file, one a line.
 func checkFile(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -48,38 +49,47 @@
 	}
 	switch filepath.Ext(path) {
 	case ".toml":
-		if bytes.Contains(data, []byte("[[classes]]")) {
-			_, err := scenario.Read(path)
-			return err
-		}
-		if tables := []string{"[log]", "[metrics]", "[tls]", "[upstream]", "[link]"}; !bytes.Contains(data, []byte("node_name")) &&
-			slices.ContainsFunc(tables, func(t string) bool { return bytes.Contains(data, []byte(t)) }) {
-			_, err := settings.ParseTuning(data)
-			return err
-		}
-		_, err := settings.Parse(data)
-		return err
+		return checkTOML(path, data)
 	case ".cbor":
 		_, err := api.ParseConfig(data)
 		return err
 	case ".json":
-		_, _, err := configOf(path, data)
+		_, _, err := readConfig(path, data)
 		return err
 	}
 	return errors.New("neither .toml, .cbor nor .json")
 }
 
-// configOf reads a configuration in either form and returns it in CBOR too.
-func configOf(path string, data []byte) (*api.Config, []byte, error) {
+// tuningTables are those by which a tuning file is known.
+var tuningTables = []string{"[log]", "[metrics]", "[tls]", "[upstream]", "[link]"}
+
+// checkTOML checks a day, a tuning file or a settings file, by what is in it.
+func checkTOML(path string, data []byte) error {
+	has := func(text string) bool { return bytes.Contains(data, []byte(text)) }
+	var err error
+	switch {
+	case has("[[classes]]"):
+		_, err = scenario.Read(path)
+	case !has("node_name") && slices.ContainsFunc(tuningTables, has):
+		_, err = settings.ParseTuning(data)
+	default:
+		_, err = settings.Parse(data)
+	}
+	return err
+}
+
+// readConfig reads a configuration in either form, by the ending of its file, and returns
+// it in CBOR too.
+func readConfig(path string, data []byte) (*api.Config, []byte, error) {
 	if filepath.Ext(path) == ".json" {
-		var any map[string]any
+		var fields map[string]any
 		d := json.NewDecoder(bytes.NewReader(data))
 		d.UseNumber()
-		if err := d.Decode(&any); err != nil {
+		if err := d.Decode(&fields); err != nil {
 			return nil, nil, fmt.Errorf("the configuration can't be read whole: %w", err)
 		}
 		var err error
-		if data, err = cbor.Marshal(plain(any)); err != nil {
+		if data, err = cbor.Marshal(wholeNumbers(fields)); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -87,8 +97,8 @@
 	return c, data, err
 }
 
-// plain turns JSON's numbers into whole ones where they are.
-func plain(v any) any {
+// wholeNumbers turns JSON's numbers into whole ones where they are.
+func wholeNumbers(v any) any {
 	switch v := v.(type) {
 	case json.Number:
 		if n, err := v.Int64(); err == nil {
@@ -101,11 +111,11 @@
 		return f
 	case map[string]any:
 		for k := range v {
-			v[k] = plain(v[k])
+			v[k] = wholeNumbers(v[k])
 		}
 	case []any:
 		for i := range v {
-			v[i] = plain(v[i])
+			v[i] = wholeNumbers(v[i])
 		}
 	}
 	return v
--- a/cmd/elmspan/config.go
+++ b/cmd/elmspan/config.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"net/http"
 	"os"
 	"slices"
@@ -45,10 +46,12 @@
 	File string `arg:"" help:"The configuration, .json or .cbor." type:"existingfile"`
 }
 
-func current(c *controlFlag) (*api.Config, []byte, error) { return version(c, 0) }
+// newestConfig reads the configuration in force.
+func newestConfig(c *controlFlag) (*api.Config, []byte, error) { return fetchConfig(c, 0) }
 
-// version reads a configuration; 0 is the newest.
-func version(c *controlFlag, revision uint64) (*api.Config, []byte, error) {
+// fetchConfig reads a configuration of a running system, as it is and encoded; 0 is the
+// newest revision.
+func fetchConfig(c *controlFlag, revision uint64) (*api.Config, []byte, error) {
 	path := "/v1/Config.Get"
 	if revision != 0 {
 		path += "?revision=" + strconv.FormatUint(revision, 10)
@@ -63,22 +66,22 @@
 
 // Run prints the newest configuration.
 func (c *configGet) Run() error {
-	_, data, err := version(&c.controlFlag, c.Revision)
+	_, data, err := fetchConfig(&c.controlFlag, c.Revision)
 	if err != nil {
 		return err
 	}
 	if c.Out != "" {
 		return atomicfile.WriteFile(c.Out, data, 0o600) // it holds keys
 	}
-	var any map[string]any
+	var fields map[string]any
 	m, err := cbor.DecOptions{DefaultMapType: nil}.DecMode()
 	if err != nil {
 		return err
 	}
-	if err := m.Unmarshal(data, &any); err != nil {
+	if err := m.Unmarshal(data, &fields); err != nil {
 		return err
 	}
-	text, err := json.MarshalIndent(stringKeys(any), "", "  ")
+	text, err := json.MarshalIndent(stringKeys(fields), "", "  ")
 	if err != nil {
 		return err
 	}
@@ -86,6 +89,7 @@
 	return nil
 }
 
+// stringKeys turns the maps of a decoded configuration into ones that JSON can show.
 func stringKeys(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -113,20 +117,20 @@
 	if err != nil {
 		return err
 	}
-	conf, body, err := configOf(c.File, data)
+	conf, body, err := readConfig(c.File, data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	if c.Base == 0 {
-		if now, _, err := current(&c.controlFlag); err == nil {
+		if now, _, err := newestConfig(&c.controlFlag); err == nil {
 			c.Base = now.Revision
 		}
 	}
-	return bring(&c.controlFlag, c.Base, conf.Revision, body)
+	return replaceConfig(&c.controlFlag, c.Base, conf.Revision, body)
 }
 
-// bring sends a configuration that builds on a version.
-func bring(c *controlFlag, base, revision uint64, body []byte) error {
+// replaceConfig sends an encoded configuration that builds on a revision.
+func replaceConfig(c *controlFlag, base, revision uint64, body []byte) error {
 	h := http.Header{"Base-Revision": {strconv.FormatUint(base, 10)}, "Content-Type": {"application/cbor"}}
 	if _, err := c.call(http.MethodPost, c.Control, "/v1/Config.Replace", h, body); err != nil {
 		return err
@@ -162,28 +166,28 @@
 // Run brings what was in force before. It is a change like any other: it builds on
 // the current version, and one that came meanwhile wins.
 func (c *configRollback) Run() error {
-	now, _, err := current(&c.controlFlag)
+	now, _, err := newestConfig(&c.controlFlag)
 	if err != nil {
 		return err
 	}
-	_, data, err := version(&c.controlFlag, c.Revision)
+	_, data, err := fetchConfig(&c.controlFlag, c.Revision)
 	if err != nil {
 		return err
 	}
-	var any map[string]any
-	if err := cbor.Unmarshal(data, &any); err != nil {
+	var fields map[string]any
+	if err := cbor.Unmarshal(data, &fields); err != nil {
 		return fmt.Errorf("revision %d can't be read: %w", c.Revision, err)
 	}
 	as := c.As
 	if as == 0 {
 		as = now.Revision + 1
 	}
-	any["revision"] = as
-	body, err := cbor.Marshal(any)
+	fields["revision"] = as
+	body, err := cbor.Marshal(fields)
 	if err != nil {
 		return err
 	}
-	return bring(&c.controlFlag, now.Revision, as, body)
+	return replaceConfig(&c.controlFlag, now.Revision, as, body)
 }
 
 // Run compares by name.
@@ -192,57 +196,61 @@
 	if err != nil {
 		return err
 	}
-	to, _, err := configOf(c.File, data)
+	to, _, err := readConfig(c.File, data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	from, _, err := current(&c.controlFlag)
+	from, _, err := newestConfig(&c.controlFlag)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("version %d -> %d\n", from.Revision, to.Revision)
-	diff("route", named(from.Routes, func(r api.Route) string { return r.Name }), named(to.Routes, func(r api.Route) string { return r.Name }))
-	diff("service", named(from.Upstreams, func(u api.Upstream) string { return u.Name }), named(to.Upstreams, func(u api.Upstream) string { return u.Name }))
-	hide := func(t api.Tenant) api.Tenant { t.Keys = []string{fmt.Sprintf("%d keys", len(t.Keys))}; return t }
-	for i := range from.Tenants {
-		from.Tenants[i] = hide(from.Tenants[i])
-	}
-	for i := range to.Tenants {
-		to.Tenants[i] = hide(to.Tenants[i])
-	}
-	diff("tenant", named(from.Tenants, func(t api.Tenant) string { return t.Name }), named(to.Tenants, func(t api.Tenant) string { return t.Name }))
+	printDiff("route", describeRoutes(from), describeRoutes(to))
+	printDiff("service", describeServices(from), describeServices(to))
+	printDiff("tenant", describeTenants(from), describeTenants(to))
 	return nil
 }
 
-func named[T any](vs []T, name func(T) string) map[string]string {
+func describeRoutes(c *api.Config) map[string]string {
+	return describe(c.Routes, func(r api.Route) string { return r.Name })
+}
+
+func describeServices(c *api.Config) map[string]string {
+	return describe(c.Upstreams, func(u api.Upstream) string { return u.Name })
+}
+
+// describeTenants counts the keys and does not show them.
+func describeTenants(c *api.Config) map[string]string {
+	tenants := slices.Clone(c.Tenants)
+	for i := range tenants {
+		tenants[i].Keys = []string{fmt.Sprintf("%d keys", len(tenants[i].Keys))}
+	}
+	return describe(tenants, func(t api.Tenant) string { return t.Name })
+}
+
+// describe returns the text of each value by its name.
+func describe[T any](values []T, name func(T) string) map[string]string {
 	out := map[string]string{}
-	for _, v := range vs {
+	for _, v := range values {
 		out[name(v)] = fmt.Sprintf("%+v", v)
 	}
 	return out
 }
 
-func diff(what string, from, to map[string]string) {
-	var names []string
-	for n := range from {
-		names = append(names, n)
-	}
-	for n := range to {
-		if _, ok := from[n]; !ok {
-			names = append(names, n)
-		}
-	}
+// printDiff prints what was removed, added and changed, by name.
+func printDiff(kind string, from, to map[string]string) {
+	names := slices.AppendSeq(slices.Collect(maps.Keys(from)), maps.Keys(to))
 	slices.Sort(names)
-	for _, n := range names {
-		a, had := from[n]
-		b, has := to[n]
+	for _, name := range slices.Compact(names) {
+		before, had := from[name]
+		after, has := to[name]
 		switch {
 		case !has:
-			fmt.Printf("- %s %s\n", what, n)
+			fmt.Printf("- %s %s\n", kind, name)
 		case !had:
-			fmt.Printf("+ %s %s %s\n", what, n, b)
-		case a != b:
-			fmt.Printf("~ %s %s\n    %s\n    %s\n", what, n, a, b)
+			fmt.Printf("+ %s %s %s\n", kind, name, after)
+		case before != after:
+			fmt.Printf("~ %s %s\n    %s\n    %s\n", kind, name, before, after)
 		}
 	}
 }
--- a/cmd/elmspan/tools.go
+++ b/cmd/elmspan/emulate.go
@@ -4,51 +4,17 @@
 	"context"
 	"errors"
 	"fmt"
-	"net/http"
 	"os"
 	"os/signal"
 	"path/filepath"
-	"runtime/debug"
 	"syscall"
 
+	"example.org/elmspan/lab/checker"
 	"example.org/elmspan/lab/emulator"
 	"example.org/elmspan/lab/scenario"
 	"example.org/elmspan/telemetry"
 )
 
-type statusCmd struct{ controlFlag }
-
-// Run prints what a process says of itself.
-func (c *statusCmd) Run() error {
-	data, err := c.call(http.MethodGet, c.Control, "/v1/Status", nil, nil)
-	if err == nil {
-		os.Stdout.Write(data)
-	}
-	return err
-}
-
-type versionCmd struct{}
-
-// Run prints how this program was built.
-func (versionCmd) Run() error {
-	version, built := "unknown", ""
-	if b, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range b.Settings {
-			switch s.Key {
-			case "vcs.revision":
-				version = s.Value
-			case "vcs.modified":
-				if s.Value == "true" {
-					built = " (modified)"
-				}
-			}
-		}
-		built += " " + b.GoVersion
-	}
-	fmt.Println("elmspan " + version + built)
-	return nil
-}
-
 type emulateCmd struct {
 	Fleet   string  `arg:"" help:"The fleet and its day." type:"existingfile"`
 	Seed    uint64  `help:"Another seed than the file's."`
@@ -63,72 +29,101 @@
 
 // Run plays the day. A broken rule is exit code 3.
 func (c *emulateCmd) Run() error {
-	spec, err := scenario.Read(c.Fleet)
+	day, err := c.day()
 	if err != nil {
 		return err
 	}
-	if c.Seed != 0 {
-		spec.Seed = c.Seed
-	}
-	if c.Seconds > 0 {
-		spec.Shorten(c.Seconds)
+	program, err := c.gateway()
+	if err != nil {
+		return err
 	}
 	if c.Dir == "" {
 		if c.Dir, err = os.MkdirTemp("", "elmspan-"); err != nil {
 			return err
 		}
 	}
-	if c.Program == "" {
-		if c.Program, err = os.Executable(); err != nil {
-			return err
-		}
-	}
-	program := []string{c.Program, "gateway"}
-	if c.Debug {
-		program = append(program, "--log-level", "debug")
-	}
-	if c.Profile != "" {
-		dir, err := filepath.Abs(c.Profile)
-		if err == nil {
-			err = os.MkdirAll(dir, 0o755)
-		}
-		if err != nil {
-			return fmt.Errorf("--profile: %w", err)
-		}
-		program = append(program, "--profile", dir)
-	}
-	f, err := emulator.NewFleet(spec, program, c.Dir, os.Stderr)
+	fleet, err := emulator.NewFleet(day, program, c.Dir, os.Stderr)
 	if err != nil {
 		return err
 	}
 	if c.Upgrade != "" {
-		if err := f.RollOut(c.Upgrade); err != nil {
+		if err := fleet.RollOut(c.Upgrade); err != nil {
 			return fmt.Errorf("--upgrade-to: %w", err)
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	r, err := f.Run(ctx)
+	report, err := fleet.Run(ctx)
 	if err != nil {
 		return err
 	}
-	r.Write(os.Stdout)
-	if c.Profile != "" {
-		if err := telemetry.WriteUsageReport(os.Stdout, c.Profile); err != nil {
-			return err
-		}
+	if err := c.write(report); err != nil {
+		return err
+	}
+	if !report.Passed() {
+		return errRule
+	}
+	return nil
+}
+
+// day reads the day's file and changes it as the flags say.
+func (c *emulateCmd) day() (*scenario.Day, error) {
+	day, err := scenario.Read(c.Fleet)
+	if err != nil {
+		return nil, err
+	}
+	if c.Seed != 0 {
+		day.Seed = c.Seed
 	}
-	if c.CSV != "" {
-		out, err := os.Create(c.CSV)
+	if c.Seconds > 0 {
+		day.Shorten(c.Seconds)
+	}
+	return day, nil
+}
+
+// gateway is the command line of the processes.
+func (c *emulateCmd) gateway() ([]string, error) {
+	program := c.Program
+	if program == "" {
+		self, err := os.Executable()
 		if err != nil {
-			return err
+			return nil, err
 		}
-		if err := errors.Join(r.WriteCSV(out), out.Close()); err != nil {
+		program = self
+	}
+	line := []string{program, "gateway"}
+	if c.Debug {
+		line = append(line, "--log-level", "debug")
+	}
+	if c.Profile == "" {
+		return line, nil
+	}
+	dir, err := filepath.Abs(c.Profile)
+	if err == nil {
+		err = os.MkdirAll(dir, 0o755)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("--profile: %w", err)
+	}
+	return append(line, "--profile", dir), nil
+}
+
+// write writes the report, and what the processes spent and the seconds where asked for.
+func (c *emulateCmd) write(report *checker.Report) error {
+	if err := report.Write(os.Stdout); err != nil {
+		return err
+	}
+	if c.Profile != "" {
+		if err := telemetry.WriteUsageReport(os.Stdout, c.Profile); err != nil {
 			return err
 		}
 	}
-	if !r.Passed() {
-		return errRule
+	if c.CSV == "" {
+		return nil
 	}
-	return nil
+	out, err := os.Create(c.CSV)
+	if err != nil {
+		return err
+	}
+	return errors.Join(report.WriteCSV(out), out.Close())
 }
--- a/cmd/elmspan/explain.go
+++ b/cmd/elmspan/explain.go
@@ -41,8 +41,7 @@
 		return fmt.Errorf("no line about %s: was it logged at level debug?", c.ID)
 	}
 	slices.SortStableFunc(story, func(a, b line) int { return a.at.Compare(b.at) })
-	tell(os.Stdout, story)
-	return nil
+	return writeStory(os.Stdout, story)
 }
 
 // line is one line of a log.
@@ -52,30 +51,21 @@
 	fields map[string]string
 }
 
-// mostLine bounds a line of a log, in bytes.
-const mostLine = 1 << 20
+// maxLineBytes is the longest line of a log that is read.
+const maxLineBytes = 1 << 20
 
 // linesOf returns the lines of a log that are about a request.
-func linesOf(r io.Reader, id string) (out []line, err error) {
+func linesOf(r io.Reader, id string) ([]line, error) {
+	var found []line
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
-		text := in.Text()
-		if !strings.Contains(text, id) {
+		if !strings.Contains(in.Text(), id) {
 			continue
 		}
-		l := line{fields: map[string]string{}}
-		if i := strings.Index(text, "{"); i >= 0 && json.Valid([]byte(text[i:])) {
-			var all map[string]any
-			if err := json.Unmarshal([]byte(text[i:]), &all); err != nil {
-				return nil, err
-			}
-			for k, v := range all {
-				l.fields[k] = fmt.Sprint(v)
-			}
-			l.from = strings.TrimSpace(text[:i])
-		} else if i := strings.Index(text, "time="); i >= 0 {
-			l.from, l.fields = strings.TrimSpace(text[:i]), fieldsOf(text[i:])
+		l, err := parseLine(in.Text())
+		if err != nil {
+			return nil, err
 		}
 		if l.fields["id"] != id {
 			continue
@@ -83,9 +73,28 @@
 		if l.at, err = time.Parse(time.RFC3339Nano, l.fields["time"]); err != nil {
 			return nil, fmt.Errorf("a line's time can't be read: %w", err)
 		}
-		out = append(out, l)
+		found = append(found, l)
 	}
-	return out, in.Err()
+	return found, in.Err()
+}
+
+// parseLine reads a line of text or JSON, which may stand after something else. Its time
+// is left in the fields.
+func parseLine(text string) (line, error) {
+	l := line{fields: map[string]string{}}
+	if i := strings.Index(text, "{"); i >= 0 && json.Valid([]byte(text[i:])) {
+		var fields map[string]any
+		if err := json.Unmarshal([]byte(text[i:]), &fields); err != nil {
+			return l, err
+		}
+		for k, v := range fields {
+			l.fields[k] = fmt.Sprint(v)
+		}
+		l.from = strings.TrimSpace(text[:i])
+	} else if i := strings.Index(text, "time="); i >= 0 {
+		l.from, l.fields = strings.TrimSpace(text[:i]), fieldsOf(text[i:])
+	}
+	return l, nil
 }
 
 // fieldsOf splits key=value pairs, some of them quoted.
@@ -108,36 +117,55 @@
 	return out
 }
 
-// tell writes the story, with times from its first line on.
-func tell(w io.Writer, story []line) {
+// writeStory writes the story, with times from its first line on.
+func writeStory(w io.Writer, story []line) error {
 	begun := story[0].at
 	if ms, err := strconv.ParseFloat(story[0].fields["took_ms"], 64); err == nil { // logged at its end
 		begun = begun.Add(-time.Duration(ms * float64(time.Millisecond)))
 	}
 	for _, l := range story {
-		f := l.fields
-		what := f["msg"]
-		switch what {
-		case "try":
-			what = fmt.Sprintf("server %s of %s (%s) was tried for %s ms: %s", f["server"], f["service"], f["zone"], f["took_ms"], f["result"])
-			if f["ran"] == "true" && f["result"] != "good" {
-				what += ", it may have run"
-			}
-			if f["hedge"] == "true" {
-				what += ", beside another that was slow"
-			}
-		case "answered":
-			what = fmt.Sprintf("answered %s by the %s after %s ms", f["status"], f["by"], f["after_ms"])
-			if f["reason"] != "" {
-				what += ": " + f["reason"]
-			}
-			if f["retry_after_ms"] != "" && f["retry_after_ms"] != "0" {
-				what += ", come back after " + f["retry_after_ms"] + " ms"
-			}
-			if f["route"] != "" {
-				what += fmt.Sprintf(" (route %s, tenant %s)", f["route"], cmp.Or(f["tenant"], "none"))
-			}
+		ms := float64(l.at.Sub(begun)) / float64(time.Millisecond)
+		if _, err := fmt.Fprintf(w, "%9.1f ms  %-28s %s\n", ms, l.from, l.event()); err != nil {
+			return err
 		}
-		fmt.Fprintf(w, "%9.1f ms  %-28s %s\n", float64(l.at.Sub(begun))/float64(time.Millisecond), l.from, what)
 	}
+	return nil
+}
+
+// event says what a line tells.
+func (l *line) event() string {
+	switch l.fields["msg"] {
+	case "try":
+		return l.attemptEvent()
+	case "answered":
+		return l.answerEvent()
+	}
+	return l.fields["msg"]
+}
+
+func (l *line) attemptEvent() string {
+	f := l.fields
+	event := fmt.Sprintf("server %s of %s (%s) was tried for %s ms: %s", f["server"], f["service"], f["zone"], f["took_ms"], f["result"])
+	if f["ran"] == "true" && f["result"] != "good" {
+		event += ", it may have run"
+	}
+	if f["hedge"] == "true" {
+		event += ", beside another that was slow"
+	}
+	return event
+}
+
+func (l *line) answerEvent() string {
+	f := l.fields
+	event := fmt.Sprintf("answered %s by the %s after %s ms", f["status"], f["by"], f["after_ms"])
+	if f["reason"] != "" {
+		event += ": " + f["reason"]
+	}
+	if f["retry_after_ms"] != "" && f["retry_after_ms"] != "0" {
+		event += ", come back after " + f["retry_after_ms"] + " ms"
+	}
+	if f["route"] != "" {
+		event += fmt.Sprintf(" (route %s, tenant %s)", f["route"], cmp.Or(f["tenant"], "none"))
+	}
+	return event
 }
--- a/cmd/elmspan/explain_test.go
+++ b/cmd/elmspan/explain_test.go
@@ -27,7 +27,9 @@
 	}
 	story[0], story[1] = story[1], story[0]
 	var b strings.Builder
-	tell(&b, story)
+	if err := writeStory(&b, story); err != nil {
+		t.Fatal(err)
+	}
 	got := b.String()
 	for _, want := range []string{"150.0 ms", "server i-1 of s (z) was tried for 150 ms: failed, it may have run", "server i-2 of s (y) was tried for 5 ms: full, beside another that was slow",
 		"260.0 ms  0.5 edge-z-1", "answered 502 by the gateway after 260 ms: no_answer (route r one, tenant t)"} {
--- a/cmd/elmspan/state.go
+++ b/cmd/elmspan/state.go
@@ -103,7 +103,7 @@
 		}
 		state, err := controlplane.Import(data)
 		if err == nil {
-			describe(state)
+			describeState(state)
 		}
 		return err
 	}
@@ -118,12 +118,12 @@
 		for _, m := range stored.Snapshot.Members {
 			fmt.Printf("voter %-5v %x at %s\n", m.Voter, uint64(m.ID), m.Addr)
 		}
-		describe(found.State)
+		describeState(found.State)
 		return nil
 	})
 }
 
-func describe(s *controlplane.State) {
+func describeState(s *controlplane.State) {
 	fmt.Printf("revision    %d\nversions    %v\n", s.Revision, s.Revisions())
 }
 
--- /dev/null
+++ b/lab/checker/log.go
@@ -0,0 +1,295 @@
+// Package checker checks a day by the system's rules, from what the day's own
+// parties saw: clients, servers, platform and operator. It knows nothing of how
+// the system works. Emulator and simulation share it.
+//
+// The parties tell a [Log] what they see; most rules are checked at once, the others by
+// [Log.Finish]. A [Tally] counts what became of requests, and [Tally.Report] puts both
+// into a [Report]. The names of the rules are those of the users' pages.
+package checker
+
+import (
+	"fmt"
+	"hash/crc32"
+	"maps"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"example.org/elmspan/lab/scenario"
+)
+
+// Figures of the rules, as in the settings that the processes get.
+const (
+	DrainMs        = 3000 // from the list's word of a draining server to the last request that it gets
+	ConfigApplyMs  = 3000 // from an acknowledgement to a configuration in force everywhere
+	RevokeMs       = 5000 // from an acknowledgement to a revoked key that opens nothing
+	QuotaWindowS   = 5.0
+	QuotaOvershoot = 0.1  // share of a quota that may be exceeded
+	QuotaSlack     = 20.0 // requests that may come on top
+)
+
+// maxViolations are kept word for word; the others are counted.
+const maxViolations = 20
+
+// Rules that the checker knows of. Parties may report violations of others.
+const (
+	ruleUnasked = "UNASKED" // a server got what no client sent
+	ruleRoute   = "ROUTE"   // a request ran at another service than its route's
+	ruleDrain   = "DRAIN"   // a draining server got a request
+	ruleConfig  = "CONFIG"  // an old configuration was in force
+	ruleTwice   = "TWICE"   // what must not ran more than once
+	ruleMixed   = "MIXED"   // a client got an answer that is not its own
+	ruleRefused = "REFUSED" // what ran was answered as not executed
+	ruleQuota   = "QUOTA"   // a tenant ran more than its quota
+	ruleBudget  = "BUDGET"  // there were more retries than the budget
+)
+
+// Log is what the parties saw. Times are since the start of traffic. Its methods may be
+// called at the same time.
+type Log struct {
+	clock  func() time.Duration
+	budget scenario.RetryBudget
+
+	mu              sync.Mutex
+	sent            map[string]*Attempt
+	runs            map[string][]Run
+	arrivals        map[string]int           // how often an attempt came to a server, run or not
+	retries         map[string][]float64     // by service, when an attempt came again, in seconds
+	firsts          map[string][]float64     // by service, when one came for the first time
+	draining        map[string]time.Duration // since when the list shows a member as draining or gone
+	revoked         map[string]time.Duration // keys, since the acknowledgement
+	quotas          map[string]quota
+	violations      []string
+	violationCounts map[string]int // by rule
+}
+
+// quota is a tenant's, in requests a second and requests.
+type quota struct{ rate, burst float64 }
+
+// Attempt is one attempt of a client.
+type Attempt struct {
+	Class  *scenario.Class
+	Tenant string
+	Key    string
+	Body   uint32 // checksum of what was sent
+	at     time.Duration
+	status int // 0: no answer
+}
+
+// Run is one run of a request at a server.
+type Run struct {
+	Service, Member, Tenant string
+	Body                    uint32 // checksum of what came
+	at                      time.Duration
+}
+
+// New returns an empty log on a clock that runs from the start of traffic.
+func New(budget scenario.RetryBudget, clock func() time.Duration) *Log {
+	return &Log{
+		clock:           clock,
+		budget:          budget,
+		sent:            map[string]*Attempt{},
+		runs:            map[string][]Run{},
+		arrivals:        map[string]int{},
+		retries:         map[string][]float64{},
+		firsts:          map[string][]float64{},
+		draining:        map[string]time.Duration{},
+		revoked:         map[string]time.Duration{},
+		quotas:          map[string]quota{},
+		violationCounts: map[string]int{},
+	}
+}
+
+// Violation notes that a rule was broken, as a party saw itself.
+func (l *Log) Violation(rule, format string, args ...any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.violation(rule, format, args...)
+}
+
+// violation notes that a rule was broken. Called under the mutex.
+func (l *Log) violation(rule, format string, args ...any) {
+	l.violationCounts[rule]++
+	if len(l.violations) < maxViolations {
+		l.violations = append(l.violations,
+			fmt.Sprintf("%.3f s %s: %s", l.clock().Seconds(), rule, fmt.Sprintf(format, args...)))
+	}
+}
+
+// Draining notes that the platform shows a server as draining from now on.
+func (l *Log) Draining(member string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.draining[member] = l.clock()
+}
+
+// Revoked notes that the revocation of a key is acknowledged from now on.
+func (l *Log) Revoked(key string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.revoked[key] = l.clock()
+}
+
+// Quota notes a tenant's quota in requests a second and its burst. A rate of 0 is no limit.
+func (l *Log) Quota(tenant string, rate, burst float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.quotas[tenant] = quota{rate, burst}
+}
+
+// Sent notes that a client sends an attempt.
+func (l *Log) Sent(id string, a *Attempt) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a.at = l.clock()
+	l.sent[id] = a
+}
+
+// Arrived notes that an attempt came to a server, whether it runs or not.
+func (l *Log) Arrived(id, service string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	at := l.clock().Seconds()
+	if l.arrivals[id]++; l.arrivals[id] == 1 {
+		l.firsts[service] = append(l.firsts[service], at)
+	} else {
+		l.retries[service] = append(l.retries[service], at)
+	}
+}
+
+// Ran notes that a server runs a request, and checks what it got. sawKey: the client's
+// key came with it.
+func (l *Log) Ran(id string, run Run, sawKey bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	run.at = l.clock()
+	attempt := l.sent[id]
+	if attempt == nil {
+		l.violation(ruleUnasked, "%s ran %q, which no client sent", run.Member, id)
+		return
+	}
+	l.checkContent(id, attempt, &run, sawKey)
+	l.checkTimes(id, attempt, &run)
+	l.runs[id] = append(l.runs[id], run)
+	if n := len(l.runs[id]); n > 1 && !attempt.Class.Idempotent() {
+		l.violation(ruleTwice, "%s (%s) ran %d times", id, attempt.Class.Name, n)
+	}
+}
+
+// checkContent checks that a server got what the client sent. Called under the mutex.
+func (l *Log) checkContent(id string, attempt *Attempt, run *Run, sawKey bool) {
+	switch {
+	case attempt.Tenant != run.Tenant || sawKey:
+		l.violation(ruleUnasked, "%s was told the tenant %q for %q, or the key", run.Member, run.Tenant, attempt.Tenant)
+	case attempt.Body != run.Body:
+		l.violation(ruleUnasked, "%s got another body with %s", run.Member, id)
+	case attempt.Class.Service != run.Service:
+		l.violation(ruleRoute, "%s ran at %s, %s is its service", id, run.Service, attempt.Class.Service)
+	}
+}
+
+// checkTimes checks that the server and the key were still good. Called under the mutex.
+func (l *Log) checkTimes(id string, attempt *Attempt, run *Run) {
+	if at, ok := l.draining[run.Member]; ok && run.at-at > DrainMs*time.Millisecond {
+		l.violation(ruleDrain, "%s got %s %v after it was shown as draining", run.Member, id, run.at-at)
+	}
+	if at, ok := l.revoked[attempt.Key]; ok && attempt.at-at > RevokeMs*time.Millisecond {
+		l.violation(ruleConfig, "%s ran with a key that was taken away %v before", id, attempt.at-at)
+	}
+}
+
+// Answered notes what a client got.
+func (l *Log) Answered(id string, status int, seal string, body []byte) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.sent[id].status = status
+	if status/100 != 2 {
+		return
+	}
+	if !slices.ContainsFunc(l.runs[id], func(r Run) bool { return seal == Seal(r.Member, id, body) }) {
+		l.violation(ruleMixed, "%s got a success with the seal %q and %d bytes that no run of it gave", id, seal, len(body))
+	}
+}
+
+// Finish checks what can only be told at the end.
+func (l *Log) Finish() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	startsOf := map[string][]float64{} // by tenant, in seconds
+	for id, runs := range l.runs {
+		attempt := l.sent[id]
+		if !attempt.Class.Idempotent() && saysNotExecuted(attempt.status) {
+			l.violation(ruleRefused, "%s was answered %d and has run", id, attempt.status)
+		}
+		startsOf[attempt.Tenant] = append(startsOf[attempt.Tenant], runs[0].at.Seconds())
+	}
+	for tenant, starts := range startsOf {
+		l.checkQuota(tenant, starts)
+	}
+	for _, service := range slices.Sorted(maps.Keys(l.retries)) {
+		l.checkRetryBudget(service)
+	}
+}
+
+// saysNotExecuted tells whether a status promises that the request has not run.
+func saysNotExecuted(status int) bool {
+	switch status {
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+		return true
+	}
+	return false
+}
+
+// checkQuota checks a tenant's quota in each window that ends with a run. Called under
+// the mutex.
+func (l *Log) checkQuota(tenant string, starts []float64) {
+	q := l.quotas[tenant]
+	if q.rate <= 0 {
+		return
+	}
+	slices.Sort(starts)
+	limit := (q.rate*QuotaWindowS+q.burst)*(1+QuotaOvershoot) + QuotaSlack
+	oldest := 0
+	for newest, end := range starts {
+		for end-starts[oldest] > QuotaWindowS {
+			oldest++
+		}
+		if n := float64(newest - oldest + 1); n > limit {
+			l.violation(ruleQuota, "%s ran %.0f requests in %v s up to %.1f s, %.0f are the most", tenant, n, QuotaWindowS, end, limit)
+			return
+		}
+	}
+}
+
+// checkRetryBudget checks the retries at a service in each window that ends with one.
+// Called under the mutex.
+func (l *Log) checkRetryBudget(service string) {
+	b := l.budget
+	if b.Ratio <= 0 {
+		return
+	}
+	retries, firsts := l.retries[service], l.firsts[service] // both in the order of time
+	oldestRetry, oldestFirst, nextFirst := 0, 0, 0
+	for newest, end := range retries {
+		for retries[oldestRetry] < end-b.WindowS {
+			oldestRetry++
+		}
+		for oldestFirst < len(firsts) && firsts[oldestFirst] < end-b.WindowS {
+			oldestFirst++
+		}
+		for nextFirst < len(firsts) && firsts[nextFirst] <= end {
+			nextFirst++
+		}
+		limit := b.Ratio*float64(nextFirst-oldestFirst) + b.Slack
+		if n := float64(newest - oldestRetry + 1); n > limit {
+			l.violation(ruleBudget, "%s got %.0f further tries in %v s up to %.1f s, %.0f are the most", service, n, b.WindowS, end, limit)
+			return
+		}
+	}
+}
+
+// Seal is the stamp of a server on an answer.
+func Seal(member, id string, body []byte) string {
+	return fmt.Sprintf("%s.%08x", member, crc32.ChecksumIEEE(append([]byte(member+"/"+id+"/"), body...)))
+}
--- a/lab/checker/judge_test.go
+++ b/lab/checker/log_test.go
@@ -13,9 +13,9 @@
 	lookup = &scenario.Class{Name: "lookup", Service: "search", Type: "idempotent"}
 )
 
-// The judge finds each rule broken, and nothing where none is: a check that
-// could not fail would be worth nothing.
-func TestJudge(t *testing.T) {
+// The log finds each rule broken, and nothing where none is: a check that could not fail
+// would be worth nothing.
+func TestLogFindsEachBrokenRule(t *testing.T) {
 	good := Run{Service: "filing", Member: "m", Tenant: "t"}
 	with := func(change func(*Run)) Run { r := good; change(&r); return r }
 	for want, play := range map[string]func(*Log){
@@ -66,8 +66,8 @@
 		if len(rule) > 7 {
 			rule = rule[:7]
 		}
-		if n := len(l.counts); rule == "" && n > 0 || rule != "" && (n != 1 || l.counts[rule] == 0) {
-			t.Errorf("%q: %v %v", want, l.counts, l.violations)
+		if n := len(l.violationCounts); rule == "" && n > 0 || rule != "" && (n != 1 || l.violationCounts[rule] == 0) {
+			t.Errorf("%q: %v %v", want, l.violationCounts, l.violations)
 		}
 	}
 }
--- a/lab/checker/report.go
+++ b/lab/checker/report.go
@@ -8,6 +8,7 @@
 	"math"
 	"slices"
 	"strconv"
+	"strings"
 	"sync"
 	"text/tabwriter"
 	"time"
@@ -17,73 +18,92 @@
 	"example.org/elmspan/lab/scenario"
 )
 
+// Latencies that are told apart, in microseconds, and to how many digits.
+const (
+	minLatency    = 1
+	maxLatency    = 60_000_000
+	latencyDigits = 3
+)
+
 // Report is what came of a day.
 type Report struct {
-	Classes         []string
+	Classes         []string // in the order of the day's file
 	Stats           map[string]*Stats
 	Seconds         []Second
 	Violations      []string       // the first broken rules, as they were seen
-	ViolationCounts map[string]int // of broken rules
+	ViolationCounts map[string]int // by rule
 	UnexpectedExits int            // processes that ended by themselves
 	MissedChanges   int            // configurations that were never acknowledged
 	Notes           []string       // what else is worth knowing, a line each
 }
 
+// Counts are requests by what became of them.
+type Counts struct {
+	Requests  int // of clients; each ends as one of the others
+	InTarget  int // succeeded within the latency target
+	Late      int // succeeded after it
+	OverQuota int // 429
+	Rejected  int // 503
+	Failed    int // anything else, or no answer
+}
+
 // Second is one second of traffic, by when requests were first sent.
-type Second struct{ Asked, InAim, Late, Beyond, Refused, Failed int }
+type Second struct{ Counts }
 
 // Stats is what became of a class's requests.
 type Stats struct {
-	Asked, InAim, Late, Beyond, Refused, Failed, Tries int                     // Beyond: 429, beyond a quota
-	Latency                                            *hdrhistogram.Histogram // of answers with success, in microseconds
+	Counts
+	Attempts int
+	Latency  *hdrhistogram.Histogram // of answers with success, in microseconds
+}
+
+// add counts a request that ended with a status after a time; 0: no answer.
+func (c *Counts) add(status int, inTarget bool) {
+	c.Requests++
+	switch {
+	case status/100 == 2 && inTarget:
+		c.InTarget++
+	case status/100 == 2:
+		c.Late++
+	case status == 429:
+		c.OverQuota++
+	case status == 503:
+		c.Rejected++
+	default:
+		c.Failed++
+	}
 }
 
-// Tally counts what became of requests.
+// Tally counts what became of requests. Its methods may be called at the same time.
 type Tally struct {
 	mu      sync.Mutex
 	classes []string
 	stats   map[string]*Stats
-	secs    []Second
+	seconds []Second
 }
 
 // NewTally returns the tally of a day's classes.
 func NewTally(d *scenario.Day) *Tally {
-	t := &Tally{stats: map[string]*Stats{}, secs: make([]Second, int(math.Ceil(d.LengthS))+1)}
+	t := &Tally{stats: map[string]*Stats{}, seconds: make([]Second, int(math.Ceil(d.LengthS))+1)}
 	for _, c := range d.Classes {
 		t.classes = append(t.classes, c.Name)
-		t.stats[c.Name] = &Stats{Latency: hdrhistogram.New(1, 60_000_000, 3)}
+		t.stats[c.Name] = &Stats{Latency: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
 	}
 	return t
 }
 
 // Add counts one request: when it was first sent, since the start of traffic,
-// the status of its last try (0: none) and how long all took.
-func (t *Tally) Add(c *scenario.Class, begun time.Duration, status, tries int, took time.Duration) {
+// the status of its last attempt (0: no answer) and how long all took.
+func (t *Tally) Add(c *scenario.Class, begun time.Duration, status, attempts int, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, sec := t.stats[c.Name], &t.secs[min(len(t.secs)-1, max(0, int(begun.Seconds())))]
-	s.Asked++
-	sec.Asked++
-	s.Tries += tries
-	switch {
-	case status/100 == 2 && float64(took)/float64(time.Millisecond) <= c.TargetMs:
-		s.InAim++
-		sec.InAim++
-	case status/100 == 2:
-		s.Late++
-		sec.Late++
-	case status == 429:
-		s.Beyond++
-		sec.Beyond++
-	case status == 503:
-		s.Refused++
-		sec.Refused++
-	default:
-		s.Failed++
-		sec.Failed++
-	}
+	inTarget := float64(took)/float64(time.Millisecond) <= c.TargetMs
+	stats := t.stats[c.Name]
+	stats.add(status, inTarget)
+	stats.Attempts += attempts
+	t.seconds[min(len(t.seconds)-1, max(0, int(begun.Seconds())))].add(status, inTarget)
 	if status/100 == 2 {
-		s.Latency.RecordValue(took.Microseconds()) // out of range only past the deadline
+		_ = stats.Latency.RecordValue(took.Microseconds()) // out of range only past the deadline
 	}
 }
 
@@ -94,20 +114,26 @@
 	defer t.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return &Report{Classes: t.classes, Stats: t.stats, Seconds: t.secs, Violations: slices.Clone(l.violations), ViolationCounts: maps.Clone(l.counts)}
+	return &Report{
+		Classes:         t.classes,
+		Stats:           t.stats,
+		Seconds:         t.seconds,
+		Violations:      slices.Clone(l.violations),
+		ViolationCounts: maps.Clone(l.violationCounts),
+	}
 }
 
-// Progress says how far it is.
+// Progress says how far the day is.
 func (t *Tally) Progress(l *Log) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	asked, good := 0, 0
+	asked, served := 0, 0
 	for _, s := range t.stats {
-		asked, good = asked+s.Asked, good+s.InAim+s.Late
+		asked, served = asked+s.Requests, served+s.InTarget+s.Late
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return fmt.Sprintf("%5.1f s  %d asked, %d served, %d rules broken", l.clock().Seconds(), asked, good, len(l.counts))
+	return fmt.Sprintf("%5.1f s  %d asked, %d served, %d rules broken", l.clock().Seconds(), asked, served, len(l.violationCounts))
 }
 
 // Passed tells that no rule was broken and no process ended by itself.
@@ -115,63 +141,82 @@
 
 // Served is the share of the requests within the quotas that were answered with success.
 func (r *Report) Served() float64 {
-	asked, served := 0, 0
-	for _, s := range r.Stats {
-		asked, served = asked+s.Asked-s.Beyond, served+s.InAim+s.Late
-	}
-	return float64(served) / float64(max(1, asked))
+	return r.share(func(s *Stats) int { return s.InTarget + s.Late })
 }
 
-// InTarget is the share of the requests within the quotas that were answered
-// with success within their aim.
+// InTarget is the share of the requests within the quotas that were answered with
+// success within their latency target.
 func (r *Report) InTarget() float64 {
-	asked, good := 0, 0
+	return r.share(func(s *Stats) int { return s.InTarget })
+}
+
+// share is that of some requests among those within the quotas.
+func (r *Report) share(of func(*Stats) int) float64 {
+	within, sum := 0, 0
 	for _, s := range r.Stats {
-		asked, good = asked+s.Asked-s.Beyond, good+s.InAim
+		within, sum = within+s.Requests-s.OverQuota, sum+of(s)
 	}
-	return float64(good) / float64(max(1, asked))
+	return float64(sum) / float64(max(1, within))
 }
 
-// Write writes the report as text.
-func (r *Report) Write(w io.Writer) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "class\tasked\tin aim\tlate\tbeyond quota\trefused\tfailed\ttries\tp50 ms\tp99 ms\t")
+// Write writes the report as text. An error is one of w.
+func (r *Report) Write(w io.Writer) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	if _, err := io.WriteString(table, r.rows()); err != nil {
+		return err
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	_, err := io.WriteString(w, r.summary())
+	return err
+}
+
+// rows are a line on each class, with tabs between the columns.
+func (r *Report) rows() string {
+	var b strings.Builder
+	b.WriteString("class\tasked\tin aim\tlate\tbeyond quota\trefused\tfailed\ttries\tp50 ms\tp99 ms\t\n")
 	for _, name := range r.Classes {
 		s := r.Stats[name]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", name, s.Asked, s.InAim, s.Late, s.Beyond, s.Refused, s.Failed, s.Tries,
-			float64(s.Latency.ValueAtQuantile(50))/1000, float64(s.Latency.ValueAtQuantile(99))/1000)
+		p50, p99 := float64(s.Latency.ValueAtQuantile(50))/1000, float64(s.Latency.ValueAtQuantile(99))/1000
+		fmt.Fprintf(&b, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n",
+			name, s.Requests, s.InTarget, s.Late, s.OverQuota, s.Rejected, s.Failed, s.Attempts, p50, p99)
 	}
-	t.Flush()
-	fmt.Fprintf(w, "served %.4f of what was within the quotas, %.4f in its aim\n", r.Served(), r.InTarget())
+	return b.String()
+}
+
+// summary is what is said below the classes.
+func (r *Report) summary() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "served %.4f of what was within the quotas, %.4f in its aim\n", r.Served(), r.InTarget())
 	for _, n := range r.Notes {
-		fmt.Fprintln(w, n)
+		fmt.Fprintln(&b, n)
 	}
 	if r.UnexpectedExits > 0 {
-		fmt.Fprintf(w, "%d processes ended by themselves\n", r.UnexpectedExits)
+		fmt.Fprintf(&b, "%d processes ended by themselves\n", r.UnexpectedExits)
 	}
 	if len(r.ViolationCounts) == 0 {
-		fmt.Fprintln(w, "no rule broken")
-		return
+		fmt.Fprintln(&b, "no rule broken")
+		return b.String()
 	}
 	for _, rule := range slices.Sorted(maps.Keys(r.ViolationCounts)) {
-		fmt.Fprintf(w, "BROKEN %s %d times\n", rule, r.ViolationCounts[rule])
+		fmt.Fprintf(&b, "BROKEN %s %d times\n", rule, r.ViolationCounts[rule])
 	}
-	for _, b := range r.Violations {
-		fmt.Fprintln(w, "  "+b)
+	for _, v := range r.Violations {
+		fmt.Fprintln(&b, "  "+v)
 	}
+	return b.String()
 }
 
 // WriteCSV writes a line for each second.
 func (r *Report) WriteCSV(w io.Writer) error {
-	c := csv.NewWriter(w)
-	c.Write([]string{"second", "asked", "in_aim", "late", "beyond_quota", "refused", "failed"})
+	rows := [][]string{{"second", "asked", "in_aim", "late", "beyond_quota", "refused", "failed"}}
 	for i, s := range r.Seconds {
 		row := []string{strconv.Itoa(i)}
-		for _, v := range []int{s.Asked, s.InAim, s.Late, s.Beyond, s.Refused, s.Failed} {
+		for _, v := range []int{s.Requests, s.InTarget, s.Late, s.OverQuota, s.Rejected, s.Failed} {
 			row = append(row, strconv.Itoa(v))
 		}
-		c.Write(row)
+		rows = append(rows, row)
 	}
-	c.Flush()
-	return c.Error()
+	return csv.NewWriter(w).WriteAll(rows)
 }
