--- a/controlplane/configstore.go
+++ b/controlplane/configstore.go
@@ -27,13 +27,13 @@
 
 	casRegister
 	rows      *api.ConfigRows // the applied configuration as rows; nil: there is none yet
-	validated *configChange   // the one that an operator brought last: it is often brought again
+	validated *configChange   // the last that an operator sent: it is often sent again
 	// checkedSnapshot is the one that was checked last, until it is installed.
 	checkedSnapshot *decodedSnapshot
 	unreadableIndex uint64 // of the last snapshot that can't be read, to log it once
 }
 
-// Replace takes a configuration that follows on another.
+// Replace commits a configuration that replaces a given revision.
 func (s *configStore) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
 	change, err := s.validate(q)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return change, nil
 }
 
-// call carries a call through, until it has its result or its context ends. Called under the
+// call advances a call until it has its result or its context ends. Called under the
 // mutex, which it gives up while it waits.
 func (s *configStore) call(ctx context.Context, p *pendingCall) api.ControlResponse {
 	for {
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -20,7 +20,7 @@
 	tickInterval   = 50 * time.Millisecond
 	electionTicks  = 10 // 0.5 to 1 s without a leader
 	heartbeatTicks = 2
-	joinTicks      = 8 // between two requests of an isolated member to be taken in
+	joinTicks      = 8 // between two requests of an isolated member to be added
 )
 
 // CoreConfig is what a member needs to begin.
@@ -77,8 +77,8 @@
 }
 
 // NewCore opens the state on disk, or begins one: as a first voter where the whole system
-// starts for the first time, else under a new id, without a vote until the others have taken it
-// in. A snapshot that can't be read is [storage.ErrCorrupt].
+// starts for the first time, else under a new id, without a vote until the others have added
+// it. A snapshot that can't be read is [storage.ErrCorrupt].
 func NewCore(cfg CoreConfig) (*Core, error) {
 	id, err := openIdentity(&cfg)
 	if err != nil {
@@ -157,9 +157,9 @@
 	c.endpoints = endpointManager{cfg: &c.cfg, mu: &c.mu, host: &c.host, notify: &c.notify}
 }
 
-// roleChangedTo has the parts take note of another role or leader.
+// roleChangedTo adapts the parts to another role or leader. Called under the mutex.
 func (c *Core) roleChangedTo(role raft.Role) {
-	c.transport.forgetChunks()
+	c.transport.dropReassemblies()
 	if role == raft.Leader {
 		c.endpoints.servers.becomeLeader()
 	}
@@ -200,8 +200,8 @@
 	}
 }
 
-// runTick lets one tick pass in all parts. joins: this member is to ask to be taken in; an error
-// ends it.
+// runTick lets one tick pass in all parts. joins: this member is to ask to be added. An error
+// ends Run.
 func (c *Core) runTick() (joins bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controlplane/host.go
+++ b/controlplane/host.go
@@ -31,14 +31,14 @@
 	notify    *notifier
 	transport *transport
 	machine   stateMachine
-	// roleChanged is called when the role or the leader is another one.
+	// roleChanged is called when the role or the leader changes.
 	roleChanged func(raft.Role)
 
 	id   raft.ID
 	node *raft.Node
 	disk diskMonitor
-	// handling: a goroutine handles what the node has ready, one batch after the other. Only it
-	// changes the applied state, and what the node counts as stored and applied.
+	// handling: a goroutine handles what the node has ready, one batch after the other. Nothing
+	// else changes the applied state, or what the node counts as stored and applied.
 	handling bool
 	// pendingMessages are sent once what they acknowledge is on disk.
 	pendingMessages []raft.Message
@@ -53,8 +53,10 @@
 	rejectedReported uint64 // rejected snapshots that were logged
 }
 
+// hexID is an id as logs and the status show it.
 func hexID(id raft.ID) string { return fmt.Sprintf("%x", uint64(id)) }
 
+// leads reports whether this member leads and may answer.
 func (h *raftHost) leads() bool { return h.node.Role() == raft.Leader && !h.suspended }
 
 // stopped reports whether this member has stopped serving for good.
@@ -85,8 +87,8 @@
 	return h.node.Leader() == 0 || !slices.ContainsFunc(h.node.Members(), isSelf)
 }
 
-// tick lets one tick pass. For those who don't lead time stands still while they wait for the
-// disk: a candidate would begin another election before its vote for itself is stored.
+// tick lets one tick pass. Only a leader's node is ticked while a write is in flight: a candidate
+// would begin another election before its vote for itself is stored.
 func (h *raftHost) tick() {
 	if h.disk.tick() {
 		h.cfg.Log.Error("disk stalled, member suspended")
@@ -100,8 +102,9 @@
 	}
 }
 
-// handleReady has what the node has ready handled. Messages alone go out at once; what needs
-// the disk or is to be applied is left to a goroutine, see [raftHost.handleBatches].
+// handleReady handles what the node has ready. It is called after each tick, message, proposal
+// and heartbeat. Messages alone are sent at once; what must be stored or applied is left to a
+// goroutine, see [raftHost.handleBatches].
 func (h *raftHost) handleReady() {
 	if !h.stopped() && h.node.LostDurability() {
 		h.checkLostDurability(fmt.Errorf("%w: the log lacks entries that were acknowledged to the leader",
@@ -136,7 +139,7 @@
 	}
 }
 
-// startHandling has a goroutine handle what the node has ready.
+// startHandling starts the goroutine that handles what the node has ready.
 func (h *raftHost) startHandling() {
 	h.handling = true
 	h.lifecycle.tasks.Go(func() {
@@ -190,7 +193,7 @@
 // next batch may follow.
 func (h *raftHost) persistAndApply(ready raft.Ready) bool {
 	h.sendUnrestricted(&ready)
-	due := h.pendingMessages // with this batch on disk all of them hold
+	due := h.pendingMessages // all that they acknowledge is on disk once this batch is
 	h.pendingMessages = nil
 	if ready.MustSync() {
 		if err := h.writeToDisk(func() error { return h.cfg.Store.Save(ready) }); err != nil {
@@ -223,8 +226,8 @@
 	return true
 }
 
-// handleWriteError suspends this member until a write succeeds, with the messages kept that
-// wait for it. A store that has lost what was acknowledged ends the member's part.
+// handleWriteError suspends this member until a write succeeds, and keeps the messages that wait
+// for it. A store that has lost what was acknowledged stops the member for good.
 func (h *raftHost) handleWriteError(err error, due []raft.Message) {
 	if h.checkLostDurability(err) {
 		return
@@ -286,15 +289,15 @@
 	}
 }
 
-// failStop ends this member's part where it can't apply what the others committed: it must not
-// answer from an older state. Nothing is lost, its log stays as it is.
+// failStop stops a member for good that can't apply what the others committed: it must not
+// answer from an older state. Nothing is lost: its log stays as it is, for a program that can.
 func (h *raftHost) failStop(reason string, err error) {
-	h.cfg.Log.Error("member stopped until a program starts it that can read its state", "reason", reason, "error", err)
+	h.cfg.Log.Error("member stopped, committed state is unreadable", "reason", reason, "error", err)
 	h.stopServing(reason, err)
 }
 
-// checkLostDurability ends this member's part where an error says that its store has lost what
-// was acknowledged.
+// checkLostDurability stops this member for good if an error says that its store has lost what
+// was acknowledged, and reports whether it does.
 func (h *raftHost) checkLostDurability(err error) bool {
 	if !errors.Is(err, storage.ErrCorrupt) {
 		return false
@@ -304,7 +307,7 @@
 	return true
 }
 
-// stopServing has this member acknowledge and answer nothing any more.
+// stopServing stops this member for good: it acknowledges and answers nothing any more.
 func (h *raftHost) stopServing(reason string, err error) {
 	h.stopReason = fmt.Sprintf("%s: %v", reason, err)
 	h.suspended = true
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -16,8 +16,8 @@
 // leaveInterval is how often a member that leaves says so, as long as it is there.
 const leaveInterval = 200 * time.Millisecond
 
-// memberManager takes members in, replaces those that failed and lets go those that leave. What
-// is to change memberPolicy decides. All fields are guarded by Core.mu, which is given up during
+// memberManager adds members, replaces those that failed and lets go those that leave. Which
+// change is made is decided by memberPolicy. All fields are guarded by Core.mu, which is given up during
 // calls to other members.
 type memberManager struct {
 	cfg       *CoreConfig
@@ -37,7 +37,7 @@
 	return slices.Compact(out)
 }
 
-// requestJoin asks the others to take this member in.
+// requestJoin asks the others to add this member.
 func (m *memberManager) requestJoin(ctx context.Context) {
 	for _, addr := range m.Addrs() {
 		if addr == m.cfg.Addr {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Join takes a process in, at first without a vote. One that is leaving is marked as such: it
+// Join adds a process as a member, at first without a vote. One that is leaving is marked as such: it
 // is given no vote, and its vote goes to a standby. Status is 200, or 409 where a voter leaves
 // and there is no standby; 0 from who can't say.
 func (m *memberManager) Join(_ context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
@@ -95,7 +95,7 @@
 	return &api.ControlResponse{Status: http.StatusOK}
 }
 
-// reconcile has a leader change the members where the policy says so.
+// reconcile proposes the next change of members that the policy wants, where this member leads.
 func (m *memberManager) reconcile() {
 	change, next := m.policy.nextMembers(m.host.node)
 	if next == nil {
@@ -117,8 +117,8 @@
 	m.host.handleReady()
 }
 
-// Leave has this member hand on what others count on before its process ends: its leadership,
-// and where there is a standby its vote. It goes on taking part meanwhile, until Run's context
+// Leave hands on what others count on before this process ends: its leadership, and its vote
+// where there is a standby. The member goes on taking part meanwhile, until Run's context
 // ends. The channel is closed once the others don't need it any more, or can't do without.
 func (m *memberManager) Leave() <-chan struct{} {
 	done := make(chan struct{})
@@ -181,7 +181,7 @@
 	return true
 }
 
-// HandOver has a leader that is about to end call an election elsewhere.
+// HandOver transfers leadership, where this member leads, as its process is about to end.
 func (m *memberManager) HandOver() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -33,7 +33,7 @@
 	needsRound bool                // the call waits for a read index round
 }
 
-// advance carries a call on as far as it goes now.
+// advance takes a call as far as it gets now: answered, proposed, or waiting for a round.
 func (g *casRegister) advance(node *raft.Node, p *pendingCall) callProgress {
 	unknown := callProgress{done: true}
 	switch {
--- a/controlplane/service.go
+++ b/controlplane/service.go
@@ -9,8 +9,8 @@
 // A Core answers the calls of the control plane by the part that each concerns. Together they
 // are an [api.Control].
 
-// Replace takes a configuration that follows on another. Status is 200 once it is committed and
-// applied, 400 where it is not valid, 412 where it doesn't follow on the current one, 503 where
+// Replace commits a configuration that replaces a given revision. Status is 200 once it is committed and
+// applied, 400 where it is not valid, 412 where that revision is not the current one, 503 where
 // it isn't remembered any more whether it was applied; 0 from a member that can't say.
 func (c *Core) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
 	return c.store.Replace(ctx, q)
@@ -42,7 +42,7 @@
 	return c.transport.Deliver(ctx, q)
 }
 
-// Join takes a process in, or lets a member go. Status is 200, or 409 where a voter leaves and
+// Join adds a process as a member, or lets a member go. Status is 200, or 409 where a voter leaves and
 // there is no standby; 0 from a member that can't say.
 func (c *Core) Join(ctx context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
 	return c.members.Join(ctx, q)
@@ -51,11 +51,11 @@
 // Addrs are the addresses of the core, as far as known: the seeds and the present members.
 func (c *Core) Addrs() []string { return c.members.Addrs() }
 
-// HandOver has a leader that is about to end call an election elsewhere.
+// HandOver transfers leadership, where this member leads, as its process is about to end.
 func (c *Core) HandOver() { c.members.HandOver() }
 
-// Leave has this member hand on what others count on before its process ends: its leadership,
-// and where there is a standby its vote. It goes on taking part meanwhile, until Run's context
+// Leave hands on what others count on before this process ends: its leadership, and its vote
+// where there is a standby. The member goes on taking part meanwhile, until Run's context
 // ends. The channel is closed once the others don't need it any more, or can't do without.
 func (c *Core) Leave() <-chan struct{} { return c.members.Leave() }
 
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// enqueue puts a message on its way. Called under the mutex.
+// enqueue puts a message into the send queue of its receiver, and starts a queue that is not
+// there. A message to a member without a known address is dropped. Called under the mutex.
 func (t *transport) enqueue(m raft.Message) {
 	key := queueKey{m.To, m.IsBulk()}
 	queue := t.queues[key]
@@ -80,7 +81,7 @@
 	return addr
 }
 
-// deliverFrom sends a member what a queue has, until nothing came for long.
+// deliverFrom sends a member what a queue has, until nothing was put for queueIdleTime.
 func (t *transport) deliverFrom(queue *sendQueue, key queueKey, addr string) {
 	idle := time.NewTimer(queueIdleTime)
 	defer idle.Stop()
@@ -109,8 +110,8 @@
 	}
 }
 
-// awaitMessage waits until something is put into a queue. It returns false where nothing was
-// for long, with the queue removed, or where this member ends.
+// awaitMessage waits until something is put into a queue. It returns false if nothing was for
+// queueIdleTime, with the queue removed, or if this member ends.
 func (t *transport) awaitMessage(queue *sendQueue, key queueKey, idle *time.Timer) bool {
 	idle.Reset(queueIdleTime)
 	select {
@@ -229,5 +230,5 @@
 	return r
 }
 
-// forgetChunks drops all that has come of chunked messages: another leader begins anew.
-func (t *transport) forgetChunks() { clear(t.reassemblies) }
+// dropReassemblies drops all chunked messages that have come in part: another leader begins anew.
+func (t *transport) dropReassemblies() { clear(t.reassemblies) }
