--- a/settings/tunables.go
+++ b/settings/tunables.go
@@ -34,8 +34,8 @@
 var tunables = []tunable{
 	{
 		name: "log.level", defaultValue: "info", takes: "debug|info|warn|error",
-		meaning: "Least level that is logged. Read again at SIGHUP.",
-		tradeOff: "Lower (debug): single calls between processes can be followed, at many lines a second. Higher: " +
+		meaning: "Least level that is logged. Read again at SIGHUP, and every 5 s.",
+		tradeOff: "Lower: at debug single calls between processes can be followed, at many lines a second. Higher: " +
 			"less to store, and the audit log (info) is missing.",
 	},
 	{
