--- a/raft/compaction.go
+++ b/raft/compaction.go
@@ -1,6 +1,6 @@
 package raft
 
-// SnapshotDue tells that the applied log has grown enough for a snapshot; see
+// SnapshotDue reports whether the applied log has grown enough for a snapshot; see
 // [Config.SnapshotBytes]. While a follower catches up from a snapshot the leader waits, so that
 // its log goes on from that one, until the log is larger than the snapshot: then a new one is
 // the shorter way.
@@ -18,7 +18,7 @@
 	return bytes >= n.cfg.SnapshotBytes || n.log.applied-n.log.snapshot.Index >= uint64(n.cfg.SnapshotEntries)
 }
 
-// isFollowerCatchingUp tells that the log must go on from a snapshot that a follower receives.
+// isFollowerCatchingUp reports whether the log must go on from a snapshot that a follower receives.
 func (n *Node) isFollowerCatchingUp() bool {
 	for _, p := range n.progress {
 		if p.needsLog() {
--- a/raft/doc.go
+++ b/raft/doc.go
@@ -30,7 +30,7 @@
 //  3. Apply Snapshot, then CommittedEntries, to the replicated service.
 //  4. Call [Node.Advance] with the same Ready.
 //
-// Messages come after the sync because they are promises: a vote, or the acknowledgement of
+// Messages come after the sync because they are guarantees: a vote, or the acknowledgement of
 // an entry, must survive a loss of power of this machine. Else a member could vote twice in a
 // term, or a leader could count an entry that is gone. CommittedEntries come after the sync
 // because they may be among Entries, and Snapshot comes before them because they follow it in
--- /dev/null
+++ b/raft/durability_test.go
@@ -0,0 +1,132 @@
+package raft
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+const (
+	durabilitySeeds   = 200
+	minDurabilityRuns = 120 // the others end early, by a crash of the simulation's own
+)
+
+// A member that comes back with an earlier disk, behind what it has acknowledged, is notified by
+// the leader that it acknowledged it to, whichever messages are lost, late and duplicated. One
+// that comes back with its own disk is not. (Without it the leader counted entries that
+// the member no longer had.)
+func TestMemberWithAnEarlierDiskIsNotified(t *testing.T) {
+	t.Parallel()
+	played := 0
+	for seed := range uint64(durabilitySeeds) {
+		if playEarlierDisk(t, seed) {
+			played++
+		}
+	}
+	if played < minDurabilityRuns {
+		t.Errorf("%d runs of %d came to their end", played, durabilitySeeds)
+	}
+}
+
+// earlierDiskRun is a leader and a member that comes back.
+type earlierDiskRun struct {
+	*simCluster
+	leader *Node
+	id     ID // of the member
+}
+
+// playEarlierDisk plays one run, in which the member comes back with an earlier disk if the seed
+// is even. It returns false if the run came to no end.
+func playEarlierDisk(t *testing.T, seed uint64) bool {
+	t.Helper()
+	s := newSimCluster(t, seed)
+	run := &earlierDiskRun{simCluster: s, leader: s.awaitLeader(), id: 1}
+	if run.leader.cfg.ID == run.id {
+		run.id = 2
+	}
+	if !run.acknowledgeValues(1 + int(seed%5)) {
+		return false
+	}
+	earlier := *s.disks[run.id]
+	earlier.Entries = slices.Clone(earlier.Entries)
+	if !run.acknowledgeValues(1 + int(seed%7)) {
+		return false
+	}
+	lost := seed%2 == 0
+	s.crash(run.id)
+	if lost {
+		s.disks[run.id] = &earlier
+	}
+	s.start(run.id)
+	n := s.nodes[run.id]
+	run.playUntilNotified(n)
+	if !run.leads() {
+		return false
+	}
+	if n.LostDurability() != lost {
+		t.Errorf("seed %d: lost %v, told %v: it has last index %d, acknowledged %d",
+			seed, lost, n.LostDurability(), n.LastIndex(), run.leader.progress[run.id].matchIndex)
+	}
+	return true
+}
+
+// leads reports whether the leader is up and leads.
+func (r *earlierDiskRun) leads() bool {
+	return r.nodes[r.leader.cfg.ID] == r.leader && r.leader.Role() == Leader
+}
+
+// acknowledgeValues proposes values until the member has acknowledged them all. It returns false
+// if one of the two crashed, or the leader changed.
+func (r *earlierDiskRun) acknowledgeValues(count int) bool {
+	for i := range count {
+		if r.nodes[r.id] == nil || !r.leads() {
+			return false
+		}
+		r.propose(r.leader, fmt.Appendf(nil, "%d at %d", i, r.leader.LastIndex()))
+		r.step()
+	}
+	isUp := func() bool { return r.nodes[r.id] != nil && r.leads() }
+	for isUp() && r.leader.progress[r.id].matchIndex < r.leader.LastIndex() {
+		r.step()
+	}
+	return isUp()
+}
+
+// playUntilNotified plays the leader and the member, without crashes of the member, until it is notified
+// or for long enough.
+func (r *earlierDiskRun) playUntilNotified(n *Node) {
+	rng := rand.New(rand.NewPCG(r.seed, 8))
+	for i := 0; i < 400 && !n.LostDurability() && r.leads(); i++ {
+		if i%9 == 0 && rng.IntN(2) == 0 {
+			r.propose(r.leader, []byte("more"))
+		}
+		messages := r.network
+		r.network = nil
+		r.leader.Tick()
+		r.runHost(r.leader.cfg.ID)
+		n.Tick()
+		r.runHostWithoutDisk(n)
+		for _, m := range messages {
+			switch percent := rng.IntN(100); {
+			case percent < 5:
+			case percent < 20:
+				r.network = append(r.network, m)
+			case m.To == r.id:
+				n.Step(m)
+				r.runHostWithoutDisk(n)
+			case r.nodes[m.To] != nil:
+				r.nodes[m.To].Step(m)
+				r.runHost(m.To)
+			}
+		}
+	}
+}
+
+// runHostWithoutDisk carries out what a member has ready, but for its disk, which is not looked at.
+func (s *simCluster) runHostWithoutDisk(n *Node) {
+	for r := n.Ready(); !r.Empty() && !n.LostDurability(); r = n.Ready() {
+		s.network = append(s.network, r.Messages...)
+		n.Advance(r)
+	}
+}
--- a/raft/election.go
+++ b/raft/election.go
@@ -93,7 +93,7 @@
 	n.progress = map[ID]*progress{}
 	n.syncProgress()
 	if p := n.progress[n.lastLeader]; p != nil {
-		// The silence of the last leader does not begin with this election.
+		// The last leader has been unresponsive since before this election.
 		p.ticksSinceResponse = n.lastLeaderTicks
 	}
 	last := n.log.lastIndex()
@@ -102,12 +102,12 @@
 	n.BroadcastHeartbeat()
 }
 
-// hasActiveLeader tells that a leader was heard from within the minimum election time-out.
+// hasActiveLeader reports whether a message of a leader arrived within the minimum election time-out.
 func (n *Node) hasActiveLeader() bool {
 	return n.role == Leader || n.leader != 0 && n.electionElapsed < n.cfg.ElectionTicks
 }
 
-// handlePreVoteRequest tells a member whether it would get this one's vote. Where a leader is
+// handlePreVoteRequest answers a member whether it would get this one's vote. Where a leader is
 // alive there is no answer, which is a rejection.
 func (n *Node) handlePreVoteRequest(m Message) {
 	if n.hasActiveLeader() {
--- /dev/null
+++ b/raft/election_test.go
@@ -0,0 +1,40 @@
+package raft
+
+import "testing"
+
+// Of two that ask for pre-votes at once one waits, so that they don't split the votes.
+func TestSimultaneousPreVotesElectOne(t *testing.T) {
+	t.Parallel()
+	cluster := newScriptedCluster(t, 3, 0)
+	cluster.keepUp(2, 3)
+	for _, id := range []ID{2, 3} {
+		n := cluster.nodes[id]
+		n.electionElapsed, n.electionTimeout = 100, 0
+		n.Tick()
+	}
+	cluster.deliverAll()
+	second, third := cluster.nodes[2], cluster.nodes[3]
+	if !second.HasCommittedInTerm() || third.Role() != Follower || second.Term() != 2 {
+		t.Errorf("%v and %v in term %d", second.Role(), third.Role(), second.Term())
+	}
+}
+
+// A new leader counts the ticks without a message of the last leader from its last message on.
+func TestTicksSinceLastLeaderAreCountedAcrossElection(t *testing.T) {
+	t.Parallel()
+	cluster := newScriptedCluster(t, 3, 0)
+	cluster.nodes[1].BroadcastHeartbeat()
+	cluster.deliverAll()
+	cluster.keepUp(2, 3)
+	for range 30 {
+		cluster.nodes[2].Tick()
+		cluster.nodes[3].Tick()
+	}
+	cluster.network = nil
+	cluster.elect(2)
+	n := cluster.nodes[2]
+	if n.Role() != Leader || n.TicksSinceResponse(1) < 30 || n.TicksSinceResponse(3) > 1 {
+		t.Errorf("%v, the last leader is silent for %d ticks, the other for %d",
+			n.Role(), n.TicksSinceResponse(1), n.TicksSinceResponse(3))
+	}
+}
--- a/raft/golden_test.go
+++ b/raft/golden_test.go
@@ -25,9 +25,7 @@
 	command := Entry{Index: 41, Term: 6, Data: []byte("set quota")}
 	change := Entry{Index: 42, Term: 7, Members: members}
 	snapshot := Snapshot{Index: 40, Term: 6, Members: members, Data: []byte("the state of the service")}
-	chunk := snapshot
-	chunk.Data = []byte("state of")
-	return map[string]any{
+	values := map[string]any{
 		"member":                  members[0],
 		"member_learner":          members[2],
 		"entry_command":           command,
@@ -37,24 +35,91 @@
 		"snapshot_without_data":   Snapshot{Index: 40, Term: 6, Members: members},
 		"hard_state":              HardState{Term: 7, Vote: 2},
 		"hard_state_without_vote": HardState{Term: 7},
+	}
+	for name, m := range goldenMessages(command, change) {
+		values[name] = m
+	}
+	for name, m := range goldenSnapshotMessages(snapshot) {
+		values[name] = m
+	}
+	return values
+}
 
-		"message_01_pre_vote":               Message{Kind: PreVoteRequest, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7},
-		"message_02_pre_vote_reply":         Message{Kind: PreVoteReply, From: 2, To: 1, Term: 8},
-		"message_02_pre_vote_reply_reject":  Message{Kind: PreVoteReply, From: 2, To: 1, Term: 8, Reject: true},
-		"message_03_vote":                   Message{Kind: VoteRequest, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7},
-		"message_03_vote_transfer":          Message{Kind: VoteRequest, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7, LeadershipTransfer: true},
-		"message_04_vote_reply":             Message{Kind: VoteReply, From: 2, To: 1, Term: 8},
-		"message_04_vote_reply_reject":      Message{Kind: VoteReply, From: 2, To: 1, Term: 8, Reject: true},
-		"message_05_append":                 Message{Kind: AppendEntries, From: 1, To: 2, Term: 8, Index: 40, LogTerm: 6, Commit: 39, Round: 1001, Entries: []Entry{command, change}},
-		"message_05_append_heartbeat":       Message{Kind: AppendEntries, From: 1, To: 2, Term: 8, Index: 42, LogTerm: 7, Commit: 42, Round: 1002},
-		"message_06_append_reply":           Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: 8, Index: 42, Round: 1002, SupportsJoint: true},
-		"message_06_append_reply_reject":    Message{Kind: AppendEntriesReply, From: 2, To: 1, Term: 8, Index: 39, Round: 1002, Reject: true, SupportsJoint: true, RejectedIndex: 41},
-		"message_07_install":                Message{Kind: InstallSnapshot, From: 1, To: 3, Term: 8, Round: 1002, Snapshot: &snapshot},
-		"message_08_campaign":               Message{Kind: TimeoutNow, From: 1, To: 2, Term: 8},
-		"message_09_snapshot_chunk":         Message{Kind: SnapshotChunk, From: 1, To: 3, Term: 8, Round: 1003, Snapshot: &chunk, Offset: 4, SnapshotSize: 24, SnapshotChecksum: 0xfedcba9876543210},
-		"message_10_snapshot_chunk_reply":   Message{Kind: SnapshotChunkReply, From: 3, To: 1, Term: 8, Round: 1003, Index: 40, Offset: 12, SnapshotChecksum: 0xfedcba9876543210},
-		"message_10_snapshot_chunk_refused": Message{Kind: SnapshotChunkReply, From: 3, To: 1, Term: 8, Round: 1003, Index: 40, Reject: true, SnapshotChecksum: 0xfedcba9876543210},
-		"message_11_forgotten":              Message{Kind: DurabilityLost, From: 1, To: 2, Term: 8},
+// goldenMessages returns messages of every kind that carries no snapshot.
+func goldenMessages(command, change Entry) map[string]Message {
+	return map[string]Message{
+		"message_01_pre_vote": {
+			Kind: PreVoteRequest, From: 1, To: 2, Term: 8,
+			Index: 42, LogTerm: 7,
+		},
+		"message_02_pre_vote_reply": {
+			Kind: PreVoteReply, From: 2, To: 1, Term: 8,
+		},
+		"message_02_pre_vote_reply_reject": {
+			Kind: PreVoteReply, From: 2, To: 1, Term: 8,
+			Reject: true,
+		},
+		"message_03_vote": {
+			Kind: VoteRequest, From: 1, To: 2, Term: 8,
+			Index: 42, LogTerm: 7,
+		},
+		"message_03_vote_transfer": {
+			Kind: VoteRequest, From: 1, To: 2, Term: 8,
+			Index: 42, LogTerm: 7, LeadershipTransfer: true,
+		},
+		"message_04_vote_reply": {
+			Kind: VoteReply, From: 2, To: 1, Term: 8,
+		},
+		"message_04_vote_reply_reject": {
+			Kind: VoteReply, From: 2, To: 1, Term: 8,
+			Reject: true,
+		},
+		"message_05_append": {
+			Kind: AppendEntries, From: 1, To: 2, Term: 8,
+			Index: 40, LogTerm: 6, Commit: 39, Round: 1001, Entries: []Entry{command, change},
+		},
+		"message_05_append_heartbeat": {
+			Kind: AppendEntries, From: 1, To: 2, Term: 8,
+			Index: 42, LogTerm: 7, Commit: 42, Round: 1002,
+		},
+		"message_06_append_reply": {
+			Kind: AppendEntriesReply, From: 2, To: 1, Term: 8,
+			Index: 42, Round: 1002, SupportsJoint: true,
+		},
+		"message_06_append_reply_reject": {
+			Kind: AppendEntriesReply, From: 2, To: 1, Term: 8,
+			Index: 39, Round: 1002, Reject: true, SupportsJoint: true, RejectedIndex: 41,
+		},
+		"message_08_campaign": {
+			Kind: TimeoutNow, From: 1, To: 2, Term: 8,
+		},
+		"message_11_forgotten": {
+			Kind: DurabilityLost, From: 1, To: 2, Term: 8,
+		},
+	}
+}
+
+// goldenSnapshotMessages returns messages of every kind that carries a snapshot, and their replies.
+func goldenSnapshotMessages(snapshot Snapshot) map[string]Message {
+	chunk := snapshot
+	chunk.Data = []byte("state of")
+	return map[string]Message{
+		"message_07_install": {
+			Kind: InstallSnapshot, From: 1, To: 3, Term: 8,
+			Round: 1002, Snapshot: &snapshot,
+		},
+		"message_09_snapshot_chunk": {
+			Kind: SnapshotChunk, From: 1, To: 3, Term: 8,
+			Round: 1003, Snapshot: &chunk, Offset: 4, SnapshotSize: 24, SnapshotChecksum: 0xfedcba9876543210,
+		},
+		"message_10_snapshot_chunk_reply": {
+			Kind: SnapshotChunkReply, From: 3, To: 1, Term: 8,
+			Round: 1003, Index: 40, Offset: 12, SnapshotChecksum: 0xfedcba9876543210,
+		},
+		"message_10_snapshot_chunk_refused": {
+			Kind: SnapshotChunkReply, From: 3, To: 1, Term: 8,
+			Round: 1003, Index: 40, Reject: true, SnapshotChecksum: 0xfedcba9876543210,
+		},
 	}
 }
 
@@ -85,12 +150,12 @@
 			if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, want) {
 				t.Errorf("decoded %+v, want %+v", got, want)
 			}
-			again, err := cbor.Marshal(decoded.Elem().Interface())
+			encoded, err := cbor.Marshal(decoded.Elem().Interface())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if string(again) != string(data) {
-				t.Errorf("encoded to %x, want %x", again, data)
+			if string(encoded) != string(data) {
+				t.Errorf("encoded to %x, want %x", encoded, data)
 			}
 		})
 	}
--- a/raft/log.go
+++ b/raft/log.go
@@ -64,7 +64,7 @@
 	l.persisted = min(l.persisted, index)
 }
 
-// covers tells that all entries that a snapshot stands for are here.
+// covers reports whether all entries that a snapshot stands for are here.
 func (l *entryLog) covers(s *Snapshot) bool {
 	return s.Index <= l.committed || s.Index <= l.lastIndex() && l.term(s.Index) == s.Term
 }
@@ -76,7 +76,7 @@
 	l.committed, l.persisted = s.Index, s.Index
 }
 
-// isUpToDate tells that a candidate whose last entry has this index and term holds every
+// isUpToDate reports whether a candidate whose last entry has this index and term holds every
 // entry that this member may have helped to commit (3.6.1).
 func (l *entryLog) isUpToDate(index, term uint64) bool {
 	lastTerm := l.lastTerm()
--- a/raft/membership.go
+++ b/raft/membership.go
@@ -20,13 +20,13 @@
 	}
 }
 
-// isVoter tells whether this member is a voter, of either set of a joint change.
+// isVoter reports whether this member is a voter, of either set of a joint change.
 func (n *Node) isVoter() bool {
 	m := findMember(n.members, n.cfg.ID)
 	return m != nil && m.isVoter()
 }
 
-// NeededForQuorum tells that a majority may still need this member: it is a voter, or the
+// NeededForQuorum reports whether a majority may still need this member: it is a voter, or the
 // change that takes its vote is not known to be committed. Until then it stands for election
 // too: it may be the only one left that holds that change, and then it can't vote for the
 // others, whose logs are shorter.
@@ -38,7 +38,7 @@
 	return n.membersIndex > n.log.committed && m != nil && m.isVoter()
 }
 
-// MembershipChangePending tells that a membership change is under way: its last entry is not
+// MembershipChangePending reports whether a membership change is under way: its last entry is not
 // committed.
 func (n *Node) MembershipChangePending() bool {
 	return n.membersIndex > n.log.committed || len(outgoingVoterIDs(n.members)) > 0
@@ -84,7 +84,7 @@
 	dropped int // ... of which so many are not even members any more
 }
 
-// isAllowed tells whether a change may be made in one step. A swap may not drop the voter that
+// isAllowed reports whether a change may be made in one step. A swap may not drop the voter that
 // it removes: it counts toward the outgoing majorities until the change is through.
 func (c voterChange) isAllowed() bool {
 	return c.added <= 1 && c.removed <= 1 && c.added+c.dropped <= 1
@@ -135,7 +135,7 @@
 	}
 }
 
-// SupportsJointConsensus tells whether all voters, the present ones and those of a list, are
+// SupportsJointConsensus reports whether all voters, the present ones and those of a list, are
 // stored in the log as members that understand joint changes. One that does not would elect
 // and commit with a majority of one set alone.
 func (n *Node) SupportsJointConsensus(members []Member) bool {
@@ -147,7 +147,7 @@
 	return true
 }
 
-// CanCommitMembers tells a leader whether a change to these members could be committed now: a
+// CanCommitMembers reports whether, on a leader, a change to these members could be committed now: a
 // majority of the present voters, and of those to be, have answered within the minimum
 // election time-out, and each new voter has all that is committed.
 func (n *Node) CanCommitMembers(members []Member) bool {
--- a/raft/message.go
+++ b/raft/message.go
@@ -27,9 +27,9 @@
 	// SnapshotChunk carries a part of a snapshot. Older versions know neither this kind
 	// nor the next.
 	SnapshotChunk
-	// SnapshotChunkReply tells how much of a snapshot the sender holds, or refuses it.
+	// SnapshotChunkReply acknowledges how much of a snapshot the sender holds, or refuses it.
 	SnapshotChunkReply
-	// DurabilityLost tells a member that its log lacks entries that it has acknowledged to
+	// DurabilityLost notifies a member that its log lacks entries that it has acknowledged to
 	// this leader.
 	DurabilityLost
 )
@@ -72,10 +72,10 @@
 	// [Node.NextReadIndexRound].
 	Round  uint64 `cbor:"8,keyasint,omitempty"`
 	Reject bool   `cbor:"9,keyasint,omitempty"`
-	// LeadershipTransfer, in a vote request, tells that the leader itself asked for the
+	// LeadershipTransfer, in a vote request, reports that the leader itself asked for the
 	// election: the receiver does not protect that leader (3.10, 4.2.3).
 	LeadershipTransfer bool `cbor:"10,keyasint,omitempty"`
-	// SupportsJoint, in an AppendEntriesReply, tells that the sender understands joint changes.
+	// SupportsJoint, in an AppendEntriesReply, reports that the sender understands joint changes.
 	SupportsJoint bool    `cbor:"20,keyasint,omitempty"`
 	Entries       []Entry `cbor:"11,keyasint,omitempty"`
 	// Snapshot of a chunk has the bytes from Offset on as its Data.
@@ -104,14 +104,14 @@
 	return bytes
 }
 
-// IsBulk tells that a message may occupy a link for long, and must not delay the others:
+// IsBulk reports whether a message may occupy a link for long, and must not delay the others:
 // heartbeats, votes and replies. Those may overtake it.
 func (m *Message) IsBulk() bool { return m.Kind == SnapshotChunk || m.PayloadSize() > maxUrgentBytes }
 
 // maxIndex bounds terms and indexes, so that no sum of them overflows.
 const maxIndex = 1 << 60
 
-// isWellFormed tells that a member may have sent this message: its entries follow on each
+// isWellFormed reports whether a member may have sent this message: its entries follow on each
 // other, and are of no later term than the message. Others would corrupt the log.
 func (m *Message) isWellFormed() bool {
 	if m.Term > maxIndex || m.Index > maxIndex || m.LogTerm > m.Term {
@@ -130,7 +130,7 @@
 	return true
 }
 
-// hasWellFormedSnapshot tells that the snapshot of a message, or the chunk of one, is within
+// hasWellFormedSnapshot reports whether the snapshot of a message, or the chunk of one, is within
 // its bounds.
 func (m *Message) hasWellFormedSnapshot() bool {
 	s := m.Snapshot
--- a/raft/node.go
+++ b/raft/node.go
@@ -11,7 +11,7 @@
 	randomSource *rand.PCG
 	random       *rand.Rand
 
-	// hardState is the term and vote. hardStateDirty tells that the host has not stored it yet.
+	// hardState is the term and vote. hardStateDirty reports that the host has not stored it yet.
 	hardState      HardState
 	hardStateDirty bool
 	log            entryLog
@@ -35,19 +35,19 @@
 	// lostDurability is one-way: once true it stays.
 	lostDurability bool
 
-	// lastLeader is the last leader that this member heard from, in any term, and
+	// lastLeader is the last leader of which a message arrived, in any term, and
 	// lastLeaderTicks how many ticks ago.
 	lastLeader      ID
 	lastLeaderTicks int
 
 	// electionElapsed counts ticks: on a leader since the last quorum check, on others
-	// since they last heard from a leader, granted a vote, or began an election. Members
+	// since the last message of a leader, vote granted, or election begun here. Members
 	// other than the leader begin an election when it reaches electionTimeout.
 	electionElapsed int
 	electionTimeout int
 
 	// votes are the answers in the election that this candidate holds, its own vote among
-	// them; nil on others. preVote tells that it is a pre-vote.
+	// them; nil on others. preVote reports that it is a pre-vote.
 	votes   map[ID]bool
 	preVote bool
 
@@ -77,7 +77,7 @@
 	n.updateMembers()
 	n.becomeFollower(0)
 	// The first election comes early: after a start of all members there is no leader to
-	// be heard from. Where there is one, its followers do not answer the pre-vote.
+	// wait for. Where there is one, its followers do not answer the pre-vote.
 	n.electionTimeout = minFirstElectionTicks + n.random.IntN(max(1, cfg.ElectionTicks/2))
 	return n
 }
@@ -110,12 +110,12 @@
 // [Config.ValidateSnapshot], since the start of the process.
 func (n *Node) RejectedSnapshots() uint64 { return n.rejectedSnapshots }
 
-// LostDurability tells that this member's log lacks entries that it has acknowledged, as its
+// LostDurability reports whether this member's log lacks entries that it has acknowledged, as its
 // leader found: its disk is an earlier one. The host must stop the member, and start it anew
 // only with an empty disk and a new ID.
 func (n *Node) LostDurability() bool { return n.lostDurability }
 
-// Tick tells that one tick has passed.
+// Tick reports whether one tick has passed.
 func (n *Node) Tick() {
 	n.electionElapsed++
 	n.lastLeaderTicks++
@@ -138,7 +138,7 @@
 	}
 }
 
-// checkQuorum tells whether a majority has answered this leader since the last check. A
+// checkQuorum reports whether a majority has answered this leader since the last check. A
 // leader without one steps down (6.2): the others may have elected another.
 func (n *Node) checkQuorum() bool {
 	n.electionElapsed = 0
--- a/raft/progress.go
+++ b/raft/progress.go
@@ -9,7 +9,7 @@
 	// minLinkBytesPerTick is the speed of the slowest link that time-outs allow for, in
 	// bytes in a tick of 50 ms: 1 Mbit/s.
 	minLinkBytesPerTick = 6250
-	// catchUpTimeoutTicks is how long a follower that receives a snapshot may be silent
+	// catchUpTimeoutTicks is how long a follower that receives a snapshot may send no reply
 	// before the leader no longer keeps the log for it.
 	catchUpTimeoutTicks = 60
 )
@@ -30,14 +30,14 @@
 	supportsJoint          bool   // by its last answer it understands joint changes
 	ticksSinceResponse     int
 
-	// paused tells that entries are in flight: heartbeats carry none meanwhile.
+	// paused reports that entries are in flight: heartbeats carry none meanwhile.
 	paused        bool
 	inflightIndex uint64 // of the last entry in flight
 	inflightBytes int    // size of the entries in flight
 	inflightTicks int    // ticks since they were sent
 
 	transfer *snapshotTransfer // nil: the follower needs no snapshot
-	// catchingUp tells that a snapshot was sent, and that the follower does not yet have
+	// catchingUp reports that a snapshot was sent, and that the follower does not yet have
 	// all that was committed since.
 	catchingUp bool
 }
@@ -66,7 +66,7 @@
 	p.paused, p.inflightIndex, p.inflightBytes, p.inflightTicks = true, lastIndex, bytes, 0
 }
 
-// needsLog tells that the follower is alive and receives a snapshot, or has received one and
+// needsLog reports whether the follower is alive and receives a snapshot, or has received one and
 // not yet all that was committed since: the log must go on from that snapshot.
 func (p *progress) needsLog() bool {
 	refused := p.transfer != nil && p.transfer.refusals > 0
@@ -87,7 +87,7 @@
 	}
 }
 
-// TicksSinceResponse returns for how many ticks this leader has not heard from a member; 0 on
+// TicksSinceResponse returns for how many ticks a member has sent this leader no reply; 0 on
 // other members, and of one that is not a member.
 func (n *Node) TicksSinceResponse(id ID) int {
 	if p := n.progress[id]; p != nil {
@@ -96,13 +96,13 @@
 	return 0
 }
 
-// CaughtUp tells whether a member has all that this leader has committed.
+// CaughtUp reports whether a member has all that this leader has committed.
 func (n *Node) CaughtUp(id ID) bool {
 	p := n.progress[id]
 	return p != nil && p.matchIndex >= n.log.committed
 }
 
-// PeerResponse tells whether a member has answered this leader, and whether it understands
+// PeerResponse reports whether a member has answered this leader, and whether it understands
 // joint changes by what it said last.
 func (n *Node) PeerResponse(id ID) (responded, supportsJoint bool) {
 	if id == n.cfg.ID {
@@ -112,7 +112,7 @@
 	return p != nil && p.responded, p != nil && p.supportsJoint
 }
 
-// ReportSendFailure tells a leader that messages to a member, other than heartbeats, were not
+// ReportSendFailure notifies a leader that messages to a member, other than heartbeats, were not
 // delivered: they may be sent again before their time-out.
 func (n *Node) ReportSendFailure(id ID) {
 	p := n.progress[id]
--- a/raft/quorum.go
+++ b/raft/quorum.go
@@ -63,7 +63,7 @@
 	return lowest
 }
 
-// hasQuorum tells whether a condition holds for a majority of each set of voters, this member
+// hasQuorum reports whether a condition holds for a majority of each set of voters, this member
 // among those for which it does.
 func (n *Node) hasQuorum(members []Member, holds func(*progress) bool) bool {
 	return n.quorumValue(members, 1, func(p *progress) uint64 {
--- a/raft/readindex.go
+++ b/raft/readindex.go
@@ -15,7 +15,7 @@
 	return n.quorumValue(n.members, n.heartbeatRound, func(p *progress) uint64 { return p.acknowledgedRound })
 }
 
-// HasCommittedInTerm tells that this member leads and has committed an entry of its own term:
+// HasCommittedInTerm reports whether this member leads and has committed an entry of its own term:
 // all that was ever acknowledged to a client is then among its committed entries.
 func (n *Node) HasCommittedInTerm() bool {
 	return n.role == Leader && n.log.term(n.log.committed) == n.hardState.Term
--- a/raft/ready.go
+++ b/raft/ready.go
@@ -1,6 +1,6 @@
 package raft
 
-// Ready is what the host has to do; the package comment tells why in this order: store
+// Ready is what the host has to do; the package comment explains the order: store
 // HardState, Snapshot and Entries and sync them; send Messages; apply Snapshot and then
 // CommittedEntries; call [Node.Advance].
 type Ready struct {
@@ -12,12 +12,12 @@
 	CommittedEntries []Entry   // to apply, in this order
 }
 
-// Empty tells that there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
 	return !r.MustSync() && len(r.Messages) == 0 && len(r.CommittedEntries) == 0
 }
 
-// MustSync tells that something has to be on stable storage before the messages are sent.
+// MustSync reports whether something has to be on stable storage before the messages are sent.
 func (r *Ready) MustSync() bool { return r.HardState != nil || r.Snapshot != nil || len(r.Entries) > 0 }
 
 // Ready returns what the host has to do. It changes nothing: until [Node.Advance] it returns
@@ -42,7 +42,7 @@
 	return r
 }
 
-// Advance tells that a Ready has been carried out. A leader counts its own copy of the stored
+// Advance reports whether a Ready has been carried out. A leader counts its own copy of the stored
 // entries from here on, which may commit them.
 func (n *Node) Advance(r Ready) {
 	n.messages = n.messages[len(r.Messages):]
--- a/raft/replication.go
+++ b/raft/replication.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// handleAppendRejection moves back to where the log of a follower may fit, or tells it that it
+// handleAppendRejection moves back to where the log of a follower may fit, or notifies it that it
 // has lost what it had acknowledged.
 func (n *Node) handleAppendRejection(m Message, p *progress) {
 	// The request was sent in a later round than the answer that raised matchIndex came in,
--- a/raft/snapshot_receive.go
+++ b/raft/snapshot_receive.go
@@ -22,13 +22,13 @@
 	return a
 }
 
-// matches tells that a message has a chunk of this snapshot.
+// matches reports whether a message has a chunk of this snapshot.
 func (a *snapshotAssembly) matches(m *Message) bool {
 	return a.snapshot.Index == m.Snapshot.Index && a.snapshot.Term == m.Snapshot.Term &&
 		a.size == m.SnapshotSize && a.checksum == m.SnapshotChecksum
 }
 
-// olderThan tells that a message has a chunk of a later snapshot. The snapshots of one leader
+// olderThan reports whether a message has a chunk of a later snapshot. The snapshots of one leader
 // only become later; those of a new leader may be earlier than those of the last one.
 func (a *snapshotAssembly) olderThan(m *Message) bool {
 	return m.Term > a.term || m.Snapshot.Index > a.snapshot.Index
@@ -88,7 +88,7 @@
 	}
 }
 
-// refuseSnapshot counts a snapshot that can't be used, and tells its sender.
+// refuseSnapshot counts a snapshot that can't be used, and notifies its sender.
 func (n *Node) refuseSnapshot(reply Message) {
 	n.rejectedSnapshots++
 	reply.Reject = true
--- a/raft/step.go
+++ b/raft/step.go
@@ -19,7 +19,7 @@
 }
 
 // handleNewerTerm adopts the term of a message from a newer one, if the message calls for
-// that, and tells whether the message is to be handled.
+// that, and reports whether the message is to be handled.
 func (n *Node) handleNewerTerm(m Message) bool {
 	switch m.Kind {
 	case PreVoteRequest: // names a term that has not begun
@@ -42,7 +42,7 @@
 	return true
 }
 
-// rejectOlderTerm tells the sender of a message of an older term of the current one, where
+// rejectOlderTerm sends the current term to the sender of a message of an older one, where
 // the sender may take itself for the leader or for a candidate.
 func (n *Node) rejectOlderTerm(m Message) {
 	switch m.Kind {
--- a/raft/trace_test.go
+++ b/raft/trace_test.go
@@ -10,23 +10,32 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// traceDigest is the digest of all that the members of [TestSeededRunsAreReproducible] hand
-// to their hosts, and of their states. A change that is to leave behaviour as it is leaves
-// it as it is; one that is not to gives the new value in its commit, and why.
-const traceDigest uint64 = 0x3cc1d48ddc629674
+const (
+	// traceDigest is the digest of all that the members of [TestSeededRunsAreReproducible] hand
+	// to their hosts, and of their states. A change that leaves behaviour as it is leaves the
+	// digest as it is. One that does not has the new value, and the reason, in its commit.
+	traceDigest uint64 = 0x3cc1d48ddc629674
 
-// Equal seeds and equal calls give equal results: the same messages in the same order, the
-// same entries to store and to apply, and the same use of the random source.
+	traceRuns    = 150
+	traceSteps   = 500
+	traceMembers = 5
+	traceVoters  = 3
+	// traceMinMessages is how many messages of each kind make the digest mean something.
+	traceMinMessages = 20
+)
+
+// Equal seeds and equal calls give equal results: the same messages in the same order, the same
+// entries to store and to apply, and the same use of the random source.
 func TestSeededRunsAreReproducible(t *testing.T) {
 	t.Parallel()
 	digest := xxhash.New()
 	sent := map[MessageKind]int{}
-	for seed := range uint64(150) {
-		trace(t, digest, sent, seed)
+	for seed := range uint64(traceRuns) {
+		newTraceRun(t, seed, digest, sent).play()
 	}
 	for kind := PreVoteRequest; kind <= SnapshotChunkReply; kind++ {
-		if sent[kind] < 20 {
-			t.Errorf("%d messages of kind %d were sent: too few to say anything", sent[kind], kind)
+		if sent[kind] < traceMinMessages {
+			t.Errorf("%d messages were sent of kind %v: too few to say anything", sent[kind], kind)
 		}
 	}
 	if got := digest.Sum64(); got != traceDigest {
@@ -34,130 +43,199 @@
 	}
 }
 
-// trace plays five members, two of them learners, under lost, late and doubled messages,
-// crashes, snapshots and changes of members, and adds all that they do to a digest.
-func trace(t *testing.T, digest *xxhash.Digest, sent map[MessageKind]int, seed uint64) {
+// traceRun is five members, two of them learners, under lost, late and duplicated messages,
+// crashes, snapshots and changes of members.
+type traceRun struct {
+	t        *testing.T
+	seed     uint64
+	rng      *rand.Rand
+	digest   *xxhash.Digest      // of all that the members do
+	sent     map[MessageKind]int // how many messages
+	disks    map[ID]*PersistentState
+	nodes    map[ID]*Node
+	network  []Message
+	isolated ID // the member that nothing reaches; 0: none
+}
+
+func newTraceRun(t *testing.T, seed uint64, digest *xxhash.Digest, sent map[MessageKind]int) *traceRun {
 	t.Helper()
-	rng := rand.New(rand.NewPCG(seed, 77))
-	var members []Member
-	for id := ID(1); id <= 5; id++ {
-		members = append(members, Member{ID: id, Voter: id <= 3, SupportsJoint: true})
+	r := &traceRun{
+		t:      t,
+		seed:   seed,
+		rng:    rand.New(rand.NewPCG(seed, 77)),
+		digest: digest,
+		sent:   sent,
+		disks:  map[ID]*PersistentState{},
+		nodes:  map[ID]*Node{},
 	}
-	disks, nodes := map[ID]*PersistentState{}, map[ID]*Node{}
-	start := func(id ID) {
-		d := disks[id]
-		nodes[id] = New(Config{ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Seed: seed, ChunkBytes: 16 << (seed % 3 * 2), TrailingEntries: 3, SnapshotEntries: 8},
-			PersistentState{HardState: d.HardState, Snapshot: d.Snapshot, Entries: slices.Clone(d.Entries)})
+	var members []Member
+	for id := ID(1); id <= traceMembers; id++ {
+		members = append(members, Member{ID: id, Voter: id <= traceVoters, SupportsJoint: true})
 	}
 	for _, m := range members {
-		disks[m.ID] = &PersistentState{Snapshot: Snapshot{Members: members}}
-		start(m.ID)
-	}
-	var network []Message
-	host := func(id ID) {
-		n, d := nodes[id], disks[id]
-		for r := n.Ready(); !r.Empty(); r = n.Ready() {
-			if data, err := cbor.Marshal([]any{r.HardState, r.Snapshot, r.Entries, r.Messages, r.CommittedEntries}); err != nil {
-				t.Fatal(err)
-			} else if _, err := digest.Write(data); err != nil {
-				t.Fatal(err)
-			}
-			if r.HardState != nil {
-				d.HardState = *r.HardState
-			}
-			if r.Snapshot != nil {
-				d.Snapshot, d.Entries = *r.Snapshot, nil
-			}
-			if len(r.Entries) > 0 {
-				keep := r.Entries[0].Index - d.Snapshot.Index - 1
-				d.Entries = append(slices.Clone(d.Entries[:keep]), r.Entries...)
-			}
-			for _, m := range r.Messages {
-				sent[m.Kind]++
-			}
-			network = append(network, r.Messages...)
-			n.Advance(r)
-		}
-		if _, err := digest.Write(n.AppendKey(nil)); err != nil {
-			t.Fatal(err)
-		}
-		if n.SnapshotDue() {
-			at := n.AppliedIndex()
-			if s := n.Compact(at, bytes.Repeat([]byte{byte(at)}, int(40+at%40))); s != nil {
-				d.Entries = slices.Clone(d.Entries[s.Index-d.Snapshot.Index:])
-				d.Snapshot = *s
-			}
-		}
+		r.disks[m.ID] = &PersistentState{Snapshot: Snapshot{Members: members}}
+		r.start(m.ID)
 	}
-	cut := ID(0) // the member that nothing reaches
-	for step := range 500 {
-		for id := ID(1); id <= 5; id++ {
-			n := nodes[id]
-			if rng.IntN(8) > 0 {
+	return r
+}
+
+// start starts a member, anew if it is up, with what its disk holds.
+func (r *traceRun) start(id ID) {
+	disk := *r.disks[id]
+	disk.Entries = slices.Clone(disk.Entries)
+	r.nodes[id] = New(Config{
+		ID:              id,
+		ElectionTicks:   10,
+		HeartbeatTicks:  2,
+		Seed:            r.seed,
+		ChunkBytes:      16 << (r.seed % 3 * 2),
+		TrailingEntries: 3,
+		SnapshotEntries: 8,
+	}, disk)
+}
+
+// play plays all steps.
+func (r *traceRun) play() {
+	r.t.Helper()
+	for step := range traceSteps {
+		for id := ID(1); id <= traceMembers; id++ {
+			n := r.nodes[id]
+			if r.rng.IntN(8) > 0 {
 				n.Tick()
 			}
 			if n.Role() == Leader {
-				traceCall(rng, n, step)
+				r.call(n, step)
 			}
-			host(id)
+			r.runHost(id)
 		}
-		switch rng.IntN(40) {
-		case 0:
-			start(ID(1 + rng.IntN(5)))
-		case 1:
-			cut = ID(1 + rng.IntN(5))
-		case 2:
-			cut = 0
+		r.injectFault()
+		r.deliver()
+	}
+}
+
+// injectFault has something go wrong at random.
+func (r *traceRun) injectFault() {
+	anyMember := func() ID { return ID(1 + r.rng.IntN(traceMembers)) }
+	switch r.rng.IntN(40) {
+	case 0:
+		r.start(anyMember())
+	case 1:
+		r.isolated = anyMember()
+	case 2:
+		r.isolated = 0
+	}
+}
+
+// deliver delivers the messages in flight, but for those that are lost or delayed.
+func (r *traceRun) deliver() {
+	r.t.Helper()
+	arriving := r.network
+	r.network = nil
+	for _, m := range arriving {
+		percent := r.rng.IntN(100)
+		switch {
+		case m.From == r.isolated || m.To == r.isolated || percent < 4:
+			continue
+		case percent < 12: // delayed
+			r.network = append(r.network, m)
+			continue
+		case percent < 16: // duplicated
+			r.network = append(r.network, m)
 		}
-		arriving := network
-		network = nil
-		for _, m := range arriving {
-			switch x := rng.IntN(100); {
-			case m.From == cut || m.To == cut || x < 4:
-				continue
-			case x < 12:
-				network = append(network, m)
-				continue
-			case x < 16:
-				network = append(network, m)
-			}
-			if n := nodes[m.To]; n != nil {
-				n.Step(m)
-				host(m.To)
-			}
+		r.nodes[m.To].Step(m)
+		r.runHost(m.To)
+	}
+	r.network = r.network[max(0, len(r.network)-200):]
+}
+
+// runHost carries out all that a member has ready, and adds it to the digest.
+func (r *traceRun) runHost(id ID) {
+	r.t.Helper()
+	n := r.nodes[id]
+	for ready := n.Ready(); !ready.Empty(); ready = n.Ready() {
+		data, err := cbor.Marshal([]any{
+			ready.HardState, ready.Snapshot, ready.Entries, ready.Messages, ready.CommittedEntries,
+		})
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		r.addToDigest(data)
+		r.store(id, ready)
+		for _, m := range ready.Messages {
+			r.sent[m.Kind]++
 		}
-		network = network[max(0, len(network)-200):]
+		r.network = append(r.network, ready.Messages...)
+		n.Advance(ready)
+	}
+	r.addToDigest(n.AppendKey(nil))
+	if n.SnapshotDue() {
+		r.compact(id)
+	}
+}
+
+func (r *traceRun) addToDigest(data []byte) {
+	r.t.Helper()
+	if _, err := r.digest.Write(data); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// store puts on a member's disk what has to be there before the messages go out.
+func (r *traceRun) store(id ID, ready Ready) {
+	disk := r.disks[id]
+	if ready.HardState != nil {
+		disk.HardState = *ready.HardState
+	}
+	if ready.Snapshot != nil {
+		disk.Snapshot, disk.Entries = *ready.Snapshot, nil
+	}
+	if len(ready.Entries) > 0 {
+		kept := ready.Entries[0].Index - disk.Snapshot.Index - 1
+		disk.Entries = append(slices.Clone(disk.Entries[:kept]), ready.Entries...)
+	}
+}
+
+// compact makes a snapshot of what a member has applied.
+func (r *traceRun) compact(id ID) {
+	n, disk := r.nodes[id], r.disks[id]
+	applied := n.AppliedIndex()
+	data := bytes.Repeat([]byte{byte(applied)}, int(40+applied%40))
+	if s := n.Compact(applied, data); s != nil {
+		disk.Entries = slices.Clone(disk.Entries[s.Index-disk.Snapshot.Index:])
+		disk.Snapshot = *s
 	}
 }
 
-// traceCall makes one of the calls that the host of a leader makes.
-func traceCall(rng *rand.Rand, n *Node, step int) {
+// call makes one of the calls that the host of a leader makes. That it is refused is part of the
+// run.
+func (r *traceRun) call(n *Node, step int) {
 	members := slices.Clone(n.Members())
-	switch rng.IntN(30) {
+	anyMember := func() *Member { return &members[r.rng.IntN(len(members))] }
+	switch r.rng.IntN(30) {
 	case 0, 1, 2, 3:
 		_, _, _ = n.Propose(bytes.Repeat([]byte{byte(step)}, 1+step%2*maxUrgentBytes))
 	case 4:
 		n.BroadcastHeartbeat()
 	case 5:
-		n.ReportSendFailure(ID(1 + rng.IntN(5)))
+		n.ReportSendFailure(ID(1 + r.rng.IntN(traceMembers)))
 	case 6: // one voter for another
-		i, j := rng.IntN(len(members)), rng.IntN(len(members))
-		members[i].Voter, members[j].Voter = members[j].Voter, members[i].Voter
+		a, b := anyMember(), anyMember()
+		a.Voter, b.Voter = b.Voter, a.Voter
 		if n.CanCommitMembers(members) {
 			_ = n.ProposeMembers(members)
 		}
 	case 7: // one voter more, or one less
-		i := rng.IntN(len(members))
-		members[i].Voter = !members[i].Voter
+		m := anyMember()
+		m.Voter = !m.Voter
 		if n.CanCommitMembers(members) && len(voterIDs(members)) > 2 {
 			_ = n.ProposeMembers(members)
 		}
 	case 8:
-		if rng.IntN(10) == 0 {
+		if r.rng.IntN(10) == 0 {
 			n.TransferLeadership()
 		}
 	case 9:
-		if rng.IntN(10) == 0 {
+		if r.rng.IntN(10) == 0 {
 			n.StepDown()
 		}
 	}
--- a/raft/types.go
+++ b/raft/types.go
@@ -13,12 +13,12 @@
 	// Outgoing is set by the leader in the entry of a joint change only: the member counts
 	// toward the majorities of the outgoing set of voters.
 	Outgoing bool `cbor:"4,keyasint,omitempty"`
-	// SupportsJoint tells that the member has said that it understands joint changes. It is
-	// stored in the log, as a leader must know it of voters that it has never heard from.
+	// SupportsJoint reports that the member has said that it understands joint changes. It is
+	// stored in the log, as a leader must know it of voters that have never answered it.
 	SupportsJoint bool `cbor:"5,keyasint,omitempty"`
 }
 
-// isVoter tells whether the member counts toward the majorities of any set of voters.
+// isVoter reports whether the member counts toward the majorities of any set of voters.
 func (m *Member) isVoter() bool { return m.Voter || m.Outgoing }
 
 // Entry is one entry of the log.
