--- a/cmd/elmspan/call.go
+++ b/cmd/elmspan/call.go
@@ -18,8 +18,8 @@
 
 // callerFlags say who calls the operator's interface, and whom it believes.
 type callerFlags struct {
-	TokenFile string `help:"File with the operator's token, where the system asks for one." env:"ELMSPAN_TOKEN_FILE" type:"existingfile" placeholder:"FILE"`
-	CA        string `name:"ca" help:"Authority of the interface's certificate, in PEM: it is then spoken to by TLS." env:"ELMSPAN_CONTROL_CA" type:"existingfile" placeholder:"FILE"`
+	TokenFile string `help:"${callerflags_tokenfile}" env:"ELMSPAN_TOKEN_FILE" type:"existingfile" placeholder:"FILE"`
+	CA        string `help:"${callerflags_ca}" env:"ELMSPAN_CONTROL_CA" type:"existingfile" placeholder:"FILE"`
 }
 
 // call asks a process; its plain text is the error where it does not say 200.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // all of it was read, or it is of no use
 	got, err := io.ReadAll(io.LimitReader(resp.Body, api.MaxConfigBytes))
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("%s answered %d: %s", control, resp.StatusCode, bytes.TrimSpace(got))
--- a/cmd/elmspan/config.go
+++ b/cmd/elmspan/config.go
@@ -18,7 +18,7 @@
 type configCmd struct {
 	Get  configGet  `cmd:"" help:"Print the newest configuration as JSON, or write it as it was sent."`
 	Put  configPut  `cmd:"" help:"Check a configuration and bring it."`
-	Diff configDiff `cmd:"" help:"Show in which routes, services and tenants a file differs from the newest configuration."`
+	Diff configDiff `cmd:"" help:"${configcmd_diff}"`
 
 	History  configHistory  `cmd:"" help:"List the versions that are remembered whole, the newest last."`
 	Rollback configRollback `cmd:"" help:"Bring an earlier version again, under a new number."`
--- a/cmd/elmspan/emulate.go
+++ b/cmd/elmspan/emulate.go
@@ -19,12 +19,12 @@
 	Fleet   string  `arg:"" help:"The fleet and its day." type:"existingfile"`
 	Seed    uint64  `help:"Another seed than the file's."`
 	Seconds float64 `help:"Another length than the file's."`
-	Dir     string  `help:"Folder for settings, data and logs; a new one below the system's for such where left out." placeholder:"DIR"`
+	Dir     string  `help:"${emulatecmd_dir}" placeholder:"DIR"`
 	CSV     string  `help:"Write a line for each second to this file." placeholder:"FILE"`
 	Debug   bool    `help:"Have the processes log all they do."`
-	Program string  `help:"Run this build of the gateway rather than this program's own." type:"existingfile" placeholder:"PROGRAM"`
-	Upgrade string  `help:"After the day restart the machines one by one into this build while an operator brings changes, then kill all at once: each must come back with it and the newest configuration." name:"upgrade-to" type:"existingfile" placeholder:"PROGRAM"`
-	Profile string  `help:"Have each process that ends in order write a CPU profile to this folder (go tool pprof -top FOLDER/*.pprof), and print what they spent." placeholder:"FOLDER"`
+	Program string  `help:"${emulatecmd_program}" type:"existingfile" placeholder:"PROGRAM"`
+	Upgrade string  `help:"${emulatecmd_upgrade}" name:"upgrade-to" type:"existingfile" placeholder:"PROGRAM"`
+	Profile string  `help:"${emulatecmd_profile}" placeholder:"FOLDER"`
 }
 
 // Run plays the day. A broken rule is exit code 3.
--- a/cmd/elmspan/explain.go
+++ b/cmd/elmspan/explain.go
@@ -145,7 +145,8 @@
 
 func (l *line) attemptEvent() string {
 	f := l.fields
-	event := fmt.Sprintf("server %s of %s (%s) was tried for %s ms: %s", f["server"], f["service"], f["zone"], f["took_ms"], f["result"])
+	event := fmt.Sprintf("server %s of %s (%s) was tried for %s ms: %s",
+		f["server"], f["service"], f["zone"], f["took_ms"], f["result"])
 	if f["ran"] == "true" && f["result"] != "good" {
 		event += ", it may have run"
 	}
--- a/cmd/elmspan/keys.go
+++ b/cmd/elmspan/keys.go
@@ -12,9 +12,9 @@
 )
 
 type keysCmd struct {
-	Init   keysInit   `cmd:"" help:"Make an authority in a folder. Keep the folder to yourself. Example: elmspan keys init ca"`
-	Issue  keysIssue  `cmd:"" help:"Write the folder of one machine, for tls.dir of its tuning file. Example: elmspan keys issue ca edge-a-1 --ip 10.1.0.13"`
-	Rotate keysRotate `cmd:"" help:"Take a change of keys one stage on. There are three; after each, issue every machine's folder anew."`
+	Init   keysInit   `cmd:"" help:"${keyscmd_init}"`
+	Issue  keysIssue  `cmd:"" help:"${keyscmd_issue}"`
+	Rotate keysRotate `cmd:"" help:"${keyscmd_rotate}"`
 }
 
 type keysInit struct {
--- a/cmd/elmspan/main.go
+++ b/cmd/elmspan/main.go
@@ -5,38 +5,23 @@
 package main
 
 import (
-	"cmp"
-	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
-	"os/signal"
-	"path/filepath"
-	"runtime"
-	"runtime/debug"
-	"syscall"
-	"time"
 
 	"github.com/alecthomas/kong"
 	"github.com/willabides/kongplete"
-
-	"example.org/elmspan/internal/loglimit"
-	"example.org/elmspan/process"
-	"example.org/elmspan/settings"
-	"example.org/elmspan/telemetry"
 )
 
-const gcPercent = 15 // memory is dearer than processor time
-
+// commands is the command line.
 type commands struct {
 	Gateway gatewayCmd `cmd:"" help:"Run one process of the system, as its settings file says."`
-	Check   checkCmd   `cmd:"" help:"Check files: node settings, tuning and fleets (.toml), configurations (.cbor, .json). Names each fault in a line."`
+	Check   checkCmd   `cmd:"" help:"${commands_check}"`
 	Config  configCmd  `cmd:"" help:"Read, bring or compare the configuration of a running system."`
-	State   stateCmd   `cmd:"" help:"Export what the core agrees on, begin a lost core from it, and look into a data folder."`
+	State   stateCmd   `cmd:"" help:"${commands_state}"`
 	Status  statusCmd  `cmd:"" help:"Show what a running process knows."`
 	Explain explainCmd `cmd:"" help:"Tell the path of one request through all processes, from their logs."`
-	Emulate emulateCmd `cmd:"" help:"Start a fleet on loopback with stand-ins of all it meets, play a day and report. Example: elmspan emulate docs/fleet.toml"`
+	Emulate emulateCmd `cmd:"" help:"${commands_emulate}"`
 	Keys    keysCmd    `cmd:"" help:"Make and change the keys by which the system's own processes know each other."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 
@@ -49,80 +34,40 @@
 // errRule ends the program with exit code 3.
 var errRule = errors.New("a rule was broken")
 
+// Exit codes; 0 is success.
+const (
+	exitFailed = 1
+	exitUsage  = 2
+	exitRule   = 3
+)
+
+// newParser returns the parser of the command line.
+func newParser() *kong.Kong {
+	return kong.Must(&commands{}, kong.Name("elmspan"),
+		kong.Description("A distributed rate limiter, load balancer and API gateway."),
+		helpTexts, kong.UsageOnError(), kong.Exit(exit))
+}
+
+// exit ends the program as kong asks for: whatever is wrong then is the command line.
+func exit(code int) {
+	if code != 0 {
+		code = exitUsage
+	}
+	os.Exit(code)
+}
+
 func main() {
-	var c commands
-	parser := kong.Must(&c, kong.Name("elmspan"), kong.Description("A distributed rate limiter, load balancer and API gateway."),
-		kong.UsageOnError(), kong.Exit(func(code int) {
-			if code != 0 {
-				code = 2
-			}
-			os.Exit(code)
-		}))
+	parser := newParser()
 	kongplete.Complete(parser) // ends here where a shell asks
-	k, err := parser.Parse(os.Args[1:])
+	command, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
-	err = k.Run()
+	err = command.Run()
 	switch {
 	case errors.Is(err, errRule):
 		fmt.Fprintln(os.Stderr, "elmspan:", err)
-		os.Exit(3)
+		os.Exit(exitRule)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "elmspan:", err)
-		os.Exit(1)
-	}
-}
-
-type gatewayCmd struct {
-	Settings string `help:"Path of the node's settings file." env:"ELMSPAN_NODE_FILE" placeholder:"FILE"`
-	Tuning   string `help:"Path of the tuning file, if there is one; see docs/tuning.md." env:"ELMSPAN_TUNING_FILE" placeholder:"FILE"`
-	LogLevel string `help:"Least level of what is logged, before the tuning file's: debug, info, warn or error." default:"" enum:",debug,info,warn,error"`
-	LogJSON  bool   `help:"Log as JSON, a line each, whatever the tuning file says."`
-	Profile  string `help:"Write a CPU profile and what the process spent to files in this folder when it ends." placeholder:"DIR"`
-}
-
-// Run runs the process until SIGTERM.
-func (c *gatewayCmd) Run() (failed error) {
-	// First of all: Go's default action on SIGHUP ends the program.
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	runtime.GOMAXPROCS(1) // a process has a share of one core; more would only cost memory
-	debug.SetGCPercent(gcPercent)
-	if c.Settings == "" {
-		return fmt.Errorf("%s is not set: it names the settings file", settings.NodeFileEnv)
-	}
-	if c.Profile != "" {
-		r, err := telemetry.StartRecording(c.Profile, filepath.Base(filepath.Dir(c.Settings)))
-		if err != nil {
-			return fmt.Errorf("--profile: %w", err)
-		}
-		defer func() { failed = errors.Join(failed, r.Close()) }()
-	}
-	tune, err := settings.ReadTuning(c.Tuning)
-	if err != nil {
-		return err
-	}
-	level, follow := new(slog.LevelVar), (*slog.LevelVar)(nil)
-	if err := level.UnmarshalText([]byte(cmp.Or(c.LogLevel, tune.Log.Level))); err != nil {
-		return fmt.Errorf("log.level: %w", err)
-	}
-	if c.LogLevel == "" {
-		follow = level
-	}
-	var handler slog.Handler = slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})
-	if c.LogJSON || tune.Log.Format == "json" {
-		handler = slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level})
-	}
-	handler = loglimit.New(handler, time.Duration(tune.Log.RepeatS*float64(time.Second)), time.Now)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	p, err := process.New(process.Options{SettingsPath: c.Settings, TuningPath: c.Tuning, Tuning: tune, Log: slog.New(handler), Level: follow})
-	if err != nil {
-		return err
+		os.Exit(exitFailed)
 	}
-	go func() { // ends with the program
-		for range hup {
-			p.Reload()
-		}
-	}()
-	return p.Run(ctx)
 }
--- a/cmd/elmspan/operators.go
+++ b/cmd/elmspan/operators.go
@@ -18,7 +18,7 @@
 }
 
 type operatorsAdd struct {
-	File string        `arg:"" help:"The file that control.operators of the tuning file names; it is made where there is none."`
+	File string        `arg:"" help:"${operatorsadd_file}"`
 	Name string        `arg:"" help:"Of a person or a program: it stands in the log beside each change."`
 	Role string        `help:"What it may do: read, or change as well." enum:"read,change" default:"read"`
 	For  time.Duration `help:"How long the token holds, as 720h; without an end where left out."`
--- a/cmd/elmspan/pages_test.go
+++ b/cmd/elmspan/pages_test.go
@@ -3,14 +3,12 @@
 import (
 	"testing"
 
-	"github.com/alecthomas/kong"
-
 	"example.org/elmspan/internal/pages"
 )
 
 // Every command and flag of this program that a page names is there.
 func TestPagesNameCommandsThatAreThere(t *testing.T) {
-	parser := kong.Must(&commands{}, kong.Name("elmspan"))
+	parser := newParser()
 	mentions, err := pages.Read("../..")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/elmspan/state.go
+++ b/cmd/elmspan/state.go
@@ -14,14 +14,14 @@
 )
 
 type stateCmd struct {
-	Export stateExport `cmd:"" help:"Write all that the core agrees on to one file, which a lost core can be begun from again."`
-	Import stateImport `cmd:"" help:"Begin a lost core from an export: on each seed machine, with the system stopped and its data folder empty."`
-	Check  stateCheck  `cmd:"" help:"Read a data folder or an export and say what is in it. The process must not be running."`
+	Export stateExport `cmd:"" help:"${statecmd_export}"`
+	Import stateImport `cmd:"" help:"${statecmd_import}"`
+	Check  stateCheck  `cmd:"" help:"${statecmd_check}"`
 }
 
 type stateExport struct {
-	Control string `help:"A control_port address of the running system." placeholder:"HOST:PORT" xor:"from" required:""`
-	Data    string `help:"Or the data folder of a member that does not run." type:"existingdir" xor:"from" required:""`
+	Control string `help:"${stateexport_control}" placeholder:"HOST:PORT" xor:"from" required:""`
+	Data    string `help:"${stateexport_data}" type:"existingdir" xor:"from" required:""`
 	Out     string `arg:"" help:"The file to write. It holds keys."`
 	callerFlags
 }
@@ -57,7 +57,7 @@
 
 type stateImport struct {
 	File     string `arg:"" help:"The export." type:"existingfile"`
-	Settings string `help:"The machine's settings file: it names the data folder and the seeds." env:"ELMSPAN_NODE_FILE" required:"" placeholder:"FILE"`
+	Settings string `help:"${stateimport_settings}" env:"ELMSPAN_NODE_FILE" required:"" placeholder:"FILE"`
 }
 
 // Run begins a member from an export.
@@ -67,7 +67,8 @@
 		return err
 	}
 	if !node.CoreMember() {
-		return fmt.Errorf("%s: this machine is none of the core: quorum_member, data_dir and control are needed", c.Settings)
+		return fmt.Errorf("%s: this machine is none of the core: quorum_member, data_dir and control are needed",
+			c.Settings)
 	}
 	data, err := os.ReadFile(c.File)
 	if err != nil {
@@ -81,7 +82,8 @@
 		return controlplane.Restore(s, node.InternalAddr(), node.SeedAddrs(), state)
 	})
 	if err == nil {
-		fmt.Printf("%s begins with revision %d; do the same on each of %v, then start them with bootstrap = false\n", node.Name, state.Revision, node.SeedAddrs())
+		fmt.Printf("%s begins with revision %d; do the same on each of %v, then start them with bootstrap = false\n",
+			node.Name, state.Revision, node.SeedAddrs())
 	}
 	return err
 }
@@ -113,7 +115,8 @@
 			return err
 		}
 		stored := &found.Stored
-		fmt.Printf("member      %x\nterm        %d\nsnapshot    up to %d\nlog         %d entries, up to %d\n", uint64(found.ID), stored.HardState.Term, stored.Snapshot.Index,
+		fmt.Printf("member      %x\nterm        %d\nsnapshot    up to %d\nlog         %d entries, up to %d\n",
+			uint64(found.ID), stored.HardState.Term, stored.Snapshot.Index,
 			len(stored.Entries), stored.Snapshot.Index+uint64(len(stored.Entries)))
 		for _, m := range stored.Snapshot.Members {
 			fmt.Printf("voter %-5v %x at %s\n", m.Voter, uint64(m.ID), m.Addr)
--- a/lab/checker/log.go
+++ b/lab/checker/log.go
@@ -181,7 +181,8 @@
 func (l *Log) checkContent(id string, attempt *Attempt, run *Run, sawKey bool) {
 	switch {
 	case attempt.Tenant != run.Tenant || sawKey:
-		l.violation(ruleUnasked, "%s was told the tenant %q for %q, or the key", run.Member, run.Tenant, attempt.Tenant)
+		l.violation(ruleUnasked, "%s was told the tenant %q for %q, or the key",
+			run.Member, run.Tenant, attempt.Tenant)
 	case attempt.Body != run.Body:
 		l.violation(ruleUnasked, "%s got another body with %s", run.Member, id)
 	case attempt.Class.Service != run.Service:
@@ -208,7 +209,8 @@
 		return
 	}
 	if !slices.ContainsFunc(l.runs[id], func(r Run) bool { return seal == Seal(r.Member, id, body) }) {
-		l.violation(ruleMixed, "%s got a success with the seal %q and %d bytes that no run of it gave", id, seal, len(body))
+		l.violation(ruleMixed, "%s got a success with the seal %q and %d bytes that no run of it gave",
+			id, seal, len(body))
 	}
 }
 
@@ -235,7 +237,8 @@
 // saysNotExecuted tells whether a status promises that the request has not run.
 func saysNotExecuted(status int) bool {
 	switch status {
-	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
+		http.StatusMisdirectedRequest:
 		return true
 	}
 	return false
@@ -256,7 +259,8 @@
 			oldest++
 		}
 		if n := float64(newest - oldest + 1); n > limit {
-			l.violation(ruleQuota, "%s ran %.0f requests in %v s up to %.1f s, %.0f are the most", tenant, n, QuotaWindowS, end, limit)
+			l.violation(ruleQuota, "%s ran %.0f requests in %v s up to %.1f s, %.0f are the most",
+				tenant, n, QuotaWindowS, end, limit)
 			return
 		}
 	}
@@ -283,7 +287,8 @@
 		}
 		limit := b.Ratio*float64(nextFirst-oldestFirst) + b.Slack
 		if n := float64(newest - oldestRetry + 1); n > limit {
-			l.violation(ruleBudget, "%s got %.0f further tries in %v s up to %.1f s, %.0f are the most", service, n, b.WindowS, end, limit)
+			l.violation(ruleBudget, "%s got %.0f further tries in %v s up to %.1f s, %.0f are the most",
+				service, n, b.WindowS, end, limit)
 			return
 		}
 	}
--- a/lab/checker/report.go
+++ b/lab/checker/report.go
@@ -133,7 +133,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return fmt.Sprintf("%5.1f s  %d asked, %d served, %d rules broken", l.clock().Seconds(), asked, served, len(l.violationCounts))
+	return fmt.Sprintf("%5.1f s  %d asked, %d served, %d rules broken",
+		l.clock().Seconds(), asked, served, len(l.violationCounts))
 }
 
 // Passed tells that no rule was broken and no process ended by itself.
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -50,11 +50,11 @@
 
 // newFault makes a fault of what a day's file says.
 func newFault(day *scenario.Day, spec *scenario.Fault) (scheduledFault, error) {
-	make, known := faultKinds[spec.Kind]
+	build, known := faultKinds[spec.Kind]
 	if !known {
 		return scheduledFault{}, fmt.Errorf("%s can only be simulated", spec.Kind)
 	}
-	return scheduledFault{spec.Kind, seconds(spec.AtS), make(day, spec)}, nil
+	return scheduledFault{spec.Kind, seconds(spec.AtS), build(day, spec)}, nil
 }
 
 // faultKinds make the faults of each kind that the emulator plays.
--- a/lab/emulator/fleet.go
+++ b/lab/emulator/fleet.go
@@ -84,7 +84,8 @@
 // a line on each step.
 func NewFleet(spec *scenario.Day, program []string, dir string, out io.Writer) (*Fleet, error) {
 	if spec.PerZone > maxPerZone {
-		return nil, fmt.Errorf("emulator: machines_per_zone: %d: up to %d; more can be simulated", spec.PerZone, maxPerZone)
+		return nil, fmt.Errorf("emulator: machines_per_zone: %d: up to %d; more can be simulated",
+			spec.PerZone, maxPerZone)
 	}
 	f := &Fleet{spec: spec, args: program[1:], dir: dir, out: out, rng: rand.New(rand.NewPCG(spec.Seed, 3))}
 	for i := range spec.Faults {
--- a/lab/emulator/node.go
+++ b/lab/emulator/node.go
@@ -52,8 +52,9 @@
 		if !n.endWasOrdered() && ctx.Err() == nil {
 			unexpected(state)
 		}
-		for backoff.Sleep(ctx, restartDelay) && n.isHeld() {
-			// Until the fault is over.
+		held := true
+		for held && backoff.Sleep(ctx, restartDelay) {
+			held = n.isHeld()
 		}
 	}
 	return nil
--- a/lab/emulator/operator.go
+++ b/lab/emulator/operator.go
@@ -104,7 +104,8 @@
 	}
 	for _, t := range day.Tenants {
 		rate := day.Rate(&t)
-		c.Tenants = append(c.Tenants, api.Tenant{Name: t.Name, Keys: slices.Clone(o.keys[t.Name]), Rate: rate, Burst: rate})
+		keys := slices.Clone(o.keys[t.Name])
+		c.Tenants = append(c.Tenants, api.Tenant{Name: t.Name, Keys: keys, Rate: rate, Burst: rate})
 		o.fleet.ledger.Quota(t.Name, rate, rate)
 	}
 	return c
--- a/lab/emulator/rollout.go
+++ b/lab/emulator/rollout.go
@@ -89,7 +89,8 @@
 	}
 	f.note("rolled out to %s in %.1f s, %d changes acknowledged meanwhile", r.program, rolled.Seconds(), changes)
 	f.note("all killed at once and ready again after %.1f s", back.Seconds())
-	f.note("%d of %d machines on the new build, configuration %d in force on all", r.onNewBuild(), len(f.nodes), revision)
+	f.note("%d of %d machines on the new build, configuration %d in force on all",
+		r.onNewBuild(), len(f.nodes), revision)
 	return nil
 }
 
@@ -202,8 +203,8 @@
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("emulator: the roll-out stops: after %v %s is not ready with the newest configuration (%v); see its log below %s",
-		readyTimeout, n.name, last, n.dir)
+	return fmt.Errorf("emulator: the roll-out stops: %s is not ready with the newest configuration after %v (%v); "+
+		"see its log below %s", n.name, readyTimeout, last, n.dir)
 }
 
 // nodeStatus is the part of a gateway's /v1/Status that a roll-out goes by. All builds
--- a/lab/emulator/rollout_test.go
+++ b/lab/emulator/rollout_test.go
@@ -60,7 +60,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Write(os.Stderr)
+	if err := r.Write(os.Stderr); err != nil {
+		t.Error(err)
+	}
 	if !r.Passed() || r.Served() < 0.5 || r.MissedChanges > 0 {
 		t.Errorf("sound %v, served %v, missed %d", r.Passed(), r.Served(), r.MissedChanges)
 	}
--- a/lab/emulator/server.go
+++ b/lab/emulator/server.go
@@ -278,8 +278,8 @@
 
 // reject answers a request that has not run.
 func (s *server) reject(x *exchange, status int, reason string) bool {
-	return s.write(x.conn, "HTTP/1.1 %d x\r\nAttempt-Id: %s\r\nNot-Executed: %s\r\nMember-Id: %s\r\nContent-Length: 0\r\n\r\n",
-		status, x.id, reason, s.id)
+	return s.write(x.conn, "HTTP/1.1 %d x\r\nAttempt-Id: %s\r\nNot-Executed: %s\r\nMember-Id: %s\r\n"+
+		"Content-Length: 0\r\n\r\n", status, x.id, reason, s.id)
 }
 
 func (s *server) classOf(target string) *scenario.Class {
@@ -379,7 +379,8 @@
 	if p.draining {
 		closes = "Connection: close\r\n"
 	}
-	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: %s\r\nKeep-Alive: timeout=%d\r\n%sContent-Length: %d\r\n\r\n",
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: %s\r\n"+
+		"Keep-Alive: timeout=%d\r\n%sContent-Length: %d\r\n\r\n",
 		x.id, checker.Seal(s.id, x.id, body), int(serverIdleTimeout.Seconds()), closes, len(body))
 	answer := append([]byte(head), body...)
 	out := answer
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -119,7 +119,13 @@
 
 // Validate returns every fault that it finds, joined.
 func (d *Day) Validate() error {
-	return errors.Join(d.validateFleet(), d.validateServices(), d.validateTraffic(), d.validateFaults(), d.validateBounds())
+	return errors.Join(
+		d.validateFleet(),
+		d.validateServices(),
+		d.validateTraffic(),
+		d.validateFaults(),
+		d.validateBounds(),
+	)
 }
 
 func (d *Day) validateFleet() error {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -51,7 +51,10 @@
 	if d.Classes[0].Service != "s-1" || d.Classes[3].Name != "p" || d.Tenant("t-4") == nil {
 		t.Errorf("names: %+v %+v", d.Classes, d.Tenants)
 	}
-	for _, bad := range []Day{{Services: []Service{{Name: "s", Servers: 1, Copies: 2}}}, {Tenants: []Tenant{{Copies: -1}}}} {
+	for _, bad := range []Day{
+		{Services: []Service{{Name: "s", Servers: 1, Copies: 2}}},
+		{Tenants: []Tenant{{Copies: -1}}},
+	} {
 		if bad.expandCopies() == nil {
 			t.Errorf("taken: %+v", bad)
 		}
