--- a/settings/tunables.go
+++ b/settings/tunables.go
@@ -35,7 +35,7 @@
 	{
 		name: "log.level", defaultValue: "info", takes: "debug|info|warn|error",
 		meaning: "Least level that is logged. Read again at SIGHUP, and every 5 s.",
-		tradeOff: "Lower: at debug single calls between processes can be followed, at many lines a second. Higher: " +
+		tradeOff: "Lower: at debug single calls between processes can be followed, at many lines a second. Raise: " +
 			"less to store, and the audit log (info) is missing.",
 	},
 	{
