--- a/dataplane/answer.go
+++ b/dataplane/answer.go
@@ -48,7 +48,7 @@
 // unsized tells whether the answer's body ends with the connection, as its client knows
 // no chunks (RFC 9112, 6.1).
 func (a *answer) unsized(req *h1.Head) bool {
-	return req != nil && req.Old && a.from != nil && a.length == h1.Chunks
+	return req != nil && req.HTTP10 && a.from != nil && a.length == h1.Chunked
 }
 
 var heads = sync.Pool{New: func() any { return new(bytes.Buffer) }}
@@ -92,14 +92,14 @@
 		field(b, "Connection", "close")
 	}
 	if a.unsized(req) {
-		length = h1.TillEnds
+		length = h1.UntilClose
 	}
 	none := a.status == 204 || a.status == 304
 	switch {
 	case none:
 	case length >= 0:
 		field(b, "Content-Length", strconv.FormatInt(length, 10))
-	case length == h1.Chunks:
+	case length == h1.Chunked:
 		field(b, "Transfer-Encoding", "chunked")
 	}
 	b.WriteString("\r\n")
@@ -108,7 +108,7 @@
 		_, err := w.Write(b.Bytes())
 		return err
 	}
-	chunked := length == h1.Chunks
+	chunked := length == h1.Chunked
 	if chunked {
 		if len(body) > 0 {
 			fmt.Fprintf(b, "%x\r\n", len(body))
@@ -183,7 +183,7 @@
 	case "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "content-length":
 		return true
 	}
-	return !forAll(name) && h.Has("Connection", name)
+	return !forAll(name) && h.HasToken("Connection", name)
 }
 
 // forAll tells of fields that are for the receiver at the far end whatever Connection
--- a/dataplane/client_test.go
+++ b/dataplane/client_test.go
@@ -26,7 +26,7 @@
 	g.linger = patience
 	c := dial(t, g)
 	c.send("POST /once/", "Content-Length: 9999999\r\n", strings.Repeat("b", 64<<10))
-	if h := c.want(413, ""); !h.Closes() {
+	if h := c.want(413, ""); !h.ClosesConnection() {
 		t.Errorf("%+v does not say that the connection closes", h)
 	}
 	if _, err := c.in.ReadByte(); err != io.EOF {
@@ -58,12 +58,12 @@
 	for target, breaks := range map[string]bool{"/get/whole": false, "/get/cut": true} {
 		c := dial(t, g)
 		fmt.Fprintf(c, "GET %s HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\nConnection: keep-alive\r\n\r\n", target)
-		h, err := h1.ReadAnswer(c.in, 1<<16)
+		h, err := h1.ReadResponse(c.in, 1<<16)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := io.ReadAll(c.in)
-		if h.Get("Transfer-Encoding") != "" || !h.Closes() || !strings.HasPrefix(body, string(got)) || !breaks && (err != nil || string(got) != body) || breaks && !errors.Is(err, syscall.ECONNRESET) {
+		if h.Get("Transfer-Encoding") != "" || !h.ClosesConnection() || !strings.HasPrefix(body, string(got)) || !breaks && (err != nil || string(got) != body) || breaks && !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("%s: %+v %q, %v", target, h, got, err)
 		}
 	}
@@ -97,7 +97,7 @@
 		c := dial(t, newGateway(t, b))
 		for target, want := range map[string][2]string{"/get/sized": {"123456", ""}, "/get/chunked": {"", "chunked"}, "/get/unsaid": {"", ""}} {
 			c.send("HEAD "+target, "", "")
-			h, err := h1.ReadAnswer(c.in, 1<<16)
+			h, err := h1.ReadResponse(c.in, 1<<16)
 			if err != nil || h.Status != 404 || h.Get("Content-Length") != want[0] || h.Get("Transfer-Encoding") != want[1] {
 				t.Errorf("%s: %+v, %v; want %v", target, h, err, want)
 			}
@@ -285,7 +285,7 @@
 		case h.Status == 503 || h.Status == 429 || h.Status == 408 || h.Status == 421:
 			refused.Store(id, h.Status)
 		}
-		if h.Closes() {
+		if h.ClosesConnection() {
 			return
 		}
 	}
@@ -314,7 +314,7 @@
 		g.linger = 2 * patience
 		c := dial(t, g)
 		c.send("POST /none/", "Content-Length: 4\r\nExpect: 100-continue\r\n", "")
-		if h := c.want(404, ""); !h.Closes() {
+		if h := c.want(404, ""); !h.ClosesConnection() {
 			t.Errorf("%+v: whether a body follows can't be told", h)
 		}
 		c.Close()
--- a/dataplane/crossing_test.go
+++ b/dataplane/crossing_test.go
@@ -204,7 +204,7 @@
 		c := dial(t, g)
 		c.send("GET /get/", "", "")
 		<-begun
-		if h, err := h1.ReadAnswer(c.in, 1<<16); err != nil || h.Status != 200 {
+		if h, err := h1.ReadResponse(c.in, 1<<16); err != nil || h.Status != 200 {
 			t.Fatalf("%+v, %v", h, err)
 		}
 		c.send("POST /once/", "Content-Length: 4\r\nExpect: 100-continue\r\n", "")
--- a/dataplane/forward.go
+++ b/dataplane/forward.go
@@ -133,7 +133,7 @@
 		var fault *h1.Error
 		if errors.As(err, &fault) {
 			e.Written, e.Response = attempt.PartlyWritten, attempt.RequestAborted
-			return g.outcome(e, &answer{status: fault.Status, reason: "malformed", why: fault.Why, closes: true})
+			return g.outcome(e, &answer{status: fault.Status, reason: "malformed", why: fault.Reason, closes: true})
 		}
 	}
 	if err != nil { // its answer may stand there all the same: a server need not read all that it turns away
@@ -157,13 +157,13 @@
 // read reads the body behind the head of an answer, as far as that is to be read before
 // a byte of it goes out.
 func (g *Gateway) read(c *conn, e attempt.Evidence, method string, head *h1.Head) outcome {
-	framing, err := head.AnswerBody(method)
+	framing, err := head.ResponseFraming(method)
 	if err != nil { // no answer that two would read alike
 		return g.outcome(e, nil)
 	}
 	e.Response, e.Status, e.NotExecuted = attempt.Truncated, head.Status, head.Get("Not-Executed") != ""
-	e.Sealed = head.Get("Server-Seal") != "" && head.Get("Content-Encoding") == "" && framing != h1.TillEnds
-	e.Closes = head.Closes() || framing == h1.TillEnds
+	e.Sealed = head.Get("Server-Seal") != "" && head.Get("Content-Encoding") == "" && framing != h1.UntilClose
+	e.Closes = head.ClosesConnection() || framing == h1.UntilClose
 	a := &answer{status: head.Status, from: head, length: framing}
 	body := h1.NewBody(c.In, framing)
 	good := head.Status/100 == 2
@@ -178,7 +178,7 @@
 		case body.Done():
 			a.length = int64(len(a.body))
 			if e.HeadRequest { // what GET would have is told all the same
-				a.length, _ = head.AnswerBody("GET")
+				a.length, _ = head.ResponseFraming("GET")
 			}
 			e.Response, e.TrailingBytes = attempt.Complete, c.In.Buffered()
 			o := g.outcome(e, a)
@@ -227,7 +227,7 @@
 // It counts the answers that were not this request's.
 func (g *Gateway) ownAnswer(in *bufio.Reader, req *h1.Head, strays *int) (*h1.Head, error) {
 	for {
-		h, err := h1.ReadAnswer(in, maxAnswerHead)
+		h, err := h1.ReadResponse(in, maxAnswerHead)
 		if err != nil {
 			return nil, err
 		}
@@ -236,8 +236,8 @@
 			return h, nil
 		}
 		*strays++
-		framing, err := h.AnswerBody("GET")
-		bounded := err == nil && framing != h1.TillEnds && framing <= strayBody
+		framing, err := h.ResponseFraming("GET")
+		bounded := err == nil && framing != h1.UntilClose && framing <= strayBody
 		if !attempt.ShouldSkip(owner, *strays, bounded) {
 			return nil, errStray
 		}
@@ -314,7 +314,7 @@
 	buf := *p
 	chunk := func(data []byte) error {
 		if sent += int64(len(data)); sent > most {
-			return &h1.Error{Status: 413, Why: "the body is too long"}
+			return &h1.Error{Status: 413, Reason: "the body is too long"}
 		}
 		if err := l.Wait(context.Background(), len(data)); err != nil {
 			return err
@@ -344,7 +344,7 @@
 			if errors.As(err, new(*h1.Error)) {
 				return err
 			}
-			return &h1.Error{Status: 400, Why: "the body breaks off"} // its server never has the whole
+			return &h1.Error{Status: 400, Reason: "the body breaks off"} // its server never has the whole
 		}
 	}
 	if r.length < 0 {
--- a/dataplane/front.go
+++ b/dataplane/front.go
@@ -114,7 +114,7 @@
 			var e *h1.Error
 			if errors.As(err, &e) {
 				c.g.log.Debug("malformed request", "from", c.nc.RemoteAddr(), "err", err)
-				if c.write(&answer{status: e.Status, why: e.Why, closes: true}, nil, time.Now().Add(c.g.writeFor)) == nil {
+				if c.write(&answer{status: e.Status, why: e.Reason, closes: true}, nil, time.Now().Add(c.g.writeFor)) == nil {
 					c.end()
 				}
 			}
@@ -132,7 +132,7 @@
 		mine, done := turn, make(chan struct{})
 		turn = done
 		r, a := c.prepare(head, arrived, mine)
-		if a == nil && r.stream == nil && r.route.IsIdempotent() && !head.Closes() {
+		if a == nil && r.stream == nil && r.route.IsIdempotent() && !head.ClosesConnection() {
 			places <- struct{}{}
 			answers.Go(func() {
 				c.respond(r, nil, mine, seq)
@@ -192,7 +192,7 @@
 	h, err := h1.ReadRequest(c.in, most)
 	var t net.Error
 	if errors.As(err, &t) && t.Timeout() {
-		return nil, &h1.Error{Status: 408, Why: "the head did not come in time"}
+		return nil, &h1.Error{Status: 408, Reason: "the head did not come in time"}
 	}
 	return h, err
 }
@@ -204,11 +204,11 @@
 	refuse := func(status int, why string) (*request, *answer) {
 		return r, malformed(status, why)
 	}
-	framing, err := head.RequestBody()
+	framing, err := head.RequestFraming()
 	if err != nil {
 		var e *h1.Error
 		if errors.As(err, &e) {
-			return r, &answer{status: e.Status, reason: "malformed", why: e.Why, closes: true}
+			return r, &answer{status: e.Status, reason: "malformed", why: e.Reason, closes: true}
 		}
 		return refuse(400, err.Error())
 	}
@@ -231,7 +231,7 @@
 	r.keyed = v.keyed()
 	if r.keyed && !r.route.Anonymous {
 		scheme, key, _ := strings.Cut(head.Get("Authorization"), " ")
-		if !c.g.Leased() {
+		if !c.g.HasLease() {
 			return c.skip(r, framing, noLease.answer(unleasedAdvice))
 		}
 		if r.tenant, _ = v.keys.Get(sum256(strings.TrimSpace(key))); r.tenant == nil || !strings.EqualFold(scheme, "Token") {
@@ -253,7 +253,7 @@
 	if framing > v.maxBody {
 		return refuse(413, "the body is too long")
 	}
-	if head.Has("Expect", "100-continue") && !head.Old && c.in.Buffered() == 0 {
+	if head.HasToken("Expect", "100-continue") && !head.HTTP10 && c.in.Buffered() == 0 {
 		<-turn // never in the middle of an answer before
 		io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
@@ -270,7 +270,7 @@
 		}
 	} else {
 		if r.body, err = io.ReadAll(io.LimitReader(body, holdBody+1)); err == nil && len(r.body) > holdBody {
-			r.stream, r.length = body, h1.Chunks
+			r.stream, r.length = body, h1.Chunked
 		}
 		if err == nil {
 			return r, nil
@@ -278,7 +278,7 @@
 	}
 	var e *h1.Error
 	if errors.As(err, &e) {
-		return refuse(e.Status, e.Why)
+		return refuse(e.Status, e.Reason)
 	}
 	return refuse(408, "the body did not come in time")
 }
@@ -288,7 +288,7 @@
 func (c *clientConn) skip(r *request, framing int64, a *answer) (*request, *answer) {
 	switch {
 	case framing == 0:
-	case r.head.Has("Expect", "100-continue") && c.in.Buffered() == 0: // it may never come
+	case r.head.HasToken("Expect", "100-continue") && c.in.Buffered() == 0: // it may never come
 		a.closes = true
 	default:
 		c.nc.SetReadDeadline(time.Now().Add(c.g.linger))
@@ -315,7 +315,7 @@
 	case c.closing: // one before has ended the connection
 		c.mu.Unlock()
 		return true
-	case r.head.Closes(), a.unsized(r.head), r.stream != nil && !r.stream.Done():
+	case r.head.ClosesConnection(), a.unsized(r.head), r.stream != nil && !r.stream.Done():
 		a.closes = true
 	case c.g.draining.Load() && seq == c.seq: // nothing was read behind it
 		a.closes = true
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -47,9 +47,9 @@
 	Link     settings.LinkTuning
 	Keys     *keys.Keyring      // nil: words between limiters are not sealed
 	Metrics  *telemetry.Metrics // nil: none are kept
-	// Stranger, where set, is told the address of a limiter that speaks to this one
+	// UnknownPeer, where set, is told the address of a limiter that speaks to this one
 	// and is not known here. It must not block.
-	Stranger func(addr string)
+	UnknownPeer func(addr string)
 }
 
 // Gateway is the data plane of one process.
@@ -98,7 +98,7 @@
 // configuration, servers and, where keys are strictly revoked, a lease.
 func New(cfg *settings.Node, o Options) (*Gateway, error) {
 	seed, log := o.Seed, o.Log
-	g := &Gateway{cfg: cfg, log: log, meter: o.Metrics, ring: o.Keys, stranger: o.Stranger, start: time.Now(), life: rand.Uint64(), self: xxhash.Sum64String(cfg.Name),
+	g := &Gateway{cfg: cfg, log: log, meter: o.Metrics, ring: o.Keys, stranger: o.UnknownPeer, start: time.Now(), life: rand.Uint64(), self: xxhash.Sum64String(cfg.Name),
 		rules: attempt.DefaultRules(),
 		rng:   rand.New(rand.NewPCG(seed, 0xfa7e)), others: map[uint64]other{},
 		conns: map[*clientConn]struct{}{}, waiting: map[*limiter.Flight]chan struct{}{}, open: listenersClose, linger: lingerFor, writeFor: writeFor}
@@ -181,11 +181,11 @@
 func (g *Gateway) Ready() bool { return !g.draining.Load() && g.able() }
 
 func (g *Gateway) able() bool {
-	return g.view.Load() != nil && g.Servers() != 0 && g.Leased() && (g.met.Load() || g.now() > readyAfter)
+	return g.view.Load() != nil && g.EndpointsVersion() != 0 && g.HasLease() && (g.met.Load() || g.now() > readyAfter)
 }
 
-// Leased tells whether keyed requests may be served now.
-func (g *Gateway) Leased() bool { return g.lease == 0 || int64(g.now()) < g.leaseTo.Load() }
+// HasLease tells whether keyed requests may be served now.
+func (g *Gateway) HasLease() bool { return g.lease == 0 || int64(g.now()) < g.leaseTo.Load() }
 
 func (g *Gateway) readiness(w http.ResponseWriter, _ *http.Request) {
 	if !g.Ready() {
@@ -250,10 +250,10 @@
 	zone string
 }
 
-// ChangePeers takes in the processes of which something has changed. One that only
+// ApplyPeers takes in the processes of which something has changed. One that only
 // started again, at the same address or another, is the same limiter: the groups of
 // limiters and whose servers are whose stay as they are.
-func (g *Gateway) ChangePeers(changed []api.Peer) {
+func (g *Gateway) ApplyPeers(changed []api.Peer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	regroup := false
@@ -285,8 +285,8 @@
 	g.regroups++
 }
 
-// Settings takes over what a changed settings file may change while it runs.
-func (g *Gateway) Settings(n *settings.Node) {
+// SettingsReloaded takes over what a changed settings file may change while it runs.
+func (g *Gateway) SettingsReloaded(n *settings.Node) {
 	g.log.Info("settings read again", "cloud", n.Cloud.Address, "seeds", len(n.SeedPeers))
 }
 
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -116,7 +116,7 @@
 		list = append(list, api.Server{ID: "i-" + strconv.Itoa(i), Upstream: "s", Addr: b.addr, Zone: "z", Capacity: 20, State: "in_service"})
 	}
 	tell(t, g, &versioned.Table{}, 1, list)
-	g.Grant(g.Since())
+	g.ExtendLease(g.Uptime())
 	if m, ok := t.(inMemory); ok {
 		m.serve(g)
 		return g
@@ -151,11 +151,11 @@
 }
 
 func (c *client) answer() (*h1.Head, string, error) {
-	h, err := h1.ReadAnswer(c.in, 1<<16)
+	h, err := h1.ReadResponse(c.in, 1<<16)
 	if err != nil {
 		return nil, "", err
 	}
-	n, err := h.AnswerBody("GET")
+	n, err := h.ResponseFraming("GET")
 	if err != nil {
 		return h, "", err
 	}
@@ -427,7 +427,7 @@
 	<-at
 	go func() { <-ctx.Done(); g.draining.Store(true); close(release) }()
 	stop()
-	if h := c.want(200, "yes"); !h.Closes() {
+	if h := c.want(200, "yes"); !h.ClosesConnection() {
 		t.Error("the answer does not say that the connection closes")
 	}
 	if g.Ready() {
@@ -445,7 +445,7 @@
 	node := &settings.Node{Name: "a", Zone: "z", IP: "127.0.0.1", InternalPorts: []int{0, 0}, ServedRoles: []string{"edge", "control"}}
 	node.Listeners.Front, node.Listeners.Ready, node.Limits.MaxFDs = "127.0.0.1:0", "127.0.0.1:0", 1000
 	heard := 0
-	g, err := New(node, Options{Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: settings.DefaultTuning().Upstream, Stranger: func(string) { heard++ }})
+	g, err := New(node, Options{Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: settings.DefaultTuning().Upstream, UnknownPeer: func(string) { heard++ }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -474,7 +474,7 @@
 	for i := range 300 {
 		all = append(all, api.Peer{Name: "limiter-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(i+1), Zone: "z" + strconv.Itoa(i%5), StartID: 1, Incarnation: 1, Edge: true})
 	}
-	g.ChangePeers(all)
+	g.ApplyPeers(all)
 	regroups := func() (n, others int) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -482,11 +482,11 @@
 	}
 	again := []api.Peer{all[7]}
 	again[0].StartID, again[0].Incarnation, again[0].Addr = 2, 2, "127.0.0.1:9999"
-	if n := testing.AllocsPerRun(100, func() { g.ChangePeers(again) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { g.ApplyPeers(again) }); n != 0 {
 		t.Errorf("a limiter that starts again costs %v allocations", n)
 	}
 	again[0].State = membership.Leaving
-	g.ChangePeers(again)
+	g.ApplyPeers(again)
 	if n, others := regroups(); n != 1 || others != 300 {
 		t.Errorf("told %d times of %d", n, others)
 	}
@@ -502,7 +502,7 @@
 		func(p *api.Peer) { p.Edge = false },
 	} {
 		change(&again[0])
-		g.ChangePeers(again)
+		g.ApplyPeers(again)
 		want := 300
 		if again[0].State == membership.Dead || !again[0].Edge {
 			want--
--- a/dataplane/h1/body.go
+++ b/dataplane/h1/body.go
@@ -12,8 +12,8 @@
 	mostTrailers  = 8 << 10
 )
 
-// ErrShort tells that a body ended before its end.
-var ErrShort = errors.New("h1: the body ends early")
+// ErrUnexpectedEnd tells that a body ended before its end.
+var ErrUnexpectedEnd = errors.New("h1: the body ends early")
 
 // Body reads a framed body. It ends with io.EOF after the whole of it, and
 // never reads past its end.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	framing, err := h.RequestBody()
+	framing, err := h.RequestFraming()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -65,7 +65,7 @@
 	if b.done {
 		return 0, io.EOF
 	}
-	if b.kind == Chunks && b.left == 0 {
+	if b.kind == Chunked && b.left == 0 {
 		if err := b.nextChunk(); err != nil {
 			return 0, short(err)
 		}
@@ -73,15 +73,15 @@
 			return 0, io.EOF
 		}
 	}
-	if b.kind != TillEnds && int64(len(p)) > b.left {
+	if b.kind != UntilClose && int64(len(p)) > b.left {
 		p = p[:b.left]
 	}
 	n, err := b.r.Read(p)
-	if b.kind == TillEnds {
+	if b.kind == UntilClose {
 		b.done = err == io.EOF
 		return n, err
 	}
-	if b.left -= int64(n); b.left == 0 && b.kind != Chunks {
+	if b.left -= int64(n); b.left == 0 && b.kind != Chunked {
 		b.done = true
 		return n, nil
 	}
@@ -90,7 +90,7 @@
 
 func short(err error) error {
 	if err == io.EOF {
-		return ErrShort
+		return ErrUnexpectedEnd
 	}
 	return err
 }
--- a/dataplane/h1/h1_test.go
+++ b/dataplane/h1/h1_test.go
@@ -33,7 +33,7 @@
 	} {
 		h, err := ReadRequest(read(text), 1000)
 		if err == nil {
-			_, err = h.RequestBody()
+			_, err = h.RequestFraming()
 		}
 		var e *Error
 		if !errors.As(err, &e) || e.Status != want {
@@ -53,14 +53,14 @@
 	}{
 		{"abcdef", 3, "abc", true, "def"},
 		{"ab", 3, "ab", false, ""},
-		{"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\nnext", Chunks, "abcde", true, "next"},
-		{"3\r\nabc\r\n0\r\n", Chunks, "abc", false, ""},
-		{"3\r\nabcd\r\n0\r\n\r\n", Chunks, "abc", false, ""},
-		{"-1\r\n\r\n", Chunks, "", false, ""},
-		{"0x3\r\nabc\r\n0\r\n\r\n", Chunks, "", false, ""},
-		{"3\nabc\r\n0\r\n\r\n", Chunks, "", false, ""},
-		{"ffffffffffffffff\r\n", Chunks, "", false, ""},
-		{"all", TillEnds, "all", true, ""},
+		{"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\nnext", Chunked, "abcde", true, "next"},
+		{"3\r\nabc\r\n0\r\n", Chunked, "abc", false, ""},
+		{"3\r\nabcd\r\n0\r\n\r\n", Chunked, "abc", false, ""},
+		{"-1\r\n\r\n", Chunked, "", false, ""},
+		{"0x3\r\nabc\r\n0\r\n\r\n", Chunked, "", false, ""},
+		{"3\nabc\r\n0\r\n\r\n", Chunked, "", false, ""},
+		{"ffffffffffffffff\r\n", Chunked, "", false, ""},
+		{"all", UntilClose, "all", true, ""},
 	} {
 		r := read(c.text)
 		b := NewBody(r, c.framing)
@@ -75,15 +75,15 @@
 }
 
 func TestAnswers(t *testing.T) {
-	h, err := ReadAnswer(read("HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 4\r\n\r\n"), 1000)
-	if err != nil || h.Status != 200 || !h.Closes() {
+	h, err := ReadResponse(read("HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 4\r\n\r\n"), 1000)
+	if err != nil || h.Status != 200 || !h.ClosesConnection() {
 		t.Fatalf("%+v, %v", h, err)
 	}
-	if n, err := h.AnswerBody("GET"); n != 4 || err != nil {
+	if n, err := h.ResponseFraming("GET"); n != 4 || err != nil {
 		t.Errorf("%d, %v", n, err)
 	}
 	for _, text := range []string{"HTTP/1.1 2000 OK\r\n\r\n", "HTTP/1.1 099 x\r\n\r\n", "nonsense\r\n\r\n", "HTTP/1.1 101 Switching\r\n\r\n"} {
-		if h, err := ReadAnswer(read(text), 1000); err == nil {
+		if h, err := ReadResponse(read(text), 1000); err == nil {
 			t.Errorf("%q: %+v", text, h)
 		}
 	}
@@ -111,7 +111,7 @@
 			if err != nil {
 				return
 			}
-			n, err := h.RequestBody()
+			n, err := h.RequestFraming()
 			if err != nil {
 				return
 			}
@@ -138,7 +138,7 @@
 			method = "HEAD"
 		}
 		for range 10 {
-			h, err := ReadAnswer(r, 4096)
+			h, err := ReadResponse(r, 4096)
 			if err != nil {
 				return
 			}
@@ -146,7 +146,7 @@
 				t.Fatalf("status %d", h.Status)
 			}
 			h.KeepAlive()
-			n, err := h.AnswerBody(method)
+			n, err := h.ResponseFraming(method)
 			if err != nil {
 				return
 			}
@@ -155,7 +155,7 @@
 			if err == nil && (n >= 0 && got != n || !b.Done()) {
 				t.Fatalf("framing %d, read %d", n, got)
 			}
-			if err != nil || n == TillEnds {
+			if err != nil || n == UntilClose {
 				return
 			}
 		}
@@ -166,7 +166,7 @@
 func TestInterimAnswers(t *testing.T) {
 	const interim, final = "HTTP/1.1 103 x\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"
 	for n, want := range map[int]int{0: 200, mostInterim: 200, mostInterim + 1: 0} {
-		h, err := ReadAnswer(bufio.NewReader(strings.NewReader(strings.Repeat(interim, n)+final)), 100)
+		h, err := ReadResponse(bufio.NewReader(strings.NewReader(strings.Repeat(interim, n)+final)), 100)
 		if want == 0 && err == nil || want != 0 && (err != nil || h.Status != want) {
 			t.Errorf("%d before: %+v, %v", n, h, err)
 		}
@@ -192,14 +192,14 @@
 		"none":           {text, 0, 100, 0, false, true},
 		"cut":            {text[:4000], 5000, 8000, 4000, true, false},
 		"nothing came":   {"", 5000, 8000, 0, true, false},
-		"chunks":         {chunked, Chunks, 8000, 5000, false, true},
-		"chunks, longer": {chunked, Chunks, 100, 100, false, false},
-		"chunks, cut":    {chunked[:1000], Chunks, 8000, 994, true, false},
-		"till the end":   {text, TillEnds, 8000, 5000, false, true},
+		"chunks":         {chunked, Chunked, 8000, 5000, false, true},
+		"chunks, longer": {chunked, Chunked, 100, 100, false, false},
+		"chunks, cut":    {chunked[:1000], Chunked, 8000, 994, true, false},
+		"till the end":   {text, UntilClose, 8000, 5000, false, true},
 	} {
 		b := NewBody(bufio.NewReader(strings.NewReader(c.in)), c.framing)
 		got, err := b.ReadUpTo(c.most)
-		if string(got) != text[:c.want] || errors.Is(err, ErrShort) != c.short || err != nil && !c.short || b.Done() != c.done {
+		if string(got) != text[:c.want] || errors.Is(err, ErrUnexpectedEnd) != c.short || err != nil && !c.short || b.Done() != c.done {
 			t.Errorf("%s: %d bytes, %v, done %v", name, len(got), err, b.Done())
 		}
 	}
--- a/dataplane/h1/head.go
+++ b/dataplane/h1/head.go
@@ -14,10 +14,10 @@
 // Error is a malformed message, with the status that answers it.
 type Error struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (e *Error) Error() string { return e.Why }
+func (e *Error) Error() string { return e.Reason }
 
 func bad(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
 
@@ -28,7 +28,7 @@
 type Head struct {
 	Method, Target string // of a request
 	Status         int    // of an answer
-	Old            bool   // HTTP/1.0
+	HTTP10         bool   // HTTP/1.0
 	Fields         []Field
 }
 
@@ -52,8 +52,8 @@
 	return n
 }
 
-// Has tells whether a list field holds a token.
-func (h *Head) Has(name, token string) bool {
+// HasToken tells whether a list field holds a token.
+func (h *Head) HasToken(name, token string) bool {
 	for i := range h.Fields {
 		if strings.EqualFold(h.Fields[i].Name, name) {
 			for t := range strings.SplitSeq(h.Fields[i].Value, ",") {
@@ -108,7 +108,7 @@
 	case !ok1 || !ok2 || !token(method) || target == "" || !visible(target) || strings.Contains(proto, " "):
 		return nil, bad("the request line can't be read")
 	case proto == "HTTP/1.0":
-		h.Old = true
+		h.HTTP10 = true
 	case proto != "HTTP/1.1":
 		return nil, &Error{505, "HTTP/1.1 is needed"}
 	}
@@ -122,8 +122,8 @@
 // all together.
 const mostInterim = 8
 
-// ReadAnswer reads the head of an answer, passing over those that only announce it.
-func ReadAnswer(r *bufio.Reader, most int) (*Head, error) {
+// ReadResponse reads the head of an answer, passing over those that only announce it.
+func ReadResponse(r *bufio.Reader, most int) (*Head, error) {
 	for interim := 0; ; interim++ {
 		if interim > mostInterim {
 			return nil, bad("more than %d heads announce an answer", mostInterim)
@@ -133,8 +133,8 @@
 			return nil, err
 		}
 		line, rest, _ := strings.Cut(text, "\r\n")
-		h := &Head{Old: strings.HasPrefix(line, "HTTP/1.0 ")}
-		if !h.Old && !strings.HasPrefix(line, "HTTP/1.1 ") || len(line) < 12 || len(line) > 12 && line[12] != ' ' {
+		h := &Head{HTTP10: strings.HasPrefix(line, "HTTP/1.0 ")}
+		if !h.HTTP10 && !strings.HasPrefix(line, "HTTP/1.1 ") || len(line) < 12 || len(line) > 12 && line[12] != ' ' {
 			return nil, bad("the status line can't be read")
 		}
 		if h.Status, err = strconv.Atoi(line[9:12]); err != nil || h.Status < 100 || h.Status > 599 {
@@ -194,12 +194,12 @@
 // Body tells how a body is framed: a length of 0 or more, or -1 for chunks,
 // or -2 for an answer that ends with its connection.
 const (
-	Chunks   = -1
-	TillEnds = -2
+	Chunked    = -1
+	UntilClose = -2
 )
 
-// RequestBody returns the framing of a request's body.
-func (h *Head) RequestBody() (int64, error) {
+// RequestFraming returns the framing of a request's body.
+func (h *Head) RequestFraming() (int64, error) {
 	n, framed, err := h.framing()
 	if err != nil || framed {
 		return n, err
@@ -207,8 +207,8 @@
 	return 0, nil
 }
 
-// AnswerBody returns the framing of the body of an answer to a method.
-func (h *Head) AnswerBody(method string) (int64, error) {
+// ResponseFraming returns the framing of the body of an answer to a method.
+func (h *Head) ResponseFraming(method string) (int64, error) {
 	n, framed, err := h.framing()
 	switch {
 	case err != nil:
@@ -218,7 +218,7 @@
 	case framed:
 		return n, nil
 	}
-	return TillEnds, nil
+	return UntilClose, nil
 }
 
 func (h *Head) framing() (n int64, framed bool, err error) {
@@ -228,13 +228,13 @@
 		return 0, false, bad("both Content-Length and Transfer-Encoding")
 	case te > 1 || cl > 1:
 		return 0, false, bad("Content-Length or Transfer-Encoding stands there twice")
-	case te == 1 && h.Old:
+	case te == 1 && h.HTTP10:
 		return 0, false, bad("Transfer-Encoding in HTTP/1.0")
 	case te == 1:
 		if !strings.EqualFold(h.Get("Transfer-Encoding"), "chunked") {
 			return 0, false, &Error{501, "a Transfer-Encoding other than chunked"}
 		}
-		return Chunks, true, nil
+		return Chunked, true, nil
 	case cl == 1:
 		v := h.Get("Content-Length")
 		if len(v) == 0 || len(v) > 18 || strings.Trim(v, "0123456789") != "" {
@@ -261,7 +261,7 @@
 	return 0
 }
 
-// Closes tells that the sender closes the connection after this message.
-func (h *Head) Closes() bool {
-	return h.Has("Connection", "close") || h.Old && !h.Has("Connection", "keep-alive")
+// ClosesConnection tells that the sender closes the connection after this message.
+func (h *Head) ClosesConnection() bool {
+	return h.HasToken("Connection", "close") || h.HTTP10 && !h.HasToken("Connection", "keep-alive")
 }
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -232,7 +232,7 @@
 			sc.runs.Add(1)
 		}
 		if !m.early {
-			n, err := a.head.RequestBody()
+			n, err := a.head.RequestFraming()
 			if err != nil {
 				return
 			}
@@ -280,7 +280,7 @@
 // renew puts new lives of the servers in place of those before: nothing speaks against
 // them, and no connection leads to them.
 func (s *stage) renew() {
-	version := s.g.Servers() + 1
+	version := s.g.EndpointsVersion() + 1
 	var list []api.Server
 	for i, b := range s.servers {
 		list = append(list, api.Server{ID: fmt.Sprintf("i-%d-%d", i, version), Upstream: "s", Addr: b.addr, Zone: "z", Capacity: 20, State: "in_service"})
@@ -334,7 +334,7 @@
 	}
 	fmt.Fprintf(s.c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\n%s%s\r\n%s", line, id, budget, fields, body)
 	what := fmt.Sprintf("%s, %s, then %s", kind, first.name, second.name)
-	h, err := h1.ReadAnswer(s.c.in, 1<<16)
+	h, err := h1.ReadResponse(s.c.in, 1<<16)
 	if err != nil {
 		s.broken("%s: no answer: %v", what, err)
 		s.hangUp()
@@ -342,7 +342,7 @@
 	}
 	status = h.Status
 	method, _, _ := strings.Cut(line, " ")
-	framing, err := h.AnswerBody(method)
+	framing, err := h.ResponseFraming(method)
 	var got []byte
 	if err == nil {
 		got, err = io.ReadAll(h1.NewBody(s.c.in, framing))
@@ -369,7 +369,7 @@
 	case servers && !matches(own) && !matches(longBody(id)):
 		s.broken("%s: %d with %.60q", what, status, got)
 	}
-	if visible || h.Closes() {
+	if visible || h.ClosesConnection() {
 		s.hangUp()
 	}
 	return status, sc
--- a/dataplane/news.go
+++ b/dataplane/news.go
@@ -21,9 +21,9 @@
 	roster  *discovery.EndpointList // of answers that this limiter had itself
 }
 
-// ChangeConfig takes over what changed in the configuration. Nothing of it holds
+// ApplyConfig takes over what changed in the configuration. Nothing of it holds
 // where it does not fit the version that is held.
-func (g *Gateway) ChangeConfig(r *versioned.DeltaReader) error {
+func (g *Gateway) ApplyConfig(r *versioned.DeltaReader) error {
 	begun := time.Now()
 	v, plans, err := g.view.Load().with(r)
 	if err != nil {
@@ -46,24 +46,24 @@
 	return 0
 }
 
-// Grant extends the lease of a limiter that asked at a time since the start.
-func (g *Gateway) Grant(asked time.Duration) {
+// ExtendLease extends the lease of a limiter that asked at a time since the start.
+func (g *Gateway) ExtendLease(asked time.Duration) {
 	g.leaseTo.Store(max(g.leaseTo.Load(), int64(asked+g.lease)))
 }
 
-// Since returns the time since the start, for Grant.
-func (g *Gateway) Since() time.Duration { return g.now() }
+// Uptime returns the time since the start, for Grant.
+func (g *Gateway) Uptime() time.Duration { return g.now() }
 
-// Servers is the version of the list that is held, 0 if none.
-func (g *Gateway) Servers() uint64 {
+// EndpointsVersion is the version of the list that is held, 0 if none.
+func (g *Gateway) EndpointsVersion() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.servers.version
 }
 
-// ChangeServers takes over what changed in the list of servers, at a time on the
+// ApplyEndpoints takes over what changed in the list of servers, at a time on the
 // list's clock. What was seen draining or gone here stays so.
-func (g *Gateway) ChangeServers(r *versioned.DeltaReader, clockMs float64) error {
+func (g *Gateway) ApplyEndpoints(r *versioned.DeltaReader, clockMs float64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := &g.servers
@@ -134,9 +134,9 @@
 	return nil
 }
 
-// OwnServers takes in an answer of the platform that this limiter asked for
+// MergeDiscovered takes in an answer of the platform that this limiter asked for
 // itself, as the core is silent.
-func (g *Gateway) OwnServers(answer []api.Server) {
+func (g *Gateway) MergeDiscovered(answer []api.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := &g.servers
--- a/dataplane/news_test.go
+++ b/dataplane/news_test.go
@@ -47,7 +47,7 @@
 func bring(t testing.TB, g *Gateway, table *versioned.Table, c *api.Config) {
 	t.Helper()
 	table.Replace(c.Revision, rowsOf(t, c))
-	if err := g.ChangeConfig(since(t, table, g.Revision())); err != nil {
+	if err := g.ApplyConfig(since(t, table, g.Revision())); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -64,7 +64,7 @@
 		rows[s.ID] = row
 	}
 	table.Replace(version, rows)
-	if err := g.ChangeServers(since(t, table, g.Servers()), 0); err != nil {
+	if err := g.ApplyEndpoints(since(t, table, g.EndpointsVersion()), 0); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -196,7 +196,7 @@
 	if got := seen(); got != want {
 		t.Errorf("told by another leader: %s", got)
 	}
-	g.OwnServers(list)
+	g.MergeDiscovered(list)
 	if got := seen(); got != want {
 		t.Errorf("by its own question: %s", got)
 	}
--- a/lab/controlbench/hollow/hollow.go
+++ b/lab/controlbench/hollow/hollow.go
@@ -141,7 +141,7 @@
 			if err != nil {
 				return err
 			}
-			return fleet[i].gateway.ChangeConfig(r)
+			return fleet[i].gateway.ApplyConfig(r)
 		}
 	}
 	servers := func(data []byte) func(i int) error {
@@ -150,7 +150,7 @@
 			if err != nil {
 				return err
 			}
-			return fleet[i].gateway.ChangeServers(r, 0)
+			return fleet[i].gateway.ApplyEndpoints(r, 0)
 		}
 	}
 	again, gone := [1]api.Peer{w.peers[len(w.peers)-1]}, [1]api.Peer{w.peers[len(w.peers)-1]}
@@ -166,7 +166,7 @@
 		}},
 		{"took over the whole configuration", len(w.config), config(w.config)},
 		{"took over the whole list of servers", len(w.servers), servers(w.servers)},
-		{"knows the others", 0, func(i int) error { fleet[i].gateway.ChangePeers(w.peers); return nil }},
+		{"knows the others", 0, func(i int) error { fleet[i].gateway.ApplyPeers(w.peers); return nil }},
 		{"has their heartbeats' view", w.peerBytes, func(i int) error {
 			fleet[i].view = membership.NewView(w.peers[i%len(w.peers)])
 			fleet[i].view.Merge(1, w.peers)
@@ -175,8 +175,8 @@
 		{"one changed route", len(w.route), config(w.route)},
 		{"one changed quota", len(w.tenant), config(w.tenant)},
 		{fmt.Sprintf("%d servers replaced", s.Release), len(w.release), servers(w.release)},
-		{"one other limiter started again", 0, func(i int) error { fleet[i].gateway.ChangePeers(again[:]); return nil }},
-		{"one other limiter gone", 0, func(i int) error { fleet[i].gateway.ChangePeers(gone[:]); return nil }},
+		{"one other limiter started again", 0, func(i int) error { fleet[i].gateway.ApplyPeers(again[:]); return nil }},
+		{"one other limiter gone", 0, func(i int) error { fleet[i].gateway.ApplyPeers(gone[:]); return nil }},
 	}
 	for _, x := range steps {
 		got, err := step(x.name, s.Hollow, x.bytes, x.do)
@@ -187,7 +187,7 @@
 	}
 	runtime.KeepAlive(fleet)
 	for i := range fleet {
-		if fleet[i].gateway.Revision() != 3 || fleet[i].gateway.Servers() != 2 || len(fleet[i].view.Peers()) != s.Limiters {
+		if fleet[i].gateway.Revision() != 3 || fleet[i].gateway.EndpointsVersion() != 2 || len(fleet[i].view.Peers()) != s.Limiters {
 			return rep, fmt.Errorf("hollow: limiter %d has not taken over all", i)
 		}
 	}
--- a/lab/emulator/client.go
+++ b/lab/emulator/client.go
@@ -122,7 +122,7 @@
 	if r.answered != nil {
 		r.answered(id, head.Status, head.Get("Server-Seal"), body)
 	}
-	if head.Closes() || !r.class.Idempotent() {
+	if head.ClosesConnection() || !r.class.Idempotent() {
 		_ = conn.Close() // all was read
 	} else {
 		c.keep(target, conn)
@@ -158,11 +158,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	head, err := h1.ReadAnswer(conn.in, maxHeadBytes)
+	head, err := h1.ReadResponse(conn.in, maxHeadBytes)
 	if err != nil {
 		return nil, nil, err
 	}
-	framing, err := head.AnswerBody(method)
+	framing, err := head.ResponseFraming(method)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/process/discovery.go
+++ b/process/discovery.go
@@ -122,7 +122,7 @@
 		}
 		schedule.pages = pages
 		if !schedule.leading {
-			p.gateway.OwnServers(list)
+			p.gateway.MergeDiscovered(list)
 			continue
 		}
 		changed, missing := core.SetServers(list)
--- a/process/peers.go
+++ b/process/peers.go
@@ -61,6 +61,6 @@
 		p.client.SetFallbacks(p.known.memberAddrs())
 	}
 	if p.gateway != nil {
-		p.gateway.ChangePeers(changed)
+		p.gateway.ApplyPeers(changed)
 	}
 }
--- a/process/process.go
+++ b/process/process.go
@@ -201,7 +201,7 @@
 		Keys:     p.ring,
 		Metrics:  p.meter,
 		// An unknown limiter that sends gossip: an exchange with it makes it known.
-		Stranger: func(addr string) { p.peers.ExchangeWith(addr) },
+		UnknownPeer: func(addr string) { p.peers.ExchangeWith(addr) },
 	})
 	return err
 }
--- a/process/reload.go
+++ b/process/reload.go
@@ -72,7 +72,7 @@
 	}
 	p.settings.Store(cfg)
 	if p.gateway != nil {
-		p.gateway.Settings(cfg)
+		p.gateway.SettingsReloaded(cfg)
 	}
 	return true
 }
--- a/process/watch.go
+++ b/process/watch.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		pause := pauses.Next()
-		if w.gateway != nil && !w.gateway.Leased() {
+		if w.gateway != nil && !w.gateway.HasLease() {
 			pause = min(pause, noLeaseRetryPause)
 		}
 		backoff.Sleep(ctx, pause)
@@ -105,8 +105,8 @@
 		timeout:    watchWait + watchMargin,
 	}
 	if g := w.gateway; g != nil {
-		call.request.Revision, call.request.ServersVersion, call.leaseStart = g.Revision(), g.Servers(), g.Since()
-		call.urgent = urgent || !g.Leased() || call.request.Revision == 0
+		call.request.Revision, call.request.ServersVersion, call.leaseStart = g.Revision(), g.EndpointsVersion(), g.Uptime()
+		call.urgent = urgent || !g.HasLease() || call.request.Revision == 0
 	}
 	if w.needsFull[api.ConfigTable] {
 		call.request.Revision = 0
@@ -149,7 +149,7 @@
 	}
 	// A lease is for the revision that the member had: only a gateway that has it may use it.
 	if w.gateway.Revision() >= response.Revision {
-		w.gateway.Grant(call.leaseStart + time.Duration(response.LeaseDelayMs)*time.Millisecond)
+		w.gateway.ExtendLease(call.leaseStart + time.Duration(response.LeaseDelayMs)*time.Millisecond)
 	}
 	return true
 }
@@ -219,8 +219,8 @@
 // applyResponse puts what is new in force: the configuration, then the server list. It
 // reports whether both are.
 func (w *watcher) applyResponse(ctx context.Context, m watchedMember, r *api.WatchResponse) bool {
-	applyServers := func(delta *versioned.DeltaReader) error { return w.gateway.ChangeServers(delta, r.ClockMs) }
-	return w.applyDelta(ctx, m, api.ConfigTable, r.ConfigDelta, w.gateway.ChangeConfig) &&
+	applyServers := func(delta *versioned.DeltaReader) error { return w.gateway.ApplyEndpoints(delta, r.ClockMs) }
+	return w.applyDelta(ctx, m, api.ConfigTable, r.ConfigDelta, w.gateway.ApplyConfig) &&
 		w.applyDelta(ctx, m, api.ServerTable, r.ServersDelta, applyServers)
 }
 
