--- a/cmd/elmspan/state_test.go
+++ b/cmd/elmspan/state_test.go
@@ -14,57 +14,86 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// What one machine's disk holds is exported, checked, and begins a core on an
-// empty disk; over a state, or at a machine that is none of the core, nothing is
-// written.
-func TestStateCommands(t *testing.T) {
-	dir := t.TempDir()
-	node := func(name, ip string, quorum bool) (path, data string) {
-		path, data = filepath.Join(dir, name+".toml"), filepath.Join(dir, name)
-		text := fmt.Sprintf("node_name = %q\nserved_roles = [\"control\"]\nip = %q\nzone = \"z\"\ninternal_port_range = [7000, 7001]\nseed_peers = [\"127.0.0.1:9000\", \"127.0.0.2:9000\"]\n"+
-			"quorum_member = %v\ndata_dir = %q\n[listeners]\ncontrol_port = \"%s:9000\"\n[timing_bounds]\ndrain_ms = 3000\ngrace_s = 6\nconfig_apply_ms = 3000\n[cloud_api]\naddress = \"127.0.0.9:1\"\nrate_per_s = 50.0\n",
-			name, ip, quorum, data, ip)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Mkdir(data, 0o755); err != nil {
-			t.Fatal(err)
-		}
-		return path, data
+// machineFile is a settings file of a machine that serves control.
+const machineFile = `node_name = %q
+served_roles = ["control"]
+ip = %q
+zone = "z"
+internal_port_range = [7000, 7001]
+seed_peers = ["127.0.0.1:9000", "127.0.0.2:9000"]
+quorum_member = %v
+data_dir = %q
+[listeners]
+control_port = "%s:9000"
+[timing_bounds]
+drain_ms = 3000
+grace_s = 6
+config_apply_ms = 3000
+[cloud_api]
+address = "127.0.0.9:1"
+rate_per_s = 50.0
+`
+
+// makeMachine writes a machine's settings file and makes its data folder.
+func makeMachine(t *testing.T, dir, name, ip string, quorum bool) (path, data string) {
+	t.Helper()
+	path, data = filepath.Join(dir, name+".toml"), filepath.Join(dir, name)
+	if err := os.WriteFile(path, fmt.Appendf(nil, machineFile, name, ip, quorum, data, ip), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Mkdir(data, 0o755); err != nil {
+		t.Fatal(err)
 	}
+	return path, data
+}
+
+// makeExport writes an export of a member at revision 5, and returns its path.
+func makeExport(t *testing.T, dir string) string {
+	t.Helper()
 	conf, err := cbor.Marshal(&api.Config{Revision: 5, Upstreams: []api.Upstream{{Name: "s"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, first := node("first", "127.0.0.1", true)
-	err = withStore(first, func(s *storage.Store) error {
-		return controlplane.Restore(s, "127.0.0.1:7000", []string{"127.0.0.1:7000"}, &controlplane.State{Revision: 5, Uncompressed: conf})
+	_, data := makeMachine(t, dir, "first", "127.0.0.1", true)
+	err = withStore(data, func(s *storage.Store) error {
+		state := &controlplane.State{Revision: 5, Uncompressed: conf}
+		return controlplane.Restore(s, "127.0.0.1:7000", []string{"127.0.0.1:7000"}, state)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := filepath.Join(dir, "export")
-	if err := (&stateExport{Data: first, Out: file}).Run(); err != nil {
+	export := filepath.Join(dir, "export")
+	if err := (&stateExport{Data: data, Out: export}).Run(); err != nil {
 		t.Fatal(err)
 	}
-	path, data := node("second", "127.0.0.2", true)
-	if err := (&stateImport{File: file, Settings: path}).Run(); err != nil {
+	return export
+}
+
+// What one machine's disk holds is exported, checked, and begins a core on an
+// empty disk; over a state, or at a machine that is none of the core, nothing is
+// written.
+func TestStateCommands(t *testing.T) {
+	dir := t.TempDir()
+	export := makeExport(t, dir)
+	path, data := makeMachine(t, dir, "second", "127.0.0.2", true)
+	if err := (&stateImport{File: export, Settings: path}).Run(); err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range []string{file, data} {
+	for _, what := range []string{export, data} {
 		if err := (&stateCheck{Path: what}).Run(); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if err := (&stateImport{File: file, Settings: path}).Run(); err == nil || !strings.Contains(err.Error(), "already") {
+	err := (&stateImport{File: export, Settings: path}).Run()
+	if err == nil || !strings.Contains(err.Error(), "already") {
 		t.Errorf("over a state: %v", err)
 	}
-	other, empty := node("third", "127.0.0.3", true)
-	if (&stateImport{File: file, Settings: other}).Run() == nil {
+	noSeed, empty := makeMachine(t, dir, "third", "127.0.0.3", true)
+	if (&stateImport{File: export, Settings: noSeed}).Run() == nil {
 		t.Error("at a machine that is no seed")
 	}
-	none, _ := node("fourth", "127.0.0.4", false)
-	if (&stateImport{File: file, Settings: none}).Run() == nil {
+	noMember, _ := makeMachine(t, dir, "fourth", "127.0.0.4", false)
+	if (&stateImport{File: export, Settings: noMember}).Run() == nil {
 		t.Error("at a machine that is none of the core")
 	}
 	err = withStore(empty, func(s *storage.Store) error {
--- a/cmd/elmspan/status_test.go
+++ b/cmd/elmspan/status_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	coreStatusFields = `{"ID":"","Role":"","Leader":"","Term":0,"Commit":0,"Revision":0,"DiskFails":false,"Halted":"",` +
-		`"Members":null,"Watches":0,"NewsBytes":0,"NewsBytesMost":0}`
+	coreStatusFields = `{"ID":"","Role":"","Leader":"","Term":0,"Commit":0,"Revision":0,"DiskFails":false,` +
+		`"Halted":"","Members":null,"Watches":0,"NewsBytes":0,"NewsBytesMost":0}`
 	limiterStatusFields = `{"Ready":false,"Draining":false,"Revision":0,"LeaseLeftMs":0,"InHand":0,"Connections":0,` +
 		`"QuotaPart":0,"Peers":0,"Servers":null}`
 	// With what is left out where there is none.
-	fullLimiterStatusFields = `{"Ready":false,"Draining":false,"Revision":0,"LeaseLeftMs":0,"InHand":0,"Connections":0,` +
-		`"QuotaPart":0,"DarkZones":["north"],"Peers":0,` +
+	fullLimiterStatusFields = `{"Ready":false,"Draining":false,"Revision":0,"LeaseLeftMs":0,"InHand":0,` +
+		`"Connections":0,"QuotaPart":0,"DarkZones":["north"],"Peers":0,` +
 		`"Servers":[{"ID":"","Service":"","Zone":"","State":"","Out":0,"Load":0}]}`
 )
 
