--- a/cmd/elmspan-lab/load.go
+++ b/cmd/elmspan-lab/load.go
@@ -136,7 +136,7 @@
 func (t *Target) send(ctx context.Context, day *scenario.Day, all []sending) error {
 	begun := time.Now()
 	ledger := checker.New(scenario.RetryBudget{}, func() time.Duration { return time.Since(begun) })
-	tally := checker.NewTally(day)
+	tally := checker.NewCounter(day)
 	client := emulator.NewClient(t.Host, t.Front, day.Seed)
 	defer client.Close()
 	var tasks sync.WaitGroup
--- a/cmd/elmspan/explain.go
+++ b/cmd/elmspan/explain.go
@@ -22,7 +22,7 @@
 
 // Run prints the path of one request through the processes that logged it.
 func (c *explainCmd) Run() error {
-	var story []line
+	var events []line
 	for _, path := range c.Logs {
 		f, err := os.Open(path)
 		if err != nil {
@@ -32,16 +32,16 @@
 		for i := range lines {
 			lines[i].from = cmp.Or(lines[i].from, filepath.Base(path))
 		}
-		story = append(story, lines...)
+		events = append(events, lines...)
 		if err := errors.Join(err, f.Close()); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	if len(story) == 0 {
+	if len(events) == 0 {
 		return fmt.Errorf("no line about %s: was it logged at level debug?", c.ID)
 	}
-	slices.SortStableFunc(story, func(a, b line) int { return a.at.Compare(b.at) })
-	return writeStory(os.Stdout, story)
+	slices.SortStableFunc(events, func(a, b line) int { return a.at.Compare(b.at) })
+	return writeEvents(os.Stdout, events)
 }
 
 // line is one line of a log.
@@ -117,13 +117,13 @@
 	return out
 }
 
-// writeStory writes the story, with times from its first line on.
-func writeStory(w io.Writer, story []line) error {
-	begun := story[0].at
-	if ms, err := strconv.ParseFloat(story[0].fields["took_ms"], 64); err == nil { // logged at its end
+// writeEvents writes the events, with times from its first line on.
+func writeEvents(w io.Writer, events []line) error {
+	begun := events[0].at
+	if ms, err := strconv.ParseFloat(events[0].fields["took_ms"], 64); err == nil { // logged at its end
 		begun = begun.Add(-time.Duration(ms * float64(time.Millisecond)))
 	}
-	for _, l := range story {
+	for _, l := range events {
 		ms := float64(l.at.Sub(begun)) / float64(time.Millisecond)
 		if _, err := fmt.Fprintf(w, "%9.1f ms  %-28s %s\n", ms, l.from, l.event()); err != nil {
 			return err
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// event says what a line tells.
+// event describes a line.
 func (l *line) event() string {
 	switch l.fields["msg"] {
 	case "try":
--- a/cmd/elmspan/explain_test.go
+++ b/cmd/elmspan/explain_test.go
@@ -18,23 +18,23 @@
 		`"server":"i-2","zone":"y","result":"full","ran":false,"took_ms":5,"at":1,"hedge":true}` + "\n"
 )
 
-// The lines about one request, of text and JSON logs, are told in order, with
+// The lines about one request, of text and JSON logs, are shown in order, with
 // what was tried and why it ended as it did; lines about others are not.
 func TestExplain(t *testing.T) {
-	var story []line
+	var events []line
 	for _, log := range []string{secondAttempt, firstAttempt + anotherRequest + answer} {
 		lines, err := linesOf(strings.NewReader(log), "a1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		story = append(story, lines...)
+		events = append(events, lines...)
 	}
-	if len(story) != 3 {
-		t.Fatalf("%d lines", len(story))
+	if len(events) != 3 {
+		t.Fatalf("%d lines", len(events))
 	}
-	story[0], story[1] = story[1], story[0]
+	events[0], events[1] = events[1], events[0]
 	var b strings.Builder
-	if err := writeStory(&b, story); err != nil {
+	if err := writeEvents(&b, events); err != nil {
 		t.Fatal(err)
 	}
 	got := b.String()
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -28,8 +28,8 @@
 // String says where the mention stands.
 func (m Mention) String() string { return fmt.Sprintf("%s:%d: `%s`", m.Page, m.Line, m.Text) }
 
-// Words are the parts of the text between blanks, without quotation marks.
-func (m Mention) Words() []string {
+// Fields are the parts of the text between blanks, without quotation marks.
+func (m Mention) Fields() []string {
 	return strings.Fields(strings.NewReplacer(`"`, " ", `'`, " ").Replace(m.Text))
 }
 
@@ -106,16 +106,16 @@
 	return mentions
 }
 
-// Commands returns the uses of a program among the mentions: for each the words after
+// Commands returns the uses of a program among the mentions: for each the fields after
 // the program's name, up to the end of that command. `go run ./cmd/NAME` is one too.
 func Commands(mentions []Mention, program string) []Command {
 	var commands []Command
 	for _, m := range mentions {
-		words := m.Words()
-		for i, word := range words {
-			begins := i == 0 || words[i-1] == "&&" || words[i-1] == "run" || strings.Contains(words[i-1], "=")
+		fields := m.Fields()
+		for i, word := range fields {
+			begins := i == 0 || fields[i-1] == "&&" || fields[i-1] == "run" || strings.Contains(fields[i-1], "=")
 			if begins && slices.Contains([]string{program, "target/" + program, "./cmd/" + program}, word) {
-				commands = append(commands, Command{m, untilEnd(words[i+1:])})
+				commands = append(commands, Command{m, untilEnd(fields[i+1:])})
 			}
 		}
 	}
@@ -128,14 +128,14 @@
 	Args []string
 }
 
-// untilEnd returns the words up to a sign of the shell that ends a command.
-func untilEnd(words []string) []string {
-	for i, word := range words {
+// untilEnd returns the fields up to a sign of the shell that ends a command.
+func untilEnd(fields []string) []string {
+	for i, word := range fields {
 		if strings.ContainsAny(word, "&|;>#") {
-			return words[:i]
+			return fields[:i]
 		}
 	}
-	return words
+	return fields
 }
 
 // Check returns an error where a command's arguments name a command or a flag that the
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -70,7 +70,7 @@
 
 var testName = regexp.MustCompile(`^(?:([\w/-]+)\.)?((?:Test|Fuzz|Benchmark)[A-Z]\w*)(\.\.\.)?$`)
 
-// hasTest tells whether a word names a test that is there; words that name none count
+// hasTest reports whether a word names a test that is there; words that name none count
 // as such. A package before the name is the end of its folder's path, and three dots
 // after it stand for all tests that begin so.
 func (all *tree) hasTest(word string) bool {
@@ -101,7 +101,7 @@
 // built are the folders that the deploy files' builds write into.
 var built = []string{"bin", "target"}
 
-// isPath tells whether a word is the path of something in the repository: it begins
+// isPath reports whether a word is the path of something in the repository: it begins
 // with a top-level entry of it, or is that of a source file in a folder.
 func (all *tree) isPath(word string) bool {
 	if !pathName.MatchString(word) || testName.MatchString(word) || strings.HasPrefix(word, "_") {
@@ -117,7 +117,7 @@
 	return slices.Contains(all.paths, first) || rest != "" && sourceFile.MatchString(word) || first == "decisions" || first == "incidents"
 }
 
-// hasPath tells whether a path exists. Of a page's name its number is enough; capitals
+// hasPath reports whether a path exists. Of a page's name its number is enough; capitals
 // stand for any name.
 func (all *tree) hasPath(path string) bool {
 	pattern := strings.TrimSuffix(path, "/")
@@ -154,7 +154,7 @@
 	}
 	checked := 0
 	for _, m := range mentions {
-		for _, word := range m.Words() {
+		for _, word := range m.Fields() {
 			word = strings.TrimSuffix(strings.TrimPrefix(strings.Trim(word, ",;:()"), "./"), "/...")
 			if !all.hasTest(word) {
 				t.Errorf("%v: no test %s", m, word)
--- a/lab/checker/log.go
+++ b/lab/checker/log.go
@@ -2,8 +2,8 @@
 // parties saw: clients, servers, platform and operator. It knows nothing of how
 // the system works. Emulator and simulation share it.
 //
-// The parties tell a [Log] what they see; most rules are checked at once, the others by
-// [Log.Finish]. A [Tally] counts what became of requests, and [Tally.Report] puts both
+// The parties report to a [Log] what they see; most rules are checked at once, the others by
+// [Log.Finish]. A [Counter] counts what became of requests, and [Counter.Report] puts both
 // into a [Report]. The names of the rules are those of the users' pages.
 package checker
 
@@ -214,7 +214,7 @@
 	}
 }
 
-// Finish checks what can only be told at the end.
+// Finish checks what can only be known at the end.
 func (l *Log) Finish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,7 +234,7 @@
 	}
 }
 
-// saysNotExecuted tells whether a status promises that the request has not run.
+// saysNotExecuted reports whether a status promises that the request has not run.
 func saysNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
--- a/lab/checker/log_test.go
+++ b/lab/checker/log_test.go
@@ -14,7 +14,7 @@
 )
 
 // The log finds each rule broken, and nothing where none is: a check that could not fail
-// would be worth nothing.
+// would be of no use.
 func TestLogFindsEachBrokenRule(t *testing.T) {
 	good := Run{Service: "filing", Member: "m", Tenant: "t"}
 	with := func(change func(*Run)) Run { r := good; change(&r); return r }
--- a/lab/checker/report.go
+++ b/lab/checker/report.go
@@ -18,7 +18,7 @@
 	"example.org/elmspan/lab/scenario"
 )
 
-// Latencies that are told apart, in microseconds, and to how many digits.
+// Latencies that are distinguished, in microseconds, and to how many digits.
 const (
 	minLatency    = 1
 	maxLatency    = 60_000_000
@@ -34,7 +34,7 @@
 	ViolationCounts map[string]int // by rule
 	UnexpectedExits int            // processes that ended by themselves
 	MissedChanges   int            // configurations that were never acknowledged
-	Notes           []string       // what else is worth knowing, a line each
+	Notes           []string       // what else there is to know, a line each
 }
 
 // Counts are requests by what became of them.
@@ -74,17 +74,17 @@
 	}
 }
 
-// Tally counts what became of requests. Its methods may be called at the same time.
-type Tally struct {
+// Counter counts what became of requests. Its methods may be called at the same time.
+type Counter struct {
 	mu      sync.Mutex
 	classes []string
 	stats   map[string]*Stats
 	seconds []Second
 }
 
-// NewTally returns the tally of a day's classes.
-func NewTally(d *scenario.Day) *Tally {
-	t := &Tally{stats: map[string]*Stats{}, seconds: make([]Second, int(math.Ceil(d.LengthS))+1)}
+// NewCounter returns a counter for a day's classes.
+func NewCounter(d *scenario.Day) *Counter {
+	t := &Counter{stats: map[string]*Stats{}, seconds: make([]Second, int(math.Ceil(d.LengthS))+1)}
 	for _, c := range d.Classes {
 		t.classes = append(t.classes, c.Name)
 		t.stats[c.Name] = &Stats{Latency: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
@@ -94,7 +94,7 @@
 
 // Add counts one request: when it was first sent, since the start of traffic,
 // the status of its last attempt (0: no answer) and how long all took.
-func (t *Tally) Add(c *scenario.Class, begun time.Duration, status, attempts int, took time.Duration) {
+func (t *Counter) Add(c *scenario.Class, begun time.Duration, status, attempts int, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	inTarget := float64(took)/float64(time.Millisecond) <= c.TargetMs
@@ -108,7 +108,7 @@
 }
 
 // Report closes a day: nothing is counted any more.
-func (t *Tally) Report(l *Log) *Report {
+func (t *Counter) Report(l *Log) *Report {
 	l.Finish()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,20 +124,20 @@
 }
 
 // Progress says how far the day is.
-func (t *Tally) Progress(l *Log) string {
+func (t *Counter) Progress(l *Log) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	asked, served := 0, 0
+	requests, served := 0, 0
 	for _, s := range t.stats {
-		asked, served = asked+s.Requests, served+s.InTarget+s.Late
+		requests, served = requests+s.Requests, served+s.InTarget+s.Late
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return fmt.Sprintf("%5.1f s  %d asked, %d served, %d rules broken",
-		l.clock().Seconds(), asked, served, len(l.violationCounts))
+		l.clock().Seconds(), requests, served, len(l.violationCounts))
 }
 
-// Passed tells that no rule was broken and no process ended by itself.
+// Passed reports that no rule was broken and no process ended by itself.
 func (r *Report) Passed() bool { return len(r.ViolationCounts) == 0 && r.UnexpectedExits == 0 }
 
 // Served is the share of the requests within the quotas that were answered with success.
--- a/lab/emulator/client.go
+++ b/lab/emulator/client.go
@@ -28,7 +28,7 @@
 )
 
 // Client sends requests as the clients of a day do: it keeps connections, and
-// sends again what may run twice or what was promised not to have run. Its methods may
+// sends again what may run twice or what certainly has not run. Its methods may
 // be called at the same time.
 type Client struct {
 	host     string
@@ -80,7 +80,7 @@
 // outcome is what came of an attempt.
 type outcome struct {
 	status     int           // 0: no answer
-	retryAfter time.Duration // 0: not told
+	retryAfter time.Duration // 0: none was given
 	unread     bool          // the limiter can't have read the request
 }
 
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -232,7 +232,7 @@
 	}
 }
 
-// drain shows a server as draining, and stops it when that is over. It tells whether
+// drain shows a server as draining, and stops it when that is over. It reports whether
 // the day went on until then.
 func (f *Fleet) drain(ctx context.Context, s *server) bool {
 	f.platform.drain(s)
--- a/lab/emulator/fleet.go
+++ b/lab/emulator/fleet.go
@@ -58,7 +58,7 @@
 	dir  string
 	out  io.Writer // for progress
 
-	ledger   *checker.Log
+	log      *checker.Log
 	start    atomic.Int64 // of traffic, in ns since epoch
 	platform *platform
 	nodes    []*node
@@ -96,7 +96,7 @@
 		f.faults = append(f.faults, fault)
 	}
 	f.startClock()
-	f.ledger = checker.New(spec.RetryBudget, f.sinceStart)
+	f.log = checker.New(spec.RetryBudget, f.sinceStart)
 	base, err := freePorts()
 	if err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	if err := f.layOut(program[0]); err != nil {
 		return nil, err
 	}
-	if f.platform, err = startPlatform(platformAddress, f.ledger); err != nil {
+	if f.platform, err = startPlatform(platformAddress, f.log); err != nil {
 		return nil, err
 	}
 	f.operator = newOperator(f)
@@ -281,7 +281,7 @@
 	})
 	tasks.Go(func() {
 		for backoff.Sleep(traffic, progressEvery) {
-			f.printf("%s", f.load.tally.Progress(f.ledger))
+			f.printf("%s", f.load.counter.Progress(f.log))
 		}
 	})
 	f.load.run(traffic) // returns once traffic has ended, so rolloutErr is set
@@ -337,7 +337,7 @@
 	acks, missed := f.operator.counts()
 	f.note("%d calls to the platform; %d lives of servers", f.platform.callCount(), f.servers.Load())
 	f.note("%d configurations acknowledged, %d missed", acks, missed)
-	r := f.load.tally.Report(f.ledger)
+	r := f.load.counter.Report(f.log)
 	f.notesMu.Lock()
 	defer f.notesMu.Unlock()
 	r.Notes, r.MissedChanges, r.UnexpectedExits = f.notes, missed, int(f.exits.Load())
@@ -364,7 +364,7 @@
 		}
 	}
 	incarnation := f.servers.Add(1)
-	s := newServer(fmt.Sprintf("i-%s-%d", service.Name, incarnation), zone, service, classes, f.ledger,
+	s := newServer(fmt.Sprintf("i-%s-%d", service.Name, incarnation), zone, service, classes, f.log,
 		f.spec.Seed+uint64(incarnation))
 	if err := s.start(addr); err != nil {
 		return err
--- a/lab/emulator/load.go
+++ b/lab/emulator/load.go
@@ -17,10 +17,10 @@
 
 // load is all the clients of a fleet.
 type load struct {
-	fleet  *Fleet
-	tally  *checker.Tally
-	client *Client // of all: connections are shared
-	tasks  sync.WaitGroup
+	fleet   *Fleet
+	counter *checker.Counter
+	client  *Client // of all: connections are shared
+	tasks   sync.WaitGroup
 
 	mu        sync.Mutex
 	rng       *rand.Rand
@@ -31,10 +31,10 @@
 
 func newLoad(f *Fleet) *load {
 	return &load{
-		fleet:  f,
-		rng:    rand.New(rand.NewPCG(f.spec.Seed, 9)),
-		tally:  checker.NewTally(f.spec),
-		client: newClient(hostName),
+		fleet:   f,
+		rng:     rand.New(rand.NewPCG(f.spec.Seed, 9)),
+		counter: checker.NewCounter(f.spec),
+		client:  newClient(hostName),
 	}
 }
 
@@ -96,14 +96,14 @@
 		},
 		key: func() string { return l.fleet.operator.key(a.tenant.Name) },
 		sent: func(id, key string, body []byte) {
-			l.fleet.ledger.Sent(id, &checker.Attempt{
+			l.fleet.log.Sent(id, &checker.Attempt{
 				Class:  class,
 				Tenant: a.tenant.Name,
 				Key:    key,
 				Body:   crc32.ChecksumIEEE(body),
 			})
 		},
-		answered: l.fleet.ledger.Answered,
+		answered: l.fleet.log.Answered,
 	})
-	l.tally.Add(class, l.fleet.since(begun), status, attempts, time.Since(begun))
+	l.counter.Add(class, l.fleet.since(begun), status, attempts, time.Since(begun))
 }
--- a/lab/emulator/node.go
+++ b/lab/emulator/node.go
@@ -42,7 +42,7 @@
 }
 
 // supervise starts the machine's process, and again whenever it ends, until the context
-// does. unexpected is told of each end that nobody ordered.
+// does. unexpected is called for each end that nobody ordered.
 func (n *node) supervise(ctx context.Context, args []string, unexpected func(*os.ProcessState)) error {
 	for ctx.Err() == nil {
 		state, err := n.runOnce(args)
--- a/lab/emulator/operator.go
+++ b/lab/emulator/operator.go
@@ -106,7 +106,7 @@
 		rate := day.Rate(&t)
 		keys := slices.Clone(o.keys[t.Name])
 		c.Tenants = append(c.Tenants, api.Tenant{Name: t.Name, Keys: keys, Rate: rate, Burst: rate})
-		o.fleet.ledger.Quota(t.Name, rate, rate)
+		o.fleet.log.Quota(t.Name, rate, rate)
 	}
 	return c
 }
@@ -190,7 +190,7 @@
 	var both sync.WaitGroup
 	for i := range racers {
 		c := o.config(5 + uint64(i))
-		c.Routes[0].TimeoutMs += float64(1 + i) // so that one can be told from the other
+		c.Routes[0].TimeoutMs += float64(1 + i) // so that the two differ
 		body, err := cbor.Marshal(c)
 		if err != nil {
 			return
@@ -203,7 +203,7 @@
 	both.Wait()
 	switch {
 	case racers[0].acked && racers[1].acked:
-		o.fleet.ledger.Violation("CONFIG", "two changes on top of version %d are both acknowledged", base)
+		o.fleet.log.Violation("CONFIG", "two changes on top of version %d are both acknowledged", base)
 	case racers[0].acked:
 		o.acknowledge(racers[0].revision, racers[0].body, time.Since(begun))
 	case racers[1].acked:
@@ -242,7 +242,7 @@
 			continue
 		}
 		if status, _ := o.call(ctx, 1, http.MethodPost, replacePath, o.revision(), body); status == http.StatusOK {
-			o.fleet.ledger.Violation("CONFIG", "a configuration with %s was acknowledged", name)
+			o.fleet.log.Violation("CONFIG", "a configuration with %s was acknowledged", name)
 		}
 	}
 }
@@ -267,7 +267,7 @@
 	o.keys[tenant] = []string{next}
 	o.mu.Unlock()
 	if o.bring(ctx) {
-		o.fleet.ledger.Revoked(old)
+		o.fleet.log.Revoked(old)
 	}
 }
 
@@ -284,13 +284,13 @@
 		}
 		if status, body := o.call(ctx, i, http.MethodGet, "/v1/Config.Get", 0, nil); status == http.StatusOK {
 			if !bytes.Equal(body, want) {
-				o.fleet.ledger.Violation("CONFIG", "what is read back is not what was acknowledged as %d", base)
+				o.fleet.log.Violation("CONFIG", "what is read back is not what was acknowledged as %d", base)
 			}
 			return
 		}
 		backoff.Sleep(ctx, 100*time.Millisecond)
 	}
-	o.fleet.ledger.Violation("CONFIG", "the configuration can't be read back")
+	o.fleet.log.Violation("CONFIG", "the configuration can't be read back")
 }
 
 // target is the machine that a call goes to: another one each time.
--- a/lab/emulator/platform.go
+++ b/lab/emulator/platform.go
@@ -23,8 +23,8 @@
 
 // platform keeps the list of servers and knows which limiters get connections.
 type platform struct {
-	addr   string
-	ledger *checker.Log
+	addr string
+	log  *checker.Log
 
 	mu      sync.Mutex
 	servers []*server
@@ -34,8 +34,8 @@
 	failed  map[string]int // checks of limiters in a row, by ready address
 }
 
-func startPlatform(addr string, ledger *checker.Log) (*platform, error) {
-	p := &platform{ledger: ledger, tokens: platformCallsPerS, refill: time.Now(), failed: map[string]int{}}
+func startPlatform(addr string, log *checker.Log) (*platform, error) {
+	p := &platform{log: log, tokens: platformCallsPerS, refill: time.Now(), failed: map[string]int{}}
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("emulator: the platform: %w", err)
@@ -72,7 +72,7 @@
 	_, _ = w.Write(data) // a caller that is gone needs no answer
 }
 
-// takeToken counts a call and tells whether it is within the rate. Called under the mutex.
+// takeToken counts a call and reports whether it is within the rate. Called under the mutex.
 func (p *platform) takeToken() bool {
 	p.tokens = min(platformCallsPerS, p.tokens+time.Since(p.refill).Seconds()*platformCallsPerS)
 	p.refill = time.Now()
@@ -99,7 +99,7 @@
 // drain shows a server as draining.
 func (p *platform) drain(s *server) {
 	s.setDraining()
-	p.ledger.Draining(s.id)
+	p.log.Draining(s.id)
 }
 
 // remove takes a server off the list.
@@ -137,7 +137,7 @@
 	}
 }
 
-// inService tells whether a limiter gets new connections.
+// inService reports whether a limiter gets new connections.
 func (p *platform) inService(ready string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/emulator/rollout.go
+++ b/lab/emulator/rollout.go
@@ -25,7 +25,7 @@
 
 // rollout restarts a fleet, machine by machine, into another build of the gateway
 // while an operator brings changes, then kills all machines at once and starts them
-// again. What it finds wrong goes into the fleet's ledger.
+// again. What it finds wrong goes into the fleet's log.
 type rollout struct {
 	fleet   *Fleet
 	program string // absolute path of the build to go to
@@ -76,7 +76,7 @@
 	after, _ := f.operator.counts()
 	changes := after - before
 	if changes == 0 {
-		f.ledger.Violation("CONFIG", "no change was acknowledged during the roll-out")
+		f.log.Violation("CONFIG", "no change was acknowledged during the roll-out")
 	}
 	killed := time.Now()
 	if err := r.killAll(ctx); err != nil {
@@ -120,7 +120,7 @@
 		old := n.process()
 		n.terminate()
 		if state := old.cmd.ProcessState; !state.Success() {
-			r.fleet.ledger.Violation(upgradeRule, "%s did not end in order: %v", n.name, state)
+			r.fleet.log.Violation(upgradeRule, "%s did not end in order: %v", n.name, state)
 		}
 		revision := r.fleet.operator.revision()
 		ready := func(s *nodeStatus) bool { return s.restarted(n, old) && s.has(revision) }
@@ -161,7 +161,7 @@
 // was acknowledged, and returns its revision.
 func (r *rollout) inForceEverywhere(ctx context.Context) (uint64, error) {
 	if !r.fleet.operator.change(ctx) { // and one more, so that the new builds alone agree on it
-		r.fleet.ledger.Violation("CONFIG", "no change was acknowledged after all had been killed")
+		r.fleet.log.Violation("CONFIG", "no change was acknowledged after all had been killed")
 	}
 	revision := r.fleet.operator.revision()
 	for _, n := range r.fleet.nodes {
@@ -179,9 +179,9 @@
 		path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", n.process().cmd.Process.Pid))
 		switch {
 		case err != nil:
-			r.fleet.ledger.Violation(upgradeRule, "%s: which program it runs can't be told: %v", n.name, err)
+			r.fleet.log.Violation(upgradeRule, "%s: which program it runs can't be told: %v", n.name, err)
 		case path != r.program:
-			r.fleet.ledger.Violation(upgradeRule, "%s still runs %s", n.name, path)
+			r.fleet.log.Violation(upgradeRule, "%s still runs %s", n.name, path)
 		default:
 			count++
 		}
@@ -220,7 +220,7 @@
 	}
 }
 
-// String implements fmt.Stringer. A nil status is that of a machine that told none.
+// String implements fmt.Stringer. A nil status is that of a machine that did not answer.
 func (s *nodeStatus) String() string {
 	if s == nil {
 		return "no status"
@@ -228,7 +228,7 @@
 	return fmt.Sprintf("limiter %+v, core %+v", s.Limiter, s.Core)
 }
 
-// errNoStatus: a machine did not tell its state.
+// errNoStatus: a machine did not answer with its state.
 var errNoStatus = errors.New("no status")
 
 // status asks a machine's process for its state.
@@ -249,12 +249,12 @@
 	return &s, nil
 }
 
-// restarted tells that another process than the old one runs and is ready.
+// restarted reports whether another process than the old one runs and is ready.
 func (s *nodeStatus) restarted(n *node, old running) bool {
 	return n.process().cmd != old.cmd && s.Limiter != nil && s.Limiter.Ready
 }
 
-// has tells that the machine, and its member of the core if it has one, are at a
+// has reports whether the machine, and its member of the core if it has one, are at a
 // revision of the configuration or past it.
 func (s *nodeStatus) has(revision uint64) bool {
 	return s.Limiter != nil && s.Limiter.Revision >= revision && (s.Core == nil || s.Core.Revision >= revision)
--- a/lab/emulator/server.go
+++ b/lab/emulator/server.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	serverIdleTimeout = 8 * time.Second // told to callers in Keep-Alive
+	serverIdleTimeout = 8 * time.Second // sent to callers in Keep-Alive
 	greySlowdown      = 8               // of a request that a grey server answers slowly
 )
 
@@ -30,7 +30,7 @@
 	id, service, zone string
 	spec              *scenario.Service
 	classes           map[string]*scenario.Class // by path prefix
-	ledger            *checker.Log
+	log               *checker.Log
 	slots             chan struct{} // holds one for each request that is worked on
 	started           time.Time
 
@@ -47,7 +47,7 @@
 	degraded degradation
 	conns    map[net.Conn]bool
 
-	owed sync.Map // by connection: the second copy of an answer, due with the next one
+	pendingCopies sync.Map // by connection: the second copy of an answer, due with the next one
 }
 
 // degradation is how a server answers badly; the zero value with a slowdown of 1 is none.
@@ -63,7 +63,7 @@
 var healthy = degradation{slowdown: 1}
 
 // newServer makes a server that does not listen yet.
-func newServer(id, zone string, spec *scenario.Service, classes map[string]*scenario.Class, ledger *checker.Log,
+func newServer(id, zone string, spec *scenario.Service, classes map[string]*scenario.Class, log *checker.Log,
 	seed uint64) *server {
 	return &server{
 		id:       id,
@@ -71,7 +71,7 @@
 		zone:     zone,
 		spec:     spec,
 		classes:  classes,
-		ledger:   ledger,
+		log:      log,
 		slots:    make(chan struct{}, spec.Slots),
 		started:  time.Now(),
 		rng:      rand.New(rand.NewPCG(seed, 5)),
@@ -198,7 +198,7 @@
 			return
 		}
 		head, body, err := h1.ReadWhole(in, maxHeadBytes)
-		if err != nil || !s.writeOwed(conn) || !s.answer(conn, head, body) {
+		if err != nil || !s.writePendingCopy(conn) || !s.answer(conn, head, body) {
 			return
 		}
 	}
@@ -210,10 +210,10 @@
 	s.mu.Lock()
 	delete(s.conns, conn)
 	s.mu.Unlock()
-	s.owed.Delete(conn)
+	s.pendingCopies.Delete(conn)
 }
 
-// forgets tells whether a connection that was at rest for so long is forgotten.
+// forgets reports whether a connection that was at rest for so long is forgotten.
 func (s *server) forgets(idle time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,7 +247,7 @@
 	if err != nil {
 		return s.reject(x, http.StatusBadRequest, "no budget")
 	}
-	s.ledger.Arrived(x.id, s.service)
+	s.log.Arrived(x.id, s.service)
 	if x.mode = s.failureMode(); x.mode == scenario.GreyShed {
 		return s.reject(x, http.StatusServiceUnavailable, "shed")
 	}
@@ -270,7 +270,7 @@
 	return s.run(x)
 }
 
-// write writes to a connection and tells whether that went well.
+// write writes to a connection and reports whether that went well.
 func (s *server) write(conn net.Conn, format string, args ...any) bool {
 	_, err := fmt.Fprintf(conn, format, args...)
 	return err == nil
@@ -350,7 +350,7 @@
 		Tenant:  x.head.Get("Tenant-Name"),
 		Body:    crc32.ChecksumIEEE(x.body),
 	}
-	s.ledger.Ran(x.id, run, x.head.Get("Authorization") != "")
+	s.log.Ran(x.id, run, x.head.Get("Authorization") != "")
 	p := s.drawPlan(x.class)
 	if p.stopped {
 		return false
@@ -391,22 +391,22 @@
 		return false
 	}
 	if p.repeats && p.repeatsLater {
-		s.owed.Store(x.conn, answer)
+		s.pendingCopies.Store(x.conn, answer)
 	}
 	return !p.draining
 }
 
-// writeOwed writes the second copy of an answer that is due where the next one is.
-func (s *server) writeOwed(conn net.Conn) bool {
-	again, owed := s.owed.LoadAndDelete(conn)
-	if !owed {
+// writePendingCopy writes the second copy of an answer that is due where the next one is.
+func (s *server) writePendingCopy(conn net.Conn) bool {
+	copied, pending := s.pendingCopies.LoadAndDelete(conn)
+	if !pending {
 		return true
 	}
-	_, err := conn.Write(again.([]byte))
+	_, err := conn.Write(copied.([]byte))
 	return err == nil
 }
 
-// reset ends a connection so that the other side is told at once.
+// reset ends a connection so that the other side notices at once.
 func reset(conn net.Conn) {
 	if t, ok := conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // else it ends in order
--- a/lab/scenario/fault.go
+++ b/lab/scenario/fault.go
@@ -26,8 +26,8 @@
 	RestartNodes FaultKind = "term"     // processes end in order and start again, with ForS between them
 	ReloadNodes  FaultKind = "hup"      // processes read their settings again
 	FreezeNodes  FaultKind = "freeze"   // processes stand still for ForS
-	// CutZone: the last zone's limiters and the others don't hear each other.
-	CutZone FaultKind = "cut"
+	// PartitionZone: the last zone's limiters and the others can't reach each other.
+	PartitionZone FaultKind = "cut"
 )
 
 // Kinds of faults of servers.
@@ -41,10 +41,10 @@
 	RepeatAnswers     FaultKind = "stutter"      // a share of answers is sent twice, at once or late
 	GreyServers       FaultKind = "grey"         // a share of requests fails, by Mode, and probes succeed
 	ForgetConnections FaultKind = "forget"       // connections at rest for Factor seconds are reset
-	// DarkZone: the last zone's servers can't be reached, and what they have in hand is
+	// UnreachableZone: the last zone's servers can't be reached, and what they have in hand is
 	// not answered.
-	DarkZone FaultKind = "zone_dark"
-	SlowZone FaultKind = "zone_slow" // the last zone's servers take Factor times as long
+	UnreachableZone FaultKind = "zone_dark"
+	SlowZone        FaultKind = "zone_slow" // the last zone's servers take Factor times as long
 )
 
 // Kinds of what tenants and operators do.
@@ -72,7 +72,7 @@
 	GreySlow   = "slow"   // it takes many times as long
 )
 
-// players tells which programs play a fault.
+// players are the programs that play a fault.
 type players struct{ emulator, simulation bool }
 
 var playedBy = map[FaultKind]players{
@@ -81,7 +81,7 @@
 	RestartNodes:      {emulator: true},
 	ReloadNodes:       {emulator: true},
 	FreezeNodes:       {emulator: true, simulation: true},
-	CutZone:           {simulation: true},
+	PartitionZone:     {simulation: true},
 	CrashServers:      {emulator: true, simulation: true},
 	ReplaceServers:    {emulator: true, simulation: true},
 	ReuseAddresses:    {emulator: true},
@@ -91,7 +91,7 @@
 	RepeatAnswers:     {emulator: true},
 	GreyServers:       {emulator: true},
 	ForgetConnections: {emulator: true},
-	DarkZone:          {simulation: true},
+	UnreachableZone:   {simulation: true},
 	SlowZone:          {simulation: true},
 	HotTenant:         {emulator: true, simulation: true},
 	ChangeConfig:      {emulator: true},
@@ -101,13 +101,13 @@
 	RaceChanges:       {emulator: true},
 }
 
-// known tells whether anything plays such a fault.
+// known reports whether anything plays such a fault.
 func (k FaultKind) known() bool { return playedBy[k] != players{} }
 
-// Emulated tells whether the emulator can play it.
+// Emulated reports whether the emulator can play it.
 func (f *Fault) Emulated() bool { return playedBy[f.Kind].emulator }
 
-// Simulated tells whether the simulation can play it.
+// Simulated reports whether the simulation can play it.
 func (f *Fault) Simulated() bool { return playedBy[f.Kind].simulation }
 
 // FaultKinds returns all kinds, sorted.
--- a/lab/scenario/model.go
+++ b/lab/scenario/model.go
@@ -47,8 +47,8 @@
 	d.Faults = within
 }
 
-// ShouldRetry tells whether a client sends a request again after a status (0: no
-// answer): one that may run twice, or that was promised not to have run, or that
+// ShouldRetry reports whether a client sends a request again after a status (0: no
+// answer): one that may run twice, or that certainly has not run, or that
 // the limiter can't have read (unread). What is wrong with it stays so.
 func (c *Class) ShouldRetry(status int, unread bool) bool {
 	switch {
@@ -60,8 +60,8 @@
 	return c.Idempotent() || unread
 }
 
-// RetryDelay is how long a client waits after so many attempts, told to come back after
-// a time (0: not told).
+// RetryDelay is how long a client waits after so many attempts, asked to come back after
+// a time (0: not asked).
 func RetryDelay(attempts int, retryAfter time.Duration) time.Duration {
 	return max(retryAfter, time.Duration(attempts)*retryStep)
 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -237,5 +237,5 @@
 	return nil
 }
 
-// Idempotent tells whether such a request may run more than once.
+// Idempotent reports whether such a request may run more than once.
 func (c *Class) Idempotent() bool { return c.Type == "idempotent" || c.Type == "download" }
--- a/lab/simulation/fleet.go
+++ b/lab/simulation/fleet.go
@@ -52,7 +52,7 @@
 	policy  string
 	rng     *rand.Rand
 	ledger  *checker.Log
-	tally   *checker.Tally
+	tally   *checker.Counter
 	nodes   []*node
 	byID    map[uint64]*node
 	byName  map[string]*node
@@ -73,7 +73,7 @@
 
 // Run simulates a day.
 func Run(ctx context.Context, day *scenario.Day, o Options) (*Result, error) {
-	f := &fleet{day: day, policy: cmp.Or(o.Policy, Elmspan), rng: rand.New(rand.NewPCG(day.Seed, 0x51)), tally: checker.NewTally(day),
+	f := &fleet{day: day, policy: cmp.Or(o.Policy, Elmspan), rng: rand.New(rand.NewPCG(day.Seed, 0x51)), tally: checker.NewCounter(day),
 		byID: map[uint64]*node{}, byName: map[string]*node{}, servers: map[string]*server{}}
 	f.engine.now = -settleMs
 	f.ledger = checker.New(day.RetryBudget, func() time.Duration { return time.Duration(f.engine.now * float64(time.Millisecond)) })
