--- a/controlplane/endpointlist.go
+++ b/controlplane/endpointlist.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// merge takes in the platform's answer in a term. changed: watchers are to be notified;
+// merge merges the platform's answer into the list, in a term of this leader. changed: watchers are to be notified;
 // uncertain: another answer is wanted soon.
 func (l *endpointList) merge(term uint64, answer []api.Server) (changed, uncertain bool, err error) {
 	changed, uncertain = l.endpoints.Merge(l.clockMs(), answer)
@@ -56,7 +56,7 @@
 	return true, uncertain, nil
 }
 
-// applyDelta takes in what the leader sent; clockMs was the time on its clock then.
+// applyDelta applies what the leader sent; clockMs was the time on its clock then.
 func (l *endpointList) applyDelta(delta *versioned.DeltaReader, clockMs float64) error {
 	rows, err := delta.ApplyTo(l.table.Version(), l.table.Rows())
 	if err != nil {
--- a/controlplane/endpoints.go
+++ b/controlplane/endpoints.go
@@ -28,7 +28,7 @@
 	servers endpointList
 }
 
-// SetServers takes in the platform's answer, where this member leads. changed: it changed the
+// SetServers merges the platform's answer into the list, where this member leads. changed: it changed the
 // list; uncertain: another answer is wanted soon.
 func (m *endpointManager) SetServers(answer []api.Server) (changed, uncertain bool) {
 	m.mu.Lock()
@@ -94,7 +94,7 @@
 	return m.applyDelta(data, r.ClockMs)
 }
 
-// applyDelta takes in what the leader sent. Where it doesn't fit, the list begins anew, so that
+// applyDelta applies what the leader sent to the list. Where it doesn't fit, the list begins anew, so that
 // the next watch asks for the complete one.
 func (m *endpointManager) applyDelta(data []byte, clockMs float64) bool {
 	delta, err := versioned.OpenDelta(data)
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -58,7 +58,7 @@
 
 // Join adds a process as a member, at first without a vote. One that is leaving is marked as such: it
 // is given no vote, and its vote goes to a standby. Status is 200, or 409 where a voter leaves
-// and there is no standby; 0 from who can't say.
+// and there is no standby; 0 where this member doesn't lead.
 func (m *memberManager) Join(_ context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -29,7 +29,7 @@
 // callProgress is what came of one step of a call.
 type callProgress struct {
 	done       bool
-	result     api.ControlResponse // where done; a Status of 0: this member can't say
+	result     api.ControlResponse // where done; a Status of 0: this member doesn't know it
 	needsRound bool                // the call waits for a read index round
 }
 
--- a/controlplane/service.go
+++ b/controlplane/service.go
@@ -6,18 +6,19 @@
 	"example.org/elmspan/api"
 )
 
-// A Core answers the calls of the control plane by the part that each concerns. Together they
-// are an [api.Control].
+// The methods in this file are the calls of the control plane service, an [api.Control], and those
+// of the process that runs the member. Each is carried out by the part that it concerns.
 
 // Replace commits a configuration that replaces a given revision. Status is 200 once it is committed and
 // applied, 400 where it is not valid, 412 where that revision is not the current one, 503 where
-// it isn't remembered any more whether it was applied; 0 from a member that can't say.
+// it isn't remembered any more whether it was applied; 0 where this member doesn't know: it doesn't
+// lead, is out of touch with a majority, or lost track of the entry.
 func (c *Core) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
 	return c.store.Replace(ctx, q)
 }
 
 // Get reads the configuration, or another part of the state, as of after the call. Status is
-// 200, or 404 where there is none; 0 from a member that can't say.
+// 200, or 404 where there is none; 0 where this member doesn't lead or can't confirm its state.
 func (c *Core) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
 	return c.store.Get(ctx, q)
 }
@@ -37,13 +38,13 @@
 	return c.reads.ReadIndex(ctx, q)
 }
 
-// Deliver takes in messages of other members.
+// Deliver receives messages of other members.
 func (c *Core) Deliver(ctx context.Context, q *api.DeliverRequest) (*api.DeliverResponse, error) {
 	return c.transport.Deliver(ctx, q)
 }
 
 // Join adds a process as a member, or lets a member go. Status is 200, or 409 where a voter leaves and
-// there is no standby; 0 from a member that can't say.
+// there is no standby; 0 where this member doesn't lead.
 func (c *Core) Join(ctx context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
 	return c.members.Join(ctx, q)
 }
@@ -59,7 +60,7 @@
 // ends. The channel is closed once the others don't need it any more, or can't do without.
 func (c *Core) Leave() <-chan struct{} { return c.members.Leave() }
 
-// SetServers takes in the platform's answer, where this member leads. changed: it changed the
+// SetServers merges the platform's answer into the list, where this member leads. changed: it changed the
 // list; uncertain: another answer is wanted soon.
 func (c *Core) SetServers(answer []api.Server) (changed, uncertain bool) {
 	return c.endpoints.SetServers(answer)
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -189,7 +189,7 @@
 	return api.CallDeliver(ctx, conn, d)
 }
 
-// Deliver takes in messages of other members. The two send queues of a member call it side by
+// Deliver receives messages of other members. The two send queues of a member call it side by
 // side: a message may overtake another.
 func (t *transport) Deliver(_ context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
 	t.mu.Lock()
