--- a/balancer/node/discovery.go
+++ b/balancer/node/discovery.go
@@ -164,7 +164,7 @@
 		crowded: backoff.New(max(retryFirst, limiters*callEvery/2), max(retryMost, limiters*crowdEvery), rng),
 	}
 	if cfg.Settings.Module.AskMembers {
-		p.spread = backoff.Spread(limiters*callEvery, rng)
+		p.spread = backoff.Jitter(limiters*callEvery, rng)
 	}
 	return p
 }
--- a/controlplane/command.go
+++ b/controlplane/command.go
@@ -29,7 +29,7 @@
 // encodeReplaceCommand returns the data of the log entry that replaces revision base by a
 // configuration.
 func encodeReplaceCommand(base, revision uint64, config []byte) ([]byte, error) {
-	compressed, err := compression.Pack(config)
+	compressed, err := compression.Compress(config)
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 	case len(c.Digest) == digestSize:
 		return fingerprint{Hash: c.Hash, Digest: [digestSize]byte(c.Digest)}
 	}
-	config, err := compression.Unpack(c.Compressed, api.MaxConfigBytes)
+	config, err := compression.Decompress(c.Compressed, api.MaxConfigBytes)
 	if err != nil {
 		// It was decoded before it was proposed. Members of a version without digests would
 		// apply it too, so it is no error here.
--- a/controlplane/state.go
+++ b/controlplane/state.go
@@ -61,7 +61,7 @@
 	if s.Compressed == nil {
 		return s.Uncompressed, nil
 	}
-	return compression.Unpack(s.Compressed, api.MaxConfigBytes)
+	return compression.Decompress(s.Compressed, api.MaxConfigBytes)
 }
 
 // ConfigAt returns the configuration of a revision as it was sent, or [ErrRevisionNotKept].
@@ -71,7 +71,7 @@
 	}
 	for _, p := range s.Previous {
 		if p.Revision == revision {
-			return compression.Unpack(p.Compressed, api.MaxConfigBytes)
+			return compression.Decompress(p.Compressed, api.MaxConfigBytes)
 		}
 	}
 	return nil, ErrRevisionNotKept
--- a/controlplane/unreadable_state_test.go
+++ b/controlplane/unreadable_state_test.go
@@ -17,7 +17,7 @@
 // truncatedConfig is a compressed configuration that is cut off.
 func truncatedConfig(t *testing.T, revision uint64) []byte {
 	t.Helper()
-	compressed, err := compression.Pack(testConfig(t, revision)[:10])
+	compressed, err := compression.Compress(testConfig(t, revision)[:10])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -80,7 +80,7 @@
 	g := e.g
 	for range mostHeard {
 		n, from, err := g.udp.Receive(e.buf)
-		if errors.Is(err, datagram.ErrNone) {
+		if errors.Is(err, datagram.ErrNoDatagram) {
 			return
 		}
 		if err != nil {
--- a/dataplane/view.go
+++ b/dataplane/view.go
@@ -101,7 +101,7 @@
 		v.limits(&api.RequestLimits{})
 	}
 	next := *v
-	e := edit{view: &next, marks: v.marks.Edit(), hosts: v.hosts.Edit(), keys: v.keys.Edit(), tenants: v.tenants.Edit(), plans: &p, fresh: map[string]bool{}}
+	e := edit{view: &next, marks: v.marks.Builder(), hosts: v.hosts.Builder(), keys: v.keys.Builder(), tenants: v.tenants.Builder(), plans: &p, fresh: map[string]bool{}}
 	for {
 		row, err := r.Next()
 		if errors.Is(err, io.EOF) {
@@ -119,17 +119,17 @@
 	}
 	p.drop = slices.DeleteFunc(p.drop, func(id uint64) bool { _, is := p.put[id]; return is })
 	next.revision = r.To
-	next.marks, next.hosts, next.keys, next.tenants = e.marks.Done(), e.hosts.Done(), e.keys.Done(), e.tenants.Done()
+	next.marks, next.hosts, next.keys, next.tenants = e.marks.Map(), e.hosts.Map(), e.keys.Map(), e.tenants.Map()
 	return &next, p, nil
 }
 
 // edit is a view in the making.
 type edit struct {
 	*view
-	marks   *persistentmap.Edit[string, uint64]
-	hosts   *persistentmap.Edit[string, *host]
-	keys    *persistentmap.Edit[keySum, *tenant]
-	tenants *persistentmap.Edit[string, *tenant]
+	marks   *persistentmap.Builder[string, uint64]
+	hosts   *persistentmap.Builder[string, *host]
+	keys    *persistentmap.Builder[keySum, *tenant]
+	tenants *persistentmap.Builder[string, *tenant]
 	plans   *plans
 	fresh   map[string]bool // hosts that are this edit's own
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -27,15 +27,15 @@
 func (b *Backoff) Next() time.Duration {
 	least := b.pause
 	b.pause = min(2*least, b.most)
-	return least + Spread(least/2, b.rng)
+	return least + Jitter(least/2, b.rng)
 }
 
 // Reset begins anew, after a call that did not fail.
 func (b *Backoff) Reset() { b.pause = b.first }
 
-// Spread returns a point of time in the span given, for what many would otherwise
+// Jitter returns a point of time in the span given, for what many would otherwise
 // do at once.
-func Spread(span time.Duration, rng *rand.Rand) time.Duration {
+func Jitter(span time.Duration, rng *rand.Rand) time.Duration {
 	return time.Duration(float64(span) * rng.Float64())
 }
 
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -24,7 +24,7 @@
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		if at := Spread(time.Second, rng); at < 0 || at >= time.Second {
+		if at := Jitter(time.Second, rng); at < 0 || at >= time.Second {
 			t.Errorf("%v is not within the span", at)
 		}
 		seen[New(time.Second, time.Second, rng).Next()] = true
--- a/internal/compression/golden_test.go
+++ b/internal/compression/golden_test.go
@@ -37,11 +37,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := Unpack(want, int64(len(data)))
+			got, err := Decompress(want, int64(len(data)))
 			if err != nil || !bytes.Equal(got, data) {
 				t.Errorf("unpacked to %q, %v", got, err)
 			}
-			packed, err := Pack(data)
+			packed, err := Compress(data)
 			if err != nil || !bytes.Equal(packed, want) {
 				t.Errorf("packed to % x, %v, want % x", packed, err, want)
 			}
--- a/internal/compression/pack.go
+++ b/internal/compression/pack.go
@@ -20,11 +20,11 @@
 	deflated
 )
 
-// ErrUnreadable tells that bytes were not packed here, or are not whole.
-var ErrUnreadable = errors.New("compression: bytes can't be unpacked")
+// ErrCorrupt tells that bytes were not packed here, or are not whole.
+var ErrCorrupt = errors.New("compression: bytes can't be unpacked")
 
-// Pack returns the packed form of bytes.
-func Pack(data []byte) ([]byte, error) {
+// Compress returns the packed form of bytes.
+func Compress(data []byte) ([]byte, error) {
 	if len(data) >= worth {
 		var out bytes.Buffer
 		out.WriteByte(deflated)
@@ -45,10 +45,10 @@
 	return append([]byte{plain}, data...), nil
 }
 
-// Reader reads what was packed, at most so many bytes.
-func Reader(packed []byte, most int64) (io.Reader, error) {
+// NewReader reads what was packed, at most so many bytes.
+func NewReader(packed []byte, most int64) (io.Reader, error) {
 	if len(packed) == 0 || packed[0] > deflated {
-		return nil, ErrUnreadable
+		return nil, ErrCorrupt
 	}
 	var r io.Reader = bytes.NewReader(packed[1:])
 	if packed[0] == deflated {
@@ -57,15 +57,15 @@
 	return io.LimitReader(r, most), nil
 }
 
-// Unpack returns what was packed; more than so many bytes are [ErrUnreadable].
-func Unpack(packed []byte, most int64) ([]byte, error) {
-	r, err := Reader(packed, most+1)
+// Decompress returns what was packed; more than so many bytes are [ErrCorrupt].
+func Decompress(packed []byte, most int64) ([]byte, error) {
+	r, err := NewReader(packed, most+1)
 	if err != nil {
 		return nil, err
 	}
 	out, err := io.ReadAll(r)
 	if err != nil || int64(len(out)) > most {
-		return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	return out, nil
 }
--- a/internal/compression/pack_test.go
+++ b/internal/compression/pack_test.go
@@ -12,19 +12,19 @@
 	f.Add([]byte("short"))
 	f.Add(bytes.Repeat([]byte("long and the same "), 200))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		p, err := Pack(data)
+		p, err := Compress(data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Unpack(p, int64(len(data)))
+		got, err := Decompress(p, int64(len(data)))
 		if err != nil || !bytes.Equal(got, data) {
 			t.Fatalf("%q, %v", got, err)
 		}
 		if len(data) > 0 {
-			if _, err := Unpack(p, int64(len(data)-1)); err == nil {
+			if _, err := Decompress(p, int64(len(data)-1)); err == nil {
 				t.Fatal("longer than allowed")
 			}
 		}
-		Unpack(data, 1<<16) // whatever comes, it ends
+		Decompress(data, 1<<16) // whatever comes, it ends
 	})
 }
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -19,8 +19,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNone tells that nothing has come.
-var ErrNone = errors.New("datagram: nothing has come")
+// ErrNoDatagram tells that nothing has come.
+var ErrNoDatagram = errors.New("datagram: nothing has come")
 
 // Socket is one socket. It is not safe for concurrent use.
 type Socket struct {
@@ -100,7 +100,7 @@
 			return int(n), s.sender(), nil
 		case unix.EINTR:
 		case unix.EAGAIN:
-			return 0, from, ErrNone
+			return 0, from, ErrNoDatagram
 		default:
 			return 0, from, fmt.Errorf("datagram: %w", errno)
 		}
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -28,7 +28,7 @@
 	}
 	a, b := open(), open()
 	buf := make([]byte, 8)
-	if _, _, err := b.Receive(buf); !errors.Is(err, ErrNone) {
+	if _, _, err := b.Receive(buf); !errors.Is(err, ErrNoDatagram) {
 		t.Fatalf("of nothing: %v", err)
 	}
 	for i := range 20 {
@@ -42,7 +42,7 @@
 			t.Fatalf("%d: %d bytes, %v of %v, %v", i, n, buf[:n], from, err)
 		}
 	}
-	if _, _, err := b.Receive(buf); !errors.Is(err, ErrNone) {
+	if _, _, err := b.Receive(buf); !errors.Is(err, ErrNoDatagram) {
 		t.Errorf("of what was read: %v", err)
 	}
 	if n := testing.AllocsPerRun(100, func() { a.Send(buf, a.Addr()); a.Receive(buf) }); n != 0 {
--- a/internal/persistentmap/pmap.go
+++ b/internal/persistentmap/pmap.go
@@ -47,22 +47,22 @@
 	}
 }
 
-// Edit begins another version.
-func (m *Map[K, V]) Edit() *Edit[K, V] {
-	e := &Edit[K, V]{m: Map[K, V]{n: m.n, shards: &[shards]map[K]V{}}}
+// Builder begins another version.
+func (m *Map[K, V]) Builder() *Builder[K, V] {
+	e := &Builder[K, V]{m: Map[K, V]{n: m.n, shards: &[shards]map[K]V{}}}
 	if m.shards != nil {
 		*e.m.shards = *m.shards
 	}
 	return e
 }
 
-// Edit is a version in the making. It is not safe for concurrent use.
-type Edit[K comparable, V any] struct {
+// Builder is a version in the making. It is not safe for concurrent use.
+type Builder[K comparable, V any] struct {
 	m   Map[K, V]
 	own [shards]bool // copied already
 }
 
-func (e *Edit[K, V]) shard(k K) map[K]V {
+func (e *Builder[K, V]) shard(k K) map[K]V {
 	i := place(k)
 	if !e.own[i] {
 		e.own[i] = true
@@ -76,10 +76,10 @@
 }
 
 // Get returns the value of a key as edited so far.
-func (e *Edit[K, V]) Get(k K) (V, bool) { return e.m.Get(k) }
+func (e *Builder[K, V]) Get(k K) (V, bool) { return e.m.Get(k) }
 
 // Put sets a key.
-func (e *Edit[K, V]) Put(k K, v V) {
+func (e *Builder[K, V]) Put(k K, v V) {
 	s := e.shard(k)
 	if _, had := s[k]; !had {
 		e.m.n++
@@ -88,12 +88,12 @@
 }
 
 // Delete takes a key out.
-func (e *Edit[K, V]) Delete(k K) {
+func (e *Builder[K, V]) Delete(k K) {
 	if _, had := e.m.Get(k); had {
 		delete(e.shard(k), k)
 		e.m.n--
 	}
 }
 
-// Done returns the new version. The edit is not to be used any more.
-func (e *Edit[K, V]) Done() Map[K, V] { return e.m }
+// Map returns the new version. The edit is not to be used any more.
+func (e *Builder[K, V]) Map() Map[K, V] { return e.m }
--- a/internal/persistentmap/pmap_test.go
+++ b/internal/persistentmap/pmap_test.go
@@ -15,7 +15,7 @@
 		var last Map[int, int]
 		model := map[int]int{}
 		for range rapid.IntRange(1, 12).Draw(t, "versions") {
-			e := last.Edit()
+			e := last.Builder()
 			for range rapid.IntRange(0, 20).Draw(t, "edits") {
 				k := rapid.IntRange(0, 40).Draw(t, "key")
 				if rapid.Bool().Draw(t, "delete") {
@@ -27,7 +27,7 @@
 					model[k] = v
 				}
 			}
-			last = e.Done()
+			last = e.Map()
 			versions, want = append(versions, last), append(want, maps.Clone(model))
 		}
 		for i, v := range versions {
--- a/membership/service.go
+++ b/membership/service.go
@@ -97,7 +97,7 @@
 func (s *Service) pause() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pause := heartbeatInterval*9/10 + backoff.Spread(heartbeatInterval/5, s.rng)
+	pause := heartbeatInterval*9/10 + backoff.Jitter(heartbeatInterval/5, s.rng)
 	if len(s.view.peers) == 0 {
 		return joinInterval
 	}
--- a/process/discovery.go
+++ b/process/discovery.go
@@ -100,7 +100,7 @@
 	schedule := discoverySchedule{pages: 1}
 	var lastRequest, lastChange time.Duration // since the start of the process
 	// Limiters that lost the control plane at the same moment ask at different moments.
-	spread := backoff.Spread(controlPlaneTimeout, rng)
+	spread := backoff.Jitter(controlPlaneTimeout, rng)
 	for ctx.Err() == nil {
 		backoff.Sleep(ctx, schedule.pause(p.member != nil))
 		core := p.member.core()
@@ -140,7 +140,7 @@
 ) (list []api.Server, pages int, err error) {
 	list, pages, err = discovery.ListServers(ctx, cloud.Address, cloud.RatePerS)
 	if errors.Is(err, discovery.ErrRateLimited) {
-		backoff.Sleep(ctx, rateLimitedPause+backoff.Spread(rateLimitedPause, rng))
+		backoff.Sleep(ctx, rateLimitedPause+backoff.Jitter(rateLimitedPause, rng))
 	}
 	if err != nil {
 		p.log.Warn("server list request failed", "error", err)
--- a/versioned/delta.go
+++ b/versioned/delta.go
@@ -64,7 +64,7 @@
 			return nil, fmt.Errorf("versioned: encoding row %q: %w", r.Key, err)
 		}
 	}
-	out, err := compression.Pack(b.Bytes())
+	out, err := compression.Compress(b.Bytes())
 	if err != nil {
 		return nil, fmt.Errorf("versioned: %w", err)
 	}
@@ -93,7 +93,7 @@
 // OpenDelta decodes the header of an encoded delta. The rows are read with
 // [DeltaReader.Next] or [DeltaReader.ApplyTo]. The error is [ErrMalformed].
 func OpenDelta(data []byte) (*DeltaReader, error) {
-	decompressed, err := compression.Reader(data, maxDecompressedBytes)
+	decompressed, err := compression.NewReader(data, maxDecompressedBytes)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
