--- a/balancer/node/clients.go
+++ b/balancer/node/clients.go
@@ -181,7 +181,7 @@
 // connections to servers for. Connections without a request don't count: silent
 // clients must not keep the usual ones out.
 func (n *Node) tooManyInHand() bool {
-	most := n.servers.Budget
+	most := n.servers.MaxConns
 	if m := n.cfg.Settings.MaxOpen; m > 0 {
 		most = min(most, m)
 	}
--- a/balancer/node/discovery.go
+++ b/balancer/node/discovery.go
@@ -133,7 +133,7 @@
 		ev.Servers = append(ev.Servers, info)
 	}
 	if scope != balancer.Partial {
-		n.servers.KeepOnly(listed)
+		n.servers.Retain(listed)
 	}
 	n.listed = n.listed || len(listed) > 0
 	n.handle(ev)
--- a/balancer/node/servers.go
+++ b/balancer/node/servers.go
@@ -63,7 +63,7 @@
 // tryOnce carries out an attempt on one connection. It is stale if the kept
 // connection turned out to be of no use before anything was written on it.
 func (n *Node) tryOnce(at *attempt) (rep reply, stale bool) {
-	c := n.servers.Take(at.host)
+	c := n.servers.Get(at.host)
 	if c == nil {
 		ctx, cancel := context.WithDeadline(context.Background(), at.stopAt)
 		defer cancel()
@@ -76,12 +76,12 @@
 		}
 		var err error
 		c, err = n.servers.Connect(ctx, at.host)
-		if errors.Is(err, connpool.ErrNoRoom) {
+		if errors.Is(err, connpool.ErrPoolExhausted) {
 			return reply{result: balancer.NoRoom, load: noLoad}, false
 		}
 		if err != nil {
 			if ctx.Err() != context.Canceled { // given up: says nothing about the server
-				n.servers.Broken(at.host)
+				n.servers.CloseIdle(at.host)
 			}
 			return reply{result: balancer.NoRoute, load: noLoad}, false
 		}
@@ -93,7 +93,7 @@
 	if !n.stopBy.IsZero() && n.stopBy.Before(stopAt) { // SIGTERM came after the request
 		stopAt = n.stopBy
 	}
-	off := at.over || !n.servers.Wanted(at.host) || !time.Now().Before(stopAt)
+	off := at.over || !n.servers.Available(at.host) || !time.Now().Before(stopAt)
 	if at.cancel = nil; !off {
 		at.conn = c
 	}
@@ -115,7 +115,7 @@
 		c.Close() // before the next attempt can go out
 	}
 	if end == dead && !over { // not where giving up closed it
-		n.servers.Broken(at.host)
+		n.servers.CloseIdle(at.host)
 	}
 	if rep.result == balancer.Spoilt {
 		n.badInput.warn("an answer can't be used", "server", at.host.ID, "err", rep.err)
@@ -148,12 +148,12 @@
 	// As late as can be: what a server sends behind an answer, also long after it,
 	// must not be taken for the next one, and one that it has closed would cut an
 	// unsafe request for good.
-	if c.Used && !c.Quiet() {
+	if c.Used && !c.Reusable() {
 		return rep, unused
 	}
-	group := c.Age()
-	defer func() { c.Note(group, end == dead) }()
-	c.Expect(maxAnswer)
+	group := c.IdleGroup()
+	defer func() { c.RecordExchange(group, end == dead) }()
+	c.BeginExchange(maxAnswer)
 	if _, err := c.Write(out.Bytes()); err != nil {
 		return rep, dead
 	}
@@ -163,7 +163,7 @@
 		rep.body, err = readBody(resp)
 	}
 	switch {
-	case c.Died() != nil && err != nil:
+	case c.ReadErr() != nil && err != nil:
 		rep.result, rep.err = balancer.Cut, err
 		return rep, dead
 	case err == errSilent:
@@ -186,7 +186,7 @@
 	default:
 		rep.result = balancer.Fault
 	}
-	if !resp.Close && c.In.Buffered() == 0 {
+	if !resp.Close && c.Reader.Buffered() == 0 {
 		end = reusable
 	}
 	return rep, end
@@ -203,14 +203,14 @@
 		if err := c.SetReadDeadline(stopAt); err != nil {
 			return nil, err
 		}
-		if _, err := c.In.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := c.Reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, errSilent
 		}
 		now := time.Now()
 		if err := c.SetReadDeadline(now.Add(min(restTime, stopAt.Sub(now)/restPart))); err != nil {
 			return nil, err
 		}
-		resp, err := http.ReadResponse(c.In, req)
+		resp, err := http.ReadResponse(c.Reader, req)
 		if err != nil || resp.StatusCode >= 200 {
 			return resp, err
 		}
@@ -219,7 +219,7 @@
 
 func readBody(resp *http.Response) ([]byte, error) {
 	if resp.ContentLength > maxBody {
-		return nil, connpool.ErrTooLong
+		return nil, connpool.ErrResponseTooLong
 	}
 	if resp.ContentLength >= 0 {
 		body := make([]byte, resp.ContentLength)
@@ -228,7 +228,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	if err == nil && len(body) > maxBody {
-		err = connpool.ErrTooLong
+		err = connpool.ErrResponseTooLong
 	}
 	return body, err
 }
@@ -286,14 +286,14 @@
 		defer cancel()
 		var err error
 		for end := unused; end == unused; {
-			c := n.servers.Take(h)
+			c := n.servers.Get(h)
 			if c == nil {
 				if c, err = n.servers.Connect(ctx, h); err != nil {
 					break
 				}
 			}
 			var rep reply
-			rep, end = exchange(c, &call{method: http.MethodGet, target: healthPath, host: h.Dial}, begun.Add(probeTimeout))
+			rep, end = exchange(c, &call{method: http.MethodGet, target: healthPath, host: h.Addr}, begun.Add(probeTimeout))
 			ev.Result, ev.Load = rep.result, rep.load
 			if end == reusable {
 				n.servers.Put(c)
@@ -302,10 +302,10 @@
 			}
 		}
 		switch {
-		case errors.Is(err, connpool.ErrNoRoom):
+		case errors.Is(err, connpool.ErrPoolExhausted):
 			ev.Result = balancer.NoRoom
 		case ev.Result == balancer.NoRoute, ev.Result == balancer.Cut, ev.Result == balancer.TooSlow:
-			n.servers.Broken(h)
+			n.servers.CloseIdle(h)
 		}
 	}
 	ev.SpentMs = msSince(begun)
--- a/balancer/node/servers_test.go
+++ b/balancer/node/servers_test.go
@@ -100,7 +100,7 @@
 }
 
 func idle(n *Node, host string) int {
-	return n.servers.Idle(serverID(host))
+	return n.servers.IdleConns(serverID(host))
 }
 
 // What proves that nothing ran goes to another server, also for an unsafe
@@ -202,7 +202,7 @@
 	t.Parallel()
 	srv := newRawServer(t)
 	p := connpool.New[uint64](8, patience, patience)
-	h := &host{ID: 1, Dial: srv.addr}
+	h := &host{ID: 1, Addr: srv.addr}
 	call := &call{method: "POST", target: "/api", host: "x", requestID: "r", body: []byte("body")}
 	connect := func() *conn {
 		c, err := p.Connect(context.Background(), h)
@@ -295,7 +295,7 @@
 	draining := server("s-1", srv.addr)
 	draining.Health = "draining"
 	r.discovery.set(draining)
-	until(t, "the drain is known", func() bool { return !n.servers.Wanted(h) })
+	until(t, "the drain is known", func() bool { return !n.servers.Available(h) })
 	if rep := n.try(at); rep.result != balancer.NoRoute {
 		t.Errorf("result %v", rep.result)
 	}
@@ -580,7 +580,7 @@
 	r.discovery.set(server("s-old", srv.addr), server("s-new", srv.addr))
 	until(t, "the new server is known", func() bool { return r.node.servers.Host(serverID("s-new")) != nil })
 	c.closed()
-	if r.node.servers.Wanted(old) {
+	if r.node.servers.Available(old) {
 		t.Error("the old server is still sent something")
 	}
 	out = r.send(r.newRequest("send-bulk-paid", "enterprise", ""))
@@ -598,7 +598,7 @@
 func TestIdleTimeIsMostOfTheServers(t *testing.T) {
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
-	if idle, most := r.node.servers.IdleFor, r.node.cfg.Settings.ConnIdle; idle < most*3/4 || idle > most*19/20 {
+	if idle, most := r.node.servers.IdleTimeout, r.node.cfg.Settings.ConnIdle; idle < most*3/4 || idle > most*19/20 {
 		t.Errorf("idle connections are kept for %v, servers keep them for %v", idle, most)
 	}
 }
@@ -629,8 +629,8 @@
 			t.Fatalf("result %v", rep.result)
 		}
 		p.Put(c)
-		c.IdleAt = time.Now().Add(-300 * time.Millisecond)
-		if p.Take(h) == nil {
+		c.IdleSince = time.Now().Add(-300 * time.Millisecond)
+		if p.Get(h) == nil {
 			if i < 2 {
 				t.Errorf("given up after %d breaks", i)
 			}
--- a/dataplane/crossing_test.go
+++ b/dataplane/crossing_test.go
@@ -105,10 +105,10 @@
 	if ctx.Err() == nil {
 		t.Fatal("the connection was not put back")
 	}
-	if o.result != balance.Good || g.pool.Idle("i-0") != 1 || g.pool.Open() != 1 {
-		t.Errorf("result %d, %d idle, %d open; want an answer and its connection kept", o.result, g.pool.Idle("i-0"), g.pool.Open())
+	if o.result != balance.Good || g.pool.IdleConns("i-0") != 1 || g.pool.OpenConns() != 1 {
+		t.Errorf("result %d, %d idle, %d open; want an answer and its connection kept", o.result, g.pool.IdleConns("i-0"), g.pool.OpenConns())
 	}
-	if g.pool.Take(host) != c {
+	if g.pool.Get(host) != c {
 		t.Error("the connection that was put back is closed")
 	}
 }
--- a/dataplane/forward.go
+++ b/dataplane/forward.go
@@ -60,9 +60,9 @@
 func (g *Gateway) try(r *request, at *serverTry, host *connpool.Host[string]) outcome {
 	m := at.member
 	for {
-		take := g.pool.Take
+		take := g.pool.Get
 		if !r.route.IsIdempotent() {
-			take = g.pool.TakeFresh
+			take = g.pool.GetForNonIdempotent
 		}
 		c := take(host)
 		kept := c != nil
@@ -75,13 +75,13 @@
 				if at.ctx.Err() != nil {
 					return outcome{result: balance.Given}
 				}
-				if !errors.Is(err, connpool.ErrNoRoom) {
-					g.pool.Broken(host)
+				if !errors.Is(err, connpool.ErrPoolExhausted) {
+					g.pool.CloseIdle(host)
 				}
 				return outcome{result: balance.Unsent}
 			}
 		}
-		if !g.pool.Wanted(host) { // it went while we connected
+		if !g.pool.Available(host) { // it went while we connected
 			c.Close()
 			return outcome{result: balance.Moved}
 		}
@@ -111,11 +111,11 @@
 // the answer's where that is not read whole.
 func (g *Gateway) exchange(r *request, m *balance.Member, c *conn) outcome {
 	c.SetDeadline(r.deadline)
-	if c.Used && !c.Quiet() {
+	if c.Used && !c.Reusable() {
 		return outcome{result: balance.Unsent}
 	}
-	age, sent := c.Age(), time.Now()
-	c.Expect(math.MaxInt)
+	age, sent := c.IdleGroup(), time.Now()
+	c.BeginExchange(math.MaxInt)
 	e := attempt.Evidence{Written: attempt.FullyWritten, HeadRequest: r.head.Method == "HEAD"}
 	b := heads.Get().(*bytes.Buffer)
 	b.Reset()
@@ -125,7 +125,7 @@
 	heads.Put(b)
 	switch {
 	case err != nil && n == 0:
-		c.Note(age, true)
+		c.RecordExchange(age, true)
 		return outcome{result: g.rules.Classify(attempt.Evidence{Written: attempt.NotWritten}).Result}
 	case err == nil && r.stream != nil:
 		r.started = true
@@ -139,9 +139,9 @@
 	if err != nil { // its answer may stand there all the same: a server need not read all that it turns away
 		e.Written = attempt.PartlyWritten
 	}
-	head, err := g.ownAnswer(c.In, r.head, &e.StrayResponses)
-	c.Note(age, c.Died() != nil)
-	if c.Forgotten(age) && time.Since(sent) < forgottenIn {
+	head, err := g.ownAnswer(c.Reader, r.head, &e.StrayResponses)
+	c.RecordExchange(age, c.ReadErr() != nil)
+	if c.WasStale(age) && time.Since(sent) < forgottenIn {
 		g.forgotten(m.ID, age)
 	}
 	if e.StrayResponses > 0 {
@@ -150,7 +150,7 @@
 	if err != nil {
 		return g.outcome(e, nil)
 	}
-	c.KeepFor = head.KeepAlive()
+	c.KeepAlive = head.KeepAlive()
 	return g.read(c, e, r.head.Method, head)
 }
 
@@ -165,7 +165,7 @@
 	e.Sealed = head.Get("Server-Seal") != "" && head.Get("Content-Encoding") == "" && framing != h1.UntilClose
 	e.Closes = head.ClosesConnection() || framing == h1.UntilClose
 	a := &answer{status: head.Status, from: head, length: framing}
-	body := h1.NewBody(c.In, framing)
+	body := h1.NewBody(c.Reader, framing)
 	good := head.Status/100 == 2
 	if good && !e.Sealed {
 		return g.outcome(e, nil)
@@ -180,7 +180,7 @@
 			if e.HeadRequest { // what GET would have is told all the same
 				a.length, _ = head.ResponseFraming("GET")
 			}
-			e.Response, e.TrailingBytes = attempt.Complete, c.In.Buffered()
+			e.Response, e.TrailingBytes = attempt.Complete, c.Reader.Buffered()
 			o := g.outcome(e, a)
 			o.keep = g.rules.Reusable(e)
 			return o
@@ -195,7 +195,7 @@
 // itself, so that the evidence on all others stays on the stack.)
 func (g *Gateway) freeing(c *conn, e attempt.Evidence) func(whole bool) {
 	return func(whole bool) {
-		if e.Response, e.TrailingBytes = attempt.Complete, c.In.Buffered(); whole && g.rules.Reusable(e) {
+		if e.Response, e.TrailingBytes = attempt.Complete, c.Reader.Buffered(); whole && g.rules.Reusable(e) {
 			g.pool.Put(c)
 		} else {
 			c.Close()
@@ -254,7 +254,7 @@
 
 // forgotten notes that a server had forgotten a connection, and has others told.
 func (g *Gateway) forgotten(server string, age int) {
-	g.pool.Forgot(age, 0)
+	g.pool.RecordStale(age, 0)
 	g.mu.Lock()
 	g.limiter.Forgotten(inMs(g.now()), age)
 	g.mu.Unlock()
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -104,7 +104,7 @@
 		known := g.limiter.Hear(inMs(g.now()), w)
 		g.mu.Unlock()
 		if known && w.Forgotten != 0 {
-			g.pool.Forgot(int(w.Forgotten), w.From)
+			g.pool.RecordStale(int(w.Forgotten), w.From)
 		}
 		if !known && g.stranger != nil {
 			g.stranger(from.String())
--- a/internal/connpool/ages.go
+++ b/internal/connpool/ages.go
@@ -121,29 +121,29 @@
 	return c.limit
 }
 
-// Forgot takes in that a connection of a group ([Conn.Age]) was forgotten while it
+// RecordStale takes in that a connection of a group ([Conn.IdleGroup]) was forgotten while it
 // rested: as seen here, by 0, or as another limiter tells.
-func (p *Pool[K]) Forgot(group int, by uint64) {
+func (p *Pool[K]) RecordStale(group int, by uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.careful.note(time.Now(), group, by)
 }
 
-// Forgotten tells whether a connection ended as one does that the other side has
+// WasStale tells whether a connection ended as one does that the other side has
 // forgotten: by a reset. One that is closed in order is told of before.
-func (c *Conn[K]) Forgotten(group int) bool {
-	return rested(group) && errors.Is(c.Died(), syscall.ECONNRESET)
+func (c *Conn[K]) WasStale(group int) bool {
+	return rested(group) && errors.Is(c.ReadErr(), syscall.ECONNRESET)
 }
 
 // rested tells whether a group is of connections that were idle for some time, so
 // that one that broke at once may have been forgotten.
 func rested(group int) bool { return group >= 1 && group < ageGroups }
 
-// TakeFresh is [Pool.Take] for a request that must not run twice. Each connection that
+// GetForNonIdempotent is [Pool.Get] for a request that must not run twice. Each connection that
 // it comes to is looked at, as the one that rested least may turn out to be closed.
-func (p *Pool[K]) TakeFresh(h *Host[K]) *Conn[K] {
+func (p *Pool[K]) GetForNonIdempotent(h *Host[K]) *Conn[K] {
 	p.mu.Lock()
 	limit := p.careful.most(time.Now())
 	p.mu.Unlock()
-	return p.take(h, limit)
+	return p.get(h, limit)
 }
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -22,15 +22,15 @@
 	keepTenths = 9 // of the time that a server said
 )
 
-// ErrTooLong tells of an answer that goes past the limit that [Conn.Expect] set.
-var ErrTooLong = errors.New("the answer is too long")
+// ErrResponseTooLong tells of an answer that goes past the limit that [Conn.BeginExchange] set.
+var ErrResponseTooLong = errors.New("the answer is too long")
 
 // Pool keeps the connections to servers. It is not http.Transport, which sends
 // a request again by itself when a kept-alive connection breaks: a second copy.
 type Pool[K comparable] struct {
-	Budget      int // most connections
-	connTimeout time.Duration
-	IdleFor     time.Duration // idle connections are closed after this
+	MaxConns      int // most connections
+	dialTimeout time.Duration
+	IdleTimeout     time.Duration // idle connections are closed after this
 	// Control, where set, sets up each socket before it connects.
 	Control func(network, address string, c syscall.RawConn) error
 	// Dial, where set, connects in place of a [net.Dialer], to a network in memory say.
@@ -48,7 +48,7 @@
 // Host is one process of a server at one address.
 type Host[K comparable] struct {
 	ID     K
-	Dial   string
+	Addr   string
 	bornMs float64
 	up     bool       // wants new requests
 	taken  bool       // another server stands at its address
@@ -61,11 +61,11 @@
 	pool   *Pool[K]
 	Host   *Host[K]
 	from   *answerReader
-	In     *bufio.Reader // reads from it
+	Reader     *bufio.Reader // reads from it
 	Used   bool          // an answer has come on it
-	IdleAt time.Time
-	// KeepFor is how long the server said that it keeps it idle; 0: it did not.
-	KeepFor time.Duration
+	IdleSince time.Time
+	// KeepAlive is how long the server said that it keeps it idle; 0: it did not.
+	KeepAlive time.Duration
 	once    sync.Once
 }
 
@@ -80,7 +80,7 @@
 // tells the end of a connection from an answer that can't be read.
 func (a *answerReader) Read(b []byte) (int, error) {
 	if a.left <= 0 {
-		return 0, ErrTooLong
+		return 0, ErrResponseTooLong
 	}
 	n, err := a.from.Read(b[:min(len(b), a.left)])
 	a.left -= n
@@ -91,7 +91,7 @@
 }
 
 func New[K comparable](budget int, connTimeout, idleFor time.Duration) *Pool[K] {
-	return &Pool[K]{Budget: budget, connTimeout: connTimeout, IdleFor: idleFor, hosts: map[K]*Host[K]{}, at: map[string]*Host[K]{},
+	return &Pool[K]{MaxConns: budget, dialTimeout: connTimeout, IdleTimeout: idleFor, hosts: map[K]*Host[K]{}, at: map[string]*Host[K]{},
 		ages: ages{at: time.Now(), limit: ageForever}}
 }
 
@@ -102,7 +102,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[id]
-	if h == nil || h.Dial != dial || h.bornMs != bornMs {
+	if h == nil || h.Addr != dial || h.bornMs != bornMs {
 		p.drop(h)
 		// One that still stands at this address is gone: guards against sending to the
 		// new server under the old one's name, on its connections or pending connects.
@@ -112,7 +112,7 @@
 			p.drop(o)
 		}
 		p.forget(h)
-		h = &Host[K]{ID: id, Dial: dial, bornMs: bornMs, up: up}
+		h = &Host[K]{ID: id, Addr: dial, bornMs: bornMs, up: up}
 		p.hosts[id], p.at[dial] = h, h
 		return true
 	}
@@ -140,13 +140,13 @@
 		return
 	}
 	delete(p.hosts, h.ID)
-	if p.at[h.Dial] == h {
-		delete(p.at, h.Dial)
+	if p.at[h.Addr] == h {
+		delete(p.at, h.Addr)
 	}
 }
 
-// KeepOnly drops the servers that a whole list does not name.
-func (p *Pool[K]) KeepOnly(listed map[K]bool) {
+// Retain drops the servers that a whole list does not name.
+func (p *Pool[K]) Retain(listed map[K]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, h := range p.hosts {
@@ -182,33 +182,33 @@
 	return nil
 }
 
-// Wanted tells whether a host still is to be sent something new.
-func (p *Pool[K]) Wanted(h *Host[K]) bool {
+// Available tells whether a host still is to be sent something new.
+func (p *Pool[K]) Available(h *Host[K]) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return h.up
 }
 
-// Broken closes a host's idle connections after one of its connections broke
+// CloseIdle closes a host's idle connections after one of its connections broke
 // or could not be made: the others are as likely dead. An answer that can't be
 // read says nothing of the kind.
-func (p *Pool[K]) Broken(h *Host[K]) {
+func (p *Pool[K]) CloseIdle(h *Host[K]) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdle(h)
 }
 
-// Take returns the idle connection of a host that was used last, or nil.
-func (p *Pool[K]) Take(h *Host[K]) *Conn[K] { return p.take(h, ageForever) }
+// Get returns the idle connection of a host that was used last, or nil.
+func (p *Pool[K]) Get(h *Host[K]) *Conn[K] { return p.get(h, ageForever) }
 
-// take returns the idle connection of a host that was used last, unless it has rested
+// get returns the idle connection of a host that was used last, unless it has rested
 // for as long as the limit, or nil.
-func (p *Pool[K]) take(h *Host[K], limit time.Duration) *Conn[K] {
+func (p *Pool[K]) get(h *Host[K], limit time.Duration) *Conn[K] {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
-		if time.Since(c.IdleAt) >= limit { // the others have rested longer yet
+		if time.Since(c.IdleSince) >= limit { // the others have rested longer yet
 			return nil
 		}
 		h.idle = h.idle[:len(h.idle)-1]
@@ -222,15 +222,15 @@
 
 // sound tells whether an idle connection may be used.
 func (p *Pool[K]) sound(c *Conn[K]) bool {
-	keep := p.IdleFor
-	if c.KeepFor > 0 { // given up well before the server does: a request must not cross its close
-		keep = c.KeepFor * keepTenths / 10
+	keep := p.IdleTimeout
+	if c.KeepAlive > 0 { // given up well before the server does: a request must not cross its close
+		keep = c.KeepAlive * keepTenths / 10
 	}
-	return time.Since(c.IdleAt) < min(keep, p.ages.limit) && c.Quiet()
+	return time.Since(c.IdleSince) < min(keep, p.ages.limit) && c.Reusable()
 }
 
-// Note counts an exchange by the [Conn.Age] that its connection had.
-func (c *Conn[K]) Note(age int, broke bool) {
+// RecordExchange counts an exchange by the [Conn.IdleGroup] that its connection had.
+func (c *Conn[K]) RecordExchange(age int, broke bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.pool.ages.add(time.Now(), age, broke)
@@ -246,30 +246,30 @@
 		c.closeLocked()
 		return
 	}
-	c.IdleAt = time.Now()
+	c.IdleSince = time.Now()
 	c.Host.idle = append(c.Host.idle, c)
 }
 
-// ErrNoRoom tells that the budget of connections is used up.
-var ErrNoRoom = errors.New("no connection left in the budget")
+// ErrPoolExhausted tells that the budget of connections is used up.
+var ErrPoolExhausted = errors.New("no connection left in the budget")
 
 // Connect opens a connection to a host.
 func (p *Pool[K]) Connect(ctx context.Context, h *Host[K]) (*Conn[K], error) {
 	p.mu.Lock()
-	if p.open >= p.Budget {
+	if p.open >= p.MaxConns {
 		p.evict()
 	}
-	if p.open >= p.Budget {
+	if p.open >= p.MaxConns {
 		p.mu.Unlock()
-		return nil, ErrNoRoom
+		return nil, ErrPoolExhausted
 	}
 	p.open++
 	p.mu.Unlock()
 	dial := p.Dial
 	if dial == nil {
-		dial = (&net.Dialer{Timeout: p.connTimeout, KeepAlive: -1, Control: p.Control}).DialContext
+		dial = (&net.Dialer{Timeout: p.dialTimeout, KeepAlive: -1, Control: p.Control}).DialContext
 	}
-	nc, err := dial(ctx, "tcp", h.Dial)
+	nc, err := dial(ctx, "tcp", h.Addr)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
@@ -277,14 +277,14 @@
 		return nil, err
 	}
 	from := &answerReader{from: nc}
-	return &Conn[K]{Conn: nc, pool: p, Host: h, from: from, In: bufio.NewReader(from)}, nil
+	return &Conn[K]{Conn: nc, pool: p, Host: h, from: from, Reader: bufio.NewReader(from)}, nil
 }
 
 // evict closes the connection that has been idle longest.
 func (p *Pool[K]) evict() {
 	var oldest *Host[K]
 	for _, h := range p.hosts {
-		if len(h.idle) > 0 && (oldest == nil || h.idle[0].IdleAt.Before(oldest.idle[0].IdleAt)) {
+		if len(h.idle) > 0 && (oldest == nil || h.idle[0].IdleSince.Before(oldest.idle[0].IdleSince)) {
 			oldest = h
 		}
 	}
@@ -332,10 +332,10 @@
 	})
 }
 
-// Quiet tells that an idle connection is open and silent. One that the server
+// Reusable tells that an idle connection is open and silent. One that the server
 // has closed must not be used: the request would end as a Cut, and an unsafe
 // one could not be sent again.
-func (c *Conn[K]) Quiet() bool {
+func (c *Conn[K]) Reusable() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
@@ -350,40 +350,40 @@
 	return err == nil && quiet
 }
 
-// Expect says that an exchange begins, whose answer may have so many bytes.
-func (c *Conn[K]) Expect(most int) { c.Used, c.from.left = true, most }
+// BeginExchange says that an exchange begins, whose answer may have so many bytes.
+func (c *Conn[K]) BeginExchange(most int) { c.Used, c.from.left = true, most }
 
-// Died tells how the connection ended, nil if it has not.
-func (c *Conn[K]) Died() error { return c.from.died }
+// ReadErr tells how the connection ended, nil if it has not.
+func (c *Conn[K]) ReadErr() error { return c.from.died }
 
-// Age returns the group of a connection by how long it was idle, for [Pool.Note].
-func (c *Conn[K]) Age() int {
+// IdleGroup returns the group of a connection by how long it was idle, for [Pool.Note].
+func (c *Conn[K]) IdleGroup() int {
 	if !c.Used {
 		return newConns
 	}
-	return ageGroup(time.Since(c.IdleAt))
+	return ageGroup(time.Since(c.IdleSince))
 }
 
-// Open returns how many connections are open or coming up.
-func (p *Pool[K]) Open() int {
+// OpenConns returns how many connections are open or coming up.
+func (p *Pool[K]) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Rest returns how long the connection of a host that was used last has rested, 0
+// IdleTime returns how long the connection of a host that was used last has rested, 0
 // where there is none.
-func (p *Pool[K]) Rest(id K) time.Duration {
+func (p *Pool[K]) IdleTime(id K) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[id]; h != nil && len(h.idle) > 0 {
-		return time.Since(h.idle[len(h.idle)-1].IdleAt)
+		return time.Since(h.idle[len(h.idle)-1].IdleSince)
 	}
 	return 0
 }
 
-// Idle returns how many idle connections a host has.
-func (p *Pool[K]) Idle(id K) int {
+// IdleConns returns how many idle connections a host has.
+func (p *Pool[K]) IdleConns(id K) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[id]; h != nil {
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -37,12 +37,12 @@
 			}
 			cs[i] = c
 		}
-		if _, err := p.Connect(context.Background(), h); err != ErrNoRoom {
+		if _, err := p.Connect(context.Background(), h); err != ErrPoolExhausted {
 			t.Errorf("past the budget: %v", err)
 		}
 		p.Put(cs[0])
 		p.Put(cs[1])
-		if c := p.Take(h); c != cs[1] {
+		if c := p.Get(h); c != cs[1] {
 			t.Error("not the latest used")
 		}
 		p.Put(cs[1])
@@ -54,8 +54,8 @@
 		if len(h.idle) != 1 || h.idle[0] != cs[1] || p.open != 1 {
 			t.Errorf("%d idle, %d open", len(h.idle), p.open)
 		}
-		cs[1].IdleAt = time.Now().Add(-2 * patience)
-		if c := p.Take(h); c != nil || p.open != 0 {
+		cs[1].IdleSince = time.Now().Add(-2 * patience)
+		if c := p.Get(h); c != nil || p.open != 0 {
 			t.Errorf("an old connection was taken, %d open", p.open)
 		}
 	})
@@ -76,7 +76,7 @@
 		}
 		c.SetDeadline(time.Now().Add(-time.Second))
 		p.Put(c)
-		if p.Take(h) != c {
+		if p.Get(h) != c {
 			t.Error("a sound connection was closed")
 		}
 	})
@@ -94,15 +94,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.KeepFor = patience / 2
+		c.KeepAlive = patience / 2
 		p.Put(c)
-		c.IdleAt = time.Now().Add(-patience / 4)
-		if p.Take(h) != c {
+		c.IdleSince = time.Now().Add(-patience / 4)
+		if p.Get(h) != c {
 			t.Fatal("given up too soon")
 		}
 		p.Put(c)
-		c.IdleAt = time.Now().Add(-patience/2 + patience/40)
-		if p.Take(h) != nil {
+		c.IdleSince = time.Now().Add(-patience/2 + patience/40)
+		if p.Get(h) != nil {
 			t.Error("used when its server is about to close it")
 		}
 	})
@@ -122,37 +122,37 @@
 		}
 		rested := func(d time.Duration) {
 			p.Put(c)
-			c.IdleAt = time.Now().Add(-d)
+			c.IdleSince = time.Now().Add(-d)
 		}
 		const old = 30 * youngest
 		rested(old)
-		if p.TakeFresh(h) != c {
+		if p.GetForNonIdempotent(h) != c {
 			t.Fatal("nothing speaks against it yet")
 		}
 		for _, group := range []int{newConns, 0, newConns, 0} { // says nothing of rest
-			p.Forgot(group, 0)
+			p.RecordStale(group, 0)
 		}
-		p.Forgot(ageGroup(10*youngest), 7) // one limiter, however often it says so
-		p.Forgot(ageGroup(10*youngest), 7)
+		p.RecordStale(ageGroup(10*youngest), 7) // one limiter, however often it says so
+		p.RecordStale(ageGroup(10*youngest), 7)
 		rested(old)
-		if p.TakeFresh(h) != c {
+		if p.GetForNonIdempotent(h) != c {
 			t.Error("a new connection that broke speaks against it, or a single one that rested")
 		}
-		p.Forgot(ageGroup(10*youngest), 0)
+		p.RecordStale(ageGroup(10*youngest), 0)
 		rested(old)
-		if p.TakeFresh(h) != nil {
+		if p.GetForNonIdempotent(h) != nil {
 			t.Error("one that may have been forgotten was given")
 		}
-		if p.Take(h) != c {
+		if p.Get(h) != c {
 			t.Error("what can be sent again goes nowhere")
 		}
 		rested(2 * youngest)
-		if p.TakeFresh(h) != c {
+		if p.GetForNonIdempotent(h) != c {
 			t.Error("one that rested for less was not given")
 		}
 		p.careful.until = time.Now().Add(-time.Second)
 		rested(old)
-		if p.TakeFresh(h) != c {
+		if p.GetForNonIdempotent(h) != c {
 			t.Error("it is held against them for ever")
 		}
 	})
--- a/internal/connpool/fresh_test.go
+++ b/internal/connpool/fresh_test.go
@@ -34,19 +34,19 @@
 			defer theirs[i].Close()
 		}
 		const old = 30 * youngest
-		p.Forgot(ageGroup(10*youngest), 0)
-		p.Forgot(ageGroup(10*youngest), 0)
+		p.RecordStale(ageGroup(10*youngest), 0)
+		p.RecordStale(ageGroup(10*youngest), 0)
 		p.Put(ours[0])
-		ours[0].IdleAt = time.Now().Add(-old)
+		ours[0].IdleSince = time.Now().Add(-old)
 		p.Put(ours[1])
 		theirs[1].Close()
-		for ours[1].Quiet() {
+		for ours[1].Reusable() {
 			time.Sleep(time.Millisecond)
 		}
-		if p.TakeFresh(h) != nil {
+		if p.GetForNonIdempotent(h) != nil {
 			t.Error("one that may have been forgotten was given")
 		}
-		if p.Take(h) != ours[0] {
+		if p.Get(h) != ours[0] {
 			t.Error("what can be sent again goes nowhere")
 		}
 	})
--- a/internal/connpool/hosts_test.go
+++ b/internal/connpool/hosts_test.go
@@ -14,7 +14,7 @@
 	p.Update("b", "y:1", 0, true)
 	p.Update("a", "z:1", 0, true) // moved: x is free
 	p.Update("c", "x:1", 0, true)
-	if h := p.hosts["a"]; h.taken || !h.up || h.Dial != "z:1" {
+	if h := p.hosts["a"]; h.taken || !h.up || h.Addr != "z:1" {
 		t.Errorf("one that moved before another came to its address is gone: %+v", h)
 	}
 	p.Update("d", "y:1", 0, true)
@@ -28,7 +28,7 @@
 	if p.Remove("e"); !p.hosts["d"].taken || !p.hosts["b"].taken || p.hosts["d"].up {
 		t.Error("one whose address another had gets requests when that one went")
 	}
-	p.KeepOnly(map[string]bool{"a": true, "c": true})
+	p.Retain(map[string]bool{"a": true, "c": true})
 	p.Remove("a")
 	p.Remove("c")
 	p.Remove("nobody")
