--- a/internal/atomicfile/durable_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A file is replaced whole, with the mode asked for; nothing is left beside it;
-// a link stays one; a device isn't renamed over.
-func TestWriteFile(t *testing.T) {
+const mode = 0o600
+
+func TestWriteFileReplacesTheWholeFileThroughALink(t *testing.T) {
 	dir := t.TempDir()
 	path, link := filepath.Join(dir, "a"), filepath.Join(dir, "link")
 	if err := os.WriteFile(path, []byte("old and longer"), 0o644); err != nil {
@@ -17,33 +17,40 @@
 	if err := os.Symlink(path, link); err != nil {
 		t.Fatal(err)
 	}
-	if err := WriteFile(link, []byte("new"), 0o600); err != nil {
+	if err := WriteFile(link, []byte("new"), mode); err != nil {
 		t.Fatal(err)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil || string(data) != "new" {
 		t.Errorf("%q, %v", data, err)
 	}
-	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
+	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != mode {
 		t.Errorf("%v, %v", info, err)
 	}
 	if _, err := os.Readlink(link); err != nil {
-		t.Error(err)
+		t.Errorf("the link is no link any more: %v", err)
 	}
 	if names, _ := os.ReadDir(dir); len(names) != 2 {
 		t.Errorf("left over: %v", names)
 	}
-	if err := WriteFile(os.DevNull, []byte("x"), 0o600); err != nil {
+	if err := Remove(path); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestWriteFileDoesNotReplaceADevice(t *testing.T) {
+	if err := WriteFile(os.DevNull, []byte("x"), mode); err != nil {
 		t.Error(err)
 	}
 	if info, err := os.Stat(os.DevNull); err != nil || info.Mode().IsRegular() {
 		t.Fatal("the device was replaced by a file")
 	}
-	if err := Remove(path); err != nil {
-		t.Error(err)
-	}
-	deep := filepath.Join(dir, "x", "y")
-	if err := WriteFile(filepath.Join(deep, "b"), nil, 0o600); err == nil {
+}
+
+func TestMkdirAllMakesMissingParents(t *testing.T) {
+	deep := filepath.Join(t.TempDir(), "x", "y")
+	file := filepath.Join(deep, "b")
+	if err := WriteFile(file, nil, mode); err == nil {
 		t.Error("written into a folder that isn't there")
 	}
 	for range 2 {
@@ -51,10 +58,10 @@
 			t.Error(err)
 		}
 	}
-	if err := WriteFile(filepath.Join(deep, "b"), nil, 0o600); err != nil {
+	if err := WriteFile(file, nil, mode); err != nil {
 		t.Error(err)
 	}
-	if err := MkdirAll(filepath.Join(deep, "b", "c"), 0o700); err == nil {
+	if err := MkdirAll(filepath.Join(file, "c"), 0o700); err == nil {
 		t.Error("a folder was made in a file")
 	}
 }
--- a/internal/atomicfile/data_linux.go
+++ b/internal/atomicfile/syncdata_linux.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// SyncData makes a file's bytes and length last, but not its times: in place,
-// that spares the file system a transaction of its own.
+// SyncData makes the bytes and the length of a file durable, but not its times: where a
+// file is written in place, that saves a transaction of the file system.
 func SyncData(f *os.File) error {
 	for {
 		err := syscall.Fdatasync(int(f.Fd()))
--- a/internal/atomicfile/data_other.go
+++ b/internal/atomicfile/syncdata_other.go
@@ -4,5 +4,5 @@
 
 import "os"
 
-// SyncData makes a file's bytes and length last.
+// SyncData makes the bytes and the length of a file durable.
 func SyncData(f *os.File) error { return f.Sync() }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,5 +1,6 @@
-// Package backoff paces calls to a service that may be overloaded by its own
-// callers.
+// Package backoff paces retries of calls to a service that its own callers may have
+// overloaded: exponential backoff with jitter. Jitter is drawn from the caller's random
+// source, so that a seed reproduces it.
 package backoff
 
 import (
@@ -8,45 +9,49 @@
 	"time"
 )
 
-// Backoff gives the pauses between calls that fail: each is longer than the one
-// before, up to a bound, and drawn at random, so that callers that began together
-// do not call together for good.
+// growth is the factor between one pause and the next.
+const growth = 2
+
+// Backoff gives the pauses between failed calls. Each is longer than the one before, up to
+// a maximum, with jitter, so that callers that started together drift apart. It is not
+// safe for concurrent use.
 type Backoff struct {
-	first, most time.Duration
-	rng         *rand.Rand
-	pause       time.Duration
+	minPause, maxPause time.Duration
+	rng                *rand.Rand
+	pause              time.Duration // the next one, without jitter
 }
 
-// New returns a Backoff whose pauses are at least first, then twice as much each time,
-// and most at last; up to half as much again is added at random.
-func New(first, most time.Duration, rng *rand.Rand) *Backoff {
-	return &Backoff{first: first, most: max(first, most), rng: rng, pause: first}
+// New returns a Backoff whose pauses start at minPause and double up to maxPause (or to
+// minPause, if that is longer). Up to half as much again is added to each as jitter.
+func New(minPause, maxPause time.Duration, rng *rand.Rand) *Backoff {
+	return &Backoff{minPause: minPause, maxPause: max(minPause, maxPause), rng: rng, pause: minPause}
 }
 
-// Next returns the pause after a call that failed.
+// Next returns the pause after a failed call.
 func (b *Backoff) Next() time.Duration {
-	least := b.pause
-	b.pause = min(2*least, b.most)
-	return least + Jitter(least/2, b.rng)
+	pause := b.pause
+	b.pause = min(growth*pause, b.maxPause)
+	return pause + Jitter(pause/2, b.rng)
 }
 
-// Reset begins anew, after a call that did not fail.
-func (b *Backoff) Reset() { b.pause = b.first }
+// Reset starts again with the shortest pause, after a call that succeeded.
+func (b *Backoff) Reset() { b.pause = b.minPause }
 
-// Jitter returns a point of time in the span given, for what many would otherwise
-// do at once.
+// Jitter returns a random duration from 0 up to, but not including, span. It spreads what
+// many callers would otherwise do at the same time.
 func Jitter(span time.Duration, rng *rand.Rand) time.Duration {
 	return time.Duration(float64(span) * rng.Float64())
 }
 
-// Sleep waits, or until the context ends. It tells whether the time has passed.
+// Sleep waits for a duration or until the context ends. It reports whether it has waited
+// for the whole duration.
 func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-func TestPausesGrowToABound(t *testing.T) {
+func TestPausesGrowToAMaximum(t *testing.T) {
 	b := New(50*time.Millisecond, time.Second, rand.New(rand.NewPCG(1, 1)))
 	for round := range 2 {
-		least := 50 * time.Millisecond
+		shortest := 50 * time.Millisecond
 		for range 8 {
-			if p := b.Next(); p < least || p >= least*3/2 {
-				t.Errorf("round %d: a pause of %v where the least is %v", round, p, least)
+			if p := b.Next(); p < shortest || p >= shortest*3/2 {
+				t.Errorf("round %d: a pause of %v where the shortest is %v", round, p, shortest)
 			}
-			least = min(2*least, time.Second)
+			shortest = min(2*shortest, time.Second)
 		}
 		b.Reset()
 	}
 }
 
-func TestCallersDriftApart(t *testing.T) {
+func TestJitterMakesCallersDriftApart(t *testing.T) {
+	const callers = 50
 	seen := map[time.Duration]bool{}
-	for seed := range uint64(50) {
+	for seed := range uint64(callers) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		if at := Jitter(time.Second, rng); at < 0 || at >= time.Second {
-			t.Errorf("%v is not within the span", at)
+		if d := Jitter(time.Second, rng); d < 0 || d >= time.Second {
+			t.Errorf("%v is not within the span", d)
 		}
 		seen[New(time.Second, time.Second, rng).Next()] = true
 	}
 	if len(seen) < 45 {
-		t.Errorf("50 callers have %d pauses", len(seen))
+		t.Errorf("%d callers have %d pauses", callers, len(seen))
 	}
 }
--- /dev/null
+++ b/internal/persistentmap/persistentmap.go
@@ -0,0 +1,102 @@
+// Package persistentmap has an immutable map with structural sharing: a change makes a new
+// version that shares with the old one what stays the same. Readers need no lock, and a
+// change copies a small part of the map, about one shard of 256 for each changed key.
+package persistentmap
+
+import (
+	"hash/maphash"
+	"maps"
+)
+
+const shardCount = 256
+
+var hashSeed = maphash.MakeSeed()
+
+// Map is one version of a map. The zero value is an empty map. It is safe for concurrent
+// use.
+type Map[K comparable, V any] struct {
+	shards *[shardCount]map[K]V // nil for an empty map; never changed
+	len    int
+}
+
+// shardIndex is the shard that a key belongs to.
+func shardIndex[K comparable](key K) int { return int(maphash.Comparable(hashSeed, key) % shardCount) }
+
+// Get returns the value of a key, and whether there is one.
+func (m *Map[K, V]) Get(key K) (value V, ok bool) {
+	if m.shards == nil {
+		return value, false
+	}
+	value, ok = m.shards[shardIndex(key)][key]
+	return value, ok
+}
+
+// Len returns the number of keys.
+func (m *Map[K, V]) Len() int { return m.len }
+
+// All iterates over the keys and their values, in no order. It is an iter.Seq2.
+func (m *Map[K, V]) All(yield func(K, V) bool) {
+	if m.shards == nil {
+		return
+	}
+	for _, shard := range m.shards {
+		for key, value := range shard {
+			if !yield(key, value) {
+				return
+			}
+		}
+	}
+}
+
+// Builder returns a builder of a new version, which starts equal to this one.
+func (m *Map[K, V]) Builder() *Builder[K, V] {
+	b := &Builder[K, V]{m: Map[K, V]{len: m.len, shards: &[shardCount]map[K]V{}}}
+	if m.shards != nil {
+		*b.m.shards = *m.shards
+	}
+	return b
+}
+
+// Builder collects the changes of a new version. It is not safe for concurrent use.
+type Builder[K comparable, V any] struct {
+	m      Map[K, V]
+	copied [shardCount]bool // the shards that are no longer shared, and may be changed
+}
+
+// ownShard returns the shard of a key, copied before the first change to it.
+func (b *Builder[K, V]) ownShard(key K) map[K]V {
+	i := shardIndex(key)
+	if b.copied[i] {
+		return b.m.shards[i]
+	}
+	b.copied[i] = true
+	if shared := b.m.shards[i]; shared != nil {
+		b.m.shards[i] = maps.Clone(shared)
+	} else {
+		b.m.shards[i] = map[K]V{}
+	}
+	return b.m.shards[i]
+}
+
+// Get returns the value of a key with the changes so far, and whether there is one.
+func (b *Builder[K, V]) Get(key K) (V, bool) { return b.m.Get(key) }
+
+// Put sets the value of a key.
+func (b *Builder[K, V]) Put(key K, value V) {
+	shard := b.ownShard(key)
+	if _, ok := shard[key]; !ok {
+		b.m.len++
+	}
+	shard[key] = value
+}
+
+// Delete removes a key. It does nothing if there is none.
+func (b *Builder[K, V]) Delete(key K) {
+	if _, ok := b.m.Get(key); ok {
+		delete(b.ownShard(key), key)
+		b.m.len--
+	}
+}
+
+// Map returns the new version. The builder must not be used after that.
+func (b *Builder[K, V]) Map() Map[K, V] { return b.m }
