--- a/raft/storage/member_test.go
+++ b/raft/storage/member_test.go
@@ -82,7 +82,11 @@
 
 // installSnapshot takes a snapshot from the leader.
 func (m *testMember) installSnapshot() storeCall {
-	snapshot := raft.Snapshot{Index: m.acknowledged.lastIndex() + 3, Term: m.acknowledged.HardState.Term, Data: m.data()}
+	snapshot := raft.Snapshot{
+		Index: m.acknowledged.lastIndex() + 3,
+		Term:  m.acknowledged.HardState.Term,
+		Data:  m.data(),
+	}
 	m.pending.Snapshot, m.pending.Entries = snapshot, nil
 	return func(s *Store) error { return s.Save(raft.Ready{Snapshot: &snapshot}) }
 }
