--- a/dataplane/forward.go
+++ b/dataplane/forward.go
@@ -254,7 +254,7 @@
 
 // forgotten notes that a server had forgotten a connection, and has others told.
 func (g *Gateway) forgotten(server string, age int) {
-	g.pool.RecordStale(age, 0)
+	g.pool.RecordStale(age, connpool.Self)
 	g.mu.Lock()
 	g.limiter.Forgotten(inMs(g.now()), age)
 	g.mu.Unlock()
--- a/internal/connpool/hosts_test.go
+++ b/internal/connpool/host_test.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Who comes to an address ends the use of whoever stood there, however servers came,
-// moved and went before; and of servers that went nothing is kept.
-func TestAddressesOfServers(t *testing.T) {
+// A server that comes to an address ends the use of the one that was there, however servers
+// came, moved and went before; and nothing is kept of servers that are gone.
+func TestServerAtAnAddressDisplacesTheOneBefore(t *testing.T) {
 	p := New[string](10, time.Second, time.Second)
 	p.Update("a", "x:1", 0, true)
 	p.Update("b", "y:1", 0, true)
 	p.Update("a", "z:1", 0, true) // moved: x is free
 	p.Update("c", "x:1", 0, true)
-	if h := p.hosts["a"]; h.taken || !h.up || h.Addr != "z:1" {
+	if h := p.hosts["a"]; h.displaced || !h.available || h.Addr != "z:1" {
 		t.Errorf("one that moved before another came to its address is gone: %+v", h)
 	}
 	p.Update("d", "y:1", 0, true)
-	if h := p.hosts["b"]; !h.taken || h.up {
+	if h := p.hosts["b"]; !h.displaced || h.available {
 		t.Errorf("one whose address another has gets requests: %+v", h)
 	}
-	if p.Update("b", "y:1", 0, true); p.hosts["b"].up {
-		t.Error("one whose address another has is up again")
+	if p.Update("b", "y:1", 0, true); p.hosts["b"].available {
+		t.Error("one whose address another has is available again")
 	}
 	p.Update("e", "y:1", 0, true)
-	if p.Remove("e"); !p.hosts["d"].taken || !p.hosts["b"].taken || p.hosts["d"].up {
+	if p.Remove("e"); !p.hosts["d"].displaced || !p.hosts["b"].displaced || p.hosts["d"].available {
 		t.Error("one whose address another had gets requests when that one went")
 	}
 	p.Retain(map[string]bool{"a": true, "c": true})
 	p.Remove("a")
 	p.Remove("c")
 	p.Remove("nobody")
-	if len(p.hosts)+len(p.at) != 0 {
-		t.Errorf("kept: %v, %v", p.hosts, p.at)
+	if len(p.hosts)+len(p.byAddr) != 0 {
+		t.Errorf("kept: %v, %v", p.hosts, p.byAddr)
 	}
 }
 
--- /dev/null
+++ b/internal/connpool/pool.go
@@ -0,0 +1,356 @@
+// Package connpool keeps HTTP/1.1 connections to servers alive between requests. Each
+// connection carries one request at a time, and the pool sends nothing by itself: its
+// caller decides what becomes of a request on a connection that breaks. (http.Transport
+// sends a request again by itself when a kept-alive connection breaks, which could run it
+// twice.)
+//
+// A caller announces servers with [Pool.Update], looks one up with [Pool.Host], takes an
+// idle connection with [Pool.Get] (or [Pool.GetForNonIdempotent]) or opens one with
+// [Pool.Connect], and gives it back with [Pool.Put] or ends it with [Conn.Close].
+// [Pool.Sweep] must run while the pool is in use.
+//
+// The pool learns after how much idle time servers drop connections without a word, see
+// idleage.go and stale.go.
+package connpool
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"example.org/elmspan/internal/backoff"
+)
+
+// sweepInterval is the time between two looks for idle connections to close.
+const sweepInterval = 500 * time.Millisecond
+
+// ErrPoolExhausted reports that MaxConns connections are open, none of them idle.
+var ErrPoolExhausted = errors.New("no connection left in the budget")
+
+// Pool keeps the connections to servers, which are identified by a K. It is safe for
+// concurrent use. The exported fields must not change once it is in use.
+type Pool[K comparable] struct {
+	// MaxConns bounds the connections that are open or being opened, idle ones included.
+	MaxConns int
+	// IdleTimeout is how long a connection may be idle before it is closed.
+	IdleTimeout time.Duration
+	// Control sets up each socket before it connects; nil does nothing. See [net.Dialer].
+	Control func(network, address string, c syscall.RawConn) error
+	// Dial connects; nil is a [net.Dialer]. The connections that it returns must be
+	// [syscall.Conn]s, see [Conn.Reusable].
+	Dial func(ctx context.Context, network, address string) (net.Conn, error)
+
+	dialTimeout time.Duration // of the net.Dialer
+
+	mu    sync.Mutex // guards all that follows, and the unexported fields of the hosts
+	hosts map[K]*Host[K]
+	// byAddr has the host that was announced last at each address. With it a list of n
+	// servers costs n steps and not n * n.
+	byAddr map[string]*Host[K]
+	open   int // connections that are open or being opened
+	ages   idleAges
+	stale  staleGuard
+}
+
+// Host is one process of a server at one address.
+type Host[K comparable] struct {
+	ID   K
+	Addr string // host:port
+
+	// Guarded by Pool.mu.
+	incarnationMs float64    // tells the processes of a server apart: when it was started
+	available     bool       // takes new requests
+	displaced     bool       // another server was announced at its address
+	idle          []*Conn[K] // the most recently used one is the last
+}
+
+// New returns a pool of at most maxConns connections. A connection attempt is given up
+// after dialTimeout, and an idle connection is closed after idleTimeout.
+func New[K comparable](maxConns int, dialTimeout, idleTimeout time.Duration) *Pool[K] {
+	return &Pool[K]{
+		MaxConns:    maxConns,
+		IdleTimeout: idleTimeout,
+		dialTimeout: dialTimeout,
+		hosts:       map[K]*Host[K]{},
+		byAddr:      map[string]*Host[K]{},
+		ages:        idleAges{updatedAt: time.Now(), limit: unlimited},
+	}
+}
+
+// Update takes over what the endpoint list says of a server: its address, which of its
+// processes this is, and whether it takes new requests. It reports whether anything
+// changed. Connections to an earlier process or address are not used again.
+func (p *Pool[K]) Update(id K, addr string, incarnationMs float64, available bool) (changed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	h := p.hosts[id]
+	if h == nil || h.Addr != addr || h.incarnationMs != incarnationMs {
+		p.replaceHost(h, &Host[K]{ID: id, Addr: addr, incarnationMs: incarnationMs, available: available})
+		return true
+	}
+	available = available && !h.displaced
+	changed = h.available != available
+	h.available = available
+	if !available {
+		p.closeIdle(h)
+	}
+	return changed
+}
+
+// replaceHost puts a host in place of the one that the same server had before, if any.
+func (p *Pool[K]) replaceHost(old, h *Host[K]) {
+	p.retire(old)
+	// Another server that is still at this address is gone: nothing may be sent to the new
+	// server under the name of the old one, on connections that are there or being opened.
+	// Whoever was at the address before that one was displaced by it.
+	if other := p.byAddr[h.Addr]; other != nil && other.ID != h.ID {
+		other.displaced = true
+		p.retire(other)
+	}
+	p.forget(old)
+	p.hosts[h.ID], p.byAddr[h.Addr] = h, h
+}
+
+// Remove retires a server that is gone, and reports whether it was known.
+func (p *Pool[K]) Remove(id K) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	h := p.hosts[id]
+	p.retire(h)
+	p.forget(h)
+	return h != nil
+}
+
+// Retain retires the servers that a complete list does not name.
+func (p *Pool[K]) Retain(listed map[K]bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id, h := range p.hosts {
+		if !listed[id] {
+			p.retire(h)
+			p.forget(h)
+		}
+	}
+}
+
+// retire ends the use of a host, if there is one. Requests that are in flight go on.
+func (p *Pool[K]) retire(h *Host[K]) {
+	if h != nil {
+		h.available = false
+		p.closeIdle(h)
+	}
+}
+
+// forget removes a host, if there is one, from the tables.
+func (p *Pool[K]) forget(h *Host[K]) {
+	if h == nil {
+		return
+	}
+	delete(p.hosts, h.ID)
+	if p.byAddr[h.Addr] == h {
+		delete(p.byAddr, h.Addr)
+	}
+}
+
+func (p *Pool[K]) closeIdle(h *Host[K]) {
+	for _, c := range h.idle {
+		c.closeLocked()
+	}
+	h.idle = nil
+}
+
+// Host returns the current process of a server, nil if it takes no new requests.
+func (p *Pool[K]) Host(id K) *Host[K] {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if h := p.hosts[id]; h != nil && h.available {
+		return h
+	}
+	return nil
+}
+
+// Available reports whether a host still takes new requests.
+func (p *Pool[K]) Available(h *Host[K]) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return h.available
+}
+
+// CloseIdle closes the idle connections of a host. It is called after one of its
+// connections broke or could not be opened: the others are likely dead as well. A response
+// that can't be read is no such reason.
+func (p *Pool[K]) CloseIdle(h *Host[K]) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closeIdle(h)
+}
+
+// Get returns the idle connection of a host that was used most recently, nil if there is
+// none. So the others grow old and are closed.
+func (p *Pool[K]) Get(h *Host[K]) *Conn[K] { return p.get(h, unlimited) }
+
+// GetForNonIdempotent is [Pool.Get] for a request that must not run twice. It returns no
+// connection that the server may have dropped without a word, see [Pool.RecordStale].
+func (p *Pool[K]) GetForNonIdempotent(h *Host[K]) *Conn[K] {
+	p.mu.Lock()
+	maxIdle := p.stale.maxIdle(time.Now())
+	p.mu.Unlock()
+	return p.get(h, maxIdle)
+}
+
+// get returns the idle connection of a host that was used most recently, nil if there is
+// none that was idle for less than maxIdle. Each connection that it comes to is checked
+// against maxIdle, as the most recent one may turn out to be closed.
+func (p *Pool[K]) get(h *Host[K], maxIdle time.Duration) *Conn[K] {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for len(h.idle) > 0 {
+		last := len(h.idle) - 1
+		c := h.idle[last]
+		if time.Since(c.IdleSince) >= maxIdle { // the others have been idle for longer
+			return nil
+		}
+		h.idle = h.idle[:last]
+		if p.usable(c) {
+			return c
+		}
+		c.closeLocked()
+	}
+	return nil
+}
+
+// usable reports whether an idle connection may carry a request.
+func (p *Pool[K]) usable(c *Conn[K]) bool {
+	timeout := min(p.IdleTimeout, p.ages.limit)
+	if c.KeepAlive > 0 {
+		timeout = min(c.safeKeepAlive(), p.ages.limit)
+	}
+	return time.Since(c.IdleSince) < timeout && c.Reusable()
+}
+
+// Put keeps a connection for later, unless its host takes no new requests any more.
+func (p *Pool[K]) Put(c *Conn[K]) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	// The deadline of the last request must not stay: once it has passed, the check of
+	// Reusable fails, and the connection would be closed.
+	if !c.Host.available || c.SetDeadline(time.Time{}) != nil {
+		c.closeLocked()
+		return
+	}
+	c.IdleSince = time.Now()
+	c.Host.idle = append(c.Host.idle, c)
+}
+
+// Connect opens a connection to a host. If MaxConns are open, the connection that was idle
+// for longest is closed for it; if none is idle it fails with [ErrPoolExhausted]. Other
+// errors are those of the dialer.
+func (p *Pool[K]) Connect(ctx context.Context, h *Host[K]) (*Conn[K], error) {
+	if !p.reserve() {
+		return nil, ErrPoolExhausted
+	}
+	dial := p.Dial
+	if dial == nil {
+		dial = (&net.Dialer{Timeout: p.dialTimeout, KeepAlive: -1, Control: p.Control}).DialContext
+	}
+	nc, err := dial(ctx, "tcp", h.Addr)
+	if err != nil {
+		p.release()
+		return nil, err
+	}
+	return newConn(p, h, nc), nil
+}
+
+// reserve counts a connection that is about to be opened, if there may be another one.
+func (p *Pool[K]) reserve() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.open >= p.MaxConns {
+		p.evict()
+	}
+	if p.open >= p.MaxConns {
+		return false
+	}
+	p.open++
+	return true
+}
+
+// release undoes reserve.
+func (p *Pool[K]) release() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.open--
+}
+
+// evict closes the connection that has been idle for longest.
+func (p *Pool[K]) evict() {
+	var oldest *Host[K]
+	for _, h := range p.hosts {
+		if len(h.idle) > 0 && (oldest == nil || h.idle[0].IdleSince.Before(oldest.idle[0].IdleSince)) {
+			oldest = h
+		}
+	}
+	if oldest != nil {
+		oldest.idle[0].closeLocked()
+		oldest.idle = oldest.idle[1:]
+	}
+}
+
+// Sweep closes idle connections that have timed out or that the server has closed, every
+// half second until the context ends.
+func (p *Pool[K]) Sweep(ctx context.Context) {
+	for ctx.Err() == nil {
+		backoff.Sleep(ctx, sweepInterval)
+		p.sweepOnce()
+	}
+}
+
+func (p *Pool[K]) sweepOnce() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.ages.decay(time.Now())
+	p.ages.updateLimit()
+	for _, h := range p.hosts {
+		kept := h.idle[:0]
+		for _, c := range h.idle {
+			if p.usable(c) {
+				kept = append(kept, c)
+			} else {
+				c.closeLocked()
+			}
+		}
+		clear(h.idle[len(kept):])
+		h.idle = kept
+	}
+}
+
+// OpenConns returns how many connections are open or being opened.
+func (p *Pool[K]) OpenConns() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open
+}
+
+// IdleTime returns for how long the most recently used idle connection of a server has been
+// idle, 0 if there is none.
+func (p *Pool[K]) IdleTime(id K) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if h := p.hosts[id]; h != nil && len(h.idle) > 0 {
+		return time.Since(h.idle[len(h.idle)-1].IdleSince)
+	}
+	return 0
+}
+
+// IdleConns returns how many idle connections a server has.
+func (p *Pool[K]) IdleConns(id K) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if h := p.hosts[id]; h != nil {
+		return len(h.idle)
+	}
+	return 0
+}
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,11 +1,13 @@
-// Package datagram has UDP sockets that nobody waits at. A socket of package net wakes
-// the process for each datagram that comes: one of the runtime's threads returns from
-// epoll, looks for work, reads, reads again in vain and waits anew. Who looks at a
-// socket at times of its own anyway has what came since in one go, for one wake-up.
+// Package datagram has UDP sockets that are polled and never waited for.
 //
-// The calls never wait, so they go to the kernel without telling the runtime. Else each
-// first one after a rest would wake the runtime's monitor, a thread that then looks
-// round every 20 us: five wake-ups for one.
+// A socket of package net wakes the process for each datagram that arrives: a thread of the
+// runtime returns from epoll, looks for work, reads, reads again in vain and waits anew. A
+// caller that polls its socket at times of its own anyway reads everything that has arrived
+// since in one go, for one wake-up.
+//
+// The calls never block, so they go to the kernel without notice to the Go runtime. With
+// it, each first call after a pause would wake the runtime's monitor, a thread that then
+// looks around every 20 us: five wake-ups in place of one.
 package datagram
 
 import (
@@ -19,86 +21,99 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNoDatagram tells that nothing has come.
+// ErrNoDatagram reports that no datagram has arrived.
 var ErrNoDatagram = errors.New("datagram: nothing has come")
 
-// Socket is one socket. It is not safe for concurrent use.
+// Socket is a UDP socket. It is not safe for concurrent use.
 type Socket struct {
-	fd   int
-	addr netip.AddrPort
-	// Of who is sent to or was heard, so that neither makes garbage. The first fits either.
-	v6 unix.RawSockaddrInet6
-	v4 unix.RawSockaddrInet4
+	fd    int
+	local netip.AddrPort
+	// The address of the peer, as the kernel has it, of the last Send or Receive. They are
+	// fields so that neither call allocates. An IPv6 address has space for an IPv4 one too,
+	// so Receive uses addr6 for both.
+	addr6 unix.RawSockaddrInet6
+	addr4 unix.RawSockaddrInet4
 }
 
-// Listen opens a socket at an address; port 0 is any that is free.
-func Listen(at netip.AddrPort) (*Socket, error) {
+// Listen opens a socket at an address; port 0 is any port that is free.
+func Listen(local netip.AddrPort) (*Socket, error) {
 	family := unix.AF_INET6
-	if at.Addr().Unmap().Is4() {
+	if local.Addr().Unmap().Is4() {
 		family = unix.AF_INET
 	}
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("datagram: socket: %w", err)
 	}
-	s := &Socket{fd: fd}
-	var local unix.Sockaddr = &unix.SockaddrInet6{Port: int(at.Port()), Addr: at.Addr().As16()}
-	if family == unix.AF_INET {
-		local = &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().Unmap().As4()}
-	}
-	if err := unix.Bind(fd, local); err != nil {
-		return nil, errors.Join(fmt.Errorf("datagram: %v: %w", at, err), unix.Close(fd))
+	if err := unix.Bind(fd, sockaddr(local)); err != nil {
+		return nil, errors.Join(fmt.Errorf("datagram: %v: %w", local, err), unix.Close(fd))
 	}
-	own, err := unix.Getsockname(fd)
+	bound, err := unix.Getsockname(fd)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("datagram: %w", err), unix.Close(fd))
 	}
-	switch a := own.(type) {
+	return &Socket{fd: fd, local: addrPort(bound)}, nil
+}
+
+// sockaddr is an address in the form of package unix.
+func sockaddr(a netip.AddrPort) unix.Sockaddr {
+	if ip := a.Addr().Unmap(); ip.Is4() {
+		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: ip.As4()}
+	}
+	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
+}
+
+// addrPort is the reverse of sockaddr; zero for any other kind of address.
+func addrPort(a unix.Sockaddr) netip.AddrPort {
+	switch a := a.(type) {
 	case *unix.SockaddrInet4:
-		s.addr = netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
+		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
 	case *unix.SockaddrInet6:
-		s.addr = netip.AddrPortFrom(netip.AddrFrom16(a.Addr), uint16(a.Port))
+		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr), uint16(a.Port))
 	}
-	return s, nil
+	return netip.AddrPort{}
 }
 
-// Addr is where the socket is.
-func (s *Socket) Addr() netip.AddrPort { return s.addr }
+// Addr returns the address of the socket.
+func (s *Socket) Addr() netip.AddrPort { return s.local }
 
-// network is a port in the order of bytes of the network, as the kernel has it, and back.
-func network(port uint16) uint16 {
+// portInNetworkOrder converts a port to the byte order of the network, as the kernel has
+// it, and back.
+func portInNetworkOrder(port uint16) uint16 {
 	return binary.NativeEndian.Uint16([]byte{byte(port >> 8), byte(port)})
 }
 
-// Send sends one datagram. One for which there is no room now is lost, like one that
-// the network loses.
+// Send sends one datagram. One for which the kernel has no space now is dropped, like one
+// that the network loses.
 func (s *Socket) Send(b []byte, to netip.AddrPort) error {
-	at, size := unsafe.Pointer(&s.v6), unsafe.Sizeof(s.v6)
+	addr, size := unsafe.Pointer(&s.addr6), unsafe.Sizeof(s.addr6)
 	if ip := to.Addr().Unmap(); ip.Is4() {
-		s.v4 = unix.RawSockaddrInet4{Family: unix.AF_INET, Port: network(to.Port()), Addr: ip.As4()}
-		at, size = unsafe.Pointer(&s.v4), unsafe.Sizeof(s.v4)
+		s.addr4 = unix.RawSockaddrInet4{Family: unix.AF_INET, Port: portInNetworkOrder(to.Port()), Addr: ip.As4()}
+		addr, size = unsafe.Pointer(&s.addr4), unsafe.Sizeof(s.addr4)
 	} else {
-		s.v6 = unix.RawSockaddrInet6{Family: unix.AF_INET6, Port: network(to.Port()), Addr: ip.As16()}
+		s.addr6 = unix.RawSockaddrInet6{Family: unix.AF_INET6, Port: portInNetworkOrder(to.Port()), Addr: ip.As16()}
 	}
-	_, _, errno := syscall.RawSyscall6(unix.SYS_SENDTO, uintptr(s.fd), uintptr(unsafe.Pointer(unsafe.SliceData(b))), uintptr(len(b)),
-		unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, uintptr(at), size)
+	_, _, errno := syscall.RawSyscall6(unix.SYS_SENDTO,
+		uintptr(s.fd), uintptr(unsafe.Pointer(unsafe.SliceData(b))), uintptr(len(b)),
+		unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, uintptr(addr), size)
 	if errno != 0 {
 		return fmt.Errorf("datagram: %v: %w", to, errno)
 	}
 	return nil
 }
 
-// Receive reads the next datagram that has come; what is longer than the buffer is cut
-// off. [ErrNone]: there is none.
+// Receive reads the next datagram that has arrived and returns its length and sender. What
+// is longer than the buffer is cut off. It fails with [ErrNoDatagram] if there is none.
 func (s *Socket) Receive(b []byte) (n int, from netip.AddrPort, err error) {
 	for {
-		size := uint32(unsafe.Sizeof(s.v6))
-		n, _, errno := syscall.RawSyscall6(unix.SYS_RECVFROM, uintptr(s.fd), uintptr(unsafe.Pointer(unsafe.SliceData(b))), uintptr(len(b)),
-			unix.MSG_DONTWAIT, uintptr(unsafe.Pointer(&s.v6)), uintptr(unsafe.Pointer(&size)))
+		size := uint32(unsafe.Sizeof(s.addr6))
+		n, _, errno := syscall.RawSyscall6(unix.SYS_RECVFROM,
+			uintptr(s.fd), uintptr(unsafe.Pointer(unsafe.SliceData(b))), uintptr(len(b)),
+			unix.MSG_DONTWAIT, uintptr(unsafe.Pointer(&s.addr6)), uintptr(unsafe.Pointer(&size)))
 		switch errno {
 		case 0:
-			return int(n), s.sender(), nil
-		case unix.EINTR:
+			return int(n), s.lastSender(), nil
+		case unix.EINTR: // read again
 		case unix.EAGAIN:
 			return 0, from, ErrNoDatagram
 		default:
@@ -107,13 +122,13 @@
 	}
 }
 
-// sender is who sent what was received last.
-func (s *Socket) sender() netip.AddrPort {
-	if s.v6.Family == unix.AF_INET {
-		v4 := (*unix.RawSockaddrInet4)(unsafe.Pointer(&s.v6))
-		return netip.AddrPortFrom(netip.AddrFrom4(v4.Addr), network(v4.Port))
+// lastSender is the sender of the datagram that was received last.
+func (s *Socket) lastSender() netip.AddrPort {
+	if s.addr6.Family == unix.AF_INET {
+		addr4 := (*unix.RawSockaddrInet4)(unsafe.Pointer(&s.addr6))
+		return netip.AddrPortFrom(netip.AddrFrom4(addr4.Addr), portInNetworkOrder(addr4.Port))
 	}
-	return netip.AddrPortFrom(netip.AddrFrom16(s.v6.Addr), network(s.v6.Port))
+	return netip.AddrPortFrom(netip.AddrFrom16(s.addr6.Addr), portInNetworkOrder(s.addr6.Port))
 }
 
 // Close closes the socket.
