--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -55,7 +55,7 @@
 // list returns the paths of the pages, from the root on.
 func list(root string) ([]string, error) {
 	files := []string{"README.md", "CONTRIBUTING.md"}
-	err := filepath.WalkDir(filepath.Join(root, "docs"), func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(filepath.Join(root, "docs"), func(path string, _ fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -101,6 +101,12 @@
 // built are the folders that the deploy files' builds write into.
 var built = []string{"bin", "target"}
 
+// numbered are folders of docs whose pages are named by their numbers.
+var numbered = []string{"decisions", "incidents"}
+
+// pageNumber is a path of a page up to its number.
+var pageNumber = regexp.MustCompile(`(^|/)(decisions|incidents)/\d{4}$`)
+
 // isPath reports whether a word is the path of something in the repository: it begins
 // with a top-level entry of it, or is that of a source file in a folder.
 func (all *tree) isPath(word string) bool {
@@ -114,14 +120,15 @@
 	if !folders {
 		return strings.HasSuffix(word, ".go")
 	}
-	return slices.Contains(all.paths, first) || rest != "" && sourceFile.MatchString(word) || first == "decisions" || first == "incidents"
+	return slices.Contains(all.paths, first) || rest != "" && sourceFile.MatchString(word) ||
+		slices.Contains(numbered, first)
 }
 
 // hasPath reports whether a path exists. Of a page's name its number is enough; capitals
 // stand for any name.
 func (all *tree) hasPath(path string) bool {
 	pattern := strings.TrimSuffix(path, "/")
-	if before, _, ok := strings.Cut(pattern, "/0"); ok && strings.HasSuffix(before, "s") && !strings.HasSuffix(pattern, ".md") {
+	if pageNumber.MatchString(pattern) {
 		pattern += "*"
 	}
 	if !strings.HasSuffix(pattern, ".md") { // pages have names in capitals
@@ -175,23 +182,36 @@
 // The check finds what is not there, and takes nothing for a path that is none.
 func TestWhatIsNotThereIsFound(t *testing.T) {
 	all := readTree(t)
-	for _, word := range []string{"raft/nowhere.go", "nowhere.go", "docs/nowhere.md", "agreement/node.go", "decisions/0999", "docs/days/nowhere/NAME.toml"} {
+	for _, word := range []string{
+		"raft/nowhere.go", "nowhere.go", "docs/nowhere.md", "agreement/node.go", "decisions/0999",
+		"docs/days/nowhere/NAME.toml",
+	} {
 		if !all.isPath(word) || all.hasPath(word) {
 			t.Errorf("%s passes", word)
 		}
 	}
-	for _, word := range []string{"docs/design.md", "pages.go", "decisions/0008", "docs/days/mixed/NAME.toml", "docs/incidents/"} {
+	for _, word := range []string{
+		"docs/design.md", "pages.go", "decisions/0008", "docs/incidents/0018", "docs/days/mixed/NAME.toml",
+		"docs/incidents/",
+	} {
 		if !all.isPath(word) || !all.hasPath(word) {
 			t.Errorf("%s does not pass", word)
 		}
 	}
-	for _, word := range []string{"elmspan.Control/Watch", "data_dir/log", "target/elmspan", "/v1/Status", "node.toml"} {
+	for _, word := range []string{
+		"elmspan.Control/Watch", "data_dir/log", "target/elmspan", "/v1/Status", "node.toml",
+	} {
 		if all.isPath(word) {
 			t.Errorf("%s is taken for a path", word)
 		}
 	}
-	for word, there := range map[string]bool{"TestNowhere": false, "raft.TestWhatIsNotThereIsFound": false,
-		"pages.TestWhatIsNotThereIsFound": true, "internal/pages.TestWhat...": true, "Testing": true} {
+	for word, there := range map[string]bool{
+		"TestNowhere":                     false,
+		"raft.TestWhatIsNotThereIsFound":  false,
+		"pages.TestWhatIsNotThereIsFound": true,
+		"internal/pages.TestWhat...":      true,
+		"Testing":                         true,
+	} {
 		if all.hasTest(word) != there {
 			t.Errorf("%s: found %v", word, !there)
 		}
