--- a/balancer/node/discovery.go
+++ b/balancer/node/discovery.go
@@ -133,7 +133,7 @@
 		ev.Servers = append(ev.Servers, info)
 	}
 	if scope != balancer.Partial {
-		n.servers.KeepOnly(listed)
+		n.servers.Retain(listed)
 	}
 	n.listed = n.listed || len(listed) > 0
 	n.handle(ev)
@@ -164,7 +164,7 @@
 		crowded: backoff.New(max(retryFirst, limiters*callEvery/2), max(retryMost, limiters*crowdEvery), rng),
 	}
 	if cfg.Settings.Module.AskMembers {
-		p.spread = backoff.Spread(limiters*callEvery, rng)
+		p.spread = backoff.Jitter(limiters*callEvery, rng)
 	}
 	return p
 }
--- a/cmd/elmspan-lab/load.go
+++ b/cmd/elmspan-lab/load.go
@@ -136,7 +136,7 @@
 func (t *Target) send(ctx context.Context, day *scenario.Day, all []sending) error {
 	begun := time.Now()
 	ledger := checker.New(scenario.RetryBudget{}, func() time.Duration { return time.Since(begun) })
-	tally := checker.NewTally(day)
+	tally := checker.NewCounter(day)
 	client := emulator.NewClient(t.Host, t.Front, day.Seed)
 	defer client.Close()
 	var tasks sync.WaitGroup
@@ -161,7 +161,9 @@
 	tasks.Wait()
 	r := tally.Report(ledger)
 	r.Notes = append(r.Notes, "rules can't be judged from the clients' side alone: the servers are not ours")
-	r.Write(os.Stdout)
+	if err := r.Write(os.Stdout); err != nil {
+		return err
+	}
 	return ctx.Err()
 }
 
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -29,11 +29,11 @@
 // callProgress is what came of one step of a call.
 type callProgress struct {
 	done       bool
-	result     api.ControlResponse // where done; a Status of 0: this member can't say
+	result     api.ControlResponse // where done; a Status of 0: this member doesn't know it
 	needsRound bool                // the call waits for a read index round
 }
 
-// advance carries a call on as far as it goes now.
+// advance takes a call as far as it gets now: answered, proposed, or waiting for a round.
 func (g *casRegister) advance(node *raft.Node, p *pendingCall) callProgress {
 	unknown := callProgress{done: true}
 	switch {
--- a/dataplane/forward.go
+++ b/dataplane/forward.go
@@ -60,9 +60,9 @@
 func (g *Gateway) try(r *request, at *serverTry, host *connpool.Host[string]) outcome {
 	m := at.member
 	for {
-		take := g.pool.Take
+		take := g.pool.Get
 		if !r.route.IsIdempotent() {
-			take = g.pool.TakeFresh
+			take = g.pool.GetForNonIdempotent
 		}
 		c := take(host)
 		kept := c != nil
@@ -75,13 +75,13 @@
 				if at.ctx.Err() != nil {
 					return outcome{result: balance.Given}
 				}
-				if !errors.Is(err, connpool.ErrNoRoom) {
-					g.pool.Broken(host)
+				if !errors.Is(err, connpool.ErrPoolExhausted) {
+					g.pool.CloseIdle(host)
 				}
 				return outcome{result: balance.Unsent}
 			}
 		}
-		if !g.pool.Wanted(host) { // it went while we connected
+		if !g.pool.Available(host) { // it went while we connected
 			c.Close()
 			return outcome{result: balance.Moved}
 		}
@@ -111,11 +111,11 @@
 // the answer's where that is not read whole.
 func (g *Gateway) exchange(r *request, m *balance.Member, c *conn) outcome {
 	c.SetDeadline(r.deadline)
-	if c.Used && !c.Quiet() {
+	if c.Used && !c.Reusable() {
 		return outcome{result: balance.Unsent}
 	}
-	age, sent := c.Age(), time.Now()
-	c.Expect(math.MaxInt)
+	age, sent := c.IdleGroup(), time.Now()
+	c.BeginExchange(math.MaxInt)
 	e := attempt.Evidence{Written: attempt.FullyWritten, HeadRequest: r.head.Method == "HEAD"}
 	b := heads.Get().(*bytes.Buffer)
 	b.Reset()
@@ -125,7 +125,7 @@
 	heads.Put(b)
 	switch {
 	case err != nil && n == 0:
-		c.Note(age, true)
+		c.RecordExchange(age, true)
 		return outcome{result: g.rules.Classify(attempt.Evidence{Written: attempt.NotWritten}).Result}
 	case err == nil && r.stream != nil:
 		r.started = true
@@ -133,15 +133,15 @@
 		var fault *h1.Error
 		if errors.As(err, &fault) {
 			e.Written, e.Response = attempt.PartlyWritten, attempt.RequestAborted
-			return g.outcome(e, &answer{status: fault.Status, reason: "malformed", why: fault.Why, closes: true})
+			return g.outcome(e, &answer{status: fault.Status, reason: "malformed", why: fault.Reason, closes: true})
 		}
 	}
 	if err != nil { // its answer may stand there all the same: a server need not read all that it turns away
 		e.Written = attempt.PartlyWritten
 	}
-	head, err := g.ownAnswer(c.In, r.head, &e.StrayResponses)
-	c.Note(age, c.Died() != nil)
-	if c.Forgotten(age) && time.Since(sent) < forgottenIn {
+	head, err := g.ownAnswer(c.Reader, r.head, &e.StrayResponses)
+	c.RecordExchange(age, c.ReadErr() != nil)
+	if c.WasStale(age) && time.Since(sent) < forgottenIn {
 		g.forgotten(m.ID, age)
 	}
 	if e.StrayResponses > 0 {
@@ -150,22 +150,22 @@
 	if err != nil {
 		return g.outcome(e, nil)
 	}
-	c.KeepFor = head.KeepAlive()
+	c.KeepAlive = head.KeepAlive()
 	return g.read(c, e, r.head.Method, head)
 }
 
 // read reads the body behind the head of an answer, as far as that is to be read before
 // a byte of it goes out.
 func (g *Gateway) read(c *conn, e attempt.Evidence, method string, head *h1.Head) outcome {
-	framing, err := head.AnswerBody(method)
+	framing, err := head.ResponseFraming(method)
 	if err != nil { // no answer that two would read alike
 		return g.outcome(e, nil)
 	}
 	e.Response, e.Status, e.NotExecuted = attempt.Truncated, head.Status, head.Get("Not-Executed") != ""
-	e.Sealed = head.Get("Server-Seal") != "" && head.Get("Content-Encoding") == "" && framing != h1.TillEnds
-	e.Closes = head.Closes() || framing == h1.TillEnds
+	e.Sealed = head.Get("Server-Seal") != "" && head.Get("Content-Encoding") == "" && framing != h1.UntilClose
+	e.Closes = head.ClosesConnection() || framing == h1.UntilClose
 	a := &answer{status: head.Status, from: head, length: framing}
-	body := h1.NewBody(c.In, framing)
+	body := h1.NewBody(c.Reader, framing)
 	good := head.Status/100 == 2
 	if good && !e.Sealed {
 		return g.outcome(e, nil)
@@ -178,9 +178,9 @@
 		case body.Done():
 			a.length = int64(len(a.body))
 			if e.HeadRequest { // what GET would have is told all the same
-				a.length, _ = head.AnswerBody("GET")
+				a.length, _ = head.ResponseFraming("GET")
 			}
-			e.Response, e.TrailingBytes = attempt.Complete, c.In.Buffered()
+			e.Response, e.TrailingBytes = attempt.Complete, c.Reader.Buffered()
 			o := g.outcome(e, a)
 			o.keep = g.rules.Reusable(e)
 			return o
@@ -195,7 +195,7 @@
 // itself, so that the evidence on all others stays on the stack.)
 func (g *Gateway) freeing(c *conn, e attempt.Evidence) func(whole bool) {
 	return func(whole bool) {
-		if e.Response, e.TrailingBytes = attempt.Complete, c.In.Buffered(); whole && g.rules.Reusable(e) {
+		if e.Response, e.TrailingBytes = attempt.Complete, c.Reader.Buffered(); whole && g.rules.Reusable(e) {
 			g.pool.Put(c)
 		} else {
 			c.Close()
@@ -227,7 +227,7 @@
 // It counts the answers that were not this request's.
 func (g *Gateway) ownAnswer(in *bufio.Reader, req *h1.Head, strays *int) (*h1.Head, error) {
 	for {
-		h, err := h1.ReadAnswer(in, maxAnswerHead)
+		h, err := h1.ReadResponse(in, maxAnswerHead)
 		if err != nil {
 			return nil, err
 		}
@@ -236,8 +236,8 @@
 			return h, nil
 		}
 		*strays++
-		framing, err := h.AnswerBody("GET")
-		bounded := err == nil && framing != h1.TillEnds && framing <= strayBody
+		framing, err := h.ResponseFraming("GET")
+		bounded := err == nil && framing != h1.UntilClose && framing <= strayBody
 		if !attempt.ShouldSkip(owner, *strays, bounded) {
 			return nil, errStray
 		}
@@ -254,7 +254,7 @@
 
 // forgotten notes that a server had forgotten a connection, and has others told.
 func (g *Gateway) forgotten(server string, age int) {
-	g.pool.Forgot(age, 0)
+	g.pool.RecordStale(age, connpool.Self)
 	g.mu.Lock()
 	g.limiter.Forgotten(inMs(g.now()), age)
 	g.mu.Unlock()
@@ -314,7 +314,7 @@
 	buf := *p
 	chunk := func(data []byte) error {
 		if sent += int64(len(data)); sent > most {
-			return &h1.Error{Status: 413, Why: "the body is too long"}
+			return &h1.Error{Status: 413, Reason: "the body is too long"}
 		}
 		if err := l.Wait(context.Background(), len(data)); err != nil {
 			return err
@@ -344,7 +344,7 @@
 			if errors.As(err, new(*h1.Error)) {
 				return err
 			}
-			return &h1.Error{Status: 400, Why: "the body breaks off"} // its server never has the whole
+			return &h1.Error{Status: 400, Reason: "the body breaks off"} // its server never has the whole
 		}
 	}
 	if r.length < 0 {
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -80,7 +80,7 @@
 	g := e.g
 	for range mostHeard {
 		n, from, err := g.udp.Receive(e.buf)
-		if errors.Is(err, datagram.ErrNone) {
+		if errors.Is(err, datagram.ErrNoDatagram) {
 			return
 		}
 		if err != nil {
@@ -104,7 +104,7 @@
 		known := g.limiter.Hear(inMs(g.now()), w)
 		g.mu.Unlock()
 		if known && w.Forgotten != 0 {
-			g.pool.Forgot(int(w.Forgotten), w.From)
+			g.pool.RecordStale(int(w.Forgotten), w.From)
 		}
 		if !known && g.stranger != nil {
 			g.stranger(from.String())
--- a/lab/emulator/client.go
+++ b/lab/emulator/client.go
@@ -28,7 +28,7 @@
 )
 
 // Client sends requests as the clients of a day do: it keeps connections, and
-// sends again what may run twice or what was promised not to have run. Its methods may
+// sends again what may run twice or what certainly has not run. Its methods may
 // be called at the same time.
 type Client struct {
 	host     string
@@ -80,7 +80,7 @@
 // outcome is what came of an attempt.
 type outcome struct {
 	status     int           // 0: no answer
-	retryAfter time.Duration // 0: not told
+	retryAfter time.Duration // 0: none was given
 	unread     bool          // the limiter can't have read the request
 }
 
@@ -122,7 +122,7 @@
 	if r.answered != nil {
 		r.answered(id, head.Status, head.Get("Server-Seal"), body)
 	}
-	if head.Closes() || !r.class.Idempotent() {
+	if head.ClosesConnection() || !r.class.Idempotent() {
 		_ = conn.Close() // all was read
 	} else {
 		c.keep(target, conn)
@@ -158,11 +158,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	head, err := h1.ReadAnswer(conn.in, maxHeadBytes)
+	head, err := h1.ReadResponse(conn.in, maxHeadBytes)
 	if err != nil {
 		return nil, nil, err
 	}
-	framing, err := head.AnswerBody(method)
+	framing, err := head.ResponseFraming(method)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/lab/emulator/node.go
+++ b/lab/emulator/node.go
@@ -42,7 +42,7 @@
 }
 
 // supervise starts the machine's process, and again whenever it ends, until the context
-// does. unexpected is told of each end that nobody ordered.
+// does. unexpected is called for each end that nobody ordered.
 func (n *node) supervise(ctx context.Context, args []string, unexpected func(*os.ProcessState)) error {
 	for ctx.Err() == nil {
 		state, err := n.runOnce(args)
@@ -52,8 +52,9 @@
 		if !n.endWasOrdered() && ctx.Err() == nil {
 			unexpected(state)
 		}
-		for backoff.Sleep(ctx, restartDelay) && n.isHeld() {
-			// Until the fault is over.
+		held := true
+		for held && backoff.Sleep(ctx, restartDelay) {
+			held = n.isHeld()
 		}
 	}
 	return nil
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -119,7 +119,13 @@
 
 // Validate returns every fault that it finds, joined.
 func (d *Day) Validate() error {
-	return errors.Join(d.validateFleet(), d.validateServices(), d.validateTraffic(), d.validateFaults(), d.validateBounds())
+	return errors.Join(
+		d.validateFleet(),
+		d.validateServices(),
+		d.validateTraffic(),
+		d.validateFaults(),
+		d.validateBounds(),
+	)
 }
 
 func (d *Day) validateFleet() error {
@@ -231,5 +237,5 @@
 	return nil
 }
 
-// Idempotent tells whether such a request may run more than once.
+// Idempotent reports whether such a request may run more than once.
 func (c *Class) Idempotent() bool { return c.Type == "idempotent" || c.Type == "download" }
