--- a/raft/simcluster_test.go
+++ b/raft/simcluster_test.go
@@ -80,7 +80,8 @@
 // sortedIDs are the keys of a map in order, so that a run does not depend on the map's.
 func sortedIDs[V any](m map[ID]V) []ID { return slices.Sorted(maps.Keys(m)) }
 
-// fail ends the test with the seed that reproduces it.
+// fail ends the test with the seed that reproduces it. The functions that a run calls often are not
+// marked with t.Helper, which takes half of the time of a run.
 func (s *simCluster) fail(format string, args ...any) {
 	s.t.Helper()
 	s.t.Fatalf("seed %d: %s", s.seed, fmt.Sprintf(format, args...))
@@ -148,7 +149,6 @@
 
 // propose proposes a value at a leader.
 func (s *simCluster) propose(leader *Node, data []byte) {
-	s.t.Helper()
 	if _, _, err := leader.Propose(data); err != nil {
 		s.fail("a leader refuses a value: %v", err)
 	}
@@ -156,7 +156,6 @@
 
 // proposeMembers reports whether a leader took a change of members.
 func (s *simCluster) proposeMembers(leader *Node, members []Member) bool {
-	s.t.Helper()
 	err := leader.ProposeMembers(members)
 	switch {
 	case err == nil:
@@ -200,7 +199,6 @@
 
 // store puts on a member's disk what has to be there before the messages go out.
 func (s *simCluster) store(id ID, r Ready) {
-	s.t.Helper()
 	d := s.disks[id]
 	if r.HardState != nil {
 		d.HardState = *r.HardState
@@ -220,7 +218,6 @@
 
 // apply checks that all members apply the same entry at an index.
 func (s *simCluster) apply(id ID, e Entry) {
-	s.t.Helper()
 	if len(e.Data) == 0 {
 		return
 	}
@@ -231,7 +228,6 @@
 }
 
 func (s *simCluster) checkOneLeaderPerTerm(n *Node, id ID) {
-	s.t.Helper()
 	if n.Role() != Leader {
 		return
 	}
@@ -256,7 +252,6 @@
 
 // step plays one step of time for all members, and delivers what is in flight.
 func (s *simCluster) step() {
-	s.t.Helper()
 	for _, id := range s.liveIDs() {
 		if s.rng.IntN(8) > 0 {
 			s.nodes[id].Tick()
@@ -357,7 +352,6 @@
 // voters once they have caught up, and removes those that are gone. Half of the runs give the
 // vote of one that is gone to a learner in one change.
 func (s *simCluster) manageMembers() {
-	s.t.Helper()
 	leader := s.leader()
 	if leader == nil {
 		return
@@ -375,7 +369,6 @@
 
 // manageOneMember changes the first member that is to be changed.
 func (s *simCluster) manageOneMember(leader *Node, members []Member) {
-	s.t.Helper()
 	lostVoter := slices.IndexFunc(members, func(m Member) bool { return m.Voter && s.disks[m.ID] == nil })
 	for i, m := range members {
 		next := slices.Clone(members)
--- a/raft/simfaults_test.go
+++ b/raft/simfaults_test.go
@@ -113,7 +113,6 @@
 
 // step plays one step of time for all members, and delivers what is in flight.
 func (s *faultySimCluster) step() {
-	s.t.Helper()
 	for _, id := range s.liveIDs() {
 		if s.paused[id] == 0 {
 			s.tick(id)
@@ -175,7 +174,6 @@
 // checkReads begins reads at leaders, and checks those that are confirmed: the leader must know
 // all that was committed before the read arrived. A lease that a leader grants is the same.
 func (s *faultySimCluster) checkReads() {
-	s.t.Helper()
 	if ids := s.liveIDs(); len(ids) > 0 && s.rng.IntN(4) == 0 && len(s.reads) < maxOpenReads {
 		id := ids[s.rng.IntN(len(ids))]
 		if n := s.nodes[id]; n.Role() == Leader && s.paused[id] == 0 {
--- a/raft/snapshot_test.go
+++ b/raft/snapshot_test.go
@@ -80,7 +80,6 @@
 
 // play delivers all messages three times, and checks what is installed.
 func (r *chunkRun) play(t *testing.T) {
-	t.Helper()
 	last := uint64(0)
 	for range 3 {
 		for _, m := range r.messages {
@@ -159,7 +158,6 @@
 
 // deliver delivers one message of the leader, and the replies to it.
 func (r *transferRun) deliver(t *testing.T, m Message) {
-	t.Helper()
 	if m.To == 3 {
 		if m.Kind == AppendEntries {
 			acknowledgeEntries(r.leader, m)
--- a/raft/trace_test.go
+++ b/raft/trace_test.go
@@ -96,7 +96,6 @@
 
 // play plays all steps.
 func (r *traceRun) play() {
-	r.t.Helper()
 	for step := range traceSteps {
 		for id := ID(1); id <= traceMembers; id++ {
 			n := r.nodes[id]
@@ -128,7 +127,6 @@
 
 // deliver delivers the messages in flight, but for those that are lost or delayed.
 func (r *traceRun) deliver() {
-	r.t.Helper()
 	arriving := r.network
 	r.network = nil
 	for _, m := range arriving {
@@ -150,7 +148,6 @@
 
 // runHost carries out all that a member has ready, and adds it to the digest.
 func (r *traceRun) runHost(id ID) {
-	r.t.Helper()
 	n := r.nodes[id]
 	for ready := n.Ready(); !ready.Empty(); ready = n.Ready() {
 		data, err := cbor.Marshal([]any{
@@ -174,7 +171,6 @@
 }
 
 func (r *traceRun) addToDigest(data []byte) {
-	r.t.Helper()
 	if _, err := r.digest.Write(data); err != nil {
 		r.t.Fatal(err)
 	}
