--- a/dataplane/answer.go
+++ b/dataplane/answer.go
@@ -57,7 +57,7 @@
 
 // writeTo writes the answer. An error leaves it visibly incomplete: the length
 // is not reached or the last chunk is missing.
-func (a *answer) writeTo(w io.Writer, req *h1.Head, l *link.Link) error {
+func (a *answer) writeTo(w io.Writer, req *h1.Head, l *link.Pacer) error {
 	b := heads.Get().(*bytes.Buffer)
 	defer heads.Put(b)
 	b.Reset()
@@ -104,7 +104,7 @@
 	}
 	b.WriteString("\r\n")
 	if req != nil && req.Method == "HEAD" {
-		l.Count(b.Len())
+		l.Record(b.Len())
 		_, err := w.Write(b.Bytes())
 		return err
 	}
@@ -121,7 +121,7 @@
 	if a.rest == nil && chunked {
 		b.WriteString("0\r\n\r\n")
 	}
-	l.Count(b.Len())
+	l.Record(b.Len())
 	if _, err := w.Write(b.Bytes()); err != nil || a.rest == nil {
 		return err
 	}
@@ -130,12 +130,12 @@
 
 // copyRest writes what was not read whole, a quantum at a time, each when it is
 // this body's turn on the link.
-func (a *answer) copyRest(w io.Writer, chunked bool, l *link.Link) error {
+func (a *answer) copyRest(w io.Writer, chunked bool, l *link.Pacer) error {
 	p := copies.Get().(*[]byte)
 	defer copies.Put(p)
 	const room = 8 // for a chunk's size
 	buf := *p
-	if l.Socket() > 0 {
+	if l.SocketBuffer() > 0 {
 		buf = buf[:link.Quantum]
 	}
 	for {
--- a/dataplane/forward.go
+++ b/dataplane/forward.go
@@ -120,7 +120,7 @@
 	b := heads.Get().(*bytes.Buffer)
 	b.Reset()
 	r.writeHead(b, m.ID)
-	g.link.Count(b.Len())
+	g.link.Record(b.Len())
 	n, err := c.Write(b.Bytes())
 	heads.Put(b)
 	switch {
@@ -307,7 +307,7 @@
 
 // streamTo sends a body that is too long to be held. What the client does wrong
 // meanwhile is an [h1.Error].
-func (r *request) streamTo(w io.Writer, most int64, l *link.Link) error {
+func (r *request) streamTo(w io.Writer, most int64, l *link.Pacer) error {
 	sent := int64(0)
 	p := copies.Get().(*[]byte)
 	defer copies.Put(p)
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -61,7 +61,7 @@
 
 	stranger func(addr string)
 	start    time.Time
-	link     *link.Link
+	link     *link.Pacer
 	life     uint64
 	self     uint64 // hash of the name
 	pool     *connpool.Pool[string]
@@ -110,7 +110,7 @@
 	g.link = link.New(cfg.Limits.LinkMbps, o.Link.Fill)
 	g.pool.Control = g.link.Control
 	g.limiter = limiter.New(0, limiter.Config{Self: g.self, Life: g.life, Zone: cfg.Zone, Seed: seed,
-		RetryRatio: cfg.Timing.RetryRatio, RetrySlack: cfg.Timing.RetrySlack, LinkPerS: g.link.PerS(), Words: o.Link.GossipBudget(cfg.Limits.LinkMbps, cfg.Limits.CPUShare)})
+		RetryRatio: cfg.Timing.RetryRatio, RetrySlack: cfg.Timing.RetrySlack, LinkPerS: g.link.BulkBytesPerS(), Words: o.Link.GossipBudget(cfg.Limits.LinkMbps, cfg.Limits.CPUShare)})
 	if cfg.Timing.StrictRevocation {
 		g.lease = settings.Millis(cfg.Timing.RevokeMs) - revokeMargin
 	}
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -450,7 +450,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { errors.Join(g.front.Close(), g.readyOn.Close(), g.udp.Close()) })
-	w := gossip.Word{From: 7, Life: 1}
+	w := gossip.Message{From: 7, Incarnation: 1}
 	for range sent {
 		if err := g.udp.Send(w.Append(nil), g.udp.Addr()); err != nil {
 			t.Fatal(err)
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -31,7 +31,7 @@
 		}
 		in.hear()
 		g.mu.Lock()
-		g.limiter.Tick(inMs(g.now()), func(to uint64, w *gossip.Word) {
+		g.limiter.Tick(inMs(g.now()), func(to uint64, w *gossip.Message) {
 			buf = w.Append(buf[:0])
 			out := buf
 			if sealer != nil {
@@ -43,7 +43,7 @@
 				out = sealed
 			}
 			g.udp.Send(out, g.others[to].addr) // a lost one heals with the next
-			g.link.Count(len(out))
+			g.link.Record(len(out))
 			g.meter.Count("elmspan_words_sent_total", 1)
 		})
 		next := g.limiter.TickMs()
@@ -67,7 +67,7 @@
 type ear struct {
 	g         *Gateway
 	buf, open []byte
-	word      gossip.Word
+	word      gossip.Message
 	sealer    *keys.Sealer
 }
 
@@ -103,8 +103,8 @@
 		g.mu.Lock()
 		known := g.limiter.Hear(inMs(g.now()), w)
 		g.mu.Unlock()
-		if known && w.Forgotten != 0 {
-			g.pool.RecordStale(int(w.Forgotten), w.From)
+		if known && w.ForgottenAge != 0 {
+			g.pool.RecordStale(int(w.ForgottenAge), w.From)
 		}
 		if !known && g.stranger != nil {
 			g.stranger(from.String())
--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -13,7 +13,7 @@
 
 // goldenMessages are messages that together have each section of a datagram empty, with
 // one entry, with several, and with as many as a sender puts into one.
-func goldenMessages() map[string]Word {
+func goldenMessages() map[string]Message {
 	const from, start = 0x0123456789abcdef, 0x7edcba9876543210
 	spent := []quota.Spent{
 		{Tenant: 0xabcdef0123, Units: 0, Level: 0},
@@ -27,28 +27,28 @@
 	}
 	demand := []balance.Demand{{Service: 0, Level: 1}, {Service: 0xbeef, Level: 200}}
 	classes := []quota.Class{{Set: 0xcafef00d, Count: 41}, {Set: 7, Count: 300}}
-	full := Word{From: 1<<64 - 1, Life: 1<<64 - 1, AgeMs: 1 << 50, Forgotten: 16}
+	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, ForgottenAge: 16}
 	for i := range 64 {
 		full.Hints = append(full.Hints, balance.Hint{Server: uint32(i) << 20, Out: uint8(i), Took: uint8(255 - i)})
 	}
-	full.Group = quota.Digest{Level: 16, First: true, Heard: 1 << 20, Set: 1<<32 - 1}
+	full.GroupDigest = quota.Digest{Level: 16, First: true, Heard: 1 << 20, Set: 1<<32 - 1}
 	for i := range 8 {
-		full.Group.Classes = append(full.Group.Classes, quota.Class{Set: uint32(i), Count: 1 << i})
+		full.GroupDigest.Classes = append(full.GroupDigest.Classes, quota.Class{Set: uint32(i), Count: 1 << i})
 	}
 	for i := range 48 {
-		full.Group.Spent = append(full.Group.Spent, quota.Spent{Tenant: uint64(i) << 32, Units: 1 << i, Level: uint8(i)})
+		full.GroupDigest.Spent = append(full.GroupDigest.Spent, quota.Spent{Tenant: uint64(i) << 32, Units: 1 << i, Level: uint8(i)})
 	}
-	return map[string]Word{
+	return map[string]Message{
 		"empty":            {},
-		"head":             {From: from, Life: start, AgeMs: 123456789, Set: 0xdeadbeef},
-		"spent":            {From: from, Life: start, AgeMs: 1, Spent: spent, Set: 1},
-		"hints":            {From: from, Life: start, AgeMs: 128, Hints: hints, Set: 2},
-		"demand":           {From: from, Life: start, AgeMs: 300, Demand: demand, Set: 3},
-		"forgotten":        {From: from, Life: start, AgeMs: 16384, Forgotten: 5, Set: 4},
-		"all-but-digest":   {From: from, Life: start, AgeMs: 1 << 40, Spent: spent, Hints: hints, Demand: demand, Forgotten: 16, Set: 5},
-		"digest-first":     {From: from, Life: start, AgeMs: 9, Group: quota.Digest{Level: 1, First: true, Heard: 1, Set: 6}},
-		"digest-second":    {From: from, Life: start, AgeMs: 10, Group: quota.Digest{Level: 4, Heard: 128, Set: 7, Classes: classes, Spent: spent}},
-		"digest-and-hints": {From: from, Life: start, AgeMs: 11, Hints: hints, Demand: demand, Forgotten: 1, Group: quota.Digest{Level: 3, First: true, Heard: 9, Set: 8, Classes: classes[:1], Spent: spent[:1]}},
+		"head":             {From: from, Incarnation: start, AgeMs: 123456789, HeardPeers: 0xdeadbeef},
+		"spent":            {From: from, Incarnation: start, AgeMs: 1, Consumed: spent, HeardPeers: 1},
+		"hints":            {From: from, Incarnation: start, AgeMs: 128, Hints: hints, HeardPeers: 2},
+		"demand":           {From: from, Incarnation: start, AgeMs: 300, Demand: demand, HeardPeers: 3},
+		"forgotten":        {From: from, Incarnation: start, AgeMs: 16384, ForgottenAge: 5, HeardPeers: 4},
+		"all-but-digest":   {From: from, Incarnation: start, AgeMs: 1 << 40, Consumed: spent, Hints: hints, Demand: demand, ForgottenAge: 16, HeardPeers: 5},
+		"digest-first":     {From: from, Incarnation: start, AgeMs: 9, GroupDigest: quota.Digest{Level: 1, First: true, Heard: 1, Set: 6}},
+		"digest-second":    {From: from, Incarnation: start, AgeMs: 10, GroupDigest: quota.Digest{Level: 4, Heard: 128, Set: 7, Classes: classes, Spent: spent}},
+		"digest-and-hints": {From: from, Incarnation: start, AgeMs: 11, Hints: hints, Demand: demand, ForgottenAge: 1, GroupDigest: quota.Digest{Level: 3, First: true, Heard: 9, Set: 8, Classes: classes[:1], Spent: spent[:1]}},
 		"full":             full,
 	}
 }
@@ -69,7 +69,7 @@
 		if got := message.Append(nil); !bytes.Equal(got, want) {
 			t.Errorf("%s is encoded as %x, want %x", name, got, want)
 		}
-		var decoded Word
+		var decoded Message
 		if err := decoded.Decode(want); err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -92,9 +92,9 @@
 }
 
 // withoutEmptySlices has nil in place of empty slices: a decoded message may have either.
-func withoutEmptySlices(m Word) Word {
-	if len(m.Spent) == 0 {
-		m.Spent = nil
+func withoutEmptySlices(m Message) Message {
+	if len(m.Consumed) == 0 {
+		m.Consumed = nil
 	}
 	if len(m.Hints) == 0 {
 		m.Hints = nil
@@ -102,11 +102,11 @@
 	if len(m.Demand) == 0 {
 		m.Demand = nil
 	}
-	if len(m.Group.Classes) == 0 {
-		m.Group.Classes = nil
+	if len(m.GroupDigest.Classes) == 0 {
+		m.GroupDigest.Classes = nil
 	}
-	if len(m.Group.Spent) == 0 {
-		m.Group.Spent = nil
+	if len(m.GroupDigest.Spent) == 0 {
+		m.GroupDigest.Spent = nil
 	}
 	return m
 }
--- a/dataplane/gossip/teller.go
+++ b/dataplane/gossip/teller.go
@@ -11,8 +11,8 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// How often words go out, in milliseconds. The host calls [Teller.Tick] every
-// [Teller.TickMs].
+// How often words go out, in milliseconds. The host calls [Disseminator.Tick] every
+// [Disseminator.TickMs].
 const (
 	TickMs  = 6.0   // between two words to limiters of the zone ...
 	otherMs = 30.0  // ... to others about servers of theirs ...
@@ -41,10 +41,10 @@
 	// take it (docs/decisions/0005).
 	notable = 20
 
-	// MostHinted is how many other limiters get hints wherever they are. Where there
+	// LargeFleetPeers is how many other limiters get hints wherever they are. Where there
 	// are as many or more, those of other zones get none ...
-	MostHinted  = 24
-	hintedAlong = balance.Reach // ... and in the zone so many on each side of this one, by their ids
+	LargeFleetPeers = 24
+	hintedAlong     = balance.Reach // ... and in the zone so many on each side of this one, by their ids
 
 	wordOverhead = 28 // bytes of IP and UDP
 
@@ -53,10 +53,10 @@
 
 // Budget bounds what a limiter of a large fleet sends; 0 is no bound. What must
 // be told goes out all the same, and is paid back.
-type Budget struct{ BytesPerS, WordsPerS float64 }
+type Budget struct{ BytesPerS, MessagesPerS float64 }
 
-// Teller says whom a limiter tells what, and when.
-type Teller struct {
+// Disseminator says whom a limiter tells what, and when.
+type Disseminator struct {
 	self     quota.Member
 	life     uint64
 	targets  []*target // by id
@@ -65,7 +65,7 @@
 	hints    []balance.Hint
 	told     []quota.Spent
 	demand   []balance.Demand
-	word     Word
+	word     Message
 	budget   Budget
 	many     bool
 	vast     bool
@@ -96,24 +96,24 @@
 	must   bool    // is told now whatever the budget
 }
 
-// NewTeller returns the teller of one start of a limiter.
-func NewTeller(self quota.Member, life uint64, b Budget) *Teller {
-	return &Teller{self: self, life: life, budget: b}
+// NewDisseminator returns the teller of one start of a limiter.
+func NewDisseminator(self quota.Member, life uint64, b Budget) *Disseminator {
+	return &Disseminator{self: self, life: life, budget: b}
 }
 
-// TickMs is how often the host is to call [Teller.Tick].
-func (t *Teller) TickMs() float64 {
+// TickMs is how often the host is to call [Disseminator.Tick].
+func (t *Disseminator) TickMs() float64 {
 	if t.many {
 		return manyTickMs
 	}
 	return TickMs
 }
 
-// Peers says which other limiters there are, and at what level they form groups
+// SetPeers says which other limiters there are, and at what level they form groups
 // ([quota.Set.Level]).
-func (t *Teller) Peers(peers []quota.Member, level quota.Level) {
+func (t *Disseminator) SetPeers(peers []quota.Member, level quota.Level) {
 	peers = slices.SortedFunc(slices.Values(peers), func(a, b quota.Member) int { return cmp.Compare(a.ID, b.ID) })
-	t.many, t.vast = len(peers) >= MostHinted, len(peers) >= quota.Vast
+	t.many, t.vast = len(peers) >= LargeFleetPeers, len(peers) >= quota.Vast
 	across := t.across(peers, level)
 	along := t.along(peers)
 	had := map[uint64]*target{}
@@ -125,7 +125,7 @@
 	for _, p := range peers {
 		near := p.Zone == t.self.Zone
 		x := target{Member: p, near: near, member: level.Group(p) == own, across: across[p.ID] > 0, second: across[p.ID] > 1,
-			hinted: len(peers) < MostHinted || near && along[p.ID]}
+			hinted: len(peers) < LargeFleetPeers || near && along[p.ID]}
 		if !x.member && !x.across && !x.hinted {
 			continue
 		}
@@ -143,7 +143,7 @@
 // of them is told by the two of the group whose names, with its own, hash highest.
 // So one that comes or goes changes who tells for few. Of the two one is the first,
 // whose words count while it speaks: 1; the other has 2.
-func (t *Teller) across(peers []quota.Member, level quota.Level) map[uint64]int {
+func (t *Disseminator) across(peers []quota.Member, level quota.Level) map[uint64]int {
 	out := map[uint64]int{}
 	own := level.Group(t.self)
 	var mates, others []uint64
@@ -179,7 +179,7 @@
 }
 
 // along names the limiters of the zone that are next to this one.
-func (t *Teller) along(peers []quota.Member) map[uint64]bool {
+func (t *Disseminator) along(peers []quota.Member) map[uint64]bool {
 	ring := []uint64{t.self.ID}
 	for _, p := range peers {
 		if p.Zone == t.self.Zone {
@@ -195,11 +195,11 @@
 	return out
 }
 
-// Targets is how many limiters this one tells something.
-func (t *Teller) Targets() int { return len(t.targets) }
+// Recipients is how many limiters this one tells something.
+func (t *Disseminator) Recipients() int { return len(t.targets) }
 
-// Forgotten has others told that a server had forgotten a connection of an age.
-func (t *Teller) Forgotten(now float64, age int) {
+// ReportForgotten has others told that a server had forgotten a connection of an age.
+func (t *Disseminator) ReportForgotten(now float64, age int) {
 	if t.forgot == 0 || now > t.forgotTo || uint8(age) < t.forgot {
 		t.forgot = uint8(age)
 	}
@@ -207,7 +207,7 @@
 }
 
 // Tick hands out the words that are due. A word is valid until send returns.
-func (t *Teller) Tick(now float64, q *quota.Set, b *balance.Set, send func(to uint64, w *Word)) {
+func (t *Disseminator) Tick(now float64, q *quota.Set, b *balance.Set, send func(to uint64, w *Message)) {
 	t.spent = q.Report(now, t.spent[:0])
 	t.hints = b.Hints(t.hints[:0])
 	b.Deal(now)
@@ -218,13 +218,13 @@
 		t.digest = digest.Spent
 	}
 	set := q.Hears(now)
-	changed := set != t.word.Set // told at once: who shares parts depends on it
-	t.word.Set = set
+	changed := set != t.word.HeardPeers // told at once: who shares parts depends on it
+	t.word.HeardPeers = set
 	if now > t.forgotTo {
 		t.forgot = 0
 	}
-	changed = changed || t.forgot != 0 && t.word.Forgotten == 0 // a filing each may be lost until it is known
-	t.word.Forgotten = t.forgot
+	changed = changed || t.forgot != 0 && t.word.ForgottenAge == 0 // a filing each may be lost until it is known
+	t.word.ForgottenAge = t.forgot
 	for _, x := range t.targets {
 		if x.hinted || t.many && x.near && x.member {
 			for _, h := range t.hints {
@@ -257,7 +257,7 @@
 }
 
 // pause is how seldom a target is told what there is to tell it.
-func (t *Teller) pause(x *target) float64 {
+func (t *Disseminator) pause(x *target) float64 {
 	switch {
 	case t.vast:
 		return t.vastPause(x)
@@ -277,7 +277,7 @@
 
 // vastPause is the shortest that any of what there is to tell asks for: what a quota
 // needs must not wait for loads.
-func (t *Teller) vastPause(x *target) float64 {
+func (t *Disseminator) vastPause(x *target) float64 {
 	pause := manyAliveMs
 	if x.hinted && len(x.hints) > 0 {
 		pause = vastShareMs
@@ -291,7 +291,7 @@
 	return pause
 }
 
-func (t *Teller) aliveMs() float64 {
+func (t *Disseminator) aliveMs() float64 {
 	if t.many {
 		return manyAliveMs
 	}
@@ -300,8 +300,8 @@
 
 // spend sends the words that are due, as far as the budget goes: first those that
 // must go out, then those that wait longest.
-func (t *Teller) spend(now float64, d quota.Digest, send func(to uint64, w *Word)) {
-	bounded := t.many && t.budget.BytesPerS > 0 && t.budget.WordsPerS > 0
+func (t *Disseminator) spend(now float64, d quota.Digest, send func(to uint64, w *Message)) {
+	bounded := t.many && t.budget.BytesPerS > 0 && t.budget.MessagesPerS > 0
 	t.ahead, t.at = min(mostAhead, t.ahead+now-t.at), now
 	if bounded {
 		slices.SortStableFunc(t.due, func(a, b *target) int {
@@ -321,7 +321,7 @@
 		x.sent, x.theirs, x.within, x.failed = now, false, 0, false
 		w := t.fill(now, x, d)
 		if bounded {
-			t.ahead -= 1000 * max(1/t.budget.WordsPerS, float64(w.Size()+wordOverhead)/t.budget.BytesPerS)
+			t.ahead -= 1000 * max(1/t.budget.MessagesPerS, float64(w.EstimatedSize()+wordOverhead)/t.budget.BytesPerS)
 		}
 		send(x.ID, w)
 	}
@@ -329,9 +329,9 @@
 }
 
 // fill takes what a target is to be told into the word; what has no room waits.
-func (t *Teller) fill(now float64, x *target, d quota.Digest) *Word {
+func (t *Disseminator) fill(now float64, x *target, d quota.Digest) *Message {
 	w := &t.word
-	w.From, w.Life, w.AgeMs = t.self.ID, t.life, now
+	w.From, w.Incarnation, w.AgeMs = t.self.ID, t.life, now
 	n := min(len(x.hints), mostHints)
 	w.Hints = append(w.Hints[:0], x.hints[:n]...)
 	x.hints = slices.Delete(x.hints, 0, n)
@@ -349,10 +349,10 @@
 	t.told = append(t.told[:0], x.due[:n]...)
 	x.due = slices.Delete(x.due, 0, n)
 	if x.across {
-		w.Spent, w.Group = nil, d
-		w.Group.First, w.Group.Spent = !x.second, t.told
+		w.Consumed, w.GroupDigest = nil, d
+		w.GroupDigest.First, w.GroupDigest.Spent = !x.second, t.told
 	} else {
-		w.Spent, w.Group = t.told, quota.Digest{}
+		w.Consumed, w.GroupDigest = t.told, quota.Digest{}
 	}
 	return w
 }
--- a/dataplane/gossip/word.go
+++ b/dataplane/gossip/word.go
@@ -37,28 +37,28 @@
 	mostAge     = 16
 )
 
-// Word is what one limiter tells another at a time.
-type Word struct {
-	From, Life uint64 // hash of the name, and one start of it
-	AgeMs      float64
-	Spent      []quota.Spent
-	Hints      []balance.Hint
-	Demand     []balance.Demand
-	Forgotten  uint8        // the least age of connections that servers had forgotten of late; 0: none
-	Set        uint32       // whom it hears, as [quota.Set.Hears] has it
-	Group      quota.Digest // Level 0: none
+// Message is what one limiter tells another at a time.
+type Message struct {
+	From, Incarnation uint64 // hash of the name, and one start of it
+	AgeMs             float64
+	Consumed          []quota.Spent
+	Hints             []balance.Hint
+	Demand            []balance.Demand
+	ForgottenAge      uint8        // the least age of connections that servers had forgotten of late; 0: none
+	HeardPeers        uint32       // whom it hears, as [quota.Set.Hears] has it
+	GroupDigest       quota.Digest // Level 0: none
 }
 
-// ErrWord tells that a datagram is no whole word.
-var ErrWord = errors.New("gossip: a datagram can't be read")
+// ErrMalformed tells that a datagram is no whole word.
+var ErrMalformed = errors.New("gossip: a datagram can't be read")
 
 // Append adds the word in bytes.
-func (w *Word) Append(b []byte) []byte {
+func (w *Message) Append(b []byte) []byte {
 	b = append(b, magic...)
 	b = binary.BigEndian.AppendUint64(b, w.From)
-	b = binary.BigEndian.AppendUint64(b, w.Life)
+	b = binary.BigEndian.AppendUint64(b, w.Incarnation)
 	b = binary.AppendUvarint(b, uint64(w.AgeMs))
-	b = appendSpent(b, w.Spent)
+	b = appendSpent(b, w.Consumed)
 	b = binary.AppendUvarint(b, uint64(len(w.Hints)))
 	for _, h := range w.Hints {
 		b = binary.BigEndian.AppendUint32(b, h.Server)
@@ -68,10 +68,10 @@
 	for _, d := range w.Demand {
 		b = append(binary.BigEndian.AppendUint16(b, d.Service), d.Level)
 	}
-	b = append(b, w.Forgotten)
-	d := &w.Group
+	b = append(b, w.ForgottenAge)
+	d := &w.GroupDigest
 	if d.Level == 0 {
-		return binary.BigEndian.AppendUint32(append(b, 0), w.Set)
+		return binary.BigEndian.AppendUint32(append(b, 0), w.HeardPeers)
 	}
 	level := byte(d.Level) | digestBit
 	if d.First {
@@ -86,10 +86,10 @@
 	return appendSpent(b, d.Spent)
 }
 
-// Size is about how many bytes the word has.
-func (w *Word) Size() int {
+// EstimatedSize is about how many bytes the word has.
+func (w *Message) EstimatedSize() int {
 	const head, perHint, perDemand, perSpent = 36, 6, 3, 9
-	return head + perHint*len(w.Hints) + perDemand*len(w.Demand) + perSpent*(len(w.Spent)+len(w.Group.Spent))
+	return head + perHint*len(w.Hints) + perDemand*len(w.Demand) + perSpent*(len(w.Consumed)+len(w.GroupDigest.Spent))
 }
 
 func appendSpent(b []byte, spent []quota.Spent) []byte {
@@ -160,15 +160,15 @@
 	return out
 }
 
-// Decode reads a word. Anything that is not whole is [ErrWord]. What was in the
+// Decode reads a word. Anything that is not whole is [ErrMalformed]. What was in the
 // word before is written over.
-func (w *Word) Decode(b []byte) error {
+func (w *Message) Decode(b []byte) error {
 	r := reader{b, len(b) <= MaxSize}
 	if string(r.take(len(magic))) != magic {
-		return ErrWord
+		return ErrMalformed
 	}
-	w.From, w.Life, w.AgeMs = r.u64(), r.u64(), float64(r.uvarint())
-	w.Spent = r.spent(w.Spent[:0])
+	w.From, w.Incarnation, w.AgeMs = r.u64(), r.u64(), float64(r.uvarint())
+	w.Consumed = r.spent(w.Consumed[:0])
 	w.Hints = w.Hints[:0]
 	for n := r.uvarint(); n > 0 && r.ok; n-- {
 		if h := r.take(6); h != nil {
@@ -181,23 +181,23 @@
 			w.Demand = append(w.Demand, balance.Demand{Service: binary.BigEndian.Uint16(d), Level: d[2]})
 		}
 	}
-	w.Set, w.Group = 0, quota.Digest{Spent: w.Group.Spent[:0], Classes: w.Group.Classes[:0]}
+	w.HeardPeers, w.GroupDigest = 0, quota.Digest{Spent: w.GroupDigest.Spent[:0], Classes: w.GroupDigest.Classes[:0]}
 	forgotten, level := r.take(1), r.take(1)
 	if level == nil || forgotten[0] > mostAge {
-		return ErrWord
+		return ErrMalformed
 	}
-	w.Forgotten = forgotten[0]
-	d := &w.Group
+	w.ForgottenAge = forgotten[0]
+	d := &w.GroupDigest
 	switch d.Level = quota.Level(level[0] &^ (digestBit | firstBit)); {
 	case level[0] == 0:
-		w.Set = r.u32()
+		w.HeardPeers = r.u32()
 	case level[0]&digestBit == 0, d.Level == 0, d.Level > mostLevel:
-		return ErrWord
+		return ErrMalformed
 	default:
 		d.First, d.Heard, d.Set = level[0]&firstBit != 0, r.count(), r.u32()
 		n := r.count()
 		if n > mostClasses {
-			return ErrWord
+			return ErrMalformed
 		}
 		for range n {
 			d.Classes = append(d.Classes, quota.Class{Set: r.u32(), Count: r.count()})
@@ -205,7 +205,7 @@
 		d.Spent = r.spent(d.Spent)
 	}
 	if !r.ok || len(r.b) != 0 {
-		return ErrWord
+		return ErrMalformed
 	}
 	return nil
 }
--- a/dataplane/gossip/words_test.go
+++ b/dataplane/gossip/words_test.go
@@ -15,7 +15,7 @@
 // one. Fails where what did not fit is taken for told.
 func TestAllTenantsAreTold(t *testing.T) {
 	t.Parallel()
-	teller := NewTeller(quota.Member{ID: 1, Zone: "z"}, 1, Budget{})
+	teller := NewDisseminator(quota.Member{ID: 1, Zone: "z"}, 1, Budget{})
 	x := &target{member: true}
 	const n = 100
 	for id := range uint64(n) {
@@ -26,11 +26,11 @@
 		if words > n/mostTold {
 			t.Fatalf("%d tenants are left after %d words", len(x.due), words)
 		}
-		var w Word
+		var w Message
 		if err := w.Decode(teller.fill(0, x, quota.Digest{}).Append(nil)); err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range w.Spent {
+		for _, e := range w.Consumed {
 			told[e.Tenant] = e.Units
 		}
 	}
@@ -44,19 +44,19 @@
 // The longest word fits a datagram, and is read as it was written.
 func TestLongestWord(t *testing.T) {
 	t.Parallel()
-	w := Word{From: 1 << 63, Life: 1 << 62, AgeMs: 1 << 40, Group: quota.Digest{Level: 4, Heard: 300}}
+	w := Message{From: 1 << 63, Incarnation: 1 << 62, AgeMs: 1 << 40, GroupDigest: quota.Digest{Level: 4, Heard: 300}}
 	for i := range mostHints {
 		w.Hints = append(w.Hints, balance.Hint{Server: uint32(i), Out: 255, Took: 255})
 	}
 	for i := range mostTold {
-		w.Group.Spent = append(w.Group.Spent, quota.Spent{Tenant: uint64(i), Units: 1<<64 - 1})
+		w.GroupDigest.Spent = append(w.GroupDigest.Spent, quota.Spent{Tenant: uint64(i), Units: 1<<64 - 1})
 	}
 	b := w.Append(nil)
-	var got Word
+	var got Message
 	if err := got.Decode(b); err != nil || len(b) > MaxSize {
 		t.Fatalf("%d bytes, %v", len(b), err)
 	}
-	got.Spent = w.Spent // none in both
+	got.Consumed = w.Consumed // none in both
 	if !reflect.DeepEqual(got, w) {
 		t.Errorf("read %+v", got)
 	}
@@ -74,16 +74,16 @@
 		level := quota.LevelOf(n, 3)
 		told := map[uint64]map[quota.Group]int{} // by whom is told, of which group, how often
 		for i, p := range all {
-			teller := NewTeller(p, 1, Budget{})
+			teller := NewDisseminator(p, 1, Budget{})
 			var others []quota.Member
 			for j, o := range all {
 				if j != i {
 					others = append(others, o)
 				}
 			}
-			teller.Peers(others, level)
-			if teller.Targets() > most {
-				t.Errorf("%d limiters: one tells %d others", n, teller.Targets())
+			teller.SetPeers(others, level)
+			if teller.Recipients() > most {
+				t.Errorf("%d limiters: one tells %d others", n, teller.Recipients())
 			}
 			for _, x := range teller.targets {
 				if told[x.ID] == nil {
@@ -111,7 +111,7 @@
 	f.Add([]byte("E1aaaaaaaabbbbbbbb\x05\x01cccccccc\x07\x01dddd\x01\x10\x00abcd"))
 	f.Add([]byte("E1aaaaaaaabbbbbbbb\x05\x00\x00\x04\x11\x01cccccccc\x07"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var w, again Word
+		var w, again Message
 		if w.Decode(b) != nil {
 			return
 		}
@@ -128,15 +128,15 @@
 // On a small machine a limiter of a large fleet keeps to its budget, however
 // much there is to tell, and everybody is told something all the same.
 func TestWordsKeepToTheirBudget(t *testing.T) {
-	budget := Budget{BytesPerS: 7500, WordsPerS: 320}
-	teller := NewTeller(quota.Member{ID: 1 << 40, Zone: "a"}, 1, budget)
+	budget := Budget{BytesPerS: 7500, MessagesPerS: 320}
+	teller := NewDisseminator(quota.Member{ID: 1 << 40, Zone: "a"}, 1, budget)
 	var peers []quota.Member
 	q, b := quota.New(0, quota.Member{ID: 1 << 40, Zone: "a"}), balance.New("a", 1<<40, 1)
 	for i := range uint64(89) {
 		peers = append(peers, quota.Member{ID: (i + 2) << 40, Zone: string(rune('a' + i%5))})
 	}
 	q.Members(0, peers)
-	teller.Peers(peers, q.Level())
+	teller.SetPeers(peers, q.Level())
 	var list []api.Server
 	for i := range 60 {
 		list = append(list, api.Server{ID: fmt.Sprint("i-", i), Upstream: "s", Addr: "x", Zone: "a", Capacity: 2, State: api.InService})
@@ -149,7 +149,7 @@
 			b.Sent(m)
 			b.Done(now, m, []balance.Result{balance.Good, balance.Failed}[int(now)%2], 100)
 		}
-		teller.Tick(now, q, b, func(to uint64, w *Word) {
+		teller.Tick(now, q, b, func(to uint64, w *Message) {
 			sent += len(w.Append(nil)) + wordOverhead
 			told[to]++
 		})
@@ -162,8 +162,8 @@
 			t.Errorf("%x was told %d times in %d s", id, n, seconds)
 		}
 	}
-	if len(told) != teller.Targets() || len(told) > 40 {
-		t.Errorf("%d were told something, %d are to be", len(told), teller.Targets())
+	if len(told) != teller.Recipients() || len(told) > 40 {
+		t.Errorf("%d were told something, %d are to be", len(told), teller.Recipients())
 	}
 }
 
@@ -172,7 +172,7 @@
 // without end, and were then drawn all at once: 417 refusals on a quiet day.)
 func TestNoTenantWaitsBehindOthers(t *testing.T) {
 	x, told := &target{}, map[uint64]int{}
-	teller := NewTeller(quota.Member{ID: 1, Zone: "z"}, 1, Budget{})
+	teller := NewDisseminator(quota.Member{ID: 1, Zone: "z"}, 1, Budget{})
 	const tenants, rounds = 4 * mostTold, 40
 	for round := range uint64(rounds) {
 		var news []quota.Spent
@@ -180,7 +180,7 @@
 			news = append(news, quota.Spent{Tenant: id, Units: round + 1})
 		}
 		x.owe(news)
-		for _, e := range teller.fill(float64(round), x, quota.Digest{}).Spent {
+		for _, e := range teller.fill(float64(round), x, quota.Digest{}).Consumed {
 			told[e.Tenant]++
 		}
 	}
@@ -194,18 +194,18 @@
 // That servers forget connections is told to all at once, for a second, and then not.
 func TestForgottenIsTold(t *testing.T) {
 	self := quota.Member{ID: 1, Zone: "a"}
-	teller := NewTeller(self, 1, Budget{})
+	teller := NewDisseminator(self, 1, Budget{})
 	q, b := quota.New(0, self), balance.New("a", 1, 1)
 	peers := []quota.Member{{ID: 2, Zone: "a"}, {ID: 3, Zone: "b"}}
 	q.Members(0, peers)
-	teller.Peers(peers, q.Level())
+	teller.SetPeers(peers, q.Level())
 	told := func(now float64) (n int) {
-		teller.Tick(now, q, b, func(_ uint64, w *Word) {
-			var got Word
+		teller.Tick(now, q, b, func(_ uint64, w *Message) {
+			var got Message
 			if err := got.Decode(w.Append(nil)); err != nil {
 				t.Fatal(err)
 			}
-			if got.Forgotten == 4 {
+			if got.ForgottenAge == 4 {
 				n++
 			}
 		})
@@ -215,8 +215,8 @@
 	if n := told(6); n != 0 {
 		t.Errorf("%d words say so for nothing", n)
 	}
-	teller.Forgotten(7, 5)
-	teller.Forgotten(8, 4)
+	teller.ReportForgotten(7, 5)
+	teller.ReportForgotten(8, 4)
 	if n := told(12); n != len(peers) {
 		t.Errorf("%d of %d were told at once", n, len(peers))
 	}
@@ -237,10 +237,10 @@
 	for i := range uint64(quota.Vast + 20) {
 		peers = append(peers, quota.Member{ID: (i + 2) << 40, Zone: string(rune('a' + i%5))})
 	}
-	q, b, teller := quota.New(0, self), balance.New("a", self.ID, 1), NewTeller(self, 1, Budget{})
+	q, b, teller := quota.New(0, self), balance.New("a", self.ID, 1), NewDisseminator(self, 1, Budget{})
 	q.Plans(0, map[uint64]quota.Plan{tenant: {Rate: rate, Burst: rate}})
 	q.Members(0, peers)
-	teller.Peers(peers, q.Level())
+	teller.SetPeers(peers, q.Level())
 	var list []api.Server
 	for i := range 60 {
 		list = append(list, api.Server{ID: fmt.Sprint("i-", i), Upstream: "s", Addr: "x", Zone: "a", Capacity: 2, State: api.InService})
@@ -255,12 +255,12 @@
 			b.Sent(m)
 			b.Done(now, m, balance.Good, 100*float64(1+int(now)%7))
 		}
-		teller.Tick(now, q, b, func(to uint64, w *Word) {
-			if now > 2000 && len(w.Spent) > 0 { // the burst is used up
+		teller.Tick(now, q, b, func(to uint64, w *Message) {
+			if now > 2000 && len(w.Consumed) > 0 { // the burst is used up
 				most[to] = max(most[to], now-last[to])
 				words++
 			}
-			if len(w.Spent) > 0 {
+			if len(w.Consumed) > 0 {
 				last[to] = now
 			}
 		})
--- a/dataplane/limiter/cuts_test.go
+++ b/dataplane/limiter/cuts_test.go
@@ -29,7 +29,7 @@
 		}
 		for _, id := range f.ids {
 			if !f.dead[id] {
-				f.at[id].Tick(now, func(to uint64, w *gossip.Word) {
+				f.at[id].Tick(now, func(to uint64, w *gossip.Message) {
 					if !f.dead[to] && !f.lost(id, to) {
 						f.at[to].Hear(now, w)
 					}
--- a/dataplane/limiter/delay_test.go
+++ b/dataplane/limiter/delay_test.go
@@ -18,7 +18,7 @@
 	var onWay []letter
 	for now := fromMs; now < toMs; now += gossip.TickMs {
 		for len(onWay) > 0 && onWay[0].due <= now {
-			var w gossip.Word
+			var w gossip.Message
 			if err := w.Decode(onWay[0].b); err != nil {
 				panic(err)
 			}
@@ -32,7 +32,7 @@
 					at = append(at, now)
 				}
 			}
-			l.Tick(now, func(to uint64, w *gossip.Word) {
+			l.Tick(now, func(to uint64, w *gossip.Message) {
 				onWay = append(onWay, letter{now + delayMs, to, w.Append(nil)})
 			})
 		}
--- a/dataplane/limiter/growth_test.go
+++ b/dataplane/limiter/growth_test.go
@@ -25,11 +25,11 @@
 				f.at[id].Servers(0, list)
 			}
 			one := f.at[f.ids[0]]
-			var in []*gossip.Word // what comes to one limiter in 150 ms
+			var in []*gossip.Message // what comes to one limiter in 150 ms
 			var copies [][]byte
 			for now := 0.0; now < 300; now += gossip.TickMs {
 				for _, id := range f.ids {
-					f.at[id].Tick(now, func(to uint64, w *gossip.Word) {
+					f.at[id].Tick(now, func(to uint64, w *gossip.Message) {
 						if to == f.ids[0] && now >= 150 {
 							copies = append(copies, w.Append(nil))
 						}
@@ -37,7 +37,7 @@
 				}
 			}
 			for _, c := range copies {
-				w := &gossip.Word{}
+				w := &gossip.Message{}
 				if err := w.Decode(c); err != nil {
 					b.Fatal(err)
 				}
@@ -47,7 +47,7 @@
 			b.ResetTimer()
 			for range b.N {
 				for end := now + 1000; now < end; now += gossip.TickMs {
-					one.Tick(now, func(uint64, *gossip.Word) { sent++ })
+					one.Tick(now, func(uint64, *gossip.Message) { sent++ })
 					for k := 0; k < len(in)*6/150+1 && len(in) > 0; k++ {
 						one.Hear(now, in[(int(now)+k)%len(in)])
 					}
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -46,7 +46,7 @@
 	cfg     Config
 	quota   *quota.Set
 	balance *balance.Set
-	teller  *gossip.Teller
+	teller  *gossip.Disseminator
 	retries map[string]float64 // further tries saved up, by service
 	peers   map[uint64]bool
 	berths  berths
@@ -56,7 +56,7 @@
 func New(now float64, cfg Config) *Limiter {
 	self := quota.Member{ID: cfg.Self, Zone: cfg.Zone}
 	return &Limiter{cfg: cfg, quota: quota.New(now, self), balance: balance.New(cfg.Zone, cfg.Self, cfg.Seed),
-		teller: gossip.NewTeller(self, cfg.Life, cfg.Words), retries: map[string]float64{}, peers: map[uint64]bool{},
+		teller: gossip.NewDisseminator(self, cfg.Life, cfg.Words), retries: map[string]float64{}, peers: map[uint64]bool{},
 		berths: newBerths(cfg.LinkPerS / 1000)}
 }
 
@@ -87,8 +87,8 @@
 		}
 	}
 	l.quota.Members(now, peers)
-	l.balance.Peers(zone, len(peers) >= gossip.MostHinted)
-	l.teller.Peers(peers, l.quota.Level())
+	l.balance.Peers(zone, len(peers) >= gossip.LargeFleetPeers)
+	l.teller.SetPeers(peers, l.quota.Level())
 }
 
 // Admit takes one unit of a tenant's quota, or tells when to come back.
@@ -151,7 +151,7 @@
 
 // Tick hands out the words to other limiters that are due. The host calls it
 // every [Limiter.TickMs].
-func (l *Limiter) Tick(now float64, send func(to uint64, w *gossip.Word)) {
+func (l *Limiter) Tick(now float64, send func(to uint64, w *gossip.Message)) {
 	l.teller.Tick(now, l.quota, l.balance, send)
 }
 
@@ -159,14 +159,14 @@
 func (l *Limiter) TickMs() float64 { return l.teller.TickMs() }
 
 // Hear takes in a word of another limiter. A stranger's is passed over: false.
-func (l *Limiter) Hear(now float64, w *gossip.Word) (known bool) {
+func (l *Limiter) Hear(now float64, w *gossip.Message) (known bool) {
 	if !l.peers[w.From] {
 		return false
 	}
-	if w.Group.Level > 0 {
-		l.quota.HeardGroup(now, w.From, w.Life, w.AgeMs, w.Group)
+	if w.GroupDigest.Level > 0 {
+		l.quota.HeardGroup(now, w.From, w.Incarnation, w.AgeMs, w.GroupDigest)
 	} else {
-		l.quota.Heard(now, w.From, w.Life, w.AgeMs, w.Set, w.Spent)
+		l.quota.Heard(now, w.From, w.Incarnation, w.AgeMs, w.HeardPeers, w.Consumed)
 	}
 	l.balance.Heard(now, w.From, w.Hints)
 	l.balance.HeardDemand(w.From, w.Demand)
@@ -178,13 +178,13 @@
 
 // Forgotten has others told that a server had forgotten a connection of an age
 // (connpool's group): requests that must not run twice then avoid such ones.
-func (l *Limiter) Forgotten(now float64, age int) { l.teller.Forgotten(now, age) }
+func (l *Limiter) Forgotten(now float64, age int) { l.teller.ReportForgotten(now, age) }
 
 // Others is how many other limiters there are; Targets how many of them are told something.
 func (l *Limiter) Others() int { return len(l.peers) }
 
 // Targets is how many of the others this limiter sends words.
-func (l *Limiter) Targets() int { return l.teller.Targets() }
+func (l *Limiter) Targets() int { return l.teller.Recipients() }
 
 // Members returns the servers of all services, by id.
 func (l *Limiter) Members() []*balance.Member { return l.balance.Members() }
--- a/dataplane/limiter/limiter_test.go
+++ b/dataplane/limiter/limiter_test.go
@@ -65,7 +65,7 @@
 					at = append(at, now)
 				}
 			}
-			l.Tick(now, func(to uint64, w *gossip.Word) {
+			l.Tick(now, func(to uint64, w *gossip.Message) {
 				f.sent++
 				if !f.dead[to] && !f.lost(id, to) {
 					f.at[to].Hear(now, w)
--- a/dataplane/limiter/vast_test.go
+++ b/dataplane/limiter/vast_test.go
@@ -18,7 +18,7 @@
 		rate, times float64
 		budget      gossip.Budget
 	}{{100, 10, 4, gossip.Budget{}}, {100, 60, 4, gossip.Budget{}}, {300, 6, 10, gossip.Budget{}}, {300, 30, 4, gossip.Budget{}},
-		{300, 100, 4, gossip.Budget{}}, {300, 600, 3, gossip.Budget{}}, {300, 100, 4, gossip.Budget{BytesPerS: 4950, WordsPerS: 320}}} {
+		{300, 100, 4, gossip.Budget{}}, {300, 600, 3, gossip.Budget{}}, {300, 100, 4, gossip.Budget{BytesPerS: 4950, MessagesPerS: 320}}} {
 		t.Run(fmt.Sprint(c.n, " limiters, ", c.times, " x ", c.rate, ", ", c.budget), func(t *testing.T) {
 			t.Parallel()
 			p := quota.Plan{Rate: c.rate, Burst: c.rate}
--- a/dataplane/link/link.go
+++ b/dataplane/link/link.go
@@ -26,9 +26,9 @@
 	sockFast  = 80e6 / 8 // bytes a second
 )
 
-// Link paces what one machine writes. A nil Link does nothing: nothing is known
+// Pacer paces what one machine writes. A nil Pacer does nothing: nothing is known
 // of the machine's link. It is safe for concurrent use.
-type Link struct {
+type Pacer struct {
 	perS float64 // bytes a second that long bodies may use, with all else
 	full float64 // bytes a second that the link carries
 
@@ -39,15 +39,15 @@
 
 // New returns the pacing of a link of so many Mbit/s, of which long bodies fill a
 // part (0 to 1) with all else that is written; nil where nothing is known of it.
-func New(mbps, fill float64) *Link {
+func New(mbps, fill float64) *Pacer {
 	if mbps <= 0 {
 		return nil
 	}
-	return &Link{perS: mbps * fill * 1e6 / 8, full: mbps * 1e6 / 8, now: time.Now}
+	return &Pacer{perS: mbps * fill * 1e6 / 8, full: mbps * 1e6 / 8, now: time.Now}
 }
 
 // take books bytes and returns how long to wait before they may be written.
-func (l *Link) take(bytes int) time.Duration {
+func (l *Pacer) take(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -59,8 +59,8 @@
 	return wait
 }
 
-// Count notes bytes that are written at once.
-func (l *Link) Count(bytes int) {
+// Record notes bytes that are written at once.
+func (l *Pacer) Record(bytes int) {
 	if l != nil {
 		l.take(bytes)
 	}
@@ -69,7 +69,7 @@
 // Wait returns when it is a long body's turn to write so many bytes, or with the
 // context's error. Those who wait pass in the order in which they came, a quantum
 // each.
-func (l *Link) Wait(ctx context.Context, bytes int) error {
+func (l *Pacer) Wait(ctx context.Context, bytes int) error {
 	if l == nil {
 		return nil
 	}
@@ -88,7 +88,7 @@
 }
 
 // Backlog is how long what was let through takes to pass.
-func (l *Link) Backlog() time.Duration {
+func (l *Pacer) Backlog() time.Duration {
 	if l == nil {
 		return 0
 	}
@@ -97,17 +97,17 @@
 	return max(0, l.freeAt.Sub(l.now()))
 }
 
-// PerS is how many bytes a second long bodies may use, 0 where the link is so fast,
+// BulkBytesPerS is how many bytes a second long bodies may use, 0 where the link is so fast,
 // or so little is known of it, that they need no plan.
-func (l *Link) PerS() float64 {
-	if l.Socket() == 0 {
+func (l *Pacer) BulkBytesPerS() float64 {
+	if l.SocketBuffer() == 0 {
 		return 0
 	}
 	return l.perS
 }
 
-// Socket is how many bytes a socket should hold, 0 where it may hold what it likes.
-func (l *Link) Socket() int {
+// SocketBuffer is how many bytes a socket should hold, 0 where it may hold what it likes.
+func (l *Pacer) SocketBuffer() int {
 	if l == nil || l.full >= sockFast {
 		return 0
 	}
@@ -117,8 +117,8 @@
 // Control sets up a socket before it connects or listens, for [net.Dialer] and
 // [net.ListenConfig]: its receive buffer, so that who sends to it puts little on
 // the link at a time, and its send buffer.
-func (l *Link) Control(_, _ string, c syscall.RawConn) error {
-	n := l.Socket()
+func (l *Pacer) Control(_, _ string, c syscall.RawConn) error {
+	n := l.SocketBuffer()
 	if n == 0 {
 		return nil
 	}
--- a/dataplane/link/link_test.go
+++ b/dataplane/link/link_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func newLink(mbps float64) (*Link, *time.Time) {
+func newLink(mbps float64) (*Pacer, *time.Time) {
 	l, now := New(mbps, 1), time.Unix(1000, 0)
 	l.now = func() time.Time { return now }
 	return l, &now
@@ -26,7 +26,7 @@
 	if want := time.Duration(float64(passed-Quantum)/1e6*float64(time.Second)) - ahead; now.Sub(begun) < want-time.Millisecond || now.Sub(begun) > want+time.Millisecond {
 		t.Errorf("%d bytes in %v, want %v", passed, now.Sub(begun), want)
 	}
-	l.Count(100_000)
+	l.Record(100_000)
 	if wait := l.take(1); wait < 90*time.Millisecond {
 		t.Errorf("a body waits %v behind 100 KB", wait)
 	}
@@ -41,16 +41,16 @@
 	l := New(0.001, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	l.Count(1 << 20)
+	l.Record(1 << 20)
 	if l.Wait(ctx, 1) == nil {
 		t.Error("waited for its turn")
 	}
-	var none *Link
-	none.Count(1)
-	if none.Wait(ctx, 1) != nil || none.Backlog() != 0 || none.Socket() != 0 || New(0, 1) != nil || New(1000, 1).Socket() != 0 {
+	var none *Pacer
+	none.Record(1)
+	if none.Wait(ctx, 1) != nil || none.Backlog() != 0 || none.SocketBuffer() != 0 || New(0, 1) != nil || New(1000, 1).SocketBuffer() != 0 {
 		t.Error("a link that nothing is known of")
 	}
-	if n := New(5, 1).Socket(); n < leastSock || n > 20<<10 {
+	if n := New(5, 1).SocketBuffer(); n < leastSock || n > 20<<10 {
 		t.Errorf("a socket on a slow link holds %d bytes", n)
 	}
 }
--- a/lab/controlbench/hollow/quota.go
+++ b/lab/controlbench/hollow/quota.go
@@ -65,10 +65,10 @@
 				for range asked*(k+1)/ticks - asked*k/ticks {
 					l.Admit(at, ids[rng.IntN(len(ids))])
 				}
-				l.Tick(at, func(_ uint64, w *gossip.Word) {
+				l.Tick(at, func(_ uint64, w *gossip.Message) {
 					sentWords++
 					sentBytes += len(w.Append(nil)) + 28 // IP and UDP
-					sentTold += len(w.Spent) + len(w.Group.Spent)
+					sentTold += len(w.Consumed) + len(w.GroupDigest.Spent)
 				})
 			}
 			return nil
@@ -93,7 +93,7 @@
 	err = add("told of every tenant by all who tell it", func(i int) error {
 		self := members[i]
 		reporters := map[quota.Group]int{}
-		var w gossip.Word
+		var w gossip.Message
 		for k, m := range members {
 			g := level.Group(m)
 			own := g == level.Group(self)
@@ -107,9 +107,9 @@
 					for _, id := range ids[at:min(len(ids), at+48)] {
 						spent = append(spent, quota.Spent{Tenant: id, Units: uint64(round)})
 					}
-					w = gossip.Word{From: m.ID, Life: 1, AgeMs: now, Spent: spent}
+					w = gossip.Message{From: m.ID, Incarnation: 1, AgeMs: now, Consumed: spent}
 					if !own {
-						w.Spent, w.Group = nil, quota.Digest{Level: level, First: reporters[g] == 1, Heard: 1, Spent: spent}
+						w.Consumed, w.GroupDigest = nil, quota.Digest{Level: level, First: reporters[g] == 1, Heard: 1, Spent: spent}
 					}
 					fleet[i].Hear(now, &w)
 				}
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -102,7 +102,7 @@
 }
 
 // tell sends a word.
-func (n *node) tell(to uint64, w *gossip.Word) {
+func (n *node) tell(to uint64, w *gossip.Message) {
 	f := n.f
 	b := w.Append(nil)
 	n.traffic.word(w, len(b))
@@ -114,7 +114,7 @@
 		if !o.up {
 			return
 		}
-		var got gossip.Word
+		var got gossip.Message
 		if err := got.Decode(b); err != nil {
 			f.ledger.Violation("WORDS", "a word of %s can't be read: %v", n.name, err)
 			return
--- a/lab/simulation/policy.go
+++ b/lab/simulation/policy.go
@@ -22,8 +22,8 @@
 	Peers(now float64, peers []quota.Member)
 	Admit(now float64, tenant uint64) (waitMs float64, ok bool)
 	TickMs() float64
-	Tick(now float64, send func(to uint64, w *gossip.Word))
-	Hear(now float64, w *gossip.Word) (known bool)
+	Tick(now float64, send func(to uint64, w *gossip.Message))
+	Hear(now float64, w *gossip.Message) (known bool)
 	Targets() int
 	begin(r limiter.Request) course
 }
@@ -143,8 +143,8 @@
 type plainBucket struct{ balance, at float64 }
 
 func (p *plainPolicy) Plans(_ float64, plans map[uint64]quota.Plan) { p.plans = plans }
-func (p *plainPolicy) Tick(float64, func(uint64, *gossip.Word))     {}
-func (p *plainPolicy) Hear(float64, *gossip.Word) bool              { return true }
+func (p *plainPolicy) Tick(float64, func(uint64, *gossip.Message))  {}
+func (p *plainPolicy) Hear(float64, *gossip.Message) bool           { return true }
 func (p *plainPolicy) Targets() int                                 { return 0 }
 func (p *plainPolicy) TickMs() float64                              { return 100 }
 
--- a/lab/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -52,11 +52,11 @@
 }
 
 // size is a word's length in bytes.
-func size(w *gossip.Word) float64 { return float64(len(w.Append(nil))) }
+func size(w *gossip.Message) float64 { return float64(len(w.Append(nil))) }
 
 // word counts a word of so many bytes, part by part: each is what the word would be
 // shorter without it.
-func (t *Traffic) word(w *gossip.Word, n int) {
+func (t *Traffic) word(w *gossip.Message, n int) {
 	rest := *w
 	part := func(of *float64, leaveOut func()) {
 		before := size(&rest)
@@ -64,12 +64,12 @@
 		*of += before - size(&rest)
 	}
 	t.Words++
-	t.Told += float64(len(w.Spent) + len(w.Group.Spent))
+	t.Told += float64(len(w.Consumed) + len(w.GroupDigest.Spent))
 	part(&t.Hints, func() { rest.Hints = nil })
 	part(&t.Demand, func() { rest.Demand = nil })
-	part(&t.Units, func() { rest.Spent = nil })
-	part(&t.Sums, func() { rest.Group.Spent = nil })
-	part(&t.Groups, func() { rest.Group.Classes = nil })
+	part(&t.Units, func() { rest.Consumed = nil })
+	part(&t.Sums, func() { rest.GroupDigest.Spent = nil })
+	part(&t.Groups, func() { rest.GroupDigest.Classes = nil })
 	t.Heads += size(&rest) + wordOverhead
 }
 
--- a/lab/simulation/traffic_test.go
+++ b/lab/simulation/traffic_test.go
@@ -11,10 +11,10 @@
 // Of a word each part's bytes are counted once, and all of them together are the word.
 func TestBytesOfWordsAddUp(t *testing.T) {
 	spent := []quota.Spent{{Tenant: 1, Units: 300, Level: 9}, {Tenant: 2, Units: 5}}
-	list := []gossip.Word{
-		{From: 1, Life: 2, AgeMs: 1000, Spent: spent, Hints: []balance.Hint{{Server: 1}}, Set: 7},
-		{From: 1, Life: 2, Demand: []balance.Demand{{Service: 3, Level: 4}},
-			Group: quota.Digest{Level: 2, Heard: 3, Classes: []quota.Class{{Set: 1, Count: 300}}, Spent: spent}},
+	list := []gossip.Message{
+		{From: 1, Incarnation: 2, AgeMs: 1000, Consumed: spent, Hints: []balance.Hint{{Server: 1}}, HeardPeers: 7},
+		{From: 1, Incarnation: 2, Demand: []balance.Demand{{Service: 3, Level: 4}},
+			GroupDigest: quota.Digest{Level: 2, Heard: 3, Classes: []quota.Class{{Set: 1, Count: 300}}, Spent: spent}},
 		{},
 	}
 	var sum Traffic
--- a/settings/tuning.go
+++ b/settings/tuning.go
@@ -65,8 +65,8 @@
 // of a processor in cores. Where one of them is 0 there is no bound.
 func (t *LinkTuning) GossipBudget(linkMbps, cpuShare float64) gossip.Budget {
 	return gossip.Budget{
-		BytesPerS: linkMbps * 1e6 / 8 * t.Gossip,
-		WordsPerS: cpuShare * 1000 / gossipMessageMs * t.GossipCPU,
+		BytesPerS:    linkMbps * 1e6 / 8 * t.Gossip,
+		MessagesPerS: cpuShare * 1000 / gossipMessageMs * t.GossipCPU,
 	}
 }
 
