--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -103,8 +103,8 @@
 		g.mu.Lock()
 		known := g.limiter.Hear(inMs(g.now()), w)
 		g.mu.Unlock()
-		if known && w.ForgottenAge != 0 {
-			g.pool.RecordStale(int(w.ForgottenAge), w.From)
+		if known && w.StaleAge != 0 {
+			g.pool.RecordStale(int(w.StaleAge), w.From)
 		}
 		if !known && g.stranger != nil {
 			g.stranger(from.String())
--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -27,7 +27,7 @@
 	}
 	demand := []balance.Demand{{Service: 0, Level: 1}, {Service: 0xbeef, Level: 200}}
 	classes := []quota.Class{{Set: 0xcafef00d, Count: 41}, {Set: 7, Count: 300}}
-	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, ForgottenAge: 16}
+	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, StaleAge: 16}
 	for i := range 64 {
 		full.Hints = append(full.Hints, balance.Hint{Server: uint32(i) << 20, Out: uint8(i), Took: uint8(255 - i)})
 	}
@@ -44,11 +44,11 @@
 		"spent":            {From: from, Incarnation: start, AgeMs: 1, Consumed: spent, HeardPeers: 1},
 		"hints":            {From: from, Incarnation: start, AgeMs: 128, Hints: hints, HeardPeers: 2},
 		"demand":           {From: from, Incarnation: start, AgeMs: 300, Demand: demand, HeardPeers: 3},
-		"forgotten":        {From: from, Incarnation: start, AgeMs: 16384, ForgottenAge: 5, HeardPeers: 4},
-		"all-but-digest":   {From: from, Incarnation: start, AgeMs: 1 << 40, Consumed: spent, Hints: hints, Demand: demand, ForgottenAge: 16, HeardPeers: 5},
+		"forgotten":        {From: from, Incarnation: start, AgeMs: 16384, StaleAge: 5, HeardPeers: 4},
+		"all-but-digest":   {From: from, Incarnation: start, AgeMs: 1 << 40, Consumed: spent, Hints: hints, Demand: demand, StaleAge: 16, HeardPeers: 5},
 		"digest-first":     {From: from, Incarnation: start, AgeMs: 9, GroupDigest: quota.Digest{Level: 1, First: true, Heard: 1, Set: 6}},
 		"digest-second":    {From: from, Incarnation: start, AgeMs: 10, GroupDigest: quota.Digest{Level: 4, Heard: 128, Set: 7, Classes: classes, Spent: spent}},
-		"digest-and-hints": {From: from, Incarnation: start, AgeMs: 11, Hints: hints, Demand: demand, ForgottenAge: 1, GroupDigest: quota.Digest{Level: 3, First: true, Heard: 9, Set: 8, Classes: classes[:1], Spent: spent[:1]}},
+		"digest-and-hints": {From: from, Incarnation: start, AgeMs: 11, Hints: hints, Demand: demand, StaleAge: 1, GroupDigest: quota.Digest{Level: 3, First: true, Heard: 9, Set: 8, Classes: classes[:1], Spent: spent[:1]}},
 		"full":             full,
 	}
 }
--- a/dataplane/gossip/teller.go
+++ b/dataplane/gossip/teller.go
@@ -198,8 +198,8 @@
 // Recipients is how many limiters this one tells something.
 func (t *Disseminator) Recipients() int { return len(t.targets) }
 
-// ReportForgotten has others told that a server had forgotten a connection of an age.
-func (t *Disseminator) ReportForgotten(now float64, age int) {
+// ReportStaleConnection has others told that a server had forgotten a connection of an age.
+func (t *Disseminator) ReportStaleConnection(now float64, age int) {
 	if t.forgot == 0 || now > t.forgotTo || uint8(age) < t.forgot {
 		t.forgot = uint8(age)
 	}
@@ -223,8 +223,8 @@
 	if now > t.forgotTo {
 		t.forgot = 0
 	}
-	changed = changed || t.forgot != 0 && t.word.ForgottenAge == 0 // a filing each may be lost until it is known
-	t.word.ForgottenAge = t.forgot
+	changed = changed || t.forgot != 0 && t.word.StaleAge == 0 // a filing each may be lost until it is known
+	t.word.StaleAge = t.forgot
 	for _, x := range t.targets {
 		if x.hinted || t.many && x.near && x.member {
 			for _, h := range t.hints {
--- a/dataplane/gossip/word.go
+++ b/dataplane/gossip/word.go
@@ -44,7 +44,7 @@
 	Consumed          []quota.Spent
 	Hints             []balance.Hint
 	Demand            []balance.Demand
-	ForgottenAge      uint8        // the least age of connections that servers had forgotten of late; 0: none
+	StaleAge          uint8        // the least age of connections that servers had forgotten of late; 0: none
 	HeardPeers        uint32       // whom it hears, as [quota.Set.Hears] has it
 	GroupDigest       quota.Digest // Level 0: none
 }
@@ -68,7 +68,7 @@
 	for _, d := range w.Demand {
 		b = append(binary.BigEndian.AppendUint16(b, d.Service), d.Level)
 	}
-	b = append(b, w.ForgottenAge)
+	b = append(b, w.StaleAge)
 	d := &w.GroupDigest
 	if d.Level == 0 {
 		return binary.BigEndian.AppendUint32(append(b, 0), w.HeardPeers)
@@ -186,7 +186,7 @@
 	if level == nil || forgotten[0] > mostAge {
 		return ErrMalformed
 	}
-	w.ForgottenAge = forgotten[0]
+	w.StaleAge = forgotten[0]
 	d := &w.GroupDigest
 	switch d.Level = quota.Level(level[0] &^ (digestBit | firstBit)); {
 	case level[0] == 0:
--- a/dataplane/gossip/words_test.go
+++ b/dataplane/gossip/words_test.go
@@ -205,7 +205,7 @@
 			if err := got.Decode(w.Append(nil)); err != nil {
 				t.Fatal(err)
 			}
-			if got.ForgottenAge == 4 {
+			if got.StaleAge == 4 {
 				n++
 			}
 		})
@@ -215,8 +215,8 @@
 	if n := told(6); n != 0 {
 		t.Errorf("%d words say so for nothing", n)
 	}
-	teller.ReportForgotten(7, 5)
-	teller.ReportForgotten(8, 4)
+	teller.ReportStaleConnection(7, 5)
+	teller.ReportStaleConnection(8, 4)
 	if n := told(12); n != len(peers) {
 		t.Errorf("%d of %d were told at once", n, len(peers))
 	}
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -178,7 +178,7 @@
 
 // Forgotten has others told that a server had forgotten a connection of an age
 // (connpool's group): requests that must not run twice then avoid such ones.
-func (l *Limiter) Forgotten(now float64, age int) { l.teller.ReportForgotten(now, age) }
+func (l *Limiter) Forgotten(now float64, age int) { l.teller.ReportStaleConnection(now, age) }
 
 // Others is how many other limiters there are; Targets how many of them are told something.
 func (l *Limiter) Others() int { return len(l.peers) }
