--- a/controlplane/linksim_test.go
+++ b/controlplane/linksim_test.go
@@ -226,6 +226,7 @@
 
 // save stores a batch. A snapshot must be the state at its index.
 func (s *linkSim) save(id raft.ID, r *raft.Ready) {
+	s.t.Helper()
 	disk := s.disks[id]
 	if r.HardState != nil {
 		disk.HardState = *r.HardState
--- a/controlplane/partition_test.go
+++ b/controlplane/partition_test.go
@@ -39,6 +39,7 @@
 }
 
 func (v *isolationCase) run(t *testing.T) {
+	t.Helper()
 	c := newPartitionedCluster(t)
 	isolated := c.awaitLeaderAddr("")
 	if replaceConfig(c.clientAt(isolated), 0, testConfig(t, 5)) != http.StatusOK {
--- a/controlplane/transport_test.go
+++ b/controlplane/transport_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"errors"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -140,7 +139,7 @@
 
 func TestLargeEntriesReachAllInChunksOverSockets(t *testing.T) {
 	t.Parallel()
-	c := newClusterOn(t, &loopbackNetwork{t, map[string]net.Listener{}}, 3)
+	c := newClusterOn(t, newLoopbackNetwork(t), 3)
 	c.timeout = 5 * time.Minute // against a hang alone
 	for _, addr := range c.addrs {
 		c.start(addr, t.TempDir(), true)
