--- a/raft/message.go
+++ b/raft/message.go
@@ -72,10 +72,10 @@
 	// [Node.NextReadIndexRound].
 	Round  uint64 `cbor:"8,keyasint,omitempty"`
 	Reject bool   `cbor:"9,keyasint,omitempty"`
-	// LeadershipTransfer, in a vote request, reports that the leader itself asked for the
+	// LeadershipTransfer, in a vote request, is set if the leader itself asked for the
 	// election: the receiver does not protect that leader (3.10, 4.2.3).
 	LeadershipTransfer bool `cbor:"10,keyasint,omitempty"`
-	// SupportsJoint, in an AppendEntriesReply, reports that the sender understands joint changes.
+	// SupportsJoint, in an AppendEntriesReply, is set if the sender understands joint changes.
 	SupportsJoint bool    `cbor:"20,keyasint,omitempty"`
 	Entries       []Entry `cbor:"11,keyasint,omitempty"`
 	// Snapshot of a chunk has the bytes from Offset on as its Data.
--- a/raft/node.go
+++ b/raft/node.go
@@ -11,10 +11,10 @@
 	randomSource *rand.PCG
 	random       *rand.Rand
 
-	// hardState is the term and vote. hardStateDirty reports that the host has not stored it yet.
+	// hardState is the term and vote. hardStateDirty is set until the host has stored it.
 	hardState      HardState
 	hardStateDirty bool
-	log            entryLog
+	log            entryLog // the replicated log, and how far it is committed and applied
 
 	// members are those of the last entry that names them, committed or not (4.1), and
 	// membersIndex is its index, or that of the snapshot. previousMembers are those before
@@ -47,7 +47,7 @@
 	electionTimeout int
 
 	// votes are the answers in the election that this candidate holds, its own vote among
-	// them; nil on others. preVote reports that it is a pre-vote.
+	// them; nil on others. preVote is set in a pre-vote.
 	votes   map[ID]bool
 	preVote bool
 
@@ -115,7 +115,7 @@
 // only with an empty disk and a new ID.
 func (n *Node) LostDurability() bool { return n.lostDurability }
 
-// Tick reports whether one tick has passed.
+// Tick counts one tick of time: elections, heartbeats, quorum checks and retransmissions follow.
 func (n *Node) Tick() {
 	n.electionElapsed++
 	n.lastLeaderTicks++
--- a/raft/progress.go
+++ b/raft/progress.go
@@ -30,14 +30,14 @@
 	supportsJoint          bool   // by its last answer it understands joint changes
 	ticksSinceResponse     int
 
-	// paused reports that entries are in flight: heartbeats carry none meanwhile.
+	// paused is set while entries are in flight: heartbeats carry none meanwhile.
 	paused        bool
 	inflightIndex uint64 // of the last entry in flight
 	inflightBytes int    // size of the entries in flight
 	inflightTicks int    // ticks since they were sent
 
 	transfer *snapshotTransfer // nil: the follower needs no snapshot
-	// catchingUp reports that a snapshot was sent, and that the follower does not yet have
+	// catchingUp is set once a snapshot was sent, until the follower has
 	// all that was committed since.
 	catchingUp bool
 }
--- a/raft/ready.go
+++ b/raft/ready.go
@@ -42,7 +42,7 @@
 	return r
 }
 
-// Advance reports whether a Ready has been carried out. A leader counts its own copy of the stored
+// Advance is called once a Ready has been carried out. A leader counts its own copy of the stored
 // entries from here on, which may commit them.
 func (n *Node) Advance(r Ready) {
 	n.messages = n.messages[len(r.Messages):]
--- a/raft/types.go
+++ b/raft/types.go
@@ -13,7 +13,7 @@
 	// Outgoing is set by the leader in the entry of a joint change only: the member counts
 	// toward the majorities of the outgoing set of voters.
 	Outgoing bool `cbor:"4,keyasint,omitempty"`
-	// SupportsJoint reports that the member has said that it understands joint changes. It is
+	// SupportsJoint is set once the member has said that it understands joint changes. It is
 	// stored in the log, as a leader must know it of voters that have never answered it.
 	SupportsJoint bool `cbor:"5,keyasint,omitempty"`
 }
