--- a/controlplane/core_under_faults_test.go
+++ b/controlplane/core_under_faults_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-var coreSeeds = flag.Uint64("core.seeds", 24, "runs of TestCoresKeepPromisesUnderFaults")
+var coreSeeds = flag.Uint64("core.seeds", 24, "runs of TestCoresAreDurableAndLinearizableUnderFaults")
 
 // Real cores, three and five, with commands by four operators that pick the same revisions and
 // are sent again until they are answered, while writes take up to 2 s, disks are full, disks
@@ -16,7 +16,7 @@
 // [Core] sends while its store writes: no vote, term or acknowledgement is sent before it is
 // stored, nothing is said to be committed that a majority has not stored, and operators are
 // answered the history of one register.
-func TestCoresKeepPromisesUnderFaults(t *testing.T) {
+func TestCoresAreDurableAndLinearizableUnderFaults(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	var total faultCounts
