--- a/lab/emulator/fleet.go
+++ b/lab/emulator/fleet.go
@@ -235,7 +235,7 @@
 func (f *Fleet) stopAll() {
 	var ends sync.WaitGroup
 	for _, n := range f.nodes {
-		ends.Go(n.terminate)
+		ends.Go(func() { n.terminate(killTimeout) })
 	}
 	ends.Wait()
 	for _, s := range f.platform.all() {
--- a/lab/emulator/node.go
+++ b/lab/emulator/node.go
@@ -17,7 +17,7 @@
 
 const (
 	restartDelay = 300 * time.Millisecond // from the end of a process to the next start
-	killTimeout  = 7 * time.Second        // from SIGTERM to SIGKILL
+	killTimeout  = 7 * time.Second        // from SIGTERM to SIGKILL, at the end of a day
 )
 
 // node is one machine with its process. What stands before the mutex is set when the
@@ -146,8 +146,8 @@
 	_ = n.current.cmd.Process.Signal(sig) // it may have ended just now
 }
 
-// terminate ends the process in order, and outright if that takes too long.
-func (n *node) terminate() {
+// terminate ends the process in order, and outright if that takes longer than a time.
+func (n *node) terminate(timeout time.Duration) {
 	n.signal(syscall.SIGTERM)
 	ended := n.process().ended
 	if ended == nil {
@@ -155,7 +155,7 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(killTimeout):
+	case <-time.After(timeout):
 		n.signal(syscall.SIGKILL)
 		<-ended
 	}
--- a/lab/emulator/rollout.go
+++ b/lab/emulator/rollout.go
@@ -18,6 +18,7 @@
 const (
 	changeEvery   = 300 * time.Millisecond // between two changes of an operator during a roll-out
 	rolloutPoll   = 50 * time.Millisecond
+	endTimeout    = 30 * time.Second       // from SIGTERM to SIGKILL: longer than a busy machine needs
 	downAfterKill = 500 * time.Millisecond // all machines together
 	// The rule that a fleet breaks where a roll-out leaves a machine behind.
 	upgradeRule = "UPGRADE"
@@ -118,7 +119,7 @@
 		r.fleet.event("%s goes to %s", n.name, r.program)
 		n.setProgram(r.program)
 		old := n.process()
-		n.terminate()
+		n.terminate(endTimeout)
 		if state := old.cmd.ProcessState; !state.Success() {
 			r.fleet.log.Violation(upgradeRule, "%s did not end in order: %v", n.name, state)
 		}
