--- a/dataplane/client_test.go
+++ b/dataplane/client_test.go
@@ -23,7 +23,7 @@
 func TestLastAnswerIsNotResetAway(t *testing.T) {
 	t.Parallel()
 	g := newGateway(t, newBackend(t, good("yes")))
-	g.linger = patience
+	g.listener.linger = patience
 	c := dial(t, g)
 	c.send("POST /once/", "Content-Length: 9999999\r\n", strings.Repeat("b", 64<<10))
 	if h := c.want(413, ""); !h.ClosesConnection() {
@@ -127,7 +127,7 @@
 					case "gone":
 						return false
 					case "cut":
-						fmt.Fprint(w, answerHead("200 OK", id, sealed(id)+sized(2*holdAnswer)), "cut")
+						fmt.Fprint(w, answerHead("200 OK", id, sealed(id)+sized(2*maxHeldResponse)), "cut")
 						return false
 					}
 				}
@@ -190,7 +190,7 @@
 						s.renew()
 						mu.Unlock()
 					}
-					nc, err := dialOn(t, s.g.front.Addr().String())
+					nc, err := dialOn(t, s.g.listener.tcp.Addr().String())
 					if err != nil {
 						broken("%v", err)
 						return
@@ -249,7 +249,7 @@
 		ids = append(ids, id)
 		fmt.Fprintf(&all, "%sHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\nTime-Budget-Ms: %d\r\n\r\n%s", line, id, budget.Milliseconds(), body)
 	}
-	c.in = readers.New().(*bufio.Reader)
+	c.in = readerPool.New().(*bufio.Reader)
 	c.in.Reset(c.Conn)
 	sent := time.Now()
 	io.WriteString(c, all.String())
@@ -296,9 +296,9 @@
 func TestLongAnswersHaveTheirTime(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		long := strings.Repeat("x", 2*holdAnswer)
+		long := strings.Repeat("x", 2*maxHeldResponse)
 		g := newGateway(t, newBackend(t, good(long)))
-		g.writeFor = 0
+		g.listener.writeTimeout = 0
 		c := dial(t, g)
 		c.send("GET /get/", "", "")
 		c.want(200, long)
@@ -311,7 +311,7 @@
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		g := newGateway(t, newBackend(t, good("yes")))
-		g.linger = 2 * patience
+		g.listener.linger = 2 * patience
 		c := dial(t, g)
 		c.send("POST /none/", "Content-Length: 4\r\nExpect: 100-continue\r\n", "")
 		if h := c.want(404, ""); !h.ClosesConnection() {
--- a/dataplane/crossing_test.go
+++ b/dataplane/crossing_test.go
@@ -87,28 +87,28 @@
 func TestGivingUpClosesNoOnesElse(t *testing.T) {
 	t.Parallel()
 	g := newGateway(t, newBackend(t, good("own")))
-	host := g.pool.Host("i-0")
-	c, err := g.pool.Connect(context.Background(), host)
+	host := g.forwarder.pool.Host("i-0")
+	c, err := g.forwarder.pool.Connect(context.Background(), host)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	tcp := c.Conn.(*net.TCPConn)
-	g.pool.Put(c)
+	g.forwarder.pool.Put(c)
 	c.Conn = givenUp{tcp, cancel}
 	r := &request{head: &h1.Head{Method: "GET", Target: "/get/", Fields: []h1.Field{{Name: "Host", Value: "h"}, {Name: "Attempt-Id", Value: "a1"}}},
-		route: g.view.Load().route("h", "/get/"), deadline: time.Now().Add(patience)}
-	g.mu.Lock()
-	m := g.limiter.Members()[0]
-	g.mu.Unlock()
-	o := g.try(r, &serverTry{member: m, ctx: ctx, cancel: cancel, host: host}, host)
+		route: g.router.current().route("h", "/get/"), deadline: time.Now().Add(patience)}
+	g.limiter.mu.Lock()
+	m := g.limiter.limiter.Members()[0]
+	g.limiter.mu.Unlock()
+	o := g.forwarder.attempt(r, &upstreamAttempt{member: m, ctx: ctx, cancel: cancel, host: host}, host)
 	if ctx.Err() == nil {
 		t.Fatal("the connection was not put back")
 	}
-	if o.result != balance.Good || g.pool.IdleConns("i-0") != 1 || g.pool.OpenConns() != 1 {
-		t.Errorf("result %d, %d idle, %d open; want an answer and its connection kept", o.result, g.pool.IdleConns("i-0"), g.pool.OpenConns())
+	if o.result != balance.Good || g.forwarder.pool.IdleConns("i-0") != 1 || g.forwarder.pool.OpenConns() != 1 {
+		t.Errorf("result %d, %d idle, %d open; want an answer and its connection kept", o.result, g.forwarder.pool.IdleConns("i-0"), g.forwarder.pool.OpenConns())
 	}
-	if g.pool.Get(host) != c {
+	if g.forwarder.pool.Get(host) != c {
 		t.Error("the connection that was put back is closed")
 	}
 }
@@ -126,7 +126,7 @@
 				filed.Add(1)
 				return good("filed")(w, h, body)
 			}
-			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", 2*holdAnswer, strings.Repeat("x", holdAnswer))
+			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", 2*maxHeldResponse, strings.Repeat("x", maxHeldResponse))
 			close(begun)
 			<-breakOff
 			return false
@@ -152,10 +152,10 @@
 func untilRead(t testing.TB, g *Gateway, n int) {
 	t.Helper()
 	wait(t, func() bool {
-		for c := range g.conns {
+		for c := range g.listener.conns {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return c.seq >= n
+			return c.requestsRead >= n
 		}
 		return false
 	}, g)
@@ -164,16 +164,16 @@
 // untilGone waits until a gateway has no connection of clients.
 func untilGone(t testing.TB, g *Gateway) {
 	t.Helper()
-	wait(t, func() bool { return len(g.conns) == 0 }, g)
+	wait(t, func() bool { return len(g.listener.conns) == 0 }, g)
 }
 
-// wait waits until something holds, which is asked under the gateway's mutex.
+// wait waits until something holds, which is asked under the listener's mutex.
 func wait(t testing.TB, holds func() bool, g *Gateway) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		g.mu.Lock()
+		g.listener.mu.Lock()
 		ok := holds()
-		g.mu.Unlock()
+		g.listener.mu.Unlock()
 		if ok {
 			return
 		}
@@ -187,7 +187,7 @@
 func TestContinueWaitsForItsTurn(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		const n = 2 * holdAnswer
+		const n = 2 * maxHeldResponse
 		body := strings.Repeat("x", n)
 		begun, goOn := make(chan struct{}), make(chan struct{})
 		b := newBackend(t, func(w io.Writer, h *h1.Head, got []byte) bool {
--- a/dataplane/forgotten_test.go
+++ b/dataplane/forgotten_test.go
@@ -48,7 +48,7 @@
 		g := newGateway(t, &backend{addr: l.Addr().String()})
 		k := dial(t, g)
 		file := func() int {
-			for g.pool.IdleConns("i-0") > 0 && g.pool.IdleTime("i-0") < rest {
+			for g.forwarder.pool.IdleConns("i-0") > 0 && g.forwarder.pool.IdleTime("i-0") < rest {
 				time.Sleep(time.Millisecond)
 			}
 			k.send("POST /once/", "Content-Length: 4\r\n", "body")
@@ -63,7 +63,7 @@
 		if status := file(); status != 502 {
 			t.Errorf("the first is answered %d", status)
 		}
-		g.pool.RecordStale(2, 7)
+		g.forwarder.pool.RecordStale(2, 7)
 		for range 6 {
 			if status := file(); status != 200 {
 				t.Errorf("a later one is answered %d", status)
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.open = 0
+	g.listener.openFor = 0
 	bring(t, g, &versioned.Table{}, &api.Config{Revision: 1, Upstreams: []api.Upstream{{Name: "s"}},
 		Routes: []api.Route{
 			{Host: "h", Prefix: "/get/", Type: api.Idempotent, TimeoutMs: timeout, TargetMs: 2000, Upstream: "s", Retries: 2},
@@ -137,7 +137,7 @@
 
 func dial(t testing.TB, g *Gateway) *client {
 	t.Helper()
-	c, err := dialOn(t, g.front.Addr().String())
+	c, err := dialOn(t, g.listener.tcp.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 				t.Errorf("%d and the connection goes on", code)
 			}
 		}
-		g.leaseTo.Store(0) // no word of the core: keys can't be trusted
+		g.lease.expiresAt.Store(0) // no word of the core: keys can't be trusted
 		c = dial(t, g)
 		c.send("GET /get/", "", "")
 		if h := c.want(503, ""); h.Get("Retry-After") == "" {
@@ -425,7 +425,7 @@
 	c := dial(t, g)
 	c.send("GET /get/", "", "")
 	<-at
-	go func() { <-ctx.Done(); g.draining.Store(true); close(release) }()
+	go func() { <-ctx.Done(); g.readiness.draining.Store(true); close(release) }()
 	stop()
 	if h := c.want(200, "yes"); !h.ClosesConnection() {
 		t.Error("the answer does not say that the connection closes")
@@ -449,18 +449,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { errors.Join(g.front.Close(), g.readyOn.Close(), g.udp.Close()) })
+	t.Cleanup(func() { errors.Join(g.listener.tcp.Close(), g.readiness.listener.Close(), g.gossip.socket.Close()) })
 	w := gossip.Message{From: 7, Incarnation: 1}
 	for range sent {
-		if err := g.udp.Send(w.Append(nil), g.udp.Addr()); err != nil {
+		if err := g.gossip.socket.Send(w.Append(nil), g.gossip.socket.Addr()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	g.udp.Send([]byte("no word"), g.udp.Addr())
+	g.gossip.socket.Send([]byte("no word"), g.gossip.socket.Addr())
 	if heard != 0 {
 		t.Errorf("%d words were taken in before the tick", heard)
 	}
-	if newEar(g).hear(); heard != sent {
+	if newGossipReceiver(&g.gossip).receiveAll(); heard != sent {
 		t.Errorf("%d of %d words were taken in at the tick", heard, sent)
 	}
 }
@@ -476,9 +476,9 @@
 	}
 	g.ApplyPeers(all)
 	regroups := func() (n, others int) {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return g.regroups, g.limiter.Others()
+		g.limiter.mu.Lock()
+		defer g.limiter.mu.Unlock()
+		return g.peers.regroups, g.limiter.limiter.Others()
 	}
 	again := []api.Peer{all[7]}
 	again[0].StartID, again[0].Incarnation, again[0].Addr = 2, 2, "127.0.0.1:9999"
@@ -490,11 +490,11 @@
 	if n, others := regroups(); n != 1 || others != 300 {
 		t.Errorf("told %d times of %d", n, others)
 	}
-	g.mu.Lock()
-	if at := g.others[xxhash.Sum64String(again[0].Name)].addr.String(); at != again[0].Addr {
+	g.limiter.mu.Lock()
+	if at := g.peers.byID[xxhash.Sum64String(again[0].Name)].addr.String(); at != again[0].Addr {
 		t.Errorf("words go to %s", at)
 	}
-	g.mu.Unlock()
+	g.limiter.mu.Unlock()
 	for i, change := range []func(p *api.Peer){
 		func(p *api.Peer) { p.State = membership.Dead },
 		func(p *api.Peer) { p.State = membership.Alive },
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -3,111 +3,158 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"time"
 
 	"example.org/elmspan/dataplane/gossip"
+	"example.org/elmspan/dataplane/link"
+	"example.org/elmspan/internal/connpool"
 	"example.org/elmspan/internal/datagram"
 	"example.org/elmspan/keys"
+	"example.org/elmspan/telemetry"
 )
 
-// mostHeard is how many words are taken in at a tick. A flood must not keep it from telling.
-const mostHeard = 512
+// maxReceivedPerTick is how many messages are taken in at a tick. A flood must not keep the gateway from sending.
+const maxReceivedPerTick = 512
 
-// gossip takes in what the others have told and tells them what is new, at each tick,
-// until the context ends. What comes between two ticks waits for the next: in a large
-// fleet hundreds of words come in a second, and each would wake the process.
-func (g *Gateway) gossip(ctx context.Context) {
-	every := gossip.TickMs
-	t := time.NewTicker(millis(every))
+// gossipHost sends and receives the limiter's gossip messages, one a datagram, sealed where there is a keyring.
+type gossipHost struct {
+	log         *slog.Logger
+	metrics     *telemetry.Metrics
+	limiter     *guardedLimiter
+	peers       *peerTable
+	pool        *connpool.Pool[string]
+	link        *link.Pacer
+	keyring     *keys.Keyring // nil: messages are in the clear
+	self        uint64        // hash of this gateway's name
+	incarnation uint64
+	unknownPeer func(addr string) // may be nil
+
+	socket *datagram.Socket // of the goroutine in run, once it runs
+}
+
+// run takes in what the peers have sent and sends what is new, at each tick, until the context ends. What arrives
+// between two ticks waits for the next: in a large fleet hundreds of messages come in a second, and each would wake
+// the process.
+func (h *gossipHost) run(ctx context.Context) {
+	everyMs := gossip.TickMs
+	t := time.NewTicker(millis(everyMs))
 	defer t.Stop()
-	buf, sealed := make([]byte, 0, gossip.MaxSize), []byte(nil)
-	sealer := g.sealer()
-	in := newEar(g)
+	out := &gossipSender{host: h, plain: make([]byte, 0, gossip.MaxSize), sealer: h.newSealer()}
+	in := newGossipReceiver(h)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		in.hear()
-		g.mu.Lock()
-		g.limiter.Tick(inMs(g.now()), func(to uint64, w *gossip.Message) {
-			buf = w.Append(buf[:0])
-			out := buf
-			if sealer != nil {
-				var err error
-				if sealed, err = sealer.Seal(sealed[:0], buf); err != nil {
-					g.log.Error("a word can't be sealed", "err", err)
-					return
-				}
-				out = sealed
-			}
-			g.udp.Send(out, g.others[to].addr) // a lost one heals with the next
-			g.link.Record(len(out))
-			g.meter.Count("elmspan_words_sent_total", 1)
-		})
-		next := g.limiter.TickMs()
-		g.mu.Unlock()
-		if next != every {
-			every = next
-			t.Reset(millis(every))
+		in.receiveAll()
+		if nextMs := out.tick(); nextMs != everyMs {
+			everyMs = nextMs
+			t.Reset(millis(everyMs))
 		}
 	}
 }
 
-// sealer seals or opens words; nil where they are in the clear.
-func (g *Gateway) sealer() *keys.Sealer {
-	if g.ring == nil {
+// newSealer returns what seals or opens messages; nil where they are in the clear.
+func (h *gossipHost) newSealer() *keys.Sealer {
+	if h.keyring == nil {
 		return nil
 	}
-	return g.ring.Sealer(g.self, g.life)
+	return h.keyring.Sealer(h.self, h.incarnation)
+}
+
+// gossipSender sends messages. Its buffers are used again for each.
+type gossipSender struct {
+	host          *gossipHost
+	sealer        *keys.Sealer // nil: in the clear
+	plain, sealed []byte
+}
+
+// tick has the limiter make the messages of a tick, sends them, and returns when the next tick is due.
+func (s *gossipSender) tick() (nextMs float64) {
+	g := s.host.limiter
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.limiter.Tick(g.clock.nowMs(), s.send)
+	return g.limiter.TickMs()
+}
+
+// send sends one message. Called under limiter.mu; sending does not block.
+func (s *gossipSender) send(to uint64, w *gossip.Message) {
+	h := s.host
+	s.plain = w.Append(s.plain[:0])
+	data := s.plain
+	if s.sealer != nil {
+		var err error
+		if s.sealed, err = s.sealer.Seal(s.sealed[:0], s.plain); err != nil {
+			h.log.Error("gossip message not sealed", "error", err)
+			return
+		}
+		data = s.sealed
+	}
+	_ = h.socket.Send(data, h.peers.byID[to].addr) // the next message makes up for a lost one
+	h.link.Record(len(data))
+	h.metrics.Count("elmspan_words_sent_total", 1)
 }
 
-// ear takes in what the others tell.
-type ear struct {
-	g         *Gateway
-	buf, open []byte
-	word      gossip.Message
-	sealer    *keys.Sealer
+// gossipReceiver takes messages in. Its buffers are used again for each.
+type gossipReceiver struct {
+	host          *gossipHost
+	sealer        *keys.Sealer // nil: in the clear
+	raw, unsealed []byte
+	message       gossip.Message
 }
 
-func newEar(g *Gateway) *ear {
-	return &ear{g: g, buf: make([]byte, gossip.MaxSize+keys.SealOverhead+1), sealer: g.sealer()}
+func newGossipReceiver(h *gossipHost) *gossipReceiver {
+	return &gossipReceiver{
+		host: h, raw: make([]byte, gossip.MaxSize+keys.SealOverhead+1), sealer: h.newSealer(),
+	}
 }
 
-// hear takes in what has come.
-func (e *ear) hear() {
-	g := e.g
-	for range mostHeard {
-		n, from, err := g.udp.Receive(e.buf)
+// receiveAll takes in what has come, up to the bound of a tick.
+func (r *gossipReceiver) receiveAll() {
+	h := r.host
+	for range maxReceivedPerTick {
+		n, from, err := h.socket.Receive(r.raw)
 		if errors.Is(err, datagram.ErrNoDatagram) {
 			return
 		}
 		if err != nil {
-			continue // what another machine sent back for one datagram to it, say
+			continue // an ICMP error for a datagram that was sent, for example
 		}
-		word := e.buf[:n]
-		if e.sealer != nil {
-			if e.open, err = e.sealer.Open(e.open[:0], word); err != nil {
-				g.meter.Count("elmspan_words_refused_total", 1)
-				continue
-			}
-			word = e.open
-		}
-		w := &e.word
-		if w.Decode(word) != nil {
-			g.meter.Count("elmspan_words_refused_total", 1)
+		if !r.decode(r.raw[:n]) {
+			h.metrics.Count("elmspan_words_refused_total", 1)
 			continue
 		}
-		g.meter.Count("elmspan_words_received_total", 1)
-		g.mu.Lock()
-		known := g.limiter.Hear(inMs(g.now()), w)
-		g.mu.Unlock()
-		if known && w.StaleAge != 0 {
-			g.pool.RecordStale(int(w.StaleAge), w.From)
+		h.metrics.Count("elmspan_words_received_total", 1)
+		known := r.deliver()
+		if !known && h.unknownPeer != nil {
+			h.unknownPeer(from.String())
 		}
-		if !known && g.stranger != nil {
-			g.stranger(from.String())
+	}
+}
+
+// decode opens and decodes a datagram into r.message. It reports false where it is not a message of a peer.
+func (r *gossipReceiver) decode(data []byte) bool {
+	if r.sealer != nil {
+		var err error
+		if r.unsealed, err = r.sealer.Open(r.unsealed[:0], data); err != nil {
+			return false
 		}
+		data = r.unsealed
+	}
+	return r.message.Decode(data) == nil
+}
+
+// deliver gives the message to the limiter and reports whether its sender is a known peer.
+func (r *gossipReceiver) deliver() (known bool) {
+	g, m := r.host.limiter, &r.message
+	g.mu.Lock()
+	known = g.limiter.Hear(g.clock.nowMs(), m)
+	g.mu.Unlock()
+	if known && m.StaleAge != 0 {
+		r.host.pool.RecordStale(int(m.StaleAge), m.From)
 	}
+	return known
 }
--- a/dataplane/memory_test.go
+++ b/dataplane/memory_test.go
@@ -107,21 +107,17 @@
 
 // serve has a gateway serve on the network in memory alone, until the test ends.
 func (m inMemory) serve(g *Gateway) {
-	if err := errors.Join(g.front.Close(), g.readyOn.Close(), g.udp.Close()); err != nil {
+	if err := errors.Join(g.listener.tcp.Close(), g.readiness.listener.Close(), g.gossip.socket.Close()); err != nil {
 		m.Fatal(err)
 	}
-	g.front, g.pool.Dial = m.net.listen(m), m.net.dial
+	g.listener.tcp, g.forwarder.pool.Dial = m.net.listen(m), m.net.dial
 	work, stop := context.WithCancel(context.Background())
-	g.tasks.Go(func() { g.pool.Sweep(work) })
-	g.tasks.Go(g.accept)
+	g.tasks.Go(func() { g.forwarder.pool.Sweep(work) })
+	g.tasks.Go(g.listener.accept)
 	m.Cleanup(func() {
 		stop()
-		g.front.Close()
-		g.mu.Lock()
-		for c := range g.conns {
-			c.nc.Close()
-		}
-		g.mu.Unlock()
+		g.listener.tcp.Close()
+		g.listener.closeAll()
 		g.tasks.Wait()
 	})
 }
--- /dev/null
+++ b/dataplane/metrics.go
@@ -0,0 +1,76 @@
+package dataplane
+
+import (
+	"strconv"
+	"time"
+
+	"example.org/elmspan/dataplane/balance"
+	"example.org/elmspan/telemetry"
+)
+
+// registerGauges has the metrics read the gateway's state whenever they are collected.
+func (g *Gateway) registerGauges() {
+	g.metrics.Gauge("elmspan_ready", func() float64 {
+		if g.Ready() {
+			return 1
+		}
+		return 0
+	})
+	g.metrics.Gauge("elmspan_requests_in_flight", func() float64 { return float64(g.forwarder.inFlight.Load()) })
+	g.metrics.Gauge("elmspan_config_revision", func() float64 { return float64(g.Revision()) })
+	g.metrics.Gauge("elmspan_lease_left_seconds", func() float64 { return g.lease.remaining().Seconds() })
+	g.metrics.Gauge("elmspan_client_connections", func() float64 { return float64(g.listener.count()) })
+
+	locked := func(name string, read func() float64) {
+		g.metrics.Gauge(name, func() float64 {
+			g.limiter.mu.Lock()
+			defer g.limiter.mu.Unlock()
+			return read()
+		})
+	}
+	l := g.limiter.limiter
+	locked("elmspan_quota_part", func() float64 { return l.Part(g.clock.nowMs()) })
+	locked("elmspan_dark_zones", func() float64 { return float64(len(l.Dark(g.clock.nowMs()))) })
+	locked("elmspan_peers", func() float64 { return float64(l.Others()) })
+	locked("elmspan_peers_told", func() float64 { return float64(l.Targets()) })
+	locked("elmspan_regroups_total", func() float64 { return float64(g.peers.regroups) })
+	locked("elmspan_servers", func() float64 { return float64(len(l.Members())) })
+}
+
+// observeResponse counts a response and the time it took. Without metrics it costs a comparison.
+func observeResponse(metrics *telemetry.Metrics, r *request, a *response) {
+	if metrics == nil {
+		return
+	}
+	route, by := "none", byGateway
+	if r.route != nil {
+		route = r.route.Name
+	}
+	if a.head != nil {
+		by = byServer
+	}
+	metrics.Count("elmspan_requests_total", 1, telemetry.Label{Name: "route", Value: route},
+		telemetry.Label{Name: "code", Value: strconv.Itoa(a.status)}, telemetry.Label{Name: "by", Value: by})
+	metrics.Observe("elmspan_request_duration_seconds", time.Since(r.arrived),
+		telemetry.Label{Name: "route", Value: route})
+	if a.head == nil && a.reason != "" {
+		metrics.Count("elmspan_own_answers_total", 1, telemetry.Label{Name: "reason", Value: a.reason})
+	}
+}
+
+// resultNames are the results of attempts in metrics and in the log that `elmspan explain` reads.
+var resultNames = map[balance.Result]string{
+	balance.Good: "good", balance.Full: "full", balance.Failed: "failed", balance.Unsent: "unsent",
+	balance.Given: "given_up", balance.Moved: "moved", balance.Beaten: "beaten", balance.Erred: "erred",
+}
+
+// observeAttempt counts an attempt at a server. Without metrics it costs a comparison.
+func observeAttempt(metrics *telemetry.Metrics, service string, at *upstreamAttempt) {
+	if metrics == nil {
+		return
+	}
+	label := telemetry.Label{Name: "service", Value: service}
+	metrics.Count("elmspan_upstream_tries_total", 1, label,
+		telemetry.Label{Name: "result", Value: resultNames[at.result]})
+	metrics.Observe("elmspan_upstream_duration_seconds", time.Since(at.sentAt), label)
+}
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -64,7 +64,7 @@
 func ownBody(id string) string { return "own:" + id }
 
 func longBody(id string) string {
-	return strings.Repeat(id+"|", 2*holdAnswer/(len(id)+1))
+	return strings.Repeat(id+"|", 2*maxHeldResponse/(len(id)+1))
 }
 
 // body is a body, unless the request is one that has none in its answer.
@@ -273,7 +273,7 @@
 		s.servers = append(s.servers, &backend{addr: l.Addr().String()})
 	}
 	s.g = newGatewayOf(t, settings.Timing{GraceS: 3}, s.servers...)
-	s.g.rules = rules
+	s.g.forwarder.rules = rules
 	return s
 }
 
@@ -307,11 +307,11 @@
 	id := fmt.Sprintf("%s-%d", kind, s.n)
 	sc = &script{moves: [2]*move{first, second}}
 	s.scripts.Store(id, sc)
-	s.g.mu.Lock()
+	s.g.limiter.mu.Lock()
 	for range 8 { // further tries are saved up
-		s.g.limiter.SaveUp("s")
+		s.g.limiter.limiter.SaveUp("s")
 	}
-	s.g.mu.Unlock()
+	s.g.limiter.mu.Unlock()
 	if s.c == nil {
 		s.c = dial(s.t, s.g)
 	}
@@ -329,7 +329,7 @@
 	case "chunks":
 		line, fields, body = "POST /once/", "Transfer-Encoding: chunked\r\n", "4\r\nbody\r\n0\r\n\r\n"
 	case "long":
-		body = strings.Repeat("b", 2*holdBody)
+		body = strings.Repeat("b", 2*maxHeldBody)
 		line, fields = "POST /once/", sized(len(body))
 	}
 	fmt.Fprintf(s.c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\n%s%s\r\n%s", line, id, budget, fields, body)
@@ -510,11 +510,11 @@
 }
 
 func (s *stage) recordTimeUp() {
-	dial := s.g.pool.Dial
+	dial := s.g.forwarder.pool.Dial
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
 	}
-	s.g.pool.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	s.g.forwarder.pool.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
@@ -539,7 +539,7 @@
 	n, err := c.Conn.Read(b)
 	if m := lengthField.FindSubmatch(b[:n]); m != nil {
 		length, _ := strconv.Atoi(string(m[1]))
-		c.long = c.long || length > holdAnswer
+		c.long = c.long || length > maxHeldResponse
 	}
 	if c.long && errors.Is(err, os.ErrDeadlineExceeded) {
 		c.s.timeUp.Store(c.id, true)
@@ -559,11 +559,11 @@
 		for _, status := range []string{"200 OK", "500 x"} {
 			for _, takes := range []time.Duration{budget - 1, budget + 1} {
 				inFakeTime(t, func(t testing.TB) {
-					long := strings.Repeat("x", 2*holdAnswer)
+					long := strings.Repeat("x", 2*maxHeldResponse)
 					c := dial(t, newGateway(t, newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
-						io.WriteString(w, answerHead(status, "a1", sealed("a1")+sized(len(long)))+long[:holdAnswer+9])
+						io.WriteString(w, answerHead(status, "a1", sealed("a1")+sized(len(long)))+long[:maxHeldResponse+9])
 						time.Sleep(takes)
-						io.WriteString(w, long[holdAnswer+9:])
+						io.WriteString(w, long[maxHeldResponse+9:])
 						return true
 					})))
 					sent := time.Now()
--- a/dataplane/news_test.go
+++ b/dataplane/news_test.go
@@ -86,14 +86,14 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var table versioned.Table
-		var v *view
+		var v *snapshot
 		conf := configOf(1, 12)
 		type old struct {
-			v    *view
+			v    *snapshot
 			find map[string]string
 		}
 		var before []old
-		found := func(v *view) map[string]string {
+		found := func(v *snapshot) map[string]string {
 			out := map[string]string{}
 			for i := range 16 {
 				for j := range 5 {
@@ -103,7 +103,7 @@
 				}
 			}
 			for _, k := range []string{"k", "k2"} {
-				if x, ok := v.keys.Get(sum256(k)); ok {
+				if x, ok := v.keys.Get(hashKey(k)); ok {
 					out[k] = x.name
 				}
 			}
@@ -133,11 +133,11 @@
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			whole, _, err := (*view)(nil).with(since(t, &table, 0))
+			whole, _, err := (*snapshot)(nil).with(since(t, &table, 0))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if a, b := found(next), found(whole); !maps.Equal(a, b) || next.sum != whole.sum || next.hosts.Len() != whole.hosts.Len() {
+			if a, b := found(next), found(whole); !maps.Equal(a, b) || next.checksum != whole.checksum || next.hosts.Len() != whole.hosts.Len() {
 				t.Fatalf("seed %d: by difference %v, the whole %v", seed, a, b)
 			}
 			for _, o := range before {
@@ -155,7 +155,7 @@
 	var a, b versioned.Table
 	a.Replace(1, rowsOf(t, configOf(1, 3)))
 	b.Replace(1, rowsOf(t, configOf(1, 4)))
-	v, _, err := (*view)(nil).with(since(t, &a, 0))
+	v, _, err := (*snapshot)(nil).with(since(t, &a, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +213,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var table versioned.Table
 			table.Replace(1, rowsOf(b, configOf(1, n)))
-			v, _, err := (*view)(nil).with(since(b, &table, 0))
+			v, _, err := (*snapshot)(nil).with(since(b, &table, 0))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -235,7 +235,7 @@
 			var table versioned.Table
 			c := configOf(1, n)
 			table.Replace(1, rowsOf(b, c))
-			v, _, err := (*view)(nil).with(since(b, &table, 0))
+			v, _, err := (*snapshot)(nil).with(since(b, &table, 0))
 			if err != nil {
 				b.Fatal(err)
 			}
--- /dev/null
+++ b/dataplane/snapshotedit.go
@@ -0,0 +1,205 @@
+package dataplane
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"example.org/elmspan/api"
+	"example.org/elmspan/dataplane/quota"
+	"example.org/elmspan/internal/persistentmap"
+	"example.org/elmspan/versioned"
+)
+
+// planChanges is what a delta of the configuration changes in the tenants' quotas, by their ids.
+type planChanges struct {
+	put  map[uint64]quota.Plan
+	drop []uint64
+}
+
+// with returns the snapshot that a delta makes of this one (nil: of none), and what changes in the quotas. This
+// snapshot stays as it is.
+func (s *snapshot) with(r *versioned.DeltaReader) (*snapshot, *planChanges, error) {
+	plans := &planChanges{put: map[uint64]quota.Plan{}}
+	switch {
+	case s != nil && r.To <= s.revision:
+		return nil, nil, fmt.Errorf("version %d is not above %d", r.To, s.revision)
+	case r.From != 0 && (s == nil || r.From != s.revision):
+		return nil, nil, fmt.Errorf("a delta on version %d", r.From)
+	}
+	if s != nil && r.From == 0 { // the whole configuration: tenants that it does not name are gone
+		for _, t := range s.tenants.All {
+			plans.drop = append(plans.drop, t.id)
+		}
+	}
+	if s == nil || r.From == 0 {
+		s = &snapshot{}
+		s.setLimits(&api.RequestLimits{})
+	}
+	e := newSnapshotEdit(s, plans)
+	if err := e.applyAll(r); err != nil {
+		return nil, nil, err
+	}
+	if e.checksum != r.Checksum {
+		return nil, nil, versioned.ErrChecksum
+	}
+	plans.drop = slices.DeleteFunc(plans.drop, func(id uint64) bool { _, is := plans.put[id]; return is })
+	return e.done(r.To), plans, nil
+}
+
+// snapshotEdit is a snapshot in the making. Its own maps hide those of the snapshot until it is done.
+type snapshotEdit struct {
+	*snapshot
+	checksums *persistentmap.Builder[string, uint64]
+	hosts     *persistentmap.Builder[string, *host]
+	keys      *persistentmap.Builder[keyHash, *tenant]
+	tenants   *persistentmap.Builder[string, *tenant]
+	plans     *planChanges
+	ownHosts  map[string]bool // hosts that were copied for this edit: they may be changed
+}
+
+func newSnapshotEdit(s *snapshot, plans *planChanges) *snapshotEdit {
+	next := *s
+	return &snapshotEdit{
+		snapshot:  &next,
+		checksums: s.checksums.Builder(),
+		hosts:     s.hosts.Builder(),
+		keys:      s.keys.Builder(),
+		tenants:   s.tenants.Builder(),
+		plans:     plans,
+		ownHosts:  map[string]bool{},
+	}
+}
+
+// done returns the snapshot, which is immutable from here on.
+func (e *snapshotEdit) done(revision uint64) *snapshot {
+	next := e.snapshot
+	next.revision = revision
+	next.checksums, next.hosts = e.checksums.Map(), e.hosts.Map()
+	next.keys, next.tenants = e.keys.Map(), e.tenants.Map()
+	return next
+}
+
+// applyAll applies the rows of a delta.
+func (e *snapshotEdit) applyAll(r *versioned.DeltaReader) error {
+	for {
+		row, err := r.Next()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err == nil {
+			err = e.apply(row)
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// apply applies one row.
+func (e *snapshotEdit) apply(row versioned.Row) error {
+	x, err := api.ParseConfigRow(row.Key, row.Value)
+	if err != nil {
+		return err
+	}
+	if before, had := e.checksums.Get(row.Key); had {
+		e.checksum ^= before
+		e.checksums.Delete(row.Key)
+	}
+	if !x.Removed {
+		sum := versioned.RowChecksum(row.Key, row.Value)
+		e.checksum ^= sum
+		e.checksums.Put(row.Key, sum)
+	}
+	switch {
+	case x.Route != nil && x.Removed:
+		e.removeRoute(x.Route)
+	case x.Route != nil:
+		e.putRoute(x.Route)
+	case x.Tenant != nil:
+		e.applyTenant(x.Tenant, x.Removed)
+	case x.Limits != nil:
+		e.setLimits(x.Limits)
+	}
+	return nil
+}
+
+// editHost returns a host that this edit may change, by its name in lower case: a copy where the snapshots before have
+// it too.
+func (e *snapshotEdit) editHost(name string) *host {
+	before, had := e.hosts.Get(name)
+	if e.ownHosts[name] {
+		return before
+	}
+	h := &host{routes: map[string]*route{}}
+	if had {
+		for prefix, r := range before.routes {
+			h.routes[prefix] = r
+		}
+		h.lengths = slices.Clone(before.lengths)
+	}
+	e.ownHosts[name] = true
+	e.hosts.Put(name, h)
+	return h
+}
+
+// putRoute adds or replaces a route.
+func (e *snapshotEdit) putRoute(r *api.Route) {
+	h := e.editHost(strings.ToLower(r.Host))
+	h.routes[r.Prefix] = newRoute(r)
+	if at, is := h.findLength(len(r.Prefix)); !is {
+		h.lengths = slices.Insert(h.lengths, at, len(r.Prefix))
+	}
+}
+
+// removeRoute removes a route, and its host with the last one.
+func (e *snapshotEdit) removeRoute(r *api.Route) {
+	name := strings.ToLower(r.Host)
+	h := e.editHost(name)
+	delete(h.routes, r.Prefix)
+	if len(h.routes) == 0 {
+		e.hosts.Delete(name)
+		delete(e.ownHosts, name)
+		return
+	}
+	for prefix := range h.routes {
+		if len(prefix) == len(r.Prefix) {
+			return
+		}
+	}
+	if at, is := h.findLength(len(r.Prefix)); is {
+		h.lengths = slices.Delete(h.lengths, at, at+1)
+	}
+}
+
+// findLength returns where a length stands among those of the prefixes, or would stand.
+func (h *host) findLength(length int) (at int, is bool) {
+	return slices.BinarySearchFunc(h.lengths, length, func(a, b int) int { return b - a })
+}
+
+// applyTenant adds, replaces or removes a tenant with its keys and its plan.
+func (e *snapshotEdit) applyTenant(t *api.Tenant, removed bool) {
+	id := quota.TenantID(t.Name)
+	if before, had := e.tenants.Get(t.Name); had {
+		for _, k := range before.keys {
+			if owner, is := e.keys.Get(k); is && owner.id == id { // the key may have gone to another tenant
+				e.keys.Delete(k)
+			}
+		}
+		e.tenants.Delete(t.Name)
+	}
+	if removed {
+		e.plans.drop = append(e.plans.drop, id)
+		return
+	}
+	x := &tenant{name: t.Name, id: id}
+	for _, k := range t.Keys {
+		hash := hashKey(k)
+		x.keys = append(x.keys, hash)
+		e.keys.Put(hash, x)
+	}
+	e.tenants.Put(t.Name, x)
+	e.plans.put[id] = quota.Plan{Rate: t.Rate, Burst: t.Burst}
+}
