--- a/dataplane/attempt/attempt.go
+++ b/dataplane/attempt/attempt.go
@@ -117,15 +117,15 @@
 func Classify(e Evidence) Classification {
 	switch {
 	case e.Written == NotWritten:
-		return Classification{Result: balance.Unsent}
+		return Classification{Result: balance.NotSent}
 	case e.Response == RequestAborted:
-		return Classification{balance.Given, true, ClientError}
+		return Classification{balance.Cancelled, true, ClientError}
 	case e.Response == NoResponse:
-		return Classification{balance.Failed, true, NoAnswer}
+		return Classification{balance.Failure, true, NoAnswer}
 	case e.Status/100 == 2:
 		return classifySuccess(e)
 	case e.Status == http.StatusMisdirectedRequest:
-		return Classification{Result: balance.Moved}
+		return Classification{Result: balance.Replaced}
 	case e.NotExecuted:
 		return classifyNotExecuted(e)
 	}
@@ -135,17 +135,17 @@
 // classifySuccess forwards a success only if the server sealed it and all of it can come.
 func classifySuccess(e Evidence) Classification {
 	if e.Sealed && e.Response != Truncated {
-		return Classification{balance.Good, true, ServerResponse}
+		return Classification{balance.Success, true, ServerResponse}
 	}
-	return Classification{balance.Failed, true, NoAnswer}
+	return Classification{balance.Failure, true, NoAnswer}
 }
 
 // classifyNotExecuted lets another server have the request, unless none would take it.
 func classifyNotExecuted(e Evidence) Classification {
 	if e.Status == http.StatusBadRequest && e.Response != Truncated {
-		return Classification{balance.Good, false, ServerResponse}
+		return Classification{balance.Success, false, ServerResponse}
 	}
-	return Classification{Result: balance.Full}
+	return Classification{Result: balance.Rejected}
 }
 
 // classifyFailure classifies an answer that is no success and does not say whether the
@@ -154,7 +154,7 @@
 	switch e.Status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		// These would promise the client that it has not run, which the server did not say.
-		return Classification{balance.Failed, true, BadGateway}
+		return Classification{balance.Failure, true, BadGateway}
 	}
 	// A truncated failure would either look complete to the client, or end its connection
 	// and with it the other requests on it.
@@ -164,13 +164,13 @@
 	}
 	switch {
 	case e.Status == http.StatusGatewayTimeout: // the time was up, which is not the server's fault
-		return Classification{balance.Given, true, answer}
+		return Classification{balance.Cancelled, true, answer}
 	case e.Status >= 500:
-		return Classification{balance.Erred, true, answer}
+		return Classification{balance.ServerError, true, answer}
 	case e.Response == Truncated:
-		return Classification{balance.Failed, true, answer}
+		return Classification{balance.Failure, true, answer}
 	}
-	return Classification{balance.Good, true, answer}
+	return Classification{balance.Success, true, answer}
 }
 
 // Reusable tells whether the connection may carry another request once the answer is
--- a/dataplane/attempt/attempt_test.go
+++ b/dataplane/attempt/attempt_test.go
@@ -223,7 +223,7 @@
 	}{
 		"a reset after bytes is taken for unsent": {turned(func(e Evidence, v *Classification) {
 			if e.Response == NoResponse {
-				*v = Classification{Result: balance.Unsent}
+				*v = Classification{Result: balance.NotSent}
 			}
 		}), "sent again"},
 		"silence is taken for proof": {turned(func(e Evidence, v *Classification) {
@@ -233,7 +233,7 @@
 		}), "sent again"},
 		"a part that was written is taken for none": {turned(func(e Evidence, v *Classification) {
 			if e.Written == PartlyWritten {
-				*v = Classification{Result: balance.Unsent}
+				*v = Classification{Result: balance.NotSent}
 			}
 		}), "sent again"},
 		"a bare 503 is passed on": {turned(func(e Evidence, v *Classification) {
@@ -243,7 +243,7 @@
 		}), "503 is answered"},
 		"a bare 429 is taken for proof": {turned(func(e Evidence, v *Classification) {
 			if e.Response == Complete && e.Status == 429 {
-				*v = Classification{Result: balance.Full}
+				*v = Classification{Result: balance.Rejected}
 			}
 		}), "sent again"},
 		"a bare 408 is passed on": {turned(func(e Evidence, v *Classification) {
@@ -257,7 +257,7 @@
 			}
 		}), "sent again"},
 		"Not-Executed is not heeded": {turned(func(e Evidence, v *Classification) {
-			if e.NotExecuted && v.Result == balance.Full {
+			if e.NotExecuted && v.Result == balance.Rejected {
 				v.MayHaveRun = true
 			}
 		}), "it has not run, and is given up"},
@@ -268,7 +268,7 @@
 		}), "not whole"},
 		"a success without a seal is passed on": {turned(func(e Evidence, v *Classification) {
 			if e.Response == Complete && e.Status == 200 {
-				*v = Classification{balance.Good, true, ServerResponse}
+				*v = Classification{balance.Success, true, ServerResponse}
 			}
 		}), "not the server's"},
 		"bytes behind an answer": {reuse(func(e Evidence) Evidence { e.TrailingBytes = 0; return e }), "used again"},
--- a/dataplane/attempt/tracker.go
+++ b/dataplane/attempt/tracker.go
@@ -46,9 +46,9 @@
 func (t *Tracker) Finish(result balance.Result, mayHaveRun, answered, bodyConsumed bool) Next {
 	t.inFlight--
 	t.mayHaveRun = t.mayHaveRun || mayHaveRun
-	t.reachedServer = t.reachedServer || result != balance.Unsent
+	t.reachedServer = t.reachedServer || result != balance.NotSent
 	switch {
-	case answered && (result == balance.Good || !t.Idempotent):
+	case answered && (result == balance.Success || !t.Idempotent):
 		return Deliver
 	case t.inFlight > 0:
 		return Wait // the other one may still succeed; a failure is kept until then
--- a/dataplane/balance/balance.go
+++ b/dataplane/balance/balance.go
@@ -47,8 +47,8 @@
 	otherCost  = 0.2    // a server that another limiter prefers ...
 	manyOther  = 0.5    // ... in a large fleet
 	coldFactor = 2.0    // a cold server is so much slower, at the most
-	Failure    = 255    // in Hint.Took: the answer failed
-	NotTold    = 255    // in Hint.Out: that is not told
+	TookFailed = 255    // in Hint.Took: the answer failed
+	OutUnknown = 255    // in Hint.Out: that is not told
 	tookScale  = 16.0
 )
 
@@ -362,14 +362,14 @@
 
 // The results.
 const (
-	Good   Result = iota // an answer in full
-	Full                 // it said that it did not run the request
-	Failed               // no answer, or none of use
-	Unsent               // nothing reached it: the connect failed
-	Given                // given up here: says nothing about the server
-	Moved                // another server stands at its address
-	Beaten               // given up as another answered first: it took at least as long
-	Erred                // it ran the request and answered with a failure of its own
+	Success     Result = iota // an answer in full
+	Rejected                  // it said that it did not run the request
+	Failure                   // no answer, or none of use
+	NotSent                   // nothing reached it: the connect failed
+	Cancelled                 // given up here: says nothing about the server
+	Replaced                  // another server stands at its address
+	HedgeLost                 // given up as another answered first: it took at least as long
+	ServerError               // it ran the request and answered with a failure of its own
 )
 
 // Done notes how an attempt ended and how long it took.
@@ -377,7 +377,7 @@
 	m.out = max(0, m.out-1)
 	took := uint8(0)
 	switch r {
-	case Good:
+	case Success:
 		v := m.service
 		v.usual.Observe(false)
 		m.health.ObserveSuccess(now, &v.usual)
@@ -389,29 +389,29 @@
 		ratio := tookMs / max(1, v.work)
 		took = uint8(max(1, min(tookScale*ratio, 254)))
 		s.observe(now, m, took)
-	case Beaten:
+	case HedgeLost:
 		ratio := tookMs / max(1, m.service.work)
 		if ratio > m.slow {
 			took = uint8(max(1, min(tookScale*ratio, 254)))
 			s.observe(now, m, took)
 		}
-	case Full:
+	case Rejected:
 		m.fullTo = now + fullMs
 		if m.rank < 2 && 2*m.Load(now) < float64(m.Capacity) {
 			s.failed(now, m, fullWeight)
 		}
-	case Failed, Unsent, Erred:
-		took = Failure
+	case Failure, NotSent, ServerError:
+		took = TookFailed
 		m.service.usual.Observe(true)
-		if r != Erred {
+		if r != ServerError {
 			s.zoneFailed(now, m, zoneWeight)
 		}
 		weight := 1.0
-		if r == Unsent {
+		if r == NotSent {
 			weight = health.ConclusiveWeight
 		}
 		s.failed(now, m, weight)
-	case Moved:
+	case Replaced:
 		m.awayTo = now + movedMs
 	}
 	s.touch(m, took)
@@ -462,7 +462,7 @@
 		if m := s.byHash[h]; m != nil {
 			n = m.out
 		}
-		out = append(out, Hint{h, uint8(min(NotTold-1, n)), took})
+		out = append(out, Hint{h, uint8(min(OutUnknown-1, n)), took})
 	}
 	clear(s.dirty)
 	return out
@@ -484,7 +484,7 @@
 			continue
 		}
 		switch h.Out {
-		case NotTold:
+		case OutUnknown:
 		case 0:
 			delete(m.others, from)
 		default:
@@ -492,7 +492,7 @@
 		}
 		switch h.Took {
 		case 0:
-		case Failure:
+		case TookFailed:
 			s.zoneFailed(now, m, toldWeight*zoneWeight)
 			s.failed(now, m, toldWeight)
 		default:
--- a/dataplane/balance/balance_test.go
+++ b/dataplane/balance/balance_test.go
@@ -70,7 +70,7 @@
 	list[0].State = api.Draining
 	s.Update(1, list)
 	s.Sent(s.byID["b"])
-	s.Done(2, s.byID["b"], Full, 1)
+	s.Done(2, s.byID["b"], Rejected, 1)
 	if got := pick(s, 3, Request{}); got != "c" {
 		t.Errorf("chose %q", got)
 	}
@@ -91,7 +91,7 @@
 	s := newSet("z1")
 	a := s.byID["a"]
 	s.Sent(a)
-	s.Done(0, a, Good, 100)
+	s.Done(0, a, Success, 100)
 	sent := 0
 	for pick(s, 0, Request{LeftMs: 300}) != "" {
 		s.Sent(a)
@@ -108,8 +108,8 @@
 func TestOutliers(t *testing.T) {
 	s := newSet("z1", "z1")
 	s.Sent(s.byID["a"])
-	s.Done(0, s.byID["a"], Unsent, 1)
-	s.Heard(0, 7, []Hint{{Server: s.byID["a"].Hash, Took: Failure}})
+	s.Done(0, s.byID["a"], NotSent, 1)
+	s.Heard(0, 7, []Hint{{Server: s.byID["a"].Hash, Took: TookFailed}})
 	for range 20 {
 		if got := pick(s, 1, Request{}); got != "b" {
 			t.Fatalf("chose %q", got)
@@ -129,14 +129,14 @@
 	a := s.byID["a"]
 	now := 0.0
 	for k := range 40 { // all is well
-		s.Done(now, []*Member{a, s.byID["b"], s.byID["c"]}[k%3], Good, 100)
+		s.Done(now, []*Member{a, s.byID["b"], s.byID["c"]}[k%3], Success, 100)
 		now += 50
 	}
 	at := now
 	for k := 0; !a.health.Ejected(now) && k < 20; k++ {
-		r := Good
+		r := Success
 		if k%2 == 0 {
-			r = Erred
+			r = ServerError
 		}
 		s.Done(now, a, r, 100)
 		now += 140
@@ -155,7 +155,7 @@
 // that must not run twice go to another zone before others do.
 func TestDoubt(t *testing.T) {
 	s := newSet("z1", "z2")
-	s.Done(0, s.byID["a"], Erred, 100)
+	s.Done(0, s.byID["a"], ServerError, 100)
 	if got := pick(s, 1, Request{}); got != "a" {
 		t.Errorf("chose %q past an idle server of the zone", got)
 	}
--- a/dataplane/balance/deal_test.go
+++ b/dataplane/balance/deal_test.go
@@ -135,7 +135,7 @@
 	s := sets[0]
 	m := s.services["s"].members[0]
 	s.Heard(0, ids[1], []Hint{{Server: m.Hash, Out: 2}})
-	s.Heard(1, ids[1], []Hint{{Server: m.Hash, Out: NotTold, Took: Failure}})
+	s.Heard(1, ids[1], []Hint{{Server: m.Hash, Out: OutUnknown, Took: TookFailed}})
 	if got := m.Load(2); got != 2 || m.health.Suspicion(2) == 0 {
 		t.Errorf("load %v, a doubt of %v", got, m.health.Suspicion(2))
 	}
--- a/dataplane/crossing_test.go
+++ b/dataplane/crossing_test.go
@@ -105,7 +105,7 @@
 	if ctx.Err() == nil {
 		t.Fatal("the connection was not put back")
 	}
-	if o.result != balance.Good || g.forwarder.pool.IdleConns("i-0") != 1 || g.forwarder.pool.OpenConns() != 1 {
+	if o.result != balance.Success || g.forwarder.pool.IdleConns("i-0") != 1 || g.forwarder.pool.OpenConns() != 1 {
 		t.Errorf("result %d, %d idle, %d open; want an answer and its connection kept", o.result, g.forwarder.pool.IdleConns("i-0"), g.forwarder.pool.OpenConns())
 	}
 	if g.forwarder.pool.Get(host) != c {
--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -23,7 +23,7 @@
 	hints := []balance.Hint{
 		{Server: 0, Out: 0, Took: 0},
 		{Server: 0x89abcdef, Out: 3, Took: 16},
-		{Server: 1<<32 - 1, Out: balance.NotTold, Took: balance.Failure},
+		{Server: 1<<32 - 1, Out: balance.OutUnknown, Took: balance.TookFailed},
 	}
 	demand := []balance.Demand{{Service: 0, Level: 1}, {Service: 0xbeef, Level: 200}}
 	classes := []quota.Class{{Set: 0xcafef00d, Count: 41}, {Set: 7, Count: 300}}
--- a/dataplane/gossip/teller.go
+++ b/dataplane/gossip/teller.go
@@ -232,7 +232,7 @@
 					if h.Took < notable {
 						continue
 					}
-					h.Out = balance.NotTold
+					h.Out = balance.OutUnknown
 				}
 				x.hint(h)
 				x.theirs = x.theirs || b.ZoneOf(h.Server) == x.Zone
@@ -359,7 +359,7 @@
 
 // hint has a target told of a server: the newest load, and the last answer.
 func (x *target) hint(h balance.Hint) {
-	x.failed = x.failed || h.Took == balance.Failure
+	x.failed = x.failed || h.Took == balance.TookFailed
 	i, had := slices.BinarySearchFunc(x.hints, h, func(a, b balance.Hint) int { return cmp.Compare(a.Server, b.Server) })
 	if !had {
 		x.hints = slices.Insert(x.hints, i, h)
--- a/dataplane/gossip/words_test.go
+++ b/dataplane/gossip/words_test.go
@@ -147,7 +147,7 @@
 	for now := 0.0; now < 1000*seconds; now += teller.TickMs() {
 		for _, m := range b.Members() { // all that can be is news, good and bad
 			b.Sent(m)
-			b.Done(now, m, []balance.Result{balance.Good, balance.Failed}[int(now)%2], 100)
+			b.Done(now, m, []balance.Result{balance.Success, balance.Failure}[int(now)%2], 100)
 		}
 		teller.Tick(now, q, b, func(to uint64, w *Message) {
 			sent += len(w.Append(nil)) + wordOverhead
@@ -253,7 +253,7 @@
 		}
 		for _, m := range b.Members() { // slow answers, which are loads to tell
 			b.Sent(m)
-			b.Done(now, m, balance.Good, 100*float64(1+int(now)%7))
+			b.Done(now, m, balance.Success, 100*float64(1+int(now)%7))
 		}
 		teller.Tick(now, q, b, func(to uint64, w *Message) {
 			if now > 2000 && len(w.Consumed) > 0 { // the burst is used up
--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -112,7 +112,7 @@
 // runAttempt carries an attempt out and reports its end to the limiter, then to the lifecycle.
 func (l *lifecycle) runAttempt(at *upstreamAttempt) {
 	f := l.forwarder
-	at.attemptOutcome = attemptOutcome{result: balance.Unsent}
+	at.attemptOutcome = attemptOutcome{result: balance.NotSent}
 	if at.lateAfter > 0 {
 		late := time.AfterFunc(at.lateAfter, func() {
 			f.limiter.mu.Lock()
--- a/dataplane/metrics.go
+++ b/dataplane/metrics.go
@@ -60,8 +60,8 @@
 
 // resultNames are the results of attempts in metrics and in the log that `elmspan explain` reads.
 var resultNames = map[balance.Result]string{
-	balance.Good: "good", balance.Full: "full", balance.Failed: "failed", balance.Unsent: "unsent",
-	balance.Given: "given_up", balance.Moved: "moved", balance.Beaten: "beaten", balance.Erred: "erred",
+	balance.Success: "good", balance.Rejected: "full", balance.Failure: "failed", balance.NotSent: "unsent",
+	balance.Cancelled: "given_up", balance.Replaced: "moved", balance.HedgeLost: "beaten", balance.ServerError: "erred",
 }
 
 // observeAttempt counts an attempt at a server. Without metrics it costs a comparison.
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -616,10 +616,10 @@
 			r.Reusable = func(e attempt.Evidence) bool { e.TrailingBytes = 0; return e.Reusable() }
 		}), "once", "the next filing is answered 502"},
 		"a reset after bytes is taken for unsent": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
-			return attempt.Classification{Result: balance.Unsent}, e.Response == attempt.NoResponse
+			return attempt.Classification{Result: balance.NotSent}, e.Response == attempt.NoResponse
 		}), "once", "ran 2 times"},
 		"a bare 503 is passed on": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
-			return attempt.Classification{Result: balance.Failed, MayHaveRun: true, Answer: attempt.ServerResponse}, e.Status == 503 && !e.NotExecuted && e.Response == attempt.Complete
+			return attempt.Classification{Result: balance.Failure, MayHaveRun: true, Answer: attempt.ServerResponse}, e.Status == 503 && !e.NotExecuted && e.Response == attempt.Complete
 		}), "once", "answered 503, but it ran"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -37,7 +37,7 @@
 		}
 		if !f.pool.Available(host) { // the server went while we connected
 			c.Close()
-			return attemptOutcome{result: balance.Moved}
+			return attemptOutcome{result: balance.Replaced}
 		}
 		cancelClose := context.AfterFunc(at.ctx, c.Close)
 		o := f.roundTrip(r, at.member, c)
@@ -45,7 +45,7 @@
 			if o.response != nil {
 				o.response.release()
 			}
-			return attemptOutcome{result: balance.Beaten, mayHaveRun: true}
+			return attemptOutcome{result: balance.HedgeLost, mayHaveRun: true}
 		}
 		// Only now is it certain that a cancellation closes no connection that another request has.
 		switch streams := o.response != nil && o.response.rest != nil; {
@@ -54,7 +54,7 @@
 		case !streams:
 			c.Close()
 		}
-		if o.result == balance.Unsent && kept {
+		if o.result == balance.NotSent && kept {
 			continue
 		}
 		return o
@@ -81,11 +81,11 @@
 	case err == nil:
 		return c, false, 0
 	case at.ctx.Err() != nil:
-		return nil, false, balance.Given
+		return nil, false, balance.Cancelled
 	case !errors.Is(err, connpool.ErrPoolExhausted):
 		f.pool.CloseIdle(host)
 	}
-	return nil, false, balance.Unsent
+	return nil, false, balance.NotSent
 }
 
 // roundTrip writes the request and reads the response. The connection is its caller's, or the response's where that is
@@ -93,7 +93,7 @@
 func (f *forwarder) roundTrip(r *request, m *balance.Member, c *conn) attemptOutcome {
 	c.SetDeadline(r.deadline)
 	if c.Used && !c.Reusable() {
-		return attemptOutcome{result: balance.Unsent}
+		return attemptOutcome{result: balance.NotSent}
 	}
 	age, sent := c.IdleGroup(), time.Now()
 	c.BeginExchange(math.MaxInt)
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -248,7 +248,7 @@
 	}
 	f.engine.after(x.until-f.engine.now, func() { // what is still out is given up
 		for _, id := range slices.Sorted(maps.Keys(x.out)) {
-			x.ended(id, balance.Failed, true, false)
+			x.ended(id, balance.Failure, true, false)
 		}
 	})
 }
@@ -275,13 +275,13 @@
 	}
 	s := f.servers[id]
 	if s == nil || s.zone == f.dark {
-		f.engine.after(connectLost, func() { x.ended(id, balance.Unsent, false, false) })
+		f.engine.after(connectLost, func() { x.ended(id, balance.NotSent, false, false) })
 		return
 	}
 	d := f.delay(n.zone, s.zone)
 	f.engine.after(d, func() {
 		if s.dead {
-			f.engine.after(d, func() { x.ended(id, balance.Unsent, false, false) })
+			f.engine.after(d, func() { x.ended(id, balance.NotSent, false, false) })
 			return
 		}
 		s.arrive(&job{id: x.id, tenant: x.tenant, class: x.class, deadline: x.until, answer: func(r balance.Result, ran, answered bool) {
--- a/lab/simulation/policy.go
+++ b/lab/simulation/policy.go
@@ -116,7 +116,7 @@
 }
 
 func (c *ownCourse) givenUp(now float64, server string, tookMs float64) {
-	c.l.Done(now, c.out[server], balance.Beaten, tookMs)
+	c.l.Done(now, c.out[server], balance.HedgeLost, tookMs)
 }
 
 func (c *ownCourse) status(now float64) int   { return c.Status(now) }
--- a/lab/simulation/server.go
+++ b/lab/simulation/server.go
@@ -55,10 +55,10 @@
 	s.f.ledger.Arrived(j.id, s.spec.Name)
 	if s.busy+len(s.queue) >= s.spec.Slots+s.spec.Queue {
 		if s.spec.HangsWhenFull {
-			e.after(j.deadline-e.now, func() { j.end(balance.Failed, true, false) })
+			e.after(j.deadline-e.now, func() { j.end(balance.Failure, true, false) })
 			return
 		}
-		j.end(balance.Full, false, false)
+		j.end(balance.Rejected, false, false)
 		return
 	}
 	s.inHand[j] = true
@@ -74,7 +74,7 @@
 		s.queue = s.queue[1:]
 		if e.now >= j.deadline { // its time is up: it does not run
 			delete(s.inHand, j)
-			j.end(balance.Full, false, false)
+			j.end(balance.Rejected, false, false)
 			continue
 		}
 		s.busy++
@@ -88,9 +88,9 @@
 			s.busy--
 			delete(s.inHand, j)
 			if lost {
-				e.after(j.deadline-e.now, func() { j.end(balance.Failed, true, false) })
+				e.after(j.deadline-e.now, func() { j.end(balance.Failure, true, false) })
 			} else {
-				j.end(balance.Good, true, true)
+				j.end(balance.Success, true, true)
 			}
 			s.next()
 		})
@@ -104,6 +104,6 @@
 	clear(s.inHand)
 	s.queue = nil
 	for _, j := range jobs {
-		j.end(balance.Failed, true, false)
+		j.end(balance.Failure, true, false)
 	}
 }
