--- a/dataplane/h1/h1_test.go
+++ b/dataplane/h1/h1_test.go
@@ -165,7 +165,7 @@
 // Heads that announce an answer are passed over, but not without end.
 func TestInterimAnswers(t *testing.T) {
 	const interim, final = "HTTP/1.1 103 x\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"
-	for n, want := range map[int]int{0: 200, mostInterim: 200, mostInterim + 1: 0} {
+	for n, want := range map[int]int{0: 200, maxInterim: 200, maxInterim + 1: 0} {
 		h, err := ReadResponse(bufio.NewReader(strings.NewReader(strings.Repeat(interim, n)+final)), 100)
 		if want == 0 && err == nil || want != 0 && (err != nil || h.Status != want) {
 			t.Errorf("%d before: %+v, %v", n, h, err)
@@ -181,7 +181,7 @@
 	for name, c := range map[string]struct {
 		in      string
 		framing int64
-		most    int64
+		limit   int64
 		want    int // bytes
 		short   bool
 		done    bool
@@ -198,7 +198,7 @@
 		"till the end":   {text, UntilClose, 8000, 5000, false, true},
 	} {
 		b := NewBody(bufio.NewReader(strings.NewReader(c.in)), c.framing)
-		got, err := b.ReadUpTo(c.most)
+		got, err := b.ReadUpTo(c.limit)
 		if string(got) != text[:c.want] || errors.Is(err, ErrUnexpectedEnd) != c.short || err != nil && !c.short || b.Done() != c.done {
 			t.Errorf("%s: %d bytes, %v, done %v", name, len(got), err, b.Done())
 		}
--- a/dataplane/h1/head.go
+++ b/dataplane/h1/head.go
@@ -11,23 +11,25 @@
 	"time"
 )
 
-// Error is a malformed message, with the status that answers it.
+// Error tells what is wrong with a message of the other side. Callers find it with [errors.As]. Its texts are sent to
+// clients as they are.
 type Error struct {
-	Status int
-	Reason string
+	Status int    // of the response to it
+	Reason string // plain text
 }
 
 func (e *Error) Error() string { return e.Reason }
 
-func bad(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
+// malformed returns the error of a message that is answered 400.
+func malformed(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
 
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// Head is the head of a request or an answer.
+// Head is the head of a request or a response.
 type Head struct {
 	Method, Target string // of a request
-	Status         int    // of an answer
+	Status         int    // of a response
 	HTTP10         bool   // HTTP/1.0
 	Fields         []Field
 }
@@ -52,7 +54,7 @@
 	return n
 }
 
-// HasToken tells whether a list field holds a token.
+// HasToken reports whether a list field holds a token.
 func (h *Head) HasToken(name, token string) bool {
 	for i := range h.Fields {
 		if strings.EqualFold(h.Fields[i].Name, name) {
@@ -66,12 +68,12 @@
 	return false
 }
 
-// readLines reads up to and with the empty line, bounded.
-func readLines(r *bufio.Reader, most int, tooLong error) (string, error) {
+// readLines reads up to and with the empty line, of limit bytes at most; tooLong is returned beyond.
+func readLines(r *bufio.Reader, limit int, tooLong error) (string, error) {
 	var all []byte
 	for {
 		line, err := r.ReadSlice('\n')
-		if len(all)+len(line) > most {
+		if len(all)+len(line) > limit {
 			return "", tooLong
 		}
 		all = append(all, line...)
@@ -84,19 +86,20 @@
 		n := len(all)
 		switch {
 		case n < 2 || all[n-2] != '\r':
-			return "", bad("a line does not end with CR LF")
+			return "", malformed("a line does not end with CR LF")
 		case n == 2: // an empty line before the first one (RFC 9112, 2.2)
 			all = all[:0]
-			most -= 2
+			limit -= 2
 		case n >= 4 && all[n-4] == '\r' && all[n-3] == '\n':
 			return string(all[:n-2]), nil
 		}
 	}
 }
 
-// ReadRequest reads the head of a request of so many bytes at most.
-func ReadRequest(r *bufio.Reader, most int) (*Head, error) {
-	text, err := readLines(r, most, &Error{431, "the head is too long"})
+// ReadRequest reads the head of a request, of limit bytes at most. The error is an *Error where the client is to be
+// told of it.
+func ReadRequest(r *bufio.Reader, limit int) (*Head, error) {
+	text, err := readLines(r, limit, &Error{431, "the head is too long"})
 	if err != nil {
 		return nil, err
 	}
@@ -105,8 +108,8 @@
 	target, proto, ok2 := strings.Cut(line, " ")
 	h := &Head{Method: method, Target: target}
 	switch {
-	case !ok1 || !ok2 || !token(method) || target == "" || !visible(target) || strings.Contains(proto, " "):
-		return nil, bad("the request line can't be read")
+	case !ok1 || !ok2 || !isToken(method) || target == "" || !isVisible(target) || strings.Contains(proto, " "):
+		return nil, malformed("the request line can't be read")
 	case proto == "HTTP/1.0":
 		h.HTTP10 = true
 	case proto != "HTTP/1.1":
@@ -118,27 +121,26 @@
 	return h, nil
 }
 
-// mostInterim is how many heads may announce an answer: each would be bounded, but not
-// all together.
-const mostInterim = 8
+// maxInterim is how many interim (1xx) responses may precede a response: each is bounded, but not all together.
+const maxInterim = 8
 
-// ReadResponse reads the head of an answer, passing over those that only announce it.
-func ReadResponse(r *bufio.Reader, most int) (*Head, error) {
+// ReadResponse reads the head of a response, of limit bytes at most, and skips interim responses (1xx).
+func ReadResponse(r *bufio.Reader, limit int) (*Head, error) {
 	for interim := 0; ; interim++ {
-		if interim > mostInterim {
-			return nil, bad("more than %d heads announce an answer", mostInterim)
+		if interim > maxInterim {
+			return nil, malformed("more than %d heads announce an answer", maxInterim)
 		}
-		text, err := readLines(r, most, errors.New("the answer's head is too long"))
+		text, err := readLines(r, limit, errors.New("the answer's head is too long"))
 		if err != nil {
 			return nil, err
 		}
 		line, rest, _ := strings.Cut(text, "\r\n")
 		h := &Head{HTTP10: strings.HasPrefix(line, "HTTP/1.0 ")}
 		if !h.HTTP10 && !strings.HasPrefix(line, "HTTP/1.1 ") || len(line) < 12 || len(line) > 12 && line[12] != ' ' {
-			return nil, bad("the status line can't be read")
+			return nil, malformed("the status line can't be read")
 		}
 		if h.Status, err = strconv.Atoi(line[9:12]); err != nil || h.Status < 100 || h.Status > 599 {
-			return nil, bad("the status %q", line[9:12])
+			return nil, malformed("the status %q", line[9:12])
 		}
 		if h.Fields, err = fields(rest); err != nil {
 			return nil, err
@@ -147,24 +149,25 @@
 			return h, nil
 		}
 		if h.Status == 101 {
-			return nil, bad("a switch of protocols that nobody asked for")
+			return nil, malformed("a switch of protocols that nobody asked for")
 		}
 	}
 }
 
+// fields parses the header fields behind the first line.
 func fields(text string) ([]Field, error) {
 	out := make([]Field, 0, strings.Count(text, "\r\n"))
 	for text != "" {
 		var line string
 		line, text, _ = strings.Cut(text, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !token(name) { // also a folded line, and a space before the colon
-			return nil, bad("a header field's name can't be read")
+		if !ok || !isToken(name) { // also a folded line, and a space before the colon
+			return nil, malformed("a header field's name can't be read")
 		}
 		value = strings.Trim(value, " \t")
 		for i := range len(value) {
 			if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
-				return nil, bad("the value of %s holds a control character", name)
+				return nil, malformed("the value of %s holds a control character", name)
 			}
 		}
 		out = append(out, Field{name, value})
@@ -172,17 +175,23 @@
 	return out, nil
 }
 
-func token(s string) bool {
+// tokenSymbols are the characters of a token besides letters and digits.
+const tokenSymbols = "!#$%&'*+-.^_`|~"
+
+// isToken reports whether s is a token (RFC 9110, 5.6.2).
+func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9') && !strings.ContainsRune("!#$%&'*+-.^_`|~", rune(c)) {
+		alphanumeric := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !alphanumeric && !strings.ContainsRune(tokenSymbols, rune(c)) {
 			return false
 		}
 	}
 	return s != ""
 }
 
-func visible(s string) bool {
+// isVisible reports whether s has visible ASCII characters only.
+func isVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -191,11 +200,10 @@
 	return true
 }
 
-// Body tells how a body is framed: a length of 0 or more, or -1 for chunks,
-// or -2 for an answer that ends with its connection.
+// A framing is the length of a body in bytes, or one of these.
 const (
-	Chunked    = -1
-	UntilClose = -2
+	Chunked    = -1 // in chunks
+	UntilClose = -2 // a response that ends with its connection
 )
 
 // RequestFraming returns the framing of a request's body.
@@ -207,7 +215,7 @@
 	return 0, nil
 }
 
-// ResponseFraming returns the framing of the body of an answer to a method.
+// ResponseFraming returns the framing of the body of a response to a request's method.
 func (h *Head) ResponseFraming(method string) (int64, error) {
 	n, framed, err := h.framing()
 	switch {
@@ -221,15 +229,16 @@
 	return UntilClose, nil
 }
 
+// framing returns the framing that the fields tell, and whether they tell one.
 func (h *Head) framing() (n int64, framed bool, err error) {
 	te, cl := h.Count("Transfer-Encoding"), h.Count("Content-Length")
 	switch {
 	case te > 0 && cl > 0:
-		return 0, false, bad("both Content-Length and Transfer-Encoding")
+		return 0, false, malformed("both Content-Length and Transfer-Encoding")
 	case te > 1 || cl > 1:
-		return 0, false, bad("Content-Length or Transfer-Encoding stands there twice")
+		return 0, false, malformed("Content-Length or Transfer-Encoding stands there twice")
 	case te == 1 && h.HTTP10:
-		return 0, false, bad("Transfer-Encoding in HTTP/1.0")
+		return 0, false, malformed("Transfer-Encoding in HTTP/1.0")
 	case te == 1:
 		if !strings.EqualFold(h.Get("Transfer-Encoding"), "chunked") {
 			return 0, false, &Error{501, "a Transfer-Encoding other than chunked"}
@@ -238,7 +247,7 @@
 	case cl == 1:
 		v := h.Get("Content-Length")
 		if len(v) == 0 || len(v) > 18 || strings.Trim(v, "0123456789") != "" {
-			return 0, false, bad("Content-Length %q", v)
+			return 0, false, malformed("Content-Length %q", v)
 		}
 		n, err = strconv.ParseInt(v, 10, 64)
 		return n, true, err
@@ -261,7 +270,7 @@
 	return 0
 }
 
-// ClosesConnection tells that the sender closes the connection after this message.
+// ClosesConnection reports whether the sender closes the connection after this message.
 func (h *Head) ClosesConnection() bool {
 	return h.HasToken("Connection", "close") || h.HTTP10 && !h.HasToken("Connection", "keep-alive")
 }
--- a/dataplane/refusal.go
+++ b/dataplane/refusal.go
@@ -9,7 +9,8 @@
 // malformedCode is the reason code of requests that can't be read or are beyond the limits.
 const malformedCode = "malformed"
 
-// refusalReason is why the gateway gave a response of its own: a code for logs and metrics, and a plain line for the client.
+// refusalReason is why the gateway gave a response of its own: a code for logs and metrics, and a plain line for the
+// client.
 type refusalReason struct {
 	status int
 	code   string
--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -91,7 +91,7 @@
 // roundTrip writes the request and reads the response. The connection is its caller's, or the response's where that is
 // not read whole.
 func (f *forwarder) roundTrip(r *request, m *balance.Member, c *conn) attemptOutcome {
-	c.SetDeadline(r.deadline)
+	_ = c.SetDeadline(r.deadline) // fails on a closed connection, as the write then does
 	if c.Used && !c.Reusable() {
 		return attemptOutcome{result: balance.NotSent}
 	}
--- a/dataplane/upstreamrequest.go
+++ b/dataplane/upstreamrequest.go
@@ -70,16 +70,26 @@
 				return err
 			}
 		}
-		if err != nil && !errors.Is(err, io.EOF) {
-			if errors.As(err, new(*h1.Error)) {
+		if err != nil {
+			if err = bodyFault(err); err != nil {
 				return err
 			}
-			return &h1.Error{Status: 400, Reason: "the body breaks off"} // its server never has the whole
 		}
 	}
 	return s.end()
 }
 
+// bodyFault returns what is wrong with a client's body, by the error of reading it; nil at its end.
+func bodyFault(err error) error {
+	if errors.As(err, new(*h1.Error)) {
+		return err
+	}
+	if errors.Is(err, io.EOF) {
+		return nil
+	}
+	return &h1.Error{Status: 400, Reason: "the body breaks off"} // its server never has the whole
+}
+
 // bodyStream writes a body to a server piece by piece, each when it is its turn on the link.
 type bodyStream struct {
 	w       io.Writer
