--- a/dataplane/balance/balance.go
+++ b/dataplane/balance/balance.go
@@ -17,47 +17,47 @@
 	"example.org/elmspan/health"
 )
 
-// Reach is how many limiters of its zone, on each side of it by their ids, a
+// NeighborReach is how many limiters of its zone, on each side of it by their ids, a
 // limiter of a large fleet hears the loads of; see [Set.deal].
-const Reach = 1
+const NeighborReach = 1
 
 const (
 	closeLeast  = 4 // fewer servers are not kept apart
 	sampleSize  = 3 // drawn at random where those near won't do ...
 	sampleDraws = 8 // ... in so many draws at most
 
-	hintMs     = 1500.0 // a limiter's word on its load counts so long
-	slowWeight = 0.15   // of one answer in a server's slowness
-	fadeMs     = 4000.0 // slowness fades towards the typical over this time
-	workWeight = 0.02   // of one answer in a service's typical work
-	fullMs     = 60.0   // a server that was full is left alone so long
-	movedMs    = 8000.0 // another server stands at its address
-	toldWeight = 0.25   // of a failure that another limiter tells of
-	fullWeight = 0.4    // ... of a server that says it is full, and has room as far as is known
-	lateWeight = 0.5    // ... of one that owes an answer for long
-	zoneWeight = 0.6    // of a failure at a server, against its zone; see zone.go
-	doubtCost  = 0.5    // what nearly enough against a server costs ...
-	onceCost   = 2.0    // ... a request that must not run twice: a failure is the end of it
-	crossCost  = 0.5    // of typical work: what a server in another zone costs more
-	bulkCost   = 0.7    // ... where answers are large and bytes between zones are paid for ...
-	manyBulk   = 2.0    // ... in a large fleet, where there are enough in the zone
-	queueCost  = 1.8    // waiting counts more than work: it is what makes answers late
-	manyQueue  = 3.0    // ... in a large fleet, where nobody tells what waits
-	fillCost   = 0.2    // servers slow down when nearly full
-	otherCost  = 0.2    // a server that another limiter prefers ...
-	manyOther  = 0.5    // ... in a large fleet
-	coldFactor = 2.0    // a cold server is so much slower, at the most
-	TookFailed = 255    // in Hint.Took: the answer failed
-	OutUnknown = 255    // in Hint.Out: that is not told
-	tookScale  = 16.0
+	hintMs          = 1500.0 // a limiter's word on its load counts so long
+	slowWeight      = 0.15   // of one answer in a server's slowness
+	fadeMs          = 4000.0 // slowness fades towards the typical over this time
+	workWeight      = 0.02   // of one answer in a service's typical work
+	fullMs          = 60.0   // a server that was full is left alone so long
+	movedMs         = 8000.0 // another server stands at its address
+	toldWeight      = 0.25   // of a failure that another limiter tells of
+	fullWeight      = 0.4    // ... of a server that says it is full, and has room as far as is known
+	lateWeight      = 0.5    // ... of one that owes an answer for long
+	zoneWeight      = 0.6    // of a failure at a server, against its zone; see zone.go
+	doubtCost       = 0.5    // what nearly enough against a server costs ...
+	onceCost        = 2.0    // ... a request that must not run twice: a failure is the end of it
+	crossCost       = 0.5    // of typical work: what a server in another zone costs more
+	bulkCost        = 0.7    // ... where answers are large and bytes between zones are paid for ...
+	manyBulk        = 2.0    // ... in a large fleet, where there are enough in the zone
+	queueCost       = 1.8    // waiting counts more than work: it is what makes answers late
+	manyQueue       = 3.0    // ... in a large fleet, where nobody tells what waits
+	fillCost        = 0.2    // servers slow down when nearly full
+	otherCost       = 0.2    // a server that another limiter prefers ...
+	manyOther       = 0.5    // ... in a large fleet
+	coldFactor      = 2.0    // a cold server is so much slower, at the most
+	LatencyFailed   = 255    // in Hint.Took: the answer failed
+	InFlightUnknown = 255    // in Hint.Out: that is not told
+	tookScale       = 16.0
 )
 
 // Hint is what a limiter tells of a server: what it has out there and, where
 // an answer has come, how long that took against the typical one.
 type Hint struct {
-	Server uint32 // hash of the member's id
-	Out    uint8
-	Took   uint8 // in sixteenths of the typical time, 0: no answer since
+	Server   uint32 // hash of the member's id
+	InFlight uint8
+	Latency  uint8 // in sixteenths of the typical time, 0: no answer since
 }
 
 // Member is one server process.
@@ -117,9 +117,9 @@
 		byHash: map[uint32]*Member{}, services: map[string]*service{}, dirty: map[uint32]uint8{}, zones: map[string]*health.Detector{}}
 }
 
-// Update takes in a whole list of servers. One with a new member id is a new
+// SetServers takes in a whole list of servers. One with a new member id is a new
 // server, whatever stood at its address.
-func (s *Set) Update(now float64, list []api.Server) {
+func (s *Set) SetServers(now float64, list []api.Server) {
 	is := make(map[string]bool, len(list))
 	for _, e := range list {
 		is[e.ID] = true
@@ -130,11 +130,11 @@
 			gone = append(gone, id)
 		}
 	}
-	s.Change(now, list, gone)
+	s.ApplyDelta(now, list, gone)
 }
 
-// Change takes in servers that are new or not as they were, and which are gone.
-func (s *Set) Change(now float64, put []api.Server, gone []string) {
+// ApplyDelta takes in servers that are new or not as they were, and which are gone.
+func (s *Set) ApplyDelta(now float64, put []api.Server, gone []string) {
 	touched := map[string]bool{}
 	for _, id := range gone {
 		m := s.byID[id]
@@ -196,10 +196,10 @@
 	}
 }
 
-// Peers says which other limiters there are in this zone, by the hashes of
+// SetPeers says which other limiters there are in this zone, by the hashes of
 // their names, and whether there are so many in all that those of other zones
 // say nothing of what they have out.
-func (s *Set) Peers(ids []uint64, many bool) {
+func (s *Set) SetPeers(ids []uint64, many bool) {
 	s.peers, s.many = append([]uint64{s.self}, ids...), many
 	slices.Sort(s.peers)
 	for _, v := range s.services {
@@ -250,12 +250,12 @@
 
 // Request is what the choice depends on.
 type Request struct {
-	Service string
-	Bulk    bool // a large answer
-	Once    bool // it must not run twice
-	LeftMs  float64
-	Idle    bool // only a server with room will do
-	Tried   []*Member
+	Service       string
+	Bulk          bool // a large answer
+	NonIdempotent bool // it must not run twice
+	RemainingMs   float64
+	IdleOnly      bool // only a server with room will do
+	Tried         []*Member
 }
 
 // Choose returns the server with the least expected finish, or nil where none
@@ -281,7 +281,7 @@
 				load = max(load, around*c)
 			}
 			queued := max(0, load+1-c) / c
-			if r.Idle && load >= c {
+			if r.IdleOnly && load >= c {
 				continue
 			}
 			foreign := 0.0
@@ -308,7 +308,7 @@
 				other = manyOther
 			}
 			doubt := doubtCost
-			if r.Once {
+			if r.NonIdempotent {
 				doubt = onceCost
 			}
 			cost += other*float64(m.rank) + foreign + doubt*m.health.Suspicion(now) + 0.01*s.rng.Float64()
@@ -322,7 +322,7 @@
 			around += m.Load(now) / float64(m.Capacity) / float64(len(v.close))
 		}
 		consider(v.close, 0)
-		if best == nil || work*bestTime > r.LeftMs {
+		if best == nil || work*bestTime > r.RemainingMs {
 			consider(s.sample(now, v), 0)
 		}
 	}
@@ -332,8 +332,8 @@
 	switch {
 	case best == nil:
 		return nil, fullMs
-	case v.n > 0 && work*bestTime > r.LeftMs && bestLoad >= float64(best.Capacity):
-		return nil, max(fullMs, work*bestTime-r.LeftMs)
+	case v.n > 0 && work*bestTime > r.RemainingMs && bestLoad >= float64(best.Capacity):
+		return nil, max(fullMs, work*bestTime-r.RemainingMs)
 	}
 	return best, 0
 }
@@ -351,8 +351,8 @@
 	return s.drawn
 }
 
-// Sent notes that a request goes to a server.
-func (s *Set) Sent(m *Member) {
+// StartAttempt notes that a request goes to a server.
+func (s *Set) StartAttempt(m *Member) {
 	m.out++
 	s.touch(m, 0)
 }
@@ -372,8 +372,8 @@
 	ServerError               // it ran the request and answered with a failure of its own
 )
 
-// Done notes how an attempt ended and how long it took.
-func (s *Set) Done(now float64, m *Member, r Result, tookMs float64) {
+// FinishAttempt notes how an attempt ended and how long it took.
+func (s *Set) FinishAttempt(now float64, m *Member, r Result, tookMs float64) {
 	m.out = max(0, m.out-1)
 	took := uint8(0)
 	switch r {
@@ -401,7 +401,7 @@
 			s.failed(now, m, fullWeight)
 		}
 	case Failure, NotSent, ServerError:
-		took = TookFailed
+		took = LatencyFailed
 		m.service.usual.Observe(true)
 		if r != ServerError {
 			s.zoneFailed(now, m, zoneWeight)
@@ -431,8 +431,8 @@
 // Slowness is by how much longer than is typical a server takes, 1 at the least.
 func (m *Member) Slowness(now float64) float64 { return max(1, m.slowness(now)) }
 
-// Overdue notes that a server owes an answer for long.
-func (s *Set) Overdue(now float64, m *Member) {
+// ObserveOverdue notes that a server owes an answer for long.
+func (s *Set) ObserveOverdue(now float64, m *Member) {
 	s.zoneFailed(now, m, lateWeight*zoneWeight)
 	s.failed(now, m, lateWeight)
 }
@@ -455,14 +455,14 @@
 	s.dirty[m.Hash] = took
 }
 
-// Hints returns what is to be told of servers since the last call.
-func (s *Set) Hints(out []Hint) []Hint {
+// DrainHints returns what is to be told of servers since the last call.
+func (s *Set) DrainHints(out []Hint) []Hint {
 	for h, took := range s.dirty {
 		n := 0
 		if m := s.byHash[h]; m != nil {
 			n = m.out
 		}
-		out = append(out, Hint{h, uint8(min(OutUnknown-1, n)), took})
+		out = append(out, Hint{h, uint8(min(InFlightUnknown-1, n)), took})
 	}
 	clear(s.dirty)
 	return out
@@ -476,41 +476,41 @@
 	return ""
 }
 
-// Heard takes in another limiter's hints.
-func (s *Set) Heard(now float64, from uint64, hints []Hint) {
+// ReceiveHints takes in another limiter's hints.
+func (s *Set) ReceiveHints(now float64, from uint64, hints []Hint) {
 	for _, h := range hints {
 		m := s.byHash[h.Server]
 		if m == nil {
 			continue
 		}
-		switch h.Out {
-		case OutUnknown:
+		switch h.InFlight {
+		case InFlightUnknown:
 		case 0:
 			delete(m.others, from)
 		default:
-			m.others[from] = told{int(h.Out), now}
+			m.others[from] = told{int(h.InFlight), now}
 		}
-		switch h.Took {
+		switch h.Latency {
 		case 0:
-		case TookFailed:
+		case LatencyFailed:
 			s.zoneFailed(now, m, toldWeight*zoneWeight)
 			s.failed(now, m, toldWeight)
 		default:
-			s.observe(now, m, h.Took)
+			s.observe(now, m, h.Latency)
 		}
 	}
 }
 
-// Work is the typical time of an answer of a service, 0 where there was none.
-func (s *Set) Work(service string) float64 {
+// TypicalMs is the typical time of an answer of a service, 0 where there was none.
+func (s *Set) TypicalMs(service string) float64 {
 	if v := s.services[service]; v != nil {
 		return v.work
 	}
 	return 0
 }
 
-// Known tells whether any server of a service is known.
-func (s *Set) Known(service string) bool { return s.services[service] != nil }
+// HasService tells whether any server of a service is known.
+func (s *Set) HasService(service string) bool { return s.services[service] != nil }
 
 // Len is the number of servers known.
 func (s *Set) Len() int { return len(s.byID) }
@@ -525,5 +525,5 @@
 	return out
 }
 
-// Out is what this limiter has out at a server.
-func (m *Member) Out() int { return m.out }
+// InFlight is what this limiter has out at a server.
+func (m *Member) InFlight() int { return m.out }
--- a/dataplane/balance/balance_test.go
+++ b/dataplane/balance/balance_test.go
@@ -15,14 +15,14 @@
 
 func newSet(zones ...string) *Set {
 	s := New("z1", 1, 1)
-	s.Update(0, servers(zones...))
+	s.SetServers(0, servers(zones...))
 	return s
 }
 
 func pick(s *Set, now float64, r Request) string {
 	r.Service = "s"
-	if r.LeftMs == 0 {
-		r.LeftMs = 1000
+	if r.RemainingMs == 0 {
+		r.RemainingMs = 1000
 	}
 	m, _ := s.Choose(now, r)
 	if m == nil {
@@ -34,11 +34,11 @@
 // What other limiters have out counts as what is out here.
 func TestOthersLoadCounts(t *testing.T) {
 	s := newSet("z1", "z1")
-	s.Heard(0, 7, []Hint{{Server: s.byID["a"].Hash, Out: 2}})
+	s.ReceiveHints(0, 7, []Hint{{Server: s.byID["a"].Hash, InFlight: 2}})
 	if got := pick(s, 1, Request{}); got != "b" {
 		t.Errorf("chose %q", got)
 	}
-	s.Heard(1, 7, []Hint{{Server: s.byID["b"].Hash, Out: 4}})
+	s.ReceiveHints(1, 7, []Hint{{Server: s.byID["b"].Hash, InFlight: 4}})
 	if got := pick(s, 2, Request{}); got != "a" {
 		t.Errorf("chose %q", got)
 	}
@@ -55,7 +55,7 @@
 		t.Errorf("chose %q", got)
 	}
 	for range 2 {
-		s.Sent(s.byID["b"])
+		s.StartAttempt(s.byID["b"])
 	}
 	if got := pick(s, 0, Request{}); got != "a" {
 		t.Errorf("chose %q past an idle server", got)
@@ -68,19 +68,19 @@
 	s := newSet("z1", "z1", "z1")
 	list := servers("z1", "z1", "z1")
 	list[0].State = api.Draining
-	s.Update(1, list)
-	s.Sent(s.byID["b"])
-	s.Done(2, s.byID["b"], Rejected, 1)
+	s.SetServers(1, list)
+	s.StartAttempt(s.byID["b"])
+	s.FinishAttempt(2, s.byID["b"], Rejected, 1)
 	if got := pick(s, 3, Request{}); got != "c" {
 		t.Errorf("chose %q", got)
 	}
 	if got := pick(s, 3, Request{Tried: []*Member{s.byID["c"]}}); got != "" {
 		t.Errorf("chose %q", got)
 	}
-	s.Update(4, servers("z1")[:1])
+	s.SetServers(4, servers("z1")[:1])
 	list = servers("z1")
 	list[0].ID = "new"
-	s.Update(5, list)
+	s.SetServers(5, list)
 	if s.Len() != 1 || pick(s, 5, Request{}) != "new" {
 		t.Error("the old member is still there")
 	}
@@ -90,11 +90,11 @@
 func TestNoQueuePastTheAim(t *testing.T) {
 	s := newSet("z1")
 	a := s.byID["a"]
-	s.Sent(a)
-	s.Done(0, a, Success, 100)
+	s.StartAttempt(a)
+	s.FinishAttempt(0, a, Success, 100)
 	sent := 0
-	for pick(s, 0, Request{LeftMs: 300}) != "" {
-		s.Sent(a)
+	for pick(s, 0, Request{RemainingMs: 300}) != "" {
+		s.StartAttempt(a)
 		if sent++; sent > 20 {
 			t.Fatal("the queue has no end")
 		}
@@ -107,15 +107,15 @@
 // Failures put a server aside, also those that others tell of; a success ends it.
 func TestOutliers(t *testing.T) {
 	s := newSet("z1", "z1")
-	s.Sent(s.byID["a"])
-	s.Done(0, s.byID["a"], NotSent, 1)
-	s.Heard(0, 7, []Hint{{Server: s.byID["a"].Hash, Took: TookFailed}})
+	s.StartAttempt(s.byID["a"])
+	s.FinishAttempt(0, s.byID["a"], NotSent, 1)
+	s.ReceiveHints(0, 7, []Hint{{Server: s.byID["a"].Hash, Latency: LatencyFailed}})
 	for range 20 {
 		if got := pick(s, 1, Request{}); got != "b" {
 			t.Fatalf("chose %q", got)
 		}
 	}
-	s.Update(2, servers("z1")[:1])
+	s.SetServers(2, servers("z1")[:1])
 	if got := pick(s, 2, Request{}); got != "a" {
 		t.Errorf("the only one left is not tried: %q", got)
 	}
@@ -129,7 +129,7 @@
 	a := s.byID["a"]
 	now := 0.0
 	for k := range 40 { // all is well
-		s.Done(now, []*Member{a, s.byID["b"], s.byID["c"]}[k%3], Success, 100)
+		s.FinishAttempt(now, []*Member{a, s.byID["b"], s.byID["c"]}[k%3], Success, 100)
 		now += 50
 	}
 	at := now
@@ -138,7 +138,7 @@
 		if k%2 == 0 {
 			r = ServerError
 		}
-		s.Done(now, a, r, 100)
+		s.FinishAttempt(now, a, r, 100)
 		now += 140
 	}
 	if !a.health.Ejected(now) || now-at > 1500 {
@@ -155,11 +155,11 @@
 // that must not run twice go to another zone before others do.
 func TestDoubt(t *testing.T) {
 	s := newSet("z1", "z2")
-	s.Done(0, s.byID["a"], ServerError, 100)
+	s.FinishAttempt(0, s.byID["a"], ServerError, 100)
 	if got := pick(s, 1, Request{}); got != "a" {
 		t.Errorf("chose %q past an idle server of the zone", got)
 	}
-	if got := pick(s, 1, Request{Once: true}); got != "b" {
+	if got := pick(s, 1, Request{NonIdempotent: true}); got != "b" {
 		t.Errorf("chose %q for what must not run twice", got)
 	}
 }
--- a/dataplane/balance/deal.go
+++ b/dataplane/balance/deal.go
@@ -59,8 +59,8 @@
 	return out
 }
 
-// HeardDemand takes in another limiter's demand.
-func (s *Set) HeardDemand(from uint64, told []Demand) {
+// ReceiveDemand takes in another limiter's demand.
+func (s *Set) ReceiveDemand(from uint64, told []Demand) {
 	if len(told) == 0 || !slices.Contains(s.peers, from) {
 		return
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Deal deals the servers out anew, where that is due.
-func (s *Set) Deal(now float64) {
+// UpdateSubsets deals the servers out anew, where that is due.
+func (s *Set) UpdateSubsets(now float64) {
 	if !s.many || now-s.dealtAt < dealMs {
 		return
 	}
@@ -124,7 +124,7 @@
 		return n * (ends[i-int(round)*p]/total + round)
 	}
 	v.close = v.close[:0]
-	for reach := Reach; ; reach++ {
+	for reach := NeighborReach; ; reach++ {
 		from, to := end(at-min(reach, p)), end(at+1+min(reach, p))
 		if to-from >= min(closeLeast, n) || reach >= p {
 			k := 0.0
--- a/dataplane/balance/deal_test.go
+++ b/dataplane/balance/deal_test.go
@@ -26,8 +26,8 @@
 				others = append(others, o)
 			}
 		}
-		s.Peers(others, true)
-		s.Update(0, list)
+		s.SetPeers(others, true)
+		s.SetServers(0, list)
 		sets = append(sets, s)
 	}
 	return sets, ids
@@ -40,13 +40,13 @@
 		v.rate, v.rateAt = perS(i), 0
 		for k, o := range sets {
 			if k != i {
-				o.HeardDemand(ids[i], s.Demands(0, nil))
+				o.ReceiveDemand(ids[i], s.Demands(0, nil))
 			}
 		}
 	}
 	for _, s := range sets {
 		s.dealtAt = -2 * dealMs
-		s.Deal(0)
+		s.UpdateSubsets(0)
 	}
 }
 
@@ -100,7 +100,7 @@
 	spread(sets, ids, func(int) float64 { return 20 })
 	before := held(sets[9])
 	s := sets[9]
-	s.Change(1, nil, []string{"i-000"})
+	s.ApplyDelta(1, nil, []string{"i-000"})
 	kept := 0
 	for id := range held(s) {
 		if before[id] {
@@ -116,7 +116,7 @@
 			others = append(others, id)
 		}
 	}
-	s.Peers(others, true)
+	s.SetPeers(others, true)
 	kept = 0
 	for id := range held(s) {
 		if before[id] {
@@ -134,8 +134,8 @@
 	sets, ids := zoneOf(30, 30)
 	s := sets[0]
 	m := s.services["s"].members[0]
-	s.Heard(0, ids[1], []Hint{{Server: m.Hash, Out: 2}})
-	s.Heard(1, ids[1], []Hint{{Server: m.Hash, Out: OutUnknown, Took: TookFailed}})
+	s.ReceiveHints(0, ids[1], []Hint{{Server: m.Hash, InFlight: 2}})
+	s.ReceiveHints(1, ids[1], []Hint{{Server: m.Hash, InFlight: InFlightUnknown, Latency: LatencyFailed}})
 	if got := m.Load(2); got != 2 || m.health.Suspicion(2) == 0 {
 		t.Errorf("load %v, a doubt of %v", got, m.health.Suspicion(2))
 	}
--- a/dataplane/balance/zone.go
+++ b/dataplane/balance/zone.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Dark lists the zones that are passed over, for reports.
-func (s *Set) Dark(now float64) (out []string) {
+// UnreachableZones lists the zones that are passed over, for reports.
+func (s *Set) UnreachableZones(now float64) (out []string) {
 	for name := range s.zones {
 		if s.dark(now, name) {
 			out = append(out, name)
--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -21,15 +21,15 @@
 		{Tenant: 0xffffffffff, Units: 1<<64 - 1, Level: 255},
 	}
 	hints := []balance.Hint{
-		{Server: 0, Out: 0, Took: 0},
-		{Server: 0x89abcdef, Out: 3, Took: 16},
-		{Server: 1<<32 - 1, Out: balance.OutUnknown, Took: balance.TookFailed},
+		{Server: 0, InFlight: 0, Latency: 0},
+		{Server: 0x89abcdef, InFlight: 3, Latency: 16},
+		{Server: 1<<32 - 1, InFlight: balance.InFlightUnknown, Latency: balance.LatencyFailed},
 	}
 	demand := []balance.Demand{{Service: 0, Level: 1}, {Service: 0xbeef, Level: 200}}
 	classes := []quota.Class{{Set: 0xcafef00d, Count: 41}, {Set: 7, Count: 300}}
 	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, StaleAge: 16}
 	for i := range 64 {
-		full.Hints = append(full.Hints, balance.Hint{Server: uint32(i) << 20, Out: uint8(i), Took: uint8(255 - i)})
+		full.Hints = append(full.Hints, balance.Hint{Server: uint32(i) << 20, InFlight: uint8(i), Latency: uint8(255 - i)})
 	}
 	full.GroupDigest = quota.Digest{Level: 16, First: true, Heard: 1 << 20, Set: 1<<32 - 1}
 	for i := range 8 {
--- a/dataplane/gossip/teller.go
+++ b/dataplane/gossip/teller.go
@@ -44,7 +44,7 @@
 	// LargeFleetPeers is how many other limiters get hints wherever they are. Where there
 	// are as many or more, those of other zones get none ...
 	LargeFleetPeers = 24
-	hintedAlong     = balance.Reach // ... and in the zone so many on each side of this one, by their ids
+	hintedAlong     = balance.NeighborReach // ... and in the zone so many on each side of this one, by their ids
 
 	wordOverhead = 28 // bytes of IP and UDP
 
@@ -209,8 +209,8 @@
 // Tick hands out the words that are due. A word is valid until send returns.
 func (t *Disseminator) Tick(now float64, q *quota.Set, b *balance.Set, send func(to uint64, w *Message)) {
 	t.spent = q.Report(now, t.spent[:0])
-	t.hints = b.Hints(t.hints[:0])
-	b.Deal(now)
+	t.hints = b.DrainHints(t.hints[:0])
+	b.UpdateSubsets(now)
 	t.demand = b.Demands(now, t.demand[:0])
 	digest := quota.Digest{}
 	if q.Level() > 0 {
@@ -229,10 +229,10 @@
 		if x.hinted || t.many && x.near && x.member {
 			for _, h := range t.hints {
 				if !x.hinted {
-					if h.Took < notable {
+					if h.Latency < notable {
 						continue
 					}
-					h.Out = balance.OutUnknown
+					h.InFlight = balance.InFlightUnknown
 				}
 				x.hint(h)
 				x.theirs = x.theirs || b.ZoneOf(h.Server) == x.Zone
@@ -359,14 +359,14 @@
 
 // hint has a target told of a server: the newest load, and the last answer.
 func (x *target) hint(h balance.Hint) {
-	x.failed = x.failed || h.Took == balance.TookFailed
+	x.failed = x.failed || h.Latency == balance.LatencyFailed
 	i, had := slices.BinarySearchFunc(x.hints, h, func(a, b balance.Hint) int { return cmp.Compare(a.Server, b.Server) })
 	if !had {
 		x.hints = slices.Insert(x.hints, i, h)
 		return
 	}
-	if h.Took == 0 {
-		h.Took = x.hints[i].Took
+	if h.Latency == 0 {
+		h.Latency = x.hints[i].Latency
 	}
 	x.hints[i] = h
 }
--- a/dataplane/gossip/word.go
+++ b/dataplane/gossip/word.go
@@ -62,7 +62,7 @@
 	b = binary.AppendUvarint(b, uint64(len(w.Hints)))
 	for _, h := range w.Hints {
 		b = binary.BigEndian.AppendUint32(b, h.Server)
-		b = append(b, h.Out, h.Took)
+		b = append(b, h.InFlight, h.Latency)
 	}
 	b = binary.AppendUvarint(b, uint64(len(w.Demand)))
 	for _, d := range w.Demand {
@@ -172,7 +172,7 @@
 	w.Hints = w.Hints[:0]
 	for n := r.uvarint(); n > 0 && r.ok; n-- {
 		if h := r.take(6); h != nil {
-			w.Hints = append(w.Hints, balance.Hint{Server: binary.BigEndian.Uint32(h), Out: h[4], Took: h[5]})
+			w.Hints = append(w.Hints, balance.Hint{Server: binary.BigEndian.Uint32(h), InFlight: h[4], Latency: h[5]})
 		}
 	}
 	w.Demand = w.Demand[:0]
--- a/dataplane/gossip/words_test.go
+++ b/dataplane/gossip/words_test.go
@@ -46,7 +46,7 @@
 	t.Parallel()
 	w := Message{From: 1 << 63, Incarnation: 1 << 62, AgeMs: 1 << 40, GroupDigest: quota.Digest{Level: 4, Heard: 300}}
 	for i := range mostHints {
-		w.Hints = append(w.Hints, balance.Hint{Server: uint32(i), Out: 255, Took: 255})
+		w.Hints = append(w.Hints, balance.Hint{Server: uint32(i), InFlight: 255, Latency: 255})
 	}
 	for i := range mostTold {
 		w.GroupDigest.Spent = append(w.GroupDigest.Spent, quota.Spent{Tenant: uint64(i), Units: 1<<64 - 1})
@@ -141,13 +141,13 @@
 	for i := range 60 {
 		list = append(list, api.Server{ID: fmt.Sprint("i-", i), Upstream: "s", Addr: "x", Zone: "a", Capacity: 2, State: api.InService})
 	}
-	b.Update(0, list)
+	b.SetServers(0, list)
 	sent, told := 0, map[uint64]int{}
 	const seconds = 10
 	for now := 0.0; now < 1000*seconds; now += teller.TickMs() {
 		for _, m := range b.Members() { // all that can be is news, good and bad
-			b.Sent(m)
-			b.Done(now, m, []balance.Result{balance.Success, balance.Failure}[int(now)%2], 100)
+			b.StartAttempt(m)
+			b.FinishAttempt(now, m, []balance.Result{balance.Success, balance.Failure}[int(now)%2], 100)
 		}
 		teller.Tick(now, q, b, func(to uint64, w *Message) {
 			sent += len(w.Append(nil)) + wordOverhead
@@ -245,15 +245,15 @@
 	for i := range 60 {
 		list = append(list, api.Server{ID: fmt.Sprint("i-", i), Upstream: "s", Addr: "x", Zone: "a", Capacity: 2, State: api.InService})
 	}
-	b.Update(0, list)
+	b.SetServers(0, list)
 	last, most, words := map[uint64]float64{}, map[uint64]float64{}, 0
 	for now := 0.0; now < 4000; now += teller.TickMs() {
 		for range int(4 * rate * teller.TickMs() / 1000) {
 			q.Admit(now, tenant)
 		}
 		for _, m := range b.Members() { // slow answers, which are loads to tell
-			b.Sent(m)
-			b.Done(now, m, balance.Success, 100*float64(1+int(now)%7))
+			b.StartAttempt(m)
+			b.FinishAttempt(now, m, balance.Success, 100*float64(1+int(now)%7))
 		}
 		teller.Tick(now, q, b, func(to uint64, w *Message) {
 			if now > 2000 && len(w.Consumed) > 0 { // the burst is used up
--- a/dataplane/limiter/flight.go
+++ b/dataplane/limiter/flight.go
@@ -32,7 +32,7 @@
 // NewFlight begins the course of a request that was admitted.
 func (l *Limiter) NewFlight(r Request) *Flight {
 	r.Tries = max(1, r.Tries)
-	return &Flight{l: l, r: r, choice: balance.Request{Service: r.Service, Bulk: r.Bulk, Once: !r.Repeatable},
+	return &Flight{l: l, r: r, choice: balance.Request{Service: r.Service, Bulk: r.Bulk, NonIdempotent: !r.Repeatable},
 		course: attempt.Tracker{Idempotent: r.Repeatable}}
 }
 
@@ -56,7 +56,7 @@
 	} else if f.r.AimMs > 0 {
 		left /= 2
 	}
-	f.choice.LeftMs, f.choice.Idle = left, hedge
+	f.choice.RemainingMs, f.choice.IdleOnly = left, hedge
 	further := f.course.ReachedServer() || hedge // what reaches a server once more comes out of what was saved up
 	m, waitMs = f.l.choose(now, f.choice, further)
 	if m == nil {
@@ -100,7 +100,7 @@
 // LateMs is after what time an answer that has not come speaks against its server;
 // false where that can't be said.
 func (f *Flight) LateMs(now float64, m *balance.Member) (float64, bool) {
-	typical := f.l.balance.Work(f.r.Service)
+	typical := f.l.balance.TypicalMs(f.r.Service)
 	// A long answer may wait for the link.
 	return lateAfter * typical * m.Slowness(now), typical > 0 && !f.r.Bulk
 }
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -70,11 +70,11 @@
 
 // ChangeServers takes over servers that are new or not as they were, and which are gone.
 func (l *Limiter) ChangeServers(now float64, put []api.Server, gone []string) {
-	l.balance.Change(now, put, gone)
+	l.balance.ApplyDelta(now, put, gone)
 }
 
 // Servers takes over a whole list of servers.
-func (l *Limiter) Servers(now float64, list []api.Server) { l.balance.Update(now, list) }
+func (l *Limiter) Servers(now float64, list []api.Server) { l.balance.SetServers(now, list) }
 
 // Peers takes over which other limiters there are.
 func (l *Limiter) Peers(now float64, peers []quota.Member) {
@@ -87,7 +87,7 @@
 		}
 	}
 	l.quota.Members(now, peers)
-	l.balance.Peers(zone, len(peers) >= gossip.LargeFleetPeers)
+	l.balance.SetPeers(zone, len(peers) >= gossip.LargeFleetPeers)
 	l.teller.SetPeers(peers, l.quota.Level())
 }
 
@@ -126,25 +126,25 @@
 	if further {
 		l.retries[r.Service]--
 	}
-	l.balance.Sent(m)
+	l.balance.StartAttempt(m)
 	return m, 0
 }
 
 // Done notes how a try ended.
 func (l *Limiter) Done(now float64, m *balance.Member, r balance.Result, tookMs float64) {
-	l.balance.Done(now, m, r, tookMs)
+	l.balance.FinishAttempt(now, m, r, tookMs)
 }
 
 // Dark lists the zones whose servers are passed over.
-func (l *Limiter) Dark(now float64) []string { return l.balance.Dark(now) }
+func (l *Limiter) Dark(now float64) []string { return l.balance.UnreachableZones(now) }
 
 // Overdue notes that a server owes an answer for longer than is usual.
-func (l *Limiter) Overdue(now float64, m *balance.Member) { l.balance.Overdue(now, m) }
+func (l *Limiter) Overdue(now float64, m *balance.Member) { l.balance.ObserveOverdue(now, m) }
 
 // hedgeMs is after what time a second server is tried beside the first, for a
 // request with an aim (0: none); false where that is of no use.
 func (l *Limiter) hedgeMs(service string, aimMs float64) (float64, bool) {
-	typical := l.balance.Work(service)
+	typical := l.balance.TypicalMs(service)
 	wait := hedgeAfter * typical
 	return wait, typical > 0 && (aimMs == 0 || wait+hedgeRoom*typical < aimMs)
 }
@@ -168,8 +168,8 @@
 	} else {
 		l.quota.Heard(now, w.From, w.Incarnation, w.AgeMs, w.HeardPeers, w.Consumed)
 	}
-	l.balance.Heard(now, w.From, w.Hints)
-	l.balance.HeardDemand(w.From, w.Demand)
+	l.balance.ReceiveHints(now, w.From, w.Hints)
+	l.balance.ReceiveDemand(w.From, w.Demand)
 	return true
 }
 
--- a/dataplane/status.go
+++ b/dataplane/status.go
@@ -40,7 +40,7 @@
 	for _, m := range l.Members() {
 		s.Servers = append(s.Servers, ServerStatus{
 			ID: m.ID, Service: m.Upstream, Zone: m.Zone, State: m.State,
-			Out: m.Out(), Load: m.Load(now),
+			Out: m.InFlight(), Load: m.Load(now),
 		})
 	}
 	return s
