--- a/process/watch.go
+++ b/process/watch.go
@@ -105,7 +105,8 @@
 		timeout:    watchWait + watchMargin,
 	}
 	if g := w.gateway; g != nil {
-		call.request.Revision, call.request.ServersVersion, call.leaseStart = g.Revision(), g.EndpointsVersion(), g.Uptime()
+		call.request.Revision, call.request.ServersVersion = g.Revision(), g.EndpointsVersion()
+		call.leaseStart = g.Uptime()
 		call.urgent = urgent || !g.HasLease() || call.request.Revision == 0
 	}
 	if w.needsFull[api.ConfigTable] {
