--- a/dataplane/clientconn.go
+++ b/dataplane/clientconn.go
@@ -169,8 +169,8 @@
 		return
 	}
 	c.listener.log.Debug("malformed request", "from", c.nc.RemoteAddr(), "error", err)
-	a := &response{status: malformed.Status, text: malformed.Reason, closes: true}
-	if c.write(a, nil, time.Now().Add(c.listener.writeTimeout)) == nil {
+	resp := &response{status: malformed.Status, text: malformed.Reason, closes: true}
+	if c.write(resp, nil, time.Now().Add(c.listener.writeTimeout)) == nil {
 		c.closeAfterLast()
 	}
 }
@@ -178,19 +178,19 @@
 // answer forwards a request, unless it is refused already, and writes the response when its turn has come. It reports
 // whether the connection ends with it.
 func (c *clientConn) answer(r *request, refusal *response, mine <-chan struct{}, sequence int) (closes bool) {
-	a := refusal
-	if a == nil {
-		a = c.listener.forwarder.forward(r)
+	resp := refusal
+	if resp == nil {
+		resp = c.listener.forwarder.forward(r)
 	}
-	defer a.release()
+	defer resp.release()
 	defer c.listener.forwarder.finish(r)
-	c.listener.report(r, a)
+	c.listener.report(r, resp)
 	<-mine
-	if c.decideClose(r, a, sequence) {
+	if c.decideClose(r, resp, sequence) {
 		return true
 	}
-	err := c.write(a, r.head, c.writeDeadline(r, a))
-	if err == nil && !a.closes {
+	err := c.write(resp, r.head, c.writeDeadline(r, resp))
+	if err == nil && !resp.closes {
 		return false
 	}
 	c.mu.Lock()
@@ -199,33 +199,33 @@
 	if err == nil {
 		c.closeAfterLast()
 	} else {
-		c.abort(a.endsWithConnection(r.head))
+		c.abort(resp.endsWithConnection(r.head))
 	}
 	return true
 }
 
 // decideClose decides whether the response says that the connection closes. It reports true where a response before
 // has ended the connection: this one is not written.
-func (c *clientConn) decideClose(r *request, a *response, sequence int) (ended bool) {
+func (c *clientConn) decideClose(r *request, resp *response, sequence int) (ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.closing:
 		return true
-	case r.head.ClosesConnection(), a.endsWithConnection(r.head), r.stream != nil && !r.stream.Done():
-		a.closes = true
+	case r.head.ClosesConnection(), resp.endsWithConnection(r.head), r.stream != nil && !r.stream.Done():
+		resp.closes = true
 	case c.listener.readiness.draining.Load() && sequence == c.requestsRead: // nothing was read behind it
-		a.closes = true
+		resp.closes = true
 	}
-	c.closing = a.closes
+	c.closing = resp.closes
 	return false
 }
 
 // writeDeadline is until when a response may be written: one whose rest is still read from the server has at least
 // the time of its request.
-func (c *clientConn) writeDeadline(r *request, a *response) time.Time {
+func (c *clientConn) writeDeadline(r *request, resp *response) time.Time {
 	until := time.Now().Add(c.listener.writeTimeout)
-	if a.rest != nil && r.deadline.After(until) {
+	if resp.rest != nil && r.deadline.After(until) {
 		return r.deadline
 	}
 	return until
@@ -255,9 +255,9 @@
 }
 
 // write writes a response, until a deadline.
-func (c *clientConn) write(a *response, requestHead *h1.Head, until time.Time) error {
+func (c *clientConn) write(resp *response, requestHead *h1.Head, until time.Time) error {
 	_ = c.nc.SetWriteDeadline(until) // fails on a closed connection, as the write then does
-	return a.writeTo(c.nc, requestHead, c.listener.link)
+	return resp.writeTo(c.nc, requestHead, c.listener.link)
 }
 
 // setReadDeadline sets the read deadline. It fails on a closed connection only, where the next read fails too.
--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -223,12 +223,12 @@
 }
 
 // noteDownloadLength tells the limiter how long a download is, once its head is here.
-func (l *lifecycle) noteDownloadLength(a *response) {
+func (l *lifecycle) noteDownloadLength(resp *response) {
 	if !l.request.isDownload() {
 		return
 	}
 	f := l.forwarder
-	length := a.length
+	length := resp.length
 	if l.request.head.Method == "HEAD" { // which has no body
 		length = 0
 	}
--- a/dataplane/metrics.go
+++ b/dataplane/metrics.go
@@ -38,7 +38,7 @@
 }
 
 // observeResponse counts a response and the time it took. Without metrics it costs a comparison.
-func observeResponse(metrics *telemetry.Metrics, r *request, a *response) {
+func observeResponse(metrics *telemetry.Metrics, r *request, resp *response) {
 	if metrics == nil {
 		return
 	}
@@ -46,15 +46,15 @@
 	if r.route != nil {
 		route = r.route.Name
 	}
-	if a.head != nil {
+	if resp.head != nil {
 		by = byServer
 	}
 	metrics.Count("elmspan_requests_total", 1, telemetry.Label{Name: "route", Value: route},
-		telemetry.Label{Name: "code", Value: strconv.Itoa(a.status)}, telemetry.Label{Name: "by", Value: by})
+		telemetry.Label{Name: "code", Value: strconv.Itoa(resp.status)}, telemetry.Label{Name: "by", Value: by})
 	metrics.Observe("elmspan_request_duration_seconds", time.Since(r.arrived),
 		telemetry.Label{Name: "route", Value: route})
-	if a.head == nil && a.reason != "" {
-		metrics.Count("elmspan_own_answers_total", 1, telemetry.Label{Name: "reason", Value: a.reason})
+	if resp.head == nil && resp.reason != "" {
+		metrics.Count("elmspan_own_answers_total", 1, telemetry.Label{Name: "reason", Value: resp.reason})
 	}
 }
 
--- a/dataplane/refusal.go
+++ b/dataplane/refusal.go
@@ -51,13 +51,13 @@
 )
 
 // report counts and logs how a request ended. `elmspan explain` parses the message and its keys.
-func (l *clientListener) report(r *request, a *response) {
-	observeResponse(l.metrics, r, a)
+func (l *clientListener) report(r *request, resp *response) {
+	observeResponse(l.metrics, r, resp)
 	if !l.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	by, route, tenant := byGateway, "", ""
-	if a.head != nil {
+	if resp.head != nil {
 		by = byServer
 	}
 	if r.route != nil {
@@ -66,7 +66,7 @@
 	if r.tenant != nil {
 		tenant = r.tenant.name
 	}
-	l.log.Debug("answered", "id", r.head.Get("Attempt-Id"), "status", a.status, "reason", a.reason, "by", by,
+	l.log.Debug("answered", "id", r.head.Get("Attempt-Id"), "status", resp.status, "reason", resp.reason, "by", by,
 		"route", route, "tenant", tenant, "service", r.service, "after_ms", inMs(time.Since(r.arrived)),
-		"retry_after_ms", a.retryAfter.Milliseconds())
+		"retry_after_ms", resp.retryAfter.Milliseconds())
 }
--- a/dataplane/response.go
+++ b/dataplane/response.go
@@ -50,93 +50,93 @@
 }
 
 // release gives back the connection to the server. It may be called more than once.
-func (a *response) release() {
-	if a.free != nil {
-		a.free(a.rest == nil || a.rest.Done())
-		a.free = nil
+func (resp *response) release() {
+	if resp.free != nil {
+		resp.free(resp.rest == nil || resp.rest.Done())
+		resp.free = nil
 	}
 }
 
 // endsWithConnection reports whether the end of the connection ends the body, as its client knows no chunks
 // (RFC 9112, 6.1).
-func (a *response) endsWithConnection(requestHead *h1.Head) bool {
-	return requestHead != nil && requestHead.HTTP10 && a.head != nil && a.length == h1.Chunked
+func (resp *response) endsWithConnection(requestHead *h1.Head) bool {
+	return requestHead != nil && requestHead.HTTP10 && resp.head != nil && resp.length == h1.Chunked
 }
 
 // writeTo writes the response. An error leaves it visibly incomplete: the length is not reached or the last chunk is
 // missing. requestHead is nil where the request could not be read.
-func (a *response) writeTo(w io.Writer, requestHead *h1.Head, l *link.Pacer) error {
+func (resp *response) writeTo(w io.Writer, requestHead *h1.Head, l *link.Pacer) error {
 	b := bufferPool.Get().(*bytes.Buffer)
 	defer bufferPool.Put(b)
 	b.Reset()
-	a.writeStatusLine(b)
-	body, length := a.body, a.length
-	if a.head != nil {
-		a.writeServerFields(b)
+	resp.writeStatusLine(b)
+	body, length := resp.body, resp.length
+	if resp.head != nil {
+		resp.writeServerFields(b)
 	} else {
-		body = a.writeOwnFields(b, requestHead)
+		body = resp.writeOwnFields(b, requestHead)
 		length = int64(len(body))
 	}
-	if a.endsWithConnection(requestHead) {
+	if resp.endsWithConnection(requestHead) {
 		length = h1.UntilClose
 	}
-	a.writeFraming(b, length)
+	resp.writeFraming(b, length)
 	if requestHead != nil && requestHead.Method == "HEAD" {
 		l.Record(b.Len())
 		_, err := w.Write(b.Bytes())
 		return err
 	}
 	chunked := length == h1.Chunked
-	a.writeHeldBody(b, body, chunked)
+	resp.writeHeldBody(b, body, chunked)
 	l.Record(b.Len())
-	if _, err := w.Write(b.Bytes()); err != nil || a.rest == nil {
+	if _, err := w.Write(b.Bytes()); err != nil || resp.rest == nil {
 		return err
 	}
-	return a.copyRest(w, chunked, l)
+	return resp.copyRest(w, chunked, l)
 }
 
 // writeStatusLine writes the first line.
-func (a *response) writeStatusLine(b *bytes.Buffer) {
-	text := http.StatusText(a.status)
+func (resp *response) writeStatusLine(b *bytes.Buffer) {
+	text := http.StatusText(resp.status)
 	if text == "" {
 		text = "Status"
 	}
-	fmt.Fprintf(b, "HTTP/1.1 %d %s\r\n", a.status, text)
+	fmt.Fprintf(b, "HTTP/1.1 %d %s\r\n", resp.status, text)
 }
 
 // writeServerFields writes the fields of a server's response.
-func (a *response) writeServerFields(b *bytes.Buffer) {
-	for _, f := range a.head.Fields {
-		if !isHopByHop(a.head, f.Name) {
+func (resp *response) writeServerFields(b *bytes.Buffer) {
+	for _, f := range resp.head.Fields {
+		if !isHopByHop(resp.head, f.Name) {
 			writeField(b, f.Name, f.Value)
 		}
 	}
 }
 
 // writeOwnFields writes the fields of a response of the gateway's own, and returns its body.
-func (a *response) writeOwnFields(b *bytes.Buffer, requestHead *h1.Head) (body []byte) {
+func (resp *response) writeOwnFields(b *bytes.Buffer, requestHead *h1.Head) (body []byte) {
 	if requestHead != nil {
 		if id := requestHead.Get("Attempt-Id"); id != "" {
 			writeField(b, "Attempt-Id", id)
 		}
 	}
-	if a.text != "" {
+	if resp.text != "" {
 		writeField(b, "Content-Type", "text/plain")
-		body = []byte(a.text + "\n")
+		body = []byte(resp.text + "\n")
 	}
-	if a.retryAfter > 0 {
-		writeField(b, "Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
+	if resp.retryAfter > 0 {
+		writeField(b, "Retry-After", strconv.FormatFloat(resp.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	return body
 }
 
 // writeFraming writes the fields that concern this connection, and the end of the head.
-func (a *response) writeFraming(b *bytes.Buffer, length int64) {
-	if a.closes {
+func (resp *response) writeFraming(b *bytes.Buffer, length int64) {
+	if resp.closes {
 		writeField(b, "Connection", "close")
 	}
 	switch {
-	case a.status == http.StatusNoContent || a.status == http.StatusNotModified: // no body, and nothing said of one
+	case resp.status == http.StatusNoContent, resp.status == http.StatusNotModified: // no body, and nothing said of one
 	case length >= 0:
 		writeField(b, "Content-Length", strconv.FormatInt(length, 10))
 	case length == h1.Chunked:
@@ -146,7 +146,7 @@
 }
 
 // writeHeldBody writes the body as far as it is held, with the last chunk where that is all.
-func (a *response) writeHeldBody(b *bytes.Buffer, body []byte, chunked bool) {
+func (resp *response) writeHeldBody(b *bytes.Buffer, body []byte, chunked bool) {
 	if !chunked {
 		b.Write(body)
 		return
@@ -156,13 +156,13 @@
 		b.Write(body)
 		b.WriteString("\r\n")
 	}
-	if a.rest == nil {
+	if resp.rest == nil {
 		b.WriteString("0\r\n\r\n")
 	}
 }
 
 // copyRest writes what was not read whole, a quantum at a time, each when it is this body's turn on the link.
-func (a *response) copyRest(w io.Writer, chunked bool, l *link.Pacer) error {
+func (resp *response) copyRest(w io.Writer, chunked bool, l *link.Pacer) error {
 	p := copyBufferPool.Get().(*[]byte)
 	defer copyBufferPool.Put(p)
 	buf := *p
@@ -170,7 +170,7 @@
 		buf = buf[:link.Quantum]
 	}
 	for {
-		n, err := a.rest.Read(buf[chunkSizeRoom : len(buf)-chunkEndRoom])
+		n, err := resp.rest.Read(buf[chunkSizeRoom : len(buf)-chunkEndRoom])
 		if n > 0 {
 			if err := l.Wait(context.Background(), n); err != nil {
 				return err
@@ -183,7 +183,7 @@
 				return err
 			}
 		}
-		if a.rest.Done() {
+		if resp.rest.Done() {
 			if chunked {
 				_, err = io.WriteString(w, "0\r\n\r\n")
 				return err
--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -121,7 +121,7 @@
 		f.noteForgotten(m.ID, age)
 	}
 	if e.StrayResponses > 0 {
-		f.noteStray(m.ID, e.StrayResponses, err)
+		f.noteUnexpected(m.ID, e.StrayResponses, err)
 	}
 	if err != nil {
 		return f.classify(e, nil)
@@ -154,34 +154,34 @@
 	e.Response, e.Status, e.NotExecuted = attempt.Truncated, head.Status, head.Get("Not-Executed") != ""
 	e.Sealed = head.Get("Server-Seal") != "" && head.Get("Content-Encoding") == "" && framing != h1.UntilClose
 	e.Closes = head.ClosesConnection() || framing == h1.UntilClose
-	a := &response{status: head.Status, head: head, length: framing}
+	resp := &response{status: head.Status, head: head, length: framing}
 	body := h1.NewBody(c.Reader, framing)
 	success := head.Status/100 == 2
 	if success && !e.Sealed {
 		return f.classify(e, nil)
 	}
 	if !success || framing >= 0 && framing <= maxHeldResponse {
-		a.body, err = body.ReadUpTo(maxHeldResponse)
+		resp.body, err = body.ReadUpTo(maxHeldResponse)
 		if err != nil {
 			return f.classify(e, nil)
 		}
 		if body.Done() {
-			return f.completeResponse(c, e, a)
+			return f.completeResponse(c, e, resp)
 		}
 	}
 	e.Response = attempt.Streaming
-	a.rest, a.free = body, f.releaseFunc(c, e)
-	return f.classify(e, a)
+	resp.rest, resp.free = body, f.releaseFunc(c, e)
+	return f.classify(e, resp)
 }
 
 // completeResponse is the outcome of an attempt whose response was read whole.
-func (f *forwarder) completeResponse(c *conn, e attempt.Evidence, a *response) attemptOutcome {
-	a.length = int64(len(a.body))
+func (f *forwarder) completeResponse(c *conn, e attempt.Evidence, resp *response) attemptOutcome {
+	resp.length = int64(len(resp.body))
 	if e.HeadRequest { // what GET would have is told all the same
-		a.length, _ = a.head.ResponseFraming("GET") // an error was met before
+		resp.length, _ = resp.head.ResponseFraming("GET") // an error was met before
 	}
 	e.Response, e.TrailingBytes = attempt.Complete, c.Reader.Buffered()
-	o := f.classify(e, a)
+	o := f.classify(e, resp)
 	o.reusable = f.rules.Reusable(e)
 	return o
 }
@@ -199,29 +199,29 @@
 }
 
 // classify is how an attempt ended, by what was seen of it and the response that it brought.
-func (f *forwarder) classify(e attempt.Evidence, a *response) attemptOutcome {
+func (f *forwarder) classify(e attempt.Evidence, resp *response) attemptOutcome {
 	v := f.rules.Classify(e)
 	o := attemptOutcome{result: v.Result, mayHaveRun: v.MayHaveRun}
 	switch v.Answer {
 	case attempt.ServerResponse, attempt.ClientError:
-		o.response = a
+		o.response = resp
 	case attempt.BadGateway:
 		o.response = serverFailed.response(0)
 	}
 	return o
 }
 
-// maxStrayBody bounds how much is read past of a response to another request.
-const maxStrayBody = 1 << 20
+// maxUnexpectedBody bounds how much is read past of a response to another request.
+const maxUnexpectedBody = 1 << 20
 
-// errStray ends the reading of a connection whose bytes can't be attributed to this request.
-var errStray = errors.New("the response is not to this request")
+// errUnexpectedResponse ends the reading of a connection whose bytes can't be attributed to this request.
+var errUnexpectedResponse = errors.New("the response is not to this request")
 
 // readOwnHead reads the head of the response to a request: the one with its id. A server that has stuttered sends a
 // second response to an earlier request where the next one is due. Its id tells, and the request's own response stands
 // behind it. A response without an id could be anybody's: nothing that follows can be trusted. It counts the responses
 // that were not this request's.
-func (f *forwarder) readOwnHead(in *bufio.Reader, requestHead *h1.Head, strays *int) (*h1.Head, error) {
+func (f *forwarder) readOwnHead(in *bufio.Reader, requestHead *h1.Head, unexpected *int) (*h1.Head, error) {
 	for {
 		h, err := h1.ReadResponse(in, maxResponseHead)
 		if err != nil {
@@ -231,15 +231,15 @@
 		if owner == attempt.ThisRequest {
 			return h, nil
 		}
-		*strays++
+		*unexpected++
 		framing, err := h.ResponseFraming("GET")
-		bounded := err == nil && framing != h1.UntilClose && framing <= maxStrayBody
-		if !attempt.ShouldSkip(owner, *strays, bounded) {
-			return nil, errStray
+		bounded := err == nil && framing != h1.UntilClose && framing <= maxUnexpectedBody
+		if !attempt.ShouldSkip(owner, *unexpected, bounded) {
+			return nil, errUnexpectedResponse
 		}
 		body := h1.NewBody(in, framing)
-		if _, err := io.Copy(io.Discard, io.LimitReader(body, maxStrayBody)); err != nil || !body.Done() {
-			return nil, errStray
+		if _, err := io.Copy(io.Discard, io.LimitReader(body, maxUnexpectedBody)); err != nil || !body.Done() {
+			return nil, errUnexpectedResponse
 		}
 	}
 }
@@ -258,8 +258,8 @@
 	f.metrics.Count("elmspan_forgotten_connections_total", 1)
 }
 
-// noteStray notes responses that belonged to no request.
-func (f *forwarder) noteStray(server string, n int, err error) {
+// noteUnexpected notes responses that belonged to no request.
+func (f *forwarder) noteUnexpected(server string, n int, err error) {
 	f.log.Debug("unexpected responses", "server", server, "count", n, "own_found", err == nil)
 	f.metrics.Count("elmspan_stray_answers_total", n)
 }
