--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -15,10 +15,10 @@
 // one entry, with several, and with as many as a sender puts into one.
 func goldenMessages() map[string]Message {
 	const from, start = 0x0123456789abcdef, 0x7edcba9876543210
-	spent := []quota.Spent{
-		{Tenant: 0xabcdef0123, Units: 0, Level: 0},
-		{Tenant: 1, Units: 127, Level: 7},
-		{Tenant: 0xffffffffff, Units: 1<<64 - 1, Level: 255},
+	spent := []quota.Usage{
+		{Tenant: 0xabcdef0123, Units: 0, FillLevel: 0},
+		{Tenant: 1, Units: 127, FillLevel: 7},
+		{Tenant: 0xffffffffff, Units: 1<<64 - 1, FillLevel: 255},
 	}
 	hints := []balance.Hint{
 		{Server: 0, InFlight: 0, Latency: 0},
@@ -26,17 +26,17 @@
 		{Server: 1<<32 - 1, InFlight: balance.InFlightUnknown, Latency: balance.LatencyFailed},
 	}
 	demand := []balance.Demand{{Service: 0, Level: 1}, {Service: 0xbeef, Level: 200}}
-	classes := []quota.Class{{Set: 0xcafef00d, Count: 41}, {Set: 7, Count: 300}}
+	classes := []quota.SharingClass{{LiveSet: 0xcafef00d, Count: 41}, {LiveSet: 7, Count: 300}}
 	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, StaleAge: 16}
 	for i := range 64 {
 		full.Hints = append(full.Hints, balance.Hint{Server: uint32(i) << 20, InFlight: uint8(i), Latency: uint8(255 - i)})
 	}
-	full.GroupDigest = quota.Digest{Level: 16, First: true, Heard: 1 << 20, Set: 1<<32 - 1}
+	full.GroupDigest = quota.Digest{Level: 16, First: true, LiveCount: 1 << 20, LiveSet: 1<<32 - 1}
 	for i := range 8 {
-		full.GroupDigest.Classes = append(full.GroupDigest.Classes, quota.Class{Set: uint32(i), Count: 1 << i})
+		full.GroupDigest.Classes = append(full.GroupDigest.Classes, quota.SharingClass{LiveSet: uint32(i), Count: 1 << i})
 	}
 	for i := range 48 {
-		full.GroupDigest.Spent = append(full.GroupDigest.Spent, quota.Spent{Tenant: uint64(i) << 32, Units: 1 << i, Level: uint8(i)})
+		full.GroupDigest.Consumed = append(full.GroupDigest.Consumed, quota.Usage{Tenant: uint64(i) << 32, Units: 1 << i, FillLevel: uint8(i)})
 	}
 	return map[string]Message{
 		"empty":            {},
@@ -46,9 +46,9 @@
 		"demand":           {From: from, Incarnation: start, AgeMs: 300, Demand: demand, HeardPeers: 3},
 		"forgotten":        {From: from, Incarnation: start, AgeMs: 16384, StaleAge: 5, HeardPeers: 4},
 		"all-but-digest":   {From: from, Incarnation: start, AgeMs: 1 << 40, Consumed: spent, Hints: hints, Demand: demand, StaleAge: 16, HeardPeers: 5},
-		"digest-first":     {From: from, Incarnation: start, AgeMs: 9, GroupDigest: quota.Digest{Level: 1, First: true, Heard: 1, Set: 6}},
-		"digest-second":    {From: from, Incarnation: start, AgeMs: 10, GroupDigest: quota.Digest{Level: 4, Heard: 128, Set: 7, Classes: classes, Spent: spent}},
-		"digest-and-hints": {From: from, Incarnation: start, AgeMs: 11, Hints: hints, Demand: demand, StaleAge: 1, GroupDigest: quota.Digest{Level: 3, First: true, Heard: 9, Set: 8, Classes: classes[:1], Spent: spent[:1]}},
+		"digest-first":     {From: from, Incarnation: start, AgeMs: 9, GroupDigest: quota.Digest{Level: 1, First: true, LiveCount: 1, LiveSet: 6}},
+		"digest-second":    {From: from, Incarnation: start, AgeMs: 10, GroupDigest: quota.Digest{Level: 4, LiveCount: 128, LiveSet: 7, Classes: classes, Consumed: spent}},
+		"digest-and-hints": {From: from, Incarnation: start, AgeMs: 11, Hints: hints, Demand: demand, StaleAge: 1, GroupDigest: quota.Digest{Level: 3, First: true, LiveCount: 9, LiveSet: 8, Classes: classes[:1], Consumed: spent[:1]}},
 		"full":             full,
 	}
 }
@@ -105,8 +105,8 @@
 	if len(m.GroupDigest.Classes) == 0 {
 		m.GroupDigest.Classes = nil
 	}
-	if len(m.GroupDigest.Spent) == 0 {
-		m.GroupDigest.Spent = nil
+	if len(m.GroupDigest.Consumed) == 0 {
+		m.GroupDigest.Consumed = nil
 	}
 	return m
 }
--- a/dataplane/gossip/teller.go
+++ b/dataplane/gossip/teller.go
@@ -17,7 +17,7 @@
 	TickMs  = 6.0   // between two words to limiters of the zone ...
 	otherMs = 30.0  // ... to others about servers of theirs ...
 	farMs   = 150.0 // ... and about those that are of neither
-	aliveMs = 150.0 // a third of quota.FreshMs: two words in a row may be lost
+	aliveMs = 150.0 // a third of quota.LivenessTimeoutMs: two words in a row may be lost
 
 	// In a large fleet there is more to tell than a small link should carry: words go
 	// out within a budget, those first that are due longest. Hints, which are levels,
@@ -26,12 +26,12 @@
 	soonMs      = 50.0  // failures of servers, and tenants that have little left
 	secondMs    = 900.0 // units, by the second of two that tell them
 	shareMs     = 35.0  // what is out at servers, to those that share some
-	manyAliveMs = 230.0 // a third of quota.FreshManyMs
+	manyAliveMs = 230.0 // a third of quota.GroupedLivenessTimeoutMs
 	mostAhead   = 200.0 // of the budget may be saved up
 
-	// In a vast one ([quota.Vast]) a word's head would be most of what is sent. There,
+	// In a vast one ([quota.VeryLargeFleetPeers]) a word's head would be most of what is sent. There,
 	// news goes with the words that tell that a limiter is alive, of which two may be
-	// lost, unless a quota needs it sooner ([quota.Spent.Within]).
+	// lost, unless a quota needs it sooner ([quota.Usage.DueWithinMs]).
 	vastShareMs  = 150.0
 	vastDemandMs = 500.0 // servers are dealt out anew so often
 
@@ -60,10 +60,10 @@
 	self     quota.Member
 	life     uint64
 	targets  []*target // by id
-	spent    []quota.Spent
-	digest   []quota.Spent
+	spent    []quota.Usage
+	digest   []quota.Usage
 	hints    []balance.Hint
-	told     []quota.Spent
+	told     []quota.Usage
 	demand   []balance.Demand
 	word     Message
 	budget   Budget
@@ -89,7 +89,7 @@
 	theirs bool           // some of them are about servers of its zone
 	within float64        // some of due are of tenants that have little left: told so soon; 0: none
 	failed bool           // some of hints are failures
-	due    []quota.Spent  // units by tenant: this limiter's or its group's
+	due    []quota.Usage  // units by tenant: this limiter's or its group's
 	sent   float64
 	toldAt float64 // of a second: units were told
 	demand float64 // when demand was told
@@ -110,10 +110,10 @@
 }
 
 // SetPeers says which other limiters there are, and at what level they form groups
-// ([quota.Set.Level]).
-func (t *Disseminator) SetPeers(peers []quota.Member, level quota.Level) {
+// ([quota.Enforcer.Level]).
+func (t *Disseminator) SetPeers(peers []quota.Member, level quota.GroupingLevel) {
 	peers = slices.SortedFunc(slices.Values(peers), func(a, b quota.Member) int { return cmp.Compare(a.ID, b.ID) })
-	t.many, t.vast = len(peers) >= LargeFleetPeers, len(peers) >= quota.Vast
+	t.many, t.vast = len(peers) >= LargeFleetPeers, len(peers) >= quota.VeryLargeFleetPeers
 	across := t.across(peers, level)
 	along := t.along(peers)
 	had := map[uint64]*target{}
@@ -143,7 +143,7 @@
 // of them is told by the two of the group whose names, with its own, hash highest.
 // So one that comes or goes changes who tells for few. Of the two one is the first,
 // whose words count while it speaks: 1; the other has 2.
-func (t *Disseminator) across(peers []quota.Member, level quota.Level) map[uint64]int {
+func (t *Disseminator) across(peers []quota.Member, level quota.GroupingLevel) map[uint64]int {
 	out := map[uint64]int{}
 	own := level.Group(t.self)
 	var mates, others []uint64
@@ -207,17 +207,17 @@
 }
 
 // Tick hands out the words that are due. A word is valid until send returns.
-func (t *Disseminator) Tick(now float64, q *quota.Set, b *balance.Set, send func(to uint64, w *Message)) {
-	t.spent = q.Report(now, t.spent[:0])
+func (t *Disseminator) Tick(now float64, q *quota.Enforcer, b *balance.Set, send func(to uint64, w *Message)) {
+	t.spent = q.ReportUsage(now, t.spent[:0])
 	t.hints = b.DrainHints(t.hints[:0])
 	b.UpdateSubsets(now)
 	t.demand = b.Demands(now, t.demand[:0])
 	digest := quota.Digest{}
 	if q.Level() > 0 {
-		digest = q.ReportGroup(now, t.digest[:0])
-		t.digest = digest.Spent
+		digest = q.ReportDigest(now, t.digest[:0])
+		t.digest = digest.Consumed
 	}
-	set := q.Hears(now)
+	set := q.LiveSet(now)
 	changed := set != t.word.HeardPeers // told at once: who shares parts depends on it
 	t.word.HeardPeers = set
 	if now > t.forgotTo {
@@ -242,7 +242,7 @@
 		case x.member:
 			x.owe(t.spent)
 		case x.across:
-			x.owe(digest.Spent)
+			x.owe(digest.Consumed)
 			if x.second {
 				x.within = 0
 			}
@@ -350,7 +350,7 @@
 	x.due = slices.Delete(x.due, 0, n)
 	if x.across {
 		w.Consumed, w.GroupDigest = nil, d
-		w.GroupDigest.First, w.GroupDigest.Spent = !x.second, t.told
+		w.GroupDigest.First, w.GroupDigest.Consumed = !x.second, t.told
 	} else {
 		w.Consumed, w.GroupDigest = t.told, quota.Digest{}
 	}
@@ -374,12 +374,12 @@
 // owe has a target told of units: cumulative, so the newest figure stands for all
 // before. What is owed longest is told first, so that none waits for ever behind
 // others that always have news.
-func (x *target) owe(spent []quota.Spent) {
+func (x *target) owe(spent []quota.Usage) {
 	for _, e := range spent {
-		if e.Within > 0 && (x.within == 0 || e.Within < x.within) {
-			x.within = e.Within
+		if e.DueWithinMs > 0 && (x.within == 0 || e.DueWithinMs < x.within) {
+			x.within = e.DueWithinMs
 		}
-		if i := slices.IndexFunc(x.due, func(o quota.Spent) bool { return o.Tenant == e.Tenant }); i >= 0 {
+		if i := slices.IndexFunc(x.due, func(o quota.Usage) bool { return o.Tenant == e.Tenant }); i >= 0 {
 			x.due[i] = e
 		} else {
 			x.due = append(x.due, e)
--- a/dataplane/gossip/word.go
+++ b/dataplane/gossip/word.go
@@ -41,11 +41,11 @@
 type Message struct {
 	From, Incarnation uint64 // hash of the name, and one start of it
 	AgeMs             float64
-	Consumed          []quota.Spent
+	Consumed          []quota.Usage
 	Hints             []balance.Hint
 	Demand            []balance.Demand
 	StaleAge          uint8        // the least age of connections that servers had forgotten of late; 0: none
-	HeardPeers        uint32       // whom it hears, as [quota.Set.Hears] has it
+	HeardPeers        uint32       // whom it hears, as [quota.Enforcer.LiveSet] has it
 	GroupDigest       quota.Digest // Level 0: none
 }
 
@@ -77,27 +77,27 @@
 	if d.First {
 		level |= firstBit
 	}
-	b = binary.AppendUvarint(append(b, level), uint64(d.Heard))
-	b = binary.BigEndian.AppendUint32(b, d.Set)
+	b = binary.AppendUvarint(append(b, level), uint64(d.LiveCount))
+	b = binary.BigEndian.AppendUint32(b, d.LiveSet)
 	b = binary.AppendUvarint(b, uint64(len(d.Classes)))
 	for _, c := range d.Classes {
-		b = binary.AppendUvarint(binary.BigEndian.AppendUint32(b, c.Set), uint64(c.Count))
+		b = binary.AppendUvarint(binary.BigEndian.AppendUint32(b, c.LiveSet), uint64(c.Count))
 	}
-	return appendSpent(b, d.Spent)
+	return appendSpent(b, d.Consumed)
 }
 
 // EstimatedSize is about how many bytes the word has.
 func (w *Message) EstimatedSize() int {
 	const head, perHint, perDemand, perSpent = 36, 6, 3, 9
-	return head + perHint*len(w.Hints) + perDemand*len(w.Demand) + perSpent*(len(w.Consumed)+len(w.GroupDigest.Spent))
+	return head + perHint*len(w.Hints) + perDemand*len(w.Demand) + perSpent*(len(w.Consumed)+len(w.GroupDigest.Consumed))
 }
 
-func appendSpent(b []byte, spent []quota.Spent) []byte {
+func appendSpent(b []byte, spent []quota.Usage) []byte {
 	b = binary.AppendUvarint(b, uint64(len(spent)))
 	for _, e := range spent {
 		b = append(b, byte(e.Tenant>>32))
 		b = binary.BigEndian.AppendUint32(b, uint32(e.Tenant))
-		b = append(binary.AppendUvarint(b, e.Units), e.Level)
+		b = append(binary.AppendUvarint(b, e.Units), e.FillLevel)
 	}
 	return b
 }
@@ -145,15 +145,15 @@
 // count reads a number of limiters.
 func (r *reader) count() int { return int(min(r.uvarint(), mostCount)) }
 
-func (r *reader) spent(out []quota.Spent) []quota.Spent {
+func (r *reader) spent(out []quota.Usage) []quota.Usage {
 	for n := r.uvarint(); n > 0 && r.ok; n-- {
-		e := quota.Spent{}
+		e := quota.Usage{}
 		if id := r.take(5); id != nil {
 			e.Tenant = uint64(id[0])<<32 | uint64(binary.BigEndian.Uint32(id[1:]))
 		}
 		e.Units = r.uvarint()
 		if level := r.take(1); level != nil {
-			e.Level = level[0]
+			e.FillLevel = level[0]
 			out = append(out, e)
 		}
 	}
@@ -181,28 +181,28 @@
 			w.Demand = append(w.Demand, balance.Demand{Service: binary.BigEndian.Uint16(d), Level: d[2]})
 		}
 	}
-	w.HeardPeers, w.GroupDigest = 0, quota.Digest{Spent: w.GroupDigest.Spent[:0], Classes: w.GroupDigest.Classes[:0]}
+	w.HeardPeers, w.GroupDigest = 0, quota.Digest{Consumed: w.GroupDigest.Consumed[:0], Classes: w.GroupDigest.Classes[:0]}
 	forgotten, level := r.take(1), r.take(1)
 	if level == nil || forgotten[0] > mostAge {
 		return ErrMalformed
 	}
 	w.StaleAge = forgotten[0]
 	d := &w.GroupDigest
-	switch d.Level = quota.Level(level[0] &^ (digestBit | firstBit)); {
+	switch d.Level = quota.GroupingLevel(level[0] &^ (digestBit | firstBit)); {
 	case level[0] == 0:
 		w.HeardPeers = r.u32()
 	case level[0]&digestBit == 0, d.Level == 0, d.Level > mostLevel:
 		return ErrMalformed
 	default:
-		d.First, d.Heard, d.Set = level[0]&firstBit != 0, r.count(), r.u32()
+		d.First, d.LiveCount, d.LiveSet = level[0]&firstBit != 0, r.count(), r.u32()
 		n := r.count()
 		if n > mostClasses {
 			return ErrMalformed
 		}
 		for range n {
-			d.Classes = append(d.Classes, quota.Class{Set: r.u32(), Count: r.count()})
+			d.Classes = append(d.Classes, quota.SharingClass{LiveSet: r.u32(), Count: r.count()})
 		}
-		d.Spent = r.spent(d.Spent)
+		d.Consumed = r.spent(d.Consumed)
 	}
 	if !r.ok || len(r.b) != 0 {
 		return ErrMalformed
--- a/dataplane/gossip/words_test.go
+++ b/dataplane/gossip/words_test.go
@@ -19,7 +19,7 @@
 	x := &target{member: true}
 	const n = 100
 	for id := range uint64(n) {
-		x.owe([]quota.Spent{{Tenant: id * 7919 % n, Units: id*7919%n + 1}})
+		x.owe([]quota.Usage{{Tenant: id * 7919 % n, Units: id*7919%n + 1}})
 	}
 	told := map[uint64]uint64{}
 	for words := 0; len(x.due) > 0; words++ {
@@ -44,12 +44,12 @@
 // The longest word fits a datagram, and is read as it was written.
 func TestLongestWord(t *testing.T) {
 	t.Parallel()
-	w := Message{From: 1 << 63, Incarnation: 1 << 62, AgeMs: 1 << 40, GroupDigest: quota.Digest{Level: 4, Heard: 300}}
+	w := Message{From: 1 << 63, Incarnation: 1 << 62, AgeMs: 1 << 40, GroupDigest: quota.Digest{Level: 4, LiveCount: 300}}
 	for i := range mostHints {
 		w.Hints = append(w.Hints, balance.Hint{Server: uint32(i), InFlight: 255, Latency: 255})
 	}
 	for i := range mostTold {
-		w.GroupDigest.Spent = append(w.GroupDigest.Spent, quota.Spent{Tenant: uint64(i), Units: 1<<64 - 1})
+		w.GroupDigest.Consumed = append(w.GroupDigest.Consumed, quota.Usage{Tenant: uint64(i), Units: 1<<64 - 1})
 	}
 	b := w.Append(nil)
 	var got Message
@@ -71,7 +71,7 @@
 		for i := range n {
 			all = append(all, quota.Member{ID: uint64(i)*0x9e3779b97f4a7c15 + 1, Zone: []string{"a", "b", "c"}[i%3]})
 		}
-		level := quota.LevelOf(n, 3)
+		level := quota.GroupingLevelFor(n, 3)
 		told := map[uint64]map[quota.Group]int{} // by whom is told, of which group, how often
 		for i, p := range all {
 			teller := NewDisseminator(p, 1, Budget{})
@@ -135,7 +135,7 @@
 	for i := range uint64(89) {
 		peers = append(peers, quota.Member{ID: (i + 2) << 40, Zone: string(rune('a' + i%5))})
 	}
-	q.Members(0, peers)
+	q.SetMembers(0, peers)
 	teller.SetPeers(peers, q.Level())
 	var list []api.Server
 	for i := range 60 {
@@ -175,9 +175,9 @@
 	teller := NewDisseminator(quota.Member{ID: 1, Zone: "z"}, 1, Budget{})
 	const tenants, rounds = 4 * mostTold, 40
 	for round := range uint64(rounds) {
-		var news []quota.Spent
+		var news []quota.Usage
 		for id := range uint64(tenants) {
-			news = append(news, quota.Spent{Tenant: id, Units: round + 1})
+			news = append(news, quota.Usage{Tenant: id, Units: round + 1})
 		}
 		x.owe(news)
 		for _, e := range teller.fill(float64(round), x, quota.Digest{}).Consumed {
@@ -197,7 +197,7 @@
 	teller := NewDisseminator(self, 1, Budget{})
 	q, b := quota.New(0, self), balance.New("a", 1, 1)
 	peers := []quota.Member{{ID: 2, Zone: "a"}, {ID: 3, Zone: "b"}}
-	q.Members(0, peers)
+	q.SetMembers(0, peers)
 	teller.SetPeers(peers, q.Level())
 	told := func(now float64) (n int) {
 		teller.Tick(now, q, b, func(_ uint64, w *Message) {
@@ -234,12 +234,12 @@
 	const tenant, rate, urgentMs = 7, 1000.0, 50.0
 	self := quota.Member{ID: 1 << 40, Zone: "a"}
 	var peers []quota.Member
-	for i := range uint64(quota.Vast + 20) {
+	for i := range uint64(quota.VeryLargeFleetPeers + 20) {
 		peers = append(peers, quota.Member{ID: (i + 2) << 40, Zone: string(rune('a' + i%5))})
 	}
 	q, b, teller := quota.New(0, self), balance.New("a", self.ID, 1), NewDisseminator(self, 1, Budget{})
-	q.Plans(0, map[uint64]quota.Plan{tenant: {Rate: rate, Burst: rate}})
-	q.Members(0, peers)
+	q.SetPlans(0, map[uint64]quota.Plan{tenant: {Rate: rate, Burst: rate}})
+	q.SetMembers(0, peers)
 	teller.SetPeers(peers, q.Level())
 	var list []api.Server
 	for i := range 60 {
--- a/dataplane/limiter/cuts_test.go
+++ b/dataplane/limiter/cuts_test.go
@@ -17,7 +17,7 @@
 // and returns when requests were admitted.
 func (f *fleet) ask(fromMs, toMs, perS float64, of []uint64) (at []float64) {
 	every := gossip.TickMs
-	if len(f.ids) > quota.Together {
+	if len(f.ids) > quota.MaxUngroupedLimiters {
 		every = step
 	}
 	owed := 0.0
@@ -105,7 +105,7 @@
 // of 1,100 with 92 limiters).
 func TestAnyCutHoldsTheQuota(t *testing.T) {
 	t.Parallel()
-	const noticedMs = quota.FreshManyMs + 800 // silence, grace, and word of it
+	const noticedMs = quota.GroupedLivenessTimeoutMs + 800 // silence, grace, and word of it
 	for _, c := range []struct{ n, patterns int }{{24, 8}, {92, 8}, {300, 1}} {
 		for seed := range c.patterns {
 			t.Run(fmt.Sprintf("%d limiters, seed %d", c.n, seed), func(t *testing.T) {
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -44,7 +44,7 @@
 // Limiter is one limiter. It is not safe for concurrent use.
 type Limiter struct {
 	cfg     Config
-	quota   *quota.Set
+	quota   *quota.Enforcer
 	balance *balance.Set
 	teller  *gossip.Disseminator
 	retries map[string]float64 // further tries saved up, by service
@@ -61,7 +61,7 @@
 }
 
 // Plans takes over the tenants' quotas of a configuration, by the hashes of their names.
-func (l *Limiter) Plans(now float64, plans map[uint64]quota.Plan) { l.quota.Plans(now, plans) }
+func (l *Limiter) Plans(now float64, plans map[uint64]quota.Plan) { l.quota.SetPlans(now, plans) }
 
 // ChangePlans takes over the quotas that a new configuration changes.
 func (l *Limiter) ChangePlans(now float64, put map[uint64]quota.Plan, gone []uint64) {
@@ -86,7 +86,7 @@
 			zone = append(zone, p.ID)
 		}
 	}
-	l.quota.Members(now, peers)
+	l.quota.SetMembers(now, peers)
 	l.balance.SetPeers(zone, len(peers) >= gossip.LargeFleetPeers)
 	l.teller.SetPeers(peers, l.quota.Level())
 }
@@ -164,9 +164,9 @@
 		return false
 	}
 	if w.GroupDigest.Level > 0 {
-		l.quota.HeardGroup(now, w.From, w.Incarnation, w.AgeMs, w.GroupDigest)
+		l.quota.ReceiveDigest(now, w.From, w.Incarnation, w.AgeMs, w.GroupDigest)
 	} else {
-		l.quota.Heard(now, w.From, w.Incarnation, w.AgeMs, w.HeardPeers, w.Consumed)
+		l.quota.ReceiveUsage(now, w.From, w.Incarnation, w.AgeMs, w.HeardPeers, w.Consumed)
 	}
 	l.balance.ReceiveHints(now, w.From, w.Hints)
 	l.balance.ReceiveDemand(w.From, w.Demand)
@@ -174,7 +174,7 @@
 }
 
 // Part is the share of the quotas that this limiter may use.
-func (l *Limiter) Part(now float64) float64 { return l.quota.Part(now) }
+func (l *Limiter) Part(now float64) float64 { return l.quota.Share(now) }
 
 // Forgotten has others told that a server had forgotten a connection of an age
 // (connpool's group): requests that must not run twice then avoid such ones.
--- a/dataplane/limiter/limiter_test.go
+++ b/dataplane/limiter/limiter_test.go
@@ -143,7 +143,7 @@
 	f := newFleet(90, p)
 	f.play(0, 5000, 900)
 	f.lost = func(a, b uint64) bool { return zone(a) != zone(b) }
-	f.play(5000, 5000+quota.FreshManyMs, 900)
+	f.play(5000, 5000+quota.GroupedLivenessTimeoutMs, 900)
 	at := f.play(6000, 20000, 900)
 	if n := most(at, 5000); n > bound(p) {
 		t.Errorf("%d in 5 s, %d at most", n, bound(p))
--- a/dataplane/quota/column.go
+++ b/dataplane/quota/column.go
@@ -80,7 +80,7 @@
 }
 
 // forget frees the row of a tenant that is gone, in all columns.
-func (s *Set) forget(row int32) {
+func (s *Enforcer) forget(row int32) {
 	for _, p := range s.peers {
 		p.spent.forget(row)
 	}
--- a/dataplane/quota/column_test.go
+++ b/dataplane/quota/column_test.go
@@ -41,10 +41,10 @@
 // all that is spent of it.
 func TestRowOfTheGone(t *testing.T) {
 	s := New(0, Member{ID: 1})
-	s.Members(0, []Member{{ID: 2}})
-	s.Plans(0, map[uint64]Plan{5: {Rate: 0.001, Burst: 100}})
+	s.SetMembers(0, []Member{{ID: 2}})
+	s.SetPlans(0, map[uint64]Plan{5: {Rate: 0.001, Burst: 100}})
 	hear := func(now float64, tenant, units uint64) {
-		s.Heard(now, 2, 7, now, mark(1)^mark(2), []Spent{{Tenant: tenant, Units: units}})
+		s.ReceiveUsage(now, 2, 7, now, mark(1)^mark(2), []Usage{{Tenant: tenant, Units: units}})
 	}
 	hear(1, 5, 0)
 	hear(2, 5, 40)
--- a/dataplane/quota/groups.go
+++ b/dataplane/quota/groups.go
@@ -17,20 +17,20 @@
 // So nobody depends on one limiter, and each sends some n/G + 2G words instead
 // of n, where there are G groups.
 
-// Together is the size of a fleet up to which all tell all.
-const Together = 24
+// MaxUngroupedLimiters is the size of a fleet up to which all tell all.
+const MaxUngroupedLimiters = 24
 
-// Level is how limiters form groups: 0 not at all, else by their zones and by
+// GroupingLevel is how limiters form groups: 0 not at all, else by their zones and by
 // one bit of their ids less than the level.
-type Level uint
+type GroupingLevel uint
 
-// LevelOf is the level of a fleet of n limiters in some zones: about as many
+// GroupingLevelFor is the level of a fleet of n limiters in some zones: about as many
 // groups as make the words of each the fewest.
-func LevelOf(n, zones int) Level {
-	if n <= Together {
+func GroupingLevelFor(n, zones int) GroupingLevel {
+	if n <= MaxUngroupedLimiters {
 		return 0
 	}
-	return Level(1 + max(0, bits.Len(uint(n/2))/2-bits.Len(uint(zones-1))))
+	return GroupingLevel(1 + max(0, bits.Len(uint(n/2))/2-bits.Len(uint(zones-1))))
 }
 
 // Member is another limiter.
@@ -46,7 +46,7 @@
 }
 
 // Group is the group of a limiter.
-func (l Level) Group(m Member) Group {
+func (l GroupingLevel) Group(m Member) Group {
 	if l == 0 {
 		return Group{}
 	}
@@ -58,15 +58,15 @@
 
 // group is another group, as it is reported.
 type group struct {
-	size      int     // as known here
-	heard     int     // of it, by the one whose word counts ...
-	set       uint32  // ... the sum over them
-	classes   []Class // of them
-	same      int     // of them hear the same ones as this limiter ...
-	sameAt    float64 // ... at this time, or more did before
-	at        float64 // of the word that counts
-	source    uint64  // whose word counts
-	first     bool    // it is the one to go by
+	size      int            // as known here
+	heard     int            // of it, by the one whose word counts ...
+	set       uint32         // ... the sum over them
+	classes   []SharingClass // of them
+	same      int            // of them hear the same ones as this limiter ...
+	sameAt    float64        // ... at this time, or more did before
+	at        float64        // of the word that counts
+	source    uint64         // whose word counts
+	first     bool           // it is the one to go by
 	reporters map[uint64]*reporter
 }
 
@@ -82,27 +82,27 @@
 
 // Digest is what a limiter tells of its group.
 type Digest struct {
-	Level   Level   // at which it forms groups
-	First   bool    // of the two that tell this limiter, the one to go by while it speaks
-	Heard   int     // of the group, itself among them
-	Set     uint32  // the sum over them
-	Classes []Class // of them, the largest first
-	Spent   []Spent // by the whole group since the teller's start
+	Level     GroupingLevel  // at which it forms groups
+	First     bool           // of the two that tell this limiter, the one to go by while it speaks
+	LiveCount int            // of the group, itself among them
+	LiveSet   uint32         // the sum over them
+	Classes   []SharingClass // of them, the largest first
+	Consumed  []Usage        // by the whole group since the teller's start
 }
 
 // Level is the level at which groups are formed.
-func (s *Set) Level() Level { return s.level }
+func (s *Enforcer) Level() GroupingLevel { return s.level }
 
 // direct tells whether a limiter speaks to this one for itself.
-func (s *Set) direct(m Member) bool { return s.level.Group(m) == s.level.Group(s.self) }
+func (s *Enforcer) direct(m Member) bool { return s.level.Group(m) == s.level.Group(s.self) }
 
 // regroup forms the groups after a change of members.
-func (s *Set) regroup(now float64) {
+func (s *Enforcer) regroup(now float64) {
 	zones := map[string]bool{s.self.Zone: true}
 	for _, p := range s.peers {
 		zones[p.Zone] = true
 	}
-	if l := LevelOf(len(s.peers)+1, len(zones)); l != s.level {
+	if l := GroupingLevelFor(len(s.peers)+1, len(zones)); l != s.level {
 		s.level = l
 		clear(s.groups) // sums of other groups than these say nothing
 		for _, p := range s.peers {
@@ -128,33 +128,33 @@
 		}
 		k := s.level.Group(p.Member)
 		if s.groups[k] == nil {
-			s.groups[k] = &group{at: -2 * FreshManyMs, reporters: map[uint64]*reporter{}}
+			s.groups[k] = &group{at: -2 * GroupedLivenessTimeoutMs, reporters: map[uint64]*reporter{}}
 		}
 		s.groups[k].size++
 	}
 }
 
-// ReportGroup is the digest of this limiter's group: tenants with news, as in [Set.Report].
-func (s *Set) ReportGroup(now float64, out []Spent) Digest {
-	s.part(now)
+// ReportDigest is the digest of this limiter's group: tenants with news, as in [Enforcer.ReportUsage].
+func (s *Enforcer) ReportDigest(now float64, out []Usage) Digest {
+	s.currentShare(now)
 	h := &s.shares
-	d := Digest{Level: s.level, Heard: h.heard, Set: h.own, Classes: h.classes, Spent: out}
+	d := Digest{Level: s.level, LiveCount: h.heard, LiveSet: h.own, Classes: h.classes, Consumed: out}
 	for id, t := range s.groupNews {
 		if !t.group.due(t.grouped) {
 			delete(s.groupNews, id)
 		} else if t.plan.Rate > 0 {
 			if pause, low := s.pause(now, t, t.grouped-t.group.units, groupMs); now-t.group.at >= pause {
-				d.Spent = append(d.Spent, Spent{id, t.group.tell(now, t.grouped), t.level(), s.within(pause, low)})
+				d.Consumed = append(d.Consumed, Usage{id, t.group.tell(now, t.grouped), t.level(), s.within(pause, low)})
 			}
 		}
 	}
 	return d
 }
 
-// HeardGroup takes in what a limiter tells of its group. One that forms other
+// ReceiveDigest takes in what a limiter tells of its group. One that forms other
 // groups is not counted: for the moment until all know the same limiters, less
 // of the quotas is used, not more.
-func (s *Set) HeardGroup(now float64, from, life uint64, ageMs float64, d Digest) {
+func (s *Enforcer) ReceiveDigest(now float64, from, life uint64, ageMs float64, d Digest) {
 	p := s.peers[from]
 	if s.level == 0 || d.Level != s.level || p == nil || s.direct(p.Member) {
 		return
@@ -175,7 +175,7 @@
 		clear(r.ahead)
 	}
 	r.at = now
-	for _, e := range d.Spent {
+	for _, e := range d.Consumed {
 		t := s.tenants[e.Tenant]
 		if t == nil {
 			continue
@@ -185,12 +185,12 @@
 		case known && units > 0:
 			r.ahead[e.Tenant] += units
 		case !known && past(now, ageMs, r.metAt): // likewise: sums count from the first that is heard here
-			s.seed(now, t, e.Level)
+			s.seed(now, t, e.FillLevel)
 		}
 	}
 	fresh := s.goesBy(now, g)
 	switch {
-	case g.source == from || d.Heard <= g.heard:
+	case g.source == from || d.LiveCount <= g.heard:
 		r.more = 0
 	case r.more == 0:
 		r.more = now
@@ -198,18 +198,18 @@
 	// One that hears more of its group is gone by whether it is the first or not: what
 	// the other does not hear would be drawn by nobody who goes by that one.
 	if g.source != from && fresh && (g.first || !d.First) && (r.more == 0 || now-r.more < graceMs) ||
-		g.source != from && fresh && d.Heard < g.heard {
+		g.source != from && fresh && d.LiveCount < g.heard {
 		return // another one's word counts
 	}
-	if !fresh || g.set != d.Set || !slices.Equal(g.classes, d.Classes) {
+	if !fresh || g.set != d.LiveSet || !slices.Equal(g.classes, d.Classes) {
 		s.shares.validTo = 0
 	}
 	if !fresh {
-		g.same, g.sameAt = d.Heard, now
+		g.same, g.sameAt = d.LiveCount, now
 	}
-	g.source, g.first, g.at, g.heard, g.set = from, d.First, now, d.Heard, d.Set
+	g.source, g.first, g.at, g.heard, g.set = from, d.First, now, d.LiveCount, d.LiveSet
 	g.classes = append(g.classes[:0], d.Classes...)
-	if s.part(now); g.same == 0 {
+	if s.currentShare(now); g.same == 0 {
 		clear(r.ahead) // none of it shares with this limiter
 	}
 	for id, units := range r.ahead {
--- a/dataplane/quota/groups_test.go
+++ b/dataplane/quota/groups_test.go
@@ -7,7 +7,7 @@
 // most what was let through between the words of the two is paid for twice.
 func TestTwoReportersTellOfTheSameUnits(t *testing.T) {
 	const n = 40
-	level := LevelOf(n, 2)
+	level := GroupingLevelFor(n, 2)
 	step := uint64(0x9e3779b97f4a7c15)
 	self := Member{step, "a"}
 	s := New(0, self)
@@ -19,19 +19,19 @@
 			group = append(group, m)
 		}
 	}
-	s.Members(0, all)
-	s.Plans(0, map[uint64]Plan{tenantID: {Rate: 0.001, Burst: 10000}})
+	s.SetMembers(0, all)
+	s.SetPlans(0, map[uint64]Plan{tenantID: {Rate: 0.001, Burst: 10000}})
 	if len(group) < 3 || s.Level() != level || level == 0 {
 		t.Fatalf("%d of the group, level %d", len(group), s.Level())
 	}
 	a, b, c := group[0].ID, group[1].ID, group[2].ID
 	const who = 7 // the sum over the group
 	digest := func(units uint64) Digest {
-		return Digest{Level: level, Heard: len(group), Set: who, Classes: []Class{{mark(self.ID) ^ who, len(group)}},
-			Spent: []Spent{{Tenant: tenantID, Units: units}}}
+		return Digest{Level: level, LiveCount: len(group), LiveSet: who, Classes: []SharingClass{{mark(self.ID) ^ who, len(group)}},
+			Consumed: []Usage{{Tenant: tenantID, Units: units}}}
 	}
 	word := func(now float64, from uint64, units uint64) {
-		s.HeardGroup(now, from, from, now, digest(units))
+		s.ReceiveDigest(now, from, from, now, digest(units))
 	}
 	start, between := s.Balance(0, tenantID), 0.0
 	paid := func(now float64, want float64, what string) {
@@ -49,16 +49,16 @@
 	paid(106, 100, "both tell")
 	word(115, b, 130) // a is silent from here on; 30 more were let through
 	paid(116, 100, "too soon to go by the other")
-	word(110+FreshManyMs, b, 150)
+	word(110+GroupedLivenessTimeoutMs, b, 150)
 	between = 10
-	paid(111+FreshManyMs, 150, "the other one counts")
-	word(120+FreshManyMs, a, 160) // back, and no longer the one that counts
-	paid(121+FreshManyMs, 150, "the first is back")
-	word(130+FreshManyMs, b, 170)
-	paid(131+FreshManyMs, 170, "on with the other")
-	s.HeardGroup(140+FreshManyMs, a, a, 0, Digest{Level: level + 1, Heard: 1, Spent: []Spent{{Tenant: tenantID, Units: 9000}}})
-	s.HeardGroup(140+FreshManyMs, b, b, 0, Digest{Level: level + 1, Heard: 1, Spent: []Spent{{Tenant: tenantID, Units: 9000}}})
-	paid(141+FreshManyMs, 170, "digests of other groups")
+	paid(111+GroupedLivenessTimeoutMs, 150, "the other one counts")
+	word(120+GroupedLivenessTimeoutMs, a, 160) // back, and no longer the one that counts
+	paid(121+GroupedLivenessTimeoutMs, 150, "the first is back")
+	word(130+GroupedLivenessTimeoutMs, b, 170)
+	paid(131+GroupedLivenessTimeoutMs, 170, "on with the other")
+	s.ReceiveDigest(140+GroupedLivenessTimeoutMs, a, a, 0, Digest{Level: level + 1, LiveCount: 1, Consumed: []Usage{{Tenant: tenantID, Units: 9000}}})
+	s.ReceiveDigest(140+GroupedLivenessTimeoutMs, b, b, 0, Digest{Level: level + 1, LiveCount: 1, Consumed: []Usage{{Tenant: tenantID, Units: 9000}}})
+	paid(141+GroupedLivenessTimeoutMs, 170, "digests of other groups")
 	// Who reports changes with every limiter that comes or goes. One that reports
 	// again after others did in its place, and one that is new, speak of units that
 	// were paid for long since. (Found on a day with a roll: buckets of tenants far
@@ -69,7 +69,7 @@
 	paid(4001, 170+2000, "one goes on alone")
 	for now := 4900.0; now <= 5100; now += 100 { // b has stopped
 		word(now, a, 2170+uint64(now-4900))
-		s.HeardGroup(now, c, c, now, digest(2170+uint64(now-4900)))
+		s.ReceiveDigest(now, c, c, now, digest(2170+uint64(now-4900)))
 	}
 	paid(5101, 170+2000+200, "one that is back, and a new one")
 }
--- a/dataplane/quota/news_test.go
+++ b/dataplane/quota/news_test.go
@@ -11,17 +11,17 @@
 	for id := range uint64(14_000) {
 		plans[id] = Plan{Rate: 1000, Burst: 1000}
 	}
-	s.Plans(0, plans)
+	s.SetPlans(0, plans)
 	asked := map[uint64]bool{3: true, 7: true}
 	for id := range asked {
 		s.Admit(1, id)
 	}
 	told := map[uint64]int{}
 	for now := 10.0; now < 3000; now += 10 {
-		for _, e := range s.Report(now, nil) {
+		for _, e := range s.ReportUsage(now, nil) {
 			told[e.Tenant]++
 		}
-		for _, e := range s.ReportGroup(now, nil).Spent {
+		for _, e := range s.ReportDigest(now, nil).Consumed {
 			told[e.Tenant]++
 		}
 	}
@@ -35,7 +35,7 @@
 	}
 	s.Admit(4000, 3)
 	s.ChangePlans(4000, nil, []uint64{3})
-	if got := s.Report(5000, nil); len(got) != 0 {
+	if got := s.ReportUsage(5000, nil); len(got) != 0 {
 		t.Errorf("a tenant that went is told of: %v", got)
 	}
 }
@@ -43,14 +43,14 @@
 // A tenant without a limit is not told of; once it has one, what it spent meanwhile is.
 func TestLimitThatComesLaterIsTold(t *testing.T) {
 	s := New(0, Member{ID: 1, Zone: "a"})
-	s.Plans(0, map[uint64]Plan{5: {Rate: 10, Burst: 10}})
+	s.SetPlans(0, map[uint64]Plan{5: {Rate: 10, Burst: 10}})
 	s.Admit(0, 5)
 	s.ChangePlans(0, map[uint64]Plan{5: {}}, nil)
-	if got := s.Report(1000, nil); len(got) != 0 {
+	if got := s.ReportUsage(1000, nil); len(got) != 0 {
 		t.Errorf("told without a limit: %v", got)
 	}
 	s.ChangePlans(1000, map[uint64]Plan{5: {Rate: 10, Burst: 10}}, nil)
-	if got := s.Report(2000, nil); len(got) != 1 || got[0].Units != 1 {
+	if got := s.ReportUsage(2000, nil); len(got) != 1 || got[0].Units != 1 {
 		t.Errorf("%v, one unit wanted", got)
 	}
 }
@@ -61,9 +61,9 @@
 	for id := range uint64(14_000) {
 		plans[id] = Plan{Rate: 1000, Burst: 1000}
 	}
-	s.Plans(0, plans)
+	s.SetPlans(0, plans)
 	b.ResetTimer()
 	for i := range b.N {
-		s.Report(float64(i)*20, nil)
+		s.ReportUsage(float64(i)*20, nil)
 	}
 }
--- a/dataplane/quota/quota.go
+++ b/dataplane/quota/quota.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// FreshMs is how long a limiter counts as heard after a word of it. What limiters
+	// LivenessTimeoutMs is how long a limiter counts as heard after a word of it. What limiters
 	// that are cut off all of a sudden let through in that time beyond their parts is
 	// the most by which the sum can exceed the plan.
-	FreshMs = 450.0
-	// FreshManyMs is the same in a large fleet, where words are fewer.
-	FreshManyMs = 700.0
-	// ForgetMs is how long the part of a limiter that is gone is kept back: longer
+	LivenessTimeoutMs = 450.0
+	// GroupedLivenessTimeoutMs is the same in a large fleet, where words are fewer.
+	GroupedLivenessTimeoutMs = 700.0
+	// ShareRetentionMs is how long the part of a limiter that is gone is kept back: longer
 	// than it could go on by itself without news from the core.
-	ForgetMs  = 6000.0
-	lowShare  = 0.5  // of the burst: below it, tenants are told of oftener
-	fastShare = 0.05 // of the burst: as soon as so much is not told yet
-	oftenMs   = 60.0
-	seldomMs  = 250.0
-	groupMs   = 700.0 // a group's sums, of tenants that have much left
-	pastMs    = 2000.0
-	seedMs    = 3000.0 // after its start a limiter takes over what others' buckets hold
-	shareMs   = 10.0   // for so long the part of the quotas is not counted anew
+	ShareRetentionMs = 6000.0
+	lowShare         = 0.5  // of the burst: below it, tenants are told of oftener
+	fastShare        = 0.05 // of the burst: as soon as so much is not told yet
+	oftenMs          = 60.0
+	seldomMs         = 250.0
+	groupMs          = 700.0 // a group's sums, of tenants that have much left
+	pastMs           = 2000.0
+	seedMs           = 3000.0 // after its start a limiter takes over what others' buckets hold
+	shareMs          = 10.0   // for so long the part of the quotas is not counted anew
 )
 
 // In a vast fleet nearly every unit of a small tenant is the only one that a limiter
@@ -43,12 +43,12 @@
 // news may wait than that of a large one, half of it at each of the two who pass it on,
 // a limiter and its group's reporter (docs/decisions/0017).
 const (
-	// Vast is the size of a fleet beyond which news waits by need.
-	Vast       = 96
-	slackUnits = 20.0  // quota_slack of the rules
-	surge      = 10.0  // times its rate that a tenant is asked for at the worst
-	mostWaitMs = 240.0 // that news waits longer for it at each of the two ...
-	waitStepMs = 20.0  // ... in ticks of a large fleet: half of one more is half of one too late
+	// VeryLargeFleetPeers is the size of a fleet beyond which news waits by need.
+	VeryLargeFleetPeers = 96
+	slackUnits          = 20.0  // quota_slack of the rules
+	surge               = 10.0  // times its rate that a tenant is asked for at the worst
+	mostWaitMs          = 240.0 // that news waits longer for it at each of the two ...
+	waitStepMs          = 20.0  // ... in ticks of a large fleet: half of one more is half of one too late
 )
 
 // TenantID names a tenant in words: 40 bits of its name's hash.
@@ -58,8 +58,8 @@
 // that the bucket holds. A rate of 0 is no limit.
 type Plan struct{ Rate, Burst float64 }
 
-// Set holds the buckets of one limiter. It is not safe for concurrent use.
-type Set struct {
+// Enforcer holds the buckets of one limiter. It is not safe for concurrent use.
+type Enforcer struct {
 	self    Member
 	startMs float64
 	tenants map[uint64]*tenant
@@ -68,7 +68,7 @@
 	// group: a look at what is due costs those who ask, not all tenants there are.
 	news, groupNews map[uint64]*tenant
 	peers           map[uint64]*peer // other limiters, by the hash of their names
-	level           Level
+	level           GroupingLevel
 	groups          map[Group]*group
 	shares          shares
 	seeded          bool // shares with so many that its buckets could take over what others' hold
@@ -100,12 +100,12 @@
 }
 
 // New returns a set of a limiter that starts now, by the hash of its name.
-func New(now float64, self Member) *Set {
-	return &Set{self: self, startMs: now, tenants: map[uint64]*tenant{}, news: map[uint64]*tenant{}, groupNews: map[uint64]*tenant{}, peers: map[uint64]*peer{}, groups: map[Group]*group{}}
+func New(now float64, self Member) *Enforcer {
+	return &Enforcer{self: self, startMs: now, tenants: map[uint64]*tenant{}, news: map[uint64]*tenant{}, groupNews: map[uint64]*tenant{}, peers: map[uint64]*peer{}, groups: map[Group]*group{}}
 }
 
-// Plans takes over all plans of a configuration.
-func (s *Set) Plans(now float64, plans map[uint64]Plan) {
+// SetPlans takes over all plans of a configuration.
+func (s *Enforcer) SetPlans(now float64, plans map[uint64]Plan) {
 	var gone []uint64
 	for id := range s.tenants {
 		if _, ok := plans[id]; !ok {
@@ -118,7 +118,7 @@
 // ChangePlans takes over the plans that a new configuration changes. A bucket
 // that runs goes on with what it holds, at most the new burst: a version gives
 // nobody a fresh burst.
-func (s *Set) ChangePlans(now float64, put map[uint64]Plan, gone []uint64) {
+func (s *Enforcer) ChangePlans(now float64, put map[uint64]Plan, gone []uint64) {
 	for _, id := range gone {
 		if t := s.tenants[id]; t != nil {
 			s.forget(t.row)
@@ -142,8 +142,8 @@
 	}
 }
 
-// Members says which other limiters there are.
-func (s *Set) Members(now float64, members []Member) {
+// SetMembers says which other limiters there are.
+func (s *Enforcer) SetMembers(now float64, members []Member) {
 	is := make(map[uint64]bool, len(members))
 	for _, m := range members {
 		is[m.ID] = true
@@ -159,7 +159,7 @@
 		case is[id]:
 		case p.goneAt == 0:
 			p.goneAt = max(now, 1)
-		case now-p.goneAt > ForgetMs:
+		case now-p.goneAt > ShareRetentionMs:
 			delete(s.peers, id)
 		}
 	}
@@ -168,34 +168,34 @@
 }
 
 // hears tells whether another limiter's own words come.
-func (s *Set) hears(now float64, p *peer) bool {
+func (s *Enforcer) hears(now float64, p *peer) bool {
 	return s.direct(p.Member) && now-p.heardAt <= s.fresh()
 }
 
 // fresh is how long a limiter counts as heard after a word of it.
-func (s *Set) fresh() float64 {
+func (s *Enforcer) fresh() float64 {
 	if s.level > 0 {
-		return FreshManyMs
+		return GroupedLivenessTimeoutMs
 	}
-	return FreshMs
+	return LivenessTimeoutMs
 }
 
-func (s *Set) refill(now float64, t *tenant) {
-	part := s.part(now)
+func (s *Enforcer) refill(now float64, t *tenant) {
+	part := s.currentShare(now)
 	t.balance = bucket.Refill(t.balance, (now-t.at)/1000, t.plan.Rate*part, t.plan.Burst*part)
 	t.at = now
 }
 
 // Admit takes one request's unit, or tells after how many milliseconds there
 // will be one, as far as known here.
-func (s *Set) Admit(now float64, id uint64) (waitMs float64, ok bool) {
+func (s *Enforcer) Admit(now float64, id uint64) (waitMs float64, ok bool) {
 	t := s.tenants[id]
 	if t == nil || t.plan.Rate <= 0 {
 		return 0, true
 	}
 	s.refill(now, t)
 	if t.balance < 1 {
-		return 1000 * bucket.Wait(t.balance, 1, t.plan.Rate*s.part(now)), false
+		return 1000 * bucket.Wait(t.balance, 1, t.plan.Rate*s.currentShare(now)), false
 	}
 	t.balance--
 	t.spent++
@@ -204,25 +204,25 @@
 	return 0, true
 }
 
-// Spent is what is told of one tenant: all that was admitted since the start.
-type Spent struct {
-	Tenant uint64
-	Units  uint64
-	Level  uint8 // of the bucket: 255ths of the burst
-	// Within is in how many milliseconds others should know, as little is left; 0: there is
+// Usage is what is told of one tenant: all that was admitted since the start.
+type Usage struct {
+	Tenant    uint64
+	Units     uint64
+	FillLevel uint8 // of the bucket: 255ths of the burst
+	// DueWithinMs is in how many milliseconds others should know, as little is left; 0: there is
 	// time. Not told.
-	Within float64
+	DueWithinMs float64
 }
 
-// Report lists the tenants that are to be told of now: those with news, oftener
+// ReportUsage lists the tenants that are to be told of now: those with news, oftener
 // the less is left. Each figure is told once more, against loss.
-func (s *Set) Report(now float64, out []Spent) []Spent {
+func (s *Enforcer) ReportUsage(now float64, out []Usage) []Usage {
 	for id, t := range s.news {
 		if !t.own.due(t.spent) {
 			delete(s.news, id)
 		} else if t.plan.Rate > 0 {
 			if pause, low := s.pause(now, t, t.spent-t.own.units, seldomMs); now-t.own.at >= pause {
-				out = append(out, Spent{id, t.own.tell(now, t.spent), t.level(), s.within(pause, low)})
+				out = append(out, Usage{id, t.own.tell(now, t.spent), t.level(), s.within(pause, low)})
 			}
 		}
 	}
@@ -241,7 +241,7 @@
 // theirs hold: it is the same bucket, of which this limiter has not heard yet what
 // was saved up. Without it a tenant's requests that come in here would be refused
 // until the bucket has filled, though the tenant is far below its quota.
-func (s *Set) seed(now float64, t *tenant, level uint8) {
+func (s *Enforcer) seed(now float64, t *tenant, level uint8) {
 	if t.seeded || now-s.startMs > seedMs {
 		return
 	}
@@ -253,13 +253,13 @@
 
 // takeSeeds has the buckets take over what others' hold, once most others pay for
 // what is spent here.
-func (s *Set) takeSeeds(now float64) {
+func (s *Enforcer) takeSeeds(now float64) {
 	for _, t := range s.tenants {
 		s.takeSeed(now, t)
 	}
 }
 
-func (s *Set) takeSeed(now float64, t *tenant) {
+func (s *Enforcer) takeSeed(now float64, t *tenant) {
 	if t.seed > 0 {
 		s.refill(now, t)
 		t.balance = max(t.balance, min(t.seed-t.missed, t.plan.Burst))
@@ -269,7 +269,7 @@
 
 // pause is how seldom a tenant is told of, where so many units are not told yet;
 // much is for one that has much left, low tells that it has not.
-func (s *Set) pause(now float64, t *tenant, units uint64, much float64) (ms float64, low bool) {
+func (s *Enforcer) pause(now float64, t *tenant, units uint64, much float64) (ms float64, low bool) {
 	s.refill(now, t)
 	fast := fastShare * t.plan.Burst
 	if s.vast() {
@@ -285,7 +285,7 @@
 }
 
 // within is how soon others should know of news that is told so seldom.
-func (s *Set) within(pause float64, low bool) float64 {
+func (s *Enforcer) within(pause float64, low bool) float64 {
 	if !low {
 		return 0
 	}
@@ -293,7 +293,7 @@
 }
 
 // vast tells whether there are so many limiters that news waits by need.
-func (s *Set) vast() bool { return len(s.peers) >= Vast }
+func (s *Enforcer) vast() bool { return len(s.peers) >= VeryLargeFleetPeers }
 
 // told is what was told of a figure that only grows.
 type told struct {
@@ -310,11 +310,11 @@
 	return units
 }
 
-// Heard takes in the word of another limiter: which start of it speaks, for
+// ReceiveUsage takes in the word of another limiter: which start of it speaks, for
 // how long that has run, whom it hears, and what it has spent. Figures are
 // cumulative, so that the next message heals a lost one. Of one that hears
 // others than this limiter, it is not drawn: it has its own part.
-func (s *Set) Heard(now float64, from, life uint64, ageMs float64, set uint32, spent []Spent) {
+func (s *Enforcer) ReceiveUsage(now float64, from, life uint64, ageMs float64, set uint32, spent []Usage) {
 	p := s.peers[from]
 	if p == nil || !s.direct(p.Member) {
 		return
@@ -327,7 +327,7 @@
 		s.shares.validTo = 0
 	}
 	p.heardAt, p.set = now, set
-	s.part(now)
+	s.currentShare(now)
 	for _, e := range spent {
 		t := s.tenants[e.Tenant]
 		if t == nil {
@@ -336,7 +336,7 @@
 		units, known := p.spent.raise(t.row, e.Units)
 		if !known && past(now, ageMs, p.metAt) {
 			units = 0
-			s.seed(now, t, e.Level)
+			s.seed(now, t, e.FillLevel)
 		}
 		if units > 0 {
 			t.grouped += units
@@ -353,7 +353,7 @@
 func past(now, ageMs, metAt float64) bool { return ageMs > now-metAt+pastMs }
 
 // draw takes what others let through, below nought too.
-func (s *Set) draw(now float64, t *tenant, units uint64) {
+func (s *Enforcer) draw(now float64, t *tenant, units uint64) {
 	s.refill(now, t)
 	t.balance = bucket.Draw(t.balance, float64(units), -t.plan.Burst-t.plan.Rate)
 	if t.seed > 0 {
@@ -362,7 +362,7 @@
 }
 
 // Balance returns what a tenant's bucket holds, for reports.
-func (s *Set) Balance(now float64, id uint64) float64 {
+func (s *Enforcer) Balance(now float64, id uint64) float64 {
 	t := s.tenants[id]
 	if t == nil {
 		return 0
--- a/dataplane/quota/quota_test.go
+++ b/dataplane/quota/quota_test.go
@@ -9,7 +9,7 @@
 
 // fleet is a set of limiters that tell each other, in parts that may be cut.
 type fleet struct {
-	sets []*Set
+	sets []*Enforcer
 	cut  func(i, j int) bool
 	rng  *rand.Rand
 }
@@ -24,8 +24,8 @@
 				others = append(others, Member{ID: uint64(j + 1)})
 			}
 		}
-		s.Members(0, others)
-		s.Plans(0, map[uint64]Plan{tenantID: p})
+		s.SetMembers(0, others)
+		s.SetPlans(0, map[uint64]Plan{tenantID: p})
 		g.sets = append(g.sets, s)
 	}
 	return g
@@ -41,10 +41,10 @@
 					at = append(at, now)
 				}
 			}
-			words := s.Report(now, nil)
+			words := s.ReportUsage(now, nil)
 			for j, o := range g.sets {
 				if j != i && !g.cut(i, j) {
-					o.Heard(now, uint64(i+1), uint64(100+i), now, s.Hears(now), words)
+					o.ReceiveUsage(now, uint64(i+1), uint64(100+i), now, s.LiveSet(now), words)
 				}
 			}
 		}
@@ -99,7 +99,7 @@
 		at = append(at, g.play(8000, 30000, 600)...)
 		limit := bound(p)
 		if name == "each alone" { // all at once: until each has noticed, all that is asked may pass
-			limit += int(FreshManyMs / 1000 * 600)
+			limit += int(GroupedLivenessTimeoutMs / 1000 * 600)
 		}
 		if n := most(at, 5000); n > limit {
 			t.Errorf("%s: %d in 5 s, %d at most", name, n, limit)
@@ -119,16 +119,16 @@
 func TestBucketRunsOn(t *testing.T) {
 	g := newFleet(2, Plan{Rate: 10, Burst: 50})
 	s := g.sets[0]
-	s.Heard(0, 2, 5, 0, mark(1)^mark(2), nil)
+	s.ReceiveUsage(0, 2, 5, 0, mark(1)^mark(2), nil)
 	for range 60 {
 		s.Admit(1, tenantID)
 	}
-	s.Plans(1, map[uint64]Plan{tenantID: {Rate: 20, Burst: 500}})
+	s.SetPlans(1, map[uint64]Plan{tenantID: {Rate: 20, Burst: 500}})
 	if b := s.Balance(1, tenantID); b >= 1 {
 		t.Errorf("a new version gave %v", b)
 	}
 	for range 2 { // doubled
-		s.Heard(2, 2, 5, 2, mark(1)^mark(2), []Spent{{Tenant: tenantID, Units: 30}})
+		s.ReceiveUsage(2, 2, 5, 2, mark(1)^mark(2), []Usage{{Tenant: tenantID, Units: 30}})
 	}
 	if b := s.Balance(2, tenantID); b > -29 || b < -31 {
 		t.Errorf("balance %v", b)
@@ -144,17 +144,17 @@
 	s := g.sets[0]
 	hear := func(now float64) {
 		for id := uint64(2); id <= 3; id++ {
-			s.Heard(now, id, id, now, mark(1)^mark(2)^mark(3), nil)
+			s.ReceiveUsage(now, id, id, now, mark(1)^mark(2)^mark(3), nil)
 		}
 	}
 	hear(100)
-	s.Members(100, []Member{{ID: 2}, {ID: 3}})
-	if got := s.part(100); got != 0.75 {
+	s.SetMembers(100, []Member{{ID: 2}, {ID: 3}})
+	if got := s.currentShare(100); got != 0.75 {
 		t.Errorf("part %v", got)
 	}
-	hear(100 + ForgetMs + 1)
-	s.Members(100+ForgetMs+1, []Member{{ID: 2}, {ID: 3}})
-	if got := s.part(100 + ForgetMs + 1); got != 1 {
+	hear(100 + ShareRetentionMs + 1)
+	s.SetMembers(100+ShareRetentionMs+1, []Member{{ID: 2}, {ID: 3}})
+	if got := s.currentShare(100 + ShareRetentionMs + 1); got != 1 {
 		t.Errorf("part %v", got)
 	}
 }
@@ -173,8 +173,8 @@
 		for j := range 9 {
 			others = append(others, Member{ID: uint64(j + 2)})
 		}
-		s.Members(now, others)
-		s.Plans(now, map[uint64]Plan{tenantID: p})
+		s.SetMembers(now, others)
+		s.SetPlans(now, map[uint64]Plan{tenantID: p})
 		f.sets[0] = s
 	}
 	join(10_000)
--- a/dataplane/quota/share.go
+++ b/dataplane/quota/share.go
@@ -22,19 +22,19 @@
 	mostClasses = 4 // of a group are told, the largest first
 )
 
-// Class is how many of a group hear the same ones.
-type Class struct {
-	Set   uint32 // the sum over those whom they hear
-	Count int
+// SharingClass is how many of a group hear the same ones.
+type SharingClass struct {
+	LiveSet uint32 // the sum over those whom they hear
+	Count   int
 }
 
 // shares is what a limiter knows of those that share with it.
 type shares struct {
-	mates   []*peer // of this limiter's group
-	set     uint32  // whom this limiter hears, itself among them
-	own     uint32  // ... of its group
-	heard   int     // of its group, itself among them
-	classes []Class // of its group
+	mates   []*peer        // of this limiter's group
+	set     uint32         // whom this limiter hears, itself among them
+	own     uint32         // ... of its group
+	heard   int            // of its group, itself among them
+	classes []SharingClass // of its group
 	part    float64
 	validTo float64
 }
@@ -42,9 +42,9 @@
 // mark is one limiter's part in the sum over those that are heard.
 func mark(id uint64) uint32 { return uint32(id ^ id>>32) }
 
-// part is the share of each quota that this limiter may use. Counting it anew with
+// currentShare is the share of each quota that this limiter may use. Counting it anew with
 // each request would cost the more the larger the fleet is.
-func (s *Set) part(now float64) float64 {
+func (s *Enforcer) currentShare(now float64) float64 {
 	if now >= s.shares.validTo {
 		s.count(now)
 	}
@@ -52,7 +52,7 @@
 }
 
 // count finds who shares with this limiter.
-func (s *Set) count(now float64) {
+func (s *Enforcer) count(now float64) {
 	h := &s.shares
 	h.validTo = now + shareMs
 	h.own, h.heard = mark(s.self.ID), 1
@@ -68,7 +68,7 @@
 			h.set ^= g.set
 		}
 	}
-	h.classes = append(h.classes[:0], Class{h.set, 1})
+	h.classes = append(h.classes[:0], SharingClass{h.set, 1})
 	sharing := 1
 	for _, p := range h.mates {
 		if !s.hears(now, p) {
@@ -82,7 +82,7 @@
 			sharing++
 		}
 	}
-	slices.SortStableFunc(h.classes, func(a, b Class) int { return b.Count - a.Count })
+	slices.SortStableFunc(h.classes, func(a, b SharingClass) int { return b.Count - a.Count })
 	h.classes = h.classes[:min(len(h.classes), mostClasses)]
 	for _, g := range s.groups {
 		if !s.goesBy(now, g) {
@@ -90,7 +90,7 @@
 		}
 		same := 0
 		for _, c := range g.classes {
-			if c.Set == h.set {
+			if c.LiveSet == h.set {
 				same = c.Count
 			}
 		}
@@ -109,25 +109,25 @@
 // tally counts one of the group that hears these.
 func (h *shares) tally(set uint32) {
 	for i := range h.classes {
-		if h.classes[i].Set == set {
+		if h.classes[i].LiveSet == set {
 			h.classes[i].Count++
 			return
 		}
 	}
-	h.classes = append(h.classes, Class{set, 1})
+	h.classes = append(h.classes, SharingClass{set, 1})
 }
 
 // with tells whether a limiter of the group shares with this one.
 func (h *shares) with(now float64, p *peer) bool { return now-p.sameAt <= graceMs }
 
 // goesBy tells whether another group is heard of.
-func (s *Set) goesBy(now float64, g *group) bool { return now-g.at <= s.fresh() }
+func (s *Enforcer) goesBy(now float64, g *group) bool { return now-g.at <= s.fresh() }
 
-// Hears is the sum over those whom this limiter hears, to be told to them.
-func (s *Set) Hears(now float64) uint32 {
-	s.part(now)
+// LiveSet is the sum over those whom this limiter hears, to be told to them.
+func (s *Enforcer) LiveSet(now float64) uint32 {
+	s.currentShare(now)
 	return s.shares.set
 }
 
-// Part is the share of the quotas that this limiter may use, for reports.
-func (s *Set) Part(now float64) float64 { return s.part(now) }
+// Share is the share of the quotas that this limiter may use, for reports.
+func (s *Enforcer) Share(now float64) float64 { return s.currentShare(now) }
--- a/lab/controlbench/hollow/quota.go
+++ b/lab/controlbench/hollow/quota.go
@@ -28,7 +28,7 @@
 		members = append(members, quota.Member{ID: xxhash.Sum64String(fmt.Sprint("limiter-", i)), Zone: zone(i, s.Zones)})
 		zones[members[i].Zone] = true
 	}
-	level := quota.LevelOf(len(members), len(zones))
+	level := quota.GroupingLevelFor(len(members), len(zones))
 	plans := map[uint64]quota.Plan{}
 	var ids []uint64
 	for i := range s.Tenants {
@@ -68,7 +68,7 @@
 				l.Tick(at, func(_ uint64, w *gossip.Message) {
 					sentWords++
 					sentBytes += len(w.Append(nil)) + 28 // IP and UDP
-					sentTold += len(w.Consumed) + len(w.GroupDigest.Spent)
+					sentTold += len(w.Consumed) + len(w.GroupDigest.Consumed)
 				})
 			}
 			return nil
@@ -103,13 +103,13 @@
 			reporters[g]++
 			for round := range 2 {
 				for at := 0; at < len(ids); at += 48 {
-					var spent []quota.Spent
+					var spent []quota.Usage
 					for _, id := range ids[at:min(len(ids), at+48)] {
-						spent = append(spent, quota.Spent{Tenant: id, Units: uint64(round)})
+						spent = append(spent, quota.Usage{Tenant: id, Units: uint64(round)})
 					}
 					w = gossip.Message{From: m.ID, Incarnation: 1, AgeMs: now, Consumed: spent}
 					if !own {
-						w.Consumed, w.GroupDigest = nil, quota.Digest{Level: level, First: reporters[g] == 1, Heard: 1, Spent: spent}
+						w.Consumed, w.GroupDigest = nil, quota.Digest{Level: level, First: reporters[g] == 1, LiveCount: 1, Consumed: spent}
 					}
 					fleet[i].Hear(now, &w)
 				}
--- a/lab/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -64,11 +64,11 @@
 		*of += before - size(&rest)
 	}
 	t.Words++
-	t.Told += float64(len(w.Consumed) + len(w.GroupDigest.Spent))
+	t.Told += float64(len(w.Consumed) + len(w.GroupDigest.Consumed))
 	part(&t.Hints, func() { rest.Hints = nil })
 	part(&t.Demand, func() { rest.Demand = nil })
 	part(&t.Units, func() { rest.Consumed = nil })
-	part(&t.Sums, func() { rest.GroupDigest.Spent = nil })
+	part(&t.Sums, func() { rest.GroupDigest.Consumed = nil })
 	part(&t.Groups, func() { rest.GroupDigest.Classes = nil })
 	t.Heads += size(&rest) + wordOverhead
 }
--- a/lab/simulation/traffic_test.go
+++ b/lab/simulation/traffic_test.go
@@ -10,11 +10,11 @@
 
 // Of a word each part's bytes are counted once, and all of them together are the word.
 func TestBytesOfWordsAddUp(t *testing.T) {
-	spent := []quota.Spent{{Tenant: 1, Units: 300, Level: 9}, {Tenant: 2, Units: 5}}
+	spent := []quota.Usage{{Tenant: 1, Units: 300, FillLevel: 9}, {Tenant: 2, Units: 5}}
 	list := []gossip.Message{
 		{From: 1, Incarnation: 2, AgeMs: 1000, Consumed: spent, Hints: []balance.Hint{{Server: 1}}, HeardPeers: 7},
 		{From: 1, Incarnation: 2, Demand: []balance.Demand{{Service: 3, Level: 4}},
-			GroupDigest: quota.Digest{Level: 2, Heard: 3, Classes: []quota.Class{{Set: 1, Count: 300}}, Spent: spent}},
+			GroupDigest: quota.Digest{Level: 2, LiveCount: 3, Classes: []quota.SharingClass{{LiveSet: 1, Count: 300}}, Consumed: spent}},
 		{},
 	}
 	var sum Traffic
