--- /dev/null
+++ b/balancer/wire/golden_test.go
@@ -0,0 +1,45 @@
+package wire
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"example.org/elmspan/balancer"
+)
+
+// TestGoldenReply holds the lines of the simulator's protocol that a reply may have, as
+// written by f96d826.
+func TestGoldenReply(t *testing.T) {
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", "reply.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got bytes.Buffer
+	w := NewWriter(&got)
+	for _, action := range []balancer.Action{
+		balancer.PassOn{ID: "rq_1", CapMs: 80.0625, Server: 1<<64 - 1},
+		balancer.PassOn{ID: "rq_2", Server: 7},
+		balancer.Refuse{ID: "rq_3", WaitMs: 1234.5678},
+		balancer.Refuse{ID: "rq_4"},
+		balancer.Fail{ID: "rq_5"},
+		balancer.AbortAttempt{ID: "rq_1", Try: 2},
+		balancer.Timer{At: 8412.2505, Handle: "tick"},
+		balancer.Probe{Server: 51530247},
+		balancer.Tell{To: 4, Data: []byte{0x5c, 2, 0, 255}},
+		balancer.Tell{To: 5},
+		balancer.Log{Line: "first\nsecond\rthird"},
+		balancer.Listen{},
+		balancer.QueryAll{},
+	} {
+		w.Action(12, action)
+	}
+	w.Fault(12, "bad\nsetting")
+	if err := w.Yield(); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got.Bytes(), want) {
+		t.Errorf("wrote\n%s\nwant\n%s", got.Bytes(), want)
+	}
+}
