--- /dev/null
+++ b/lab/emulator/answer.go
@@ -0,0 +1,210 @@
+package emulator
+
+import (
+	"bytes"
+	"fmt"
+	"hash/crc32"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"example.org/elmspan/dataplane/h1"
+	"example.org/elmspan/lab/checker"
+	"example.org/elmspan/lab/scenario"
+)
+
+// exchange is a request that a server answers.
+type exchange struct {
+	conn   net.Conn
+	head   *h1.Head
+	body   []byte
+	id     string
+	class  *scenario.Class
+	budget *time.Timer // runs out when the request must be answered
+	mode   string      // in which it fails; empty: it does not
+}
+
+// answer works on one request; false ends the connection.
+func (s *server) answer(conn net.Conn, head *h1.Head, body []byte) bool {
+	x := &exchange{conn: conn, head: head, body: body, id: head.Get("Attempt-Id")}
+	if head.Target == "/health" {
+		return s.write(conn, "HTTP/1.1 200 OK\r\nMember-Id: %s\r\nContent-Length: 0\r\n\r\n", s.id)
+	}
+	if m := head.Get("Target-Member"); m != "" && m != s.id {
+		return s.reject(x, http.StatusMisdirectedRequest, "another member")
+	}
+	if x.class = s.classOf(head.Target); x.class == nil || x.id == "" {
+		return s.reject(x, http.StatusBadRequest, "no class or id")
+	}
+	budgetMs, err := strconv.ParseFloat(head.Get("Time-Budget-Ms"), 64)
+	if err != nil {
+		return s.reject(x, http.StatusBadRequest, "no budget")
+	}
+	s.log.Arrived(x.id, s.service)
+	if x.mode = s.failureMode(); x.mode == scenario.GreyShed {
+		return s.reject(x, http.StatusServiceUnavailable, "shed")
+	}
+	x.budget = time.NewTimer(time.Duration(budgetMs * float64(time.Millisecond)))
+	defer x.budget.Stop()
+	if !s.enter() {
+		if s.spec.HangsWhenFull {
+			<-x.budget.C
+			return false
+		}
+		return s.reject(x, http.StatusServiceUnavailable, "full")
+	}
+	defer s.leave()
+	select {
+	case s.slots <- struct{}{}:
+	case <-x.budget.C:
+		return s.reject(x, http.StatusServiceUnavailable, "late")
+	}
+	defer func() { <-s.slots }()
+	return s.run(x)
+}
+
+// write writes to a connection and reports whether that went well.
+func (s *server) write(conn net.Conn, format string, args ...any) bool {
+	_, err := fmt.Fprintf(conn, format, args...)
+	return err == nil
+}
+
+// reject answers a request that has not run.
+func (s *server) reject(x *exchange, status int, reason string) bool {
+	return s.write(x.conn, "HTTP/1.1 %d x\r\nAttempt-Id: %s\r\nNot-Executed: %s\r\nMember-Id: %s\r\n"+
+		"Content-Length: 0\r\n\r\n", status, x.id, reason, s.id)
+}
+
+func (s *server) classOf(target string) *scenario.Class {
+	for prefix, class := range s.classes {
+		if strings.HasPrefix(target, prefix) {
+			return class
+		}
+	}
+	return nil
+}
+
+// enter counts a request in, unless the server and its queue are full.
+func (s *server) enter() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.inHand >= s.spec.Queue+s.spec.Slots {
+		return false
+	}
+	s.inHand++
+	return true
+}
+
+func (s *server) leave() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inHand--
+}
+
+// failureMode is how the server fails the next request, empty if it does not.
+func (s *server) failureMode() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.degraded.mode == "" || s.rng.Float64() >= s.degraded.fails {
+		return ""
+	}
+	return s.degraded.mode
+}
+
+// plan is what is drawn for a run.
+type plan struct {
+	workMs       float64
+	stopped      bool // the server has ended
+	lost         bool // the answer is never sent
+	draining     bool
+	repeats      bool // the answer is sent twice ...
+	repeatsLater bool // ... the second time where the next one is due
+}
+
+func (s *server) drawPlan(class *scenario.Class) plan {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	warming := time.Since(s.started).Seconds() < s.spec.WarmupS
+	return plan{
+		workMs:       class.DrawWork(s.rng, s.degraded.slowdown, warming),
+		lost:         s.rng.Float64() < s.degraded.loses,
+		stopped:      s.stopped,
+		draining:     s.draining,
+		repeats:      s.rng.Float64() < s.degraded.repeats,
+		repeatsLater: s.rng.IntN(2) == 0,
+	}
+}
+
+// run runs a request and answers it; false ends the connection.
+func (s *server) run(x *exchange) bool {
+	run := checker.Run{
+		Service: s.service,
+		Member:  s.id,
+		Tenant:  x.head.Get("Tenant-Name"),
+		Body:    crc32.ChecksumIEEE(x.body),
+	}
+	s.log.Ran(x.id, run, x.head.Get("Authorization") != "")
+	p := s.drawPlan(x.class)
+	if p.stopped {
+		return false
+	}
+	if x.mode == scenario.GreySlow {
+		p.workMs *= greySlowdown
+	}
+	time.Sleep(time.Duration(p.workMs * float64(time.Millisecond)))
+	switch {
+	case x.mode == scenario.GreyErrors:
+		return s.write(x.conn, "HTTP/1.1 500 x\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", x.id)
+	case x.mode == scenario.GreyReset:
+		reset(x.conn)
+		return false
+	case p.lost || x.mode == scenario.GreyMute:
+		<-x.budget.C
+		return false
+	}
+	return s.succeed(x, &p)
+}
+
+// succeed sends a sealed answer; false ends the connection.
+func (s *server) succeed(x *exchange, p *plan) bool {
+	body := bytes.Repeat([]byte(x.id), x.class.AnswerBytes/max(1, len(x.id))+1)[:x.class.AnswerBytes]
+	closes := ""
+	if p.draining {
+		closes = "Connection: close\r\n"
+	}
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: %s\r\n"+
+		"Keep-Alive: timeout=%d\r\n%sContent-Length: %d\r\n\r\n",
+		x.id, checker.Seal(s.id, x.id, body), int(serverIdleTimeout.Seconds()), closes, len(body))
+	answer := append([]byte(head), body...)
+	out := answer
+	if p.repeats && !p.repeatsLater { // in one piece with the next answer, or while the connection rests
+		out = append(out, answer...)
+	}
+	if _, err := x.conn.Write(out); err != nil {
+		return false
+	}
+	if p.repeats && p.repeatsLater {
+		s.pendingCopies.Store(x.conn, answer)
+	}
+	return !p.draining
+}
+
+// writePendingCopy writes the second copy of an answer that is due where the next one is.
+func (s *server) writePendingCopy(conn net.Conn) bool {
+	copied, pending := s.pendingCopies.LoadAndDelete(conn)
+	if !pending {
+		return true
+	}
+	_, err := conn.Write(copied.([]byte))
+	return err == nil
+}
+
+// reset ends a connection so that the other side notices at once.
+func reset(conn net.Conn) {
+	if t, ok := conn.(*net.TCPConn); ok {
+		_ = t.SetLinger(0) // else it ends in order
+	}
+	_ = conn.Close()
+}
