--- a/dataplane/client_test.go
+++ b/dataplane/clientconn_test.go
@@ -20,7 +20,7 @@
 
 // The last answer on a connection is not lost to a reset because its client was still
 // sending: what comes is read past until the client has closed, or for a moment.
-func TestLastAnswerIsNotResetAway(t *testing.T) {
+func TestLastResponseIsNotLostToAReset(t *testing.T) {
 	t.Parallel()
 	g := newGateway(t, newBackend(t, good("yes")))
 	g.listener.linger = patience
@@ -43,7 +43,7 @@
 
 // A client of HTTP/1.0 knows no chunks: it gets the body as it is, up to the end of the
 // connection, which is a reset where the body breaks off.
-func TestOldClients(t *testing.T) {
+func TestHTTP10ClientGetsTheBodyUntilClose(t *testing.T) {
 	t.Parallel()
 	const body = "in two chunks"
 	b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
@@ -71,7 +71,7 @@
 
 // Nor does it know answers that only announce another: one would be taken for its own
 // (RFC 9110, 15.2).
-func TestOldClientsGetNoInterimAnswer(t *testing.T) {
+func TestHTTP10ClientGetsNoInterimResponse(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		g := newGatewayOf(t, settings.Timing{GraceS: 3}, newBackend(t, good("yes")))
@@ -86,7 +86,7 @@
 }
 
 // An answer to HEAD says of the body what its server says, and has none.
-func TestHeadSaysWhatGetWouldHave(t *testing.T) {
+func TestHeadResponseTellsTheLengthOfGet(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
@@ -107,7 +107,7 @@
 
 // Requests sent behind each other are answered in their order, each with its own id,
 // whether the first is slow, refused or fails; where it breaks off, nothing follows.
-func TestPipelinedBehindTrouble(t *testing.T) {
+func TestPipelinedResponsesKeepOrderBehindAFailure(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		for _, first := range []string{"slow", "refused", "failed", "gone", "cut"} {
@@ -166,7 +166,7 @@
 // Many clients at once, some of whom reset their connection in the middle or close half
 // of it, before servers that do everything: each answer is to its own request, each
 // filing runs once at most, and what is refused has not run.
-func TestNothingCrossesBetweenClients(t *testing.T) {
+func TestResponsesStayWithTheirClients(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		const clients, rounds = 6, 60
@@ -293,7 +293,7 @@
 
 // A long answer may take as long as its request: it is not cut off because it takes
 // longer than a short one may.
-func TestLongAnswersHaveTheirTime(t *testing.T) {
+func TestLongResponseMayTakeTheTimeOfItsRequest(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		long := strings.Repeat("x", 2*maxHeldResponse)
@@ -307,7 +307,7 @@
 
 // Who asks before it sends a body, and is turned away, is told so at once: the body may
 // never come.
-func TestTurnedAwayBeforeTheBody(t *testing.T) {
+func TestRefusedBeforeTheBodyIsSent(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		g := newGateway(t, newBackend(t, good("yes")))
--- /dev/null
+++ b/dataplane/fixtures_test.go
@@ -0,0 +1,167 @@
+package dataplane
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"strconv"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"example.org/elmspan/api"
+	"example.org/elmspan/dataplane/h1"
+	"example.org/elmspan/settings"
+	"example.org/elmspan/telemetry"
+	"example.org/elmspan/versioned"
+)
+
+// patience is for what hangs. No verdict hangs on it.
+const patience = 2 * time.Minute
+
+// backend is a stand-in for a server: it answers each request as it is told to.
+type backend struct {
+	addr string
+	seen atomic.Int64
+	last atomic.Pointer[h1.Head]
+}
+
+// newBackend returns a server that hands each request to a function, which
+// writes the answer; false closes the connection.
+func newBackend(t testing.TB, answer func(w io.Writer, h *h1.Head, body []byte) bool) *backend {
+	l := listenOn(t)
+	b := &backend{addr: l.Addr().String()}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				c.SetDeadline(time.Now().Add(patience))
+				in := bufio.NewReader(c)
+				for {
+					h, body, err := h1.ReadWhole(in, 1<<16)
+					if err != nil {
+						return
+					}
+					b.seen.Add(1)
+					b.last.Store(h)
+					if !answer(c, h, body) {
+						return
+					}
+				}
+			}()
+		}
+	}()
+	return b
+}
+
+func good(body string) func(io.Writer, *h1.Head, []byte) bool {
+	return func(w io.Writer, h *h1.Head, _ []byte) bool {
+		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", h.Get("Attempt-Id"), len(body), body)
+		return true
+	}
+}
+
+func status(line string) func(io.Writer, *h1.Head, []byte) bool {
+	return func(w io.Writer, h *h1.Head, _ []byte) bool {
+		fmt.Fprintf(w, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", line, h.Get("Attempt-Id"))
+		return true
+	}
+}
+
+// newGateway starts a gateway in front of servers, in the order of their names.
+func newGateway(t testing.TB, backends ...*backend) *Gateway {
+	t.Helper()
+	return newGatewayOf(t, settings.Timing{StrictRevocation: true, RevokeMs: 5000, GraceS: 3}, backends...)
+}
+
+func newGatewayOf(t testing.TB, timing settings.Timing, backends ...*backend) *Gateway {
+	t.Helper()
+	cfg := &settings.Node{Name: "n", IP: "127.0.0.1", Zone: "z", InternalPorts: []int{0, 9}, ServedRoles: []string{"edge", "control"},
+		Listeners: settings.Listeners{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
+		Timing:    timing}
+	upstream, timeout, limits := settings.DefaultTuning().Upstream, 3000.0, api.RequestLimits{MaxHeaderBytes: 2000, MaxBodyBytes: 1 << 20}
+	if _, fake := t.(inMemory); !fake { // a busy machine's time says nothing: limits are for what hangs
+		upstream.ConnectMs, timeout = inMs(patience), inMs(patience)
+		limits.HeaderTimeoutMs, limits.IdleTimeoutMs = inMs(patience), inMs(2*patience)
+		timing.RevokeMs *= 1000
+	}
+	g, err := New(cfg, Options{Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: upstream, Metrics: telemetry.New()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	g.listener.openFor = 0
+	bring(t, g, &versioned.Table{}, &api.Config{Revision: 1, Upstreams: []api.Upstream{{Name: "s"}},
+		Routes: []api.Route{
+			{Host: "h", Prefix: "/get/", Type: api.Idempotent, TimeoutMs: timeout, TargetMs: 2000, Upstream: "s", Retries: 2},
+			{Host: "h", Prefix: "/once/", Type: "non_idempotent", TimeoutMs: timeout, TargetMs: 2000, Upstream: "s", Retries: 2},
+			{Host: "h", Prefix: "/open/", Type: api.Idempotent, TimeoutMs: timeout, Upstream: "s", Retries: 1, Anonymous: true},
+		},
+		Limits:  limits,
+		Tenants: []api.Tenant{{Name: "t", Keys: []string{"k"}}, {Name: "slow", Keys: []string{"few"}, Rate: 0.001, Burst: 2}}})
+	var list []api.Server
+	for i, b := range backends {
+		list = append(list, api.Server{ID: "i-" + strconv.Itoa(i), Upstream: "s", Addr: b.addr, Zone: "z", Capacity: 20, State: "in_service"})
+	}
+	tell(t, g, &versioned.Table{}, 1, list)
+	g.ExtendLease(g.Uptime())
+	if m, ok := t.(inMemory); ok {
+		m.serve(g)
+		return g
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { g.Run(ctx); close(done) }()
+	t.Cleanup(func() { cancel(); <-done })
+	return g
+}
+
+// client is one connection to the gateway.
+type client struct {
+	t testing.TB
+	net.Conn
+	in *bufio.Reader
+}
+
+func dial(t testing.TB, g *Gateway) *client {
+	t.Helper()
+	c, err := dialOn(t, g.listener.tcp.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(patience))
+	return &client{t, c, bufio.NewReader(c)}
+}
+
+func (c *client) send(line, fields, body string) {
+	fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n%s\r\n%s", line, fields, body)
+}
+
+func (c *client) answer() (*h1.Head, string, error) {
+	h, err := h1.ReadResponse(c.in, 1<<16)
+	if err != nil {
+		return nil, "", err
+	}
+	n, err := h.ResponseFraming("GET")
+	if err != nil {
+		return h, "", err
+	}
+	body, err := io.ReadAll(h1.NewBody(c.in, n))
+	return h, string(body), err
+}
+
+func (c *client) want(code int, body string) *h1.Head {
+	c.t.Helper()
+	h, got, err := c.answer()
+	if err != nil || h.Status != code || body != "" && got != body {
+		c.t.Fatalf("got %+v %q, %v; want %d %q", h, got, err, code, body)
+	}
+	return h
+}
--- a/dataplane/crossing_test.go
+++ b/dataplane/isolation_test.go
@@ -18,7 +18,7 @@
 // A server's failure that breaks off is not passed on as if it were whole, and takes
 // nothing of the answer behind it: the client's next answer is its own from its first
 // byte. One that is whole goes back whole, however long.
-func TestFailuresThatBreakOff(t *testing.T) {
+func TestTruncatedFailureIsNotPassedOnAsWhole(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		long := strings.Repeat("0123456789abcdef", 4000) // more than is held
@@ -84,7 +84,7 @@
 
 // A try that is given up just after its answer came closes no connection that the pool
 // has taken back: whoever takes it next may have sent a filing on it.
-func TestGivingUpClosesNoOnesElse(t *testing.T) {
+func TestCancellationClosesNoConnectionOfAnother(t *testing.T) {
 	t.Parallel()
 	g := newGateway(t, newBackend(t, good("own")))
 	host := g.forwarder.pool.Host("i-0")
@@ -116,7 +116,7 @@
 // A request that must not run twice is sent on only when its turn to be answered has
 // come: if the connection ends with an answer before, it counts as not read, and its
 // client sends it again.
-func TestFilingsWaitForTheirTurn(t *testing.T) {
+func TestNonIdempotentRequestWaitsForItsTurn(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		begun, breakOff := make(chan struct{}), make(chan struct{})
@@ -226,7 +226,7 @@
 }
 
 // A request without an id is not sent: its answer could not be told from another's.
-func TestNothingGoesWithoutAnId(t *testing.T) {
+func TestRequestWithoutIDIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		b := newBackend(t, good("yes"))
@@ -242,7 +242,7 @@
 // Fields that are for the server stay, also where a client or a server calls them its
 // connection's own: without Host or the id a request is another one, without id or
 // seal an answer is nobody's (RFC 9110, 7.6.1).
-func TestWhatIsForAllIsPassedOn(t *testing.T) {
+func TestEndToEndFieldsArePassedOn(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
@@ -263,7 +263,7 @@
 
 // What a server says before it has had the whole body counts: that it has not run the
 // request is the one thing that lets a filing be sent again.
-func TestAnswerBeforeTheBodyIsWhole(t *testing.T) {
+func TestResponseBeforeTheWholeBodyCounts(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- /dev/null
+++ b/dataplane/memoryconn_test.go
@@ -0,0 +1,119 @@
+package dataplane
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// What the network in memory does is what sockets do, as far as the gateway sees it.
+func TestMemoryNetworkBehavesLikeSockets(t *testing.T) {
+	t.Parallel()
+	type end interface {
+		net.Conn
+		CloseWrite() error
+		SetLinger(int) error
+	}
+	for name, c := range map[string]struct {
+		do   func(near, far end) error // what the far end does; its error is the near end's
+		want error
+	}{
+		"closes": {func(near, far end) error {
+			io.WriteString(far, "bytes")
+			far.Close()
+			got, err := io.ReadAll(near)
+			if string(got) != "bytes" {
+				return fmt.Errorf("%q", got)
+			}
+			return err
+		}, nil},
+		"closes one direction": {func(near, far end) error {
+			far.CloseWrite()
+			if _, err := io.ReadAll(near); err != nil {
+				return err
+			}
+			io.WriteString(near, "back")
+			near.CloseWrite()
+			got, err := io.ReadAll(far)
+			if string(got) != "back" {
+				return fmt.Errorf("%q", got)
+			}
+			return err
+		}, nil},
+		"resets": {func(near, far end) error {
+			far.SetLinger(0)
+			far.Close()
+			_, err := near.Read(make([]byte, 1))
+			return err
+		}, syscall.ECONNRESET},
+		"closes without reading": {func(near, far end) error {
+			io.WriteString(near, "unread")
+			io.ReadFull(far, make([]byte, 1)) // it has come
+			far.Close()
+			_, err := near.Read(make([]byte, 1))
+			return err
+		}, syscall.ECONNRESET},
+		"is gone when written to": {func(near, far end) error {
+			far.Close()
+			if n, err := io.WriteString(near, "taken"); n != 5 || err != nil {
+				return fmt.Errorf("%d, %v", n, err)
+			}
+			for {
+				if _, err := io.WriteString(near, "refused"); err != nil {
+					return nil
+				}
+				time.Sleep(time.Millisecond)
+			}
+		}, nil},
+		"is written to behind its own end": {func(near, _ end) error {
+			near.CloseWrite()
+			_, err := io.WriteString(near, "x")
+			return err
+		}, syscall.EPIPE},
+		"is silent": {func(near, _ end) error {
+			near.SetDeadline(time.Now().Add(time.Millisecond))
+			_, err := near.Read(make([]byte, 1))
+			return err
+		}, os.ErrDeadlineExceeded},
+		"does not read": {func(near, _ end) error {
+			near.SetDeadline(time.Now().Add(time.Millisecond))
+			for {
+				if _, err := near.Write(make([]byte, 1<<16)); err != nil {
+					return err
+				}
+			}
+		}, os.ErrDeadlineExceeded},
+		"is closed here": {func(near, _ end) error {
+			near.Close()
+			_, err := near.Read(make([]byte, 1))
+			return err
+		}, net.ErrClosed},
+	} {
+		test := func(t testing.TB) {
+			l := listenOn(t)
+			near, err := dialOn(t, l.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			far, err := l.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			near.SetDeadline(time.Now().Add(patience))
+			far.SetDeadline(time.Now().Add(patience))
+			if err := c.do(near.(end), far.(end)); !errors.Is(err, c.want) {
+				_, fake := t.(inMemory)
+				t.Errorf("%s, in memory %v: %v, want %v", name, fake, err, c.want)
+			}
+			near.Close()
+			far.Close()
+		}
+		test(t)
+		inFakeTime(t, test)
+	}
+}
--- a/dataplane/news_test.go
+++ b/dataplane/snapshot_test.go
@@ -7,82 +7,13 @@
 	"slices"
 	"testing"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"example.org/elmspan/api"
 	"example.org/elmspan/versioned"
 )
 
-// rowsOf are the rows of a configuration.
-func rowsOf(t testing.TB, c *api.Config) map[string][]byte {
-	t.Helper()
-	data, err := cbor.Marshal(c)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := c.Validate(); err != nil {
-		t.Fatal(err)
-	}
-	split, err := api.BuildConfigRows(data, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return split.Rows
-}
-
-func since(t testing.TB, table *versioned.Table, from uint64) *versioned.DeltaReader {
-	t.Helper()
-	b, err := table.DeltaSince(from)
-	if err != nil {
-		t.Fatal(err)
-	}
-	r, err := versioned.OpenDelta(b.Data)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return r
-}
-
-// bring has a gateway take over a configuration, as what changed in a table.
-func bring(t testing.TB, g *Gateway, table *versioned.Table, c *api.Config) {
-	t.Helper()
-	table.Replace(c.Revision, rowsOf(t, c))
-	if err := g.ApplyConfig(since(t, table, g.Revision())); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// tell has a gateway take over a list of servers, likewise.
-func tell(t testing.TB, g *Gateway, table *versioned.Table, version uint64, list []api.Server) {
-	t.Helper()
-	rows := map[string][]byte{}
-	for _, s := range list {
-		row, err := api.EncodeServerRow(s, s.WarmupMs)
-		if err != nil {
-			t.Fatal(err)
-		}
-		rows[s.ID] = row
-	}
-	table.Replace(version, rows)
-	if err := g.ApplyEndpoints(since(t, table, g.EndpointsVersion()), 0); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// configOf is a configuration with routes, a few of which share a host.
-func configOf(revision uint64, routes int) *api.Config {
-	c := &api.Config{Revision: revision, Upstreams: []api.Upstream{{Name: "a"}, {Name: "b"}},
-		Tenants: []api.Tenant{{Name: "t", Keys: []string{"k"}, Rate: 10, Burst: 10}}}
-	for i := range routes {
-		c.Routes = append(c.Routes, api.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/4), Prefix: fmt.Sprintf("/p%d/", i), Type: api.Idempotent,
-			TimeoutMs: 1000, Upstream: "a", Retries: 1})
-	}
-	return c
-}
-
 // A view that was made of differences is the one that the whole makes, and the
 // views before it stay as they were.
-func TestViewsByDifference(t *testing.T) {
+func TestSnapshotOfDeltasEqualsTheWhole(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var table versioned.Table
@@ -151,7 +82,7 @@
 }
 
 // A difference that does not fit is not taken, in no part.
-func TestDifferencesThatDoNotFit(t *testing.T) {
+func TestDeltaThatDoesNotFitIsRejected(t *testing.T) {
 	var a, b versioned.Table
 	a.Replace(1, rowsOf(t, configOf(1, 3)))
 	b.Replace(1, rowsOf(t, configOf(1, 4)))
--- a/dataplane/forgotten_test.go
+++ b/dataplane/staleconn_test.go
@@ -13,7 +13,7 @@
 // first filing that meets it is answered 502, as it may have run. Once another
 // limiter has met it too, filings go out on new connections, and none is lost. (Found on days with idle_race: 228 of
 // 14,235 filings, as each limiter had to learn it by several.)
-func TestForgottenConnections(t *testing.T) {
+func TestStaleConnectionsAreAvoided(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		const rest = 60 * time.Millisecond // more than the youngest group's, and so old enough to be forgotten
--- a/dataplane/stutter_test.go
+++ b/dataplane/unexpectedresponse_test.go
@@ -21,7 +21,7 @@
 // connection rests, broken off. What stands behind it, with one's own id, is
 // delivered; else what may be repeated goes elsewhere, and what may not is
 // answered 502, as it may have run. (docs/incidents/0007)
-func TestNobodyGetsAnothersAnswer(t *testing.T) {
+func TestNobodyGetsAnothersResponse(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		const other = "ANOTHER-TENANTS-ANSWER"
@@ -95,7 +95,7 @@
 }
 
 // An answer that comes while the connection rests is seen before it is used again.
-func TestStrayWhileItRests(t *testing.T) {
+func TestUnexpectedResponseOnAnIdleConnection(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		late := make(chan struct{})
