--- a/dataplane/balance/balance_test.go
+++ b/dataplane/balance/set_test.go
@@ -42,7 +42,7 @@
 	if got := pick(s, 2, Request{}); got != "a" {
 		t.Errorf("chose %q", got)
 	}
-	if got := s.byID["b"].Load(2 + hintMs + 1); got != 0 {
+	if got := s.byID["b"].Load(2 + hintLifeMs + 1); got != 0 {
 		t.Errorf("an old word counts %v", got)
 	}
 }
--- a/dataplane/balance/deal_test.go
+++ b/dataplane/balance/subset_test.go
@@ -37,7 +37,7 @@
 func spread(sets []*Set, ids []uint64, perS func(i int) float64) {
 	for i, s := range sets {
 		v := s.services["s"]
-		v.rate, v.rateAt = perS(i), 0
+		v.demandRate, v.demandRateAt = perS(i), 0
 		for k, o := range sets {
 			if k != i {
 				o.ReceiveDemand(ids[i], s.Demands(0, nil))
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, s := range sets {
-		s.dealtAt = -2 * dealMs
+		s.subsetsAt = -2 * subsetPeriodMs
 		s.UpdateSubsets(0)
 	}
 }
@@ -53,8 +53,8 @@
 // own counts the servers of each limiter's own: whole ones, and parts of shared ones.
 func own(s *Set) (sum float64) {
 	for _, m := range s.services["s"].members {
-		if m.rank == 0 {
-			sum += 1 - m.foreign
+		if m.affinity == ownServer {
+			sum += 1 - m.sharedFraction
 		}
 	}
 	return sum
@@ -71,7 +71,7 @@
 		for i, s := range sets {
 			total += own(s)
 			asked += demand(i)
-			if n := len(s.services["s"].close); n < min(closeLeast, c.servers) || n > 12+6*c.servers/c.limiters {
+			if n := len(s.services["s"].nearby); n < min(minNearby, c.servers) || n > 12+6*c.servers/c.limiters {
 				t.Errorf("%+v: limiter %d has %d servers near by", c, i, n)
 			}
 		}
@@ -91,7 +91,7 @@
 func TestDealsAreStable(t *testing.T) {
 	held := func(s *Set) map[string]bool {
 		out := map[string]bool{}
-		for _, m := range s.services["s"].close {
+		for _, m := range s.services["s"].nearby {
 			out[m.ID] = true
 		}
 		return out
