--- a/balancer/api.go
+++ b/balancer/api.go
@@ -12,81 +12,81 @@
 // Settings describe the deployment to one Limiter. The zero value of an
 // optional field means that the deployment has no such limit or facility.
 type Settings struct {
-	Position   int // this gateway's number, from 0
-	Balancers  int // gateways in all
-	Zone       int // this gateway's zone
-	AskMembers bool
-	Classes    []Class
-	Plans      []Plan
-	Caps       Caps
-	Rules      Rules
-	PeerInPerS float64 // messages a second that a gateway takes in
-	TrueUp     bool    // units are a guess, settled by the answer
-	CrossPrice float64 // price of one attempt that crosses zones
-	AskWithin  float64 // ms within which membership must be asked again
+	Position              int // this gateway's number, from 0
+	Balancers             int // gateways in all
+	Zone                  int // this gateway's zone
+	PollMembership        bool
+	Classes               []Class
+	Plans                 []Plan
+	Caps                  Caps
+	Rules                 Rules
+	PeerMessagesPerSecond float64 // messages a second that a gateway takes in
+	TrueUp                bool    // units are a guess, settled by the answer
+	CrossZonePrice        float64 // price of one attempt that crosses zones
+	PollWithinMs          float64 // ms within which membership must be asked again
 }
 
 // Class describes one kind of request.
 type Class struct {
-	Repeat     Repeat
-	Group      Group
-	AimMs      float64 // an answer within this earns the full worth
-	DeadlineMs float64
-	WindowMs   float64 // how long repeats of a key are dropped
-	Worth      float64
-	LateShare  float64 // share of the worth earned after the aim
+	Idempotency     Idempotency
+	DedupScope      DedupScope
+	LatencyTargetMs float64 // an answer within this earns the full worth
+	DeadlineMs      float64
+	DedupWindowMs   float64 // how long repeats of a key are dropped
+	Value           float64
+	LateValueShare  float64 // share of the worth earned after the aim
 }
 
 // Repeat tells what a second execution of a request would do.
-type Repeat int
+type Idempotency int
 
 // The idempotency classes.
 const (
-	Safe   Repeat = iota // repeating does no harm
-	Keyed                // repeats are dropped inside a group of servers
-	Unsafe               // must never run twice
+	Safe   Idempotency = iota // repeating does no harm
+	Keyed                     // repeats are dropped inside a group of servers
+	Unsafe                    // must never run twice
 )
 
 // Group names the servers that drop each other's repeats of a key.
-type Group int
+type DedupScope int
 
 // The groups of servers that share remembered keys.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // Plan is what customers of one plan may use, over all gateways together.
 type Plan struct {
-	Rate         float64 // units a second; 0: no such quota
-	Burst        float64 // units the store holds at most
-	AtOnce       int     // attempts out at once; 0: no such quota
-	CeilingRate  float64 // units a second of the hard ceiling; 0: none
-	CeilingBurst float64
-	Price        float64 // factor on the worth
-	BeyondEarns  float64 // share of the worth earned beyond the quota
-	OverrunCost  float64 // share of the worth lost by sending beyond it
+	Rate             float64 // units a second; 0: no such quota
+	Burst            float64 // units the store holds at most
+	MaxInFlight      int     // attempts out at once; 0: no such quota
+	HardRate         float64 // units a second of the hard ceiling; 0: none
+	HardBurst        float64
+	Price            float64 // factor on the worth
+	ExcessValueShare float64 // share of the worth earned beyond the quota
+	ExcessPenalty    float64 // share of the worth lost by sending beyond it
 }
 
 // Caps are the limits and facilities of the deployment.
 type Caps struct {
-	Attempts     int // most attempts of one request
-	Cancel       bool
-	Peers        bool
-	Probes       bool
-	RetryAfter   bool
-	SecondCopies bool
-	MaxWaitMs    float64 // longest advice that clients heed
-	ConnectMs    float64 // connect time-out
+	MaxAttempts      int // most attempts of one request
+	Cancel           bool
+	Peers            bool
+	Probes           bool
+	RetryAfter       bool
+	Hedging          bool
+	MaxRetryAfterMs  float64 // longest advice that clients heed
+	ConnectTimeoutMs float64 // connect time-out
 }
 
 // Rules are the figures of the drain and cold-server rules.
 type Rules struct {
-	ColdShare      float64 // share of capacity a server starts with
-	ColdMs         float64 // it is warm after this at the latest
+	SlowStartShare float64 // share of capacity a server starts with
+	SlowStartMs    float64 // it is warm after this at the latest
 	OverloadFactor float64 // this many times its capacity ...
-	FallMs         float64 // ... for this long makes it fall over
+	OverloadMs     float64 // ... for this long makes it fall over
 }
 
 // Event is something that happened. The event types are [Submit], [Outcome],
@@ -96,7 +96,7 @@
 // Submit is a client's request, which is now owed one final answer.
 type Submit struct {
 	ID        string
-	ExpiresMs float64 // time until the client gives up
+	TimeoutMs float64 // time until the client gives up
 	Units     float64
 	Class     int
 	Plan      int
@@ -108,27 +108,27 @@
 
 // Outcome tells how one attempt ended.
 type Outcome struct {
-	ID      string
-	Try     int
-	Server  uint64
-	Result  Result
-	SpentMs float64
-	Done    bool    // the request has its final answer
-	Cost    float64 // true units, where they are settled; else 0
-	Load    Load
+	ID           string
+	Attempt      int
+	Server       uint64
+	Result       Result
+	LatencyMs    float64
+	Final        bool    // the request has its final answer
+	SettledUnits float64 // true units, where they are settled; else 0
+	Load         Load
 }
 
 // Aborted tells that the client is gone.
-type Aborted struct{ ID string }
+type ClientGone struct{ ID string }
 
 // FirstByte tells that a streamed answer has begun.
 type FirstByte struct {
-	ID  string
-	Try int
+	ID      string
+	Attempt int
 }
 
 // Alarm is a [Timer] that is due.
-type Alarm struct{ Handle string }
+type TimerFired struct{ Name string }
 
 // Endpoints is what discovery tells about the servers.
 type Endpoints struct {
@@ -137,11 +137,11 @@
 }
 
 // Probed is the result of a [Probe].
-type Probed struct {
-	Server  uint64
-	Result  Result
-	SpentMs float64
-	Load    Load
+type ProbeResult struct {
+	Server    uint64
+	Result    Result
+	LatencyMs float64
+	Load      Load
 }
 
 // PeerMessage is what another gateway sent.
@@ -152,11 +152,11 @@
 
 func (Submit) event()      {}
 func (Outcome) event()     {}
-func (Aborted) event()     {}
+func (ClientGone) event()  {}
 func (FirstByte) event()   {}
-func (Alarm) event()       {}
+func (TimerFired) event()  {}
 func (Endpoints) event()   {}
-func (Probed) event()      {}
+func (ProbeResult) event() {}
 func (PeerMessage) event() {}
 
 // Scope tells how a list of servers relates to the one before.
@@ -201,15 +201,15 @@
 
 // The results. NoRoom, NoRoute and StaleSend prove that nothing ran.
 const (
-	Pass Result = iota
-	Fault
-	NoRoom
-	TooSlow
-	NoRoute
-	Cut
-	Undone
-	StaleSend
-	Spoilt // an answer came that is of no use; it says nothing about the server
+	Success Result = iota
+	ServerError
+	Rejected
+	TimedOut
+	ConnectFailed
+	ConnectionLost
+	Canceled
+	NotSent
+	InvalidResponse // an answer came that is of no use; it says nothing about the server
 )
 
 // Action is something the host is to do. The action types are [PassOn],
@@ -218,38 +218,38 @@
 type Action interface{ action() }
 
 // PassOn starts an attempt of a request at a server.
-type PassOn struct {
-	ID     string
-	CapMs  float64 // time-out; 0: until the client gives up
-	Server uint64
+type StartAttempt struct {
+	ID        string
+	TimeoutMs float64 // time-out; 0: until the client gives up
+	Server    uint64
 }
 
 // Refuse is a final answer: nothing ran, trying again does no harm.
-type Refuse struct {
-	ID     string
-	WaitMs float64 // how long to stay away; 0: no advice
+type Reject struct {
+	ID           string
+	RetryAfterMs float64 // how long to stay away; 0: no advice
 }
 
 // Fail is a final answer that promises nothing.
 type Fail struct{ ID string }
 
 // AbortAttempt stops waiting for an attempt.
-type AbortAttempt struct {
-	ID  string
-	Try int
+type CancelAttempt struct {
+	ID      string
+	Attempt int
 }
 
 // Timer asks for an [Alarm] at a time.
-type Timer struct {
-	At     float64
-	Handle string
+type SetTimer struct {
+	At   float64
+	Name string
 }
 
 // Probe asks for a check of a server.
 type Probe struct{ Server uint64 }
 
 // Tell sends a message to another gateway.
-type Tell struct {
+type SendPeer struct {
 	To   int
 	Data []byte
 }
@@ -258,18 +258,18 @@
 type Log struct{ Line string }
 
 // Listen subscribes to changes of the list.
-type Listen struct{}
+type WatchEndpoints struct{}
 
 // QueryAll asks for the whole list once.
-type QueryAll struct{}
-
-func (PassOn) action()       {}
-func (Refuse) action()       {}
-func (Fail) action()         {}
-func (AbortAttempt) action() {}
-func (Timer) action()        {}
-func (Probe) action()        {}
-func (Tell) action()         {}
-func (Log) action()          {}
-func (Listen) action()       {}
-func (QueryAll) action()     {}
+type FetchEndpoints struct{}
+
+func (StartAttempt) action()   {}
+func (Reject) action()         {}
+func (Fail) action()           {}
+func (CancelAttempt) action()  {}
+func (SetTimer) action()       {}
+func (Probe) action()          {}
+func (SendPeer) action()       {}
+func (Log) action()            {}
+func (WatchEndpoints) action() {}
+func (FetchEndpoints) action() {}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -10,22 +10,22 @@
 
 // goldenPeerMessages lists one message of each form that gateways exchange. The files under
 // testdata/golden hold their bytes as written by f96d826: later versions write the same.
-func goldenPeerMessages() map[string]peerMsg {
-	entry := peerEntry{customer: 4569004829, plan: 2, spread: 9, first: 3, spent: 1 << 40, fresh: 300, level: -77}
+func goldenPeerMessages() map[string]peerMessage {
+	entry := peerEntry{customer: 4569004829, plan: 2, spread: 9, firstLimiter: 3, spent: 1 << 40, newlySpent: 300, level: -77}
 	withOut := entry
-	withOut.out = 12
+	withOut.inFlight = 12
 	level := peerEntry{customer: 1, plan: 0, level: 1 << 33, margin: 130}
 	low := peerEntry{customer: 1<<64 - 1, plan: 1, level: -1, margin: 0}
-	return map[string]peerMsg{
-		"report.bin":      {mark: 0xdeadbeef, seq: 129, ageMs: 65000, entries: []peerEntry{entry, entry}},
-		"asking.bin":      {flags: flagAsking, mark: 1, seq: 1, ageMs: 0},
-		"in-flight.bin":   {flags: flagOut, mark: 7, seq: 2, ageMs: 50, entries: []peerEntry{withOut}},
-		"levels.bin":      {flags: flagNews | flagLevels, ageMs: 123456, entries: []peerEntry{level, low}},
-		"level.bin":       {flags: flagNews, entries: []peerEntry{low}},
-		"failing.bin":     {flags: flagNews | flagIll, entries: []peerEntry{{customer: 51530247, plan: 3}}},
-		"grant.bin":       {flags: flagNews | flagGrant, entries: []peerEntry{{customer: 17, plan: 1, level: 40}}},
-		"asking-out.bin":  {flags: flagAsking | flagOut, mark: 9, seq: 3, ageMs: 1999, entries: []peerEntry{withOut}},
-		"empty-level.bin": {flags: flagNews | flagLevels, ageMs: 1},
+	return map[string]peerMessage{
+		"report.bin":      {incarnation: 0xdeadbeef, seq: 129, ageMs: 65000, entries: []peerEntry{entry, entry}},
+		"asking.bin":      {flags: flagLevelsRequest, incarnation: 1, seq: 1, ageMs: 0},
+		"in-flight.bin":   {flags: flagInFlight, incarnation: 7, seq: 2, ageMs: 50, entries: []peerEntry{withOut}},
+		"levels.bin":      {flags: flagLevelUpdate | flagLevelsResponse, ageMs: 123456, entries: []peerEntry{level, low}},
+		"level.bin":       {flags: flagLevelUpdate, entries: []peerEntry{low}},
+		"failing.bin":     {flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{{customer: 51530247, plan: 3}}},
+		"grant.bin":       {flags: flagLevelUpdate | flagEscrowGrant, entries: []peerEntry{{customer: 17, plan: 1, level: 40}}},
+		"asking-out.bin":  {flags: flagLevelsRequest | flagInFlight, incarnation: 9, seq: 3, ageMs: 1999, entries: []peerEntry{withOut}},
+		"empty-level.bin": {flags: flagLevelUpdate | flagLevelsResponse, ageMs: 1},
 	}
 }
 
@@ -41,7 +41,7 @@
 			if written, n := want.encode(); !bytes.Equal(written, data) || n != len(want.entries) {
 				t.Errorf("wrote %x with %d entries, want %x", written, n, data)
 			}
-			got, ok := decodePeer(data)
+			got, ok := decodePeerMessage(data)
 			if !ok || !reflect.DeepEqual(got, want) {
 				t.Fatalf("read %+v, %v, want %+v", got, ok, want)
 			}
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -14,74 +14,74 @@
 )
 
 const (
-	tickMs     = 50.0    // period of the tick: telling peers, housekeeping
-	askMs      = 2000.0  // a starting gateway asks for levels this long
-	elderMs    = 1000.0  // a peer that started so much earlier is older
-	freshLeast = 4       // answers without one that is older: the fleet has just begun
-	forgetMs   = 15000.0 // an idle customer with full stores is forgotten after this
-	heardMost  = 20000   // customers known, past which a peer's word makes no new ones
-	directMost = 8       // of more other gateways than this, keepers hear alone
-	keepers    = 2       // of a customer in a large set: one and a stand-in
-	grantLeast = 0.3     // of a full share of the ceiling: less is not worth a grant
+	tickIntervalMs        = 50.0    // period of the tick: telling peers, housekeeping
+	levelsRequestMs       = 2000.0  // a starting gateway asks for levels this long
+	olderPeerMs           = 1000.0  // a peer that started so much earlier is older
+	minNewFleetAnswers    = 4       // answers without one that is older: the fleet has just begun
+	idleCustomerMs        = 15000.0 // an idle customer with full stores is forgotten after this
+	maxCustomersFromPeers = 20000   // customers known, past which a peer's word makes no new ones
+	maxDirectPeers        = 8       // of more other gateways than this, keepers hear alone
+	aggregatorCount       = 2       // of a customer in a large set: one and a stand-in
+	minGrantShare         = 0.3     // of a full share of the ceiling: less is not worth a grant
 
 	// Share of the messages a gateway takes in that its peers use together; the
 	// rest covers jitter. The pause between two levels told of a customer rises from
 	// the time of paceMsgs messages taken in, the steeper the nearer they come to it.
-	gossipShare = 0.9
-	paceMsgs    = 10.0
-	paceSteep   = 4.0
+	gossipShare            = 0.9
+	levelIntervalMessages  = 10.0
+	levelIntervalSteepness = 4.0
 	// With dozens of gateways a set, a level told to all of them of a plan that is worth
 	// little takes the room of those that are worth most: it may wait this much longer.
-	patienceMost = 12.0
-	aheadMs      = 500.0 // a keeper looks this far ahead for a low level
-	lowShare     = 0.4   // of the burst: below it a level is low
-	marginGain   = 2.0   // margin, against what flows between two levels told
+	maxPlanPacing = 12.0
+	lookaheadMs   = 500.0 // a keeper looks this far ahead for a low level
+	lowLevelShare = 0.4   // of the burst: below it a level is low
+	marginGain    = 2.0   // margin, against what flows between two levels told
 
-	speedMs    = 2000.0 // time over which a server's speed is averaged
-	workWeight = 0.005  // least weight of one answer in typical work and fit: some 200 answers
-	curveStart = 0.25   // before any evidence each further request in hand lengthens an answer so
-	curvePrior = 1.0    // much, which counts like this many squared requests of observed spread
+	serverSpeedMs        = 2000.0 // time over which a server's speed is averaged
+	minAnswerWeight      = 0.005  // least weight of one answer in typical work and fit: some 200 answers
+	initialLoadSlope     = 0.25   // before any evidence each further request in hand lengthens an answer so
+	loadSlopePriorWeight = 1.0    // much, which counts like this many squared requests of observed spread
 
 	// A request is refused when its expected answer would use more than headroom
 	// of the time left: answers scatter. An idle server is tried all the same while
 	// fewer than tryShare requests a server are out, over all gateways.
-	headroom = 0.25
-	tryShare = 6.0
+	headroomShare     = 0.25
+	maxTriesPerServer = 6.0
 	// Up to so many gateways the load that each sees tells which server is best.
-	fewGateways = 8
-	subsetLeast = 12   // servers that a gateway of many uses at least
-	busyCost    = 15.0 // added to the cost of a server in use, to one of very many
-	dueCost     = 0.02 // cost of a cold server's due request, to one gateway of very many
+	smallFleet       = 8
+	minSubsetServers = 12   // servers that a gateway of many uses at least
+	busyServerCost   = 15.0 // added to the cost of a server in use, to one of very many
+	dueSlowStartCost = 0.02 // cost of a cold server's due request, to one gateway of very many
 	// Under pressure the wait in it moves with what a request is worth for its
 	// work against the others, within these bounds.
-	leastWorth  = 0.1
-	mostWorth   = 2.5
-	pressWeight = 0.02 // weight of one request in pressure, mean worth and failure share
+	minRelativeValue = 0.1
+	maxRelativeValue = 2.5
+	averagingWeight  = 0.02 // weight of one request in pressure, mean worth and failure share
 
-	usualSlack  = 0.01 // tries of a class have equal time within this share: transit varies
-	usualVotes  = 200  // bound of the vote for the usual time, to follow a change
-	crossWeight = 10.0 // a crossing counts as slower by this factor times its price
+	usualTimeoutTolerance = 0.01 // tries of a class have equal time within this share: transit varies
+	maxTimeoutVotes       = 200  // bound of the vote for the usual time, to follow a change
+	crossZoneWeight       = 10.0 // a crossing counts as slower by this factor times its price
 
-	downAfter   = 2     // failed connects in a row: down
-	stallFactor = 4.0   // silent for so many times the expected time: suspect
-	probeMs     = 500.0 // least pause between two probes of a server
-	fullMs      = 50.0  // a server that was full is left alone so long
+	downAfterFailures  = 2     // failed connects in a row: down
+	silenceFactor      = 4.0   // silent for so many times the expected time: suspect
+	minProbeIntervalMs = 500.0 // least pause between two probes of a server
+	rejectedPauseMs    = 50.0  // a server that was full is left alone so long
 
 	// A class is kept off a server for illMs after illAfter failures of it there
 	// within half of that time. Hints of all take hintShare of the messages, and none
 	// are given where more than hintBelow of all answers fail: no one server's fault.
-	illMs     = 4000.0
-	illAfter  = 2
-	hintShare = 0.12
-	hintBelow = 0.3
-	stoodMs   = 4 * tickMs // no event for so long: this gateway stood still
-
-	retryShare = 0.2  // further attempts that may have cost work, for each first one,
-	retryMax   = 10.0 // saved up to this
-	coldUse    = 0.8  // share used of a cold server's likely capacity
-	coldMore   = 0.25 // more of it, to one of very many: no one can top up what others leave
-	coldMost   = 1.75 // ... and how much it may rise where the others are cold too
-	coldLeast  = 3.0  // requests a window to a cold server, from all, where little is sent
+	ejectionMs          = 4000.0
+	ejectAfterFailures  = 2
+	hintMessageShare    = 0.12
+	maxHintFailureShare = 0.3
+	pausedAfterMs       = 4 * tickIntervalMs // no event for so long: this gateway stood still
+
+	retryBudgetShare     = 0.2  // further attempts that may have cost work, for each first one,
+	maxRetryBudget       = 10.0 // saved up to this
+	slowStartUse         = 0.8  // share used of a cold server's likely capacity
+	slowStartExtraUse    = 0.25 // more of it, to one of very many: no one can top up what others leave
+	maxSlowStartRise     = 1.75 // ... and how much it may rise where the others are cold too
+	minSlowStartRequests = 3.0  // requests a window to a cold server, from all, where little is sent
 )
 
 // New returns a Limiter, or an error that names the setting that makes no sense.
@@ -91,68 +91,68 @@
 	}
 	n := len(s.Classes)
 	l := &Limiter{
-		cfg: s, rng: rand.New(rand.NewPCG(seed, 0x51)), retries: retryMax,
+		cfg: s, rng: rand.New(rand.NewPCG(seed, 0x51)), retryBudget: maxRetryBudget,
 		servers: map[uint64]*server{}, requests: map[string]*request{}, customers: map[uint64]*customer{},
-		peers: make([]peer, s.Balancers),
-		work:  make([]float64, n), seen: make([]float64, n), usual: make([]usual, n),
+		peers:     make([]peer, s.Balancers),
+		typicalMs: make([]float64, n), answerCount: make([]float64, n), usualTimeouts: make([]usualTimeout, n),
 	}
-	l.mark = l.rng.Uint32() | 1
-	l.blind = max(0, 1-fewGateways/float64(s.Balancers))
+	l.incarnation = l.rng.Uint32() | 1
+	l.unseenShare = max(0, 1-smallFleet/float64(s.Balancers))
 	worth := 0.0
 	for _, p := range s.Plans {
-		l.anyOut = l.anyOut || p.AtOnce > 0
+		l.limitsInFlight = l.limitsInFlight || p.MaxInFlight > 0
 		worth += p.Rate * p.Price / float64(len(s.Plans))
 	}
 	for _, p := range s.Plans { // telling earns by worth, and where bursts are short
 		rate := max(1e-9, p.Rate)
 		pause := p.Burst / rate / 4 * worth / max(1e-9, rate*p.Price)
-		l.patience = append(l.patience, max(0.1, min(patienceMost, pause)))
+		l.planPacing = append(l.planPacing, max(0.1, min(maxPlanPacing, pause)))
 	}
 	return l, nil
 }
 
 // Handle takes one event and returns what is to be done, valid until the next call.
 func (l *Limiter) Handle(now float64, ev Event) []Action {
-	l.out = l.out[:0]
+	l.actions = l.actions[:0]
 	if !l.started {
-		l.started, l.startedAt, l.sweptAt = true, now, now
-		l.hintPause = 1000 * float64(len(l.peers)) / (hintShare * max(1, l.cfg.PeerInPerS))
-		l.hintAt = now + l.hintPause*l.rng.Float64() // not all at once
-		if l.cfg.AskMembers {
-			l.do(Listen{})
+		l.started, l.startedAt, l.evictedAt = true, now, now
+		l.hintInterval = 1000 * float64(len(l.peers)) / (hintMessageShare * max(1, l.cfg.PeerMessagesPerSecond))
+		l.nextHintAt = now + l.hintInterval*l.rng.Float64() // not all at once
+		if l.cfg.PollMembership {
+			l.emit(WatchEndpoints{})
 		}
-		l.do(Timer{At: now + tickMs*(0.5+l.rng.Float64()/2), Handle: "tick"})
+		l.emit(SetTimer{At: now + tickIntervalMs*(0.5+l.rng.Float64()/2), Name: "tick"})
 	}
-	if now-l.eventAt > stoodMs { // what was out meanwhile says nothing about servers
-		l.wokeAt = now
+	if now-l.lastEventAt > pausedAfterMs { // what was out meanwhile says nothing about servers
+		l.resumedAt = now
 	}
-	l.eventAt = now
+	l.lastEventAt = now
 	switch e := ev.(type) {
 	case Submit:
-		l.submit(now, e)
+		l.handleSubmit(now, e)
 	case Outcome:
-		l.outcome(now, e)
-	case Aborted:
-		l.drop(l.requests[e.ID])
+		l.handleOutcome(now, e)
+	case ClientGone:
+		l.removeRequest(l.requests[e.ID])
 	case FirstByte:
 		if r := l.requests[e.ID]; r != nil {
-			r.stream = true
+			r.streaming = true
 		}
-	case Alarm:
-		switch e.Handle {
+	case TimerFired:
+		switch e.Name {
 		case "tick":
-			l.tick(now)
+			l.handleTick(now)
 		case "ask":
-			l.do(Listen{})
+			l.emit(WatchEndpoints{})
 		}
 	case Endpoints:
-		l.endpoints(now, e)
-	case Probed:
-		l.probed(now, e)
+		l.handleEndpoints(now, e)
+	case ProbeResult:
+		l.handleProbeResult(now, e)
 	case PeerMessage:
-		l.heard(now, e)
+		l.handlePeerMessage(now, e)
 	}
-	return l.out
+	return l.actions
 }
 
 // ---- The bucket ----
@@ -160,15 +160,15 @@
 // customerOf returns the record of a customer, made on first sight. One not
 // seen before starts with the burst split over its gateways, refilled since
 // this gateway started; the rest is held back until its peers are heard.
-func (l *Limiter) customerOf(now float64, id uint64, plan, spread int) *customer {
+func (l *Limiter) lookupCustomer(now float64, id uint64, plan, spread int) *customer {
 	c := l.customers[id]
 	if c == nil {
-		c = &customer{id: id, plan: plan, at: now, seenAt: now, countsOut: l.cfg.Plans[plan].AtOnce > 0}
+		c = &customer{id: id, plan: plan, refilledAt: now, seenAt: now, limitsInFlight: l.cfg.Plans[plan].MaxInFlight > 0}
 		p, n := l.cfg.Plans[plan], float64(max(1, min(spread, l.cfg.Balancers)))
 		c.balance = min(p.Burst, p.Burst/n+p.Rate*(now-l.startedAt)/1000)
-		c.held = p.Burst - c.balance
+		c.withheldBurst = p.Burst - c.balance
 		l.customers[id] = c
-		l.listed = append(l.listed, c)
+		l.customerList = append(l.customerList, c)
 	}
 	return c
 }
@@ -176,34 +176,34 @@
 // release grants what was held back of an unseen customer's burst once all
 // its peers have answered this gateway's question: what they did not tell of
 // has not been spent. Silence of any of them leaves it to the refill.
-func (l *Limiter) release(c *customer) {
-	if c.held == 0 || c.large() && !l.briefed ||
-		!c.large() && slices.ContainsFunc(c.tells, func(i int) bool { return !l.peers[i].levelled }) {
+func (l *Limiter) releaseWithheldBurst(c *customer) {
+	if c.withheldBurst == 0 || c.usesAggregators() && !l.neighborAnswered ||
+		!c.usesAggregators() && slices.ContainsFunc(c.reportsTo, func(i int) bool { return !l.peers[i].answered }) {
 		return
 	}
-	c.balance, c.told, c.held = min(l.cfg.Plans[c.plan].Burst, c.balance+c.held), c.told+c.held, 0
+	c.balance, c.sentLevel, c.withheldBurst = min(l.cfg.Plans[c.plan].Burst, c.balance+c.withheldBurst), c.sentLevel+c.withheldBurst, 0
 }
 
 // refill brings a customer's bucket and its part of the ceiling up to date.
 func (l *Limiter) refill(now float64, c *customer) {
-	p, s := l.cfg.Plans[c.plan], (now-c.at)/1000
-	c.at = now
+	p, s := l.cfg.Plans[c.plan], (now-c.refilledAt)/1000
+	c.refilledAt = now
 	c.balance = bucket.Refill(c.balance, s, p.Rate, p.Burst)
 	if c.spread > 0 {
-		part := c.part()
-		for k := range c.shares {
-			c.shares[k] = min(p.CeilingBurst*part, c.shares[k]+s*p.CeilingRate*part)
+		part := c.escrowPart()
+		for k := range c.escrow {
+			c.escrow[k] = min(p.HardBurst*part, c.escrow[k]+s*p.HardRate*part)
 		}
-		c.lack = max(0, c.lack-s*p.CeilingRate/keepers)
+		c.escrowDeficit = max(0, c.escrowDeficit-s*p.HardRate/aggregatorCount)
 	}
 }
 
 // part is the share of the ceiling that each of this gateway's shares holds.
-func (c *customer) part() float64 { return 1 / float64(c.spread) / keepers }
+func (c *customer) escrowPart() float64 { return 1 / float64(c.spread) / aggregatorCount }
 
 // share is what this gateway may pass of a customer's ceiling.
-func (c *customer) share() (sum float64) {
-	for _, s := range c.shares {
+func (c *customer) escrowBalance() (sum float64) {
+	for _, s := range c.escrow {
 		sum += s
 	}
 	return sum
@@ -216,28 +216,28 @@
 // half lacks, as far as heard, is lacking in the gateways' shares too, and no more
 // than the difference is granted, so that the sum of all shares never exceeds the
 // store, whatever is lost or late. What is not heard of yet lacks in both alike.
-func (l *Limiter) grant(now float64, c *customer) {
+func (l *Limiter) grantEscrow(now float64, c *customer) {
 	p := l.cfg.Plans[c.plan]
-	if p.CeilingRate <= 0 {
+	if p.HardRate <= 0 {
 		return
 	}
-	s, full, free := (now-c.grantAt)/1000, p.CeilingBurst*c.part(), -c.lack
-	c.grantAt = now
-	for i := range c.views {
-		v := &c.views[i]
-		v.short = max(0, v.short-s*p.CeilingRate*c.part())
-		free += v.short
-	}
-	for i := range c.views {
-		v := &c.views[i]
-		steps := math.Floor(min(v.short, free, full) * unitScale)
-		if steps < 1 || v.short < grantLeast*full {
+	s, full, free := (now-c.grantedAt)/1000, p.HardBurst*c.escrowPart(), -c.escrowDeficit
+	c.grantedAt = now
+	for i := range c.peerViews {
+		v := &c.peerViews[i]
+		v.escrowDeficit = max(0, v.escrowDeficit-s*p.HardRate*c.escrowPart())
+		free += v.escrowDeficit
+	}
+	for i := range c.peerViews {
+		v := &c.peerViews[i]
+		steps := math.Floor(min(v.escrowDeficit, free, full) * unitScale)
+		if steps < 1 || v.escrowDeficit < minGrantShare*full {
 			continue
 		}
-		v.short, free = v.short-steps/unitScale, free-steps/unitScale
+		v.escrowDeficit, free = v.escrowDeficit-steps/unitScale, free-steps/unitScale
 		e := peerEntry{customer: c.id, plan: uint64(c.plan), level: int64(steps)}
 		if v.peer == l.cfg.Position {
-			c.granted(c.rank, full, e)
+			c.addGrant(c.aggregatorRank, full, e)
 		} else {
 			l.peers[v.peer].grants = append(l.peers[v.peer].grants, e)
 		}
@@ -245,21 +245,21 @@
 }
 
 // granted adds a grant of the keeper with a rank to its share here.
-func (c *customer) granted(rank int, full float64, e peerEntry) {
-	c.shares[rank] = min(full, c.shares[rank]+float64(e.level)/unitScale)
+func (c *customer) addGrant(rank int, full float64, e peerEntry) {
+	c.escrow[rank] = min(full, c.escrow[rank]+float64(e.level)/unitScale)
 }
 
 // lacks notes what a gateway has spent, for the half of the ceiling kept here.
-func (l *Limiter) lacks(c *customer, i int, units float64) {
-	if c.keeper && l.cfg.Plans[c.plan].CeilingRate > 0 {
-		c.lack += units / keepers
-		c.view(i).short += units / keepers
+func (l *Limiter) recordEscrowSpending(c *customer, i int, units float64) {
+	if c.isAggregator && l.cfg.Plans[c.plan].HardRate > 0 {
+		c.escrowDeficit += units / aggregatorCount
+		c.peerView(i).escrowDeficit += units / aggregatorCount
 	}
 }
 
 // allows tells whether the quota and the ceiling have room; if not, wait is
 // the time until they will have, as far as known here.
-func (l *Limiter) allows(c *customer, units float64) (wait float64, ok bool) {
+func (l *Limiter) checkQuota(c *customer, units float64) (wait float64, ok bool) {
 	p := l.cfg.Plans[c.plan]
 	// In a large set others pass what is not known here yet: below the margin told
 	// with a level, the lower it is the less passes. A full bucket has no margin.
@@ -270,11 +270,11 @@
 	// part of its store and rate, so that the sum of all never exceeds it,
 	// whatever is lost or late. A starting gateway begins with nothing.
 	// In a large set keepers give back early what the store has regained.
-	if share := c.share(); p.CeilingRate > 0 && share < units {
-		wait = max(wait, (units-share)/p.CeilingRate*float64(c.spread)*1000)
+	if share := c.escrowBalance(); p.HardRate > 0 && share < units {
+		wait = max(wait, (units-share)/p.HardRate*float64(c.spread)*1000)
 	}
-	if p.AtOnce > 0 && c.outAll() >= p.AtOnce {
-		wait = max(wait, tickMs)
+	if p.MaxInFlight > 0 && c.totalInFlight() >= p.MaxInFlight {
+		wait = max(wait, tickIntervalMs)
 	}
 	return wait, wait == 0
 }
@@ -283,53 +283,53 @@
 // of a request spends.
 func (l *Limiter) spend(now float64, c *customer, units float64) {
 	c.balance, c.spent = c.balance-units, c.spent+units
-	for k := range c.shares {
-		c.shares[k] -= units / keepers
+	for k := range c.escrow {
+		c.escrow[k] -= units / aggregatorCount
 	}
-	l.lacks(c, l.cfg.Position, units)
-	c.spentAt, c.lastUnits = now, units
-	l.stir(c)
+	l.recordEscrowSpending(c, l.cfg.Position, units)
+	c.lastSpentAt, c.lastUnits = now, units
+	l.markUnreported(c)
 }
 
 // ---- A request ----
 
-func (l *Limiter) submit(now float64, e Submit) {
+func (l *Limiter) handleSubmit(now float64, e Submit) {
 	if l.requests[e.ID] != nil {
 		return
 	} else if e.Class < 0 || e.Class >= len(l.cfg.Classes) || e.Plan < 0 || e.Plan >= len(l.cfg.Plans) {
-		l.do(Refuse{ID: e.ID})
+		l.emit(Reject{ID: e.ID})
 		return
 	}
-	c := l.customerOf(now, e.Customer, e.Plan, e.Spread)
+	c := l.lookupCustomer(now, e.Customer, e.Plan, e.Spread)
 	if c.spread == 0 {
-		l.join(now, c, e.Spread, e.First)
+		l.setMembership(now, c, e.Spread, e.First)
 	}
 	l.refill(now, c)
-	l.release(c)
+	l.releaseWithheldBurst(c)
 	c.seenAt = now
 	units := max(0, e.Units)
-	aim := l.aimLeft(e)
-	if wait, ok := l.allows(c, units); !ok {
-		l.refuse(e.ID, wait)
+	aim := l.timeToTarget(e)
+	if wait, ok := l.checkQuota(c, units); !ok {
+		l.reject(e.ID, wait)
 		return
 	} else if aim <= 0 {
-		l.refuse(e.ID, l.cfg.Caps.MaxWaitMs)
+		l.reject(e.ID, l.cfg.Caps.MaxRetryAfterMs)
 		return
 	}
-	r := &request{id: e.ID, class: e.Class, units: units, customer: c, aimAt: now + aim}
-	r.endsAt = now + e.ExpiresMs
-	l.weigh(r)
-	s, wait := l.choose(now, r)
+	r := &request{id: e.ID, class: e.Class, units: units, customer: c, targetAt: now + aim}
+	r.deadlineAt = now + e.TimeoutMs
+	l.setWaitFactor(r)
+	s, wait := l.chooseServer(now, r)
 	if s == nil {
-		l.pressure += pressWeight * (1 - l.pressure)
-		l.refuse(e.ID, wait)
+		l.overloadPressure += averagingWeight * (1 - l.overloadPressure)
+		l.reject(e.ID, wait)
 		return
 	}
-	l.pressure -= pressWeight * l.pressure
+	l.overloadPressure -= averagingWeight * l.overloadPressure
 	l.requests[r.id] = r
 	l.spend(now, c, units)
-	l.retries = min(retryMax, l.retries+retryShare)
-	l.send(now, r, s)
+	l.retryBudget = min(maxRetryBudget, l.retryBudget+retryBudgetShare)
+	l.startAttempt(now, r, s)
 }
 
 // aimLeft is the time in which an answer still earns its worth. Clients give
@@ -338,117 +338,117 @@
 // against spending quota and servers on what is already too late. Where clients
 // mark their retries, a first try has only just begun, however short its time:
 // guards against turning away all that clients in a hurry send.
-func (l *Limiter) aimLeft(e Submit) float64 {
-	class, u := l.cfg.Classes[e.Class], &l.usual[e.Class]
-	usual := math.Abs(e.ExpiresMs-u.ms) <= usualSlack*u.ms
+func (l *Limiter) timeToTarget(e Submit) float64 {
+	class, u := l.cfg.Classes[e.Class], &l.usualTimeouts[e.Class]
+	usual := math.Abs(e.TimeoutMs-u.ms) <= usualTimeoutTolerance*u.ms
 	switch { // a majority vote finds the usual time
 	case usual:
-		u.votes = min(u.votes+1, usualVotes)
+		u.votes = min(u.votes+1, maxTimeoutVotes)
 	case u.votes > 0:
 		u.votes--
 	default:
-		u.ms, u.votes, usual = e.ExpiresMs, 1, true
+		u.ms, u.votes, usual = e.TimeoutMs, 1, true
 	}
-	aim := class.AimMs
-	l.marked = l.marked || e.Retry
-	if !usual && u.votes > 1 && (e.Retry || !l.marked) {
-		aim -= max(0, class.DeadlineMs-e.ExpiresMs)
+	aim := class.LatencyTargetMs
+	l.clientsMarkRetries = l.clientsMarkRetries || e.Retry
+	if !usual && u.votes > 1 && (e.Retry || !l.clientsMarkRetries) {
+		aim -= max(0, class.DeadlineMs-e.TimeoutMs)
 	}
-	return min(aim, e.ExpiresMs)
+	return min(aim, e.TimeoutMs)
 }
 
 // weigh sets how much of its spare time a request may be expected to wait: the
 // more of the requests inside their quotas are turned away for lack of
 // servers, the more it depends on what they are worth for their work.
-func (l *Limiter) weigh(r *request) {
-	worth := l.cfg.Classes[r.class].Worth * l.cfg.Plans[r.customer.plan].Price * r.units / l.workOf(r.class)
-	l.worth += (worth - l.worth) * max(pressWeight, 1/(l.weighed+1))
-	l.weighed++
-	r.factor = 1
-	if l.worth > 0 {
-		r.factor += (max(leastWorth, min(mostWorth, worth/l.worth)) - 1) * min(1, 2*l.pressure)
+func (l *Limiter) setWaitFactor(r *request) {
+	worth := l.cfg.Classes[r.class].Value * l.cfg.Plans[r.customer.plan].Price * r.units / l.typicalTime(r.class)
+	l.meanValue += (worth - l.meanValue) * max(averagingWeight, 1/(l.valuedRequests+1))
+	l.valuedRequests++
+	r.waitFactor = 1
+	if l.meanValue > 0 {
+		r.waitFactor += (max(minRelativeValue, min(maxRelativeValue, worth/l.meanValue)) - 1) * min(1, 2*l.overloadPressure)
 	}
 }
 
 // refuse turns a request away; the advice is never longer than clients heed.
-func (l *Limiter) refuse(id string, wait float64) {
+func (l *Limiter) reject(id string, wait float64) {
 	if !l.cfg.Caps.RetryAfter {
 		wait = 0
 	}
-	l.do(Refuse{ID: id, WaitMs: min(wait, l.cfg.Caps.MaxWaitMs)})
+	l.emit(Reject{ID: id, RetryAfterMs: min(wait, l.cfg.Caps.MaxRetryAfterMs)})
 }
 
-func (l *Limiter) send(now float64, r *request, s *server) {
+func (l *Limiter) startAttempt(now float64, r *request, s *server) {
 	if s.inflight == 0 {
-		s.waitingAt = now
+		s.waitingSince = now
 	}
-	l.sends = l.recent(now) + 1
-	s.cold--
+	l.recentAttempts = l.decayedAttempts(now) + 1
+	s.slowStartCredit--
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: now, load: s.load() + 1})
-	r.live++
-	r.customer.out++
+	r.inFlight++
+	r.customer.inFlight++
 	s.inflight++
 	l.inflight++
-	l.do(PassOn{ID: r.id, Server: s.info.ID})
+	l.emit(StartAttempt{ID: r.id, Server: s.info.ID})
 }
 
-func (l *Limiter) outcome(now float64, e Outcome) {
+func (l *Limiter) handleOutcome(now float64, e Outcome) {
 	r := l.requests[e.ID]
-	if r == nil || e.Try < 0 || e.Try >= len(r.attempts) || r.attempts[e.Try].over {
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
-	a := &r.attempts[e.Try]
-	l.back(r, a)
-	l.observe(now, a, r, e)
-	if c := r.customer; e.Cost > 0 && l.cfg.TrueUp {
+	a := &r.attempts[e.Attempt]
+	l.settleAttempt(r, a)
+	l.observeOutcome(now, a, r, e)
+	if c := r.customer; e.SettledUnits > 0 && l.cfg.TrueUp {
 		l.refill(now, c)
-		c.balance, c.spent = c.balance-(e.Cost-r.units), c.spent+(e.Cost-r.units)
+		c.balance, c.spent = c.balance-(e.SettledUnits-r.units), c.spent+(e.SettledUnits-r.units)
 	}
-	l.stir(r.customer)
-	if !provesUnrun(e.Result) && r.ran == nil {
-		r.ran, r.ranInfo, r.ranAt = a.server, a.server.info, a.sentAt
+	l.markUnreported(r.customer)
+	if !provesNotExecuted(e.Result) && r.executedOn == nil {
+		r.executedOn, r.executedOnInfo, r.executedAt = a.server, a.server.info, a.sentAt
 	}
-	if e.Done {
-		l.drop(r)
-	} else if r.live == 0 && !r.stream {
-		l.again(now, r, e.Result)
+	if e.Final {
+		l.removeRequest(r)
+	} else if r.inFlight == 0 && !r.streaming {
+		l.retryOrFinish(now, r, e.Result)
 	}
 }
 
 // again makes a further attempt or gives the final answer. Nothing is out.
-func (l *Limiter) again(now float64, r *request, last Result) {
+func (l *Limiter) retryOrFinish(now float64, r *request, last Result) {
 	class := l.cfg.Classes[r.class]
-	may := now < r.endsAt && len(r.attempts) < max(1, l.cfg.Caps.Attempts) && (r.ran == nil ||
-		class.Repeat == Safe || class.Repeat == Keyed && now < r.ranAt+class.WindowMs)
-	costly := !(last == NoRoute || last == StaleSend)
-	if may && (!costly || l.retries >= 1) {
-		if s, _ := l.choose(now, r); s != nil {
+	may := now < r.deadlineAt && len(r.attempts) < max(1, l.cfg.Caps.MaxAttempts) && (r.executedOn == nil ||
+		class.Idempotency == Safe || class.Idempotency == Keyed && now < r.executedAt+class.DedupWindowMs)
+	costly := !(last == ConnectFailed || last == NotSent)
+	if may && (!costly || l.retryBudget >= 1) {
+		if s, _ := l.chooseServer(now, r); s != nil {
 			if costly {
-				l.retries--
+				l.retryBudget--
 			}
-			l.send(now, r, s)
+			l.startAttempt(now, r, s)
 			return
 		}
 	}
-	harmless := r.ran == nil || class.Repeat == Safe || class.Repeat == Keyed && class.Group == GroupAll
-	if harmless && now < r.endsAt {
-		l.refuse(r.id, 0)
+	harmless := r.executedOn == nil || class.Idempotency == Safe || class.Idempotency == Keyed && class.DedupScope == DedupAll
+	if harmless && now < r.deadlineAt {
+		l.reject(r.id, 0)
 	} else {
-		l.do(Fail{ID: r.id})
+		l.emit(Fail{ID: r.id})
 	}
-	l.drop(r)
+	l.removeRequest(r)
 }
 
 // drop forgets a request that is over.
-func (l *Limiter) drop(r *request) {
+func (l *Limiter) removeRequest(r *request) {
 	if r == nil {
 		return
 	}
 	for i := range r.attempts { // outcomes still to come are ignored: settle their counts here
-		if a := &r.attempts[i]; !a.over {
-			l.back(r, a)
+		if a := &r.attempts[i]; !a.ended {
+			l.settleAttempt(r, a)
 			if l.cfg.Caps.Cancel {
-				l.do(AbortAttempt{ID: r.id, Try: i})
+				l.emit(CancelAttempt{ID: r.id, Attempt: i})
 			}
 		}
 	}
@@ -459,26 +459,26 @@
 
 // choose returns the server with the least expected finish, or nil and a wait
 // when none can answer within the time left.
-func (l *Limiter) choose(now float64, r *request) (*server, float64) {
+func (l *Limiter) chooseServer(now float64, r *request) (*server, float64) {
 	var best *server
 	var bestCost float64
-	l.warm, l.up = 0, 0
-	for _, s := range l.order {
-		if s.near && s.info.Phase == Up {
-			l.warm, l.up = l.warm+l.warmth(now, s), l.up+1
+	l.warmCapacity, l.upServers = 0, 0
+	for _, s := range l.serverList {
+		if s.inSubset && s.info.Phase == Up {
+			l.warmCapacity, l.upServers = l.warmCapacity+l.slowStartShare(now, s), l.upServers+1
 		}
 	}
 	for pass := 0; pass < 3 && best == nil; pass++ { // of the subset, of all, and the suspect
-		for _, s := range l.order {
-			if pass == 0 && !s.near || !l.usable(now, s, r, pass > 1) {
+		for _, s := range l.serverList {
+			if pass == 0 && !s.inSubset || !l.usable(now, s, r, pass > 1) {
 				continue
 			}
-			cost := s.slowness(now) * l.coldness(now, s) * (s.load() + 1) * l.scatter()
+			cost := s.relativeTime(now) * l.slowStartCostFactor(now, s) * (s.load() + 1) * l.randomFactor()
 			if s.inflight > 0 { // a further request at once needs a connection of its own
-				cost *= 1 + busyCost*l.blind
+				cost *= 1 + busyServerCost*l.unseenShare
 			}
 			if s.info.Zone != l.cfg.Zone {
-				cost *= 1 + crossWeight*l.cfg.CrossPrice
+				cost *= 1 + crossZoneWeight*l.cfg.CrossZonePrice
 			}
 			if best == nil || cost < bestCost {
 				best, bestCost = s, cost
@@ -486,18 +486,18 @@
 		}
 	}
 	if best == nil {
-		return nil, fullMs
+		return nil, rejectedPauseMs
 	}
-	alone, left := l.workOf(r.class)*best.slowness(now)/l.warmth(now, best)*l.curve(1), headroom*(r.aimAt-now)
-	left += (r.factor - 1) * max(0, left-alone)
-	if now > r.aimAt {
-		left = r.endsAt - now
+	alone, left := l.typicalTime(r.class)*best.relativeTime(now)/l.slowStartShare(now, best)*l.loadFactor(1), headroomShare*(r.targetAt-now)
+	left += (r.waitFactor - 1) * max(0, left-alone)
+	if now > r.targetAt {
+		left = r.deadlineAt - now
 	}
 	// An idle server is tried all the same: with nothing sent, nothing is learnt.
 	// But servers slowed by too much in hand recover only when it falls, so all
 	// gateways together try with no more than tryShare requests a server.
-	late := l.expected(now, best, r.class) - left
-	tries := tryShare * float64(len(l.order)) / float64(l.cfg.Balancers)
+	late := l.expectedTime(now, best, r.class) - left
+	tries := maxTriesPerServer * float64(len(l.serverList)) / float64(l.cfg.Balancers)
 	if late > 0 && (best.inflight > 0 || float64(l.inflight) >= max(1, tries)) {
 		return nil, late
 	}
@@ -508,9 +508,9 @@
 // in its own load most of what a server has, and takes the least; one of many sees
 // next to nothing of it, and all would take the same few: with an exponential factor
 // each server gets requests in proportion to what it can do.
-func (l *Limiter) scatter() float64 {
-	if l.blind > 0 {
-		return math.Pow(l.rng.ExpFloat64(), l.blind)
+func (l *Limiter) randomFactor() float64 {
+	if l.unseenShare > 0 {
+		return math.Pow(l.rng.ExpFloat64(), l.unseenShare)
 	}
 	return 1 + 0.05*l.rng.Float64()
 }
@@ -518,9 +518,9 @@
 // coldness is the factor of a server's warmth on its cost. One of many gateways has
 // saved up long for its request to a cold server, which is now due: left until the
 // warm ones have more in hand, it would never be sent, and all the load go to them.
-func (l *Limiter) coldness(now float64, s *server) float64 {
-	if w := l.warmth(now, s); w < 1 {
-		return math.Pow(w, l.blind-1) * math.Pow(dueCost, l.blind)
+func (l *Limiter) slowStartCostFactor(now float64, s *server) float64 {
+	if w := l.slowStartShare(now, s); w < 1 {
+		return math.Pow(w, l.unseenShare-1) * math.Pow(dueSlowStartCost, l.unseenShare)
 	}
 	return 1
 }
@@ -528,7 +528,7 @@
 // usable tells whether a request may go to a server now. With lax, servers
 // that are only under suspicion are taken too.
 func (l *Limiter) usable(now float64, s *server, r *request, lax bool) bool {
-	if s.info.Phase != Up || s.down || !l.coldRoom(now, s) {
+	if s.info.Phase != Up || s.down || !l.hasSlowStartCredit(now, s) {
 		return false
 	}
 	for i := range r.attempts {
@@ -537,11 +537,11 @@
 		}
 	}
 	class := l.cfg.Classes[r.class]
-	if r.ran != nil && class.Repeat == Keyed && (class.Group == GroupZone && s.info.Zone != r.ranInfo.Zone ||
-		class.Group == GroupCell && s.info.Cell != r.ranInfo.Cell) {
+	if r.executedOn != nil && class.Idempotency == Keyed && (class.DedupScope == DedupZone && s.info.Zone != r.executedOnInfo.Zone ||
+		class.DedupScope == DedupCell && s.info.Cell != r.executedOnInfo.Cell) {
 		return false
 	}
-	return lax || now >= s.ills[r.class].to && now >= s.fullTo && !l.stalled(now, s)
+	return lax || now >= s.ejections[r.class].until && now >= s.rejectingUntil && !l.silent(now, s)
 }
 
 // load is the number of requests that this gateway has at a server. What the
@@ -550,68 +550,68 @@
 func (s *server) load() float64 { return float64(s.inflight) }
 
 // expected is the time an answer from a server is expected to take.
-func (l *Limiter) expected(now float64, s *server, class int) float64 {
-	return l.workOf(class) * s.slowness(now) / l.warmth(now, s) * l.curve(s.load()+1)
+func (l *Limiter) expectedTime(now float64, s *server, class int) float64 {
+	return l.typicalTime(class) * s.relativeTime(now) / l.slowStartShare(now, s) * l.loadFactor(s.load()+1)
 }
 
 // curve is how long an answer takes with so many requests in hand, against
 // the typical one. It is a line through what was seen: flat while servers have
 // cores to spare, at its steepest proportional to the load.
-func (l *Limiter) curve(load float64) float64 {
-	f := &l.fit
-	if f.n == 0 {
-		return 1 + curveStart*(load-1)
-	}
-	prior := f.y * curveStart / (1 + curveStart*(f.k-1))
-	slope := (f.ky - f.k*f.y + prior*curvePrior) / (f.kk - f.k*f.k + curvePrior)
-	return f.y + max(prior/20, min(f.y/f.k, slope))*(load-f.k)
+func (l *Limiter) loadFactor(load float64) float64 {
+	f := &l.loadModel
+	if f.count == 0 {
+		return 1 + initialLoadSlope*(load-1)
+	}
+	prior := f.meanTime * initialLoadSlope / (1 + initialLoadSlope*(f.meanLoad-1))
+	slope := (f.meanLoadTime - f.meanLoad*f.meanTime + prior*loadSlopePriorWeight) / (f.meanLoadSquared - f.meanLoad*f.meanLoad + loadSlopePriorWeight)
+	return f.meanTime + max(prior/20, min(f.meanTime/f.meanLoad, slope))*(load-f.meanLoad)
 }
 
 // slowness is the time a server takes against the typical one; with no record it is typical.
-func (s *server) slowness(now float64) float64 {
-	s.decayStat(now, speedMs)
-	return (s.spent + 1) / (s.had + 1)
+func (s *server) relativeTime(now float64) float64 {
+	s.decayAnswers(now, serverSpeedMs)
+	return (s.relativeTimeSum + 1) / (s.answerWeight + 1)
 }
 
 // workOf is the typical time of a class; an unseen one borrows from the others.
-func (l *Limiter) workOf(class int) float64 {
-	return cmp.Or(l.work[class], max(1, slices.Max(l.work)))
+func (l *Limiter) typicalTime(class int) float64 {
+	return cmp.Or(l.typicalMs[class], max(1, slices.Max(l.typicalMs)))
 }
 
 // observe learns from an outcome about the server and the class.
-func (l *Limiter) observe(now float64, a *attempt, r *request, e Outcome) {
+func (l *Limiter) observeOutcome(now float64, a *attempt, r *request, e Outcome) {
 	s := a.server
-	s.waitingAt = now
-	if a.sentAt < l.wokeAt {
+	s.waitingSince = now
+	if a.sentAt < l.resumedAt {
 		return
 	}
-	if e.Result == Pass || e.Result == Fault || e.Result == Cut || e.Result == TooSlow {
-		l.failed -= pressWeight * l.failed
-		if e.Result != Pass {
-			l.failed += pressWeight
-			if now >= l.hintAt && l.failed < hintBelow && l.cfg.Caps.Peers && now >= s.ills[r.class].to {
-				l.hintAt = now + l.hintPause
-				l.tellSet(peerMsg{flags: flagNews | flagIll, entries: []peerEntry{{customer: s.info.ID,
+	if e.Result == Success || e.Result == ServerError || e.Result == ConnectionLost || e.Result == TimedOut {
+		l.failureShare -= averagingWeight * l.failureShare
+		if e.Result != Success {
+			l.failureShare += averagingWeight
+			if now >= l.nextHintAt && l.failureShare < maxHintFailureShare && l.cfg.Caps.Peers && now >= s.ejections[r.class].until {
+				l.nextHintAt = now + l.hintInterval
+				l.sendToRange(peerMessage{flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{{customer: s.info.ID,
 					plan: uint64(r.class)}}}, 0, len(l.peers))
 			}
-			l.suspect(now, s, r.class)
+			l.recordFailure(now, s, r.class)
 		}
 	}
 	switch e.Result {
-	case Pass:
-		w := &l.work[r.class]
-		l.seen[r.class]++
-		*w += (e.SpentMs - *w) * max(workWeight, 1/l.seen[r.class])
-		l.fit.add(a.load, e.SpentMs / *w, workWeight)
-		s.decayStat(now, speedMs)
-		s.spent += e.SpentMs / *w / l.curve(a.load)
-		s.had++
-		s.noRoute = 0
-	case NoRoom:
-		s.fullTo = now + fullMs
-	case NoRoute:
-		if s.noRoute++; s.noRoute >= downAfter {
-			l.setDown(now, s, "connects fail")
+	case Success:
+		w := &l.typicalMs[r.class]
+		l.answerCount[r.class]++
+		*w += (e.LatencyMs - *w) * max(minAnswerWeight, 1/l.answerCount[r.class])
+		l.loadModel.observe(a.load, e.LatencyMs / *w, minAnswerWeight)
+		s.decayAnswers(now, serverSpeedMs)
+		s.relativeTimeSum += e.LatencyMs / *w / l.loadFactor(a.load)
+		s.answerWeight++
+		s.connectFailures = 0
+	case Rejected:
+		s.rejectingUntil = now + rejectedPauseMs
+	case ConnectFailed:
+		if s.connectFailures++; s.connectFailures >= downAfterFailures {
+			l.markDown(now, s, "connects fail")
 		}
 	}
 }
@@ -623,31 +623,31 @@
 // use it again, and the first failures keep it off anew. It should hold against
 // any server that fails all or one class, and harms if a passing trouble of all
 // servers is laid to some: at most half are kept off.
-func (l *Limiter) suspect(now float64, s *server, class int) {
-	e := &s.ills[class]
-	if now-e.at > illMs/2 {
-		e.n = 0
+func (l *Limiter) recordFailure(now float64, s *server, class int) {
+	e := &s.ejections[class]
+	if now-e.lastFailureAt > ejectionMs/2 {
+		e.failures = 0
 	}
-	e.at, e.n = now, e.n+1
+	e.lastFailureAt, e.failures = now, e.failures+1
 	off := 0
-	for _, o := range l.order {
-		if now < o.ills[class].to {
+	for _, o := range l.serverList {
+		if now < o.ejections[class].until {
 			off++
 		}
 	}
 	// As many failures as the fleet's share of them makes likely say nothing.
-	likely := l.failed * l.recent(now) * float64(l.cfg.Balancers) / float64(len(l.order))
-	if float64(e.n) >= illAfter+likely && 2*(off+1) <= len(l.order) {
-		if now >= e.to {
-			l.log("server %d: class %d fails there, kept off", s.info.ID, class)
+	likely := l.failureShare * l.decayedAttempts(now) * float64(l.cfg.Balancers) / float64(len(l.serverList))
+	if float64(e.failures) >= ejectAfterFailures+likely && 2*(off+1) <= len(l.serverList) {
+		if now >= e.until {
+			l.logf("server %d: class %d fails there, kept off", s.info.ID, class)
 		}
-		e.to = now + illMs
+		e.until = now + ejectionMs
 	}
 }
 
-func (l *Limiter) setDown(now float64, s *server, why string) {
+func (l *Limiter) markDown(now float64, s *server, why string) {
 	if !s.down {
-		l.log("server %d is down: %s", s.info.ID, why)
+		l.logf("server %d is down: %s", s.info.ID, why)
 	}
 	if s.down = true; !l.cfg.Caps.Cancel {
 		return
@@ -656,52 +656,52 @@
 		r := l.requests[id]
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			if a.server == s && !a.over && !r.stream && l.cfg.Classes[r.class].Repeat != Unsafe {
-				l.do(AbortAttempt{ID: id, Try: i})
+			if a.server == s && !a.ended && !r.streaming && l.cfg.Classes[r.class].Idempotency != Unsafe {
+				l.emit(CancelAttempt{ID: id, Attempt: i})
 			}
 		}
 	}
 }
 
 // stalled tells that a server owes answers and has been silent for long.
-func (l *Limiter) stalled(now float64, s *server) bool {
+func (l *Limiter) silent(now float64, s *server) bool {
 	if s.inflight == 0 {
 		return false
 	}
-	typical := slices.Max(l.work) * s.slowness(now) / l.warmth(now, s) * l.curve(s.load())
-	return now-s.waitingAt > stallFactor*typical+l.cfg.Caps.ConnectMs
+	typical := slices.Max(l.typicalMs) * s.relativeTime(now) / l.slowStartShare(now, s) * l.loadFactor(s.load())
+	return now-s.waitingSince > silenceFactor*typical+l.cfg.Caps.ConnectTimeoutMs
 }
 
 // checkServers probes those that are down or silent.
 func (l *Limiter) checkServers(now float64) {
-	for _, s := range l.order {
-		if s.info.Phase != Up || !(s.down || l.stalled(now, s)) || now < s.probedAt+probeMs {
+	for _, s := range l.serverList {
+		if s.info.Phase != Up || !(s.down || l.silent(now, s)) || now < s.probedAt+minProbeIntervalMs {
 			continue
 		}
 		s.probedAt = now
 		if l.cfg.Caps.Probes {
-			l.do(Probe{Server: s.info.ID})
+			l.emit(Probe{Server: s.info.ID})
 		} else if s.down { // no probes: one request at a time finds out
-			s.down, s.noRoute = false, downAfter-1
+			s.down, s.connectFailures = false, downAfterFailures-1
 		}
 	}
 }
 
-func (l *Limiter) probed(now float64, e Probed) {
+func (l *Limiter) handleProbeResult(now float64, e ProbeResult) {
 	s := l.servers[e.Server]
 	if s == nil || s.info.Phase != Up {
 		return
 	}
 	switch e.Result {
-	case Pass:
-		s.waitingAt = now
+	case Success:
+		s.waitingSince = now
 		if s.down {
-			s.down, s.noRoute = false, 0
-			l.log("server %d answers again", s.info.ID)
+			s.down, s.connectFailures = false, 0
+			l.logf("server %d answers again", s.info.ID)
 		}
-	case TooSlow, NoRoute, Cut:
-		if s.down || l.stalled(now, s) {
-			l.setDown(now, s, "silent, and the probe failed")
+	case TimedOut, ConnectFailed, ConnectionLost:
+		if s.down || l.silent(now, s) {
+			l.markDown(now, s, "silent, and the probe failed")
 		}
 	}
 }
@@ -709,12 +709,12 @@
 // ---- Cold servers ----
 
 // warmth is the least share of its capacity that a server can have by now.
-func (l *Limiter) warmth(now float64, s *server) float64 {
+func (l *Limiter) slowStartShare(now float64, s *server) float64 {
 	r := l.cfg.Rules
-	if s.info.ReadyAt <= 0 || r.ColdMs <= 0 || r.ColdShare <= 0 {
+	if s.info.ReadyAt <= 0 || r.SlowStartMs <= 0 || r.SlowStartShare <= 0 {
 		return 1
 	}
-	return min(1, r.ColdShare+(1-r.ColdShare)*max(0, now-s.info.ReadyAt)/r.ColdMs)
+	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*max(0, now-s.info.ReadyAt)/r.SlowStartMs)
 }
 
 // coldRoom keeps this gateway to its part of what a cold server can do: its
@@ -724,28 +724,28 @@
 // where hardly anything is sent, to coldLeast requests a window. Where most are cold,
 // a part grows by coldMost at the most: all that was sent may have been all that the
 // servers could do when warm.
-func (l *Limiter) coldRoom(now float64, s *server) bool {
-	w := l.warmth(now, s)
+func (l *Limiter) hasSlowStartCredit(now float64, s *server) bool {
+	w := l.slowStartShare(now, s)
 	if w >= 1 {
 		return true
 	}
-	rate := max((coldUse+coldMore*l.blind)*w*l.recent(now)/max(l.warm, l.up/coldMost)*2/illMs,
-		coldLeast/float64(l.cfg.Balancers)/max(1, l.cfg.Rules.FallMs))
-	s.cold, s.coldAt = min(1, max(0, s.cold)+rate*(now-s.coldAt)), now
-	return s.cold >= 1
+	rate := max((slowStartUse+slowStartExtraUse*l.unseenShare)*w*l.decayedAttempts(now)/max(l.warmCapacity, l.upServers/maxSlowStartRise)*2/ejectionMs,
+		minSlowStartRequests/float64(l.cfg.Balancers)/max(1, l.cfg.Rules.OverloadMs))
+	s.slowStartCredit, s.slowStartCreditAt = min(1, max(0, s.slowStartCredit)+rate*(now-s.slowStartCreditAt)), now
+	return s.slowStartCredit >= 1
 }
 
 // ---- The list of servers ----
 
-func (l *Limiter) endpoints(now float64, e Endpoints) {
+func (l *Limiter) handleEndpoints(now float64, e Endpoints) {
 	if e.Scope == Failed {
-		if l.cfg.AskMembers {
-			l.do(Timer{At: now + 1000 + 1000*l.rng.Float64(), Handle: "ask"})
+		if l.cfg.PollMembership {
+			l.emit(SetTimer{At: now + 1000 + 1000*l.rng.Float64(), Name: "ask"})
 		}
 		return
 	}
 	if e.Scope != Partial {
-		for _, s := range l.order {
+		for _, s := range l.serverList {
 			s.info.Phase = Removed
 		}
 	}
@@ -759,16 +759,16 @@
 		}
 		s.info = info
 	}
-	l.order = l.order[:0]
+	l.serverList = l.serverList[:0]
 	for id, s := range l.servers {
 		if s.info.Phase == Removed && s.inflight == 0 {
 			delete(l.servers, id)
 		} else {
-			l.order = append(l.order, s)
+			l.serverList = append(l.serverList, s)
 		}
 	}
-	slices.SortFunc(l.order, func(a, b *server) int { return cmp.Compare(a.info.ID, b.info.ID) })
-	l.subset()
+	slices.SortFunc(l.serverList, func(a, b *server) int { return cmp.Compare(a.info.ID, b.info.ID) })
+	l.chooseSubset()
 }
 
 // subset chooses the servers that this gateway normally uses. One of many gateways
@@ -777,23 +777,23 @@
 // servers out among its members, in an order of its own, so that every server has
 // equally many gateways, and few change when the list does. The number of parts is
 // a power of two: a part of a coarser division holds the finer ones.
-func (l *Limiter) subset() {
+func (l *Limiter) chooseSubset() {
 	var up []*server
-	for _, s := range l.order {
-		if s.near = false; s.info.Phase == Up {
+	for _, s := range l.serverList {
+		if s.inSubset = false; s.info.Phase == Up {
 			up = append(up, s)
 		}
 	}
 	parts := 1
-	for 2*parts*subsetLeast <= len(up) && 2*parts*fewGateways <= l.cfg.Balancers {
+	for 2*parts*minSubsetServers <= len(up) && 2*parts*smallFleet <= l.cfg.Balancers {
 		parts *= 2
 	}
-	salt := mix(uint64(l.cfg.Position/parts) + 1)
+	salt := hash64(uint64(l.cfg.Position/parts) + 1)
 	slices.SortStableFunc(up, func(a, b *server) int {
-		return cmp.Compare(mix(a.info.ID^salt), mix(b.info.ID^salt))
+		return cmp.Compare(hash64(a.info.ID^salt), hash64(b.info.ID^salt))
 	})
 	for k, s := range up {
-		s.near = k*parts/len(up) == l.cfg.Position%parts
+		s.inSubset = k*parts/len(up) == l.cfg.Position%parts
 	}
 }
 
@@ -804,126 +804,126 @@
 // the same for all by the customer's number, hear of every admission and tell
 // the set the level when it matters: news crosses in two steps, and nothing
 // counts twice, as a level replaces what was known.
-func (l *Limiter) join(now float64, c *customer, spread, first int) {
+func (l *Limiter) setMembership(now float64, c *customer, spread, first int) {
 	n, p := l.cfg.Balancers, l.cfg.Plans[c.plan]
 	l.refill(now, c) // what the shares start with covers the time until now
-	c.spread, c.first = max(1, min(spread, n)), ((first%n)+n)%n
-	if c.begun = p.CeilingBurst; !l.fresh {
-		c.begun = min(p.CeilingBurst, p.CeilingRate*(now-l.startedAt)/1000)
+	c.spread, c.firstLimiter = max(1, min(spread, n)), ((first%n)+n)%n
+	if c.initialHardBurst = p.HardBurst; !l.newFleet {
+		c.initialHardBurst = min(p.HardBurst, p.HardRate*(now-l.startedAt)/1000)
 	}
-	for k := range c.shares {
-		c.shares[k] = c.begun * c.part()
+	for k := range c.escrow {
+		c.escrow[k] = c.initialHardBurst * c.escrowPart()
 	}
 	from, step, count := 0, 1, c.spread
-	if c.large() {
-		h := mix(c.id)
-		from, step, count = int(h%uint64(c.spread)), 1+int(h>>32)%(c.spread-1), keepers
+	if c.usesAggregators() {
+		h := hash64(c.id)
+		from, step, count = int(h%uint64(c.spread)), 1+int(h>>32)%(c.spread-1), aggregatorCount
 	}
 	for k := range count {
-		if i := (c.first + (from+k*step)%c.spread) % n; i != l.cfg.Position {
-			c.tells = append(c.tells, i)
-		} else if c.large() {
-			c.keeper, c.rank, c.told, c.toldAt = true, k, c.balance, now
-			l.kept = append(l.kept, c)
+		if i := (c.firstLimiter + (from+k*step)%c.spread) % n; i != l.cfg.Position {
+			c.reportsTo = append(c.reportsTo, i)
+		} else if c.usesAggregators() {
+			c.isAggregator, c.aggregatorRank, c.sentLevel, c.sentLevelAt = true, k, c.balance, now
+			l.aggregated = append(l.aggregated, c)
 		}
 	}
 }
 
-func (l *Limiter) tick(now float64) {
-	l.do(Timer{At: now + tickMs, Handle: "tick"})
+func (l *Limiter) handleTick(now float64) {
+	l.emit(SetTimer{At: now + tickIntervalMs, Name: "tick"})
 	l.checkServers(now)
-	if l.cfg.Caps.Peers && l.cfg.PeerInPerS > 0 {
-		l.talk(now)
+	if l.cfg.Caps.Peers && l.cfg.PeerMessagesPerSecond > 0 {
+		l.exchangeWithPeers(now)
 	}
-	if now-l.sweptAt > forgetMs/10 {
-		l.sweptAt = now
-		l.forget(now)
+	if now-l.evictedAt > idleCustomerMs/10 {
+		l.evictedAt = now
+		l.evictIdleCustomers(now)
 	}
 }
 
-func (l *Limiter) talk(now float64) {
-	fair := gossipShare * l.cfg.PeerInPerS * tickMs / 1000 // messages a tick
-	l.credit = min(max(1, float64(len(l.peers)-1)), l.credit+fair)
+func (l *Limiter) exchangeWithPeers(now float64) {
+	fair := gossipShare * l.cfg.PeerMessagesPerSecond * tickIntervalMs / 1000 // messages a tick
+	l.sendCredit = min(max(1, float64(len(l.peers)-1)), l.sendCredit+fair)
 	// Gateways are told about equally many levels: what comes in here tells a
 	// keeper whether it may tell oftener. Reports, which keepers alone get, say nothing.
-	l.inRate += (l.cameIn/fair - l.inRate) * tickMs / 1000
-	l.cameIn = 0
-	l.pace = 1000 * paceMsgs / l.cfg.PeerInPerS * math.Exp(paceSteep*max(0, l.inRate-0.5))
-	l.keep(now)
+	l.receiveRate += (l.levelsReceived/fair - l.receiveRate) * tickIntervalMs / 1000
+	l.levelsReceived = 0
+	l.levelInterval = 1000 * levelIntervalMessages / l.cfg.PeerMessagesPerSecond * math.Exp(levelIntervalSteepness*max(0, l.receiveRate-0.5))
+	l.sendAggregatedLevels(now)
 	for i := range l.peers {
 		if p := &l.peers[i]; len(p.grants) > 0 {
-			l.tellSet(peerMsg{flags: flagNews | flagGrant, entries: p.grants}, i, 1)
-			l.credit--
+			l.sendToRange(peerMessage{flags: flagLevelUpdate | flagEscrowGrant, entries: p.grants}, i, 1)
+			l.sendCredit--
 			p.grants = p.grants[:0]
 		}
 	}
-	slices.SortStableFunc(l.dirty, func(a, b *customer) int { return cmp.Compare(b.press(), a.press()) })
-	for _, c := range l.dirty {
-		for _, i := range c.tells {
-			if c.owes(i) {
+	slices.SortStableFunc(l.unreported, func(a, b *customer) int { return cmp.Compare(b.reportPriority(), a.reportPriority()) })
+	for _, c := range l.unreported {
+		for _, i := range c.reportsTo {
+			if c.hasUnreported(i) {
 				l.peers[i].due = append(l.peers[i].due, c)
 			}
 		}
 	}
-	for k, from := 0, l.turn; k < len(l.peers); k++ {
+	for k, from := 0, l.nextPeer; k < len(l.peers); k++ {
 		i := (from + k) % len(l.peers)
-		if (len(l.peers[i].due) > 0 || l.asks(now, i)) && l.credit >= 1 {
-			l.credit--
-			l.turn = i + 1
-			l.tell(now, i)
+		if (len(l.peers[i].due) > 0 || l.requestsLevels(now, i)) && l.sendCredit >= 1 {
+			l.sendCredit--
+			l.nextPeer = i + 1
+			l.sendReport(now, i)
 		}
 		l.peers[i].due = l.peers[i].due[:0]
 	}
-	l.dirty = slices.DeleteFunc(l.dirty, func(c *customer) bool {
-		c.dirty = slices.ContainsFunc(c.tells, c.owes)
-		return !c.dirty
+	l.unreported = slices.DeleteFunc(l.unreported, func(c *customer) bool {
+		c.unreported = slices.ContainsFunc(c.reportsTo, c.hasUnreported)
+		return !c.unreported
 	})
 }
 
 // asks tells whether this gateway, just started, asks a peer near it for levels.
-func (l *Limiter) asks(now float64, i int) bool {
-	return now-l.startedAt < askMs && !l.peers[i].levelled && l.apart(i) > 0 && l.apart(i) <= directMost/2
+func (l *Limiter) requestsLevels(now float64, i int) bool {
+	return now-l.startedAt < levelsRequestMs && !l.peers[i].answered && l.ringDistance(i) > 0 && l.ringDistance(i) <= maxDirectPeers/2
 }
 
 // keep tells the set of each customer kept here its level once its gateways
 // believe in more and it is low or soon will be, and with it the margin below
 // which less is to pass. The stand-in waits a little, and so acts if the first
 // keeper is gone.
-func (l *Limiter) keep(now float64) {
-	for _, c := range l.kept {
+func (l *Limiter) sendAggregatedLevels(now float64) {
+	for _, c := range l.aggregated {
 		l.refill(now, c)
-		l.release(c)
-		l.grant(now, c)
-		c.fade(now)
-		p, pause := l.cfg.Plans[c.plan], l.pace*l.patience[c.plan]
-		believed := min(p.Burst, c.told+p.Rate*(now-c.toldAt)/1000)
-		ahead := c.balance - aheadMs/1000*max(0, c.flow-p.Rate)
-		if believed-c.balance <= p.Burst/8 || ahead > lowShare*p.Burst {
-			c.pressed = 0
-		} else if c.pressed++; now-c.toldAt >= pause && c.pressed > 2*c.rank {
-			c.told, c.toldAt, c.pressed = c.balance, now, 0
-			c.margin = min(p.Burst, marginGain*c.flow*pause/1000)
-			l.tellSet(peerMsg{flags: flagNews, entries: []peerEntry{l.entry(now, c, 0)}}, c.first, c.spread)
+		l.releaseWithheldBurst(c)
+		l.grantEscrow(now, c)
+		c.decayRecentUnits(now)
+		p, pause := l.cfg.Plans[c.plan], l.levelInterval*l.planPacing[c.plan]
+		believed := min(p.Burst, c.sentLevel+p.Rate*(now-c.sentLevelAt)/1000)
+		ahead := c.balance - lookaheadMs/1000*max(0, c.recentUnits-p.Rate)
+		if believed-c.balance <= p.Burst/8 || ahead > lowLevelShare*p.Burst {
+			c.overestimatedTicks = 0
+		} else if c.overestimatedTicks++; now-c.sentLevelAt >= pause && c.overestimatedTicks > 2*c.aggregatorRank {
+			c.sentLevel, c.sentLevelAt, c.overestimatedTicks = c.balance, now, 0
+			c.margin = min(p.Burst, marginGain*c.recentUnits*pause/1000)
+			l.sendToRange(peerMessage{flags: flagLevelUpdate, entries: []peerEntry{l.entryFor(now, c, 0)}}, c.firstLimiter, c.spread)
 		}
 	}
 }
 
 // answer tells a gateway that just started of levels below full; in large sets
 // its neighbours alone do, who have mostly the same customers.
-func (l *Limiter) answer(now float64, to int) {
-	m := peerMsg{flags: flagNews | flagLevels, ageMs: uint64(now - l.startedAt)}
-	for _, c := range l.listed {
+func (l *Limiter) sendLevelsResponse(now float64, to int) {
+	m := peerMessage{flags: flagLevelUpdate | flagLevelsResponse, ageMs: uint64(now - l.startedAt)}
+	for _, c := range l.customerList {
 		l.refill(now, c)
-		below, told := l.cfg.Plans[c.plan].Burst-c.balance-c.held, slices.Contains(c.tells, to)
-		if c.large() || c.spread == 0 {
-			told = l.apart(to) == 1 && below > (1-lowShare)*l.cfg.Plans[c.plan].Burst
+		below, told := l.cfg.Plans[c.plan].Burst-c.balance-c.withheldBurst, slices.Contains(c.reportsTo, to)
+		if c.usesAggregators() || c.spread == 0 {
+			told = l.ringDistance(to) == 1 && below > (1-lowLevelShare)*l.cfg.Plans[c.plan].Burst
 		}
 		if told && below > 0 {
-			m.entries = append(m.entries, l.entry(now, c, 0))
+			m.entries = append(m.entries, l.entryFor(now, c, 0))
 		}
 	}
 	for n := 0; ; m.entries = m.entries[n:] {
-		if n = l.tellSet(m, to, 1); n == len(m.entries) {
+		if n = l.sendToRange(m, to, 1); n == len(m.entries) {
 			return
 		}
 	}
@@ -932,20 +932,20 @@
 // forget drops customers that are idle and whose bucket and part of the ceiling are
 // full again: a new record would start full too. Guards against growing with every
 // customer that comes once.
-func (l *Limiter) forget(now float64) {
+func (l *Limiter) evictIdleCustomers(now float64) {
 	idle := func(c *customer) bool {
 		l.refill(now, c)
 		p := l.cfg.Plans[c.plan]
-		return c.out == 0 && !c.dirty && now-c.seenAt >= forgetMs && now-l.startedAt > forgetMs &&
-			c.balance >= p.Burst && (c.spread == 0 || p.CeilingRate <= 0 ||
-			c.share()*float64(c.spread) >= p.CeilingBurst*(1-1e-9))
+		return c.inFlight == 0 && !c.unreported && now-c.seenAt >= idleCustomerMs && now-l.startedAt > idleCustomerMs &&
+			c.balance >= p.Burst && (c.spread == 0 || p.HardRate <= 0 ||
+			c.escrowBalance()*float64(c.spread) >= p.HardBurst*(1-1e-9))
 	}
-	l.kept = slices.DeleteFunc(l.kept, idle)
-	l.listed = slices.DeleteFunc(l.listed, func(c *customer) bool {
+	l.aggregated = slices.DeleteFunc(l.aggregated, idle)
+	l.customerList = slices.DeleteFunc(l.customerList, func(c *customer) bool {
 		drop := idle(c)
 		if drop {
 			delete(l.customers, c.id)
-			l.forgot = true
+			l.evicted = true
 		}
 		return drop
 	})
@@ -954,81 +954,81 @@
 // floor is the lowest level a bucket can come to: each of the customer's gateways
 // passes the whole burst before it hears of another. Guards against a peer's word
 // that would keep a customer out for long.
-func (l *Limiter) floor(c *customer) float64 {
+func (l *Limiter) minLevel(c *customer) float64 {
 	return -l.cfg.Plans[c.plan].Burst * float64(max(1, c.spread))
 }
 
 // tell sends a peer what has changed, most pressing first: what is untold
 // against what is left. In small sets each figure is told once more, against loss.
-func (l *Limiter) tell(now float64, i int) {
+func (l *Limiter) sendReport(now float64, i int) {
 	p := &l.peers[i]
 	p.seq++
-	m := peerMsg{mark: l.mark, seq: p.seq, ageMs: uint64(now - l.startedAt)}
-	if l.anyOut {
-		m.flags |= flagOut
+	m := peerMessage{incarnation: l.incarnation, seq: p.seq, ageMs: uint64(now - l.startedAt)}
+	if l.limitsInFlight {
+		m.flags |= flagInFlight
 	}
-	if l.asks(now, i) {
-		m.flags |= flagAsking
+	if l.requestsLevels(now, i) {
+		m.flags |= flagLevelsRequest
 	}
 	for _, c := range p.due {
-		v := c.view(i)
-		e := l.entry(now, c, v.told)
-		if v.again { // what the last message told may be lost
-			e.fresh = e.spent - v.before
+		v := c.peerView(i)
+		e := l.entryFor(now, c, v.sentSpent)
+		if v.resend { // what the last message told may be lost
+			e.newlySpent = e.spent - v.previouslySentSpent
 		}
 		m.entries = append(m.entries, e)
 	}
-	for k, c := range p.due[:l.tellSet(m, i, 1)] {
-		v := c.view(i)
-		v.again = m.entries[k].spent != v.told && !c.large()
-		v.before, v.told, v.toldOut = v.told, m.entries[k].spent, c.out
+	for k, c := range p.due[:l.sendToRange(m, i, 1)] {
+		v := c.peerView(i)
+		v.resend = m.entries[k].spent != v.sentSpent && !c.usesAggregators()
+		v.previouslySentSpent, v.sentSpent, v.sentInFlight = v.sentSpent, m.entries[k].spent, c.inFlight
 	}
 }
 
 // heard takes in what a peer tells. Cumulative figures heal a lost message
 // with the next one; a new mark shows that the peer began anew.
-func (l *Limiter) heard(now float64, e PeerMessage) {
-	m, ok := decodePeer(e.Data)
-	if !ok || e.From < 0 || e.From >= len(l.peers) || e.From == l.cfg.Position || !l.sound(&m) {
+func (l *Limiter) handlePeerMessage(now float64, e PeerMessage) {
+	m, ok := decodePeerMessage(e.Data)
+	if !ok || e.From < 0 || e.From >= len(l.peers) || e.From == l.cfg.Position || !l.validMessage(&m) {
 		return
 	}
 	p := &l.peers[e.From]
 	switch {
-	case m.flags&flagIll != 0:
+	case m.flags&flagFailureHint != 0:
 		for _, en := range m.entries {
 			if s := l.servers[en.customer]; s != nil { // only what the own list has named
-				l.suspect(now, s, int(en.plan))
+				l.recordFailure(now, s, int(en.plan))
 			}
 		}
 		return
-	case m.flags&flagGrant != 0:
+	case m.flags&flagEscrowGrant != 0:
 		for _, en := range m.entries {
-			l.takeGrant(now, e.From, en)
+			l.applyGrant(now, e.From, en)
 		}
 		return
-	case m.flags&flagNews != 0:
-		l.cameIn++
-		if m.flags&flagLevels != 0 {
-			p.levelled = true
-			l.briefed = l.briefed || l.apart(e.From) == 1
-			l.weighAge(now, &m)
+	case m.flags&flagLevelUpdate != 0:
+		l.levelsReceived++
+		if m.flags&flagLevelsResponse != 0 {
+			p.answered = true
+			l.neighborAnswered = l.neighborAnswered || l.ringDistance(e.From) == 1
+			l.observePeerAge(now, &m)
 		}
 		for _, en := range m.entries {
-			l.levelOf(now, e.From, &m, en)
+			l.applyLevel(now, e.From, &m, en)
 		}
 		return
-	case m.mark == p.old: // a late message of an incarnation that is gone
+	case m.incarnation == p.previousIncarnation: // a late message of an incarnation that is gone
 		return
-	case m.mark != p.mark:
-		p.old, p.mark = p.mark, m.mark
+	case m.incarnation != p.incarnation:
+		p.previousIncarnation, p.incarnation = p.incarnation, m.incarnation
 	}
-	l.weighAge(now, &m)
-	if m.flags&flagAsking != 0 && now >= p.answeredAt+4*tickMs {
+	l.observePeerAge(now, &m)
+	if m.flags&flagLevelsRequest != 0 && now >= p.answeredAt+4*tickIntervalMs {
 		p.answeredAt = now
-		l.answer(now, e.From)
+		l.sendLevelsResponse(now, e.From)
 	}
 	for _, en := range m.entries {
-		l.heardOf(now, e.From, &m, en)
+		l.applyReport(now, e.From, &m, en)
 	}
 }
 
@@ -1036,120 +1036,120 @@
 // but for what passed too lately to be in it; another keeper goes by what it
 // hears itself. The answer of an older peer does so for a gateway that just
 // started and knows nothing yet.
-func (l *Limiter) levelOf(now float64, from int, m *peerMsg, en peerEntry) {
-	if !l.knows(en.customer) {
+func (l *Limiter) applyLevel(now float64, from int, m *peerMessage, en peerEntry) {
+	if !l.acceptsCustomer(en.customer) {
 		return
 	}
-	c := l.customerOf(now, en.customer, int(en.plan), l.cfg.Balancers)
+	c := l.lookupCustomer(now, en.customer, int(en.plan), l.cfg.Balancers)
 	burst := l.cfg.Plans[c.plan].Burst
-	level := min(burst, max(l.floor(c), float64(en.level)/unitScale))
+	level := min(burst, max(l.minLevel(c), float64(en.level)/unitScale))
 	l.refill(now, c)
-	if m.flags&flagLevels != 0 {
-		if age := now - l.startedAt; !c.seeded && age < askMs && float64(m.ageMs) > age {
-			c.seed(now, level-c.spent)
+	if m.flags&flagLevelsResponse != 0 {
+		if age := now - l.startedAt; !c.levelKnown && age < levelsRequestMs && float64(m.ageMs) > age {
+			c.setLevel(now, level-c.spent)
 		}
 		return
 	}
-	if c.spread > 0 && !slices.Contains(c.tells, from) {
+	if c.spread > 0 && !slices.Contains(c.reportsTo, from) {
 		return
 	}
-	if !c.keeper || !c.seeded {
-		if now-c.spentAt < 2*tickMs {
+	if !c.isAggregator || !c.levelKnown {
+		if now-c.lastSpentAt < 2*tickIntervalMs {
 			level -= c.lastUnits
 		}
-		c.seed(now, min(burst, level))
+		c.setLevel(now, min(burst, level))
 	}
-	c.told, c.toldAt, c.pressed = level, now, 0
+	c.sentLevel, c.sentLevelAt, c.overestimatedTicks = level, now, 0
 	c.margin = min(burst, float64(min(en.margin, math.MaxInt32))/unitScale)
 }
 
 // takeGrant takes in what a keeper gives back, and no stranger can.
-func (l *Limiter) takeGrant(now float64, from int, en peerEntry) {
+func (l *Limiter) applyGrant(now float64, from int, en peerEntry) {
 	c := l.customers[en.customer]
-	if c == nil || !c.large() || en.level < 0 {
+	if c == nil || !c.usesAggregators() || en.level < 0 {
 		return
 	}
-	if rank := slices.Index(c.tells, from); rank >= 0 {
-		if c.keeper { // it tells the other one alone
-			rank = keepers - 1 - c.rank
+	if rank := slices.Index(c.reportsTo, from); rank >= 0 {
+		if c.isAggregator { // it tells the other one alone
+			rank = aggregatorCount - 1 - c.aggregatorRank
 		}
 		l.refill(now, c)
-		c.granted(rank, l.cfg.Plans[c.plan].CeilingBurst*c.part(), en)
+		c.addGrant(rank, l.cfg.Plans[c.plan].HardBurst*c.escrowPart(), en)
 	}
 }
 
 // weighAge notes how old a peer is. One that starts does not know what was spent just
 // before, and so begins with none of a ceiling's store. But where no peer is older and
 // all near have answered, the whole fleet has just begun, and stores are full.
-func (l *Limiter) weighAge(now float64, m *peerMsg) {
-	l.elders = l.elders || float64(m.ageMs) > now-l.startedAt+elderMs
-	if l.fresh || l.elders || now-l.startedAt > askMs {
+func (l *Limiter) observePeerAge(now float64, m *peerMessage) {
+	l.olderPeerSeen = l.olderPeerSeen || float64(m.ageMs) > now-l.startedAt+olderPeerMs
+	if l.newFleet || l.olderPeerSeen || now-l.startedAt > levelsRequestMs {
 		return
 	}
 	answered := 0
 	for i := range l.peers {
-		if l.asks(now, i) {
+		if l.requestsLevels(now, i) {
 			return
-		} else if l.peers[i].levelled {
+		} else if l.peers[i].answered {
 			answered++
 		}
 	}
-	if answered < freshLeast {
+	if answered < minNewFleetAnswers {
 		return
 	}
-	l.fresh = true
-	for _, c := range l.listed {
-		if burst := l.cfg.Plans[c.plan].CeilingBurst; c.spread > 0 {
+	l.newFleet = true
+	for _, c := range l.customerList {
+		if burst := l.cfg.Plans[c.plan].HardBurst; c.spread > 0 {
 			l.refill(now, c)
-			for k := range c.shares {
-				c.shares[k] = min(burst*c.part(), c.shares[k]+(burst-c.begun)*c.part())
+			for k := range c.escrow {
+				c.escrow[k] = min(burst*c.escrowPart(), c.escrow[k]+(burst-c.initialHardBurst)*c.escrowPart())
 			}
 		}
 	}
 }
 
 // knows tells whether a peer's word on a customer is taken in.
-func (l *Limiter) knows(id uint64) bool {
-	return len(l.customers) < heardMost || l.customers[id] != nil
+func (l *Limiter) acceptsCustomer(id uint64) bool {
+	return len(l.customers) < maxCustomersFromPeers || l.customers[id] != nil
 }
 
-func (l *Limiter) heardOf(now float64, from int, m *peerMsg, en peerEntry) {
-	if !l.knows(en.customer) {
+func (l *Limiter) applyReport(now float64, from int, m *peerMessage, en peerEntry) {
+	if !l.acceptsCustomer(en.customer) {
 		return
 	}
-	c := l.customerOf(now, en.customer, int(en.plan), int(en.spread))
+	c := l.lookupCustomer(now, en.customer, int(en.plan), int(en.spread))
 	if c.spread == 0 {
-		l.join(now, c, int(en.spread), int(en.first))
+		l.setMembership(now, c, int(en.spread), int(en.firstLimiter))
 	}
 	l.refill(now, c)
-	v := c.view(from)
-	older := float64(m.ageMs) > now-l.startedAt+askMs
-	if v.mark != m.mark {
+	v := c.peerView(from)
+	older := float64(m.ageMs) > now-l.startedAt+levelsRequestMs
+	if v.incarnation != m.incarnation {
 		// Of a peer known before, or younger than this gateway, all it has spent
 		// falls into our time; of an older one only what is new with this message, and
 		// so once customers have been forgotten here, which it may still know.
-		first := v.mark == 0
-		v.heard, v.mark, v.seq = 0, m.mark, 0
-		if first && (older || l.forgot) {
-			v.heard = en.spent - min(en.fresh, en.spent)
+		first := v.incarnation == 0
+		v.receivedSpent, v.incarnation, v.seq = 0, m.incarnation, 0
+		if first && (older || l.evicted) {
+			v.receivedSpent = en.spent - min(en.newlySpent, en.spent)
 		}
 	}
 	if m.seq <= v.seq {
 		return
 	}
-	v.seq, v.out = m.seq, int(min(en.out, uint64(l.cfg.Plans[c.plan].AtOnce)))
-	if en.spent < v.heard { // the peer had forgotten the customer
-		v.heard = 0
+	v.seq, v.inFlight = m.seq, int(min(en.inFlight, uint64(l.cfg.Plans[c.plan].MaxInFlight)))
+	if en.spent < v.receivedSpent { // the peer had forgotten the customer
+		v.receivedSpent = 0
 	}
-	if units := float64(en.spent-v.heard) / unitScale; units > 0 {
-		c.balance = bucket.Draw(c.balance, units, l.floor(c))
-		c.fade(now)
-		c.flow += min(units, l.cfg.Plans[c.plan].Burst)
+	if units := float64(en.spent-v.receivedSpent) / unitScale; units > 0 {
+		c.balance = bucket.Draw(c.balance, units, l.minLevel(c))
+		c.decayRecentUnits(now)
+		c.recentUnits += min(units, l.cfg.Plans[c.plan].Burst)
 		c.seenAt = now
-		l.lacks(c, from, units)
+		l.recordEscrowSpending(c, from, units)
 	}
-	v.heard = en.spent
-	if c.keeper && older && !c.seeded { // a keeper that just started begins with what the teller believes
-		c.seed(now, max(l.floor(c), min(l.cfg.Plans[c.plan].Burst, float64(en.level)/unitScale-c.spent)))
+	v.receivedSpent = en.spent
+	if c.isAggregator && older && !c.levelKnown { // a keeper that just started begins with what the teller believes
+		c.setLevel(now, max(l.minLevel(c), min(l.cfg.Plans[c.plan].Burst, float64(en.level)/unitScale-c.spent)))
 	}
 }
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -11,22 +11,22 @@
 // ceiling.
 func testSettings() Settings {
 	return Settings{
-		Balancers: 2, PeerInPerS: 40,
+		Balancers: 2, PeerMessagesPerSecond: 40,
 		Classes: []Class{
-			{Repeat: Safe, AimMs: 500, DeadlineMs: 2000, Worth: 1, WindowMs: 1000},
-			{Repeat: Keyed, Group: GroupCell, AimMs: 500, DeadlineMs: 2000, Worth: 1, WindowMs: 1000},
-			{Repeat: Unsafe, AimMs: 500, DeadlineMs: 2000, Worth: 1},
-			{Repeat: Keyed, Group: GroupAll, AimMs: 500, DeadlineMs: 2000, Worth: 1, WindowMs: 1000},
+			{Idempotency: Safe, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1, DedupWindowMs: 1000},
+			{Idempotency: Keyed, DedupScope: DedupCell, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1, DedupWindowMs: 1000},
+			{Idempotency: Unsafe, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1},
+			{Idempotency: Keyed, DedupScope: DedupAll, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1, DedupWindowMs: 1000},
 		},
 		Plans: []Plan{
 			{Rate: 10, Burst: 20, Price: 1},
-			{Rate: 10, Burst: 20, Price: 1, CeilingRate: 20, CeilingBurst: 40},
-			{Rate: 10, Burst: 20, Price: 1, AtOnce: 2},
+			{Rate: 10, Burst: 20, Price: 1, HardRate: 20, HardBurst: 40},
+			{Rate: 10, Burst: 20, Price: 1, MaxInFlight: 2},
 			{Price: 1},
 		},
-		Caps: Caps{Attempts: 4, Cancel: true, Peers: true, Probes: true, RetryAfter: true,
-			MaxWaitMs: 1000, ConnectMs: 250},
-		Rules: Rules{ColdShare: 0.2, ColdMs: 10000, OverloadFactor: 2, FallMs: 1000},
+		Caps: Caps{MaxAttempts: 4, Cancel: true, Peers: true, Probes: true, RetryAfter: true,
+			MaxRetryAfterMs: 1000, ConnectTimeoutMs: 250},
+		Rules: Rules{SlowStartShare: 0.2, SlowStartMs: 10000, OverloadFactor: 2, OverloadMs: 1000},
 	}
 }
 
@@ -62,8 +62,8 @@
 func (s *script) submit(e Submit) (string, Action) {
 	s.n++
 	e.ID = fmt.Sprint("r", s.n)
-	if e.ExpiresMs == 0 {
-		e.ExpiresMs = 1500
+	if e.TimeoutMs == 0 {
+		e.TimeoutMs = 1500
 	}
 	if e.Spread == 0 {
 		e.Spread = 1
@@ -79,7 +79,7 @@
 	s.t.Helper()
 	for _, a := range acts {
 		switch a.(type) {
-		case PassOn, Refuse, Fail:
+		case StartAttempt, Reject, Fail:
 			if got != nil {
 				s.t.Fatalf("two answers: %v and %v", got, a)
 			}
@@ -91,25 +91,25 @@
 
 func (s *script) outcome(id string, try int, server uint64, r Result) Action {
 	s.t.Helper()
-	return s.answer(s.do(Outcome{ID: id, Try: try, Server: server, Result: r, SpentMs: 20, Done: r == Pass,
+	return s.answer(s.do(Outcome{ID: id, Attempt: try, Server: server, Result: r, LatencyMs: 20, Final: r == Success,
 		Load: Load{Busy: -1, Pending: -1, ServiceMs: -1}}))
 }
 
 // pass serves a request that must have been passed on.
 func (s *script) pass(id string, a Action) {
 	s.t.Helper()
-	p, ok := a.(PassOn)
+	p, ok := a.(StartAttempt)
 	if !ok {
 		s.t.Fatalf("%s: got %#v, want a PassOn", id, a)
 	}
-	s.outcome(id, 0, p.Server, Pass)
+	s.outcome(id, 0, p.Server, Success)
 }
 
 // admit counts how many of n requests pass, each served at once.
 func (s *script) admit(n int, e Submit) (passed int) {
 	for range n {
 		if id, a := s.submit(e); a != nil {
-			if _, ok := a.(PassOn); ok {
+			if _, ok := a.(StartAttempt); ok {
 				passed++
 				s.pass(id, a)
 			}
@@ -124,10 +124,10 @@
 		"position":        func(s *Settings) { s.Position = 2 },
 		"request_classes": func(s *Settings) { s.Classes = nil },
 		"packages":        func(s *Settings) { s.Plans = nil },
-		"cold_share":      func(s *Settings) { s.Rules.ColdShare = 2 },
-		"promise_ms":      func(s *Settings) { s.Classes[0].AimMs = 0 },
+		"cold_share":      func(s *Settings) { s.Rules.SlowStartShare = 2 },
+		"promise_ms":      func(s *Settings) { s.Classes[0].LatencyTargetMs = 0 },
 		"burst":           func(s *Settings) { s.Plans[0].Burst = 0 },
-		"packages.1":      func(s *Settings) { s.Plans[1].CeilingRate = -1 },
+		"packages.1":      func(s *Settings) { s.Plans[1].HardRate = -1 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -143,7 +143,7 @@
 		t.Errorf("a full bucket of 20 let %d through", got)
 	}
 	_, a := s.submit(Submit{})
-	if r, ok := a.(Refuse); !ok || math.Abs(r.WaitMs-100) > 1 {
+	if r, ok := a.(Reject); !ok || math.Abs(r.RetryAfterMs-100) > 1 {
 		t.Errorf("short of one unit at 10/s: got %#v, want a refusal for 100 ms", a)
 	}
 	s.now += 1000
@@ -161,7 +161,7 @@
 
 // peer encodes what a peer of this age says of customer 0.
 func peerSays(ageMs float64, seq, spentUnits uint64, flags byte, level float64) PeerMessage {
-	m := peerMsg{flags: flags, mark: 77, seq: seq, ageMs: uint64(ageMs)}
+	m := peerMessage{flags: flags, incarnation: 77, seq: seq, ageMs: uint64(ageMs)}
 	m.entries = []peerEntry{{spread: 2, spent: spentUnits * unitScale, level: int64(level * unitScale)}}
 	data, _ := m.encode()
 	return PeerMessage{From: 1, Data: data}
@@ -169,7 +169,7 @@
 
 // peerAnswers encodes the answer of a peer of this age: levels below full.
 func peerAnswers(ageMs float64, levels ...float64) PeerMessage {
-	m := peerMsg{flags: flagNews | flagLevels, ageMs: uint64(ageMs)}
+	m := peerMessage{flags: flagLevelUpdate | flagLevelsResponse, ageMs: uint64(ageMs)}
 	for _, level := range levels {
 		m.entries = append(m.entries, peerEntry{level: int64(level * unitScale)})
 	}
@@ -226,22 +226,22 @@
 func TestRestartedGatewayAsks(t *testing.T) {
 	s := newScript(t, testSettings(), fleet(4)...)
 	var asked bool
-	for _, a := range s.do(Alarm{Handle: "tick"}) {
-		if tell, ok := a.(Tell); ok {
-			m, ok := decodePeer(tell.Data)
-			asked = ok && m.flags&flagAsking != 0
+	for _, a := range s.do(TimerFired{Name: "tick"}) {
+		if tell, ok := a.(SendPeer); ok {
+			m, ok := decodePeerMessage(tell.Data)
+			asked = ok && m.flags&flagLevelsRequest != 0
 		}
 	}
 	if !asked {
 		t.Error("a starting gateway did not ask its peer")
 	}
 	s.admit(4, Submit{Spread: 2})
-	ask := peerMsg{flags: flagAsking, mark: 5, seq: 1}
+	ask := peerMessage{flags: flagLevelsRequest, incarnation: 5, seq: 1}
 	data, _ := ask.encode()
 	var levels []peerEntry
 	for _, a := range s.do(PeerMessage{From: 1, Data: data}) {
-		if tell, ok := a.(Tell); ok {
-			if m, ok := decodePeer(tell.Data); ok && m.flags&flagLevels != 0 {
+		if tell, ok := a.(SendPeer); ok {
+			if m, ok := decodePeerMessage(tell.Data); ok && m.flags&flagLevelsResponse != 0 {
 				levels = m.entries
 			}
 		}
@@ -257,12 +257,12 @@
 	s.submit(Submit{Plan: 2})
 	if _, c := s.submit(Submit{Plan: 2}); c == nil {
 		t.Fatal("no answer")
-	} else if _, ok := c.(Refuse); !ok {
+	} else if _, ok := c.(Reject); !ok {
 		t.Errorf("a third attempt out where two are allowed: %#v", c)
 	}
 	s.pass(id, a)
 	if _, c := s.submit(Submit{Plan: 2}); c != nil {
-		if _, ok := c.(PassOn); !ok {
+		if _, ok := c.(StartAttempt); !ok {
 			t.Errorf("one came back, the next is refused: %#v", c)
 		}
 	}
@@ -273,7 +273,7 @@
 	cfg.TrueUp = true
 	s := newScript(t, cfg, fleet(4)...)
 	id, a := s.submit(Submit{})
-	s.do(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 10, Done: true, Cost: 25})
+	s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true, SettledUnits: 25})
 	if got := s.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
 		t.Errorf("balance %g after true units of 25 of 20, want -5", got)
 	}
@@ -287,29 +287,29 @@
 		result Result
 		want   string
 	}{
-		{0, Fault, again}, {0, TooSlow, again}, {0, NoRoom, again}, {0, NoRoute, again}, {0, Undone, again},
-		{1, Fault, again}, {1, Cut, again}, {1, NoRoom, again}, {1, StaleSend, again},
-		{2, Fault, fail}, {2, Cut, fail}, {2, TooSlow, fail}, {2, Undone, fail},
-		{2, NoRoom, again}, {2, NoRoute, again}, {2, StaleSend, again},
-		{3, Fault, again},
+		{0, ServerError, again}, {0, TimedOut, again}, {0, Rejected, again}, {0, ConnectFailed, again}, {0, Canceled, again},
+		{1, ServerError, again}, {1, ConnectionLost, again}, {1, Rejected, again}, {1, NotSent, again},
+		{2, ServerError, fail}, {2, ConnectionLost, fail}, {2, TimedOut, fail}, {2, Canceled, fail},
+		{2, Rejected, again}, {2, ConnectFailed, again}, {2, NotSent, again},
+		{3, ServerError, again},
 	} {
 		s := newScript(t, testSettings(), fleet(4)...)
 		id, a := s.submit(Submit{Class: c.class})
-		first := a.(PassOn).Server
+		first := a.(StartAttempt).Server
 		got := s.outcome(id, 0, first, c.result)
 		name := fmt.Sprintf("class %d, result %d", c.class, c.result)
 		switch g := got.(type) {
-		case PassOn:
+		case StartAttempt:
 			if c.want != again {
 				t.Errorf("%s: sent again, want %s", name, c.want)
 			}
 			if g.Server == first {
 				t.Errorf("%s: sent to the same server", name)
 			}
-			if c.class == 1 && !provesUnrun(c.result) && (g.Server-first)%2 != 0 {
+			if c.class == 1 && !provesNotExecuted(c.result) && (g.Server-first)%2 != 0 {
 				t.Errorf("%s: a keyed request left its cell", name)
 			}
-		case Refuse:
+		case Reject:
 			if c.want != refuse {
 				t.Errorf("%s: refused, want %s", name, c.want)
 			}
@@ -325,28 +325,28 @@
 
 func TestKeyedWindowAndGroup(t *testing.T) {
 	s := newScript(t, testSettings(), fleet(4)...)
-	id, a := s.submit(Submit{Class: 1, ExpiresMs: 1900})
+	id, a := s.submit(Submit{Class: 1, TimeoutMs: 1900})
 	s.now += 1001 // past the window
-	if got, ok := s.outcome(id, 0, a.(PassOn).Server, Fault).(Fail); !ok {
+	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
 		t.Errorf("a keyed request past its window: %#v, want Fail", got)
 	}
 	s = newScript(t, testSettings(), fleet(2)...) // one server a cell
 	id, a = s.submit(Submit{Class: 1})
-	if got, ok := s.outcome(id, 0, a.(PassOn).Server, Fault).(Fail); !ok {
+	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
 		t.Errorf("no other server in the cell: %#v, want Fail", got)
 	}
-	id, a = s.submit(Submit{Class: 3, ExpiresMs: 1900})
+	id, a = s.submit(Submit{Class: 3, TimeoutMs: 1900})
 	s.now += 1500
-	if got, ok := s.outcome(id, 0, a.(PassOn).Server, Fault).(Refuse); !ok {
+	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Reject); !ok {
 		t.Errorf("keyed for all: %#v, want Refuse", got)
 	}
 }
 
 func TestDeadline(t *testing.T) {
 	s := newScript(t, testSettings(), fleet(4)...)
-	id, a := s.submit(Submit{ExpiresMs: 300})
+	id, a := s.submit(Submit{TimeoutMs: 300})
 	s.now += 300
-	if got, ok := s.outcome(id, 0, a.(PassOn).Server, TooSlow).(Fail); !ok {
+	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, TimedOut).(Fail); !ok {
 		t.Errorf("time-out at the deadline: %#v, want Fail", got)
 	}
 	if len(s.l.requests) != 0 {
@@ -358,7 +358,7 @@
 	s := newScript(t, testSettings(), fleet(2)...)
 	s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 1, Phase: Draining}}})
 	for range 10 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 2 {
+		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
 			t.Fatal("sent to a draining server")
 		} else {
 			s.pass(id, a)
@@ -366,18 +366,18 @@
 	}
 	s.do(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 3}}})
 	for range 10 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 3 {
+		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
 			t.Fatal("sent to a server missing from the whole list")
 		} else {
 			s.pass(id, a)
 		}
 	}
 	s.do(Endpoints{Scope: Failed})
-	if _, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 3 {
+	if _, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
 		t.Error("a failed list call changed the list")
 	}
 	s.do(Endpoints{Scope: Complete})
-	if _, a := s.submit(Submit{Plan: 3}); a != (Refuse{ID: "r22", WaitMs: fullMs}) {
+	if _, a := s.submit(Submit{Plan: 3}); a != (Reject{ID: "r22", RetryAfterMs: rejectedPauseMs}) {
 		t.Errorf("with no server: %#v", a)
 	}
 }
@@ -394,7 +394,7 @@
 		out := map[string]Action{}
 		for range 12 {
 			if id, a := s.submit(Submit{Plan: 3}); a != nil {
-				if p, ok := a.(PassOn); ok {
+				if p, ok := a.(StartAttempt); ok {
 					out[id] = a
 					sent[p.Server]++
 				}
@@ -421,13 +421,13 @@
 	s.now += 1e6
 	spent := 0
 	begin := s.now
-	s.l.customerOf(s.now, 0, 1, 2).balance = 1e9
+	s.l.lookupCustomer(s.now, 0, 1, 2).balance = 1e9
 	s.l.cfg.Plans[1].Burst, s.l.cfg.Plans[1].Rate = 1e9, 1e9
 	for range 500 {
 		s.now += 10
 		spent += s.admit(3, Submit{Plan: 1, Spread: 2})
 	}
-	if most := (plan.CeilingBurst + plan.CeilingRate*(s.now-begin)/1000) / 2; float64(spent) > most {
+	if most := (plan.HardBurst + plan.HardRate*(s.now-begin)/1000) / 2; float64(spent) > most {
 		t.Errorf("passed %d, this gateway's half is %g", spent, most)
 	}
 	s = newScript(t, testSettings(), fleet(4)...)
@@ -441,12 +441,12 @@
 	id, a := s.submit(Submit{})
 	s.pass(id, a)
 	for _, e := range []Event{
-		Outcome{ID: id, Server: 1}, Outcome{ID: "no", Server: 1, Try: 3}, Aborted{ID: id}, Aborted{ID: "no"},
-		FirstByte{ID: "no"}, Alarm{Handle: "no"}, Probed{Server: 99}, Submit{ID: "x", Class: 99}, nil,
+		Outcome{ID: id, Server: 1}, Outcome{ID: "no", Server: 1, Attempt: 3}, ClientGone{ID: id}, ClientGone{ID: "no"},
+		FirstByte{ID: "no"}, TimerFired{Name: "no"}, ProbeResult{Server: 99}, Submit{ID: "x", Class: 99}, nil,
 		PeerMessage{From: -1}, PeerMessage{From: 0},
 	} {
 		for _, act := range s.do(e) {
-			if _, ok := act.(PassOn); ok {
+			if _, ok := act.(StartAttempt); ok {
 				t.Errorf("%#v led to %#v", e, act)
 			}
 		}
@@ -461,12 +461,12 @@
 	used := map[uint64]int{}
 	for range 100 {
 		id, a := s.submit(Submit{Plan: 3})
-		p, ok := a.(PassOn)
+		p, ok := a.(StartAttempt)
 		if !ok {
 			t.Fatalf("refused beside idle servers: %#v", a)
 		}
 		used[p.Server]++
-		s.do(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 60, Done: true, Load: Load{Busy: 200 * float64(p.Server)}})
+		s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true, Load: Load{Busy: 200 * float64(p.Server)}})
 		s.now += 20
 	}
 	for id := uint64(1); id <= 4; id++ {
@@ -481,23 +481,23 @@
 	s := newScript(t, testSettings(), fleet(2)...)
 	for range 50 {
 		id, a := s.submit(Submit{Plan: 3})
-		s.do(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 400, Done: true})
+		s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
 		s.now += 20
 	}
 	s.submit(Submit{Plan: 3})
 	s.submit(Submit{Plan: 3})
 	if _, c := s.submit(Submit{Plan: 3}); c != nil {
-		if _, ok := c.(Refuse); !ok {
+		if _, ok := c.(Reject); !ok {
 			t.Fatalf("400 ms an answer, aim 500, one in hand at each server: %#v, want Refuse", c)
 		}
 	}
 	for id := range s.l.requests {
 		r := s.l.requests[id]
-		s.outcome(id, 0, r.attempts[0].server.info.ID, Pass)
+		s.outcome(id, 0, r.attempts[0].server.info.ID, Success)
 		break
 	}
 	if _, a := s.submit(Submit{Plan: 3}); a != nil {
-		if _, ok := a.(PassOn); !ok {
+		if _, ok := a.(StartAttempt); !ok {
 			t.Errorf("a server has nothing in hand: %#v, want PassOn", a)
 		}
 	}
@@ -512,12 +512,12 @@
 		s := newScript(t, cfg, fleet(8)...)
 		for range 50 {
 			id, a := s.submit(Submit{Plan: 3})
-			s.do(Outcome{ID: id, Server: a.(PassOn).Server, Result: Pass, SpentMs: 400, Done: true})
+			s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
 		}
 		out := 0
 		for range 40 {
 			if _, a := s.submit(Submit{Plan: 3}); a != nil {
-				if _, ok := a.(PassOn); ok {
+				if _, ok := a.(StartAttempt); ok {
 					out++
 				}
 			}
@@ -533,18 +533,18 @@
 func TestLateTry(t *testing.T) {
 	s := newScript(t, testSettings(), fleet(4)...)
 	for range 5 {
-		id, a := s.submit(Submit{ExpiresMs: 1000})
+		id, a := s.submit(Submit{TimeoutMs: 1000})
 		s.pass(id, a)
 	}
 	before := s.l.customers[0].balance
-	if _, a := s.submit(Submit{ExpiresMs: 1400}); a != (Refuse{ID: "r6", WaitMs: 1000}) {
+	if _, a := s.submit(Submit{TimeoutMs: 1400}); a != (Reject{ID: "r6", RetryAfterMs: 1000}) {
 		t.Errorf("600 ms after the client began, aim 500: %#v", a)
 	}
 	if s.l.customers[0].balance != before {
 		t.Error("a refused try spent units")
 	}
-	if _, a := s.submit(Submit{ExpiresMs: 1800}); a != nil {
-		if _, ok := a.(PassOn); !ok {
+	if _, a := s.submit(Submit{TimeoutMs: 1800}); a != nil {
+		if _, ok := a.(StartAttempt); !ok {
 			t.Errorf("200 ms after the client began: %#v", a)
 		}
 	}
@@ -557,13 +557,13 @@
 	serve := func() (bad int) {
 		id, a := s.submit(Submit{Plan: 3})
 		for try := 0; ; try++ {
-			p, ok := a.(PassOn)
+			p, ok := a.(StartAttempt)
 			if !ok {
 				return bad
 			}
-			r := Pass
+			r := Success
 			if p.Server == 1 {
-				r, bad = Fault, bad+1
+				r, bad = ServerError, bad+1
 			}
 			a = s.outcome(id, try, p.Server, r)
 		}
@@ -582,7 +582,7 @@
 	for range 200 {
 		bad += serve()
 	}
-	if bad < illAfter || bad > 2*illAfter {
+	if bad < ejectAfterFailures || bad > 2*ejectAfterFailures {
 		t.Errorf("tried anew it got %d of 200, want a few", bad)
 	}
 }
@@ -592,16 +592,16 @@
 	ids := map[string]uint64{}
 	for range 4 {
 		id, a := s.submit(Submit{Plan: 3})
-		ids[id] = a.(PassOn).Server
+		ids[id] = a.(StartAttempt).Server
 	}
 	for id, server := range ids {
 		if server == 2 {
-			s.outcome(id, 0, 2, Pass)
+			s.outcome(id, 0, 2, Success)
 		}
 	}
 	s.now += 600
 	probed := false
-	for _, a := range s.do(Alarm{Handle: "tick"}) {
+	for _, a := range s.do(TimerFired{Name: "tick"}) {
 		if p, ok := a.(Probe); ok && p.Server == 1 {
 			probed = true
 		}
@@ -610,8 +610,8 @@
 		t.Fatal("a server silent for long was not probed")
 	}
 	aborted := 0
-	for _, a := range s.do(Probed{Server: 1, Result: TooSlow}) {
-		if _, ok := a.(AbortAttempt); ok {
+	for _, a := range s.do(ProbeResult{Server: 1, Result: TimedOut}) {
+		if _, ok := a.(CancelAttempt); ok {
 			aborted++
 		}
 	}
@@ -619,13 +619,13 @@
 		t.Error("nothing was called off at a server found down")
 	}
 	for range 20 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server != 2 {
+		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
 			t.Fatal("sent to a server that is down")
 		} else {
 			s.pass(id, a)
 		}
 	}
-	s.do(Probed{Server: 1, Result: Pass})
+	s.do(ProbeResult{Server: 1, Result: Success})
 	if s.l.servers[1].down {
 		t.Error("a server that answers is still held down")
 	}
@@ -639,8 +639,8 @@
 	for range 60 {
 		for _, plan := range []int{0, 3} {
 			id, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)})
-			if p, ok := a.(PassOn); ok {
-				s.do(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 60, Done: true, Load: Load{Busy: -1}})
+			if p, ok := a.(StartAttempt); ok {
+				s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true, Load: Load{Busy: -1}})
 			}
 		}
 	}
@@ -648,7 +648,7 @@
 	for i := range 200 {
 		plan := []int{0, 3}[i%2]
 		if _, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)}); a != nil {
-			if _, ok := a.(PassOn); ok {
+			if _, ok := a.(StartAttempt); ok {
 				passed[plan]++
 			}
 		}
@@ -664,10 +664,10 @@
 	for c := range 500 {
 		s.admit(1, Submit{Customer: uint64(c)})
 	}
-	s.now += 2 * forgetMs
-	s.do(Alarm{Handle: "tick"})
-	if len(s.l.customers) != 0 || len(s.l.listed) != 0 || len(s.l.requests) != 0 {
-		t.Errorf("%d customers, %d listed, %d requests are still held", len(s.l.customers), len(s.l.listed), len(s.l.requests))
+	s.now += 2 * idleCustomerMs
+	s.do(TimerFired{Name: "tick"})
+	if len(s.l.customers) != 0 || len(s.l.customerList) != 0 || len(s.l.requests) != 0 {
+		t.Errorf("%d customers, %d listed, %d requests are still held", len(s.l.customers), len(s.l.customerList), len(s.l.requests))
 	}
 	if got := s.admit(40, Submit{Customer: 3}); got != 20 {
 		t.Errorf("a forgotten customer got %d, want its burst of 20", got)
@@ -681,23 +681,23 @@
 	pass := func(e Submit) bool {
 		t.Helper()
 		id, a := s.submit(e)
-		p, ok := a.(PassOn)
+		p, ok := a.(StartAttempt)
 		if ok {
-			s.do(Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 20, Done: true, Load: Load{Busy: -1}})
+			s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 20, Final: true, Load: Load{Busy: -1}})
 		}
 		s.now += 200
 		return ok
 	}
 	for range 20 {
-		pass(Submit{Plan: 3, ExpiresMs: 1000})
+		pass(Submit{Plan: 3, TimeoutMs: 1000})
 	}
-	if pass(Submit{Plan: 3, ExpiresMs: 200}) {
+	if pass(Submit{Plan: 3, TimeoutMs: 200}) {
 		t.Error("with no retry marked so far a short time is taken for what is left")
 	}
-	if pass(Submit{Plan: 3, ExpiresMs: 200, Retry: true}) {
+	if pass(Submit{Plan: 3, TimeoutMs: 200, Retry: true}) {
 		t.Error("a late retry was sent on")
 	}
-	if !pass(Submit{Plan: 3, ExpiresMs: 200}) {
+	if !pass(Submit{Plan: 3, TimeoutMs: 200}) {
 		t.Error("a first try in a hurry was refused")
 	}
 }
@@ -709,29 +709,29 @@
 	for i := range 4000 {
 		s.now += 20
 		s.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), Spread: 2})
-		m := peerMsg{mark: 7, seq: uint64(i + 1), ageMs: uint64(s.now), entries: []peerEntry{
-			{customer: uint64(100000 + i), plan: uint64(i % 3), spread: 2, spent: 8, fresh: 8}}}
+		m := peerMessage{incarnation: 7, seq: uint64(i + 1), ageMs: uint64(s.now), entries: []peerEntry{
+			{customer: uint64(100000 + i), plan: uint64(i % 3), spread: 2, spent: 8, newlySpent: 8}}}
 		data, _ := m.encode()
 		s.do(PeerMessage{From: 1, Data: data})
 		if i%10 == 0 { // a server goes, another comes
 			s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: uint64(100 + i), Weight: 1},
 				{ID: uint64(90 + i), Phase: Removed}}})
-			s.do(Alarm{Handle: "tick"})
+			s.do(TimerFired{Name: "tick"})
 		}
 	}
 	if n := len(s.l.customers); n > 3000 {
 		t.Errorf("%d customers are known 15 s after 80 s of new ones", n)
 	}
 	for range 3 {
-		s.now += 2 * forgetMs
-		s.do(Alarm{Handle: "tick"})
+		s.now += 2 * idleCustomerMs
+		s.do(TimerFired{Name: "tick"})
 	}
-	if len(s.l.customers)+len(s.l.listed)+len(s.l.kept)+len(s.l.dirty)+len(s.l.requests) != 0 || s.l.inflight != 0 {
-		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.customers), len(s.l.listed),
-			len(s.l.kept), len(s.l.dirty), len(s.l.requests), s.l.inflight)
+	if len(s.l.customers)+len(s.l.customerList)+len(s.l.aggregated)+len(s.l.unreported)+len(s.l.requests) != 0 || s.l.inflight != 0 {
+		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.customers), len(s.l.customerList),
+			len(s.l.aggregated), len(s.l.unreported), len(s.l.requests), s.l.inflight)
 	}
-	if len(s.l.servers) != 5 || len(s.l.order) != 5 {
-		t.Errorf("%d servers, %d in order, want 5", len(s.l.servers), len(s.l.order))
+	if len(s.l.servers) != 5 || len(s.l.serverList) != 5 {
+		t.Errorf("%d servers, %d in order, want 5", len(s.l.servers), len(s.l.serverList))
 	}
 }
 
@@ -741,31 +741,31 @@
 	s := newScript(t, testSettings(), fleet(4)...)
 	s.admit(1, Submit{Customer: 5, Spread: 2})
 	tell := func(e peerEntry, seq uint64, flags byte) {
-		m := peerMsg{mark: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
+		m := peerMessage{incarnation: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
 		data, _ := m.encode()
 		s.do(PeerMessage{From: 1, Data: data})
 	}
-	tell(peerEntry{customer: 5, spread: 2, spent: 1 << 40, fresh: 1 << 40}, 1, 0)
+	tell(peerEntry{customer: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
 	s.now += 6500 // three bursts of 20 at 10 a second and a little
 	if got := s.admit(1, Submit{Customer: 5, Spread: 2}); got != 1 {
 		t.Error("kept out for longer than the gateways' bursts take")
 	}
-	tell(peerEntry{customer: 5, level: 1 << 40, margin: 1 << 40}, 2, flagNews)
+	tell(peerEntry{customer: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
 	if c := s.l.customers[5]; c.balance > 20 || c.margin > 20 {
 		t.Errorf("balance %g, margin %g with a burst of 20", c.balance, c.margin)
 	}
-	tell(peerEntry{customer: 5, level: -1 << 40}, 3, flagNews)
+	tell(peerEntry{customer: 5, level: -1 << 40}, 3, flagLevelUpdate)
 	if c := s.l.customers[5]; c.balance < -41 { // two bursts and what passed last
 		t.Errorf("balance %g", c.balance)
 	}
 	for range 5 {
-		s.now += forgetMs
-		s.do(Alarm{Handle: "tick"})
+		s.now += idleCustomerMs
+		s.do(TimerFired{Name: "tick"})
 	}
 	if len(s.l.customers) != 0 {
 		t.Error("the customer is still known")
 	}
-	tell(peerEntry{customer: 5, spread: 2, spent: 1000 * unitScale, fresh: 2 * unitScale}, 4, 0)
+	tell(peerEntry{customer: 5, spread: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
 	if c := s.l.customers[5]; c == nil || c.balance != 18 {
 		t.Errorf("after it was forgotten: %+v", c)
 	}
--- a/balancer/node/clients.go
+++ b/balancer/node/clients.go
@@ -247,7 +247,7 @@
 	}
 	timeout = min(timeout, millis(n.cfg.Settings.Module.Classes[class].DeadlineMs))
 	once := h.Get("Idempotency-Key")
-	if err := checkMethod(n.cfg.Settings.Module.Classes[class].Repeat, hr, once); err != nil {
+	if err := checkMethod(n.cfg.Settings.Module.Classes[class].Idempotency, hr, once); err != nil {
 		return nil, ev, err
 	}
 	ev = balancer.Submit{ID: id, Class: class, Plan: plan, Retry: h.Get("X-Retried") == "1", Customer: customer}
@@ -283,7 +283,7 @@
 }
 
 // checkMethod holds the method, the key and the body against the class.
-func checkMethod(repeat balancer.Repeat, hr *http.Request, key string) error {
+func checkMethod(repeat balancer.Idempotency, hr *http.Request, key string) error {
 	want := http.MethodPost
 	if repeat == balancer.Safe {
 		want = http.MethodGet
--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -182,7 +182,7 @@
 	}
 	s.Zones = strings.Split(p.Text("failure_domains"), ",")
 	s.ConnIdle = cmp.Or(millis(p.Number("caps.conn_idle_ms")), defaultConnIdle)
-	s.ConnTimeout = cmp.Or(millis(s.Module.Caps.ConnectMs), defaultConnTimeout)
+	s.ConnTimeout = cmp.Or(millis(s.Module.Caps.ConnectTimeoutMs), defaultConnTimeout)
 	s.MaxOpen = p.Integer("caps.max_open")
 	s.MostUnits = cmp.Or(p.Number("family_info.units_top"), math.MaxFloat64)
 	for _, c := range s.Module.Classes {
--- a/balancer/node/config_test.go
+++ b/balancer/node/config_test.go
@@ -16,7 +16,7 @@
 	if c.Name != "n0" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.Known.Hosts) != 1 || c.Known.Seq != 1 {
 		t.Errorf("config %+v", c)
 	}
-	if s.Module.Classes[1].Repeat != balancer.Keyed || s.Module.Classes[1].Group != balancer.GroupCell ||
+	if s.Module.Classes[1].Idempotency != balancer.Keyed || s.Module.Classes[1].DedupScope != balancer.DedupCell ||
 		s.Module.Plans[1].Rate != 1000 || s.ClassNames["send-bulk-paid"] != 2 || s.PlanNames["enterprise"] != 1 ||
 		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.ConnIdle != 30*time.Second || s.Longest != 15*time.Minute {
 		t.Errorf("settings %+v", s)
--- a/balancer/node/discovery.go
+++ b/balancer/node/discovery.go
@@ -163,7 +163,7 @@
 		failed:  backoff.New(retryFirst, retryMost, rng),
 		crowded: backoff.New(max(retryFirst, limiters*callEvery/2), max(retryMost, limiters*crowdEvery), rng),
 	}
-	if cfg.Settings.Module.AskMembers {
+	if cfg.Settings.Module.PollMembership {
 		p.spread = backoff.Jitter(limiters*callEvery, rng)
 	}
 	return p
--- a/balancer/node/discovery_test.go
+++ b/balancer/node/discovery_test.go
@@ -126,7 +126,7 @@
 	t.Parallel()
 	const limiters, work, patience, line = 80, time.Second / 15, 2 * time.Second, 40
 	cfg := &Config{}
-	cfg.Settings.Module.Balancers, cfg.Settings.Module.AskMembers = limiters, true
+	cfg.Settings.Module.Balancers, cfg.Settings.Module.PollMembership = limiters, true
 	var pace []*pacing
 	next := make([]time.Duration, limiters) // the next call of each; below 0 with its list
 	for i := range limiters {
@@ -170,7 +170,7 @@
 func TestFewCallAtOnce(t *testing.T) {
 	t.Parallel()
 	cfg := &Config{Seed: 1}
-	cfg.Settings.Module.Balancers, cfg.Settings.Module.AskMembers = 3, true
+	cfg.Settings.Module.Balancers, cfg.Settings.Module.PollMembership = 3, true
 	p := newPacing(cfg)
 	if p.spread > 250*time.Millisecond {
 		t.Errorf("the first call comes after %v", p.spread)
--- a/balancer/node/node.go
+++ b/balancer/node/node.go
@@ -231,53 +231,53 @@
 // do carries out one action. Nothing in it blocks.
 func (n *Node) do(a balancer.Action) {
 	switch a := a.(type) {
-	case balancer.PassOn:
+	case balancer.StartAttempt:
 		n.passOn(a)
-	case balancer.Refuse:
+	case balancer.Reject:
 		// With no advice of the module's a client would be back at once.
-		n.conclude(a.ID, &answer{status: http.StatusTooManyRequests, retryAfter: cmp.Or(a.WaitMs, fullAdvice)})
+		n.conclude(a.ID, &answer{status: http.StatusTooManyRequests, retryAfter: cmp.Or(a.RetryAfterMs, fullAdvice)})
 	case balancer.Fail:
 		n.conclude(a.ID, &answer{status: http.StatusBadGateway})
-	case balancer.AbortAttempt:
-		if r := n.requests[a.ID]; r != nil && r.out != nil && r.out.try == a.Try {
+	case balancer.CancelAttempt:
+		if r := n.requests[a.ID]; r != nil && r.out != nil && r.out.try == a.Attempt {
 			n.giveUp(r.out)
 		}
-	case balancer.Timer:
+	case balancer.SetTimer:
 		wait := millis(a.At - n.now())
-		time.AfterFunc(max(0, wait), func() { n.dispatch(balancer.Alarm{Handle: a.Handle}) })
+		time.AfterFunc(max(0, wait), func() { n.dispatch(balancer.TimerFired{Name: a.Name}) })
 	case balancer.Probe:
 		go n.probe(a.Server)
-	case balancer.Tell:
+	case balancer.SendPeer:
 		if n.peers != nil {
 			n.peers.tell(a.To, a.Data)
 		}
 	case balancer.Log:
 		n.log.Info(a.Line)
-	case balancer.Listen, balancer.QueryAll:
+	case balancer.WatchEndpoints, balancer.FetchEndpoints:
 		// The watch runs all the time and brings what these ask for.
 	}
 }
 
 // passOn starts an attempt, or queues the outcome of one that can't start.
-func (n *Node) passOn(a balancer.PassOn) {
+func (n *Node) passOn(a balancer.StartAttempt) {
 	r := n.requests[a.ID]
 	if r == nil {
 		return
 	}
 	at := &attempt{req: r, try: r.tries, sentAt: time.Now(), stopAt: r.stopAt}
 	r.tries++
-	if a.CapMs != 0 {
-		if stop := at.sentAt.Add(millis(a.CapMs)); stop.Before(at.stopAt) {
+	if a.TimeoutMs != 0 {
+		if stop := at.sentAt.Add(millis(a.TimeoutMs)); stop.Before(at.stopAt) {
 			at.stopAt = stop
 		}
 	}
 	at.host = n.servers.Host(a.Server)
-	most := n.cfg.Settings.Module.Caps.Attempts
+	most := n.cfg.Settings.Module.Caps.MaxAttempts
 	switch {
 	case r.final != nil, !at.sentAt.Before(r.stopAt), most > 0 && at.try >= most:
-		n.outcome(at, a.Server, balancer.StaleSend)
+		n.outcome(at, a.Server, balancer.NotSent)
 	case at.host == nil, r.out != nil && !r.out.over: // servers that the list has, one at a time
-		n.outcome(at, a.Server, balancer.NoRoute)
+		n.outcome(at, a.Server, balancer.ConnectFailed)
 	default:
 		// An attempt that was given up may still hold the client's goroutine, which
 		// closes its connection before it takes this one. Guards against turning
@@ -291,8 +291,8 @@
 func (n *Node) outcome(at *attempt, server uint64, result balancer.Result) {
 	at.over = true
 	at.req.last = result
-	n.queue = append(n.queue, balancer.Outcome{ID: at.req.id, Try: at.try, Server: server, Result: result,
-		SpentMs: msSince(at.sentAt), Done: at.req.final != nil, Load: noLoad})
+	n.queue = append(n.queue, balancer.Outcome{ID: at.req.id, Attempt: at.try, Server: server, Result: result,
+		LatencyMs: msSince(at.sentAt), Final: at.req.final != nil, Load: noLoad})
 }
 
 // giveUp stops waiting for an attempt. Its connection is closed before the
@@ -301,7 +301,7 @@
 	if at.over {
 		return
 	}
-	n.outcome(at, at.host.ID, balancer.Undone)
+	n.outcome(at, at.host.ID, balancer.Canceled)
 	if at.conn != nil {
 		at.conn.Close()
 	}
@@ -316,7 +316,7 @@
 	if r == nil || r.final != nil {
 		return
 	}
-	if a.status == http.StatusBadGateway && r.last == balancer.TooSlow {
+	if a.status == http.StatusBadGateway && r.last == balancer.TimedOut {
 		a.status = http.StatusGatewayTimeout
 	}
 	r.final = a
@@ -338,7 +338,7 @@
 	if !n.stopBy.IsZero() && n.stopBy.Before(r.stopAt) {
 		r.stopAt = n.stopBy
 	}
-	ev.ExpiresMs = float64(time.Until(r.stopAt)) / float64(time.Millisecond)
+	ev.TimeoutMs = float64(time.Until(r.stopAt)) / float64(time.Millisecond)
 	n.handle(ev)
 	return true
 }
@@ -358,7 +358,7 @@
 		left := time.Until(r.stopAt)
 		if left <= 0 { // held to the end: the client is still owed an answer
 			n.conclude(r.id, &answer{status: http.StatusGatewayTimeout})
-			n.handle(balancer.Aborted{ID: r.id})
+			n.handle(balancer.ClientGone{ID: r.id})
 			continue
 		}
 		if r.signal == nil {
@@ -399,11 +399,11 @@
 	}
 	at.over = true
 	r.last = rep.result
-	if rep.result == balancer.Pass && r.final == nil {
+	if rep.result == balancer.Success && r.final == nil {
 		r.final = &answer{status: http.StatusOK, body: rep.body, content: rep.content}
 	}
-	n.handle(balancer.Outcome{ID: r.id, Try: at.try, Server: at.host.ID, Result: rep.result,
-		SpentMs: msSince(at.sentAt), Done: r.final != nil, Load: rep.load})
+	n.handle(balancer.Outcome{ID: r.id, Attempt: at.try, Server: at.host.ID, Result: rep.result,
+		LatencyMs: msSince(at.sentAt), Final: r.final != nil, Load: rep.load})
 }
 
 // abandon ends a request whose client is gone.
@@ -414,7 +414,7 @@
 		return
 	}
 	n.conclude(r.id, gone)
-	n.handle(balancer.Aborted{ID: r.id})
+	n.handle(balancer.ClientGone{ID: r.id})
 }
 
 // forget drops a request that has its answer.
--- a/balancer/node/servers.go
+++ b/balancer/node/servers.go
@@ -72,18 +72,18 @@
 		over := at.over
 		n.mu.Unlock()
 		if over {
-			return reply{result: balancer.NoRoute, load: noLoad}, false
+			return reply{result: balancer.ConnectFailed, load: noLoad}, false
 		}
 		var err error
 		c, err = n.servers.Connect(ctx, at.host)
 		if errors.Is(err, connpool.ErrPoolExhausted) {
-			return reply{result: balancer.NoRoom, load: noLoad}, false
+			return reply{result: balancer.Rejected, load: noLoad}, false
 		}
 		if err != nil {
 			if ctx.Err() != context.Canceled { // given up: says nothing about the server
 				n.servers.CloseIdle(at.host)
 			}
-			return reply{result: balancer.NoRoute, load: noLoad}, false
+			return reply{result: balancer.ConnectFailed, load: noLoad}, false
 		}
 	}
 	// A connect takes time: what was decided before it may no longer hold. The
@@ -102,7 +102,7 @@
 		// No longer the attempt's: giving it up must not close a connection that
 		// another attempt has taken meanwhile.
 		n.servers.Put(c)
-		return reply{result: balancer.NoRoute, load: noLoad}, false
+		return reply{result: balancer.ConnectFailed, load: noLoad}, false
 	}
 	rep, end := exchange(c, &at.req.call, stopAt)
 	n.mu.Lock()
@@ -117,7 +117,7 @@
 	if end == dead && !over { // not where giving up closed it
 		n.servers.CloseIdle(at.host)
 	}
-	if rep.result == balancer.Spoilt {
+	if rep.result == balancer.InvalidResponse {
 		n.badInput.warn("an answer can't be used", "server", at.host.ID, "err", rep.err)
 	}
 	return rep, end == unused && !over
@@ -136,7 +136,7 @@
 // exchange writes one request and reads its answer. It knows whether the last
 // byte was written: a failure before that proves that nothing ran.
 func exchange(c *conn, call *call, stopAt time.Time) (rep reply, end ending) {
-	rep = reply{result: balancer.NoRoute, load: noLoad}
+	rep = reply{result: balancer.ConnectFailed, load: noLoad}
 	req := call.request(time.Until(stopAt))
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
@@ -164,27 +164,27 @@
 	}
 	switch {
 	case c.ReadErr() != nil && err != nil:
-		rep.result, rep.err = balancer.Cut, err
+		rep.result, rep.err = balancer.ConnectionLost, err
 		return rep, dead
 	case err == errSilent:
-		rep.result = balancer.TooSlow
+		rep.result = balancer.TimedOut
 		return rep, finished
 	case err != nil:
 		// It may have run, and says nothing about the server: such answers come from
 		// any, and the next one may be good.
-		rep.result, rep.err = balancer.Spoilt, err
+		rep.result, rep.err = balancer.InvalidResponse, err
 		return rep, finished
 	}
 	rep.load = parseLoad(resp.Header.Get("X-Server-Load"))
 	rep.content = resp.Header.Get("Content-Type")
 	switch code := resp.StatusCode; {
 	case code == http.StatusOK:
-		rep.result = balancer.Pass
+		rep.result = balancer.Success
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Processed") == "1":
-		rep.result = balancer.NoRoom
+		rep.result = balancer.Rejected
 	default:
-		rep.result = balancer.Fault
+		rep.result = balancer.ServerError
 	}
 	if !resp.Close && c.Reader.Buffered() == 0 {
 		end = reusable
@@ -280,7 +280,7 @@
 // probe asks a server for its health and reports the result to the module.
 func (n *Node) probe(id uint64) {
 	begun := time.Now()
-	ev := balancer.Probed{Server: id, Result: balancer.NoRoute, Load: noLoad}
+	ev := balancer.ProbeResult{Server: id, Result: balancer.ConnectFailed, Load: noLoad}
 	if h := n.servers.Host(id); h != nil {
 		ctx, cancel := context.WithDeadline(context.Background(), begun.Add(probeTimeout))
 		defer cancel()
@@ -303,11 +303,11 @@
 		}
 		switch {
 		case errors.Is(err, connpool.ErrPoolExhausted):
-			ev.Result = balancer.NoRoom
-		case ev.Result == balancer.NoRoute, ev.Result == balancer.Cut, ev.Result == balancer.TooSlow:
+			ev.Result = balancer.Rejected
+		case ev.Result == balancer.ConnectFailed, ev.Result == balancer.ConnectionLost, ev.Result == balancer.TimedOut:
 			n.servers.CloseIdle(h)
 		}
 	}
-	ev.SpentMs = msSince(begun)
+	ev.LatencyMs = msSince(begun)
 	n.dispatch(ev)
 }
--- a/balancer/node/servers_test.go
+++ b/balancer/node/servers_test.go
@@ -213,7 +213,7 @@
 	}
 	c := connect()
 	c.Conn.(*net.TCPConn).CloseWrite()
-	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.NoRoute || end != dead {
+	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectFailed || end != dead {
 		t.Errorf("a write that failed gave %v", rep.result)
 	}
 	c = connect()
@@ -223,11 +223,11 @@
 		s.request()
 		s.Close()
 	}()
-	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.Cut || end != dead {
+	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost || end != dead {
 		t.Errorf("a connection that broke after the request gave %v", rep.result)
 	}
 	c = connect()
-	if rep, end := exchange(c, call, time.Now().Add(-time.Second)); rep.result != balancer.NoRoute || end == reusable {
+	if rep, end := exchange(c, call, time.Now().Add(-time.Second)); rep.result != balancer.ConnectFailed || end == reusable {
 		t.Errorf("with no time left the request was written: %v", rep.result)
 	}
 	synctest.Test(t, func(t *testing.T) { // silence: in fake time the request is written before its time is up
@@ -244,7 +244,7 @@
 		defer c.Close()
 		const left = 20 * time.Millisecond
 		begun := time.Now()
-		if rep, end := exchange(c, call, begun.Add(left)); rep.result != balancer.TooSlow || end != finished || time.Since(begun) != left {
+		if rep, end := exchange(c, call, begun.Add(left)); rep.result != balancer.TimedOut || end != finished || time.Since(begun) != left {
 			t.Errorf("silence gave %v after %v", rep.result, time.Since(begun))
 		}
 	})
@@ -264,9 +264,9 @@
 	until(t, "the second server is known", func() bool { return r.node.servers.Host(serverID("s-b")) != nil })
 	// Known to the pool is known to the module once the mutex is free.
 	r.node.mu.Lock()
-	r.node.do(balancer.AbortAttempt{ID: req.Header.Get("X-Request-ID"), Try: 0})
+	r.node.do(balancer.CancelAttempt{ID: req.Header.Get("X-Request-ID"), Attempt: 0})
 	r.node.work()
-	r.node.do(balancer.AbortAttempt{ID: req.Header.Get("X-Request-ID"), Try: 0}) // again: no second Outcome
+	r.node.do(balancer.CancelAttempt{ID: req.Header.Get("X-Request-ID"), Attempt: 0}) // again: no second Outcome
 	if len(r.node.queue) != 0 {
 		t.Errorf("queued %+v", r.node.queue)
 	}
@@ -296,7 +296,7 @@
 	draining.Health = "draining"
 	r.discovery.set(draining)
 	until(t, "the drain is known", func() bool { return !n.servers.Available(h) })
-	if rep := n.try(at); rep.result != balancer.NoRoute {
+	if rep := n.try(at); rep.result != balancer.ConnectFailed {
 		t.Errorf("result %v", rep.result)
 	}
 	srv.accept().closed()
@@ -625,7 +625,7 @@
 			s.request()
 			s.answer("200 OK", "")
 		}()
-		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.Pass || end != reusable {
+		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.Success || end != reusable {
 			t.Fatalf("result %v", rep.result)
 		}
 		p.Put(c)
@@ -640,7 +640,7 @@
 			s.request()
 			s.Close()
 		}()
-		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.Cut || end != dead {
+		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost || end != dead {
 			t.Fatalf("result %v", rep.result)
 		}
 		c.Close()
--- a/balancer/peercodec.go
+++ b/balancer/peercodec.go
@@ -14,50 +14,50 @@
 
 // Flags of a peer message.
 const (
-	flagAsking = 1 << iota // the sender is new and asks for levels
-	flagLevels             // the answer to a question for levels
-	flagOut                // entries carry the attempts out
-	flagNews               // a keeper tells levels: customer, plan and level alone
-	flagIll                // with flagNews: servers and classes that fail
-	flagGrant              // with flagNews: a keeper grants a part of the ceiling, as the level
-	allFlags   = flagAsking | flagLevels | flagOut | flagNews | flagIll | flagGrant
+	flagLevelsRequest  = 1 << iota // the sender is new and asks for levels
+	flagLevelsResponse             // the answer to a question for levels
+	flagInFlight                   // entries carry the attempts out
+	flagLevelUpdate                // a keeper tells levels: customer, plan and level alone
+	flagFailureHint                // with flagNews: servers and classes that fail
+	flagEscrowGrant                // with flagNews: a keeper grants a part of the ceiling, as the level
+	knownFlags         = flagLevelsRequest | flagLevelsResponse | flagInFlight | flagLevelUpdate | flagFailureHint | flagEscrowGrant
 )
 
 // unitScale is the number of steps in which a unit is told.
 const unitScale = 4
 
 // peerMsg is one message between gateways.
-type peerMsg struct {
-	flags   byte
-	mark    uint32 // incarnation of the sender
-	seq     uint64 // rises by one with each message to this recipient
-	ageMs   uint64 // how long the sender has run
-	entries []peerEntry
+type peerMessage struct {
+	flags       byte
+	incarnation uint32 // incarnation of the sender
+	seq         uint64 // rises by one with each message to this recipient
+	ageMs       uint64 // how long the sender has run
+	entries     []peerEntry
 }
 
 // peerEntry tells of one customer.
 type peerEntry struct {
-	customer uint64
-	plan     uint64
-	spread   uint64 // gateways of the customer ...
-	first    uint64 // ... in a row from this one
-	spent    uint64 // units passed since the sender started, in steps
-	fresh    uint64 // those of them not told before
-	margin   uint64 // told with news, in steps
-	level    int64  // the sender's bucket level, in steps
-	out      uint64 // attempts out
+	customer     uint64
+	plan         uint64
+	spread       uint64 // gateways of the customer ...
+	firstLimiter uint64 // ... in a row from this one
+	spent        uint64 // units passed since the sender started, in steps
+	newlySpent   uint64 // those of them not told before
+	margin       uint64 // told with news, in steps
+	level        int64  // the sender's bucket level, in steps
+	inFlight     uint64 // attempts out
 }
 
 // encode writes the message with as many of its entries as fit and returns
 // the bytes and the number of entries written.
-func (m *peerMsg) encode() ([]byte, int) {
+func (m *peerMessage) encode() ([]byte, int) {
 	b := make([]byte, 0, maxPeerBytes)
 	b = append(b, peerMagic, peerVersion, m.flags)
-	if m.flags&flagNews == 0 {
-		b = binary.LittleEndian.AppendUint32(b, m.mark)
+	if m.flags&flagLevelUpdate == 0 {
+		b = binary.LittleEndian.AppendUint32(b, m.incarnation)
 		b = binary.AppendUvarint(b, m.seq)
 	}
-	if m.flags&flagNews == 0 || m.flags&flagLevels != 0 {
+	if m.flags&flagLevelUpdate == 0 || m.flags&flagLevelsResponse != 0 {
 		b = binary.AppendUvarint(b, m.ageMs)
 	}
 	n := 0
@@ -66,16 +66,16 @@
 		b = binary.AppendUvarint(b, e.customer)
 		b = binary.AppendUvarint(b, e.plan)
 		b = binary.AppendVarint(b, e.level)
-		if m.flags&flagNews != 0 {
+		if m.flags&flagLevelUpdate != 0 {
 			b = binary.AppendUvarint(b, e.margin)
 		} else {
 			b = binary.AppendUvarint(b, e.spread)
-			b = binary.AppendUvarint(b, e.first)
+			b = binary.AppendUvarint(b, e.firstLimiter)
 			b = binary.AppendUvarint(b, e.spent)
-			b = binary.AppendUvarint(b, e.fresh)
+			b = binary.AppendUvarint(b, e.newlySpent)
 		}
-		if m.flags&flagOut != 0 {
-			b = binary.AppendUvarint(b, e.out)
+		if m.flags&flagInFlight != 0 {
+			b = binary.AppendUvarint(b, e.inFlight)
 		}
 		if len(b) > maxPeerBytes {
 			b = b[:mark]
@@ -87,12 +87,12 @@
 }
 
 // decodePeer reads a message; ok is false if any part of it is not sound.
-func decodePeer(b []byte) (m peerMsg, ok bool) {
-	if len(b) < 3 || len(b) > maxPeerBytes || b[0] != peerMagic || b[1] != peerVersion || b[2]&^allFlags != 0 {
+func decodePeerMessage(b []byte) (m peerMessage, ok bool) {
+	if len(b) < 3 || len(b) > maxPeerBytes || b[0] != peerMagic || b[1] != peerVersion || b[2]&^knownFlags != 0 {
 		return m, false
 	}
 	m.flags = b[2]
-	news := m.flags&flagNews != 0
+	news := m.flags&flagLevelUpdate != 0
 	b = b[3:]
 	sound := true
 	uvarint := func() uint64 {
@@ -108,10 +108,10 @@
 		if len(b) < 4 {
 			return m, false
 		}
-		m.mark, b = binary.LittleEndian.Uint32(b), b[4:]
+		m.incarnation, b = binary.LittleEndian.Uint32(b), b[4:]
 		m.seq = uvarint()
 	}
-	if !news || m.flags&flagLevels != 0 {
+	if !news || m.flags&flagLevelsResponse != 0 {
 		m.ageMs = uvarint()
 	}
 	for sound && len(b) > 0 {
@@ -121,10 +121,10 @@
 		if news {
 			e.margin = uvarint()
 		} else {
-			e.spread, e.first, e.spent, e.fresh = uvarint(), uvarint(), uvarint(), uvarint()
+			e.spread, e.firstLimiter, e.spent, e.newlySpent = uvarint(), uvarint(), uvarint(), uvarint()
 		}
-		if m.flags&flagOut != 0 {
-			e.out = uvarint()
+		if m.flags&flagInFlight != 0 {
+			e.inFlight = uvarint()
 		}
 		m.entries = append(m.entries, e)
 	}
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -31,8 +31,8 @@
 	id       string
 	submit   Submit
 	deadline float64
-	live     map[int]PassOn
-	sent     []PassOn
+	live     map[int]StartAttempt
+	sent     []StartAttempt
 	sentAt   []float64
 	ran      []int // attempts that may have run
 	over     bool
@@ -93,7 +93,7 @@
 func (c *chaos) action(i int, a Action) {
 	t := c.t
 	switch a := a.(type) {
-	case PassOn:
+	case StartAttempt:
 		r := c.open[i][a.ID]
 		if r == nil || r.over {
 			t.Fatalf("sent %s, which is over", a.ID)
@@ -103,20 +103,20 @@
 			t.Fatalf("sent to server %d, which drains, is gone or was never listed", a.Server)
 		}
 		class := c.cfg.Classes[r.submit.Class]
-		if len(r.live) > 0 && !c.cfg.Caps.SecondCopies {
+		if len(r.live) > 0 && !c.cfg.Caps.Hedging {
 			t.Fatal("two attempts out at once")
 		}
-		if len(r.sent) >= c.cfg.Caps.Attempts {
+		if len(r.sent) >= c.cfg.Caps.MaxAttempts {
 			t.Fatal("more attempts than allowed")
 		}
 		for _, k := range r.ran {
 			before := c.told[i][r.sent[k].Server]
 			switch {
-			case class.Repeat == Unsafe:
+			case class.Idempotency == Unsafe:
 				t.Fatal("an unsafe request that may have run was sent again")
-			case class.Repeat == Keyed && class.Group == GroupCell && before.Cell != info.Cell:
+			case class.Idempotency == Keyed && class.DedupScope == DedupCell && before.Cell != info.Cell:
 				t.Fatal("a keyed request left its cell")
-			case class.Repeat == Keyed && c.now >= r.sentAt[k]+class.WindowMs:
+			case class.Idempotency == Keyed && c.now >= r.sentAt[k]+class.DedupWindowMs:
 				t.Fatal("a keyed request was sent again after its window")
 			}
 		}
@@ -128,13 +128,13 @@
 		r.live[len(r.sent)] = a
 		r.sent = append(r.sent, a)
 		r.sentAt = append(r.sentAt, c.now)
-	case Refuse:
+	case Reject:
 		r := c.open[i][a.ID]
 		if r == nil || r.over {
 			return
 		}
 		class := c.cfg.Classes[r.submit.Class]
-		harmless := class.Repeat == Safe || class.Repeat == Keyed && class.Group == GroupAll
+		harmless := class.Idempotency == Safe || class.Idempotency == Keyed && class.DedupScope == DedupAll
 		if !harmless && (len(r.ran) > 0 || len(r.live) > 0) {
 			t.Fatalf("refused a request of class %d that may have run", r.submit.Class)
 		}
@@ -143,13 +143,13 @@
 		if r := c.open[i][a.ID]; r != nil && !r.over {
 			c.finish(i, r)
 		}
-	case AbortAttempt:
-		if r := c.open[i][a.ID]; r != nil && a.Try >= len(r.sent) {
+	case CancelAttempt:
+		if r := c.open[i][a.ID]; r != nil && a.Attempt >= len(r.sent) {
 			t.Fatal("called off an attempt never made")
 		}
-	case Timer:
-		c.timers = append(c.timers, chaosTimer{a.At, i, a.Handle, c.limiters[i]})
-	case Tell:
+	case SetTimer:
+		c.timers = append(c.timers, chaosTimer{a.At, i, a.Name, c.limiters[i]})
+	case SendPeer:
 		if len(a.Data) > maxPeerBytes || a.To == i {
 			t.Fatalf("bad message of %d bytes to %d", len(a.Data), a.To)
 		}
@@ -165,7 +165,7 @@
 		return 1
 	}
 	r := c.cfg.Rules
-	return min(1, r.ColdShare+(1-r.ColdShare)*(c.now-info.ReadyAt)/r.ColdMs)
+	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*(c.now-info.ReadyAt)/r.SlowStartMs)
 }
 
 // checkCold holds a gateway to its part of a cold server's budget: the rule's
@@ -187,10 +187,10 @@
 	most := 0.0 // what was sent to a server while it was warm still counts
 	for id := range c.told[i] {
 		if id != info.ID {
-			most = max(most, since(id, c.now-3*c.cfg.Rules.FallMs))
+			most = max(most, since(id, c.now-3*c.cfg.Rules.OverloadMs))
 		}
 	}
-	if n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.Rules.FallMs)); n > 3+c.cfg.Rules.OverloadFactor*w*most {
+	if n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.Rules.OverloadMs)); n > 3+c.cfg.Rules.OverloadFactor*w*most {
 		c.t.Fatalf("cold server %d (warmth %.2f) got %g in a window, the busiest warm one %g", info.ID, w, n, most)
 	}
 }
@@ -204,7 +204,7 @@
 }
 
 func (c *chaos) spendCeiling(s Submit) {
-	if c.cfg.Plans[s.Plan].CeilingRate == 0 {
+	if c.cfg.Plans[s.Plan].HardRate == 0 {
 		return
 	}
 	left := &c.store[s.Customer]
@@ -220,16 +220,16 @@
 	if result < 0 {
 		result = Result(c.rng.IntN(8))
 	}
-	if !provesUnrun(result) {
+	if !provesNotExecuted(result) {
 		r.ran = append(r.ran, try)
 	}
 	done := r.over
-	if result == Pass && !r.over {
+	if result == Success && !r.over {
 		c.finish(i, r)
 		done = true
 	}
-	c.event(i, Outcome{ID: r.id, Try: try, Server: r.sent[try].Server, Result: result,
-		SpentMs: c.now - r.sentAt[try], Done: done, Load: Load{Busy: float64(c.rng.IntN(9) - 1)}})
+	c.event(i, Outcome{ID: r.id, Attempt: try, Server: r.sent[try].Server, Result: result,
+		LatencyMs: c.now - r.sentAt[try], Final: done, Load: Load{Busy: float64(c.rng.IntN(9) - 1)}})
 }
 
 func (c *chaos) step() {
@@ -237,14 +237,14 @@
 	c.now += dt
 	for k := range c.store {
 		p := c.cfg.Plans[1]
-		c.store[k] = min(p.CeilingBurst, c.store[k]+dt*p.CeilingRate/1000)
+		c.store[k] = min(p.HardBurst, c.store[k]+dt*p.HardRate/1000)
 	}
 	for k := 0; k < len(c.timers); k++ {
 		if tm := c.timers[k]; tm.at <= c.now {
 			c.timers = slices.Delete(c.timers, k, k+1)
 			k--
 			if c.limiters[tm.who] == tm.l {
-				c.event(tm.who, Alarm{Handle: tm.name})
+				c.event(tm.who, TimerFired{Name: tm.name})
 			}
 		}
 	}
@@ -265,7 +265,7 @@
 			r := c.open[i][id]
 			for try := range r.sent {
 				if _, live := r.live[try]; live && c.now >= r.deadline {
-					c.answerOne(i, r, try, TooSlow)
+					c.answerOne(i, r, try, TimedOut)
 				} else if live && c.rng.Float64() < 0.05 {
 					c.answerOne(i, r, try, -1)
 				}
@@ -282,10 +282,10 @@
 	case u < 0.8:
 		c.ids++
 		plan := c.rng.IntN(len(c.cfg.Plans))
-		s := Submit{ID: fmt.Sprint("q", c.ids), ExpiresMs: 50 + 1950*c.rng.Float64(), Units: float64(1 + c.rng.IntN(4)),
+		s := Submit{ID: fmt.Sprint("q", c.ids), TimeoutMs: 50 + 1950*c.rng.Float64(), Units: float64(1 + c.rng.IntN(4)),
 			Class: c.rng.IntN(len(c.cfg.Classes)), Plan: plan, Customer: uint64(plan + len(c.cfg.Plans)*c.rng.IntN(4)),
 			Spread: chaosGateways}
-		r := &chaosReq{id: s.ID, submit: s, deadline: c.now + s.ExpiresMs, live: map[int]PassOn{}}
+		r := &chaosReq{id: s.ID, submit: s, deadline: c.now + s.TimeoutMs, live: map[int]StartAttempt{}}
 		c.open[i][s.ID] = r
 		c.event(i, s)
 		if len(r.sent) == 0 && !r.over {
@@ -295,7 +295,7 @@
 		for _, id := range firstKey(c.open[i]) {
 			if r := c.open[i][id]; !r.over {
 				r.over = true
-				c.event(i, Aborted{ID: id})
+				c.event(i, ClientGone{ID: id})
 			}
 		}
 	case u < 0.815: // the gateway dies and comes back with its last list
@@ -312,7 +312,7 @@
 			c.tellList(k, Scope(c.rng.IntN(2)))
 		}
 	case u < 0.85:
-		c.event(i, Probed{Server: uint64(1 + c.rng.IntN(9)), Result: Result(c.rng.IntN(8))})
+		c.event(i, ProbeResult{Server: uint64(1 + c.rng.IntN(9)), Result: Result(c.rng.IntN(8))})
 	case u < 0.86:
 		c.event(i, PeerMessage{From: c.rng.IntN(4), Data: []byte{peerMagic, peerVersion, byte(c.rng.IntN(9)), 1, 2, 3, 4, 5, 6, 7}})
 	}
@@ -337,7 +337,7 @@
 				open: make([]map[string]*chaosReq, chaosGateways), servers: map[uint64]ServerInfo{},
 				store: make([]float64, 64), sends: make([]map[uint64][]float64, chaosGateways)}
 			for k := range c.store {
-				c.store[k] = cfg.Plans[1].CeilingBurst
+				c.store[k] = cfg.Plans[1].HardBurst
 			}
 			for id := uint64(1); id <= 8; id++ {
 				c.servers[id] = ServerInfo{ID: id, Cell: int(id % 2), Zone: int(id % 2)}
@@ -366,10 +366,10 @@
 		out := fmt.Sprint(l.Handle(1, Endpoints{Scope: Persisted, Servers: fleet(9)}))
 		for n := range 3000 {
 			now := float64(n * 3)
-			out += fmt.Sprint(l.Handle(now, Submit{ID: fmt.Sprint(n), ExpiresMs: 900, Units: 1, Plan: rng.IntN(4),
+			out += fmt.Sprint(l.Handle(now, Submit{ID: fmt.Sprint(n), TimeoutMs: 900, Units: 1, Plan: rng.IntN(4),
 				Class: rng.IntN(4), Customer: uint64(rng.IntN(30)), Spread: 2}))
-			out += fmt.Sprint(l.Handle(now, Outcome{ID: fmt.Sprint(rng.IntN(n + 1)), Result: Result(rng.IntN(8)), SpentMs: 30}))
-			out += fmt.Sprint(l.Handle(now, Alarm{Handle: "tick"}), l.Handle(now, Probed{Server: 3, Result: TooSlow}))
+			out += fmt.Sprint(l.Handle(now, Outcome{ID: fmt.Sprint(rng.IntN(n + 1)), Result: Result(rng.IntN(8)), LatencyMs: 30}))
+			out += fmt.Sprint(l.Handle(now, TimerFired{Name: "tick"}), l.Handle(now, ProbeResult{Server: 3, Result: TimedOut}))
 		}
 		return out
 	}
@@ -379,12 +379,12 @@
 }
 
 func FuzzDecodePeer(f *testing.F) {
-	m := peerMsg{flags: allFlags, mark: 9, seq: 300, ageMs: 70000, entries: []peerEntry{{customer: 1 << 32, plan: 2, spread: 3, spent: 77, fresh: 4, level: -5, out: 3}, {customer: 4, spread: 1, level: 9}}}
+	m := peerMessage{flags: knownFlags, incarnation: 9, seq: 300, ageMs: 70000, entries: []peerEntry{{customer: 1 << 32, plan: 2, spread: 3, spent: 77, newlySpent: 4, level: -5, inFlight: 3}, {customer: 4, spread: 1, level: 9}}}
 	data, _ := m.encode()
 	f.Add(data)
 	f.Add([]byte{peerMagic, peerVersion, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, ok := decodePeer(b)
+		m, ok := decodePeerMessage(b)
 		if !ok {
 			return
 		}
@@ -392,7 +392,7 @@
 		if n != len(m.entries) {
 			return // a wasteful encoding of more entries than fit
 		}
-		m2, ok := decodePeer(again)
+		m2, ok := decodePeerMessage(again)
 		if !ok || fmt.Sprint(m) != fmt.Sprint(m2) {
 			t.Errorf("%v became %v", m, m2)
 		}
@@ -421,16 +421,16 @@
 			id := fmt.Sprint(y % 8)
 			switch k % 9 {
 			case 0, 1:
-				l.Handle(now, Submit{ID: id, ExpiresMs: float64(x * 10), Units: float64(x), Class: y % 5, Plan: int(z) % 5,
+				l.Handle(now, Submit{ID: id, TimeoutMs: float64(x * 10), Units: float64(x), Class: y % 5, Plan: int(z) % 5,
 					Customer: uint64(y), Spread: x, First: x})
 			case 2, 3:
-				l.Handle(now, Outcome{ID: id, Try: x % 4, Server: uint64(y), Result: Result(z % 9), SpentMs: float64(x), Done: y%2 == 0})
+				l.Handle(now, Outcome{ID: id, Attempt: x % 4, Server: uint64(y), Result: Result(z % 9), LatencyMs: float64(x), Final: y%2 == 0})
 			case 4:
-				l.Handle(now, Aborted{ID: id})
+				l.Handle(now, ClientGone{ID: id})
 			case 5:
-				l.Handle(now, Alarm{Handle: "tick"})
+				l.Handle(now, TimerFired{Name: "tick"})
 			case 6:
-				l.Handle(now, Probed{Server: uint64(y % 4), Result: Result(z % 8)})
+				l.Handle(now, ProbeResult{Server: uint64(y % 4), Result: Result(z % 8)})
 			case 7:
 				l.Handle(now, Endpoints{Scope: Scope(y % 4), Servers: []ServerInfo{{ID: uint64(x & 3), Phase: Phase(z % 3), ReadyAt: float64(y)}}})
 			case 8:
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -38,11 +38,11 @@
 func (c *crowd) event(i int, e Event) (passed bool) {
 	for _, a := range append([]Action(nil), c.limiters[i].Handle(c.now, e)...) {
 		switch a := a.(type) {
-		case PassOn:
+		case StartAttempt:
 			passed = true
 			c.sent[a.Server]++
-			c.event(i, Outcome{ID: a.ID, Server: a.Server, Result: Pass, SpentMs: 20, Done: true})
-		case Tell:
+			c.event(i, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
+		case SendPeer:
 			if !c.lose(i, a.To) {
 				c.event(a.To, PeerMessage{From: i, Data: a.Data})
 			}
@@ -53,16 +53,16 @@
 
 func (c *crowd) submit(i int, e Submit) bool {
 	c.ids++
-	e.ID, e.ExpiresMs = fmt.Sprint("c", c.ids), 1500
+	e.ID, e.TimeoutMs = fmt.Sprint("c", c.ids), 1500
 	e.Units = max(1, e.Units)
 	return c.event(i, e)
 }
 
 func (c *crowd) ticks(ms float64) {
 	for end := c.now + ms; c.now < end; {
-		c.now += tickMs
+		c.now += tickIntervalMs
 		for i := range c.limiters {
-			c.event(i, Alarm{Handle: "tick"})
+			c.event(i, TimerFired{Name: "tick"})
 		}
 	}
 }
@@ -72,7 +72,7 @@
 func TestLargeSetHoldsQuota(t *testing.T) {
 	const n = 100
 	cfg := testSettings()
-	cfg.PeerInPerS = 20
+	cfg.PeerMessagesPerSecond = 20
 	c := newCrowd(t, cfg, n, fleet(4))
 	c.ticks(6000) // bursts are whole by now
 	passed, rng := 0, rand.New(rand.NewPCG(1, 1))
@@ -82,7 +82,7 @@
 				passed++
 			}
 		}
-		c.ticks(tickMs)
+		c.ticks(tickIntervalMs)
 	}
 	if fair := 20 + 10*10; passed < fair*6/10 || passed > fair*13/10 {
 		t.Errorf("%d passed in ten seconds, the quota has %d", passed, fair)
@@ -93,19 +93,19 @@
 func TestStandInKeeper(t *testing.T) {
 	const n = 40
 	cfg := testSettings()
-	cfg.PeerInPerS = 100
+	cfg.PeerMessagesPerSecond = 100
 	c := newCrowd(t, cfg, n, fleet(4))
 	gone := -1
 	c.lose = func(from, to int) bool { return from == gone || to == gone }
 	c.submit(0, Submit{Customer: 5, Spread: n})
-	gone = c.limiters[0].customers[5].tells[0]
+	gone = c.limiters[0].customers[5].reportsTo[0]
 	c.ticks(6000)
 	passed := 0
 	for k := range 200 {
 		if i := k % n; i != gone && c.submit(i, Submit{Customer: 5, Spread: n}) {
 			passed++
 		}
-		c.ticks(tickMs)
+		c.ticks(tickIntervalMs)
 	}
 	if passed > 20+130 {
 		t.Errorf("%d passed without the first keeper, the quota has 120", passed)
@@ -121,12 +121,12 @@
 	s.submit(Submit{Customer: 5, Spread: 40})
 	c := s.l.customers[5]
 	news := func(from int, level float64) PeerMessage {
-		m := peerMsg{flags: flagNews, entries: []peerEntry{{customer: 5, level: int64(level * unitScale)}}}
+		m := peerMessage{flags: flagLevelUpdate, entries: []peerEntry{{customer: 5, level: int64(level * unitScale)}}}
 		data, _ := m.encode()
 		return PeerMessage{From: from, Data: data}
 	}
 	stranger := 1
-	for stranger == c.tells[0] || stranger == c.tells[1] {
+	for stranger == c.reportsTo[0] || stranger == c.reportsTo[1] {
 		stranger++
 	}
 	before := c.balance
@@ -136,7 +136,7 @@
 	}
 	s.now += 500 // what passed here is in the keeper's level by now
 	for range 2 {
-		s.do(news(c.tells[0], 3))
+		s.do(news(c.reportsTo[0], 3))
 		if c.balance != 3 {
 			t.Errorf("told a level of 3, the balance is %g", c.balance)
 		}
@@ -158,7 +158,7 @@
 			i := rng.IntN(n)
 			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
 			l := c.limiters[i] // it takes whatever part it has, as if no other server were better
-			for s := l.servers[1]; l.coldRoom(c.now, s); s.cold-- {
+			for s := l.servers[1]; l.hasSlowStartCredit(c.now, s); s.slowStartCredit-- {
 				c.sent[1]++
 			}
 			c.now += 5
@@ -197,7 +197,7 @@
 func TestCeilingPartsAddUp(t *testing.T) {
 	const n = 300
 	cfg := testSettings()
-	cfg.Plans[1] = Plan{Rate: 1e6, Burst: 1e6, CeilingRate: 400, CeilingBurst: 900, Price: 1}
+	cfg.Plans[1] = Plan{Rate: 1e6, Burst: 1e6, HardRate: 400, HardBurst: 900, Price: 1}
 	c := newCrowd(t, cfg, n, fleet(4))
 	c.lose = func(int, int) bool { return true }
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -232,26 +232,26 @@
 	for range 40 {
 		s.now += 100
 		id, a := s.submit(Submit{Plan: 3})
-		p, ok := a.(PassOn)
+		p, ok := a.(StartAttempt)
 		if !ok {
 			continue
 		}
 		if p.Server != 1 {
-			s.outcome(id, 0, p.Server, Pass)
+			s.outcome(id, 0, p.Server, Success)
 			continue
 		}
-		for _, b := range s.do(Outcome{ID: id, Server: 1, Result: TooSlow, SpentMs: 900}) {
-			if tell, ok := b.(Tell); ok {
-				if m, ok := decodePeer(tell.Data); ok && m.flags&flagIll != 0 {
+		for _, b := range s.do(Outcome{ID: id, Server: 1, Result: TimedOut, LatencyMs: 900}) {
+			if tell, ok := b.(SendPeer); ok {
+				if m, ok := decodePeerMessage(tell.Data); ok && m.flags&flagFailureHint != 0 {
 					hints++
 				}
-			} else if q, ok := b.(PassOn); ok {
-				s.outcome(id, 1, q.Server, Pass)
+			} else if q, ok := b.(StartAttempt); ok {
+				s.outcome(id, 1, q.Server, Success)
 			}
 		}
 	}
-	if srv := s.l.servers[1]; srv.ills[0].to <= s.now || srv.ills[1].to > s.now {
-		t.Errorf("class 0 fails at server 1: kept off to %v at %v", srv.ills, s.now)
+	if srv := s.l.servers[1]; srv.ejections[0].until <= s.now || srv.ejections[1].until > s.now {
+		t.Errorf("class 0 fails at server 1: kept off to %v at %v", srv.ejections, s.now)
 	}
 	if hints == 0 {
 		t.Error("the peer got no hint")
@@ -275,14 +275,14 @@
 			l.Handle(0, Endpoints{Scope: Persisted, Servers: fleet(9)})
 			for k := range 40 { // two seconds, every fifth answer fails
 				now, id := float64(50*k), fmt.Sprint(k)
-				for _, a := range l.Handle(now, Submit{ID: id, ExpiresMs: 900, Units: 1, Plan: 3, Class: 2, Spread: 1}) {
-					if p, ok := a.(PassOn); ok {
-						o := Outcome{ID: id, Server: p.Server, SpentMs: 20, Result: Pass, Done: true}
+				for _, a := range l.Handle(now, Submit{ID: id, TimeoutMs: 900, Units: 1, Plan: 3, Class: 2, Spread: 1}) {
+					if p, ok := a.(StartAttempt); ok {
+						o := Outcome{ID: id, Server: p.Server, LatencyMs: 20, Result: Success, Final: true}
 						if k%5 == 0 {
-							o.Result, o.Done = Fault, false
+							o.Result, o.Final = ServerError, false
 						}
 						for _, b := range l.Handle(now, o) {
-							if _, ok := b.(Tell); ok {
+							if _, ok := b.(SendPeer); ok {
 								told++
 							}
 						}
@@ -292,7 +292,7 @@
 		}
 		// Each takes in 40 a second, of which hintShare are hints, for two seconds.
 		// More than a fifth of all would crowd out the levels.
-		if each := float64(told) / float64(n); each < 1 || each > min(1.5*2*40*hintShare, 2*40/5.0) {
+		if each := float64(told) / float64(n); each < 1 || each > min(1.5*2*40*hintMessageShare, 2*40/5.0) {
 			t.Errorf("%d gateways: each got %.0f hints in two seconds", n, each)
 		}
 	}
@@ -303,7 +303,7 @@
 func TestHints(t *testing.T) {
 	s := newScript(t, testSettings(), fleet(4)...)
 	hint := func(server, class uint64) {
-		m := peerMsg{flags: flagNews | flagIll, entries: []peerEntry{{customer: server, plan: class}}}
+		m := peerMessage{flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{{customer: server, plan: class}}}
 		data, _ := m.encode()
 		s.do(PeerMessage{From: 1, Data: data})
 	}
@@ -311,14 +311,14 @@
 		hint(99, 0)
 		hint(2, 99)
 	}
-	if len(s.l.servers) != 4 || s.l.servers[2].ills[0].n != 0 {
+	if len(s.l.servers) != 4 || s.l.servers[2].ejections[0].failures != 0 {
 		t.Error("an unsound hint counted")
 	}
 	for range 2 {
 		hint(2, 0)
 	}
 	for range 40 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(PassOn).Server == 2 {
+		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server == 2 {
 			t.Fatal("sent to a server that peers say fails")
 		} else {
 			s.pass(id, a)
@@ -338,14 +338,14 @@
 	var to []uint64
 	for range 6 {
 		id, a := s.submit(Submit{Plan: 3})
-		ids, to = append(ids, id), append(to, a.(PassOn).Server)
+		ids, to = append(ids, id), append(to, a.(StartAttempt).Server)
 	}
-	work := s.l.work[0]
+	work := s.l.typicalMs[0]
 	s.now += 1600
 	for k, id := range ids {
-		s.do(Outcome{ID: id, Server: to[k], Result: TooSlow, SpentMs: 1600})
+		s.do(Outcome{ID: id, Server: to[k], Result: TimedOut, LatencyMs: 1600})
 	}
-	if s.l.work[0] != work || s.l.servers[1].ills[0].n+s.l.servers[2].ills[0].n > 0 {
+	if s.l.typicalMs[0] != work || s.l.servers[1].ejections[0].failures+s.l.servers[2].ejections[0].failures > 0 {
 		t.Error("the gateway's own pause counted against servers")
 	}
 }
@@ -356,16 +356,16 @@
 	cfg.Balancers = 470
 	s := newScript(t, cfg, fleet(4)...)
 	s.submit(Submit{Customer: 5, Spread: 200})
-	s.do(Alarm{Handle: "tick"})
-	if n := len(s.l.customers[5].views); n > keepers {
-		t.Errorf("a customer of 200 gateways has %d records of peers, want %d", n, keepers)
+	s.do(TimerFired{Name: "tick"})
+	if n := len(s.l.customers[5].peerViews); n > aggregatorCount {
+		t.Errorf("a customer of 200 gateways has %d records of peers, want %d", n, aggregatorCount)
 	}
 }
 
 // BenchmarkHandle serves requests at a gateway of 470 with 90 servers.
 func BenchmarkHandle(b *testing.B) {
 	cfg := testSettings()
-	cfg.Balancers, cfg.PeerInPerS = 470, 40
+	cfg.Balancers, cfg.PeerMessagesPerSecond = 470, 40
 	l, err := New(cfg, 1)
 	if err != nil {
 		b.Fatal(err)
@@ -374,13 +374,13 @@
 	for k := range b.N {
 		now := 10000 + float64(k)*300
 		id := fmt.Sprint(k)
-		for _, a := range l.Handle(now, Submit{ID: id, ExpiresMs: 900, Units: 1, Customer: uint64(k % 300), Spread: 100}) {
-			if p, ok := a.(PassOn); ok {
-				l.Handle(now+20, Outcome{ID: id, Server: p.Server, Result: Pass, SpentMs: 20, Done: true})
+		for _, a := range l.Handle(now, Submit{ID: id, TimeoutMs: 900, Units: 1, Customer: uint64(k % 300), Spread: 100}) {
+			if p, ok := a.(StartAttempt); ok {
+				l.Handle(now+20, Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 20, Final: true})
 				break
 			}
 		}
-		l.Handle(now+50, Alarm{Handle: "tick"})
+		l.Handle(now+50, TimerFired{Name: "tick"})
 	}
 }
 
@@ -391,7 +391,7 @@
 	const n, servers, cold = 80, 60, 36
 	cfg := testSettings()
 	cfg.Caps.Peers = false
-	cfg.Rules.ColdShare, cfg.Rules.ColdMs = 0.3, 16000
+	cfg.Rules.SlowStartShare, cfg.Rules.SlowStartMs = 0.3, 16000
 	f := fleet(servers)
 	c := newCrowd(t, cfg, n, f)
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -440,7 +440,7 @@
 		of = map[[2]uint64]bool{}
 		for i, l := range c.limiters {
 			for id, s := range l.servers {
-				if s.near {
+				if s.inSubset {
 					of[[2]uint64{uint64(i), id}] = true
 				}
 			}
@@ -460,11 +460,11 @@
 	used := map[[2]int]bool{}
 	for k := range 4000 {
 		l := c.limiters[k%n]
-		for _, a := range append([]Action(nil), l.Handle(c.now, Submit{ID: fmt.Sprint(k), ExpiresMs: 1500, Plan: 3,
+		for _, a := range append([]Action(nil), l.Handle(c.now, Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3,
 			Customer: 1, Spread: n, Units: 1})...) {
-			if a, ok := a.(PassOn); ok {
+			if a, ok := a.(StartAttempt); ok {
 				used[[2]int{k % n, int(a.Server)}] = true
-				l.Handle(c.now, Outcome{ID: a.ID, Server: a.Server, Result: Pass, SpentMs: 20, Done: true})
+				l.Handle(c.now, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
 			}
 		}
 		c.now += 2.5
@@ -489,7 +489,7 @@
 	// With its subset out of reach a gateway goes on with the others.
 	l := c.limiters[0]
 	for _, s := range l.servers {
-		s.down = s.near
+		s.down = s.inSubset
 	}
 	if !c.submit(0, Submit{Plan: 3, Customer: 1, Spread: n}) {
 		t.Error("a gateway whose subset is down turned a request away")
@@ -502,7 +502,7 @@
 func TestCeilingFollowsDemand(t *testing.T) {
 	const n = 11
 	cfg := testSettings()
-	cfg.Plans[1] = Plan{Rate: 12, Burst: 22, CeilingRate: 25, CeilingBurst: 46, Price: 1}
+	cfg.Plans[1] = Plan{Rate: 12, Burst: 22, HardRate: 25, HardBurst: 46, Price: 1}
 	for _, p := range []struct {
 		demand, skew, lost float64
 		restarts           bool
@@ -512,11 +512,11 @@
 		rng := rand.New(rand.NewPCG(4, 4))
 		c.lose = func(int, int) bool { return rng.Float64() < p.lost }
 		c.now += 10000
-		c.ticks(tickMs)
+		c.ticks(tickIntervalMs)
 		store, at, asked, passed := 46.0, c.now, 0.0, 0.0
 		for end := c.now + 20000; c.now < end; {
-			c.ticks(tickMs)
-			for range int(p.demand*tickMs/1000/1.5 + rng.Float64()) {
+			c.ticks(tickIntervalMs)
+			for range int(p.demand*tickIntervalMs/1000/1.5 + rng.Float64()) {
 				i, units := 1+rng.IntN(n-1), float64(1+rng.IntN(2))
 				if rng.Float64() < p.skew {
 					i = 3
@@ -562,11 +562,11 @@
 				c.submit((step*7+plan)%n, Submit{Customer: uint64(plan), Plan: plan, Spread: n, Units: 1 + float64(plan)})
 			}
 		}
-		c.now += tickMs
+		c.now += tickIntervalMs
 		for i, l := range c.limiters {
-			for _, a := range append([]Action(nil), l.Handle(c.now, Alarm{Handle: "tick"})...) {
-				if a, ok := a.(Tell); ok {
-					if m, _ := decodePeer(a.Data); m.flags == flagNews {
+			for _, a := range append([]Action(nil), l.Handle(c.now, TimerFired{Name: "tick"})...) {
+				if a, ok := a.(SendPeer); ok {
+					if m, _ := decodePeerMessage(a.Data); m.flags == flagLevelUpdate {
 						told[m.entries[0].plan]++
 					}
 					c.event(a.To, PeerMessage{From: i, Data: a.Data})
@@ -589,7 +589,7 @@
 		return c.submit(i, Submit{Plan: 1, Customer: 1, Spread: 10, Units: 3})
 	}
 	c := newCrowd(t, cfg, n, fleet(4))
-	c.ticks(8 * tickMs)
+	c.ticks(8 * tickIntervalMs)
 	if !ask(c, 1) {
 		t.Error("a fleet that has just begun has none of a ceiling's burst")
 	}
@@ -601,13 +601,13 @@
 	}
 	c.limiters[2] = l
 	c.event(2, Endpoints{Scope: Persisted, Servers: fleet(4)})
-	c.ticks(8 * tickMs)
+	c.ticks(8 * tickIntervalMs)
 	if ask(c, 2) {
 		t.Error("a gateway that started among older ones has a part of a ceiling's burst")
 	}
 	c = newCrowd(t, cfg, n, fleet(4))
 	c.lose = func(int, int) bool { return true }
-	c.ticks(8 * tickMs)
+	c.ticks(8 * tickIntervalMs)
 	if ask(c, 1) {
 		t.Error("a gateway that heard nothing has a part of a ceiling's burst")
 	}
@@ -628,8 +628,8 @@
 		l.Handle(1000, Endpoints{Scope: Persisted, Servers: fleet(12)})
 		used := map[uint64]bool{}
 		for k := range 6 {
-			for _, a := range l.Handle(1000, Submit{ID: fmt.Sprint(k), ExpiresMs: 1500, Plan: 3, Spread: 1, Units: 1}) {
-				if a, ok := a.(PassOn); ok {
+			for _, a := range l.Handle(1000, Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Spread: 1, Units: 1}) {
+				if a, ok := a.(StartAttempt); ok {
 					if used[a.Server] {
 						twice++
 					}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -16,16 +16,16 @@
 		return errors.New("request_classes is empty")
 	case len(s.Plans) == 0:
 		return errors.New("packages is empty")
-	case s.Rules.ColdShare < 0 || s.Rules.ColdShare > 1:
-		return fmt.Errorf("cold_share %g is not a share", s.Rules.ColdShare)
+	case s.Rules.SlowStartShare < 0 || s.Rules.SlowStartShare > 1:
+		return fmt.Errorf("cold_share %g is not a share", s.Rules.SlowStartShare)
 	}
 	for i, c := range s.Classes {
-		if c.AimMs <= 0 || c.DeadlineMs <= 0 {
+		if c.LatencyTargetMs <= 0 || c.DeadlineMs <= 0 {
 			return fmt.Errorf("request_classes.%d: promise_ms and deadline_ms must be above 0", i)
 		}
 	}
 	for i, p := range s.Plans {
-		if p.Rate < 0 || p.Burst < 0 || p.AtOnce < 0 || p.CeilingRate < 0 || p.CeilingBurst < 0 {
+		if p.Rate < 0 || p.Burst < 0 || p.MaxInFlight < 0 || p.HardRate < 0 || p.HardBurst < 0 {
 			return fmt.Errorf("packages.%d: a quota is below 0", i)
 		}
 		if p.Rate > 0 && p.Burst <= 0 {
--- a/balancer/wire/golden_test.go
+++ b/balancer/wire/golden_test.go
@@ -19,19 +19,19 @@
 	var got bytes.Buffer
 	w := NewWriter(&got)
 	for _, action := range []balancer.Action{
-		balancer.PassOn{ID: "rq_1", CapMs: 80.0625, Server: 1<<64 - 1},
-		balancer.PassOn{ID: "rq_2", Server: 7},
-		balancer.Refuse{ID: "rq_3", WaitMs: 1234.5678},
-		balancer.Refuse{ID: "rq_4"},
+		balancer.StartAttempt{ID: "rq_1", TimeoutMs: 80.0625, Server: 1<<64 - 1},
+		balancer.StartAttempt{ID: "rq_2", Server: 7},
+		balancer.Reject{ID: "rq_3", RetryAfterMs: 1234.5678},
+		balancer.Reject{ID: "rq_4"},
 		balancer.Fail{ID: "rq_5"},
-		balancer.AbortAttempt{ID: "rq_1", Try: 2},
-		balancer.Timer{At: 8412.2505, Handle: "tick"},
+		balancer.CancelAttempt{ID: "rq_1", Attempt: 2},
+		balancer.SetTimer{At: 8412.2505, Name: "tick"},
 		balancer.Probe{Server: 51530247},
-		balancer.Tell{To: 4, Data: []byte{0x5c, 2, 0, 255}},
-		balancer.Tell{To: 5},
+		balancer.SendPeer{To: 4, Data: []byte{0x5c, 2, 0, 255}},
+		balancer.SendPeer{To: 5},
 		balancer.Log{Line: "first\nsecond\rthird"},
-		balancer.Listen{},
-		balancer.QueryAll{},
+		balancer.WatchEndpoints{},
+		balancer.FetchEndpoints{},
 	} {
 		w.Action(12, action)
 	}
--- a/balancer/wire/settings.go
+++ b/balancer/wire/settings.go
@@ -22,12 +22,12 @@
 // Err is the first error of what was read so far.
 func (p *Pairs) Err() error { return p.err }
 
-var repeats = map[string]balancer.Repeat{
+var repeats = map[string]balancer.Idempotency{
 	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed, "non_idempotent": balancer.Unsafe,
 }
 
-var groups = map[string]balancer.Group{
-	"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell,
+var groups = map[string]balancer.DedupScope{
+	"all": balancer.DedupAll, "zone": balancer.DedupZone, "cell": balancer.DedupCell,
 }
 
 // parseSettings reads the settings on a BEGIN line.
@@ -47,34 +47,34 @@
 func (p *Pairs) Settings() (balancer.Settings, error) {
 	s := balancer.Settings{
 		Position: p.Integer("position"), Balancers: p.Integer("balancers"), Zone: p.Integer("az"),
-		AskMembers: p.values["membership_mode"] == "ask",
-		PeerInPerS: p.Number("family_info.peer_in_per_s"), TrueUp: p.flag("family_info.trued_up"),
-		CrossPrice: p.Number("prices.cross_zone"), AskWithin: p.Number("invariants.ask_within_ms"),
+		PollMembership:        p.values["membership_mode"] == "ask",
+		PeerMessagesPerSecond: p.Number("family_info.peer_in_per_s"), TrueUp: p.flag("family_info.trued_up"),
+		CrossZonePrice: p.Number("prices.cross_zone"), PollWithinMs: p.Number("invariants.ask_within_ms"),
 		Caps: balancer.Caps{
-			Attempts: p.Integer("caps.attempts_cap"), Cancel: p.flag("caps.cancel"),
+			MaxAttempts: p.Integer("caps.attempts_cap"), Cancel: p.flag("caps.cancel"),
 			Peers: p.flag("caps.peer_messages"), Probes: p.flag("caps.probes"),
-			RetryAfter: p.flag("caps.retry_after"), SecondCopies: p.flag("caps.second_copies"),
-			MaxWaitMs: p.Number("caps.max_retry_after_ms"), ConnectMs: p.Number("caps.connect_timeout_ms"),
+			RetryAfter: p.flag("caps.retry_after"), Hedging: p.flag("caps.second_copies"),
+			MaxRetryAfterMs: p.Number("caps.max_retry_after_ms"), ConnectTimeoutMs: p.Number("caps.connect_timeout_ms"),
 		},
 		Rules: balancer.Rules{
-			ColdShare: p.Number("invariants.cold_share"), ColdMs: p.Number("invariants.cold_ms"),
-			OverloadFactor: p.Number("invariants.overload_factor"), FallMs: p.Number("invariants.fall_ms"),
+			SlowStartShare: p.Number("invariants.cold_share"), SlowStartMs: p.Number("invariants.cold_ms"),
+			OverloadFactor: p.Number("invariants.overload_factor"), OverloadMs: p.Number("invariants.fall_ms"),
 		},
 	}
 	for i := range p.Count("request_classes") {
 		at := fmt.Sprintf("request_classes.%d.", i)
 		c := balancer.Class{
-			AimMs: p.Number(at + "promise_ms"), DeadlineMs: p.Number(at + "deadline_ms"),
-			WindowMs: p.Number(at + "window_ms"), Worth: p.Number(at + "importance"),
-			LateShare: p.Number(at + "late_share"),
-			Repeat:    balancer.Unsafe,
+			LatencyTargetMs: p.Number(at + "promise_ms"), DeadlineMs: p.Number(at + "deadline_ms"),
+			DedupWindowMs: p.Number(at + "window_ms"), Value: p.Number(at + "importance"),
+			LateValueShare: p.Number(at + "late_share"),
+			Idempotency:    balancer.Unsafe,
 		}
 		if w, ok := p.values[at+"idempotency"]; ok {
-			c.Repeat, ok = repeats[w]
+			c.Idempotency, ok = repeats[w]
 			p.check(ok, at+"idempotency")
 		}
-		if w, ok := p.values[at+"group"]; ok && c.Repeat == balancer.Keyed {
-			c.Group, ok = groups[w]
+		if w, ok := p.values[at+"group"]; ok && c.Idempotency == balancer.Keyed {
+			c.DedupScope, ok = groups[w]
 			p.check(ok, at+"group")
 		}
 		s.Classes = append(s.Classes, c)
@@ -82,10 +82,10 @@
 	for i := range p.Count("packages") {
 		at := fmt.Sprintf("packages.%d.", i)
 		s.Plans = append(s.Plans, balancer.Plan{
-			Rate: p.Number(at + "per_second"), Burst: p.Number(at + "burst"), AtOnce: p.Integer(at + "at_once"),
-			CeilingRate: p.Number(at + "cap_rate"), CeilingBurst: p.Number(at + "cap_depth"),
-			Price: p.Number(at + "price"), BeyondEarns: p.Number(at + "beyond_earns"),
-			OverrunCost: p.Number(at + "overrun_cost"),
+			Rate: p.Number(at + "per_second"), Burst: p.Number(at + "burst"), MaxInFlight: p.Integer(at + "at_once"),
+			HardRate: p.Number(at + "cap_rate"), HardBurst: p.Number(at + "cap_depth"),
+			Price: p.Number(at + "price"), ExcessValueShare: p.Number(at + "beyond_earns"),
+			ExcessPenalty: p.Number(at + "overrun_cost"),
 		})
 	}
 	return s, p.err
--- a/balancer/wire/wire.go
+++ b/balancer/wire/wire.go
@@ -169,9 +169,9 @@
 }
 
 var results = map[string]balancer.Result{
-	"pass": balancer.Pass, "fault": balancer.Fault, "no_room": balancer.NoRoom,
-	"too_slow": balancer.TooSlow, "no_route": balancer.NoRoute, "cut": balancer.Cut,
-	"undone": balancer.Undone, "stale_send": balancer.StaleSend,
+	"pass": balancer.Success, "fault": balancer.ServerError, "no_room": balancer.Rejected,
+	"too_slow": balancer.TimedOut, "no_route": balancer.ConnectFailed, "cut": balancer.ConnectionLost,
+	"undone": balancer.Canceled, "stale_send": balancer.NotSent,
 }
 
 var scopes = map[string]balancer.Scope{
@@ -288,23 +288,23 @@
 		}
 		it.Event = e
 	case "SUBMIT":
-		e := balancer.Submit{ID: f.word(), ExpiresMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag(), Plan: f.integer()}
+		e := balancer.Submit{ID: f.word(), TimeoutMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag(), Plan: f.integer()}
 		f.flag() // write: the class says what matters here
 		e.Spread, e.First, e.Customer = int(f.number()), int(f.number()), f.id()
 		it.Event = e
 	case "FIRST":
-		it.Event = balancer.FirstByte{ID: f.word(), Try: f.integer()}
+		it.Event = balancer.FirstByte{ID: f.word(), Attempt: f.integer()}
 	case "REPORT_BACK":
-		e := balancer.Outcome{ID: f.word(), Try: f.integer(), Server: f.id(), Result: choose(f, results), SpentMs: f.number(), Done: f.flag()}
+		e := balancer.Outcome{ID: f.word(), Attempt: f.integer(), Server: f.id(), Result: choose(f, results), LatencyMs: f.number(), Final: f.flag()}
 		f.number() // quota_use: the mechanism hears its peers, not a meter
-		e.Cost, e.Load = f.number(), f.load()
+		e.SettledUnits, e.Load = f.number(), f.load()
 		it.Event = e
 	case "ABORTED":
-		it.Event = balancer.Aborted{ID: f.word()}
+		it.Event = balancer.ClientGone{ID: f.word()}
 	case "ALARM":
-		it.Event = balancer.Alarm{Handle: f.word()}
+		it.Event = balancer.TimerFired{Name: f.word()}
 	case "HEALTH_RESULT":
-		e := balancer.Probed{SpentMs: f.number(), Server: f.id(), Result: choose(f, results)}
+		e := balancer.ProbeResult{LatencyMs: f.number(), Server: f.id(), Result: choose(f, results)}
 		e.Load = f.load()
 		it.Event = e
 	case "FROM_PEER":
@@ -355,19 +355,19 @@
 // Action writes one action of an instance.
 func (w *Writer) Action(who int, a balancer.Action) {
 	switch a := a.(type) {
-	case balancer.PassOn:
-		w.line("PASS_ON", who, a.ID, num(a.CapMs), strconv.FormatUint(a.Server, 10))
-	case balancer.Refuse:
-		w.line("OVERLOAD_REPLY", who, a.ID, num(a.WaitMs))
+	case balancer.StartAttempt:
+		w.line("PASS_ON", who, a.ID, num(a.TimeoutMs), strconv.FormatUint(a.Server, 10))
+	case balancer.Reject:
+		w.line("OVERLOAD_REPLY", who, a.ID, num(a.RetryAfterMs))
 	case balancer.Fail:
 		w.line("ERROR", who, a.ID)
-	case balancer.AbortAttempt:
-		w.line("ABORT_ATTEMPT", who, a.ID, strconv.Itoa(a.Try))
-	case balancer.Timer:
-		w.line("TIMER", who, num(a.At), a.Handle)
+	case balancer.CancelAttempt:
+		w.line("ABORT_ATTEMPT", who, a.ID, strconv.Itoa(a.Attempt))
+	case balancer.SetTimer:
+		w.line("TIMER", who, num(a.At), a.Name)
 	case balancer.Probe:
 		w.line("INSPECT", who, strconv.FormatUint(a.Server, 10))
-	case balancer.Tell:
+	case balancer.SendPeer:
 		bytes := "-"
 		if len(a.Data) > 0 {
 			bytes = hex.EncodeToString(a.Data)
@@ -375,9 +375,9 @@
 		w.line("SHARE", who, strconv.Itoa(a.To), bytes)
 	case balancer.Log:
 		w.line("DEBUG", who, oneLine(a.Line))
-	case balancer.Listen:
+	case balancer.WatchEndpoints:
 		w.line("LISTEN", who, "1")
-	case balancer.QueryAll:
+	case balancer.FetchEndpoints:
 		w.line("QUERY_ALL", who)
 	}
 }
--- a/balancer/wire/wire_test.go
+++ b/balancer/wire/wire_test.go
@@ -34,19 +34,19 @@
 	}
 	s := items[0].Settings
 	if items[0].Err != nil || s.Position != 1 || s.Zone != 1 || !s.Caps.Cancel || s.Plans[0].Burst != 9 ||
-		s.Classes[0].Repeat != balancer.Keyed || s.Classes[0].Group != balancer.GroupZone {
+		s.Classes[0].Idempotency != balancer.Keyed || s.Classes[0].DedupScope != balancer.DedupZone {
 		t.Errorf("settings %+v, %v", s, items[0].Err)
 	}
 	list := items[1].Event.(balancer.Endpoints)
 	if len(list.Servers) != 2 || list.Servers[1] != (balancer.ServerInfo{ID: 747639282, ReadyAt: 6100, Phase: balancer.Draining, Cell: 2, Weight: 1.5}) {
 		t.Errorf("list %+v", list)
 	}
-	want := balancer.Submit{ID: "rq_a", ExpiresMs: 240, Units: 2, Spread: 3, First: 1, Customer: 4569004829}
+	want := balancer.Submit{ID: "rq_a", TimeoutMs: 240, Units: 2, Spread: 3, First: 1, Customer: 4569004829}
 	if got := items[2].Event.(balancer.Submit); got != want {
 		t.Errorf("submit %+v", got)
 	}
 	out := items[3].Event.(balancer.Outcome)
-	if out.SpentMs != 18.5 || !out.Done || out.Cost != 3 || out.Load.Busy != 7 || out.Load.ServiceMs != 14.5 || out.Load.Pending != -1 {
+	if out.LatencyMs != 18.5 || !out.Final || out.SettledUnits != 3 || out.Load.Busy != 7 || out.Load.ServiceMs != 14.5 || out.Load.Pending != -1 {
 		t.Errorf("outcome %+v", out)
 	}
 	if _, _, err := r.Batch(); !errors.Is(err, io.EOF) {
@@ -89,9 +89,9 @@
 	var b bytes.Buffer
 	w := NewWriter(&b)
 	for _, a := range []balancer.Action{
-		balancer.PassOn{ID: "r", CapMs: 80, Server: 5}, balancer.Refuse{ID: "r", WaitMs: 1.5}, balancer.Fail{ID: "r"},
-		balancer.AbortAttempt{ID: "r", Try: 1}, balancer.Timer{At: 9, Handle: "tick"}, balancer.Probe{Server: 5},
-		balancer.Tell{To: 1, Data: []byte{104, 105}}, balancer.Log{Line: "a\nb"}, balancer.Listen{}, balancer.QueryAll{},
+		balancer.StartAttempt{ID: "r", TimeoutMs: 80, Server: 5}, balancer.Reject{ID: "r", RetryAfterMs: 1.5}, balancer.Fail{ID: "r"},
+		balancer.CancelAttempt{ID: "r", Attempt: 1}, balancer.SetTimer{At: 9, Name: "tick"}, balancer.Probe{Server: 5},
+		balancer.SendPeer{To: 1, Data: []byte{104, 105}}, balancer.Log{Line: "a\nb"}, balancer.WatchEndpoints{}, balancer.FetchEndpoints{},
 	} {
 		w.Action(3, a)
 	}
