--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -15,7 +15,7 @@
 // one entry, with several, and with as many as a sender puts into one.
 func goldenMessages() map[string]Message {
 	const from, start = 0x0123456789abcdef, 0x7edcba9876543210
-	spent := []quota.Usage{
+	consumed := []quota.Usage{
 		{Tenant: 0xabcdef0123, Units: 0, FillLevel: 0},
 		{Tenant: 1, Units: 127, FillLevel: 7},
 		{Tenant: 0xffffffffff, Units: 1<<64 - 1, FillLevel: 255},
@@ -29,27 +29,49 @@
 	classes := []quota.SharingClass{{LiveSet: 0xcafef00d, Count: 41}, {LiveSet: 7, Count: 300}}
 	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, StaleAge: 16}
 	for i := range 64 {
-		full.Hints = append(full.Hints, balance.Hint{Server: uint32(i) << 20, InFlight: uint8(i), Latency: uint8(255 - i)})
+		hint := balance.Hint{Server: uint32(i) << 20, InFlight: uint8(i), Latency: uint8(255 - i)}
+		full.Hints = append(full.Hints, hint)
 	}
 	full.GroupDigest = quota.Digest{Level: 16, First: true, LiveCount: 1 << 20, LiveSet: 1<<32 - 1}
 	for i := range 8 {
-		full.GroupDigest.Classes = append(full.GroupDigest.Classes, quota.SharingClass{LiveSet: uint32(i), Count: 1 << i})
+		class := quota.SharingClass{LiveSet: uint32(i), Count: 1 << i}
+		full.GroupDigest.Classes = append(full.GroupDigest.Classes, class)
 	}
 	for i := range 48 {
-		full.GroupDigest.Consumed = append(full.GroupDigest.Consumed, quota.Usage{Tenant: uint64(i) << 32, Units: 1 << i, FillLevel: uint8(i)})
+		usage := quota.Usage{Tenant: uint64(i) << 32, Units: 1 << i, FillLevel: uint8(i)}
+		full.GroupDigest.Consumed = append(full.GroupDigest.Consumed, usage)
+	}
+	head := Message{From: from, Incarnation: start}
+	with := func(ageMs float64, change func(m *Message)) Message {
+		m := head
+		m.AgeMs = ageMs
+		change(&m)
+		return m
+	}
+	digest := func(level quota.GroupingLevel, first bool, received int, set uint32) quota.Digest {
+		return quota.Digest{Level: level, First: first, LiveCount: received, LiveSet: set}
 	}
 	return map[string]Message{
-		"empty":            {},
-		"head":             {From: from, Incarnation: start, AgeMs: 123456789, HeardPeers: 0xdeadbeef},
-		"spent":            {From: from, Incarnation: start, AgeMs: 1, Consumed: spent, HeardPeers: 1},
-		"hints":            {From: from, Incarnation: start, AgeMs: 128, Hints: hints, HeardPeers: 2},
-		"demand":           {From: from, Incarnation: start, AgeMs: 300, Demand: demand, HeardPeers: 3},
-		"forgotten":        {From: from, Incarnation: start, AgeMs: 16384, StaleAge: 5, HeardPeers: 4},
-		"all-but-digest":   {From: from, Incarnation: start, AgeMs: 1 << 40, Consumed: spent, Hints: hints, Demand: demand, StaleAge: 16, HeardPeers: 5},
-		"digest-first":     {From: from, Incarnation: start, AgeMs: 9, GroupDigest: quota.Digest{Level: 1, First: true, LiveCount: 1, LiveSet: 6}},
-		"digest-second":    {From: from, Incarnation: start, AgeMs: 10, GroupDigest: quota.Digest{Level: 4, LiveCount: 128, LiveSet: 7, Classes: classes, Consumed: spent}},
-		"digest-and-hints": {From: from, Incarnation: start, AgeMs: 11, Hints: hints, Demand: demand, StaleAge: 1, GroupDigest: quota.Digest{Level: 3, First: true, LiveCount: 9, LiveSet: 8, Classes: classes[:1], Consumed: spent[:1]}},
-		"full":             full,
+		"empty":     {},
+		"head":      with(123456789, func(m *Message) { m.LiveSet = 0xdeadbeef }),
+		"spent":     with(1, func(m *Message) { m.Consumed, m.LiveSet = consumed, 1 }),
+		"hints":     with(128, func(m *Message) { m.Hints, m.LiveSet = hints, 2 }),
+		"demand":    with(300, func(m *Message) { m.Demand, m.LiveSet = demand, 3 }),
+		"forgotten": with(16384, func(m *Message) { m.StaleAge, m.LiveSet = 5, 4 }),
+		"all-but-digest": with(1<<40, func(m *Message) {
+			m.Consumed, m.Hints, m.Demand, m.StaleAge, m.LiveSet = consumed, hints, demand, 16, 5
+		}),
+		"digest-first": with(9, func(m *Message) { m.GroupDigest = digest(1, true, 1, 6) }),
+		"digest-second": with(10, func(m *Message) {
+			m.GroupDigest = digest(4, false, 128, 7)
+			m.GroupDigest.Classes, m.GroupDigest.Consumed = classes, consumed
+		}),
+		"digest-and-hints": with(11, func(m *Message) {
+			m.Hints, m.Demand, m.StaleAge = hints, demand, 1
+			m.GroupDigest = digest(3, true, 9, 8)
+			m.GroupDigest.Classes, m.GroupDigest.Consumed = classes[:1], consumed[:1]
+		}),
+		"full": full,
 	}
 }
 
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -166,7 +166,7 @@
 	if w.GroupDigest.Level > 0 {
 		l.quota.ReceiveDigest(now, w.From, w.Incarnation, w.AgeMs, w.GroupDigest)
 	} else {
-		l.quota.ReceiveUsage(now, w.From, w.Incarnation, w.AgeMs, w.HeardPeers, w.Consumed)
+		l.quota.ReceiveUsage(now, w.From, w.Incarnation, w.AgeMs, w.LiveSet, w.Consumed)
 	}
 	l.balance.ReceiveHints(now, w.From, w.Hints)
 	l.balance.ReceiveDemand(w.From, w.Demand)
--- a/lab/simulation/traffic_test.go
+++ b/lab/simulation/traffic_test.go
@@ -12,7 +12,7 @@
 func TestBytesOfWordsAddUp(t *testing.T) {
 	spent := []quota.Usage{{Tenant: 1, Units: 300, FillLevel: 9}, {Tenant: 2, Units: 5}}
 	list := []gossip.Message{
-		{From: 1, Incarnation: 2, AgeMs: 1000, Consumed: spent, Hints: []balance.Hint{{Server: 1}}, HeardPeers: 7},
+		{From: 1, Incarnation: 2, AgeMs: 1000, Consumed: spent, Hints: []balance.Hint{{Server: 1}}, LiveSet: 7},
 		{From: 1, Incarnation: 2, Demand: []balance.Demand{{Service: 3, Level: 4}},
 			GroupDigest: quota.Digest{Level: 2, LiveCount: 3, Classes: []quota.SharingClass{{LiveSet: 1, Count: 300}}, Consumed: spent}},
 		{},
