--- a/dataplane/balance/choose.go
+++ b/dataplane/balance/choose.go
@@ -66,7 +66,7 @@
 	NonIdempotent bool      // it must not run twice
 	RemainingMs   float64   // until the answer is late
 	IdleOnly      bool      // only a server with a free slot will do
-	Tried         []*Member // servers that had an attempt
+	Attempted         []*Member // servers that had an attempt
 }
 
 // selection is the state of one choice.
@@ -99,7 +99,7 @@
 	if v == nil {
 		return nil, unknownServiceWaitMs
 	}
-	if len(r.Tried) == 0 {
+	if len(r.Attempted) == 0 {
 		v.countRequest(now)
 	}
 	typical := max(1, v.typicalMs)
@@ -157,7 +157,7 @@
 }
 
 func (c *selection) isCandidate(m *Member, lastResort bool) bool {
-	if m.State == api.Draining || slices.Contains(c.request.Tried, m) || c.now < m.rejectingUntil {
+	if m.State == api.Draining || slices.Contains(c.request.Attempted, m) || c.now < m.rejectingUntil {
 		return false
 	}
 	if lastResort {
--- a/dataplane/balance/load.go
+++ b/dataplane/balance/load.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// hintLifeMs is how long a peer's load counts. A peer that is gone sends no zero.
-	hintLifeMs = 1500.0
+	// hintTTLMs is how long a peer's load counts. A peer that has stopped does not take its load back.
+	hintTTLMs = 1500.0
 	// slowdownWeight is the weight of one answer in a server's slowdown. docs/decisions/0003
 	// has figures for 0.30 too, alone and with other weights of zone and affinity.
 	slowdownWeight = 0.15
@@ -49,7 +49,7 @@
 func (m *Member) Load(now float64) float64 {
 	n := float64(m.inFlight)
 	for id, l := range m.peerLoads {
-		if now-l.at > hintLifeMs {
+		if now-l.at > hintTTLMs {
 			delete(m.peerLoads, id)
 			continue
 		}
--- a/dataplane/balance/set.go
+++ b/dataplane/balance/set.go
@@ -95,20 +95,20 @@
 	for _, e := range list {
 		listed[e.ID] = true
 	}
-	var gone []string
+	var removed []string
 	for id := range s.byID {
 		if !listed[id] {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	s.ApplyDelta(now, list, gone)
+	s.ApplyDelta(now, list, removed)
 }
 
 // ApplyDelta takes in a change of the list: servers that are new or have changed, and the ids
-// of those that are gone.
-func (s *Set) ApplyDelta(now float64, put []api.Server, gone []string) {
+// of those that are removed.
+func (s *Set) ApplyDelta(now float64, put []api.Server, removed []string) {
 	changed := map[string]bool{} // services
-	for _, id := range gone {
+	for _, id := range removed {
 		if m := s.byID[id]; m != nil {
 			s.remove(m)
 			changed[m.Upstream] = true
--- a/dataplane/balance/set_test.go
+++ b/dataplane/balance/set_test.go
@@ -42,7 +42,7 @@
 	if got := pick(s, 2, Request{}); got != "a" {
 		t.Errorf("chose %q", got)
 	}
-	if got := s.byID["b"].Load(2 + hintLifeMs + 1); got != 0 {
+	if got := s.byID["b"].Load(2 + hintTTLMs + 1); got != 0 {
 		t.Errorf("an old word counts %v", got)
 	}
 }
@@ -74,7 +74,7 @@
 	if got := pick(s, 3, Request{}); got != "c" {
 		t.Errorf("chose %q", got)
 	}
-	if got := pick(s, 3, Request{Tried: []*Member{s.byID["c"]}}); got != "" {
+	if got := pick(s, 3, Request{Attempted: []*Member{s.byID["c"]}}); got != "" {
 		t.Errorf("chose %q", got)
 	}
 	s.SetServers(4, servers("z1")[:1])
--- a/dataplane/balance/subset.go
+++ b/dataplane/balance/subset.go
@@ -11,7 +11,7 @@
 //
 // In a large fleet one limiter sees next to nothing of the load of most servers, and to send
 // all loads to all who share a server in time costs more of a small link than it is worth. A
-// load that is known late is worse than none, as all who hear of an idle server take it. So the
+// load that is known late is worse than none, as all who learn of an idle server use it. So the
 // servers of a zone are divided among its limiters: each has an interval in the order of server
 // ids, as long as its part of what all of them ask for. A limiter's own servers are busy with
 // its own requests, which it knows. Those at the ends of its interval it shares with one
@@ -32,7 +32,7 @@
 	// minDemandShare, of the mean demand, counts for a limiter that is asked for less, so that
 	// it has servers when requests come.
 	minDemandShare = 0.3
-	// minDemand keeps the sum of demands above nought where nobody is asked for anything.
+	// minDemand keeps the sum of demands above zero where no limiter has requests.
 	minDemand = 1e-6
 	// minNearby is the least number of nearby servers: with fewer there is no choice where
 	// some are slow. It equals all servers of the zone where these are fewer.
@@ -185,7 +185,7 @@
 
 func (r *subsetRing) limiters() int { return len(r.bounds) - 1 }
 
-// start is where the interval of a limiter begins, in servers. Positions below nought and past
+// start is where the interval of a limiter begins, in servers. Positions below zero and past
 // the last limiter go on round the ring.
 func (r *subsetRing) start(position int) float64 {
 	limiters := r.limiters()
--- a/dataplane/balance/zoneoutage.go
+++ b/dataplane/balance/zoneoutage.go
@@ -48,7 +48,7 @@
 		s.zones[m.Zone] = z
 	}
 	m.lastFailureAt = now
-	z.ObserveFailure(now, weight, &m.service.baseline, s.hasOtherZone(now, m) && s.mostServersFail(now, m.Zone))
+	z.ObserveFailure(now, weight, &m.service.baseline, s.hasOtherZone(now, m) && s.majorityFails(now, m.Zone))
 }
 
 // hasOtherZone tells whether a server's service has servers in another zone that is not ejected.
@@ -61,8 +61,8 @@
 	return false
 }
 
-// mostServersFail tells whether most servers of a zone that were tried just now failed.
-func (s *Set) mostServersFail(now float64, zone string) bool {
+// majorityFails tells whether most servers of a zone that were tried just now failed.
+func (s *Set) majorityFails(now float64, zone string) bool {
 	failed, answered := 0, 0
 	for _, v := range s.services {
 		for _, m := range v.members {
--- a/dataplane/limiter/flight.go
+++ b/dataplane/limiter/flight.go
@@ -63,7 +63,7 @@
 		return nil, waitMs, !further
 	}
 	f.ask(now)
-	f.choice.Tried = append(f.choice.Tried, m)
+	f.choice.Attempted = append(f.choice.Attempted, m)
 	f.course.Start()
 	return m, 0, false
 }
