--- a/dataplane/endpoints.go
+++ b/dataplane/endpoints.go
@@ -16,20 +16,20 @@
 // is needed to apply the next delta. It changes in one step with the limiter, so the limiter's mutex guards it.
 type endpointList struct {
 	log     *slog.Logger
-	limiter *guardedLimiter
+	guarded *guardedLimiter
 	pool    *connpool.Pool[string]
 
-	version   uint64                  // guarded by limiter.mu; 0: none is held
-	checksum  uint64                  // guarded by limiter.mu; over all rows
-	checksums map[string]uint64       // guarded by limiter.mu; of each row
-	oneWay    discovery.OneWayStates  // guarded by limiter.mu; draining and removed servers stay so
-	merged    *discovery.EndpointList // guarded by limiter.mu; of answers that this gateway had itself; nil: none
+	version   uint64                  // guarded by guardedLimiter.mu; 0: none is held
+	checksum  uint64                  // guarded by guardedLimiter.mu; over all rows
+	checksums map[string]uint64       // guarded by guardedLimiter.mu; of each row
+	oneWay    discovery.OneWayStates  // guarded by guardedLimiter.mu; draining and removed servers stay so
+	merged    *discovery.EndpointList // guarded by guardedLimiter.mu; of answers that this gateway had itself; nil: none
 }
 
 // currentVersion returns the version of the list that is held, 0 if none.
 func (e *endpointList) currentVersion() uint64 {
-	e.limiter.mu.Lock()
-	defer e.limiter.mu.Unlock()
+	e.guarded.mu.Lock()
+	defer e.guarded.mu.Unlock()
 	return e.version
 }
 
@@ -44,8 +44,8 @@
 // apply takes over a delta of the list, at a time on the list's clock. Nothing of it holds where it doesn't fit the
 // version that is held.
 func (e *endpointList) apply(r *versioned.DeltaReader, clockMs float64) error {
-	e.limiter.mu.Lock()
-	defer e.limiter.mu.Unlock()
+	e.guarded.mu.Lock()
+	defer e.guarded.mu.Unlock()
 	switch {
 	case r.To <= e.version:
 		return fmt.Errorf("version %d is not above %d", r.To, e.version)
@@ -69,7 +69,7 @@
 }
 
 // read reads the rows of a delta and verifies the checksum of the list that it makes. It changes nothing. Called under
-// limiter.mu.
+// guardedLimiter.mu.
 func (e *endpointList) read(r *versioned.DeltaReader, clockMs float64) (*endpointDelta, error) {
 	d := &endpointDelta{checksums: map[string]uint64{}}
 	if r.From != 0 { // else the delta is the whole list
@@ -113,7 +113,7 @@
 }
 
 // commit makes the list the one that a delta leads to. It returns the servers that a whole list does not have any
-// more. Called under limiter.mu.
+// more. Called under guardedLimiter.mu.
 func (e *endpointList) commit(r *versioned.DeltaReader, d *endpointDelta) (missing []string) {
 	if r.From == 0 {
 		for id := range e.checksums {
@@ -139,11 +139,11 @@
 
 // mergeDiscovered takes in an answer of the platform that this gateway asked for itself.
 func (e *endpointList) mergeDiscovered(answer []api.Server) {
-	e.limiter.mu.Lock()
-	defer e.limiter.mu.Unlock()
+	e.guarded.mu.Lock()
+	defer e.guarded.mu.Unlock()
 	if e.merged == nil {
 		e.merged = &discovery.EndpointList{}
-		for _, m := range e.limiter.limiter.Members() {
+		for _, m := range e.guarded.limiter.Members() {
 			e.merged.Add(m.Server, 0)
 		}
 	}
@@ -151,7 +151,7 @@
 	for server := range e.merged.All {
 		before[server.ID] = true
 	}
-	e.merged.Merge(e.limiter.clock.nowMs(), answer)
+	e.merged.Merge(e.guarded.clock.nowMs(), answer)
 	var put []api.Server
 	for server := range e.merged.All {
 		put = append(put, server)
@@ -165,7 +165,7 @@
 	e.update(put, removed)
 }
 
-// update has the limiter and the connection pool know what changed. Called under limiter.mu.
+// update has the limiter and the connection pool know what changed. Called under guardedLimiter.mu.
 func (e *endpointList) update(put []api.Server, removed []string) {
 	kept := put[:0]
 	for _, server := range put {
@@ -175,7 +175,7 @@
 			removed = append(removed, server.ID)
 		}
 	}
-	e.limiter.limiter.ChangeServers(e.limiter.clock.nowMs(), kept, removed)
+	e.guarded.limiter.ChangeServers(e.guarded.clock.nowMs(), kept, removed)
 	for _, server := range kept {
 		e.pool.Update(server.ID, server.Addr, 0, server.State != api.Draining)
 	}
--- a/dataplane/forwarder.go
+++ b/dataplane/forwarder.go
@@ -26,7 +26,7 @@
 	log     *slog.Logger
 	metrics *telemetry.Metrics
 	clock   clock
-	limiter *guardedLimiter
+	guarded *guardedLimiter
 	router  *router
 	pool    *connpool.Pool[string]
 	link    *link.Pacer
@@ -34,8 +34,8 @@
 
 	inFlight atomic.Int64 // requests that are being forwarded
 
-	waiting           map[*limiter.Flight]chan struct{} // guarded by limiter.mu; downloads that wait for the link
-	downloadsTimerSet bool                              // guarded by limiter.mu; a look at them is due
+	waiting           map[*limiter.Flight]chan struct{} // guarded by guardedLimiter.mu; downloads that wait for the link
+	downloadsTimerSet bool                              // guarded by guardedLimiter.mu; a look at them is due
 }
 
 // forward is the way of one request to its response: charge the quota, pick the service, send it to servers until one
@@ -60,18 +60,18 @@
 
 // begin charges the tenant's quota and begins the request's lifecycle, under one hold of the mutex.
 func (f *forwarder) begin(r *request) (*lifecycle, *response) {
-	f.limiter.mu.Lock()
-	l := f.limiter.limiter
+	f.guarded.mu.Lock()
+	l := f.guarded.limiter
 	if r.tenant != nil {
 		if wait, ok := l.Admit(f.clock.nowMs(), r.tenant.id); !ok {
-			f.limiter.mu.Unlock()
+			f.guarded.mu.Unlock()
 			return nil, overQuota.response(max(minRetryAfter, millis(wait)))
 		}
 	}
-	r.service = r.route.pickService(f.limiter.rng.Float64())
+	r.service = r.route.pickService(f.guarded.rng.Float64())
 	l.SaveUp(r.service)
 	if r.head.Get("Attempt-Id") == "" { // its response could not be told from another's
-		f.limiter.mu.Unlock()
+		f.guarded.mu.Unlock()
 		return nil, refuseMalformed(400, "an Attempt-Id is needed")
 	}
 	run := &lifecycle{forwarder: f, request: r, ended: make(chan *upstreamAttempt, max(1, r.route.Retries))}
@@ -87,17 +87,17 @@
 		AimMs:      inMs(r.route.latencyTarget),
 	})
 	r.lifecycle = run.state
-	f.limiter.mu.Unlock()
+	f.guarded.mu.Unlock()
 	return run, nil
 }
 
 // finish ends the lifecycle of a request whose response was written, or could not be.
 func (f *forwarder) finish(r *request) {
 	if r.lifecycle != nil && r.isDownload() {
-		f.limiter.mu.Lock()
+		f.guarded.mu.Lock()
 		r.lifecycle.Over()
 		f.startDownloads()
-		f.limiter.mu.Unlock()
+		f.guarded.mu.Unlock()
 	}
 }
 
@@ -105,10 +105,10 @@
 func (r *request) isDownload() bool { return r.route.Type == api.Download }
 
 // startDownloads starts the downloads whose time on the link has come, and sets a timer for the next one. Called under
-// limiter.mu.
+// guardedLimiter.mu.
 func (f *forwarder) startDownloads() {
 	now := f.clock.nowMs()
-	started, nextAt := f.limiter.limiter.Berths(now)
+	started, nextAt := f.guarded.limiter.Berths(now)
 	for _, state := range started {
 		if granted := f.waiting[state]; granted != nil {
 			close(granted)
@@ -120,8 +120,8 @@
 	}
 	f.downloadsTimerSet = true
 	time.AfterFunc(millis(nextAt-f.clock.nowMs()), func() {
-		f.limiter.mu.Lock()
-		defer f.limiter.mu.Unlock()
+		f.guarded.mu.Lock()
+		defer f.guarded.mu.Unlock()
 		f.downloadsTimerSet = false
 		f.startDownloads()
 	})
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -55,7 +55,7 @@
 	metrics *telemetry.Metrics // nil: none are kept
 	clock   clock
 
-	limiter   *guardedLimiter
+	guarded   *guardedLimiter
 	router    router
 	lease     lease
 	peers     peerTable
@@ -75,24 +75,24 @@
 	incarnation := rand.Uint64()
 	self := xxhash.Sum64String(cfg.Name)
 	downlink := link.New(cfg.Limits.LinkMbps, o.Link.Fill)
-	g.limiter = &guardedLimiter{
+	g.guarded = &guardedLimiter{
 		clock:   g.clock,
 		rng:     rand.New(rand.NewPCG(o.Seed, rngStream)),
 		limiter: limiter.New(0, limiterConfig(cfg, o, self, incarnation, downlink)),
 	}
 	pool := newPool(cfg, o.Upstream, downlink)
-	g.router = router{log: o.Log, limiter: g.limiter}
+	g.router = router{log: o.Log, guarded: g.guarded}
 	g.lease = lease{clock: g.clock}
 	if cfg.Timing.StrictRevocation {
 		g.lease.duration = settings.Millis(cfg.Timing.RevokeMs) - revokeMargin
 	}
-	g.peers = peerTable{self: cfg.Name, limiter: g.limiter, byID: map[uint64]peer{}}
-	g.endpoints = endpointList{log: o.Log, limiter: g.limiter, pool: pool}
+	g.peers = peerTable{self: cfg.Name, guarded: g.guarded, byID: map[uint64]peer{}}
+	g.endpoints = endpointList{log: o.Log, guarded: g.guarded, pool: pool}
 	g.readiness = readiness{
 		clock: g.clock, router: &g.router, endpoints: &g.endpoints, lease: &g.lease, peers: &g.peers,
 	}
 	g.forwarder = forwarder{
-		log: o.Log, metrics: o.Metrics, clock: g.clock, limiter: g.limiter, router: &g.router, pool: pool,
+		log: o.Log, metrics: o.Metrics, clock: g.clock, guarded: g.guarded, router: &g.router, pool: pool,
 		link: downlink, rules: attempt.DefaultRules(),
 		waiting: map[*limiter.Flight]chan struct{}{},
 	}
@@ -102,7 +102,7 @@
 		openFor: openAfterTerm, linger: defaultLinger, writeTimeout: defaultWriteTimeout,
 	}
 	g.gossip = gossipHost{
-		log: o.Log, metrics: o.Metrics, limiter: g.limiter, peers: &g.peers, pool: pool, link: downlink,
+		log: o.Log, metrics: o.Metrics, guarded: g.guarded, peers: &g.peers, pool: pool, link: downlink,
 		keyring: o.Keys, self: self, incarnation: incarnation, unknownPeer: o.UnknownPeer,
 	}
 	if err := g.listen(cfg); err != nil {
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -324,9 +324,9 @@
 	}
 	g.ApplyPeers(all)
 	regroups := func() (n, others int) {
-		g.limiter.mu.Lock()
-		defer g.limiter.mu.Unlock()
-		return g.peers.regroups, g.limiter.limiter.Others()
+		g.guarded.mu.Lock()
+		defer g.guarded.mu.Unlock()
+		return g.peers.regroups, g.guarded.limiter.Others()
 	}
 	again := []api.Peer{all[7]}
 	again[0].StartID, again[0].Incarnation, again[0].Addr = 2, 2, "127.0.0.1:9999"
@@ -338,11 +338,11 @@
 	if n, others := regroups(); n != 1 || others != 300 {
 		t.Errorf("told %d times of %d", n, others)
 	}
-	g.limiter.mu.Lock()
+	g.guarded.mu.Lock()
 	if at := g.peers.byID[xxhash.Sum64String(again[0].Name)].addr.String(); at != again[0].Addr {
 		t.Errorf("words go to %s", at)
 	}
-	g.limiter.mu.Unlock()
+	g.guarded.mu.Unlock()
 	for i, change := range []func(p *api.Peer){
 		func(p *api.Peer) { p.State = membership.Dead },
 		func(p *api.Peer) { p.State = membership.Alive },
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -21,7 +21,7 @@
 type gossipHost struct {
 	log         *slog.Logger
 	metrics     *telemetry.Metrics
-	limiter     *guardedLimiter
+	guarded     *guardedLimiter
 	peers       *peerTable
 	pool        *connpool.Pool[string]
 	link        *link.Pacer
@@ -73,14 +73,14 @@
 
 // tick has the limiter make the messages of a tick, sends them, and returns when the next tick is due.
 func (s *gossipSender) tick() (nextMs float64) {
-	g := s.host.limiter
+	g := s.host.guarded
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limiter.Tick(g.clock.nowMs(), s.send)
 	return g.limiter.TickMs()
 }
 
-// send sends one message. Called under limiter.mu; sending does not block.
+// send sends one message. Called under guardedLimiter.mu; sending does not block.
 func (s *gossipSender) send(to uint64, w *gossip.Message) {
 	h := s.host
 	s.plain = w.Append(s.plain[:0])
@@ -149,7 +149,7 @@
 
 // deliver gives the message to the limiter and reports whether its sender is a known peer.
 func (r *gossipReceiver) deliver() (known bool) {
-	g, m := r.host.limiter, &r.message
+	g, m := r.host.guarded, &r.message
 	g.mu.Lock()
 	known = g.limiter.Hear(g.clock.nowMs(), m)
 	g.mu.Unlock()
--- a/dataplane/isolation_test.go
+++ b/dataplane/isolation_test.go
@@ -98,9 +98,9 @@
 	c.Conn = givenUp{tcp, cancel}
 	r := &request{head: &h1.Head{Method: "GET", Target: "/get/", Fields: []h1.Field{{Name: "Host", Value: "h"}, {Name: "Attempt-Id", Value: "a1"}}},
 		route: g.router.current().route("h", "/get/"), deadline: time.Now().Add(patience)}
-	g.limiter.mu.Lock()
-	m := g.limiter.limiter.Members()[0]
-	g.limiter.mu.Unlock()
+	g.guarded.mu.Lock()
+	m := g.guarded.limiter.Members()[0]
+	g.guarded.mu.Unlock()
 	o := g.forwarder.attempt(r, &upstreamAttempt{member: m, ctx: ctx, cancel: cancel, host: host}, host)
 	if ctx.Err() == nil {
 		t.Fatal("the connection was not put back")
--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -16,7 +16,7 @@
 type lifecycle struct {
 	forwarder *forwarder
 	request   *request
-	state     *limiter.Flight // guarded by limiter.mu where its methods read or change the limiter
+	state     *limiter.Flight // guarded by guardedLimiter.mu where its methods read or change the limiter
 	ended     chan *upstreamAttempt
 	running   []*upstreamAttempt
 	failure   *response // the last failure of a server's
@@ -43,14 +43,14 @@
 		return nil
 	}
 	f := l.forwarder
-	f.limiter.mu.Lock()
+	f.guarded.mu.Lock()
 	granted, wait, refused := l.state.Berth(f.clock.nowMs())
 	if !granted && !refused {
 		l.granted = make(chan struct{})
 		f.waiting[l.state] = l.granted
 		f.startDownloads()
 	}
-	f.limiter.mu.Unlock()
+	f.guarded.mu.Unlock()
 	switch {
 	case refused:
 		return linkFull.response(max(minRetryAfter, min(maxRetryAfter, millis(wait))))
@@ -62,9 +62,9 @@
 	select {
 	case <-l.granted:
 	case <-t.C:
-		f.limiter.mu.Lock()
+		f.guarded.mu.Lock()
 		delete(f.waiting, l.state)
-		f.limiter.mu.Unlock()
+		f.guarded.mu.Unlock()
 	}
 	return nil
 }
@@ -89,11 +89,11 @@
 // one would come too late.
 func (l *lifecycle) chooseServer(hedge bool) (*upstreamAttempt, *response) {
 	f := l.forwarder
-	f.limiter.mu.Lock()
+	f.guarded.mu.Lock()
 	now := f.clock.nowMs()
 	member, wait, refused := l.state.Launch(now, hedge)
 	if member == nil {
-		f.limiter.mu.Unlock()
+		f.guarded.mu.Unlock()
 		if refused {
 			return nil, serverFull.response(max(minRetryAfter, min(maxRetryAfter, millis(wait))))
 		}
@@ -105,7 +105,7 @@
 	if wait, counts := l.state.LateMs(now, member); counts {
 		at.lateAfter = millis(wait)
 	}
-	f.limiter.mu.Unlock()
+	f.guarded.mu.Unlock()
 	return at, nil
 }
 
@@ -115,9 +115,9 @@
 	at.attemptOutcome = attemptOutcome{result: balance.NotSent}
 	if at.lateAfter > 0 {
 		late := time.AfterFunc(at.lateAfter, func() {
-			f.limiter.mu.Lock()
-			defer f.limiter.mu.Unlock()
-			f.limiter.limiter.Overdue(f.clock.nowMs(), at.member)
+			f.guarded.mu.Lock()
+			defer f.guarded.mu.Unlock()
+			f.guarded.limiter.Overdue(f.clock.nowMs(), at.member)
 		})
 		defer late.Stop()
 	}
@@ -125,9 +125,9 @@
 		at.attemptOutcome = f.attempt(l.request, at, at.host)
 	}
 	tookMs := inMs(time.Since(at.sentAt))
-	f.limiter.mu.Lock()
-	f.limiter.limiter.Done(f.clock.nowMs(), at.member, at.result, tookMs)
-	f.limiter.mu.Unlock()
+	f.guarded.mu.Lock()
+	f.guarded.limiter.Done(f.clock.nowMs(), at.member, at.result, tookMs)
+	f.guarded.mu.Unlock()
 	observeAttempt(f.metrics, l.request.service, at)
 	l.logAttempt(at, tookMs)
 	l.ended <- at
@@ -149,9 +149,9 @@
 	if !hasServer || !l.state.Parallel() {
 		return nil
 	}
-	l.forwarder.limiter.mu.Lock()
+	l.forwarder.guarded.mu.Lock()
 	wait, allowed := l.state.HedgeMs()
-	l.forwarder.limiter.mu.Unlock()
+	l.forwarder.guarded.mu.Unlock()
 	if !allowed {
 		return nil
 	}
@@ -232,10 +232,10 @@
 	if l.request.head.Method == "HEAD" { // which has no body
 		length = 0
 	}
-	f.limiter.mu.Lock()
+	f.guarded.mu.Lock()
 	l.state.Head(f.clock.nowMs(), length)
 	f.startDownloads()
-	f.limiter.mu.Unlock()
+	f.guarded.mu.Unlock()
 }
 
 // remove takes an attempt that has ended off the running ones.
--- a/dataplane/metrics.go
+++ b/dataplane/metrics.go
@@ -23,12 +23,12 @@
 
 	locked := func(name string, read func() float64) {
 		g.metrics.Gauge(name, func() float64 {
-			g.limiter.mu.Lock()
-			defer g.limiter.mu.Unlock()
+			g.guarded.mu.Lock()
+			defer g.guarded.mu.Unlock()
 			return read()
 		})
 	}
-	l := g.limiter.limiter
+	l := g.guarded.limiter
 	locked("elmspan_quota_part", func() float64 { return l.Part(g.clock.nowMs()) })
 	locked("elmspan_dark_zones", func() float64 { return float64(len(l.Dark(g.clock.nowMs()))) })
 	locked("elmspan_peers", func() float64 { return float64(l.Others()) })
--- a/dataplane/peers.go
+++ b/dataplane/peers.go
@@ -22,19 +22,19 @@
 // peerTable holds the other gateways, by the hashes of their names.
 type peerTable struct {
 	self    string // this gateway's name
-	limiter *guardedLimiter
+	guarded *guardedLimiter
 
 	known atomic.Bool // the control side has named other processes
 
-	byID     map[uint64]peer // guarded by limiter.mu
-	regroups int             // guarded by limiter.mu; how often the limiter was told a new set of peers
+	byID     map[uint64]peer // guarded by guardedLimiter.mu
+	regroups int             // guarded by guardedLimiter.mu; how often the limiter was told a new set of peers
 }
 
 // apply takes in the processes of which something has changed. One that only started again, at the same address or
 // another, is the same peer: the replica groups and the subsets of servers stay as they are.
 func (t *peerTable) apply(changed []api.Peer) {
-	t.limiter.mu.Lock()
-	defer t.limiter.mu.Unlock()
+	t.guarded.mu.Lock()
+	defer t.guarded.mu.Unlock()
 	regroup := false
 	for _, p := range changed {
 		if p.Name == t.self {
@@ -48,7 +48,7 @@
 	}
 }
 
-// applyOne takes in one process and reports whether the set of peers or their zones changed. Called under limiter.mu.
+// applyOne takes in one process and reports whether the set of peers or their zones changed. Called under guardedLimiter.mu.
 func (t *peerTable) applyOne(p *api.Peer) bool {
 	id := xxhash.Sum64String(p.Name)
 	before, had := t.byID[id]
@@ -61,13 +61,13 @@
 	return !had || before.zone != p.Zone
 }
 
-// regroup tells the limiter the present set of peers. Called under limiter.mu.
+// regroup tells the limiter the present set of peers. Called under guardedLimiter.mu.
 func (t *peerTable) regroup() {
 	members := make([]quota.Member, 0, len(t.byID))
 	for id, p := range t.byID {
 		members = append(members, quota.Member{ID: id, Zone: p.zone})
 	}
 	slices.SortFunc(members, func(a, b quota.Member) int { return cmp.Compare(a.ID, b.ID) })
-	t.limiter.limiter.Peers(t.limiter.clock.nowMs(), members)
+	t.guarded.limiter.Peers(t.guarded.clock.nowMs(), members)
 	t.regroups++
 }
--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -251,9 +251,9 @@
 // noteForgotten notes that a server had forgotten a kept connection of an age group, and has the peers told.
 func (f *forwarder) noteForgotten(server string, age int) {
 	f.pool.RecordStale(age, connpool.Self)
-	f.limiter.mu.Lock()
-	f.limiter.limiter.Forgotten(f.clock.nowMs(), age)
-	f.limiter.mu.Unlock()
+	f.guarded.mu.Lock()
+	f.guarded.limiter.Forgotten(f.clock.nowMs(), age)
+	f.guarded.mu.Unlock()
 	f.log.Debug("kept connection was forgotten by the server", "server", server, "age_group", age)
 	f.metrics.Count("elmspan_forgotten_connections_total", 1)
 }
--- a/dataplane/router.go
+++ b/dataplane/router.go
@@ -12,7 +12,7 @@
 // makes a new snapshot and swaps the pointer. Changes come from one goroutine.
 type router struct {
 	log      *slog.Logger
-	limiter  *guardedLimiter
+	guarded  *guardedLimiter
 	snapshot atomic.Pointer[snapshot] // nil before the first configuration
 }
 
@@ -35,9 +35,9 @@
 	if err != nil {
 		return err
 	}
-	r.limiter.mu.Lock()
-	r.limiter.limiter.ChangePlans(r.limiter.clock.nowMs(), plans.put, plans.drop)
-	r.limiter.mu.Unlock()
+	r.guarded.mu.Lock()
+	r.guarded.limiter.ChangePlans(r.guarded.clock.nowMs(), plans.put, plans.drop)
+	r.guarded.mu.Unlock()
 	r.snapshot.Store(next)
 	r.log.Info("configuration applied", "revision", next.revision, "from", delta.From, "rows", delta.RowCount,
 		"total_rows", next.checksums.Len(), "tenants", next.tenants.Len(), "took_ms", time.Since(begun).Milliseconds())
--- a/dataplane/scriptedserver_test.go
+++ b/dataplane/scriptedserver_test.go
@@ -301,11 +301,11 @@
 	id := fmt.Sprintf("%s-%d", kind, s.n)
 	sc = &script{moves: [2]*move{first, second}}
 	s.scripts.Store(id, sc)
-	s.g.limiter.mu.Lock()
+	s.g.guarded.mu.Lock()
 	for range 8 { // further tries are saved up
-		s.g.limiter.limiter.SaveUp("s")
+		s.g.guarded.limiter.SaveUp("s")
 	}
-	s.g.limiter.mu.Unlock()
+	s.g.guarded.mu.Unlock()
 	if s.c == nil {
 		s.c = dial(s.t, s.g)
 	}
--- a/dataplane/status.go
+++ b/dataplane/status.go
@@ -31,9 +31,9 @@
 		LeaseLeftMs: g.lease.remaining().Milliseconds(),
 		Connections: g.listener.count(),
 	}
-	g.limiter.mu.Lock()
-	defer g.limiter.mu.Unlock()
-	l, now := g.limiter.limiter, g.clock.nowMs()
+	g.guarded.mu.Lock()
+	defer g.guarded.mu.Unlock()
+	l, now := g.guarded.limiter, g.clock.nowMs()
 	s.Peers = l.Others()
 	s.QuotaPart = l.Part(now)
 	s.DarkZones = l.Dark(now)
