--- a/dataplane/clientconn_test.go
+++ b/dataplane/clientconn_test.go
@@ -37,7 +37,7 @@
 			t.Fatalf("sending on meets %v", err)
 		}
 	}
-	c.Close()
+	closeConn(c)
 	untilGone(t, g)
 }
 
@@ -47,17 +47,17 @@
 	t.Parallel()
 	const body = "in two chunks"
 	b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
-		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n%s\r\n%x\r\n%s\r\n", body[:3], len(body)-3, body[3:])
+		writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n%s\r\n%x\r\n%s\r\n", body[:3], len(body)-3, body[3:])
 		if h.Target == "/get/cut" {
 			return false
 		}
-		io.WriteString(w, "0\r\n\r\n")
+		write(w, "0\r\n\r\n")
 		return true
 	})
 	g := newGatewayOf(t, settings.Timing{GraceS: 3}, b)
 	for target, breaks := range map[string]bool{"/get/whole": false, "/get/cut": true} {
 		c := dial(t, g)
-		fmt.Fprintf(c, "GET %s HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\nConnection: keep-alive\r\n\r\n", target)
+		writef(c, "GET %s HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\nConnection: keep-alive\r\n\r\n", target)
 		h, err := h1.ReadResponse(c.in, 1<<16)
 		if err != nil {
 			t.Fatal(err)
@@ -76,9 +76,9 @@
 	inFakeTime(t, func(t testing.TB) {
 		g := newGatewayOf(t, settings.Timing{GraceS: 3}, newBackend(t, good("yes")))
 		c := dial(t, g)
-		fmt.Fprint(c, "POST /once/ HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
+		write(c, "POST /once/ HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 		untilRead(t, g, 1)
-		io.WriteString(c, "body")
+		write(c, "body")
 		if line, err := c.in.ReadString('\n'); err != nil || line != "HTTP/1.1 200 OK\r\n" {
 			t.Errorf("%q, %v", line, err)
 		}
@@ -91,7 +91,7 @@
 	inFakeTime(t, func(t testing.TB) {
 		b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
 			framing := map[string]string{"/get/sized": "Content-Length: 123456\r\n", "/get/chunked": "Transfer-Encoding: chunked\r\n", "/get/unsaid": ""}[h.Target]
-			fmt.Fprintf(w, "HTTP/1.1 404 x\r\nAttempt-Id: a1\r\n%s\r\n", framing)
+			writef(w, "HTTP/1.1 404 x\r\nAttempt-Id: a1\r\n%s\r\n", framing)
 			return true
 		})
 		c := dial(t, newGateway(t, b))
@@ -119,19 +119,19 @@
 					<-others // the others were answered before
 					switch first {
 					case "refused":
-						fmt.Fprint(w, answerHead("503 x", id, "Not-Executed: full\r\n"+sized(0)))
+						write(w, answerHead("503 x", id, "Not-Executed: full\r\n"+sized(0)))
 						return true
 					case "failed":
-						fmt.Fprint(w, answerHead("500 x", id, sized(4)), "fail")
+						write(w, answerHead("500 x", id, sized(4)), "fail")
 						return true
 					case "gone":
 						return false
 					case "cut":
-						fmt.Fprint(w, answerHead("200 OK", id, sealed(id)+sized(2*maxHeldResponse)), "cut")
+						write(w, answerHead("200 OK", id, sealed(id)+sized(2*maxHeldResponse)), "cut")
 						return false
 					}
 				}
-				fmt.Fprint(w, answerHead("200 OK", id, sealed(id)+sized(len(ownBody(id)))), ownBody(id))
+				write(w, answerHead("200 OK", id, sealed(id)+sized(len(ownBody(id)))), ownBody(id))
 				if done.Add(1) == 3 {
 					close(others)
 				}
@@ -142,7 +142,7 @@
 			for id := range 4 {
 				fmt.Fprintf(&all, "GET /open/ HTTP/1.1\r\nHost: h\r\nAttempt-Id: %d\r\n\r\n", id)
 			}
-			io.WriteString(c, all.String())
+			write(c, all.String())
 			for id := range 4 {
 				h, got, err := c.answer()
 				if first == "cut" {
@@ -196,9 +196,9 @@
 						return
 					}
 					c := &client{t, nc, nil}
-					c.SetDeadline(time.Now().Add(patience))
+					setDeadline(c, time.Now().Add(patience))
 					s.talk(c, fmt.Sprintf("c%d-%d", n, round), rng, broken, &refused, &answers)
-					nc.Close()
+					closeConn(nc)
 				}
 			})
 		}
@@ -252,16 +252,16 @@
 	c.in = readerPool.New().(*bufio.Reader)
 	c.in.Reset(c.Conn)
 	sent := time.Now()
-	io.WriteString(c, all.String())
+	write(c, all.String())
 	switch rng.IntN(5) {
 	case 0: // goes away in the middle
-		c.Conn.(interface{ SetLinger(int) error }).SetLinger(0)
+		resetOnClose(c.Conn)
 		if rng.IntN(2) == 0 {
-			c.in.ReadByte()
+			_, _ = c.in.ReadByte() // whether a response has come by then or not
 		}
 		return
 	case 1:
-		c.Conn.(interface{ CloseWrite() error }).CloseWrite()
+		closeWrite(c.Conn)
 	}
 	for _, id := range ids {
 		h, got, err := c.answer()
@@ -317,6 +317,6 @@
 		if h := c.want(404, ""); !h.ClosesConnection() {
 			t.Errorf("%+v: whether a body follows can't be told", h)
 		}
-		c.Close()
+		closeConn(c)
 	})
 }
--- a/dataplane/endpoints.go
+++ b/dataplane/endpoints.go
@@ -23,7 +23,7 @@
 	checksum  uint64                  // guarded by guardedLimiter.mu; over all rows
 	checksums map[string]uint64       // guarded by guardedLimiter.mu; of each row
 	oneWay    discovery.OneWayStates  // guarded by guardedLimiter.mu; draining and removed servers stay so
-	merged    *discovery.EndpointList // guarded by guardedLimiter.mu; of answers that this gateway had itself; nil: none
+	merged    *discovery.EndpointList // guarded by guardedLimiter.mu; of this gateway's own queries; nil: none
 }
 
 // currentVersion returns the version of the list that is held, 0 if none.
--- a/dataplane/fixtures_test.go
+++ b/dataplane/fixtures_test.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"net"
 	"strconv"
+	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -41,8 +42,8 @@
 				return
 			}
 			go func() {
-				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
+				defer closeConn(c)
+				setDeadline(c, time.Now().Add(patience))
 				in := bufio.NewReader(c)
 				for {
 					h, body, err := h1.ReadWhole(in, 1<<16)
@@ -63,14 +64,14 @@
 
 func good(body string) func(io.Writer, *h1.Head, []byte) bool {
 	return func(w io.Writer, h *h1.Head, _ []byte) bool {
-		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", h.Get("Attempt-Id"), len(body), body)
+		writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", h.Get("Attempt-Id"), len(body), body)
 		return true
 	}
 }
 
 func status(line string) func(io.Writer, *h1.Head, []byte) bool {
 	return func(w io.Writer, h *h1.Head, _ []byte) bool {
-		fmt.Fprintf(w, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", line, h.Get("Attempt-Id"))
+		writef(w, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", line, h.Get("Attempt-Id"))
 		return true
 	}
 }
@@ -135,13 +136,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	t.Cleanup(func() { closeConn(c) })
+	setDeadline(c, time.Now().Add(patience))
 	return &client{t, c, bufio.NewReader(c)}
 }
 
 func (c *client) send(line, fields, body string) {
-	fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n%s\r\n%s", line, fields, body)
+	writef(c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n%s\r\n%s", line, fields, body)
 }
 
 func (c *client) answer() (*h1.Head, string, error) {
@@ -165,3 +166,36 @@
 	}
 	return h
 }
+
+// The following write to, and change, connections whose other end may have gone by then. What a test is about shows in
+// what it reads, so their errors are not looked at.
+
+// write writes parts to a connection.
+func write(w io.Writer, parts ...string) {
+	_, _ = io.WriteString(w, strings.Join(parts, "")) // see above
+}
+
+// writef writes formatted text to a connection.
+func writef(w io.Writer, format string, args ...any) {
+	_, _ = fmt.Fprintf(w, format, args...) // see above
+}
+
+// closeConn closes a connection or a listener.
+func closeConn(c io.Closer) {
+	_ = c.Close() // see above
+}
+
+// setDeadline sets the deadline of a connection.
+func setDeadline(c net.Conn, until time.Time) {
+	_ = c.SetDeadline(until) // see above
+}
+
+// resetOnClose has the closing of a connection reset it.
+func resetOnClose(c net.Conn) {
+	_ = c.(interface{ SetLinger(sec int) error }).SetLinger(0) // see above
+}
+
+// closeWrite closes a connection in one direction.
+func closeWrite(c net.Conn) {
+	_ = c.(interface{ CloseWrite() error }).CloseWrite() // see above
+}
--- a/dataplane/forwarder.go
+++ b/dataplane/forwarder.go
@@ -34,8 +34,9 @@
 
 	inFlight atomic.Int64 // requests that are being forwarded
 
-	waiting           map[*limiter.Flight]chan struct{} // guarded by guardedLimiter.mu; downloads that wait for the link
-	downloadsTimerSet bool                              // guarded by guardedLimiter.mu; a look at them is due
+	// Guarded by guardedLimiter.mu.
+	waiting           map[*limiter.Flight]chan struct{} // downloads that wait for the link
+	downloadsTimerSet bool                              // a look at them is due
 }
 
 // forward is the way of one request to its response: charge the quota, pick the service, send it to servers until one
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -47,13 +47,13 @@
 		c := dial(t, g)
 		c.send("GET /none/", "", "")
 		c.want(404, "")
-		fmt.Fprint(c, "GET /get/ HTTP/1.1\r\nHost: h\r\nAuthorization: Token bad\r\n\r\n")
+		write(c, "GET /get/ HTTP/1.1\r\nHost: h\r\nAuthorization: Token bad\r\n\r\n")
 		c.want(401, "")
 		for range 2 {
-			fmt.Fprint(c, "GET /get/ HTTP/1.1\r\nHost: h\r\nAttempt-Id: b\r\nAuthorization: Token few\r\n\r\n")
+			write(c, "GET /get/ HTTP/1.1\r\nHost: h\r\nAttempt-Id: b\r\nAuthorization: Token few\r\n\r\n")
 			c.want(200, "yes")
 		}
-		fmt.Fprint(c, "GET /get/ HTTP/1.1\r\nHost: h\r\nAuthorization: Token few\r\n\r\n")
+		write(c, "GET /get/ HTTP/1.1\r\nHost: h\r\nAuthorization: Token few\r\n\r\n")
 		if h := c.want(429, ""); h.Get("Retry-After") == "" {
 			t.Error("no Retry-After")
 		}
@@ -65,7 +65,7 @@
 			"GET /get/ HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 3000) + "\r\n\r\n":              431,
 		} {
 			c := dial(t, g)
-			fmt.Fprint(c, text)
+			write(c, text)
 			c.want(code, "")
 			if _, err := c.in.ReadByte(); err == nil {
 				t.Errorf("%d and the connection goes on", code)
@@ -91,22 +91,22 @@
 			"cut":               func(io.Writer, *h1.Head, []byte) bool { return false },
 			"503 without proof": status("503 x"),
 			"429 without proof": status("429 x"),
-			"nonsense":          func(w io.Writer, _ *h1.Head, _ []byte) bool { io.WriteString(w, "nonsense\r\n\r\n"); return false },
+			"nonsense":          func(w io.Writer, _ *h1.Head, _ []byte) bool { write(w, "nonsense\r\n\r\n"); return false },
 			"another's answer": func(w io.Writer, _ *h1.Head, _ []byte) bool {
-				io.WriteString(w, "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
+				write(w, "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
 				return false
 			},
 			"nobody's answer": func(w io.Writer, _ *h1.Head, _ []byte) bool {
-				io.WriteString(w, "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
+				write(w, "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
 				return true
 			},
 			"nobody's promise": func(w io.Writer, _ *h1.Head, _ []byte) bool {
-				io.WriteString(w, "HTTP/1.1 503 x\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
+				write(w, "HTTP/1.1 503 x\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 				return true
 			},
 			"no seal": status("200 OK"),
 			"cut short": func(w io.Writer, _ *h1.Head, _ []byte) bool {
-				io.WriteString(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf")
+				write(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf")
 				return false
 			},
 		} {
@@ -137,7 +137,7 @@
 			"500":   status("500 x"),
 			"moved": status("421 x"),
 			"cut short": func(w io.Writer, _ *h1.Head, _ []byte) bool {
-				io.WriteString(w, "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf")
+				write(w, "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf")
 				return false
 			},
 		} {
@@ -152,7 +152,9 @@
 			c := dial(t, newGateway(t, newBackend(t, either), newBackend(t, either)))
 			for range 12 { // further tries are saved up
 				c.send("GET /open/", "", "")
-				c.answer()
+				if _, _, err := c.answer(); err != nil {
+					t.Fatalf("%s: %v", name, err)
+				}
 			}
 			odd.Store(true)
 			c.send("GET /get/", "", "")
@@ -221,12 +223,12 @@
 	b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 		switch h.Target {
 		case "/get/chunked":
-			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(long), long)
+			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(long), long)
 		case "/get/short":
-			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", len(long)+1, long)
+			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", len(long)+1, long)
 			return false
 		case "/get/cut":
-			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(long), long)
+			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(long), long)
 			return false
 		default:
 			return good(string(body))(w, h, nil)
@@ -245,7 +247,7 @@
 	over.send("POST /once/", "Transfer-Encoding: chunked\r\n", "")
 	go func() {
 		for range 8 {
-			fmt.Fprintf(over, "%x\r\n%s\r\n", len(long), long)
+			writef(over, "%x\r\n%s\r\n", len(long), long)
 		}
 	}()
 	over.want(413, "")
@@ -297,14 +299,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { errors.Join(g.listener.tcp.Close(), g.readiness.listener.Close(), g.gossip.socket.Close()) })
+	t.Cleanup(func() {
+		if err := errors.Join(g.listener.tcp.Close(), g.readiness.listener.Close(), g.gossip.socket.Close()); err != nil {
+			t.Error(err)
+		}
+	})
 	w := gossip.Message{From: 7, Incarnation: 1}
 	for range sent {
 		if err := g.gossip.socket.Send(w.Append(nil), g.gossip.socket.Addr()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	g.gossip.socket.Send([]byte("no word"), g.gossip.socket.Addr())
+	if err := g.gossip.socket.Send([]byte("not a message"), g.gossip.socket.Addr()); err != nil {
+		t.Fatal(err)
+	}
 	if heard != 0 {
 		t.Errorf("%d words were taken in before the tick", heard)
 	}
--- a/dataplane/isolation_test.go
+++ b/dataplane/isolation_test.go
@@ -39,7 +39,7 @@
 					if h.Target != "/once/" {
 						return good("the next one's")(w, h, body)
 					}
-					fmt.Fprintf(w, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\n%s\r\n\r\n%s", status, h.Get("Attempt-Id"), c.framing, c.body)
+					writef(w, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\n%s\r\n\r\n%s", status, h.Get("Attempt-Id"), c.framing, c.body)
 					return !c.breaks
 				})
 				k := dial(t, newGateway(t, b))
@@ -126,7 +126,7 @@
 				filed.Add(1)
 				return good("filed")(w, h, body)
 			}
-			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", 2*maxHeldResponse, strings.Repeat("x", maxHeldResponse))
+			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", 2*maxHeldResponse, strings.Repeat("x", maxHeldResponse))
 			close(begun)
 			<-breakOff
 			return false
@@ -194,10 +194,10 @@
 			if h.Target == "/once/" {
 				return good(string(got))(w, h, nil)
 			}
-			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", n, body[:n/2])
+			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", n, body[:n/2])
 			close(begun)
 			<-goOn
-			io.WriteString(w, body[n/2:])
+			write(w, body[n/2:])
 			return true
 		})
 		g := newGateway(t, b)
@@ -220,7 +220,7 @@
 		if _, err := c.in.ReadString('\n'); err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, "body")
+		write(c, "body")
 		c.want(200, "body")
 	})
 }
@@ -231,7 +231,7 @@
 	inFakeTime(t, func(t testing.TB) {
 		b := newBackend(t, good("yes"))
 		c := dial(t, newGateway(t, b))
-		fmt.Fprint(c, "POST /once/ HTTP/1.1\r\nHost: h\r\nAuthorization: Token k\r\nContent-Length: 4\r\n\r\nbody")
+		write(c, "POST /once/ HTTP/1.1\r\nHost: h\r\nAuthorization: Token k\r\nContent-Length: 4\r\n\r\nbody")
 		c.want(400, "")
 		if n := b.seen.Load(); n != 0 {
 			t.Errorf("it was sent %d times", n)
@@ -246,7 +246,7 @@
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
-			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nConnection: Server-Seal, Attempt-Id, X\r\nX: 1\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
+			writef(w, "HTTP/1.1 200 OK\r\nConnection: Server-Seal, Attempt-Id, X\r\nX: 1\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
 		c := dial(t, newGateway(t, b))
@@ -269,7 +269,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { closeConn(l) })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -278,9 +278,9 @@
 			}
 			h, err := h1.ReadRequest(bufio.NewReader(c), 1<<16)
 			if err == nil {
-				fmt.Fprintf(c, "HTTP/1.1 503 x\r\nNot-Executed: full\r\nAttempt-Id: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", h.Get("Attempt-Id"))
+				writef(c, "HTTP/1.1 503 x\r\nNot-Executed: full\r\nAttempt-Id: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", h.Get("Attempt-Id"))
 			}
-			c.Close() // with what it has not read: a reset
+			closeConn(c) // with what it has not read: a reset
 		}
 	}()
 	c := dial(t, newGateway(t, &backend{addr: l.Addr().String()}))
@@ -298,10 +298,12 @@
 	g := newGateway(b, server)
 	c := dial(b, g)
 	ask := []byte("GET /get/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n\r\n")
-	c.SetDeadline(time.Time{})
+	setDeadline(c, time.Time{})
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Write(ask)
+		if _, err := c.Write(ask); err != nil {
+			b.Fatal(err)
+		}
 		if h, _, err := c.answer(); err != nil || h.Status != 200 {
 			b.Fatal(h, err)
 		}
--- a/dataplane/memoryconn_test.go
+++ b/dataplane/memoryconn_test.go
@@ -24,8 +24,8 @@
 		want error
 	}{
 		"closes": {func(near, far end) error {
-			io.WriteString(far, "bytes")
-			far.Close()
+			write(far, "bytes")
+			closeConn(far)
 			got, err := io.ReadAll(near)
 			if string(got) != "bytes" {
 				return fmt.Errorf("%q", got)
@@ -33,12 +33,12 @@
 			return err
 		}, nil},
 		"closes one direction": {func(near, far end) error {
-			far.CloseWrite()
+			closeWrite(far)
 			if _, err := io.ReadAll(near); err != nil {
 				return err
 			}
-			io.WriteString(near, "back")
-			near.CloseWrite()
+			write(near, "back")
+			closeWrite(near)
 			got, err := io.ReadAll(far)
 			if string(got) != "back" {
 				return fmt.Errorf("%q", got)
@@ -46,20 +46,22 @@
 			return err
 		}, nil},
 		"resets": {func(near, far end) error {
-			far.SetLinger(0)
-			far.Close()
+			resetOnClose(far)
+			closeConn(far)
 			_, err := near.Read(make([]byte, 1))
 			return err
 		}, syscall.ECONNRESET},
 		"closes without reading": {func(near, far end) error {
-			io.WriteString(near, "unread")
-			io.ReadFull(far, make([]byte, 1)) // it has come
-			far.Close()
+			write(near, "unread")
+			if _, err := io.ReadFull(far, make([]byte, 1)); err != nil { // it has come
+				return err
+			}
+			closeConn(far)
 			_, err := near.Read(make([]byte, 1))
 			return err
 		}, syscall.ECONNRESET},
 		"is gone when written to": {func(near, far end) error {
-			far.Close()
+			closeConn(far)
 			if n, err := io.WriteString(near, "taken"); n != 5 || err != nil {
 				return fmt.Errorf("%d, %v", n, err)
 			}
@@ -71,17 +73,17 @@
 			}
 		}, nil},
 		"is written to behind its own end": {func(near, _ end) error {
-			near.CloseWrite()
+			closeWrite(near)
 			_, err := io.WriteString(near, "x")
 			return err
 		}, syscall.EPIPE},
 		"is silent": {func(near, _ end) error {
-			near.SetDeadline(time.Now().Add(time.Millisecond))
+			setDeadline(near, time.Now().Add(time.Millisecond))
 			_, err := near.Read(make([]byte, 1))
 			return err
 		}, os.ErrDeadlineExceeded},
 		"does not read": {func(near, _ end) error {
-			near.SetDeadline(time.Now().Add(time.Millisecond))
+			setDeadline(near, time.Now().Add(time.Millisecond))
 			for {
 				if _, err := near.Write(make([]byte, 1<<16)); err != nil {
 					return err
@@ -89,7 +91,7 @@
 			}
 		}, os.ErrDeadlineExceeded},
 		"is closed here": {func(near, _ end) error {
-			near.Close()
+			closeConn(near)
 			_, err := near.Read(make([]byte, 1))
 			return err
 		}, net.ErrClosed},
@@ -104,14 +106,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			near.SetDeadline(time.Now().Add(patience))
-			far.SetDeadline(time.Now().Add(patience))
+			setDeadline(near, time.Now().Add(patience))
+			setDeadline(far, time.Now().Add(patience))
 			if err := c.do(near.(end), far.(end)); !errors.Is(err, c.want) {
 				_, fake := t.(inMemory)
 				t.Errorf("%s, in memory %v: %v, want %v", name, fake, err, c.want)
 			}
-			near.Close()
-			far.Close()
+			closeConn(near)
+			closeConn(far)
 		}
 		test(t)
 		inFakeTime(t, test)
--- a/dataplane/memorynet_test.go
+++ b/dataplane/memorynet_test.go
@@ -29,7 +29,7 @@
 func (m *memory) end() {
 	m.mu.Lock()
 	for _, c := range m.conns {
-		c.Close()
+		closeConn(c)
 	}
 	m.mu.Unlock()
 	time.Sleep(time.Hour)
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { closeConn(l) })
 	return l
 }
 
@@ -77,7 +77,7 @@
 	defer m.mu.Unlock()
 	l := &memListener{m: m, at: memAddr(fmt.Sprintf("192.0.2.%d:80", len(m.listeners)+1)), come: make(chan net.Conn, 64), gone: make(chan struct{})}
 	m.listeners[string(l.at)] = l
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { closeConn(l) })
 	return l
 }
 
@@ -116,7 +116,7 @@
 	g.tasks.Go(g.listener.accept)
 	m.Cleanup(func() {
 		stop()
-		g.listener.tcp.Close()
+		closeConn(g.listener.tcp)
 		g.listener.closeAll()
 		g.tasks.Wait()
 	})
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -133,9 +133,9 @@
 				inFakeTime(t, func(t testing.TB) {
 					long := strings.Repeat("x", 2*maxHeldResponse)
 					c := dial(t, newGateway(t, newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
-						io.WriteString(w, answerHead(status, "a1", sealed("a1")+sized(len(long)))+long[:maxHeldResponse+9])
+						write(w, answerHead(status, "a1", sealed("a1")+sized(len(long)))+long[:maxHeldResponse+9])
 						time.Sleep(takes)
-						io.WriteString(w, long[maxHeldResponse+9:])
+						write(w, long[maxHeldResponse+9:])
 						return true
 					})))
 					sent := time.Now()
--- a/dataplane/peers.go
+++ b/dataplane/peers.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// applyOne takes in one process and reports whether the set of peers or their zones changed. Called under guardedLimiter.mu.
+// applyOne takes in one process and reports whether the set of peers or their zones changed. Called under
+// guardedLimiter.mu.
 func (t *peerTable) applyOne(p *api.Peer) bool {
 	id := xxhash.Sum64String(p.Name)
 	before, had := t.byID[id]
--- a/dataplane/scriptedserver_test.go
+++ b/dataplane/scriptedserver_test.go
@@ -35,15 +35,15 @@
 }
 
 func (a *asked) reset() bool {
-	a.Conn.(interface{ SetLinger(int) error }).SetLinger(0)
+	resetOnClose(a.Conn)
 	return false
 }
 
-func (a *asked) say(parts ...string) { io.WriteString(a, strings.Join(parts, "")) }
+func (a *asked) say(parts ...string) { write(a, strings.Join(parts, "")) }
 
 // wait waits until the gateway gives the connection up.
 func (a *asked) wait() bool {
-	io.Copy(io.Discard, a.in)
+	_, _ = io.Copy(io.Discard, a.in) // it ends with the connection, in whatever way
 	return false
 }
 
@@ -205,11 +205,11 @@
 }
 
 func (s *stage) serve(c net.Conn) {
-	defer c.Close()
+	defer closeConn(c)
 	a := &asked{Conn: c, in: bufio.NewReader(c), id: "stranger"}
 	for {
 		var err error
-		c.SetDeadline(time.Now().Add(2 * patience))
+		setDeadline(c, time.Now().Add(2*patience))
 		if a.head, err = h1.ReadRequest(a.in, 1<<16); err != nil {
 			return
 		}
@@ -309,7 +309,7 @@
 	if s.c == nil {
 		s.c = dial(s.t, s.g)
 	}
-	s.c.SetDeadline(time.Now().Add(patience))
+	setDeadline(s.c, time.Now().Add(patience))
 	budget := ""
 	if silent(first, second) {
 		budget = "Time-Budget-Ms: 40\r\n"
@@ -326,7 +326,7 @@
 		body = strings.Repeat("b", 2*maxHeldBody)
 		line, fields = "POST /once/", sized(len(body))
 	}
-	fmt.Fprintf(s.c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\n%s%s\r\n%s", line, id, budget, fields, body)
+	writef(s.c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\n%s%s\r\n%s", line, id, budget, fields, body)
 	what := fmt.Sprintf("%s, %s, then %s", kind, first.name, second.name)
 	h, err := h1.ReadResponse(s.c.in, 1<<16)
 	if err != nil {
@@ -375,7 +375,7 @@
 }
 
 func (s *stage) hangUp() {
-	s.c.Close()
+	closeConn(s.c)
 	s.c = nil
 }
 
--- a/dataplane/staleconn_test.go
+++ b/dataplane/staleconn_test.go
@@ -26,15 +26,15 @@
 					return
 				}
 				go func() {
-					defer c.Close()
+					defer closeConn(c)
 					in := bufio.NewReader(c)
 					for first := true; ; first = false {
-						c.SetDeadline(time.Now().Add(patience))
+						setDeadline(c, time.Now().Add(patience))
 						if _, err := in.Peek(1); err != nil {
 							return
 						}
 						if !first && forgets.Load() {
-							c.(interface{ SetLinger(int) error }).SetLinger(0)
+							resetOnClose(c)
 							return
 						}
 						h, body, err := h1.ReadWhole(in, 1<<16)
--- a/dataplane/unexpectedresponse_test.go
+++ b/dataplane/unexpectedresponse_test.go
@@ -56,13 +56,13 @@
 				if runs.Add(1) > 1 { // the second server, or the next request, is fine
 					return own(w, h, body)
 				}
-				io.WriteString(w, c.before)
+				write(w, c.before)
 				if c.silent {
 					return false
 				}
 				var b strings.Builder
 				own(&b, h, body)
-				io.WriteString(w, b.String()+c.after)
+				write(w, b.String()+c.after)
 				return true
 			}
 			for _, path := range []string{"POST /once/", "GET /get/"} {
@@ -103,7 +103,7 @@
 		g := newGateway(t, newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 			good("own")(w, h, body)
 			if n.Add(1) == 1 {
-				io.WriteString(w, stray("Attempt-Id: a1\r\n", "Content-Length: 2\r\n", "no"))
+				write(w, stray("Attempt-Id: a1\r\n", "Content-Length: 2\r\n", "no"))
 				close(late)
 			}
 			return true
