--- a/dataplane/quota/groups.go
+++ b/dataplane/quota/groups.go
@@ -1,51 +1,43 @@
 package quota
 
-import (
-	"math/bits"
-	"slices"
-)
-
-// In a small fleet each limiter tells all others of its units. In a large one
-// that would be as many words for each as there are limiters. There, their zone
-// and the first bits of their ids put limiters into groups: within zones, so that
-// where zones are cut off from each other a limiter hears of all on its side, as
-// all of them do. Those of one group tell each other
-// as in a small fleet. What a group has let through, as a sum, and who of it
-// hears whom (share.go), a limiter of each other group is told by two of the group:
-// it goes by one of them, and by the other one from where the first falls silent,
-// or hears fewer of its group.
-// So nobody depends on one limiter, and each sends some n/G + 2G words instead
-// of n, where there are G groups.
-
-// MaxUngroupedLimiters is the size of a fleet up to which all tell all.
+import "math/bits"
+
+// In a small fleet each limiter reports its usage to all others. In a large one that would
+// be as many messages for each as there are limiters. There, limiters form groups by their
+// zone and the first bits of their ids: within zones, so that where zones are partitioned a
+// limiter receives from all on its side, as all of them do. Those of one group report to
+// each other as in a small fleet. The sum of a group's usage and its live sets (share.go)
+// are reported to each limiter of other groups by two reporters of the group: it goes by
+// one of them, and by the other one when the first times out or receives from fewer of its
+// group. So nobody depends on one limiter, and each sends some n/G + 2G messages instead of
+// n, where there are G groups.
+
+// MaxUngroupedLimiters is the size of a fleet up to which all report to all.
 const MaxUngroupedLimiters = 24
 
-// GroupingLevel is how limiters form groups: 0 not at all, else by their zones and by
-// one bit of their ids less than the level.
+// maxReporterAgeMs is how long a reporter that has timed out is remembered.
+const maxReporterAgeMs = 10_000.0
+
+// GroupingLevel is how limiters form groups: 0 not at all, else by their zones and by one
+// bit of their ids less than the level.
 type GroupingLevel uint
 
-// GroupingLevelFor is the level of a fleet of n limiters in some zones: about as many
-// groups as make the words of each the fewest.
-func GroupingLevelFor(n, zones int) GroupingLevel {
-	if n <= MaxUngroupedLimiters {
+// GroupingLevelFor returns the level of a fleet of some limiters in some zones. It has
+// about as many groups as make the messages of each limiter the fewest.
+func GroupingLevelFor(limiters, zones int) GroupingLevel {
+	if limiters <= MaxUngroupedLimiters {
 		return 0
 	}
-	return GroupingLevel(1 + max(0, bits.Len(uint(n/2))/2-bits.Len(uint(zones-1))))
-}
-
-// Member is another limiter.
-type Member struct {
-	ID   uint64 // hash of its name
-	Zone string
+	return GroupingLevel(1 + max(0, bits.Len(uint(limiters/2))/2-bits.Len(uint(zones-1))))
 }
 
-// Group names a group.
+// Group identifies a group. All limiters of an ungrouped fleet are in the zero Group.
 type Group struct {
-	zone string
-	bits uint64
+	zone   string
+	idBits uint64 // the first bits of its members' ids
 }
 
-// Group is the group of a limiter.
+// Group returns the group of a limiter.
 func (l GroupingLevel) Group(m Member) Group {
 	if l == 0 {
 		return Group{}
@@ -53,171 +45,103 @@
 	return Group{m.Zone, m.ID >> (65 - l)}
 }
 
-// forgetReporterMs is how long a reporter that is silent is remembered.
-const forgetReporterMs = 10_000.0
-
-// group is another group, as it is reported.
+// group is what this limiter knows of another group.
 type group struct {
-	size      int            // as known here
-	heard     int            // of it, by the one whose word counts ...
-	set       uint32         // ... the sum over them
-	classes   []SharingClass // of them
-	same      int            // of them hear the same ones as this limiter ...
-	sameAt    float64        // ... at this time, or more did before
-	at        float64        // of the word that counts
-	source    uint64         // whose word counts
-	first     bool           // it is the one to go by
+	size      int // members, by this limiter's list
 	reporters map[uint64]*reporter
+	// Of the last digest from the reporter that this limiter goes by:
+	reporter   uint64 // its id
+	first      bool   // it is the first of the two reporters
+	receivedAt float64
+	liveCount  int
+	liveSet    uint32
+	classes    []SharingClass
+	// How many of the group share with this limiter, and when there were last as many.
+	sharers   int
+	sharersAt float64
 }
 
-// reporter is one limiter that tells of its group.
+// reporter is a limiter that sends digests of its group.
 type reporter struct {
-	life   uint64
-	metAt  float64
-	at     float64
-	latest column            // sums since its start
-	ahead  map[uint64]uint64 // units told since the last word that counted
-	more   float64           // since when it hears more of its group than the one whose word counts; 0: it does not
-}
-
-// Digest is what a limiter tells of its group.
-type Digest struct {
-	Level     GroupingLevel  // at which it forms groups
-	First     bool           // of the two that tell this limiter, the one to go by while it speaks
-	LiveCount int            // of the group, itself among them
-	LiveSet   uint32         // the sum over them
-	Classes   []SharingClass // of them, the largest first
-	Consumed  []Usage        // by the whole group since the teller's start
+	incarnation   uint64
+	firstReceived float64 // time of the first digest of this incarnation
+	lastReceived  float64
+	usage         usageTable // the group's sums since the reporter's start
+	// undrawn has the units, by tenant, that this one has reported since the last digest of
+	// the reporter that this limiter goes by. They are drawn if it goes by this one instead.
+	undrawn map[uint64]uint64
+	// reachesMoreSince is since when this one receives from more of its group than the
+	// reporter that this limiter goes by; 0: it doesn't.
+	reachesMoreSince float64
 }
 
-// Level is the level at which groups are formed.
-func (s *Enforcer) Level() GroupingLevel { return s.level }
-
-// direct tells whether a limiter speaks to this one for itself.
-func (s *Enforcer) direct(m Member) bool { return s.level.Group(m) == s.level.Group(s.self) }
+// Level returns the level at which this limiter's fleet forms groups.
+func (e *Enforcer) Level() GroupingLevel { return e.level }
 
 // regroup forms the groups after a change of members.
-func (s *Enforcer) regroup(now float64) {
-	zones := map[string]bool{s.self.Zone: true}
-	for _, p := range s.peers {
+func (e *Enforcer) regroup(now float64) {
+	e.updateLevel()
+	e.dropTimedOutGroups(now)
+	h := &e.sharing
+	h.groupPeers = h.groupPeers[:0]
+	for _, p := range e.peers {
+		if e.sameGroup(p.Member) {
+			h.groupPeers = append(h.groupPeers, p)
+			continue
+		}
+		id := e.level.Group(p.Member)
+		if e.groups[id] == nil {
+			// Not live before its first digest, at any time.
+			e.groups[id] = &group{receivedAt: -2 * GroupedLivenessTimeoutMs, reporters: map[uint64]*reporter{}}
+		}
+		e.groups[id].size++
+	}
+}
+
+// updateLevel sets the grouping level by the size of the fleet.
+func (e *Enforcer) updateLevel() {
+	zones := map[string]bool{e.self.Zone: true}
+	for _, p := range e.peers {
 		zones[p.Zone] = true
 	}
-	if l := GroupingLevelFor(len(s.peers)+1, len(zones)); l != s.level {
-		s.level = l
-		clear(s.groups) // sums of other groups than these say nothing
-		for _, p := range s.peers {
-			p.life = 0 // met anew: who did not speak for itself before has spent much since
-		}
+	level := GroupingLevelFor(len(e.peers)+1, len(zones))
+	if level == e.level {
+		return
+	}
+	e.level = level
+	clear(e.groups) // their sums are of other groups than the new ones
+	for _, p := range e.peers {
+		p.incarnation = 0 // regard it as new: one that didn't report for itself has admitted much since
 	}
-	for id, g := range s.groups {
+}
+
+// dropTimedOutGroups forgets reporters that timed out long ago, and groups without one.
+// The sizes of the others are reset.
+func (e *Enforcer) dropTimedOutGroups(now float64) {
+	for id, g := range e.groups {
 		g.size = 0
 		for from, r := range g.reporters {
-			if now-r.at > forgetReporterMs {
+			if now-r.lastReceived > maxReporterAgeMs {
 				delete(g.reporters, from)
 			}
 		}
 		if len(g.reporters) == 0 {
-			delete(s.groups, id)
+			delete(e.groups, id)
 		}
 	}
-	s.shares.mates = s.shares.mates[:0]
-	for _, p := range s.peers {
-		if s.direct(p.Member) {
-			s.shares.mates = append(s.shares.mates, p)
-			continue
-		}
-		k := s.level.Group(p.Member)
-		if s.groups[k] == nil {
-			s.groups[k] = &group{at: -2 * GroupedLivenessTimeoutMs, reporters: map[uint64]*reporter{}}
-		}
-		s.groups[k].size++
-	}
 }
 
-// ReportDigest is the digest of this limiter's group: tenants with news, as in [Enforcer.ReportUsage].
-func (s *Enforcer) ReportDigest(now float64, out []Usage) Digest {
-	s.currentShare(now)
-	h := &s.shares
-	d := Digest{Level: s.level, LiveCount: h.heard, LiveSet: h.own, Classes: h.classes, Consumed: out}
-	for id, t := range s.groupNews {
-		if !t.group.due(t.grouped) {
-			delete(s.groupNews, id)
-		} else if t.plan.Rate > 0 {
-			if pause, low := s.pause(now, t, t.grouped-t.group.units, groupMs); now-t.group.at >= pause {
-				d.Consumed = append(d.Consumed, Usage{id, t.group.tell(now, t.grouped), t.level(), s.within(pause, low)})
-			}
-		}
-	}
-	return d
+// groupLive tells whether this limiter receives digests of another group.
+func (e *Enforcer) groupLive(now float64, g *group) bool {
+	return now-g.receivedAt <= e.livenessTimeout()
 }
 
-// ReceiveDigest takes in what a limiter tells of its group. One that forms other
-// groups is not counted: for the moment until all know the same limiters, less
-// of the quotas is used, not more.
-func (s *Enforcer) ReceiveDigest(now float64, from, life uint64, ageMs float64, d Digest) {
-	p := s.peers[from]
-	if s.level == 0 || d.Level != s.level || p == nil || s.direct(p.Member) {
-		return
-	}
-	g := s.groups[s.level.Group(p.Member)]
-	if g == nil {
-		return
-	}
-	r := g.reporters[from]
-	if r == nil || r.life != life {
-		r = &reporter{life: life, metAt: now, at: now, ahead: map[uint64]uint64{}}
-		g.reporters[from] = r
-	}
-	if now-r.at > s.fresh() {
-		// What a reporter let be known to others while it did not report here was paid
-		// for by another one's word, or spent of its group's own part.
-		r.latest.clear()
-		clear(r.ahead)
-	}
-	r.at = now
-	for _, e := range d.Consumed {
-		t := s.tenants[e.Tenant]
-		if t == nil {
-			continue
-		}
-		units, known := r.latest.raise(t.row, e.Units)
-		switch {
-		case known && units > 0:
-			r.ahead[e.Tenant] += units
-		case !known && past(now, ageMs, r.metAt): // likewise: sums count from the first that is heard here
-			s.seed(now, t, e.FillLevel)
-		}
-	}
-	fresh := s.goesBy(now, g)
-	switch {
-	case g.source == from || d.LiveCount <= g.heard:
-		r.more = 0
-	case r.more == 0:
-		r.more = now
-	}
-	// One that hears more of its group is gone by whether it is the first or not: what
-	// the other does not hear would be drawn by nobody who goes by that one.
-	if g.source != from && fresh && (g.first || !d.First) && (r.more == 0 || now-r.more < graceMs) ||
-		g.source != from && fresh && d.LiveCount < g.heard {
-		return // another one's word counts
-	}
-	if !fresh || g.set != d.LiveSet || !slices.Equal(g.classes, d.Classes) {
-		s.shares.validTo = 0
-	}
-	if !fresh {
-		g.same, g.sameAt = d.LiveCount, now
-	}
-	g.source, g.first, g.at, g.heard, g.set = from, d.First, now, d.LiveCount, d.LiveSet
-	g.classes = append(g.classes[:0], d.Classes...)
-	if s.currentShare(now); g.same == 0 {
-		clear(r.ahead) // none of it shares with this limiter
-	}
-	for id, units := range r.ahead {
-		if t := s.tenants[id]; t != nil {
-			s.draw(now, t, units)
+// countWithLiveSet returns how many of the group have a live set, by the last digest.
+func (g *group) countWithLiveSet(liveSet uint32) (count int) {
+	for _, c := range g.classes {
+		if c.LiveSet == liveSet {
+			count = c.Count
 		}
 	}
-	for _, o := range g.reporters { // both tell of the same units; of the other's, what follows on this word is ahead
-		clear(o.ahead)
-	}
+	return count
 }
--- a/dataplane/quota/share.go
+++ b/dataplane/quota/share.go
@@ -2,132 +2,176 @@
 
 import "slices"
 
-// Of n limiters each owns one n-th of rate and burst. One that hears others may
-// spend their parts too, and pays for what they let through; but no part may be
-// spent by two that don't pay for each other. So each limiter tells whom it hears,
-// itself or by the digests of other groups, as one sum over all of them. Those with
-// the same sum hear the same ones: as each hears itself, each of them hears all
-// others. They share their parts and draw each other's units, and nobody else's.
-// Each limiter belongs to one such class, whoever hears whom, one way cuts among it:
-// the sum is never above the plan, as it would be where a limiter shared with all
-// that it hears and two that do not hear each other both spent the parts of a third
-// (docs/decisions/0008).
-//
-// When a limiter comes or goes its others learn of it a little apart, and for that
-// time their sums differ. So a sum that was the same counts for a moment longer, and
-// one that has just been met counts likewise.
-
 const (
-	graceMs     = 500.0
-	mostClasses = 4 // of a group are told, the largest first
+	// shareCacheMs is how long a computed share is used. Computing it for each request
+	// would cost the more the larger the fleet is.
+	shareCacheMs = 10.0
+	// liveSetGraceMs is how long an equal live set counts after it has become different, and
+	// how long one counts as equal that has just been received for the first time. When a
+	// limiter comes or goes, the others notice it a little apart, and their live sets differ
+	// meanwhile.
+	liveSetGraceMs = 500.0
+	// maxReportedClasses is how many sharing classes of a group a digest has, the largest
+	// first.
+	maxReportedClasses = 4
 )
 
-// SharingClass is how many of a group hear the same ones.
+// SharingClass is the number of limiters of one group that have the same live set.
 type SharingClass struct {
-	LiveSet uint32 // the sum over those whom they hear
+	LiveSet uint32
 	Count   int
 }
 
-// shares is what a limiter knows of those that share with it.
-type shares struct {
-	mates   []*peer        // of this limiter's group
-	set     uint32         // whom this limiter hears, itself among them
-	own     uint32         // ... of its group
-	heard   int            // of its group, itself among them
-	classes []SharingClass // of its group
-	part    float64
-	validTo float64
+// sharing decides which share of each quota this limiter may spend. It is the type that
+// keeps the bound on a tenant's overshoot in a partition.
+//
+// Each of n limiters owns 1/n of the rate and of the burst of each tenant: its share, held
+// in escrow for it. P(i) is the set of limiters whose shares limiter i spends, so
+//
+//	share(i) = |P(i)| / n
+//
+// No share may be spent by two limiters that don't pay for each other's units. That is:
+//
+//	for all i, j: if P(i) and P(j) overlap, i draws the units of j, and j those of i   (1)
+//
+// P(i) consists of the limiters with the same live set as i. A live set is the set of
+// limiters that one receives from, itself among them, directly or by digests of other
+// groups; it is sent as one 32-bit sum. Limiters with equal live sets all receive from each
+// other, so they draw each other's units and nobody else's. Each limiter has one live set,
+// so the classes are disjoint, whatever the partition is, one-way ones included, and (1)
+// holds. From (1) follows, for each tenant and each window of T seconds,
+//
+//	units admitted by all limiters <= rate x T + burst + late                          (2)
+//
+// where late is what they admit before they have noticed: units that are on their way
+// between limiters, and, after a partition or a membership change, requests in the time
+// until the live sets have changed (the liveness time-out, liveSetGraceMs, and the messages
+// about it: about 1.5 s). The rules of the system allow a tenth of the plan and 20 units
+// for it. docs/decisions/0008 has the proof and the ways that were ruled out. What is known
+// to break the allowance: messages that take 120 ms (docs/incidents/0019). What is known to
+// leave quotas unused: messages lost in bursts (docs/incidents/0018).
+type sharing struct {
+	groupPeers   []*peer        // the other limiters of this limiter's group
+	liveSet      uint32         // of this limiter
+	groupLiveSet uint32         // the part of it that is in this limiter's group
+	liveCount    int            // limiters in groupLiveSet
+	classes      []SharingClass // of this limiter's group, the largest first
+	share        float64        // of each quota, 0 to 1
+	validUntil   float64        // all of the above but groupPeers are computed again after it
+}
+
+// fingerprint is one limiter's term in the sum over a live set.
+func fingerprint(id uint64) uint32 { return uint32(id ^ id>>32) }
+
+// invalidate has the share computed again at its next use.
+func (h *sharing) invalidate() { h.validUntil = 0 }
+
+// Share returns the share of each quota that this limiter may spend, from 0 to 1, for
+// status reports.
+func (e *Enforcer) Share(now float64) float64 { return e.currentShare(now) }
+
+// LiveSet returns the sum over the limiters that this one receives from. It is sent to the
+// peers of the group with each usage report.
+func (e *Enforcer) LiveSet(now float64) uint32 {
+	e.currentShare(now)
+	return e.sharing.liveSet
 }
 
-// mark is one limiter's part in the sum over those that are heard.
-func mark(id uint64) uint32 { return uint32(id ^ id>>32) }
+// currentShare returns the share that this limiter may spend, computed at most
+// shareCacheMs ago.
+func (e *Enforcer) currentShare(now float64) float64 {
+	if now >= e.sharing.validUntil {
+		e.computeShare(now)
+	}
+	return e.sharing.share
+}
 
-// currentShare is the share of each quota that this limiter may use. Counting it anew with
-// each request would cost the more the larger the fleet is.
-func (s *Enforcer) currentShare(now float64) float64 {
-	if now >= s.shares.validTo {
-		s.count(now)
+// computeShare finds the limiters that share with this one. The order matters: the live set
+// must be complete before others are compared with it.
+func (e *Enforcer) computeShare(now float64) {
+	h := &e.sharing
+	h.validUntil = now + shareCacheMs
+	e.updateLiveSet(now)
+	sharers := 1 + e.countGroupSharers(now)
+	h.trimClasses()
+	sharers += e.countOtherGroupSharers(now)
+	h.share = min(1, float64(sharers)/float64(len(e.peers)+1))
+	if !e.inheriting && 2*sharers > len(e.peers) {
+		e.startInheriting(now)
 	}
-	return s.shares.part
 }
 
-// count finds who shares with this limiter.
-func (s *Enforcer) count(now float64) {
-	h := &s.shares
-	h.validTo = now + shareMs
-	h.own, h.heard = mark(s.self.ID), 1
-	for _, p := range h.mates {
-		if s.hears(now, p) {
-			h.own ^= mark(p.ID)
-			h.heard++
+// updateLiveSet sums up whom this limiter receives from, itself or by digests.
+func (e *Enforcer) updateLiveSet(now float64) {
+	h := &e.sharing
+	h.groupLiveSet, h.liveCount = fingerprint(e.self.ID), 1
+	for _, p := range h.groupPeers {
+		if e.live(now, p) {
+			h.groupLiveSet ^= fingerprint(p.ID)
+			h.liveCount++
 		}
 	}
-	h.set = h.own
-	for _, g := range s.groups {
-		if s.goesBy(now, g) {
-			h.set ^= g.set
+	h.liveSet = h.groupLiveSet
+	for _, g := range e.groups {
+		if e.groupLive(now, g) {
+			h.liveSet ^= g.liveSet
 		}
 	}
-	h.classes = append(h.classes[:0], SharingClass{h.set, 1})
-	sharing := 1
-	for _, p := range h.mates {
-		if !s.hears(now, p) {
+}
+
+// countGroupSharers counts the live peers of the group that share with this limiter, and
+// sorts all live ones into classes by their live sets.
+func (e *Enforcer) countGroupSharers(now float64) (sharers int) {
+	h := &e.sharing
+	h.classes = append(h.classes[:0], SharingClass{h.liveSet, 1})
+	for _, p := range h.groupPeers {
+		if !e.live(now, p) {
 			continue
 		}
-		h.tally(p.set)
-		if p.set == h.set {
-			p.sameAt = now
+		h.addToClass(p.liveSet)
+		if p.liveSet == h.liveSet {
+			p.sameLiveSetAt = now
 		}
-		if s.shares.with(now, p) {
-			sharing++
+		if p.sharesWithSelf(now) {
+			sharers++
 		}
 	}
-	slices.SortStableFunc(h.classes, func(a, b SharingClass) int { return b.Count - a.Count })
-	h.classes = h.classes[:min(len(h.classes), mostClasses)]
-	for _, g := range s.groups {
-		if !s.goesBy(now, g) {
+	return sharers
+}
+
+// countOtherGroupSharers counts the limiters of other live groups that share with this one,
+// by the classes in their digests.
+func (e *Enforcer) countOtherGroupSharers(now float64) (sharers int) {
+	for _, g := range e.groups {
+		if !e.groupLive(now, g) {
 			continue
 		}
-		same := 0
-		for _, c := range g.classes {
-			if c.LiveSet == h.set {
-				same = c.Count
-			}
-		}
-		if same >= g.same || now-g.sameAt > graceMs {
-			g.same, g.sameAt = same, now
+		same := g.countWithLiveSet(e.sharing.liveSet)
+		if same >= g.sharers || now-g.sharersAt > liveSetGraceMs {
+			g.sharers, g.sharersAt = same, now
 		}
-		sharing += min(g.same, g.heard, g.size)
-	}
-	h.part = min(1, float64(sharing)/float64(len(s.peers)+1))
-	if !s.seeded && 2*sharing > len(s.peers) {
-		s.seeded = true
-		s.takeSeeds(now)
+		sharers += min(g.sharers, g.liveCount, g.size)
 	}
+	return sharers
 }
 
-// tally counts one of the group that hears these.
-func (h *shares) tally(set uint32) {
+// addToClass counts one limiter of the group that has this live set.
+func (h *sharing) addToClass(liveSet uint32) {
 	for i := range h.classes {
-		if h.classes[i].LiveSet == set {
+		if h.classes[i].LiveSet == liveSet {
 			h.classes[i].Count++
 			return
 		}
 	}
-	h.classes = append(h.classes, SharingClass{set, 1})
+	h.classes = append(h.classes, SharingClass{liveSet, 1})
 }
 
-// with tells whether a limiter of the group shares with this one.
-func (h *shares) with(now float64, p *peer) bool { return now-p.sameAt <= graceMs }
-
-// goesBy tells whether another group is heard of.
-func (s *Enforcer) goesBy(now float64, g *group) bool { return now-g.at <= s.fresh() }
-
-// LiveSet is the sum over those whom this limiter hears, to be told to them.
-func (s *Enforcer) LiveSet(now float64) uint32 {
-	s.currentShare(now)
-	return s.shares.set
+// trimClasses keeps the largest classes.
+func (h *sharing) trimClasses() {
+	slices.SortStableFunc(h.classes, func(a, b SharingClass) int { return b.Count - a.Count })
+	h.classes = h.classes[:min(len(h.classes), maxReportedClasses)]
 }
 
-// Share is the share of the quotas that this limiter may use, for reports.
-func (s *Enforcer) Share(now float64) float64 { return s.currentShare(now) }
+// sharesWithSelf tells whether a peer of the group has the same live set as this limiter,
+// or had it a moment ago.
+func (p *peer) sharesWithSelf(now float64) bool { return now-p.sameLiveSetAt <= liveSetGraceMs }
--- /dev/null
+++ b/dataplane/quota/usagetable.go
@@ -0,0 +1,98 @@
+package quota
+
+import "math/bits"
+
+// The usage counters that peers have reported are the largest table of a limiter: at the
+// design size, 68 peers with 14,000 tenants each. A map for each peer took 30 MB; these
+// tables take a third of it. A counter is kept as long as its tenant exists: units whose
+// previous count is unknown could not be drawn from the bucket.
+
+// rowsPerBlock is how many rows of a usageTable are allocated together, when the first of
+// them is reported.
+const rowsPerBlock = 64
+
+// usageTable holds the usage counters that one peer has reported, by tenant row. Counters
+// are units since the peer's start. Only differences count, so the low 32 bits are kept.
+type usageTable struct{ blocks []*usageBlock }
+
+// usageBlock holds the counters of rowsPerBlock consecutive rows.
+type usageBlock struct {
+	known uint64 // bit i: row i of the block has been reported
+	units [rowsPerBlock]uint32
+}
+
+// update records a counter that only grows. It returns by how much the counter has grown,
+// and whether an earlier value was known: if not, all units are new. A value that is older
+// than the recorded one is ignored.
+func (t *usageTable) update(row int32, units uint64) (grown uint64, known bool) {
+	i, bit := int(row)/rowsPerBlock, uint64(1)<<(row%rowsPerBlock)
+	for len(t.blocks) <= i {
+		t.blocks = append(t.blocks, nil)
+	}
+	if t.blocks[i] == nil {
+		t.blocks[i] = &usageBlock{}
+	}
+	block := t.blocks[i]
+	recorded := &block.units[row%rowsPerBlock]
+	if block.known&bit == 0 {
+		block.known |= bit
+		*recorded = uint32(units)
+		return units, false
+	}
+	difference := int32(uint32(units) - *recorded) // signed: right also where the low 32 bits wrap
+	if difference <= 0 {
+		return 0, true
+	}
+	*recorded = uint32(units)
+	return uint64(difference), true
+}
+
+// forget marks a row as not reported, so that another tenant can take it.
+func (t *usageTable) forget(row int32) {
+	if i := int(row) / rowsPerBlock; i < len(t.blocks) && t.blocks[i] != nil {
+		t.blocks[i].known &^= 1 << (row % rowsPerBlock)
+	}
+}
+
+func (t *usageTable) clear() { t.blocks = nil }
+
+// len returns the number of rows that have been reported.
+func (t *usageTable) len() (n int) {
+	for _, block := range t.blocks {
+		if block != nil {
+			n += bits.OnesCount64(block.known)
+		}
+	}
+	return n
+}
+
+// rowAllocator assigns table rows to tenants. Freed rows are used first.
+type rowAllocator struct {
+	free []int32
+	next int32 // the lowest row that was never assigned
+}
+
+func (a *rowAllocator) allocate() int32 {
+	if n := len(a.free); n > 0 {
+		row := a.free[n-1]
+		a.free = a.free[:n-1]
+		return row
+	}
+	a.next++
+	return a.next - 1
+}
+
+func (a *rowAllocator) release(row int32) { a.free = append(a.free, row) }
+
+// releaseRow frees the row of a removed tenant in the tables of all peers and reporters.
+func (e *Enforcer) releaseRow(row int32) {
+	for _, p := range e.peers {
+		p.usage.forget(row)
+	}
+	for _, g := range e.groups {
+		for _, r := range g.reporters {
+			r.usage.forget(row)
+		}
+	}
+	e.rows.release(row)
+}
