--- a/dataplane/gossip/budget.go
+++ b/dataplane/gossip/budget.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// datagramOverhead is the size of the IP and UDP headers in bytes.
-	datagramOverhead = 28
+	// DatagramOverhead is the size of the IP and UDP headers of a datagram in bytes.
+	DatagramOverhead = 28
 	// maxSavedMs is how much of the budget may be saved up for a burst, in its time.
 	maxSavedMs = 200.0
 )
@@ -20,14 +20,14 @@
 // back, so that others wait.
 type Budget struct{ BytesPerS, MessagesPerS float64 }
 
-// limited tells whether the budget limits a fleet.
+// limited reports whether the budget limits a fleet.
 func (b Budget) limited(f FleetRegime) bool {
 	return f >= LargeFleet && b.BytesPerS > 0 && b.MessagesPerS > 0
 }
 
 // costMs is how much of the budget a message takes, in time.
 func (b Budget) costMs(m *Message) float64 {
-	return 1000 * max(1/b.MessagesPerS, float64(m.EstimatedSize()+datagramOverhead)/b.BytesPerS)
+	return 1000 * max(1/b.MessagesPerS, float64(m.EstimatedSize()+DatagramOverhead)/b.BytesPerS)
 }
 
 // sendDue sends the messages that are due as far as the budget goes: first the mandatory
--- a/dataplane/gossip/budget_test.go
+++ b/dataplane/gossip/budget_test.go
@@ -18,7 +18,7 @@
 		// Each response changes a load, and every other one is a failure.
 		l.respond(now, []balance.Result{balance.Success, balance.Failure}[int(now)%2], 100)
 		l.tick(now, func(to uint64, m *Message) {
-			bytes += len(m.Append(nil)) + datagramOverhead
+			bytes += len(m.Append(nil)) + DatagramOverhead
 			messages[to]++
 		})
 	}
--- a/dataplane/gossip/codec.go
+++ b/dataplane/gossip/codec.go
@@ -32,7 +32,7 @@
 //	stale      stale connection age    u8, 0 to maxStaleAge; 0: none of late
 //	group      digest or not           u8: 0 without a digest. With one: its level, 1 to
 //	                                   maxLevel, with digestFlag, and with firstFlag from
-//	                                   the reporter whose figures count while it speaks
+//	                                   the reporter whose figures count while it sends
 //
 //	group, without a digest:
 //	           live set                u32, hash of the limiters that the sender receives from
--- a/dataplane/gossip/message.go
+++ b/dataplane/gossip/message.go
@@ -45,7 +45,7 @@
 type Message struct {
 	// From is the hash of the sender's name.
 	From uint64
-	// Incarnation tells one start of the sender from another.
+	// Incarnation differs between two starts of the sender.
 	Incarnation uint64
 	// AgeMs is the time since the sender's start. Whole milliseconds are sent.
 	AgeMs float64
--- a/dataplane/gossip/schedule.go
+++ b/dataplane/gossip/schedule.go
@@ -35,7 +35,7 @@
 	// alive: a third of quota.GroupedLivenessTimeoutMs.
 	largeAliveMs = 230.0
 	// secondReporterMs is the time between group digests with usage from the second
-	// reporter of a group, which counts only where the first one is silent.
+	// reporter of a group, which counts only while the first one sends nothing.
 	secondReporterMs = 900.0
 	// veryLargeDemandMs is the time between messages with demand in a very large fleet.
 	// Subsets of servers are computed as seldom.
--- a/dataplane/gossip/topology.go
+++ b/dataplane/gossip/topology.go
@@ -12,7 +12,7 @@
 )
 
 // reportersPerGroup is how many limiters of a replica group report its usage to each
-// limiter of another group: the second one counts where the first is silent.
+// limiter of another group: the second one counts while the first sends nothing.
 const reportersPerGroup = 2
 
 // hintedNeighbors is how many limiters of its zone, on each side of it by their ids, a
@@ -20,7 +20,7 @@
 const hintedNeighbors = balance.NeighborReach
 
 // SetPeers says which other limiters there are, and at what level they form replica groups
-// ([quota.Enforcer.Level]). News that waits for a limiter that stays is kept.
+// ([quota.Enforcer.Level]). Pending updates for a limiter that stays are kept.
 //
 // Messages go to the limiters of the same group, to those of other groups that this one
 // reports to, and to those that are sent loads: all in a small fleet, else the neighbors in
@@ -80,7 +80,7 @@
 }
 
 // reporterPlace is this limiter's place among the reporters of its group to a recipient,
-// from 1; places after reportersPerGroup are not told apart.
+// from 1; all places after reportersPerGroup are returned as the next one.
 func (d *Disseminator) reporterPlace(groupMembers []uint64, recipient uint64) int {
 	place, own := 1, reporterRank(d.self.ID, recipient)
 	for _, member := range groupMembers {
--- a/lab/controlbench/hollow/quota.go
+++ b/lab/controlbench/hollow/quota.go
@@ -67,7 +67,7 @@
 				}
 				l.Tick(at, func(_ uint64, w *gossip.Message) {
 					sentWords++
-					sentBytes += len(w.Append(nil)) + 28 // IP and UDP
+					sentBytes += len(w.Append(nil)) + gossip.DatagramOverhead
 					sentTold += len(w.Consumed) + len(w.GroupDigest.Consumed)
 				})
 			}
--- a/lab/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -9,13 +9,10 @@
 	"example.org/elmspan/dataplane/gossip"
 )
 
-// Bytes below what is ours: of a datagram, IP and UDP; of a call in gRPC, the
-// heads of IP and TCP, two frames of HTTP/2 and gRPC's own five bytes, with
-// header fields that HPACK has in its table. The latter is an estimate.
-const (
-	wordOverhead = 28
-	callOverhead = 120
-)
+// callOverhead is an estimate of the bytes of a call in gRPC beside its message: the heads
+// of IP and TCP, two frames of HTTP/2 and gRPC's own five bytes, with header fields that
+// HPACK has in its table.
+const callOverhead = 120
 
 // Traffic is what a limiter sends for control, by kind: counts, and bytes with what
 // is below them. Of a word each part's bytes are counted for themselves.
@@ -70,7 +67,7 @@
 	part(&t.Units, func() { rest.Consumed = nil })
 	part(&t.Sums, func() { rest.GroupDigest.Consumed = nil })
 	part(&t.Groups, func() { rest.GroupDigest.Classes = nil })
-	t.Heads += size(&rest) + wordOverhead
+	t.Heads += size(&rest) + gossip.DatagramOverhead
 }
 
 // beat counts a heartbeat.
--- a/lab/simulation/traffic_test.go
+++ b/lab/simulation/traffic_test.go
@@ -22,7 +22,7 @@
 	for i := range list {
 		n := len(list[i].Append(nil))
 		sum.word(&list[i], n)
-		bytes += n + wordOverhead
+		bytes += n + gossip.DatagramOverhead
 	}
 	if sum.WordBytes() != float64(bytes) {
 		t.Errorf("%v bytes in parts, %d in all", sum.WordBytes(), bytes)
