--- a/dataplane/attempt/attempt.go
+++ b/dataplane/attempt/attempt.go
@@ -5,7 +5,7 @@
 // A [Tracker] keeps the attempts of one request and decides whether another server may get
 // it, or which status ends it.
 //
-// The rules rest on what servers promise (RFC 9110, 9.2.2 and 9.3.1; RFC 9112, 9.2 and 9.6):
+// The rules rest on what servers guarantee (RFC 9110, 9.2.2 and 9.3.1; RFC 9112, 9.2 and 9.6):
 //   - a request of which a connection took no byte has reached nobody;
 //   - an answer with Not-Executed, and status 421, say that the request has not run and
 //     never will;
@@ -153,7 +153,7 @@
 func classifyFailure(e Evidence) Classification {
 	switch e.Status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		// These would promise the client that it has not run, which the server did not say.
+		// These would assure the client that it has not run, which the server did not say.
 		return Classification{balance.Failure, true, BadGateway}
 	}
 	// A truncated failure would either look complete to the client, or end its connection
--- a/dataplane/attempt/explorer_test.go
+++ b/dataplane/attempt/explorer_test.go
@@ -19,7 +19,7 @@
 
 // explorer goes through every order of everything that can be seen in up to maxAttempts
 // attempts, one after the other or beside each other, at one kind of request. It compares each
-// decision of the rules with what servers promise.
+// decision of the rules with what servers guarantee.
 type explorer struct {
 	rules      Rules
 	idempotent bool
@@ -30,7 +30,7 @@
 	known  map[state]bool
 	states int
 	steps  int
-	fault  string // the first promise that is broken, or ""
+	fault  string // the first fault that is found, or ""
 }
 
 func newExplorer(rules Rules, idempotent, buffered bool) *explorer {
@@ -53,14 +53,14 @@
 	}
 }
 
-// failf records a broken promise, if it is the first.
+// failf records a fault, if it is the first.
 func (x *explorer) failf(format string, args ...any) {
 	if x.fault == "" {
 		x.fault = fmt.Sprintf(format, args...)
 	}
 }
 
-// run explores until no state is left or a promise is broken.
+// run explores until no state is left or a fault is found.
 func (x *explorer) run() {
 	for len(x.queue) > 0 && x.fault == "" {
 		s := x.queue[0]
@@ -219,14 +219,14 @@
 	return all
 }
 
-// referenceMayHaveRun says once more what servers promise, apart from the code under test.
+// referenceMayHaveRun says once more what servers guarantee, apart from the code under test.
 func referenceMayHaveRun(e Evidence) bool {
 	proof := e.Response >= Truncated &&
 		(e.Status == http.StatusMisdirectedRequest || e.NotExecuted && e.Status/100 != 2)
 	return e.Written != NotWritten && !proof
 }
 
-// saysNotExecuted reports whether a status promises the client that the request has not run.
+// saysNotExecuted reports whether a status assures the client that the request has not run.
 func saysNotExecuted(status int) bool {
 	return slices.Contains([]int{408, 421, 429, 503}, status)
 }
--- a/dataplane/attempt/tracker.go
+++ b/dataplane/attempt/tracker.go
@@ -59,8 +59,8 @@
 }
 
 // FinalStatus is the status of the gateway's own answer where no server's answer can be
-// forwarded. 503 promises that the request has not run and never will. timedOut reports that
-// the request's deadline has passed.
+// forwarded. 503 says that the request has not run and never will. timedOut: the
+// request's deadline has passed.
 func (t *Tracker) FinalStatus(timedOut bool) int {
 	switch {
 	case !t.mayHaveRun:
--- a/dataplane/balance/doc.go
+++ b/dataplane/balance/doc.go
@@ -1,6 +1,6 @@
 // Package balance chooses the server for each attempt at a request, for one limiter of many.
 //
-// A [Set] holds what one limiter knows of all servers. The host tells it the list of servers
+// A [Set] holds what one limiter knows of all servers. The host gives it the list of servers
 // ([Set.SetServers], [Set.ApplyDelta]) and the other limiters of its zone ([Set.SetPeers]).
 // For each attempt it calls [Set.Choose], then [Set.StartAttempt], and [Set.FinishAttempt]
 // when the attempt has ended.
--- a/dataplane/balance/load.go
+++ b/dataplane/balance/load.go
@@ -27,7 +27,7 @@
 	latencyUnit     = 16.0
 )
 
-// Hint is what a limiter tells its peers of a server: its requests in flight there and, where
+// Hint is what a limiter reports to its peers about a server: its requests in flight there and, where
 // an answer has come, the latency against the typical one.
 type Hint struct {
 	Server   uint32 // hash of the member's id
