--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -17,58 +17,76 @@
 // of two, on fresh and kept connections, for each kind of request. What then reached
 // clients and what ran is held against the promises.
 
-// play goes through all moves with all others as second ones, and returns the first
-// promise that was broken, with how many requests came to a second server.
+// playRun is a run through all moves with all others as second ones.
+type playRun struct {
+	*stage
+	kind    string // of the requests
+	kept    bool   // whether connections are kept
+	once    bool   // requests of the kind must not run twice
+	refused bool   // the servers that there are may all be kept off for what they did
+	seconds int    // requests that came to a second server
+}
+
+// play goes through all moves with all others as second ones, and returns the first invariant that was broken, with
+// how many requests came to a second server.
 func play(t testing.TB, rules attempt.Rules, kind string, kept bool, moves []move) (fault string, seconds int) {
-	s := newStage(t, rules)
-	_, fake := t.(inMemory)
-	if !fake {
-		s.recordTimeUp()
+	p := &playRun{
+		stage: newStage(t, rules), kind: kind, kept: kept, once: kind != "get" && kind != "head", refused: true,
+	}
+	if _, fake := t.(inMemory); !fake {
+		p.recordTimeUp()
 	}
-	once := kind != "get" && kind != "head"
-	refused := true // the servers that there are may all be kept off for what they did
 	for i := range moves {
-		first := &moves[i]
 		for j := range moves {
-			second := &moves[j]
-			if once && first.runs && j%8 != i%8 { // where no second one is met, some are enough
+			if p.once && moves[i].runs && j%8 != i%8 { // where no second one is met, some are enough
 				continue
 			}
-			if !kept || refused {
-				s.renew()
-			}
-			if kept && refused {
-				s.warm()
-			}
-			if fake {
-				time.Sleep(20 * time.Millisecond) // servers that failed are asked again
-			}
-			status, sc := s.ask(kind, first, second)
-			if sc.arrivals.Load() == 0 && status == 503 { // so are the servers that there are now
-				s.renew()
-				status, sc = s.ask(kind, first, second)
-			}
-			if sc.arrivals.Load() > 1 {
-				seconds++
-			}
-			if sc.arrivals.Load() == 0 && !silent(first, second) {
-				s.broken("%s, %s, then %s: it came to no server: %d", kind, first.name, second.name, status)
-			}
-			what := fmt.Sprintf("%s, kept %v, %s, then %s", kind, kept, first.name, second.name)
-			// Whatever stands on connections now, the next filing gets its own answer.
-			next, nsc := s.ask("once", &fine, &fine)
-			crossed := first.crosses || second.crosses
-			if refused = next == 503; next != 200 && !refused && !(crossed && next == 502) {
-				s.broken("%s: the next filing is answered %d", what, next)
-			}
-			s.settle(what, once, status, sc)
-			s.settle(what+", the next one", true, next, nsc)
-			if s.fault != "" {
-				return s.fault, seconds
+			p.step(&moves[i], &moves[j])
+			if p.fault != "" {
+				return p.fault, p.seconds
 			}
 		}
 	}
-	return "", seconds
+	return "", p.seconds
+}
+
+// step sends a request whose servers do the two moves, then another that they answer.
+func (p *playRun) step(first, second *move) {
+	p.setUp()
+	status, sc := p.ask(p.kind, first, second)
+	if sc.arrivals.Load() == 0 && status == 503 { // the servers that there are now are kept off too
+		p.renew()
+		status, sc = p.ask(p.kind, first, second)
+	}
+	if sc.arrivals.Load() > 1 {
+		p.seconds++
+	}
+	if sc.arrivals.Load() == 0 && !silent(first, second) {
+		p.broken("%s, %s, then %s: it came to no server: %d", p.kind, first.name, second.name, status)
+	}
+	what := fmt.Sprintf("%s, kept %v, %s, then %s", p.kind, p.kept, first.name, second.name)
+	// Whatever stands on connections now, the next filing gets its own answer.
+	next, nextScript := p.ask("once", &fine, &fine)
+	p.refused = next == 503
+	mayFail := next == 502 && (first.crosses || second.crosses)
+	if next != 200 && !p.refused && !mayFail {
+		p.broken("%s: the next filing is answered %d", what, next)
+	}
+	p.settle(what, p.once, status, sc)
+	p.settle(what+", the next one", true, next, nextScript)
+}
+
+// setUp puts servers and connections in place for a step.
+func (p *playRun) setUp() {
+	if !p.kept || p.refused {
+		p.renew()
+	}
+	if p.kept && p.refused {
+		p.warm()
+	}
+	if _, fake := p.t.(inMemory); fake {
+		time.Sleep(20 * time.Millisecond) // servers that failed are asked again
+	}
 }
 
 // Whatever servers do, in each order of two, with each kind of request, on kept and on
--- a/dataplane/scriptedserver_test.go
+++ b/dataplane/scriptedserver_test.go
@@ -295,17 +295,35 @@
 	}
 }
 
-// ask sends one request and holds its answer against the promises.
+// clientRequest is a request of a kind, as its client sends it.
+type clientRequest struct{ method, line, fields, body string }
+
+// requestOf returns the request of a kind.
+func requestOf(kind string) clientRequest {
+	switch kind {
+	case "head":
+		return clientRequest{method: "HEAD", line: "HEAD /get/"}
+	case "once":
+		return clientRequest{method: "POST", line: "POST /once/", fields: sized(4), body: "body"}
+	case "chunks":
+		return clientRequest{
+			method: "POST", line: "POST /once/", fields: "Transfer-Encoding: chunked\r\n",
+			body: "4\r\nbody\r\n0\r\n\r\n",
+		}
+	case "long":
+		body := strings.Repeat("b", 2*maxHeldBody)
+		return clientRequest{method: "POST", line: "POST /once/", fields: sized(len(body)), body: body}
+	}
+	return clientRequest{method: "GET", line: "GET /get/"}
+}
+
+// ask sends one request and holds its response against the invariants.
 func (s *stage) ask(kind string, first, second *move) (status int, sc *script) {
 	s.n++
 	id := fmt.Sprintf("%s-%d", kind, s.n)
 	sc = &script{moves: [2]*move{first, second}}
 	s.scripts.Store(id, sc)
-	s.g.guarded.mu.Lock()
-	for range 8 { // further tries are saved up
-		s.g.guarded.limiter.SaveUp("s")
-	}
-	s.g.guarded.mu.Unlock()
+	s.saveRetries()
 	if s.c == nil {
 		s.c = dial(s.t, s.g)
 	}
@@ -314,19 +332,9 @@
 	if silent(first, second) {
 		budget = "Time-Budget-Ms: 40\r\n"
 	}
-	line, fields, body := "GET /get/", "", ""
-	switch kind {
-	case "head":
-		line = "HEAD /get/"
-	case "once":
-		line, fields, body = "POST /once/", sized(4), "body"
-	case "chunks":
-		line, fields, body = "POST /once/", "Transfer-Encoding: chunked\r\n", "4\r\nbody\r\n0\r\n\r\n"
-	case "long":
-		body = strings.Repeat("b", 2*maxHeldBody)
-		line, fields = "POST /once/", sized(len(body))
-	}
-	writef(s.c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\n%s%s\r\n%s", line, id, budget, fields, body)
+	r := requestOf(kind)
+	writef(s.c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\n%s%s\r\n%s",
+		r.line, id, budget, r.fields, r.body)
 	what := fmt.Sprintf("%s, %s, then %s", kind, first.name, second.name)
 	h, err := h1.ReadResponse(s.c.in, 1<<16)
 	if err != nil {
@@ -334,39 +342,73 @@
 		s.hangUp()
 		return 0, sc
 	}
-	status = h.Status
-	method, _, _ := strings.Cut(line, " ")
-	framing, err := h.ResponseFraming(method)
+	framing, err := h.ResponseFraming(r.method)
 	var got []byte
 	if err == nil {
 		got, err = io.ReadAll(h1.NewBody(s.c.in, framing))
 	}
-	visible := err != nil // that it ended early
-	if _, up := s.timeUp.Load(id); visible && !(first.breaks || second.breaks || up) {
-		s.broken("%s: %d ends early: %v", what, status, err)
+	if _, up := s.timeUp.Load(id); err != nil && !first.breaks && !second.breaks && !up {
+		s.broken("%s: %d ends early: %v", what, h.Status, err)
 	}
-	own := ownBody(id)
-	if h.Get("Failed") != "" {
-		own = "fail:" + id
+	s.checkResponse(what, &receivedResponse{
+		id: id, method: r.method, head: h, body: string(got), truncated: err != nil, runs: sc.runs.Load(),
+	})
+	if err != nil || h.ClosesConnection() {
+		s.hangUp()
 	}
-	matches := func(b string) bool {
-		return b == string(got) || visible && strings.HasPrefix(b, string(got)) || method == "HEAD" && len(got) == 0 || status == 204
+	return h.Status, sc
+}
+
+// saveRetries has the gateway save up for further attempts.
+func (s *stage) saveRetries() {
+	s.g.guarded.mu.Lock()
+	defer s.g.guarded.mu.Unlock()
+	for range 8 {
+		s.g.guarded.limiter.SaveUp("s")
 	}
-	servers := h.Get("Server-Seal") != "" || h.Get("Failed") != ""
-	switch {
-	case h.Get("Attempt-Id") != id || h.Count("Attempt-Id") != 1:
-		s.broken("%s: the answer is to %q", what, h.Get("Attempt-Id"))
-	case strings.Contains(string(got), secret):
-		s.broken("%s: someone else's bytes: %q", what, got)
-	case status/100 == 2 && (h.Get("Server-Seal") != "seal-"+id || h.Get("Failed") != "" || sc.runs.Load() == 0):
-		s.broken("%s: a success that is not the server's: %+v", what, h)
-	case servers && !matches(own) && !matches(longBody(id)):
-		s.broken("%s: %d with %.60q", what, status, got)
+}
+
+// receivedResponse is what a client got.
+type receivedResponse struct {
+	id, method string // of its request
+	head       *h1.Head
+	body       string
+	truncated  bool  // it ended early, visibly
+	runs       int32 // how often its request ran
+}
+
+// matches reports whether the body is the given one, as far as it came.
+func (r *receivedResponse) matches(body string) bool {
+	return r.body == body || r.truncated && strings.HasPrefix(body, r.body) ||
+		r.method == "HEAD" && r.body == "" || r.head.Status == 204
+}
+
+// isServers reports whether a server gave the response.
+func (r *receivedResponse) isServers() bool {
+	return r.head.Get("Server-Seal") != "" || r.head.Get("Failed") != ""
+}
+
+// isGenuineSuccess reports whether a success is the one of a server that ran the request.
+func (r *receivedResponse) isGenuineSuccess() bool {
+	return r.head.Get("Server-Seal") == "seal-"+r.id && r.head.Get("Failed") == "" && r.runs > 0
+}
+
+// checkResponse holds a response against the invariants.
+func (s *stage) checkResponse(what string, r *receivedResponse) {
+	own := ownBody(r.id)
+	if r.head.Get("Failed") != "" {
+		own = "fail:" + r.id
 	}
-	if visible || h.ClosesConnection() {
-		s.hangUp()
+	switch {
+	case r.head.Get("Attempt-Id") != r.id || r.head.Count("Attempt-Id") != 1:
+		s.broken("%s: the answer is to %q", what, r.head.Get("Attempt-Id"))
+	case strings.Contains(r.body, secret):
+		s.broken("%s: someone else's bytes: %q", what, r.body)
+	case r.head.Status/100 == 2 && !r.isGenuineSuccess():
+		s.broken("%s: a success that is not the server's: %+v", what, r.head)
+	case r.isServers() && !r.matches(own) && !r.matches(longBody(r.id)):
+		s.broken("%s: %d with %.60q", what, r.head.Status, r.body)
 	}
-	return status, sc
 }
 
 // silent tells whether one of the moves ends with the request's time.
