--- a/dataplane/clientconn_test.go
+++ b/dataplane/clientconn_test.go
@@ -105,31 +105,41 @@
 	})
 }
 
-// Requests sent behind each other are answered in their order, each with its own id,
-// whether the first is slow, refused or fails; where it breaks off, nothing follows.
+// answerFirst is what becomes of the first of several pipelined requests. It reports whether the connection goes on.
+var answerFirst = map[string]func(w io.Writer, id string) bool{
+	"slow": func(w io.Writer, id string) bool {
+		write(w, answerHead("200 OK", id, sealed(id)+sized(len(ownBody(id)))), ownBody(id))
+		return true
+	},
+	"refused": func(w io.Writer, id string) bool {
+		write(w, answerHead("503 x", id, "Not-Executed: full\r\n"+sized(0)))
+		return true
+	},
+	"failed": func(w io.Writer, id string) bool {
+		write(w, answerHead("500 x", id, sized(4)), "fail")
+		return true
+	},
+	"closed": func(io.Writer, string) bool { return false },
+	"truncated": func(w io.Writer, id string) bool {
+		write(w, answerHead("200 OK", id, sealed(id)+sized(2*maxHeldResponse)), "cut")
+		return false
+	},
+}
+
+// Requests that are pipelined are answered in their order, each with its own id, whether the first is slow, refused or
+// fails; where its response is truncated, nothing follows.
 func TestPipelinedResponsesKeepOrderBehindAFailure(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		for _, first := range []string{"slow", "refused", "failed", "gone", "cut"} {
+		want := map[string]int{"slow": 200, "refused": 503, "failed": 500, "closed": 502}
+		for first, answer := range answerFirst {
 			others := make(chan struct{})
 			var done atomic.Int64
 			b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
 				id := h.Get("Attempt-Id")
 				if id == "0" {
 					<-others // the others were answered before
-					switch first {
-					case "refused":
-						write(w, answerHead("503 x", id, "Not-Executed: full\r\n"+sized(0)))
-						return true
-					case "failed":
-						write(w, answerHead("500 x", id, sized(4)), "fail")
-						return true
-					case "gone":
-						return false
-					case "cut":
-						write(w, answerHead("200 OK", id, sealed(id)+sized(2*maxHeldResponse)), "cut")
-						return false
-					}
+					return answer(w, id)
 				}
 				write(w, answerHead("200 OK", id, sealed(id)+sized(len(ownBody(id)))), ownBody(id))
 				if done.Add(1) == 3 {
@@ -138,31 +148,40 @@
 				return true
 			})
 			c := dial(t, newGateway(t, b))
-			var all strings.Builder
-			for id := range 4 {
-				fmt.Fprintf(&all, "GET /open/ HTTP/1.1\r\nHost: h\r\nAttempt-Id: %d\r\n\r\n", id)
-			}
-			write(c, all.String())
-			for id := range 4 {
-				h, got, err := c.answer()
-				if first == "cut" {
-					if err == nil || id > 0 {
-						t.Errorf("cut: the answer %d is %+v, %v", id, h, err)
-					}
-					break
-				}
-				want := 200
-				if id == 0 {
-					want = map[string]int{"slow": 200, "refused": 503, "failed": 500, "gone": 502}[first]
-				}
-				if err != nil || h.Status != want || h.Get("Attempt-Id") != fmt.Sprint(id) || want == 200 && got != ownBody(fmt.Sprint(id)) {
-					t.Errorf("%s: the answer %d is %+v %q, %v; want %d", first, id, h, got, err, want)
+			c.pipeline(4)
+			if first == "truncated" {
+				if h, _, err := c.answer(); err == nil {
+					t.Errorf("truncated: the first response is %+v", h)
 				}
+				continue
+			}
+			c.wantPipelined(first, 0, want[first])
+			for id := 1; id < 4; id++ {
+				c.wantPipelined(first, id, 200)
 			}
 		}
 	})
 }
 
+// pipeline sends n requests at once.
+func (c *client) pipeline(n int) {
+	var all strings.Builder
+	for id := range n {
+		fmt.Fprintf(&all, "GET /open/ HTTP/1.1\r\nHost: h\r\nAttempt-Id: %d\r\n\r\n", id)
+	}
+	write(c, all.String())
+}
+
+// wantPipelined reads the next response, which must be the one to a request.
+func (c *client) wantPipelined(name string, request, status int) {
+	c.t.Helper()
+	id := fmt.Sprint(request)
+	h, got, err := c.answer()
+	if err != nil || h.Status != status || h.Get("Attempt-Id") != id || status == 200 && got != ownBody(id) {
+		c.t.Errorf("%s: the response %s is %+v %q, %v; want %d", name, id, h, got, err, status)
+	}
+}
+
 // Many clients at once, some of whom reset their connection in the middle or close half
 // of it, before servers that do everything: each answer is to its own request, each
 // filing runs once at most, and what is refused has not run.
@@ -197,7 +216,8 @@
 					}
 					c := &client{t, nc, nil}
 					setDeadline(c, time.Now().Add(patience))
-					s.talk(c, fmt.Sprintf("c%d-%d", n, round), rng, broken, &refused, &answers)
+					talk := conversation{stage: s, client: c, name: fmt.Sprintf("c%d-%d", n, round), rng: rng, broken: broken}
+					answers.Add(talk.run(&refused))
 					closeConn(nc)
 				}
 			})
@@ -225,70 +245,95 @@
 	})
 }
 
-// talk sends up to four requests behind each other on one connection and reads their
-// answers, unless it goes away.
-func (s *stage) talk(c *client, name string, rng *rand.Rand, broken func(string, ...any), refused *sync.Map, answers *atomic.Int64) {
-	const budget = 300 * time.Millisecond
+// conversation is one connection of a client with up to four pipelined requests.
+type conversation struct {
+	*stage
+	client    *client
+	name      string
+	rng       *rand.Rand
+	broken    func(format string, args ...any)
+	ids       []string
+	truncates bool // a response may end early
+}
+
+const conversationBudget = 300 * time.Millisecond
+
+// run sends the requests and reads their responses, unless the client goes away. It returns how many responses came,
+// and notes those that say that a request has not run.
+func (v *conversation) run(refused *sync.Map) (answers int64) {
 	var all strings.Builder
-	var ids []string
-	breaks := false
-	for i := range 1 + rng.IntN(4) {
-		sc := &script{}
-		for k := range sc.moves {
-			if sc.moves[k] = &moves[rng.IntN(len(moves))]; rng.IntN(2) == 0 {
-				sc.moves[k] = &fine
-			}
-			breaks = breaks || sc.moves[k].breaks
-		}
-		id, line := fmt.Sprintf("%s-%d-get", name, i), "GET /get/ HTTP/1.1\r\n"
-		body := ""
-		if rng.IntN(3) == 0 {
-			id, line, body = fmt.Sprintf("%s-%d-once", name, i), "POST /once/ HTTP/1.1\r\nContent-Length: 4\r\n", "body"
-		}
-		s.scripts.Store(id, sc)
-		ids = append(ids, id)
-		fmt.Fprintf(&all, "%sHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\nTime-Budget-Ms: %d\r\n\r\n%s", line, id, budget.Milliseconds(), body)
+	for i := range 1 + v.rng.IntN(4) {
+		all.WriteString(v.request(i))
 	}
+	c := v.client
 	c.in = readerPool.New().(*bufio.Reader)
 	c.in.Reset(c.Conn)
 	sent := time.Now()
 	write(c, all.String())
-	switch rng.IntN(5) {
+	switch v.rng.IntN(5) {
 	case 0: // goes away in the middle
 		resetOnClose(c.Conn)
-		if rng.IntN(2) == 0 {
+		if v.rng.IntN(2) == 0 {
 			_, _ = c.in.ReadByte() // whether a response has come by then or not
 		}
-		return
+		return 0
 	case 1:
 		closeWrite(c.Conn)
 	}
-	for _, id := range ids {
+	for _, id := range v.ids {
 		h, got, err := c.answer()
 		if h == nil || err != nil {
-			if !breaks && time.Since(sent) < budget { // later it was cut off because its time was up, as it must be
-				broken("%s: %v", id, err)
+			// After the budget it was cut off because its time was up, as it must be.
+			if !v.truncates && time.Since(sent) < conversationBudget {
+				v.broken("%s: %v", id, err)
 			}
-			return
+			return answers
 		}
-		answers.Add(1)
-		own := got == ownBody(id) || got == longBody(id) || h.Status == 204
-		switch {
-		case h.Get("Attempt-Id") != id:
-			broken("the answer to %s is that to %s", id, h.Get("Attempt-Id"))
-		case h.Status/100 == 2 && (!own || h.Get("Server-Seal") != "seal-"+id):
-			broken("%s: %+v with %.60q", id, h, got)
-		case h.Get("Failed") != "" && got != "fail:"+id && !own:
-			broken("%s: %d with %.60q", id, h.Status, got)
-		case strings.Contains(got, secret):
-			broken("%s: someone else's bytes", id)
-		case h.Status == 503 || h.Status == 429 || h.Status == 408 || h.Status == 421:
+		answers++
+		v.check(id, h, got)
+		if h.Status == 503 || h.Status == 429 || h.Status == 408 || h.Status == 421 {
 			refused.Store(id, h.Status)
 		}
 		if h.ClosesConnection() {
-			return
+			return answers
 		}
 	}
+	return answers
+}
+
+// request draws what servers do with the next request, and returns it.
+func (v *conversation) request(i int) string {
+	sc := &script{}
+	for k := range sc.moves {
+		if sc.moves[k] = &moves[v.rng.IntN(len(moves))]; v.rng.IntN(2) == 0 {
+			sc.moves[k] = &fine
+		}
+		v.truncates = v.truncates || sc.moves[k].breaks
+	}
+	id, line, body := fmt.Sprintf("%s-%d-get", v.name, i), "GET /get/ HTTP/1.1\r\n", ""
+	if v.rng.IntN(3) == 0 {
+		id, body = fmt.Sprintf("%s-%d-once", v.name, i), "body"
+		line = "POST /once/ HTTP/1.1\r\nContent-Length: 4\r\n"
+	}
+	v.scripts.Store(id, sc)
+	v.ids = append(v.ids, id)
+	return fmt.Sprintf("%sHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\nTime-Budget-Ms: %d\r\n\r\n%s",
+		line, id, conversationBudget.Milliseconds(), body)
+}
+
+// check holds a response against the invariants.
+func (v *conversation) check(id string, h *h1.Head, got string) {
+	own := got == ownBody(id) || got == longBody(id) || h.Status == 204
+	switch {
+	case h.Get("Attempt-Id") != id:
+		v.broken("the response to %s is that to %s", id, h.Get("Attempt-Id"))
+	case h.Status/100 == 2 && (!own || h.Get("Server-Seal") != "seal-"+id):
+		v.broken("%s: %+v with %.60q", id, h, got)
+	case h.Get("Failed") != "" && got != "fail:"+id && !own:
+		v.broken("%s: %d with %.60q", id, h.Status, got)
+	case strings.Contains(got, secret):
+		v.broken("%s: someone else's bytes", id)
+	}
 }
 
 // A long answer may take as long as its request: it is not cut off because it takes
--- a/dataplane/isolation_test.go
+++ b/dataplane/isolation_test.go
@@ -15,59 +15,75 @@
 	"example.org/elmspan/dataplane/h1"
 )
 
-// A server's failure that breaks off is not passed on as if it were whole, and takes
-// nothing of the answer behind it: the client's next answer is its own from its first
-// byte. One that is whole goes back whole, however long.
+// failureBody is the body of a server's failure.
+type failureBody struct {
+	framing, body string
+	truncated     bool
+}
+
+// longFailure is longer than what is held.
+var longFailure = strings.Repeat("0123456789abcdef", 4000)
+
+var failureBodies = map[string]failureBody{
+	"short of its length": {framing: "Content-Length: 30", body: "half", truncated: true},
+	"within a chunk":      {framing: "Transfer-Encoding: chunked", body: "9\r\nhalf", truncated: true},
+	"between chunks":      {framing: "Transfer-Encoding: chunked", body: "4\r\nhalf\r\n", truncated: true},
+	"no chunk":            {framing: "Transfer-Encoding: chunked", body: "no chunk\r\n", truncated: true},
+	"long, short of its end": {
+		framing: fmt.Sprintf("Content-Length: %d", len(longFailure)+9), body: longFailure, truncated: true,
+	},
+	"long": {framing: fmt.Sprintf("Content-Length: %d", len(longFailure)), body: longFailure},
+	"long, in chunks": {
+		framing: "Transfer-Encoding: chunked", body: fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(longFailure), longFailure),
+	},
+}
+
+// A server's failure that is truncated is not passed on as if it were whole, and takes nothing of the response behind
+// it: the client's next response is its own from its first byte. One that is whole goes back whole, however long.
 func TestTruncatedFailureIsNotPassedOnAsWhole(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		long := strings.Repeat("0123456789abcdef", 4000) // more than is held
 		for _, status := range []string{"500 x", "404 x", "504 x", "501 x"} {
-			for name, c := range map[string]struct {
-				framing, body string
-				breaks        bool
-			}{
-				"short of its length":    {framing: "Content-Length: 30", body: "half", breaks: true},
-				"within a chunk":         {framing: "Transfer-Encoding: chunked", body: "9\r\nhalf", breaks: true},
-				"between chunks":         {framing: "Transfer-Encoding: chunked", body: "4\r\nhalf\r\n", breaks: true},
-				"no chunk":               {framing: "Transfer-Encoding: chunked", body: "no chunk\r\n", breaks: true},
-				"long, short of its end": {framing: fmt.Sprintf("Content-Length: %d", len(long)+9), body: long, breaks: true},
-				"long":                   {framing: fmt.Sprintf("Content-Length: %d", len(long)), body: long},
-				"long, in chunks":        {framing: "Transfer-Encoding: chunked", body: fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(long), long)},
-			} {
-				b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
-					if h.Target != "/once/" {
-						return good("the next one's")(w, h, body)
-					}
-					writef(w, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\n%s\r\n\r\n%s", status, h.Get("Attempt-Id"), c.framing, c.body)
-					return !c.breaks
-				})
-				k := dial(t, newGateway(t, b))
-				k.send("POST /once/", "Content-Length: 4\r\n", "body")
-				k.send("GET /get/", "", "") // what would be taken for the rest
-				h, got, err := k.answer()
-				switch {
-				case !c.breaks && (err != nil || !strings.HasPrefix(status, fmt.Sprint(h.Status)) || got != long):
-					t.Errorf("%s, %s: %+v, %d bytes, %v; want the server's", status, name, h, len(got), err)
-				case c.breaks && err == nil && h.Status != 502:
-					t.Errorf("%s, %s: %+v %.40q looks complete", status, name, h, got)
-				case strings.Contains(got, "HTTP/1.1"):
-					t.Errorf("%s, %s: the answer behind it is taken for the rest", status, name)
-				}
-				if err != nil { // visibly incomplete: the connection has ended with it
-					if _, err := k.in.ReadByte(); err == nil {
-						t.Errorf("%s, %s: something follows", status, name)
-					}
-					continue
-				}
-				if h, got, err := k.answer(); err != nil || h.Status != 200 || got != "the next one's" {
-					t.Errorf("%s, %s: the next one: %+v %q, %v", status, name, h, got, err)
-				}
+			for name, c := range failureBodies {
+				c.test(t, status+", "+name, status)
 			}
 		}
 	})
 }
 
+// test has a request fail so, with another one pipelined behind it.
+func (c *failureBody) test(t testing.TB, name, status string) {
+	t.Helper()
+	b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
+		if h.Target != "/once/" {
+			return good("the next one's")(w, h, body)
+		}
+		writef(w, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\n%s\r\n\r\n%s", status, h.Get("Attempt-Id"), c.framing, c.body)
+		return !c.truncated
+	})
+	k := dial(t, newGateway(t, b))
+	k.send("POST /once/", "Content-Length: 4\r\n", "body")
+	k.send("GET /get/", "", "") // what would be taken for the rest
+	h, got, err := k.answer()
+	switch {
+	case !c.truncated && (err != nil || !strings.HasPrefix(status, fmt.Sprint(h.Status)) || got != longFailure):
+		t.Errorf("%s: %+v, %d bytes, %v; want the server's", name, h, len(got), err)
+	case c.truncated && err == nil && h.Status != 502:
+		t.Errorf("%s: %+v %.40q looks complete", name, h, got)
+	case strings.Contains(got, "HTTP/1.1"):
+		t.Errorf("%s: the response behind it is taken for the rest", name)
+	}
+	if err != nil { // visibly incomplete: the connection has ended with it
+		if _, err := k.in.ReadByte(); err == nil {
+			t.Errorf("%s: something follows", name)
+		}
+		return
+	}
+	if h, got, err := k.answer(); err != nil || h.Status != 200 || got != "the next one's" {
+		t.Errorf("%s: the next one: %+v %q, %v", name, h, got, err)
+	}
+}
+
 // givenUp is a connection that calls back when its deadline is taken off, as is done
 // when it is put back into the pool.
 type givenUp struct {
@@ -245,7 +261,7 @@
 func TestEndToEndFieldsArePassedOn(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
+		b := newBackend(t, func(w io.Writer, _ *h1.Head, _ []byte) bool {
 			writef(w, "HTTP/1.1 200 OK\r\nConnection: Server-Seal, Attempt-Id, X\r\nX: 1\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
--- a/dataplane/memoryconn_test.go
+++ b/dataplane/memoryconn_test.go
@@ -11,91 +11,96 @@
 	"time"
 )
 
-// What the network in memory does is what sockets do, as far as the gateway sees it.
-func TestMemoryNetworkBehavesLikeSockets(t *testing.T) {
-	t.Parallel()
-	type end interface {
-		net.Conn
-		CloseWrite() error
-		SetLinger(int) error
-	}
-	for name, c := range map[string]struct {
-		do   func(near, far end) error // what the far end does; its error is the near end's
-		want error
-	}{
-		"closes": {func(near, far end) error {
-			write(far, "bytes")
-			closeConn(far)
-			got, err := io.ReadAll(near)
-			if string(got) != "bytes" {
-				return fmt.Errorf("%q", got)
-			}
-			return err
-		}, nil},
-		"closes one direction": {func(near, far end) error {
-			closeWrite(far)
-			if _, err := io.ReadAll(near); err != nil {
-				return err
-			}
-			write(near, "back")
-			closeWrite(near)
-			got, err := io.ReadAll(far)
-			if string(got) != "back" {
-				return fmt.Errorf("%q", got)
-			}
-			return err
-		}, nil},
-		"resets": {func(near, far end) error {
-			resetOnClose(far)
-			closeConn(far)
-			_, err := near.Read(make([]byte, 1))
+// end is an end of a connection, of TCP or in memory.
+type end interface {
+	net.Conn
+	CloseWrite() error
+	SetLinger(sec int) error
+}
+
+// endBehaviors are what the far end of a connection does, and the error that the near one sees.
+var endBehaviors = map[string]struct {
+	do   func(near, far end) error
+	want error
+}{
+	"closes": {func(near, far end) error {
+		write(far, "bytes")
+		closeConn(far)
+		got, err := io.ReadAll(near)
+		if string(got) != "bytes" {
+			return fmt.Errorf("%q", got)
+		}
+		return err
+	}, nil},
+	"closes one direction": {func(near, far end) error {
+		closeWrite(far)
+		if _, err := io.ReadAll(near); err != nil {
 			return err
-		}, syscall.ECONNRESET},
-		"closes without reading": {func(near, far end) error {
-			write(near, "unread")
-			if _, err := io.ReadFull(far, make([]byte, 1)); err != nil { // it has come
-				return err
-			}
-			closeConn(far)
-			_, err := near.Read(make([]byte, 1))
+		}
+		write(near, "back")
+		closeWrite(near)
+		got, err := io.ReadAll(far)
+		if string(got) != "back" {
+			return fmt.Errorf("%q", got)
+		}
+		return err
+	}, nil},
+	"resets": {func(near, far end) error {
+		resetOnClose(far)
+		closeConn(far)
+		_, err := near.Read(make([]byte, 1))
+		return err
+	}, syscall.ECONNRESET},
+	"closes without reading": {func(near, far end) error {
+		write(near, "unread")
+		if _, err := io.ReadFull(far, make([]byte, 1)); err != nil { // it has come
 			return err
-		}, syscall.ECONNRESET},
-		"is gone when written to": {func(near, far end) error {
-			closeConn(far)
-			if n, err := io.WriteString(near, "taken"); n != 5 || err != nil {
-				return fmt.Errorf("%d, %v", n, err)
-			}
-			for {
-				if _, err := io.WriteString(near, "refused"); err != nil {
-					return nil
-				}
-				time.Sleep(time.Millisecond)
+		}
+		closeConn(far)
+		_, err := near.Read(make([]byte, 1))
+		return err
+	}, syscall.ECONNRESET},
+	"is gone when written to": {func(near, far end) error {
+		closeConn(far)
+		if n, err := io.WriteString(near, "taken"); n != 5 || err != nil {
+			return fmt.Errorf("%d bytes: %w", n, err)
+		}
+		for {
+			if _, err := io.WriteString(near, "refused"); err != nil {
+				return nil
 			}
-		}, nil},
-		"is written to behind its own end": {func(near, _ end) error {
-			closeWrite(near)
-			_, err := io.WriteString(near, "x")
-			return err
-		}, syscall.EPIPE},
-		"is silent": {func(near, _ end) error {
-			setDeadline(near, time.Now().Add(time.Millisecond))
-			_, err := near.Read(make([]byte, 1))
-			return err
-		}, os.ErrDeadlineExceeded},
-		"does not read": {func(near, _ end) error {
-			setDeadline(near, time.Now().Add(time.Millisecond))
-			for {
-				if _, err := near.Write(make([]byte, 1<<16)); err != nil {
-					return err
-				}
+			time.Sleep(time.Millisecond)
+		}
+	}, nil},
+	"is written to behind its own end": {func(near, _ end) error {
+		closeWrite(near)
+		_, err := io.WriteString(near, "x")
+		return err
+	}, syscall.EPIPE},
+	"is silent": {func(near, _ end) error {
+		setDeadline(near, time.Now().Add(time.Millisecond))
+		_, err := near.Read(make([]byte, 1))
+		return err
+	}, os.ErrDeadlineExceeded},
+	"does not read": {func(near, _ end) error {
+		setDeadline(near, time.Now().Add(time.Millisecond))
+		for {
+			if _, err := near.Write(make([]byte, 1<<16)); err != nil {
+				return err
 			}
-		}, os.ErrDeadlineExceeded},
-		"is closed here": {func(near, _ end) error {
-			closeConn(near)
-			_, err := near.Read(make([]byte, 1))
-			return err
-		}, net.ErrClosed},
-	} {
+		}
+	}, os.ErrDeadlineExceeded},
+	"is closed here": {func(near, _ end) error {
+		closeConn(near)
+		_, err := near.Read(make([]byte, 1))
+		return err
+	}, net.ErrClosed},
+}
+
+// What the network in memory does is what sockets do, as far as the gateway sees it.
+func TestMemoryNetworkBehavesLikeSockets(t *testing.T) {
+	t.Parallel()
+	for name, c := range endBehaviors {
 		test := func(t testing.TB) {
 			l := listenOn(t)
 			near, err := dialOn(t, l.Addr().String())
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -150,7 +150,7 @@
 			for _, takes := range []time.Duration{budget - 1, budget + 1} {
 				inFakeTime(t, func(t testing.TB) {
 					long := strings.Repeat("x", 2*maxHeldResponse)
-					c := dial(t, newGateway(t, newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
+					c := dial(t, newGateway(t, newBackend(t, func(w io.Writer, _ *h1.Head, _ []byte) bool {
 						write(w, answerHead(status, "a1", sealed("a1")+sized(len(long)))+long[:maxHeldResponse+9])
 						time.Sleep(takes)
 						write(w, long[maxHeldResponse+9:])
--- a/dataplane/snapshot_test.go
+++ b/dataplane/snapshot_test.go
@@ -11,50 +11,56 @@
 	"example.org/elmspan/versioned"
 )
 
-// A view that was made of differences is the one that the whole makes, and the
-// views before it stay as they were.
+// lookUps returns what a snapshot finds for some hosts, paths and keys.
+func lookUps(s *snapshot) map[string]string {
+	out := map[string]string{}
+	for i := range 16 {
+		for j := range 5 {
+			if r := s.route(fmt.Sprintf("H%d.example:80", j), fmt.Sprintf("/p%d/x", i)); r != nil {
+				out[fmt.Sprint(i, j)] = r.Name + r.Upstream
+			}
+		}
+	}
+	for _, k := range []string{"k", "k2"} {
+		if x, ok := s.keys.Get(hashKey(k)); ok {
+			out[k] = x.name
+		}
+	}
+	return out
+}
+
+// changeAtRandom makes the next revision of a configuration.
+func changeAtRandom(conf *api.Config, rng *rand.Rand) {
+	conf.Revision += 1 + rng.Uint64N(3)
+	switch rng.IntN(4) {
+	case 0:
+		if len(conf.Routes) > 1 {
+			conf.Routes = slices.Delete(slices.Clone(conf.Routes), 0, 1)
+		}
+	case 1:
+		conf.Routes = slices.Clone(conf.Routes)
+		conf.Routes[rng.IntN(len(conf.Routes))].Upstream = "b"
+	case 2:
+		conf.Tenants = []api.Tenant{{Name: "t", Keys: []string{"k"}}, {Name: "u", Keys: []string{"k2"}, Rate: 3}}
+	case 3: // a key moves from one tenant to the other
+		conf.Tenants = []api.Tenant{{Name: "t", Keys: []string{"k2"}}, {Name: "u", Keys: []string{"k"}, Rate: 3}}
+	}
+}
+
+// A snapshot that was made of deltas is the one that the whole makes, and the snapshots before it stay as they were.
 func TestSnapshotOfDeltasEqualsTheWhole(t *testing.T) {
+	type earlier struct {
+		snapshot *snapshot
+		finds    map[string]string
+	}
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var table versioned.Table
 		var v *snapshot
 		conf := configOf(1, 12)
-		type old struct {
-			v    *snapshot
-			find map[string]string
-		}
-		var before []old
-		found := func(v *snapshot) map[string]string {
-			out := map[string]string{}
-			for i := range 16 {
-				for j := range 5 {
-					if r := v.route(fmt.Sprintf("H%d.example:80", j), fmt.Sprintf("/p%d/x", i)); r != nil {
-						out[fmt.Sprint(i, j)] = r.Name + r.Upstream
-					}
-				}
-			}
-			for _, k := range []string{"k", "k2"} {
-				if x, ok := v.keys.Get(hashKey(k)); ok {
-					out[k] = x.name
-				}
-			}
-			return out
-		}
+		var before []earlier
 		for range 12 {
-			conf.Revision += 1 + rng.Uint64N(3)
-			switch rng.IntN(4) {
-			case 0:
-				if len(conf.Routes) > 1 {
-					conf.Routes = slices.Delete(slices.Clone(conf.Routes), 0, 1)
-				}
-			case 1:
-				conf.Routes = slices.Clone(conf.Routes)
-				conf.Routes[rng.IntN(len(conf.Routes))].Upstream = "b"
-			case 2:
-				conf.Tenants = []api.Tenant{{Name: "t", Keys: []string{"k"}}, {Name: "u", Keys: []string{"k2"}, Rate: 3}}
-			case 3: // a key moves from one tenant to the other
-				conf.Tenants = []api.Tenant{{Name: "t", Keys: []string{"k2"}}, {Name: "u", Keys: []string{"k"}, Rate: 3}}
-			}
+			changeAtRandom(conf, rng)
 			table.Replace(conf.Revision, rowsOf(t, conf))
 			have := uint64(0)
 			if v != nil && rng.IntN(4) > 0 {
@@ -68,20 +74,23 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if a, b := found(next), found(whole); !maps.Equal(a, b) || next.checksum != whole.checksum || next.hosts.Len() != whole.hosts.Len() {
-				t.Fatalf("seed %d: by difference %v, the whole %v", seed, a, b)
+			if next.checksum != whole.checksum || next.hosts.Len() != whole.hosts.Len() {
+				t.Fatalf("seed %d: by delta %d hosts, the whole %d", seed, next.hosts.Len(), whole.hosts.Len())
+			}
+			if a, b := lookUps(next), lookUps(whole); !maps.Equal(a, b) {
+				t.Fatalf("seed %d: by delta %v, the whole %v", seed, a, b)
 			}
-			for _, o := range before {
-				if got := found(o.v); !maps.Equal(got, o.find) {
-					t.Fatalf("seed %d: a version before changed to %v from %v", seed, got, o.find)
+			for _, e := range before {
+				if got := lookUps(e.snapshot); !maps.Equal(got, e.finds) {
+					t.Fatalf("seed %d: a version before changed to %v from %v", seed, got, e.finds)
 				}
 			}
-			v, before = next, append(before, old{next, found(next)})
+			v, before = next, append(before, earlier{next, lookUps(next)})
 		}
 	}
 }
 
-// A difference that does not fit is not taken, in no part.
+// No part of a delta that does not fit is taken.
 func TestDeltaThatDoesNotFitIsRejected(t *testing.T) {
 	var a, b versioned.Table
 	a.Replace(1, rowsOf(t, configOf(1, 3)))
--- a/dataplane/unexpectedresponse_test.go
+++ b/dataplane/unexpectedresponse_test.go
@@ -11,89 +11,105 @@
 	"example.org/elmspan/dataplane/h1"
 )
 
-// stray is an answer to a request before: another id, another's body.
-func stray(id, framing, body string) string {
+// foreignResponse is a response to a request before: another id, another's body.
+func foreignResponse(id, framing, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%sServer-Seal: other\r\n%s\r\n%s", id, framing, body)
 }
 
-// No byte of an answer that is another's, or nobody's, reaches a client, wherever
-// it comes: before one's own, in one segment with it, behind an answer, while the
-// connection rests, broken off. What stands behind it, with one's own id, is
-// delivered; else what may be repeated goes elsewhere, and what may not is
-// answered 502, as it may have run. (docs/incidents/0007)
+// foreignBody is the body of responses that are not the client's.
+const foreignBody = "ANOTHER-TENANTS-ANSWER"
+
+// interference is what a server sends beside the response that is due.
+type interference struct {
+	before, after string // the own response
+	ends          bool   // no response of the client's own comes, and the connection ends
+	once          int    // the status for a request that must not run twice
+}
+
+// interferences are the ways in which a foreign response may come.
+func interferences() map[string]interference {
+	long := strings.Repeat(foreignBody, 4000)
+	of := func(id string) string { return "Attempt-Id: " + id + "\r\n" }
+	foreign := foreignResponse(of("x"), sized(len(foreignBody)), foreignBody)
+	chunked := foreignResponse(of("x"), "Transfer-Encoding: chunked\r\n", "16\r\n"+foreignBody+"\r\n0\r\n\r\n")
+	promise := "HTTP/1.1 503 x\r\nNot-Executed: 1\r\n" + of("x") + "Content-Length: 0\r\n\r\n"
+	return map[string]interference{
+		"before one's own":      {before: foreign, once: 200},
+		"two before":            {before: strings.Repeat(foreign, 2), once: 200},
+		"in chunks":             {before: chunked, once: 200},
+		"long":                  {before: foreignResponse(of("x"), sized(len(long)), long), once: 200},
+		"without an id":         {before: foreignResponse("", sized(len(foreignBody)), foreignBody), once: 502},
+		"with two ids":          {before: foreignResponse(of("x")+of("a1"), sized(len(foreignBody)), foreignBody), once: 502},
+		"without an end":        {before: foreignResponse(of("x"), "", foreignBody), once: 502},
+		"more than can be":      {before: strings.Repeat(foreign, attempt.MaxStrayResponses+1), once: 502},
+		"instead of one's own":  {before: foreign, ends: true, once: 502},
+		"broken off":            {before: foreignResponse(of("x"), sized(999), foreignBody), ends: true, once: 502},
+		"behind, in one piece":  {after: foreignResponse(of("a1"), sized(len(foreignBody)), foreignBody), once: 200},
+		"a promise of another":  {before: promise, ends: true, once: 502},
+		"half a head, one's id": {before: "HTTP/1.1 200 OK\r\n" + of("a1"), ends: true, once: 502},
+	}
+}
+
+// No byte of a response that is another's, or nobody's, reaches a client, wherever it comes: before one's own, in one
+// segment with it, behind it, while the connection is idle, truncated. What stands behind it, with one's own id, is
+// delivered; else an idempotent request goes elsewhere, and one that isn't is answered 502, as it may have run.
+// (docs/incidents/0007)
 func TestNobodyGetsAnothersResponse(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		const other = "ANOTHER-TENANTS-ANSWER"
-		long := strings.Repeat(other, 4000)
-		own := func(w io.Writer, h *h1.Head, body []byte) bool { return good("own")(w, h, body) }
-		of := func(id string) string { return "Attempt-Id: " + id + "\r\n" }
-		length := func(s string) string { return fmt.Sprintf("Content-Length: %d\r\n", len(s)) }
-		for name, c := range map[string]struct {
-			before, after string
-			silent        bool // nothing of one's own comes, and the connection ends
-			once          int  // what a request that must not run twice is answered
-		}{
-			"before one's own":      {before: stray(of("x"), length(other), other), once: 200},
-			"two before":            {before: strings.Repeat(stray(of("x"), length(other), other), 2), once: 200},
-			"in chunks":             {before: stray(of("x"), "Transfer-Encoding: chunked\r\n", "16\r\n"+other+"\r\n0\r\n\r\n"), once: 200},
-			"long":                  {before: stray(of("x"), length(long), long), once: 200},
-			"without an id":         {before: stray("", length(other), other), once: 502},
-			"with two ids":          {before: stray(of("x")+of("a1"), length(other), other), once: 502},
-			"without an end":        {before: stray(of("x"), "", other), once: 502},
-			"more than can be":      {before: strings.Repeat(stray(of("x"), length(other), other), attempt.MaxStrayResponses+1), once: 502},
-			"instead of one's own":  {before: stray(of("x"), length(other), other), silent: true, once: 502},
-			"broken off":            {before: stray(of("x"), "Content-Length: 999\r\n", other), silent: true, once: 502},
-			"behind, in one piece":  {after: stray(of("a1"), length(other), other), once: 200},
-			"a promise of another":  {before: "HTTP/1.1 503 x\r\nNot-Executed: 1\r\n" + of("x") + "Content-Length: 0\r\n\r\n", silent: true, once: 502},
-			"half a head, one's id": {before: "HTTP/1.1 200 OK\r\n" + of("a1"), silent: true, once: 502},
-		} {
-			var runs atomic.Int64
-			spoilt := func(w io.Writer, h *h1.Head, body []byte) bool {
-				if strings.HasPrefix(h.Target, "/open/") {
-					return good("open")(w, h, body)
-				}
-				if runs.Add(1) > 1 { // the second server, or the next request, is fine
-					return own(w, h, body)
-				}
-				write(w, c.before)
-				if c.silent {
-					return false
-				}
-				var b strings.Builder
-				own(&b, h, body)
-				write(w, b.String()+c.after)
-				return true
-			}
-			for _, path := range []string{"POST /once/", "GET /get/"} {
-				g := newGateway(t, newBackend(t, spoilt), newBackend(t, spoilt))
-				k := dial(t, g)
-				for range 12 { // further tries are saved up
-					k.send("GET /open/", "", "")
-					k.want(200, "open")
-				}
-				runs.Store(0)
-				fields, body, want := "", "", 200
-				if strings.HasPrefix(path, "POST") {
-					fields, body, want = "Content-Length: 4\r\n", "body", c.once
-				}
-				k.send(path, fields, body)
-				h, got, err := k.answer()
-				if err != nil || h.Status != want || strings.Contains(got, other) || want == 200 && got != "own" || h.Get("Server-Seal") == "other" {
-					t.Errorf("%s, %s: %+v %q, %v; want %d", name, path, h, got, err, want)
-				}
-				if want == 502 && runs.Load() != 1 {
-					t.Errorf("%s, %s: ran %d times", name, path, runs.Load())
-				}
-				k.send("GET /get/", "", "") // and the next one on whatever connection
-				if h, got, err := k.answer(); err != nil || h.Status != 200 || got != "own" {
-					t.Errorf("%s, %s: the next one: %+v %q, %v", name, path, h, got, err)
-				}
-			}
+		for name, c := range interferences() {
+			c.test(t, name, "POST /once/", "Content-Length: 4\r\n", "body", c.once)
+			c.test(t, name, "GET /get/", "", "", 200)
 		}
 	})
 }
 
+// answerer returns what a server does, which counts the requests that it runs.
+func (c *interference) answerer(runs *atomic.Int64) func(w io.Writer, h *h1.Head, body []byte) bool {
+	return func(w io.Writer, h *h1.Head, body []byte) bool {
+		if strings.HasPrefix(h.Target, "/open/") {
+			return good("open")(w, h, body)
+		}
+		if runs.Add(1) > 1 { // the second server, or the next request, is fine
+			return good("own")(w, h, body)
+		}
+		write(w, c.before)
+		if c.ends {
+			return false
+		}
+		var b strings.Builder
+		good("own")(&b, h, body)
+		write(w, b.String()+c.after)
+		return true
+	}
+}
+
+// test sends a request, the first attempt at which meets the interference.
+func (c *interference) test(t testing.TB, name, line, fields, body string, want int) {
+	t.Helper()
+	var runs atomic.Int64
+	interfered := c.answerer(&runs)
+	k := dial(t, newGateway(t, newBackend(t, interfered), newBackend(t, interfered)))
+	for range 12 { // retries are saved up
+		k.send("GET /open/", "", "")
+		k.want(200, "open")
+	}
+	runs.Store(0)
+	k.send(line, fields, body)
+	h, got, err := k.answer()
+	foreign := strings.Contains(got, foreignBody) || h != nil && h.Get("Server-Seal") == "other"
+	if err != nil || h.Status != want || foreign || want == 200 && got != "own" {
+		t.Errorf("%s, %s: %+v %q, %v; want %d", name, line, h, got, err, want)
+	}
+	if want == 502 && runs.Load() != 1 {
+		t.Errorf("%s, %s: ran %d times", name, line, runs.Load())
+	}
+	k.send("GET /get/", "", "") // and the next one on whatever connection
+	if h, got, err := k.answer(); err != nil || h.Status != 200 || got != "own" {
+		t.Errorf("%s, %s: the next one: %+v %q, %v", name, line, h, got, err)
+	}
+}
+
 // An answer that comes while the connection rests is seen before it is used again.
 func TestUnexpectedResponseOnAnIdleConnection(t *testing.T) {
 	t.Parallel()
@@ -103,7 +119,7 @@
 		g := newGateway(t, newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 			good("own")(w, h, body)
 			if n.Add(1) == 1 {
-				write(w, stray("Attempt-Id: a1\r\n", "Content-Length: 2\r\n", "no"))
+				write(w, foreignResponse("Attempt-Id: a1\r\n", "Content-Length: 2\r\n", "no"))
 				close(late)
 			}
 			return true
