--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -9,62 +9,70 @@
 	"example.org/elmspan/bucket"
 )
 
-// customerOf returns the record of a customer, made on first sight. One not
-// seen before starts with the burst split over its gateways, refilled since
-// this gateway started; the rest is held back until its peers are heard.
+// lookupCustomer returns the record of a customer and creates it on first sight. A new one
+// starts with the burst divided by the number of its limiters (spread), refilled since this
+// limiter started. The rest is withheld until its peers have answered, as they may know of
+// units spent before.
 func (l *Limiter) lookupCustomer(now float64, id uint64, plan, spread int) *customer {
-	c := l.customers[id]
-	if c == nil {
-		c = &customer{id: id, plan: plan, refilledAt: now, seenAt: now, limitsInFlight: l.cfg.Plans[plan].MaxInFlight > 0}
-		p, n := l.cfg.Plans[plan], float64(max(1, min(spread, l.cfg.Balancers)))
-		c.balance = min(p.Burst, p.Burst/n+p.Rate*(now-l.startedAt)/1000)
-		c.withheldBurst = p.Burst - c.balance
-		l.customers[id] = c
-		l.customerList = append(l.customerList, c)
+	if c := l.customers[id]; c != nil {
+		return c
 	}
+	p := l.cfg.Plans[plan]
+	limiters := float64(max(1, min(spread, l.cfg.Balancers)))
+	c := &customer{id: id, plan: plan, refilledAt: now, seenAt: now, limitsInFlight: p.MaxInFlight > 0}
+	c.balance = min(p.Burst, p.Burst/limiters+p.Rate*(now-l.startedAt)/1000)
+	c.withheldBurst = p.Burst - c.balance
+	l.customers[id] = c
+	l.customerList = append(l.customerList, c)
 	return c
 }
 
-// release grants what was held back of an unseen customer's burst once all
-// its peers have answered this gateway's question: what they did not tell of
-// has not been spent. Silence of any of them leaves it to the refill.
+// releaseWithheldBurst grants the withheld part of a customer's burst once all its peers
+// have answered the request for levels: what they did not report has not been spent. While
+// one of them has not answered, the bucket rises by its refill alone.
 func (l *Limiter) releaseWithheldBurst(c *customer) {
-	if c.withheldBurst == 0 || c.usesAggregators() && !l.neighborAnswered ||
-		!c.usesAggregators() && slices.ContainsFunc(c.reportsTo, func(i int) bool { return !l.peers[i].answered }) {
+	if c.withheldBurst == 0 || !l.levelsComplete(c) {
 		return
 	}
-	c.balance, c.sentLevel, c.withheldBurst = min(l.cfg.Plans[c.plan].Burst, c.balance+c.withheldBurst), c.sentLevel+c.withheldBurst, 0
+	c.balance = min(l.cfg.Plans[c.plan].Burst, c.balance+c.withheldBurst)
+	c.sentLevel += c.withheldBurst
+	c.withheldBurst = 0
 }
 
-// refill brings a customer's bucket and its part of the ceiling up to date.
+// levelsComplete reports whether the peers that know a customer's level have answered.
+func (l *Limiter) levelsComplete(c *customer) bool {
+	if c.usesAggregators() {
+		return l.neighborAnswered
+	}
+	return !slices.ContainsFunc(c.reportsTo, func(i int) bool { return !l.peers[i].answered })
+}
+
+// refill brings a customer's bucket and its escrow up to date.
 func (l *Limiter) refill(now float64, c *customer) {
-	p, s := l.cfg.Plans[c.plan], (now-c.refilledAt)/1000
+	p, seconds := l.cfg.Plans[c.plan], (now-c.refilledAt)/1000
 	c.refilledAt = now
-	c.balance = bucket.Refill(c.balance, s, p.Rate, p.Burst)
-	if c.spread > 0 {
-		part := c.escrowPart()
-		for k := range c.escrow {
-			c.escrow[k] = min(p.HardBurst*part, c.escrow[k]+s*p.HardRate*part)
-		}
-		c.escrowDeficit = max(0, c.escrowDeficit-s*p.HardRate/aggregatorCount)
+	c.balance = bucket.Refill(c.balance, seconds, p.Rate, p.Burst)
+	if c.spread == 0 {
+		return
 	}
+	part := c.escrowPart()
+	for k := range c.escrow {
+		c.escrow[k] = min(p.HardBurst*part, c.escrow[k]+seconds*p.HardRate*part)
+	}
+	c.escrowDeficit = max(0, c.escrowDeficit-seconds*p.HardRate/aggregatorCount)
 }
 
-// allows tells whether the quota and the ceiling have room; if not, wait is
-// the time until they will have, as far as known here.
+// checkQuota reports whether a customer may spend units now. If not, wait is the time in ms
+// until it may, as far as known here.
 func (l *Limiter) checkQuota(c *customer, units float64) (wait float64, ok bool) {
 	p := l.cfg.Plans[c.plan]
-	// In a large set others pass what is not known here yet: below the margin told
-	// with a level, the lower it is the less passes. A full bucket has no margin.
+	// In a large set others admit what is not known here yet. Below the margin that came
+	// with a level, the lower the balance, the less is admitted. A full bucket has no margin.
 	if p.Rate > 0 && c.balance < units+min(c.margin, p.Burst-c.balance)*l.rng.Float64() {
 		wait = bucket.Wait(c.balance, units, p.Rate) * 1000
 	}
-	// The ceiling is held by escrow: each gateway of the set owns an equal
-	// part of its store and rate, so that the sum of all never exceeds it,
-	// whatever is lost or late. A starting gateway begins with nothing.
-	// In a large set keepers give back early what the store has regained.
-	if share := c.escrowBalance(); p.HardRate > 0 && share < units {
-		wait = max(wait, (units-share)/p.HardRate*float64(c.spread)*1000)
+	if held := c.escrowBalance(); p.HardRate > 0 && held < units {
+		wait = max(wait, (units-held)/p.HardRate*float64(c.spread)*1000)
 	}
 	if p.MaxInFlight > 0 && c.totalInFlight() >= p.MaxInFlight {
 		wait = max(wait, tickIntervalMs)
@@ -72,8 +80,7 @@
 	return wait, wait == 0
 }
 
-// spend takes units that this gateway lets through. Only the first attempt
-// of a request spends.
+// spend takes units that this limiter admits. A request spends once, at its first attempt.
 func (l *Limiter) spend(now float64, c *customer, units float64) {
 	c.balance, c.spent = c.balance-units, c.spent+units
 	for k := range c.escrow {
@@ -84,10 +91,13 @@
 	l.markUnreported(c)
 }
 
+// handleSubmit admits a request and starts its first attempt, or rejects it. Quota is checked
+// before the choice of server and spent after it, as only what is forwarded counts.
 func (l *Limiter) handleSubmit(now float64, e Submit) {
 	if l.requests[e.ID] != nil {
 		return
-	} else if e.Class < 0 || e.Class >= len(l.cfg.Classes) || e.Plan < 0 || e.Plan >= len(l.cfg.Plans) {
+	}
+	if e.Class < 0 || e.Class >= len(l.cfg.Classes) || e.Plan < 0 || e.Plan >= len(l.cfg.Plans) {
 		l.emit(Reject{ID: e.ID})
 		return
 	}
@@ -99,16 +109,17 @@
 	l.releaseWithheldBurst(c)
 	c.seenAt = now
 	units := max(0, e.Units)
-	aim := l.timeToTarget(e)
+	timeLeft := l.timeToTarget(e)
 	if wait, ok := l.checkQuota(c, units); !ok {
 		l.reject(e.ID, wait)
 		return
-	} else if aim <= 0 {
+	}
+	if timeLeft <= 0 {
 		l.reject(e.ID, l.cfg.Caps.MaxRetryAfterMs)
 		return
 	}
-	r := &request{id: e.ID, class: e.Class, units: units, customer: c, targetAt: now + aim}
-	r.deadlineAt = now + e.TimeoutMs
+	r := &request{id: e.ID, class: e.Class, units: units, customer: c,
+		targetAt: now + timeLeft, deadlineAt: now + e.TimeoutMs}
 	l.setWaitFactor(r)
 	s, wait := l.chooseServer(now, r)
 	if s == nil {
@@ -123,7 +134,8 @@
 	l.startAttempt(now, r, s)
 }
 
-// refuse turns a request away; the advice is never longer than clients heed.
+// reject answers that nothing was executed, with the time in ms after which a retry may
+// succeed. Longer times than clients respect are shortened.
 func (l *Limiter) reject(id string, wait float64) {
 	if !l.cfg.Caps.RetryAfter {
 		wait = 0
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -246,7 +246,7 @@
 }
 
 // Probe asks for a check of a server.
-type Probe struct{ Server uint64 }
+type ProbeServer struct{ Server uint64 }
 
 // Tell sends a message to another gateway.
 type SendPeer struct {
@@ -268,7 +268,7 @@
 func (Fail) action()           {}
 func (CancelAttempt) action()  {}
 func (SetTimer) action()       {}
-func (Probe) action()          {}
+func (ProbeServer) action()    {}
 func (SendPeer) action()       {}
 func (Log) action()            {}
 func (WatchEndpoints) action() {}
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -3,9 +3,7 @@
 // This file has the lifecycle of a request: its attempts, their outcomes, retries within
 // the retry budget, and the final response.
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
 	// Retries that may have cost a server work are paid from a budget: each first attempt
@@ -14,31 +12,41 @@
 	maxRetryBudget   = 10.0
 )
 
+// request is a request without its final response.
 type request struct {
-	id             string
-	class          int
-	units          float64
-	customer       *customer
-	targetAt       float64
-	waitFactor     float64 // by what it is worth: how much of its spare time it may wait
-	deadlineAt     float64
-	attempts       []attempt
-	inFlight       int     // attempts out
-	executedOn     *server // where an attempt may have run first
+	id         string
+	class      int
+	units      float64
+	customer   *customer
+	targetAt   float64 // a response until then meets the latency target
+	deadlineAt float64 // the client gives up then
+	waitFactor float64 // on its spare time, see setWaitFactor
+	attempts   []attempt
+	inFlight   int  // attempts without an outcome
+	streaming  bool // the response has begun
+
+	// The first attempt that may have been executed; executedOn is nil while there is none.
+	executedOn     *server
 	executedOnInfo ServerInfo
 	executedAt     float64
-	streaming      bool
 }
 
+// attempt is one forwarding of a request to a server.
 type attempt struct {
 	server *server
 	sentAt float64
-	load   float64
+	load   float64 // requests in flight at the server, with this one
 	ended  bool
 }
 
+// hasAttemptAt reports whether an attempt of the request was sent to a server.
+func (r *request) hasAttemptAt(s *server) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
+}
+
+// startAttempt forwards a request to a server.
 func (l *Limiter) startAttempt(now float64, r *request, s *server) {
-	if s.inflight == 0 {
+	if s.inFlight == 0 {
 		s.waitingSince = now
 	}
 	l.recentAttempts = l.decayedAttempts(now) + 1
@@ -46,11 +54,19 @@
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: now, load: s.load() + 1})
 	r.inFlight++
 	r.customer.inFlight++
-	s.inflight++
-	l.inflight++
+	s.inFlight++
+	l.inFlight++
 	l.emit(StartAttempt{ID: r.id, Server: s.info.ID})
 }
 
+func (l *Limiter) handleFirstByte(e FirstByte) {
+	if r := l.requests[e.ID]; r != nil {
+		r.streaming = true
+	}
+}
+
+// handleOutcome takes in how an attempt ended. The counts are settled first, so that all that
+// follows sees the attempt as ended.
 func (l *Limiter) handleOutcome(now float64, e Outcome) {
 	r := l.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
@@ -74,13 +90,29 @@
 	}
 }
 
-// again makes a further attempt or gives the final answer. Nothing is out.
-func (l *Limiter) retryOrFinish(now float64, r *request, last Result) {
+// mayRetry reports whether another attempt can't execute the request twice and comes within
+// the deadline and the number of attempts.
+func (l *Limiter) mayRetry(now float64, r *request) bool {
+	if now >= r.deadlineAt || len(r.attempts) >= max(1, l.cfg.Caps.MaxAttempts) {
+		return false
+	}
+	class := l.cfg.Classes[r.class]
+	return r.executedOn == nil || class.Idempotency == Safe ||
+		class.Idempotency == Keyed && now < r.executedAt+class.DedupWindowMs
+}
+
+// clientMayRetry reports whether a retry by the client can't execute the request twice. The
+// client's retry may come to any server.
+func (l *Limiter) clientMayRetry(r *request) bool {
 	class := l.cfg.Classes[r.class]
-	may := now < r.deadlineAt && len(r.attempts) < max(1, l.cfg.Caps.MaxAttempts) && (r.executedOn == nil ||
-		class.Idempotency == Safe || class.Idempotency == Keyed && now < r.executedAt+class.DedupWindowMs)
-	costly := !(last == ConnectFailed || last == NotSent)
-	if may && (!costly || l.retryBudget >= 1) {
+	return r.executedOn == nil || class.Idempotency == Safe ||
+		class.Idempotency == Keyed && class.DedupScope == DedupAll
+}
+
+// retryOrFinish makes another attempt or gives the final response. No attempt is in flight.
+func (l *Limiter) retryOrFinish(now float64, r *request, last Result) {
+	costly := last != ConnectFailed && last != NotSent
+	if l.mayRetry(now, r) && (!costly || l.retryBudget >= 1) {
 		if s, _ := l.chooseServer(now, r); s != nil {
 			if costly {
 				l.retryBudget--
@@ -89,8 +121,7 @@
 			return
 		}
 	}
-	harmless := r.executedOn == nil || class.Idempotency == Safe || class.Idempotency == Keyed && class.DedupScope == DedupAll
-	if harmless && now < r.deadlineAt {
+	if l.clientMayRetry(r) && now < r.deadlineAt {
 		l.reject(r.id, 0)
 	} else {
 		l.emit(Fail{ID: r.id})
@@ -98,12 +129,13 @@
 	l.removeRequest(r)
 }
 
-// drop forgets a request that is over.
+// removeRequest forgets a request and cancels its attempts in flight. Outcomes still to come
+// are ignored, so their counts are settled here. A nil request is ignored.
 func (l *Limiter) removeRequest(r *request) {
 	if r == nil {
 		return
 	}
-	for i := range r.attempts { // outcomes still to come are ignored: settle their counts here
+	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.ended {
 			l.settleAttempt(r, a)
 			if l.cfg.Caps.Cancel {
@@ -114,19 +146,20 @@
 	delete(l.requests, r.id)
 }
 
-// back settles the counts of an attempt that is no longer out.
+// settleAttempt takes an attempt that is no longer in flight out of all counts.
 func (l *Limiter) settleAttempt(r *request, a *attempt) {
 	a.ended = true
 	r.inFlight--
 	r.customer.inFlight--
-	a.server.inflight--
-	l.inflight--
+	a.server.inFlight--
+	l.inFlight--
 }
 
-// provesUnrun tells whether a result shows that nothing ran.
+// provesNotExecuted reports whether a result shows that nothing was executed.
 func provesNotExecuted(r Result) bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// sortedRequests lists the requests in hand in an order that is always the same.
+// sortedRequests returns the ids of all requests in ascending order, so that equal events
+// give equal actions.
 func (l *Limiter) sortedRequests() []string {
 	ids := make([]string, 0, len(l.requests))
 	for id := range l.requests {
--- a/balancer/customer.go
+++ b/balancer/customer.go
@@ -20,54 +20,65 @@
 	aggregatorCount = 2
 )
 
+// customer is what this limiter knows of a customer.
 type customer struct {
-	id               uint64
-	plan             int
-	spread           int // 0 until one of its requests came here
-	firstLimiter     int
-	balance          float64
-	escrow           [aggregatorCount]float64 // this gateway's part of the ceiling's store, by the keeper that may grant it
-	initialHardBurst float64                  // what the ceiling's store was taken to hold at first
-	refilledAt       float64                  // when all were last refilled
-	seenAt           float64
-	spent            float64 // units passed here
-	inFlight         int
-	levelKnown       bool       // a peer has told its level
-	withheldBurst    float64    // part of the burst not granted until peers are heard
-	peerViews        []peerView // of the gateways heard of or told
-
-	margin             float64 // told with the level: below it, less passes
-	recentUnits        float64 // units heard of in the last second or so
+	id     uint64
+	plan   int
+	seenAt float64 // last request or report
+
+	// The token bucket.
+	balance       float64
+	withheldBurst float64 // part of the burst that is withheld until peers have answered
+	refilledAt    float64 // of the bucket and the escrow
+	spent         float64 // units admitted here since the start, less refunds
+	lastSpentAt   float64
+	lastUnits     float64
+	levelKnown    bool    // a peer has sent its level
+	margin        float64 // came with the level: below it less is admitted
+
+	// The limit of attempts in flight.
+	inFlight       int
+	limitsInFlight bool // the plan has such a limit
+
+	// The set of limiters: spread of them in a row from firstLimiter on. spread is 0 until
+	// the customer's first request or report.
+	spread       int
+	firstLimiter int
+	reportsTo    []int // limiters that are sent reports on what is admitted here
+	unreported   bool  // listed in Limiter.unreported
+	peerViews    []peerView
+
+	// The escrow of the hard rate limit, one part for each aggregator that grants it.
+	escrow           [aggregatorCount]float64
+	initialHardBurst float64 // assumed to be left of the limit's burst at first
+
+	// What an aggregator of the customer knows.
+	isAggregator       bool
+	aggregatorRank     int     // 0, or 1 for the standby
+	recentUnits        float64 // units reported in the last second or so
 	recentUnitsAt      float64
-	reportsTo          []int // gateways told of what passes here
-	unreported         bool
-	limitsInFlight     bool    // the plan limits attempts out
-	isAggregator       bool    // this gateway tells the set the level ...
-	aggregatorRank     int     // ... in this order
-	escrowDeficit      float64 // what the half of the ceiling in its care is short of full, as far as heard
-	grantedAt          float64
-	sentLevel          float64
+	sentLevel          float64 // last level that the set was sent
 	sentLevelAt        float64
-	overestimatedTicks int     // ticks for which the set has believed in more
-	lastSpentAt        float64 // the last spending here ...
-	lastUnits          float64 // ... and its units
+	overestimatedTicks int     // ticks for which the set has assumed more than there is
+	escrowDeficit      float64 // what its part of the limit lacks of the full burst, as reported
+	grantedAt          float64
 }
 
-// view is what this gateway and one peer know of each other's spending.
+// peerView is what this limiter and one peer have reported to each other about a customer.
 type peerView struct {
 	peer                int
-	incarnation         uint32
-	receivedSpent       uint64 // told by the peer, in steps
-	seq                 uint64
-	inFlight            int
-	sentSpent           uint64 // told to the peer
-	previouslySentSpent uint64 // what it was told before that
+	incarnation         uint32 // of the peer's last report; 0 before the first
+	seq                 uint64 // of the peer's last report
+	receivedSpent       uint64 // as the peer reported, in steps
+	inFlight            int    // as the peer reported
+	sentSpent           uint64 // as reported to the peer, in steps
+	previouslySentSpent uint64 // in the report before that
 	sentInFlight        int
-	resend              bool    // told once, to be told again
-	escrowDeficit       float64 // what its share of the ceiling lacks, to a keeper
+	resend              bool    // the last report was sent once: it is sent once more
+	escrowDeficit       float64 // what the peer's escrow lacks, if this limiter is an aggregator
 }
 
-// outAll is the number of a customer's attempts out, as far as known.
+// totalInFlight is the number of a customer's attempts in flight at all limiters, as far as known.
 func (c *customer) totalInFlight() int {
 	n := c.inFlight
 	for i := range c.peerViews {
@@ -76,13 +87,14 @@
 	return n
 }
 
-// steps is what peers are told of a customer's spending: it never falls, a
-// refund nets against later spending.
-func (c *customer) spentSteps(told uint64) uint64 {
-	return max(told, uint64(max(0, math.Round(c.spent*unitScale))))
+// spentSteps is the spending in steps that is reported to a peer. It never falls below what
+// was reported: a refund counts against later spending.
+func (c *customer) spentSteps(sentSpent uint64) uint64 {
+	return max(sentSpent, uint64(max(0, math.Round(c.spent*unitScale))))
 }
 
-// view is the record of one peer, made on first use.
+// peerView returns the view of one peer, created on first use. It is valid until the next
+// call for another peer.
 func (c *customer) peerView(i int) *peerView {
 	for k := range c.peerViews {
 		if c.peerViews[k].peer == i {
@@ -93,25 +105,19 @@
 	return &c.peerViews[len(c.peerViews)-1]
 }
 
-// seed sets a level that is told or taken over.
+// setLevel replaces the balance by a level that a peer has sent.
 func (c *customer) setLevel(now, level float64) {
-	c.balance, c.levelKnown, c.withheldBurst, c.sentLevel, c.sentLevelAt = level, true, 0, level, now
+	c.balance, c.levelKnown, c.withheldBurst = level, true, 0
+	c.sentLevel, c.sentLevelAt = level, now
 }
 
-// large tells that a customer has too many gateways to tell each of them.
+// usesAggregators reports whether the set is too large for a report to each of its limiters.
 func (c *customer) usesAggregators() bool { return c.spread > maxDirectPeers+1 && !c.limitsInFlight }
 
-// forget drops customers that are idle and whose bucket and part of the ceiling are
-// full again: a new record would start full too. Guards against growing with every
-// customer that comes once.
+// evictIdleCustomers drops idle customers, so that memory doesn't grow with every customer
+// that comes once. Their buckets and escrows are full: a new record starts full too.
 func (l *Limiter) evictIdleCustomers(now float64) {
-	idle := func(c *customer) bool {
-		l.refill(now, c)
-		p := l.cfg.Plans[c.plan]
-		return c.inFlight == 0 && !c.unreported && now-c.seenAt >= idleCustomerMs && now-l.startedAt > idleCustomerMs &&
-			c.balance >= p.Burst && (c.spread == 0 || p.HardRate <= 0 ||
-			c.escrowBalance()*float64(c.spread) >= p.HardBurst*(1-1e-9))
-	}
+	idle := func(c *customer) bool { return l.isIdle(now, c) }
 	l.aggregated = slices.DeleteFunc(l.aggregated, idle)
 	l.customerList = slices.DeleteFunc(l.customerList, func(c *customer) bool {
 		drop := idle(c)
@@ -123,7 +129,21 @@
 	})
 }
 
-// fade brings the flow up to date.
+// isIdle reports whether a customer has had no request for long and all that is remembered of
+// it has returned to what a new record has.
+func (l *Limiter) isIdle(now float64, c *customer) bool {
+	l.refill(now, c)
+	p := l.cfg.Plans[c.plan]
+	if c.inFlight != 0 || c.unreported || now-c.seenAt < idleCustomerMs || now-l.startedAt <= idleCustomerMs {
+		return false
+	}
+	if c.balance < p.Burst {
+		return false
+	}
+	return c.spread == 0 || p.HardRate <= 0 || c.escrowBalance()*float64(c.spread) >= p.HardBurst*(1-1e-9)
+}
+
+// decayRecentUnits brings recentUnits up to date: it decays with a time constant of a second.
 func (c *customer) decayRecentUnits(now float64) {
 	c.recentUnits, c.recentUnitsAt = c.recentUnits*math.Exp((c.recentUnitsAt-now)/1000), now
 }
--- a/balancer/escrow.go
+++ b/balancer/escrow.go
@@ -14,10 +14,10 @@
 // escrow: less is not worth a message.
 const minGrantShare = 0.3
 
-// part is the share of the ceiling that each of this gateway's shares holds.
+// escrowPart is the share of the hard limit that each part of this limiter's escrow holds.
 func (c *customer) escrowPart() float64 { return 1 / float64(c.spread) / aggregatorCount }
 
-// share is what this gateway may pass of a customer's ceiling.
+// escrowBalance is what this limiter may admit now within a customer's hard limit, in units.
 func (c *customer) escrowBalance() (sum float64) {
 	for _, s := range c.escrow {
 		sum += s
@@ -25,23 +25,24 @@
 	return sum
 }
 
-// grant gives the gateways of a large set back what they have spent of their shares
-// of the ceiling, while the store itself has refilled. Equal shares alone starve the
-// gateway that most of a customer's requests come through, while the refill of the
-// others overflows. Each keeper has one half of the ceiling in its care: what that
-// half lacks, as far as heard, is lacking in the gateways' shares too, and no more
-// than the difference is granted, so that the sum of all shares never exceeds the
-// store, whatever is lost or late. What is not heard of yet lacks in both alike.
+// grantEscrow gives limiters of a large set back what they have spent of their escrow, as far
+// as the limit itself has refilled. With equal parts alone the limiter through which most of
+// a customer's requests come would starve, while the refill of the others is lost. Each
+// aggregator has one half of the limit in its care. What that half lacks, as far as reported,
+// the limiters' escrows lack too, and no more than the difference is granted. So the sum of
+// all escrows never exceeds the limit, whatever is lost or late: what is not reported yet is
+// lacking on both sides.
 func (l *Limiter) grantEscrow(now float64, c *customer) {
 	p := l.cfg.Plans[c.plan]
 	if p.HardRate <= 0 {
 		return
 	}
-	s, full, free := (now-c.grantedAt)/1000, p.HardBurst*c.escrowPart(), -c.escrowDeficit
+	seconds, full := (now-c.grantedAt)/1000, p.HardBurst*c.escrowPart()
 	c.grantedAt = now
+	free := -c.escrowDeficit
 	for i := range c.peerViews {
 		v := &c.peerViews[i]
-		v.escrowDeficit = max(0, v.escrowDeficit-s*p.HardRate*c.escrowPart())
+		v.escrowDeficit = max(0, v.escrowDeficit-seconds*p.HardRate*c.escrowPart())
 		free += v.escrowDeficit
 	}
 	for i := range c.peerViews {
@@ -60,12 +61,12 @@
 	}
 }
 
-// granted adds a grant of the keeper with a rank to its share here.
+// addGrant adds a grant of the aggregator with a rank to its part of the escrow.
 func (c *customer) addGrant(rank int, full float64, e peerEntry) {
 	c.escrow[rank] = min(full, c.escrow[rank]+float64(e.level)/unitScale)
 }
 
-// lacks notes what a gateway has spent, for the half of the ceiling kept here.
+// recordEscrowSpending counts what a limiter has spent, if this one is an aggregator.
 func (l *Limiter) recordEscrowSpending(c *customer, i int, units float64) {
 	if c.isAggregator && l.cfg.Plans[c.plan].HardRate > 0 {
 		c.escrowDeficit += units / aggregatorCount
@@ -73,17 +74,31 @@
 	}
 }
 
-// takeGrant takes in what a keeper gives back, and no stranger can.
+// applyGrant takes in a grant from an aggregator. Grants of other limiters are ignored.
 func (l *Limiter) applyGrant(now float64, from int, en peerEntry) {
 	c := l.customers[en.customer]
 	if c == nil || !c.usesAggregators() || en.level < 0 {
 		return
 	}
-	if rank := slices.Index(c.reportsTo, from); rank >= 0 {
-		if c.isAggregator { // it tells the other one alone
-			rank = aggregatorCount - 1 - c.aggregatorRank
-		}
-		l.refill(now, c)
-		c.addGrant(rank, l.cfg.Plans[c.plan].HardBurst*c.escrowPart(), en)
+	rank := slices.Index(c.reportsTo, from)
+	if rank < 0 {
+		return
+	}
+	if c.isAggregator { // it reports only to the other one
+		rank = aggregatorCount - 1 - c.aggregatorRank
+	}
+	l.refill(now, c)
+	c.addGrant(rank, l.cfg.Plans[c.plan].HardBurst*c.escrowPart(), en)
+}
+
+// fillEscrow adds what was assumed to be spent of the hard limit's burst at first.
+func (l *Limiter) fillEscrow(now float64, c *customer) {
+	if c.spread == 0 {
+		return
+	}
+	burst, part := l.cfg.Plans[c.plan].HardBurst, c.escrowPart()
+	l.refill(now, c)
+	for k := range c.escrow {
+		c.escrow[k] = min(burst*part, c.escrow[k]+(burst-c.initialHardBurst)*part)
 	}
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -22,32 +22,61 @@
 	levelIntervalSteepness = 4.0
 )
 
+// peer is what is known of another limiter, and what is to be sent to it.
 type peer struct {
-	incarnation, previousIncarnation uint32
-	seq                              uint64
-	answered                         bool // has told us its levels
-	answeredAt                       float64
-	due                              []*customer // to be told with this tick
-	grants                           []peerEntry
+	incarnation         uint32 // of its last report
+	previousIncarnation uint32
+	seq                 uint64 // of the last report sent to it
+	answered            bool   // it has answered the request for levels
+	answeredAt          float64
+	due                 []*customer // to be reported in this tick
+	grants              []peerEntry // to be sent in this tick
 }
 
+// exchangeWithPeers sends what is due: levels first, then grants, then reports in turn while
+// there is credit.
 func (l *Limiter) exchangeWithPeers(now float64) {
-	fair := gossipShare * l.cfg.PeerMessagesPerSecond * tickIntervalMs / 1000 // messages a tick
+	fair := gossipShare * l.cfg.PeerMessagesPerSecond * tickIntervalMs / 1000 // messages per tick
 	l.sendCredit = min(max(1, float64(len(l.peers)-1)), l.sendCredit+fair)
-	// Gateways are told about equally many levels: what comes in here tells a
-	// keeper whether it may tell oftener. Reports, which keepers alone get, say nothing.
+	l.paceLevels(fair)
+	l.sendAggregatedLevels(now)
+	l.sendGrants()
+	l.collectDueReports()
+	l.sendDueReports(now)
+	l.unreported = slices.DeleteFunc(l.unreported, func(c *customer) bool {
+		c.unreported = slices.ContainsFunc(c.reportsTo, c.hasUnreported)
+		return !c.unreported
+	})
+}
+
+// paceLevels sets the interval between two levels of a customer. Limiters are sent equally
+// many levels: those received here show an aggregator whether it may send more often. Reports
+// show nothing, as only aggregators receive them.
+func (l *Limiter) paceLevels(fair float64) {
 	l.receiveRate += (l.levelsReceived/fair - l.receiveRate) * tickIntervalMs / 1000
 	l.levelsReceived = 0
-	l.levelInterval = 1000 * levelIntervalMessages / l.cfg.PeerMessagesPerSecond * math.Exp(levelIntervalSteepness*max(0, l.receiveRate-0.5))
-	l.sendAggregatedLevels(now)
+	excess := max(0, l.receiveRate-0.5)
+	l.levelInterval = 1000 * levelIntervalMessages / l.cfg.PeerMessagesPerSecond * math.Exp(levelIntervalSteepness*excess)
+}
+
+// sendGrants sends each peer the escrow granted to it.
+func (l *Limiter) sendGrants() {
 	for i := range l.peers {
-		if p := &l.peers[i]; len(p.grants) > 0 {
-			l.sendToRange(peerMessage{flags: flagLevelUpdate | flagEscrowGrant, entries: p.grants}, i, 1)
-			l.sendCredit--
-			p.grants = p.grants[:0]
+		p := &l.peers[i]
+		if len(p.grants) == 0 {
+			continue
 		}
+		l.sendToRange(peerMessage{flags: flagLevelUpdate | flagEscrowGrant, entries: p.grants}, i, 1)
+		l.sendCredit--
+		p.grants = p.grants[:0]
 	}
-	slices.SortStableFunc(l.unreported, func(a, b *customer) int { return cmp.Compare(b.reportPriority(), a.reportPriority()) })
+}
+
+// collectDueReports lists for each peer the customers to report, the most urgent first.
+func (l *Limiter) collectDueReports() {
+	slices.SortStableFunc(l.unreported, func(a, b *customer) int {
+		return cmp.Compare(b.reportPriority(), a.reportPriority())
+	})
 	for _, c := range l.unreported {
 		for _, i := range c.reportsTo {
 			if c.hasUnreported(i) {
@@ -55,6 +84,11 @@
 			}
 		}
 	}
+}
+
+// sendDueReports sends reports while there is credit. The next tick goes on with the peer
+// after the last one, so that none is left out for long.
+func (l *Limiter) sendDueReports(now float64) {
 	for k, from := 0, l.nextPeer; k < len(l.peers); k++ {
 		i := (from + k) % len(l.peers)
 		if (len(l.peers[i].due) > 0 || l.requestsLevels(now, i)) && l.sendCredit >= 1 {
@@ -64,19 +98,17 @@
 		}
 		l.peers[i].due = l.peers[i].due[:0]
 	}
-	l.unreported = slices.DeleteFunc(l.unreported, func(c *customer) bool {
-		c.unreported = slices.ContainsFunc(c.reportsTo, c.hasUnreported)
-		return !c.unreported
-	})
 }
 
-// asks tells whether this gateway, just started, asks a peer near it for levels.
+// requestsLevels reports whether this limiter, just started, requests levels from a peer: one
+// near it on the ring that has not answered yet.
 func (l *Limiter) requestsLevels(now float64, i int) bool {
-	return now-l.startedAt < levelsRequestMs && !l.peers[i].answered && l.ringDistance(i) > 0 && l.ringDistance(i) <= maxDirectPeers/2
+	distance := l.ringDistance(i)
+	return now-l.startedAt < levelsRequestMs && !l.peers[i].answered && distance > 0 && distance <= maxDirectPeers/2
 }
 
-// tell sends a peer what has changed, most pressing first: what is untold
-// against what is left. In small sets each figure is told once more, against loss.
+// sendReport sends a peer what has changed, the most urgent first. In small sets each figure
+// is sent once more, in case the message is lost.
 func (l *Limiter) sendReport(now float64, i int) {
 	p := &l.peers[i]
 	p.seq++
@@ -90,49 +122,58 @@
 	for _, c := range p.due {
 		v := c.peerView(i)
 		e := l.entryFor(now, c, v.sentSpent)
-		if v.resend { // what the last message told may be lost
+		if v.resend {
 			e.newlySpent = e.spent - v.previouslySentSpent
 		}
 		m.entries = append(m.entries, e)
 	}
-	for k, c := range p.due[:l.sendToRange(m, i, 1)] {
+	sent := l.sendToRange(m, i, 1)
+	for k, c := range p.due[:sent] {
 		v := c.peerView(i)
 		v.resend = m.entries[k].spent != v.sentSpent && !c.usesAggregators()
 		v.previouslySentSpent, v.sentSpent, v.sentInFlight = v.sentSpent, m.entries[k].spent, c.inFlight
 	}
 }
 
-// owes tells whether there is something to tell a peer.
+// hasUnreported reports whether there is something to report to a peer.
 func (c *customer) hasUnreported(i int) bool {
 	v := c.peerView(i)
 	return v.resend || c.spentSteps(v.sentSpent) != v.sentSpent || c.inFlight != v.sentInFlight && c.limitsInFlight
 }
 
-// press is how much spending of late weighs against what is left.
+// reportPriority is the last spending against what is left.
 func (c *customer) reportPriority() float64 { return (c.lastUnits + 1) / max(1, c.balance) }
 
-// entry is what is told of a customer to a peer that was told so much before.
-func (l *Limiter) entryFor(now float64, c *customer, told uint64) peerEntry {
+// entryFor returns the report on a customer to a peer whose last report had sentSpent.
+func (l *Limiter) entryFor(now float64, c *customer, sentSpent uint64) peerEntry {
 	l.refill(now, c)
-	spent := c.spentSteps(told)
-	return peerEntry{customer: c.id, plan: uint64(c.plan), spread: uint64(c.spread), firstLimiter: uint64(c.firstLimiter),
-		spent: spent, newlySpent: spent - told, level: int64(math.Floor((c.balance + c.withheldBurst) * unitScale)),
-		margin: uint64(c.margin * unitScale), inFlight: uint64(c.inFlight)}
+	spent := c.spentSteps(sentSpent)
+	return peerEntry{
+		customer:     c.id,
+		plan:         uint64(c.plan),
+		spread:       uint64(c.spread),
+		firstLimiter: uint64(c.firstLimiter),
+		spent:        spent,
+		newlySpent:   spent - sentSpent,
+		level:        int64(math.Floor((c.balance + c.withheldBurst) * unitScale)),
+		margin:       uint64(c.margin * unitScale),
+		inFlight:     uint64(c.inFlight),
+	}
 }
 
-// tellSet sends a message to n gateways in a row and returns how many of its
-// entries went in.
-func (l *Limiter) sendToRange(m peerMessage, first, n int) int {
-	data, k := m.encode()
+// sendToRange sends a message to n limiters in a row, but not to this one, and returns how
+// many of its entries fitted in.
+func (l *Limiter) sendToRange(m peerMessage, first, n int) (entries int) {
+	data, entries := m.encode()
 	for j := range n {
 		if i := (first + j) % len(l.peers); i != l.cfg.Position {
 			l.emit(SendPeer{To: i, Data: data})
 		}
 	}
-	return k
+	return entries
 }
 
-// stir puts a customer on the list of those with something untold.
+// markUnreported lists a customer among those with something to report.
 func (l *Limiter) markUnreported(c *customer) {
 	if !c.unreported && l.cfg.Caps.Peers {
 		c.unreported = true
@@ -140,29 +181,38 @@
 	}
 }
 
-// apart is how many places lie between this gateway and another, either way round.
+// ringDistance is the distance between this limiter and another on the ring of positions.
 func (l *Limiter) ringDistance(i int) int {
 	d := i - l.cfg.Position
 	return min(max(d, -d), l.cfg.Balancers-max(d, -d))
 }
 
-// answer tells a gateway that just started of levels below full; in large sets
-// its neighbours alone do, who have mostly the same customers.
+// sendLevelsResponse sends a limiter that has just started the levels below full, in as many
+// messages as they need.
 func (l *Limiter) sendLevelsResponse(now float64, to int) {
 	m := peerMessage{flags: flagLevelUpdate | flagLevelsResponse, ageMs: uint64(now - l.startedAt)}
 	for _, c := range l.customerList {
 		l.refill(now, c)
-		below, told := l.cfg.Plans[c.plan].Burst-c.balance-c.withheldBurst, slices.Contains(c.reportsTo, to)
-		if c.usesAggregators() || c.spread == 0 {
-			told = l.ringDistance(to) == 1 && below > (1-lowLevelShare)*l.cfg.Plans[c.plan].Burst
-		}
-		if told && below > 0 {
+		if l.sendsLevelOf(c, to) {
 			m.entries = append(m.entries, l.entryFor(now, c, 0))
 		}
 	}
-	for n := 0; ; m.entries = m.entries[n:] {
-		if n = l.sendToRange(m, to, 1); n == len(m.entries) {
+	for {
+		sent := l.sendToRange(m, to, 1)
+		if sent == len(m.entries) {
 			return
 		}
+		m.entries = m.entries[sent:]
+	}
+}
+
+// sendsLevelOf reports whether a starting limiter is sent a customer's level. In large sets
+// only its neighbors on the ring send low levels: they have mostly the same customers.
+func (l *Limiter) sendsLevelOf(c *customer, to int) bool {
+	burst := l.cfg.Plans[c.plan].Burst
+	below := burst - c.balance - c.withheldBurst
+	if c.usesAggregators() || c.spread == 0 {
+		return l.ringDistance(to) == 1 && below > (1-lowLevelShare)*burst && below > 0
 	}
+	return slices.Contains(c.reportsTo, to) && below > 0
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -23,82 +23,98 @@
 	maxHintFailureShare = 0.3
 )
 
-// illness is what is known of failures of one class at a server.
+// ejection is what is known of the failures of one class at a server.
 type ejection struct {
-	failures             int
-	lastFailureAt, until float64
+	failures      int // within half of ejectionMs of each other
+	lastFailureAt float64
+	until         float64 // the server gets no requests of the class until then
 }
 
-// observe learns from an outcome about the server and the class.
+// observeOutcome learns about a server and a class from how an attempt ended. An attempt that
+// was in flight while this process was paused says nothing.
 func (l *Limiter) observeOutcome(now float64, a *attempt, r *request, e Outcome) {
 	s := a.server
 	s.waitingSince = now
 	if a.sentAt < l.resumedAt {
 		return
 	}
-	if e.Result == Success || e.Result == ServerError || e.Result == ConnectionLost || e.Result == TimedOut {
-		l.failureShare -= averagingWeight * l.failureShare
-		if e.Result != Success {
-			l.failureShare += averagingWeight
-			if now >= l.nextHintAt && l.failureShare < maxHintFailureShare && l.cfg.Caps.Peers && now >= s.ejections[r.class].until {
-				l.nextHintAt = now + l.hintInterval
-				l.sendToRange(peerMessage{flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{{customer: s.info.ID,
-					plan: uint64(r.class)}}}, 0, len(l.peers))
-			}
-			l.recordFailure(now, s, r.class)
-		}
-	}
+	l.observeFailureShare(now, s, r.class, e.Result)
 	switch e.Result {
 	case Success:
-		w := &l.typicalMs[r.class]
-		l.answerCount[r.class]++
-		*w += (e.LatencyMs - *w) * max(minAnswerWeight, 1/l.answerCount[r.class])
-		l.loadModel.observe(a.load, e.LatencyMs / *w, minAnswerWeight)
-		s.decayAnswers(now, serverSpeedMs)
-		s.relativeTimeSum += e.LatencyMs / *w / l.loadFactor(a.load)
-		s.answerWeight++
+		l.observeLatency(now, a, r.class, e.LatencyMs)
 		s.connectFailures = 0
 	case Rejected:
 		s.rejectingUntil = now + rejectedPauseMs
 	case ConnectFailed:
 		if s.connectFailures++; s.connectFailures >= downAfterFailures {
-			l.markDown(now, s, "connects fail")
+			l.markDown(s, "connects fail")
 		}
 	}
 }
 
-// suspect counts a failure of a class at a server, seen here or told. A gateway
-// of many sends each server too little to judge it alone. When the time is up all
-// use it again, and the first failures keep it off anew. It should hold against
-// any server that fails all or one class, and harms if a passing trouble of all
-// servers is laid to some: at most half are kept off.
+// observeFailureShare counts an executed attempt as success or failure. A failure is counted
+// at the server too, and peers may be sent a hint of it.
+func (l *Limiter) observeFailureShare(now float64, s *server, class int, result Result) {
+	switch result {
+	case Success:
+		l.failureShare -= averagingWeight * l.failureShare
+	case ServerError, ConnectionLost, TimedOut:
+		l.failureShare -= averagingWeight * l.failureShare
+		l.failureShare += averagingWeight
+		l.sendFailureHint(now, s, class)
+		l.recordFailure(now, s, class)
+	}
+}
+
+// sendFailureHint tells all peers of a failure of a class at a server, if a hint is due and
+// the server is not ejected for the class yet.
+func (l *Limiter) sendFailureHint(now float64, s *server, class int) {
+	due := now >= l.nextHintAt && l.failureShare < maxHintFailureShare
+	if !due || !l.cfg.Caps.Peers || now < s.ejections[class].until {
+		return
+	}
+	l.nextHintAt = now + l.hintInterval
+	hint := peerMessage{
+		flags:   flagLevelUpdate | flagFailureHint,
+		entries: []peerEntry{{customer: s.info.ID, plan: uint64(class)}},
+	}
+	l.sendToRange(hint, 0, len(l.peers))
+}
+
+// recordFailure counts a failure of a class at a server, observed here or reported by a peer.
+// One of many limiters sends each server too little to judge it alone. When the ejection ends
+// all use the server again, and the first failures eject it anew. A fault of all servers must
+// not be blamed on some: at most half of the servers are ejected, and as many failures as the
+// share of failures in the whole fleet makes likely count for nothing.
 func (l *Limiter) recordFailure(now float64, s *server, class int) {
 	e := &s.ejections[class]
 	if now-e.lastFailureAt > ejectionMs/2 {
 		e.failures = 0
 	}
 	e.lastFailureAt, e.failures = now, e.failures+1
-	off := 0
-	for _, o := range l.serverList {
-		if now < o.ejections[class].until {
-			off++
+	ejected := 0
+	for _, other := range l.serverList {
+		if now < other.ejections[class].until {
+			ejected++
 		}
 	}
-	// As many failures as the fleet's share of them makes likely say nothing.
 	likely := l.failureShare * l.decayedAttempts(now) * float64(l.cfg.Balancers) / float64(len(l.serverList))
-	if float64(e.failures) >= ejectAfterFailures+likely && 2*(off+1) <= len(l.serverList) {
-		if now >= e.until {
-			l.logf("server %d: class %d fails there, kept off", s.info.ID, class)
-		}
-		e.until = now + ejectionMs
+	if float64(e.failures) < ejectAfterFailures+likely || 2*(ejected+1) > len(l.serverList) {
+		return
+	}
+	if now >= e.until {
+		l.logf("server %d: class %d fails there, kept off", s.info.ID, class)
 	}
+	e.until = now + ejectionMs
 }
 
-func (l *Limiter) markDown(now float64, s *server, why string) {
+// markDown stops the use of a server and cancels the attempts there that may be retried.
+func (l *Limiter) markDown(s *server, reason string) {
 	if !s.down {
-		l.logf("server %d is down: %s", s.info.ID, why)
+		l.logf("server %d is down: %s", s.info.ID, reason)
 	}
-	if s.down = true; !l.cfg.Caps.Cancel {
+	s.down = true
+	if !l.cfg.Caps.Cancel {
 		return
 	}
 	for _, id := range l.sortedRequests() {
@@ -112,30 +128,32 @@
 	}
 }
 
-// stalled tells that a server owes answers and has been silent for long.
+// silent reports whether a server has requests in flight and has not responded for long.
 func (l *Limiter) silent(now float64, s *server) bool {
-	if s.inflight == 0 {
+	if s.inFlight == 0 {
 		return false
 	}
-	typical := slices.Max(l.typicalMs) * s.relativeTime(now) / l.slowStartShare(now, s) * l.loadFactor(s.load())
+	typical := slices.Max(l.typicalMs) * s.relativeTime(now) / l.slowStartShare(now, s) * l.loadModel.factor(s.load())
 	return now-s.waitingSince > silenceFactor*typical+l.cfg.Caps.ConnectTimeoutMs
 }
 
-// checkServers probes those that are down or silent.
+// checkServers probes the servers that are down or silent. Where there are no probes, a server
+// that is down is tried with one request at a time.
 func (l *Limiter) checkServers(now float64) {
 	for _, s := range l.serverList {
-		if s.info.Phase != Up || !(s.down || l.silent(now, s)) || now < s.probedAt+minProbeIntervalMs {
+		if s.info.Phase != Up || !s.down && !l.silent(now, s) || now < s.probedAt+minProbeIntervalMs {
 			continue
 		}
 		s.probedAt = now
 		if l.cfg.Caps.Probes {
-			l.emit(Probe{Server: s.info.ID})
-		} else if s.down { // no probes: one request at a time finds out
+			l.emit(ProbeServer{Server: s.info.ID})
+		} else if s.down {
 			s.down, s.connectFailures = false, downAfterFailures-1
 		}
 	}
 }
 
+// handleProbeResult brings a server back that responds, and marks one down that doesn't.
 func (l *Limiter) handleProbeResult(now float64, e ProbeResult) {
 	s := l.servers[e.Server]
 	if s == nil || s.info.Phase != Up {
@@ -150,7 +168,7 @@
 		}
 	case TimedOut, ConnectFailed, ConnectionLost:
 		if s.down || l.silent(now, s) {
-			l.markDown(now, s, "silent, and the probe failed")
+			l.markDown(s, "silent, and the probe failed")
 		}
 	}
 }
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -23,29 +23,96 @@
 	averagingWeight = 0.02
 )
 
-// New returns a Limiter, or an error that names the setting that makes no sense.
+// Names of the timers that a Limiter sets.
+const (
+	tickTimer    = "tick"
+	rewatchTimer = "ask"
+)
+
+// Limiter decides for one gateway. Make one with [New]; it is not safe for concurrent use.
+// Times are in milliseconds on the host's clock.
+type Limiter struct {
+	cfg         Settings
+	rng         *rand.Rand
+	incarnation uint32 // tells peers this process from an earlier one; never 0
+	actions     []Action
+
+	started     bool
+	startedAt   float64
+	lastEventAt float64
+	resumedAt   float64 // when this process last went on after a pause
+
+	// Requests and customers.
+	requests           map[string]*request
+	customers          map[uint64]*customer
+	customerList       []*customer // in order of appearance
+	evictedAt          float64     // when idle customers were last evicted
+	evicted            bool        // a customer has been evicted since the start
+	limitsInFlight     bool        // some plan limits the attempts in flight
+	usualTimeouts      []usualTimeout
+	clientsMarkRetries bool
+
+	// Load and overload.
+	inFlight         int     // attempts
+	overloadPressure float64 // share of recent requests rejected for lack of servers
+	meanValue        float64 // mean value of a request for its work
+	valuedRequests   float64 // number of requests in meanValue
+	retryBudget      float64 // retries that may be made now
+	recentAttempts   float64 // decaying number of attempts, see decayedAttempts
+	recentAttemptsAt float64 // when recentAttempts was brought up to date
+	failureShare     float64 // share of recent responses that fail
+
+	// Servers.
+	servers      map[uint64]*server
+	serverList   []*server // by id
+	unseenShare  float64   // share of a server's load that this limiter can't see
+	warmCapacity float64   // what the servers of the subset can do, in warm servers
+	upServers    float64   // number of servers in the subset
+	typicalMs    []float64 // by class: response time alone on a server
+	answerCount  []float64 // by class: number of responses in typicalMs
+	loadModel    loadModel
+	hintInterval float64 // least time between two failure hints
+	nextHintAt   float64
+
+	// Messages between limiters.
+	peers            []peer
+	aggregated       []*customer // customers of which this limiter is an aggregator
+	unreported       []*customer // customers with something to report
+	neighborAnswered bool        // a neighbor has answered the request for levels
+	olderPeerSeen    bool        // a peer has run for longer than this limiter
+	newFleet         bool        // all limiters have just started
+	nextPeer         int         // the peer that is sent its report first
+	sendCredit       float64     // messages that may be sent
+	levelsReceived   float64     // level updates since the last tick
+	receiveRate      float64     // level updates received, against the fair number
+	planPacing       []float64   // by plan: factor on levelInterval
+	levelInterval    float64     // least time between two levels of a customer
+}
+
+// New returns a Limiter, or an error that names the setting that makes no sense. Limiters
+// with equal settings and seeds decide equally.
 func New(s Settings, seed uint64) (*Limiter, error) {
 	if err := checkSettings(s); err != nil {
 		return nil, fmt.Errorf("balancer: %w", err)
 	}
-	n := len(s.Classes)
+	classes := len(s.Classes)
 	l := &Limiter{
-		cfg: s, rng: rand.New(rand.NewPCG(seed, 0x51)), retryBudget: maxRetryBudget,
-		servers: map[uint64]*server{}, requests: map[string]*request{}, customers: map[uint64]*customer{},
-		peers:     make([]peer, s.Balancers),
-		typicalMs: make([]float64, n), answerCount: make([]float64, n), usualTimeouts: make([]usualTimeout, n),
+		cfg:           s,
+		rng:           rand.New(rand.NewPCG(seed, 0x51)),
+		retryBudget:   maxRetryBudget,
+		servers:       map[uint64]*server{},
+		requests:      map[string]*request{},
+		customers:     map[uint64]*customer{},
+		peers:         make([]peer, s.Balancers),
+		typicalMs:     make([]float64, classes),
+		answerCount:   make([]float64, classes),
+		usualTimeouts: make([]usualTimeout, classes),
+		planPacing:    planPacing(s.Plans),
 	}
 	l.incarnation = l.rng.Uint32() | 1
 	l.unseenShare = max(0, 1-smallFleet/float64(s.Balancers))
-	worth := 0.0
 	for _, p := range s.Plans {
 		l.limitsInFlight = l.limitsInFlight || p.MaxInFlight > 0
-		worth += p.Rate * p.Price / float64(len(s.Plans))
-	}
-	for _, p := range s.Plans { // telling earns by worth, and where bursts are short
-		rate := max(1e-9, p.Rate)
-		pause := p.Burst / rate / 4 * worth / max(1e-9, rate*p.Price)
-		l.planPacing = append(l.planPacing, max(0.1, min(maxPlanPacing, pause)))
 	}
 	return l, nil
 }
@@ -54,15 +121,9 @@
 func (l *Limiter) Handle(now float64, ev Event) []Action {
 	l.actions = l.actions[:0]
 	if !l.started {
-		l.started, l.startedAt, l.evictedAt = true, now, now
-		l.hintInterval = 1000 * float64(len(l.peers)) / (hintMessageShare * max(1, l.cfg.PeerMessagesPerSecond))
-		l.nextHintAt = now + l.hintInterval*l.rng.Float64() // not all at once
-		if l.cfg.PollMembership {
-			l.emit(WatchEndpoints{})
-		}
-		l.emit(SetTimer{At: now + tickIntervalMs*(0.5+l.rng.Float64()/2), Name: "tick"})
+		l.start(now)
 	}
-	if now-l.lastEventAt > pausedAfterMs { // what was out meanwhile says nothing about servers
+	if now-l.lastEventAt > pausedAfterMs {
 		l.resumedAt = now
 	}
 	l.lastEventAt = now
@@ -74,16 +135,9 @@
 	case ClientGone:
 		l.removeRequest(l.requests[e.ID])
 	case FirstByte:
-		if r := l.requests[e.ID]; r != nil {
-			r.streaming = true
-		}
+		l.handleFirstByte(e)
 	case TimerFired:
-		switch e.Name {
-		case "tick":
-			l.handleTick(now)
-		case "ask":
-			l.emit(WatchEndpoints{})
-		}
+		l.handleTimer(now, e)
 	case Endpoints:
 		l.handleEndpoints(now, e)
 	case ProbeResult:
@@ -94,8 +148,29 @@
 	return l.actions
 }
 
+// start begins the tick and the watch of the endpoints, at the first event. Hints and ticks
+// begin at random times, so that limiters started together don't send together.
+func (l *Limiter) start(now float64) {
+	l.started, l.startedAt, l.evictedAt = true, now, now
+	l.hintInterval = 1000 * float64(len(l.peers)) / (hintMessageShare * max(1, l.cfg.PeerMessagesPerSecond))
+	l.nextHintAt = now + l.hintInterval*l.rng.Float64()
+	if l.cfg.PollMembership {
+		l.emit(WatchEndpoints{})
+	}
+	l.emit(SetTimer{At: now + tickIntervalMs*(0.5+l.rng.Float64()/2), Name: tickTimer})
+}
+
+func (l *Limiter) handleTimer(now float64, e TimerFired) {
+	switch e.Name {
+	case tickTimer:
+		l.handleTick(now)
+	case rewatchTimer:
+		l.emit(WatchEndpoints{})
+	}
+}
+
 func (l *Limiter) handleTick(now float64) {
-	l.emit(SetTimer{At: now + tickIntervalMs, Name: "tick"})
+	l.emit(SetTimer{At: now + tickIntervalMs, Name: tickTimer})
 	l.checkServers(now)
 	if l.cfg.Caps.Peers && l.cfg.PeerMessagesPerSecond > 0 {
 		l.exchangeWithPeers(now)
@@ -106,58 +181,8 @@
 	}
 }
 
-// do adds an action to the reply.
+// emit adds an action to the reply.
 func (l *Limiter) emit(a Action) { l.actions = append(l.actions, a) }
 
-// log adds a line for the operators.
+// logf adds a line for the operators to the reply.
 func (l *Limiter) logf(format string, args ...any) { l.emit(Log{Line: fmt.Sprintf(format, args...)}) }
-
-// Limiter decides for one gateway. Make one with [New]; it is not safe for
-// concurrent use.
-type Limiter struct {
-	cfg            Settings
-	rng            *rand.Rand
-	incarnation    uint32 // this incarnation
-	started        bool
-	startedAt      float64
-	evictedAt      float64
-	limitsInFlight bool // some plan limits attempts out
-
-	servers          map[uint64]*server
-	serverList       []*server // by id
-	requests         map[string]*request
-	customers        map[uint64]*customer
-	customerList     []*customer // in order of appearance
-	aggregated       []*customer // those whose level this gateway tells
-	unreported       []*customer // those with something untold
-	peers            []peer
-	evicted          bool      // records have been dropped
-	neighborAnswered bool      // a neighbour has told the levels it knows
-	olderPeerSeen    bool      // a peer has run for longer
-	newFleet         bool      // all gateways have just begun
-	nextPeer         int       // the peer that is told first
-	sendCredit       float64   // messages that may be sent
-	levelsReceived   float64   // messages since the last tick
-	receiveRate      float64   // messages that come in, as a share of the fair number
-	planPacing       []float64 // of each plan: factor on it
-	levelInterval    float64   // pause between two levels told of a customer
-
-	typicalMs                        []float64 // typical ms of a class alone on a server
-	answerCount                      []float64 // answers of a class
-	usualTimeouts                    []usualTimeout
-	clientsMarkRetries               bool // clients mark their retries
-	loadModel                        loadModel
-	overloadPressure                 float64 // share refused for lack of servers, of late
-	meanValue, valuedRequests        float64 // mean worth for work; requests in it
-	retryBudget                      float64 // further attempts saved up
-	inflight                         int     // attempts out
-	recentAttempts, recentAttemptsAt float64 // attempts in the last illMs / 2 or so
-	unseenShare                      float64 // share of a server's load that this gateway can't see
-	warmCapacity, upServers          float64 // what the listed servers can do, in warm ones, and their number
-	failureShare                     float64 // share of answers that fail, of late
-	lastEventAt                      float64
-	resumedAt                        float64 // when this gateway last went on after standing still
-	hintInterval                     float64
-	nextHintAt                       float64 // when the next hint may be given
-	actions                          []Action
-}
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -602,7 +602,7 @@
 	s.now += 600
 	probed := false
 	for _, a := range s.do(TimerFired{Name: "tick"}) {
-		if p, ok := a.(Probe); ok && p.Server == 1 {
+		if p, ok := a.(ProbeServer); ok && p.Server == 1 {
 			probed = true
 		}
 	}
@@ -726,9 +726,9 @@
 		s.now += 2 * idleCustomerMs
 		s.do(TimerFired{Name: "tick"})
 	}
-	if len(s.l.customers)+len(s.l.customerList)+len(s.l.aggregated)+len(s.l.unreported)+len(s.l.requests) != 0 || s.l.inflight != 0 {
+	if len(s.l.customers)+len(s.l.customerList)+len(s.l.aggregated)+len(s.l.unreported)+len(s.l.requests) != 0 || s.l.inFlight != 0 {
 		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.customers), len(s.l.customerList),
-			len(s.l.aggregated), len(s.l.unreported), len(s.l.requests), s.l.inflight)
+			len(s.l.aggregated), len(s.l.unreported), len(s.l.requests), s.l.inFlight)
 	}
 	if len(s.l.servers) != 5 || len(s.l.serverList) != 5 {
 		t.Errorf("%d servers, %d in order, want 5", len(s.l.servers), len(s.l.serverList))
--- a/balancer/node/node.go
+++ b/balancer/node/node.go
@@ -245,7 +245,7 @@
 	case balancer.SetTimer:
 		wait := millis(a.At - n.now())
 		time.AfterFunc(max(0, wait), func() { n.dispatch(balancer.TimerFired{Name: a.Name}) })
-	case balancer.Probe:
+	case balancer.ProbeServer:
 		go n.probe(a.Server)
 	case balancer.SendPeer:
 		if n.peers != nil {
--- a/balancer/peerupdates.go
+++ b/balancer/peerupdates.go
@@ -17,68 +17,91 @@
 	maxCustomersFromPeers = 20000
 )
 
-// heard takes in what a peer tells. Cumulative figures heal a lost message
-// with the next one; a new mark shows that the peer began anew.
+// handlePeerMessage takes in a message of a peer. One that is not valid in all its parts is
+// dropped whole.
 func (l *Limiter) handlePeerMessage(now float64, e PeerMessage) {
 	m, ok := decodePeerMessage(e.Data)
 	if !ok || e.From < 0 || e.From >= len(l.peers) || e.From == l.cfg.Position || !l.validMessage(&m) {
 		return
 	}
-	p := &l.peers[e.From]
 	switch {
 	case m.flags&flagFailureHint != 0:
-		for _, en := range m.entries {
-			if s := l.servers[en.customer]; s != nil { // only what the own list has named
-				l.recordFailure(now, s, int(en.plan))
-			}
-		}
-		return
+		l.applyFailureHints(now, &m)
 	case m.flags&flagEscrowGrant != 0:
 		for _, en := range m.entries {
 			l.applyGrant(now, e.From, en)
 		}
-		return
 	case m.flags&flagLevelUpdate != 0:
-		l.levelsReceived++
-		if m.flags&flagLevelsResponse != 0 {
-			p.answered = true
-			l.neighborAnswered = l.neighborAnswered || l.ringDistance(e.From) == 1
-			l.observePeerAge(now, &m)
-		}
-		for _, en := range m.entries {
-			l.applyLevel(now, e.From, &m, en)
-		}
-		return
-	case m.incarnation == p.previousIncarnation: // a late message of an incarnation that is gone
-		return
-	case m.incarnation != p.incarnation:
-		p.previousIncarnation, p.incarnation = p.incarnation, m.incarnation
-	}
-	l.observePeerAge(now, &m)
-	if m.flags&flagLevelsRequest != 0 && now >= p.answeredAt+4*tickIntervalMs {
-		p.answeredAt = now
-		l.sendLevelsResponse(now, e.From)
-	}
-	for _, en := range m.entries {
-		l.applyReport(now, e.From, &m, en)
+		l.applyLevels(now, e.From, &m)
+	default:
+		l.applyReports(now, e.From, &m)
 	}
 }
 
-// sound tells whether all that a message names can be.
+// validMessage reports whether the plans, classes and limiters that a message names exist.
 func (l *Limiter) validMessage(m *peerMessage) bool {
 	kinds := len(l.cfg.Plans)
 	if m.flags&flagFailureHint != 0 {
 		kinds = len(l.cfg.Classes)
 	}
+	limiters := uint64(len(l.peers))
 	for _, e := range m.entries {
-		if e.plan >= uint64(kinds) || m.flags&flagLevelUpdate == 0 &&
-			(e.spread < 1 || e.spread > uint64(len(l.peers)) || e.firstLimiter >= uint64(len(l.peers))) {
+		if e.plan >= uint64(kinds) {
+			return false
+		}
+		isReport := m.flags&flagLevelUpdate == 0
+		if isReport && (e.spread < 1 || e.spread > limiters || e.firstLimiter >= limiters) {
 			return false
 		}
 	}
 	return true
 }
 
+// applyFailureHints counts failures that a peer observed at servers of the own list. The
+// entries of a hint have the server in place of the customer and the class in place of the plan.
+func (l *Limiter) applyFailureHints(now float64, m *peerMessage) {
+	for _, en := range m.entries {
+		if s := l.servers[en.customer]; s != nil {
+			l.recordFailure(now, s, int(en.plan))
+		}
+	}
+}
+
+// applyLevels takes in levels from an aggregator, or the response to a request for levels.
+func (l *Limiter) applyLevels(now float64, from int, m *peerMessage) {
+	l.levelsReceived++
+	if m.flags&flagLevelsResponse != 0 {
+		l.peers[from].answered = true
+		l.neighborAnswered = l.neighborAnswered || l.ringDistance(from) == 1
+		l.observePeerAge(now, m)
+	}
+	for _, en := range m.entries {
+		l.applyLevel(now, from, m, en)
+	}
+}
+
+// applyReports takes in a peer's reports and answers its request for levels. A late message
+// of a former incarnation is dropped.
+func (l *Limiter) applyReports(now float64, from int, m *peerMessage) {
+	p := &l.peers[from]
+	if m.incarnation == p.previousIncarnation {
+		return
+	}
+	if m.incarnation != p.incarnation {
+		p.previousIncarnation, p.incarnation = p.incarnation, m.incarnation
+	}
+	l.observePeerAge(now, m)
+	if m.flags&flagLevelsRequest != 0 && now >= p.answeredAt+4*tickIntervalMs {
+		p.answeredAt = now
+		l.sendLevelsResponse(now, from)
+	}
+	for _, en := range m.entries {
+		l.applyReport(now, from, m, en)
+	}
+}
+
+// applyReport takes in a peer's report on one customer. Its figures are cumulative, so that
+// the next report makes up for a lost one.
 func (l *Limiter) applyReport(now float64, from int, m *peerMessage, en peerEntry) {
 	if !l.acceptsCustomer(en.customer) {
 		return
@@ -91,43 +114,55 @@
 	v := c.peerView(from)
 	older := float64(m.ageMs) > now-l.startedAt+levelsRequestMs
 	if v.incarnation != m.incarnation {
-		// Of a peer known before, or younger than this gateway, all it has spent
-		// falls into our time; of an older one only what is new with this message, and
-		// so once customers have been forgotten here, which it may still know.
-		first := v.incarnation == 0
-		v.receivedSpent, v.incarnation, v.seq = 0, m.incarnation, 0
-		if first && (older || l.evicted) {
-			v.receivedSpent = en.spent - min(en.newlySpent, en.spent)
-		}
+		v.restart(m.incarnation, en, older || l.evicted)
 	}
 	if m.seq <= v.seq {
 		return
 	}
 	v.seq, v.inFlight = m.seq, int(min(en.inFlight, uint64(l.cfg.Plans[c.plan].MaxInFlight)))
-	if en.spent < v.receivedSpent { // the peer had forgotten the customer
+	l.applySpending(now, c, v, en.spent)
+	if c.isAggregator && older && !c.levelKnown { // an aggregator that has just started takes the peer's level
+		level := min(l.cfg.Plans[c.plan].Burst, float64(en.level)/unitScale-c.spent)
+		c.setLevel(now, max(l.minLevel(c), level))
+	}
+}
+
+// restart begins the view of a peer anew, at the first report of an incarnation. All that a
+// known peer has spent since its restart, or a peer younger than this limiter, counts here. Of
+// an older peer only what is new with this report counts (newOnly), and so after customers
+// have been evicted here, which it may still know.
+func (v *peerView) restart(incarnation uint32, en peerEntry, newOnly bool) {
+	first := v.incarnation == 0
+	v.receivedSpent, v.incarnation, v.seq = 0, incarnation, 0
+	if first && newOnly {
+		v.receivedSpent = en.spent - min(en.newlySpent, en.spent)
+	}
+}
+
+// applySpending draws from the balance what a peer has admitted since its last report. A
+// figure below the last one shows that the peer evicted the customer meanwhile.
+func (l *Limiter) applySpending(now float64, c *customer, v *peerView, spent uint64) {
+	if spent < v.receivedSpent {
 		v.receivedSpent = 0
 	}
-	if units := float64(en.spent-v.receivedSpent) / unitScale; units > 0 {
+	if units := float64(spent-v.receivedSpent) / unitScale; units > 0 {
 		c.balance = bucket.Draw(c.balance, units, l.minLevel(c))
 		c.decayRecentUnits(now)
 		c.recentUnits += min(units, l.cfg.Plans[c.plan].Burst)
 		c.seenAt = now
-		l.recordEscrowSpending(c, from, units)
-	}
-	v.receivedSpent = en.spent
-	if c.isAggregator && older && !c.levelKnown { // a keeper that just started begins with what the teller believes
-		c.setLevel(now, max(l.minLevel(c), min(l.cfg.Plans[c.plan].Burst, float64(en.level)/unitScale-c.spent)))
+		l.recordEscrowSpending(c, v.peer, units)
 	}
+	v.receivedSpent = spent
 }
 
-// knows tells whether a peer's word on a customer is taken in.
+// acceptsCustomer reports whether a peer's message on a customer is taken in.
 func (l *Limiter) acceptsCustomer(id uint64) bool {
 	return len(l.customers) < maxCustomersFromPeers || l.customers[id] != nil
 }
 
-// weighAge notes how old a peer is. One that starts does not know what was spent just
-// before, and so begins with none of a ceiling's store. But where no peer is older and
-// all near have answered, the whole fleet has just begun, and stores are full.
+// observePeerAge learns how long a peer has run. A limiter that starts does not know what was
+// spent just before, and so begins with an empty escrow. But where no peer is older and all
+// near ones have answered, the whole fleet is new, and every escrow is full.
 func (l *Limiter) observePeerAge(now float64, m *peerMessage) {
 	l.olderPeerSeen = l.olderPeerSeen || float64(m.ageMs) > now-l.startedAt+olderPeerMs
 	if l.newFleet || l.olderPeerSeen || now-l.startedAt > levelsRequestMs {
@@ -137,7 +172,8 @@
 	for i := range l.peers {
 		if l.requestsLevels(now, i) {
 			return
-		} else if l.peers[i].answered {
+		}
+		if l.peers[i].answered {
 			answered++
 		}
 	}
@@ -146,11 +182,6 @@
 	}
 	l.newFleet = true
 	for _, c := range l.customerList {
-		if burst := l.cfg.Plans[c.plan].HardBurst; c.spread > 0 {
-			l.refill(now, c)
-			for k := range c.escrow {
-				c.escrow[k] = min(burst*c.escrowPart(), c.escrow[k]+(burst-c.initialHardBurst)*c.escrowPart())
-			}
-		}
+		l.fillEscrow(now, c)
 	}
 }
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -25,57 +25,97 @@
 	rejectedPauseMs = 50.0
 )
 
-// choose returns the server with the least expected finish, or nil and a wait
-// when none can answer within the time left.
-func (l *Limiter) chooseServer(now float64, r *request) (*server, float64) {
-	var best *server
-	var bestCost float64
+// serverTier says which servers are considered: if none of a tier is usable, the next one is
+// tried.
+type serverTier int
+
+const (
+	subsetTier   serverTier = iota // the subset of this limiter
+	allTier                        // all servers
+	degradedTier                   // also those that are ejected, silent or rejecting
+	serverTiers                    // number of tiers
+)
+
+// chooseServer returns the server with the least expected time, or nil and the time in ms
+// after which a retry may succeed.
+func (l *Limiter) chooseServer(now float64, r *request) (s *server, wait float64) {
+	l.countWarmCapacity(now)
+	best := l.cheapestServer(now, r)
+	if best == nil {
+		return nil, rejectedPauseMs
+	}
+	if late := l.expectedTime(now, best, r.class) - l.timeBudget(now, r, best); late > 0 && !l.mayTryIdle(best) {
+		return nil, late
+	}
+	return best, 0
+}
+
+// countWarmCapacity brings up to date what the servers of the subset can do now.
+func (l *Limiter) countWarmCapacity(now float64) {
 	l.warmCapacity, l.upServers = 0, 0
 	for _, s := range l.serverList {
 		if s.inSubset && s.info.Phase == Up {
 			l.warmCapacity, l.upServers = l.warmCapacity+l.slowStartShare(now, s), l.upServers+1
 		}
 	}
-	for pass := 0; pass < 3 && best == nil; pass++ { // of the subset, of all, and the suspect
+}
+
+// cheapestServer returns the usable server of least cost in the first tier that has one.
+func (l *Limiter) cheapestServer(now float64, r *request) *server {
+	var best *server
+	var bestCost float64
+	for tier := subsetTier; tier < serverTiers && best == nil; tier++ {
 		for _, s := range l.serverList {
-			if pass == 0 && !s.inSubset || !l.usable(now, s, r, pass > 1) {
+			if tier == subsetTier && !s.inSubset || !l.usable(now, s, r, tier == degradedTier) {
 				continue
 			}
-			cost := s.relativeTime(now) * l.slowStartCostFactor(now, s) * (s.load() + 1) * l.randomFactor()
-			if s.inflight > 0 { // a further request at once needs a connection of its own
-				cost *= 1 + busyServerCost*l.unseenShare
-			}
-			if s.info.Zone != l.cfg.Zone {
-				cost *= 1 + crossZoneWeight*l.cfg.CrossZonePrice
-			}
+			cost := l.cost(now, s)
 			if best == nil || cost < bestCost {
 				best, bestCost = s, cost
 			}
 		}
 	}
-	if best == nil {
-		return nil, rejectedPauseMs
+	return best
+}
+
+// cost is the relative time that an answer from a server is expected to take, with what is
+// added for a new connection and for leaving the zone. It has a random factor.
+func (l *Limiter) cost(now float64, s *server) float64 {
+	cost := s.relativeTime(now) * l.slowStartCostFactor(now, s) * (s.load() + 1) * l.randomFactor()
+	if s.inFlight > 0 { // another request at the same time needs a connection of its own
+		cost *= 1 + busyServerCost*l.unseenShare
 	}
-	alone, left := l.typicalTime(r.class)*best.relativeTime(now)/l.slowStartShare(now, best)*l.loadFactor(1), headroomShare*(r.targetAt-now)
-	left += (r.waitFactor - 1) * max(0, left-alone)
+	if s.info.Zone != l.cfg.Zone {
+		cost *= 1 + crossZoneWeight*l.cfg.CrossZonePrice
+	}
+	return cost
+}
+
+// timeBudget is the time in ms that a request may be expected to take at a server: a part of
+// the time to its latency target, or all of the time to its deadline once the target is missed.
+func (l *Limiter) timeBudget(now float64, r *request, s *server) float64 {
 	if now > r.targetAt {
-		left = r.deadlineAt - now
+		return r.deadlineAt - now
 	}
-	// An idle server is tried all the same: with nothing sent, nothing is learnt.
-	// But servers slowed by too much in hand recover only when it falls, so all
-	// gateways together try with no more than tryShare requests a server.
-	late := l.expectedTime(now, best, r.class) - left
+	alone := l.typicalTime(r.class) * s.relativeTime(now) / l.slowStartShare(now, s) * l.loadModel.factor(1)
+	budget := headroomShare * (r.targetAt - now)
+	budget += (r.waitFactor - 1) * max(0, budget-alone)
+	return budget
+}
+
+// mayTryIdle reports whether a server may be tried although its expected time is too long.
+// An idle server is tried, as nothing is learned while nothing is sent. But servers slowed
+// by too many requests recover only when these become fewer, so all limiters together try
+// with no more than maxTriesPerServer requests per server.
+func (l *Limiter) mayTryIdle(s *server) bool {
 	tries := maxTriesPerServer * float64(len(l.serverList)) / float64(l.cfg.Balancers)
-	if late > 0 && (best.inflight > 0 || float64(l.inflight) >= max(1, tries)) {
-		return nil, late
-	}
-	return best, 0
+	return s.inFlight == 0 && float64(l.inFlight) < max(1, tries)
 }
 
-// scatter is the factor of chance on the cost of a server. One of few gateways sees
-// in its own load most of what a server has, and takes the least; one of many sees
-// next to nothing of it, and all would take the same few: with an exponential factor
-// each server gets requests in proportion to what it can do.
+// randomFactor is the random factor on the cost of a server. One of few limiters sees in its
+// own load most of a server's load, and takes the least. One of many sees next to nothing of
+// it, and all would take the same few servers: with an exponential factor each server gets
+// requests in proportion to what it can do.
 func (l *Limiter) randomFactor() float64 {
 	if l.unseenShare > 0 {
 		return math.Pow(l.rng.ExpFloat64(), l.unseenShare)
@@ -83,21 +123,30 @@
 	return 1 + 0.05*l.rng.Float64()
 }
 
-// usable tells whether a request may go to a server now. With lax, servers
-// that are only under suspicion are taken too.
-func (l *Limiter) usable(now float64, s *server, r *request, lax bool) bool {
+// usable reports whether a request may go to a server now. With degraded, servers that are
+// only suspected are usable too.
+func (l *Limiter) usable(now float64, s *server, r *request, degraded bool) bool {
 	if s.info.Phase != Up || s.down || !l.hasSlowStartCredit(now, s) {
 		return false
 	}
-	for i := range r.attempts {
-		if r.attempts[i].server == s {
-			return false
-		}
+	if r.hasAttemptAt(s) || !l.deduplicates(s, r) {
+		return false
 	}
+	return degraded || now >= s.ejections[r.class].until && now >= s.rejectingUntil && !l.silent(now, s)
+}
+
+// deduplicates reports whether a server would drop a request with an idempotency key that was
+// executed already: only servers of one zone or cell may share their keys.
+func (l *Limiter) deduplicates(s *server, r *request) bool {
 	class := l.cfg.Classes[r.class]
-	if r.executedOn != nil && class.Idempotency == Keyed && (class.DedupScope == DedupZone && s.info.Zone != r.executedOnInfo.Zone ||
-		class.DedupScope == DedupCell && s.info.Cell != r.executedOnInfo.Cell) {
-		return false
+	if r.executedOn == nil || class.Idempotency != Keyed {
+		return true
+	}
+	switch class.DedupScope {
+	case DedupZone:
+		return s.info.Zone == r.executedOnInfo.Zone
+	case DedupCell:
+		return s.info.Cell == r.executedOnInfo.Cell
 	}
-	return lax || now >= s.ejections[r.class].until && now >= s.rejectingUntil && !l.silent(now, s)
+	return true
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -22,7 +22,8 @@
 	dueSlowStartCost = 0.02
 )
 
-// warmth is the least share of its capacity that a server can have by now.
+// slowStartShare is the least share of its capacity that a server can have by now: it rises
+// linearly from Rules.SlowStartShare at the start to 1 after Rules.SlowStartMs.
 func (l *Limiter) slowStartShare(now float64, s *server) float64 {
 	r := l.cfg.Rules
 	if s.info.ReadyAt <= 0 || r.SlowStartMs <= 0 || r.SlowStartShare <= 0 {
@@ -31,35 +32,38 @@
 	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*max(0, now-s.info.ReadyAt)/r.SlowStartMs)
 }
 
-// coldRoom keeps this gateway to its part of what a cold server can do: its
-// warmth times what the gateway sends for each warm server's worth of capacity, saved
-// up for one request at a time from a random start. The parts of any number of
-// gateways add up to the warmth's share of what a warm server gets, with no talk;
-// where hardly anything is sent, to coldLeast requests a window. Where most are cold,
-// a part grows by coldMost at the most: all that was sent may have been all that the
-// servers could do when warm.
+// hasSlowStartCredit reports whether a server may get a request. A server in slow start gets
+// from this limiter its share of capacity times what the limiter sends for each warm server's
+// worth of capacity, as credit for one request at a time from a random start. So the parts of
+// any number of limiters add up to the share of what a warm server gets, without messages;
+// where hardly anything is sent, to minSlowStartRequests in a window. Where most servers are
+// in slow start, a part rises by maxSlowStartRise at most, as all that was sent may have been
+// all that the servers could do when warm.
 func (l *Limiter) hasSlowStartCredit(now float64, s *server) bool {
-	w := l.slowStartShare(now, s)
-	if w >= 1 {
+	share := l.slowStartShare(now, s)
+	if share >= 1 {
 		return true
 	}
-	rate := max((slowStartUse+slowStartExtraUse*l.unseenShare)*w*l.decayedAttempts(now)/max(l.warmCapacity, l.upServers/maxSlowStartRise)*2/ejectionMs,
+	use := slowStartUse + slowStartExtraUse*l.unseenShare
+	rate := max(use*share*l.decayedAttempts(now)/max(l.warmCapacity, l.upServers/maxSlowStartRise)*2/ejectionMs,
 		minSlowStartRequests/float64(l.cfg.Balancers)/max(1, l.cfg.Rules.OverloadMs))
 	s.slowStartCredit, s.slowStartCreditAt = min(1, max(0, s.slowStartCredit)+rate*(now-s.slowStartCreditAt)), now
 	return s.slowStartCredit >= 1
 }
 
-// coldness is the factor of a server's warmth on its cost. One of many gateways has
-// saved up long for its request to a cold server, which is now due: left until the
-// warm ones have more in hand, it would never be sent, and all the load go to them.
+// slowStartCostFactor is the factor of slow start on a server's cost. One of many limiters has
+// saved up for long for its request to a server in slow start, which is due now: if it waited
+// until the warm servers have more in flight, it would never be sent, and all load would go to
+// the warm ones.
 func (l *Limiter) slowStartCostFactor(now float64, s *server) float64 {
-	if w := l.slowStartShare(now, s); w < 1 {
-		return math.Pow(w, l.unseenShare-1) * math.Pow(dueSlowStartCost, l.unseenShare)
+	if share := l.slowStartShare(now, s); share < 1 {
+		return math.Pow(share, l.unseenShare-1) * math.Pow(dueSlowStartCost, l.unseenShare)
 	}
 	return 1
 }
 
-// recent is the number of attempts sent of late.
+// decayedAttempts is the number of recent attempts: it decays with a time constant of half of
+// ejectionMs.
 func (l *Limiter) decayedAttempts(now float64) float64 {
 	l.recentAttempts, l.recentAttemptsAt = l.recentAttempts*math.Exp((l.recentAttemptsAt-now)*2/ejectionMs), now
 	return l.recentAttempts
--- a/balancer/wire/golden_test.go
+++ b/balancer/wire/golden_test.go
@@ -26,7 +26,7 @@
 		balancer.Fail{ID: "rq_5"},
 		balancer.CancelAttempt{ID: "rq_1", Attempt: 2},
 		balancer.SetTimer{At: 8412.2505, Name: "tick"},
-		balancer.Probe{Server: 51530247},
+		balancer.ProbeServer{Server: 51530247},
 		balancer.SendPeer{To: 4, Data: []byte{0x5c, 2, 0, 255}},
 		balancer.SendPeer{To: 5},
 		balancer.Log{Line: "first\nsecond\rthird"},
--- a/balancer/wire/wire.go
+++ b/balancer/wire/wire.go
@@ -365,7 +365,7 @@
 		w.line("ABORT_ATTEMPT", who, a.ID, strconv.Itoa(a.Attempt))
 	case balancer.SetTimer:
 		w.line("TIMER", who, num(a.At), a.Name)
-	case balancer.Probe:
+	case balancer.ProbeServer:
 		w.line("INSPECT", who, strconv.FormatUint(a.Server, 10))
 	case balancer.SendPeer:
 		bytes := "-"
--- a/balancer/wire/wire_test.go
+++ b/balancer/wire/wire_test.go
@@ -90,7 +90,7 @@
 	w := NewWriter(&b)
 	for _, a := range []balancer.Action{
 		balancer.StartAttempt{ID: "r", TimeoutMs: 80, Server: 5}, balancer.Reject{ID: "r", RetryAfterMs: 1.5}, balancer.Fail{ID: "r"},
-		balancer.CancelAttempt{ID: "r", Attempt: 1}, balancer.SetTimer{At: 9, Name: "tick"}, balancer.Probe{Server: 5},
+		balancer.CancelAttempt{ID: "r", Attempt: 1}, balancer.SetTimer{At: 9, Name: "tick"}, balancer.ProbeServer{Server: 5},
 		balancer.SendPeer{To: 1, Data: []byte{104, 105}}, balancer.Log{Line: "a\nb"}, balancer.WatchEndpoints{}, balancer.FetchEndpoints{},
 	} {
 		w.Action(3, a)
