--- a/dataplane/clientconn_test.go
+++ b/dataplane/clientconn_test.go
@@ -47,7 +47,8 @@
 	t.Parallel()
 	const body = "in two chunks"
 	b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
-		writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n%s\r\n%x\r\n%s\r\n", body[:3], len(body)-3, body[3:])
+		write(w, answerHead("200 OK", "a1", sealed("a1")+"Transfer-Encoding: chunked\r\n"))
+		writef(w, "3\r\n%s\r\n%x\r\n%s\r\n", body[:3], len(body)-3, body[3:])
 		if h.Target == "/get/cut" {
 			return false
 		}
@@ -57,13 +58,16 @@
 	g := newGatewayOf(t, settings.Timing{GraceS: 3}, b)
 	for target, breaks := range map[string]bool{"/get/whole": false, "/get/cut": true} {
 		c := dial(t, g)
-		writef(c, "GET %s HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\nConnection: keep-alive\r\n\r\n", target)
+		writef(c, "GET %s HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\n", target)
+		write(c, "Authorization: Token k\r\nConnection: keep-alive\r\n\r\n")
 		h, err := h1.ReadResponse(c.in, 1<<16)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := io.ReadAll(c.in)
-		if h.Get("Transfer-Encoding") != "" || !h.ClosesConnection() || !strings.HasPrefix(body, string(got)) || !breaks && (err != nil || string(got) != body) || breaks && !errors.Is(err, syscall.ECONNRESET) {
+		whole := err == nil && string(got) == body
+		reset := errors.Is(err, syscall.ECONNRESET) && strings.HasPrefix(body, string(got))
+		if h.Get("Transfer-Encoding") != "" || !h.ClosesConnection() || !breaks && !whole || breaks && !reset {
 			t.Errorf("%s: %+v %q, %v", target, h, got, err)
 		}
 	}
@@ -76,7 +80,8 @@
 	inFakeTime(t, func(t testing.TB) {
 		g := newGatewayOf(t, settings.Timing{GraceS: 3}, newBackend(t, good("yes")))
 		c := dial(t, g)
-		write(c, "POST /once/ HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
+		write(c, "POST /once/ HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n",
+			"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 		untilRead(t, g, 1)
 		write(c, "body")
 		if line, err := c.in.ReadString('\n'); err != nil || line != "HTTP/1.1 200 OK\r\n" {
@@ -90,15 +95,24 @@
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
-			framing := map[string]string{"/get/sized": "Content-Length: 123456\r\n", "/get/chunked": "Transfer-Encoding: chunked\r\n", "/get/unsaid": ""}[h.Target]
+			framing := map[string]string{
+				"/get/sized":   "Content-Length: 123456\r\n",
+				"/get/chunked": "Transfer-Encoding: chunked\r\n",
+				"/get/unsaid":  "",
+			}[h.Target]
 			writef(w, "HTTP/1.1 404 x\r\nAttempt-Id: a1\r\n%s\r\n", framing)
 			return true
 		})
 		c := dial(t, newGateway(t, b))
-		for target, want := range map[string][2]string{"/get/sized": {"123456", ""}, "/get/chunked": {"", "chunked"}, "/get/unsaid": {"", ""}} {
+		for target, want := range map[string]struct{ length, encoding string }{
+			"/get/sized":   {"123456", ""},
+			"/get/chunked": {"", "chunked"},
+			"/get/unsaid":  {"", ""},
+		} {
 			c.send("HEAD "+target, "", "")
 			h, err := h1.ReadResponse(c.in, 1<<16)
-			if err != nil || h.Status != 404 || h.Get("Content-Length") != want[0] || h.Get("Transfer-Encoding") != want[1] {
+			if err != nil || h.Status != 404 ||
+				h.Get("Content-Length") != want.length || h.Get("Transfer-Encoding") != want.encoding {
 				t.Errorf("%s: %+v, %v; want %v", target, h, err, want)
 			}
 		}
@@ -216,7 +230,8 @@
 					}
 					c := &client{t, nc, nil}
 					setDeadline(c, time.Now().Add(patience))
-					talk := conversation{stage: s, client: c, name: fmt.Sprintf("c%d-%d", n, round), rng: rng, broken: broken}
+					name := fmt.Sprintf("c%d-%d", n, round)
+					talk := conversation{stage: s, client: c, name: name, rng: rng, broken: broken}
 					answers.Add(talk.run(&refused))
 					closeConn(nc)
 				}
--- a/dataplane/delta_test.go
+++ b/dataplane/delta_test.go
@@ -71,8 +71,10 @@
 	c := &api.Config{Revision: revision, Upstreams: []api.Upstream{{Name: "a"}, {Name: "b"}},
 		Tenants: []api.Tenant{{Name: "t", Keys: []string{"k"}, Rate: 10, Burst: 10}}}
 	for i := range routes {
-		c.Routes = append(c.Routes, api.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/4), Prefix: fmt.Sprintf("/p%d/", i), Type: api.Idempotent,
-			TimeoutMs: 1000, Upstream: "a", Retries: 1})
+		c.Routes = append(c.Routes, api.Route{
+			Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/4), Prefix: fmt.Sprintf("/p%d/", i),
+			Type: api.Idempotent, TimeoutMs: 1000, Upstream: "a", Retries: 1,
+		})
 	}
 	return c
 }
--- a/dataplane/fixtures_test.go
+++ b/dataplane/fixtures_test.go
@@ -64,7 +64,8 @@
 
 func good(body string) func(io.Writer, *h1.Head, []byte) bool {
 	return func(w io.Writer, h *h1.Head, _ []byte) bool {
-		writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", h.Get("Attempt-Id"), len(body), body)
+		writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s",
+			h.Get("Attempt-Id"), len(body), body)
 		return true
 	}
 }
@@ -82,33 +83,28 @@
 	return newGatewayOf(t, settings.Timing{StrictRevocation: true, RevokeMs: 5000, GraceS: 3}, backends...)
 }
 
+// newGatewayOf starts a gateway with settings of timing.
 func newGatewayOf(t testing.TB, timing settings.Timing, backends ...*backend) *Gateway {
 	t.Helper()
-	cfg := &settings.Node{Name: "n", IP: "127.0.0.1", Zone: "z", InternalPorts: []int{0, 9}, ServedRoles: []string{"edge", "control"},
-		Listeners: settings.Listeners{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
-		Timing:    timing}
-	upstream, timeout, limits := settings.DefaultTuning().Upstream, 3000.0, api.RequestLimits{MaxHeaderBytes: 2000, MaxBodyBytes: 1 << 20}
+	upstream, timeoutMs := settings.DefaultTuning().Upstream, 3000.0
+	limits := api.RequestLimits{MaxHeaderBytes: 2000, MaxBodyBytes: 1 << 20}
 	if _, fake := t.(inMemory); !fake { // a busy machine's time says nothing: limits are for what hangs
-		upstream.ConnectMs, timeout = inMs(patience), inMs(patience)
+		upstream.ConnectMs, timeoutMs = inMs(patience), inMs(patience)
 		limits.HeaderTimeoutMs, limits.IdleTimeoutMs = inMs(patience), inMs(2*patience)
 		timing.RevokeMs *= 1000
 	}
-	g, err := New(cfg, Options{Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: upstream, Metrics: telemetry.New()})
+	node := nodeOf("n")
+	node.InternalPorts, node.Timing = []int{0, 9}, timing
+	options := Options{Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: upstream, Metrics: telemetry.New()}
+	g, err := New(node, options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.listener.openFor = 0
-	bring(t, g, &versioned.Table{}, &api.Config{Revision: 1, Upstreams: []api.Upstream{{Name: "s"}},
-		Routes: []api.Route{
-			{Host: "h", Prefix: "/get/", Type: api.Idempotent, TimeoutMs: timeout, TargetMs: 2000, Upstream: "s", Retries: 2},
-			{Host: "h", Prefix: "/once/", Type: "non_idempotent", TimeoutMs: timeout, TargetMs: 2000, Upstream: "s", Retries: 2},
-			{Host: "h", Prefix: "/open/", Type: api.Idempotent, TimeoutMs: timeout, Upstream: "s", Retries: 1, Anonymous: true},
-		},
-		Limits:  limits,
-		Tenants: []api.Tenant{{Name: "t", Keys: []string{"k"}}, {Name: "slow", Keys: []string{"few"}, Rate: 0.001, Burst: 2}}})
+	bring(t, g, &versioned.Table{}, testConfig(timeoutMs, limits))
 	var list []api.Server
 	for i, b := range backends {
-		list = append(list, api.Server{ID: "i-" + strconv.Itoa(i), Upstream: "s", Addr: b.addr, Zone: "z", Capacity: 20, State: "in_service"})
+		list = append(list, serverAt("i-"+strconv.Itoa(i), b.addr))
 	}
 	tell(t, g, &versioned.Table{}, 1, list)
 	g.ExtendLease(g.Uptime())
@@ -123,6 +119,43 @@
 	return g
 }
 
+// nodeOf returns the settings of a node on loopback.
+func nodeOf(name string) *settings.Node {
+	return &settings.Node{
+		Name: name, IP: "127.0.0.1", Zone: "z", ServedRoles: []string{"edge", "control"},
+		Listeners: settings.Listeners{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
+	}
+}
+
+// testConfig is a configuration with a route of each type and a tenant with a small quota.
+func testConfig(timeoutMs float64, limits api.RequestLimits) *api.Config {
+	route := func(prefix string, kind string, targetMs float64, retries int, anonymous bool) api.Route {
+		return api.Route{
+			Host: "h", Prefix: prefix, Type: kind, TimeoutMs: timeoutMs, TargetMs: targetMs, Upstream: "s",
+			Retries: retries, Anonymous: anonymous,
+		}
+	}
+	return &api.Config{
+		Revision:  1,
+		Upstreams: []api.Upstream{{Name: "s"}},
+		Routes: []api.Route{
+			route("/get/", api.Idempotent, 2000, 2, false),
+			route("/once/", "non_idempotent", 2000, 2, false),
+			route("/open/", api.Idempotent, 0, 1, true),
+		},
+		Limits: limits,
+		Tenants: []api.Tenant{
+			{Name: "t", Keys: []string{"k"}},
+			{Name: "slow", Keys: []string{"few"}, Rate: 0.001, Burst: 2},
+		},
+	}
+}
+
+// serverAt is a server of the service that testConfig routes to.
+func serverAt(id, addr string) api.Server {
+	return api.Server{ID: id, Upstream: "s", Addr: addr, Zone: "z", Capacity: 20, State: "in_service"}
+}
+
 // client is one connection to the gateway.
 type client struct {
 	t testing.TB
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -26,10 +26,13 @@
 	t.Parallel()
 	b := newBackend(t, good("yes"))
 	c := dial(t, newGateway(t, b))
-	c.send("GET /get/x?q=1", "Tenant-Name: evil\r\nTarget-Member: evil\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-On: 2\r\nTime-Budget-Ms: 900\r\n", "")
+	c.send("GET /get/x?q=1", "Tenant-Name: evil\r\nTarget-Member: evil\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-On: 2\r\n"+
+		"Time-Budget-Ms: 900\r\n", "")
 	c.want(200, "yes")
 	h := b.last.Load()
-	for name, want := range map[string]string{"Tenant-Name": "t", "Target-Member": "i-0", "Authorization": "", "X-Hop": "", "X-On": "2", "Attempt-Id": "a1"} {
+	for name, want := range map[string]string{
+		"Tenant-Name": "t", "Target-Member": "i-0", "Authorization": "", "X-Hop": "", "X-On": "2", "Attempt-Id": "a1",
+	} {
 		if got := h.Get(name); got != want || h.Count(name) > 1 {
 			t.Errorf("%s is %q (%d), want %q", name, got, h.Count(name), want)
 		}
@@ -91,7 +94,10 @@
 			"cut":               func(io.Writer, *h1.Head, []byte) bool { return false },
 			"503 without proof": status("503 x"),
 			"429 without proof": status("429 x"),
-			"nonsense":          func(w io.Writer, _ *h1.Head, _ []byte) bool { write(w, "nonsense\r\n\r\n"); return false },
+			"nonsense": func(w io.Writer, _ *h1.Head, _ []byte) bool {
+				write(w, "nonsense\r\n\r\n")
+				return false
+			},
 			"another's answer": func(w io.Writer, _ *h1.Head, _ []byte) bool {
 				write(w, "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
 				return false
@@ -219,16 +225,17 @@
 // never looks complete.
 func TestLongBodiesAreStreamed(t *testing.T) {
 	t.Parallel()
+	const success = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\n"
 	long := strings.Repeat("0123456789abcdef", 20000)
 	b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 		switch h.Target {
 		case "/get/chunked":
-			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(long), long)
+			writef(w, "%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", success, len(long), long)
 		case "/get/short":
-			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", len(long)+1, long)
+			writef(w, "%sContent-Length: %d\r\n\r\n%s", success, len(long)+1, long)
 			return false
 		case "/get/cut":
-			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(long), long)
+			writef(w, "%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", success, len(long), long)
 			return false
 		default:
 			return good(string(body))(w, h, nil)
@@ -292,15 +299,19 @@
 // process by itself.
 func TestGossipIsReceivedAtATick(t *testing.T) {
 	const sent = 40
-	node := &settings.Node{Name: "a", Zone: "z", IP: "127.0.0.1", InternalPorts: []int{0, 0}, ServedRoles: []string{"edge", "control"}}
-	node.Listeners.Front, node.Listeners.Ready, node.Limits.MaxFDs = "127.0.0.1:0", "127.0.0.1:0", 1000
-	heard := 0
-	g, err := New(node, Options{Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: settings.DefaultTuning().Upstream, UnknownPeer: func(string) { heard++ }})
+	node := nodeOf("a")
+	node.InternalPorts, node.Limits.MaxFDs = []int{0, 0}, 1000
+	received := 0
+	g, err := New(node, Options{
+		Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: settings.DefaultTuning().Upstream,
+		UnknownPeer: func(string) { received++ },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := errors.Join(g.listener.tcp.Close(), g.readiness.listener.Close(), g.gossip.socket.Close()); err != nil {
+		err := errors.Join(g.listener.tcp.Close(), g.readiness.listener.Close(), g.gossip.socket.Close())
+		if err != nil {
 			t.Error(err)
 		}
 	})
@@ -313,11 +324,11 @@
 	if err := g.gossip.socket.Send([]byte("not a message"), g.gossip.socket.Addr()); err != nil {
 		t.Fatal(err)
 	}
-	if heard != 0 {
-		t.Errorf("%d words were taken in before the tick", heard)
+	if received != 0 {
+		t.Errorf("%d words were taken in before the tick", received)
 	}
-	if newGossipReceiver(&g.gossip).receiveAll(); heard != sent {
-		t.Errorf("%d of %d words were taken in at the tick", heard, sent)
+	if newGossipReceiver(&g.gossip).receiveAll(); received != sent {
+		t.Errorf("%d of %d words were taken in at the tick", received, sent)
 	}
 }
 
@@ -328,7 +339,10 @@
 	g := newGateway(t)
 	var all []api.Peer
 	for i := range 300 {
-		all = append(all, api.Peer{Name: "limiter-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(i+1), Zone: "z" + strconv.Itoa(i%5), StartID: 1, Incarnation: 1, Edge: true})
+		all = append(all, api.Peer{
+			Name: "limiter-" + strconv.Itoa(i), Addr: "127.0.0.1:" + strconv.Itoa(i+1), Zone: "z" + strconv.Itoa(i%5),
+			StartID: 1, Incarnation: 1, Edge: true,
+		})
 	}
 	g.ApplyPeers(all)
 	regroups := func() (n, others int) {
--- a/dataplane/h1/h1_test.go
+++ b/dataplane/h1/h1_test.go
@@ -75,14 +75,17 @@
 }
 
 func TestAnswers(t *testing.T) {
-	h, err := ReadResponse(read("HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 4\r\n\r\n"), 1000)
+	h, err := ReadResponse(read("HTTP/1.1 103 Early\r\nLink: x\r\n\r\n"+
+		"HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 4\r\n\r\n"), 1000)
 	if err != nil || h.Status != 200 || !h.ClosesConnection() {
 		t.Fatalf("%+v, %v", h, err)
 	}
 	if n, err := h.ResponseFraming("GET"); n != 4 || err != nil {
 		t.Errorf("%d, %v", n, err)
 	}
-	for _, text := range []string{"HTTP/1.1 2000 OK\r\n\r\n", "HTTP/1.1 099 x\r\n\r\n", "nonsense\r\n\r\n", "HTTP/1.1 101 Switching\r\n\r\n"} {
+	for _, text := range []string{
+		"HTTP/1.1 2000 OK\r\n\r\n", "HTTP/1.1 099 x\r\n\r\n", "nonsense\r\n\r\n", "HTTP/1.1 101 Switching\r\n\r\n",
+	} {
 		if h, err := ReadResponse(read(text), 1000); err == nil {
 			t.Errorf("%q: %+v", text, h)
 		}
@@ -130,7 +133,8 @@
 // Whatever a server sends, reading it ends; a body whose end is known ends there.
 func FuzzAnswer(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 204 x\r\n\r\n", false)
-	f.Add("HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n0\r\nT: 1\r\n\r\n", false)
+	f.Add("HTTP/1.1 100 x\r\n\r\n"+
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n0\r\nT: 1\r\n\r\n", false)
 	f.Add("HTTP/1.0 503 \r\nNot-Executed: full\r\n\r\nrest", true)
 	f.Fuzz(func(t *testing.T, s string, head bool) {
 		r, method := read(s), "GET"
@@ -199,7 +203,8 @@
 	} {
 		b := NewBody(bufio.NewReader(strings.NewReader(c.in)), c.framing)
 		got, err := b.ReadUpTo(c.limit)
-		if string(got) != text[:c.want] || errors.Is(err, ErrUnexpectedEnd) != c.short || err != nil && !c.short || b.Done() != c.done {
+		wrongError := errors.Is(err, ErrUnexpectedEnd) != c.short || err != nil && !c.short
+		if string(got) != text[:c.want] || wrongError || b.Done() != c.done {
 			t.Errorf("%s: %d bytes, %v, done %v", name, len(got), err, b.Done())
 		}
 	}
--- a/dataplane/isolation_test.go
+++ b/dataplane/isolation_test.go
@@ -34,7 +34,8 @@
 	},
 	"long": {framing: fmt.Sprintf("Content-Length: %d", len(longFailure)), body: longFailure},
 	"long, in chunks": {
-		framing: "Transfer-Encoding: chunked", body: fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(longFailure), longFailure),
+		framing: "Transfer-Encoding: chunked",
+		body:    fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(longFailure), longFailure),
 	},
 }
 
@@ -112,8 +113,12 @@
 	tcp := c.Conn.(*net.TCPConn)
 	g.forwarder.pool.Put(c)
 	c.Conn = givenUp{tcp, cancel}
-	r := &request{head: &h1.Head{Method: "GET", Target: "/get/", Fields: []h1.Field{{Name: "Host", Value: "h"}, {Name: "Attempt-Id", Value: "a1"}}},
-		route: g.router.current().route("h", "/get/"), deadline: time.Now().Add(patience)}
+	fields := []h1.Field{{Name: "Host", Value: "h"}, {Name: "Attempt-Id", Value: "a1"}}
+	r := &request{
+		head:     &h1.Head{Method: "GET", Target: "/get/", Fields: fields},
+		route:    g.router.current().route("h", "/get/"),
+		deadline: time.Now().Add(patience),
+	}
 	g.guarded.mu.Lock()
 	m := g.guarded.limiter.Members()[0]
 	g.guarded.mu.Unlock()
@@ -122,7 +127,8 @@
 		t.Fatal("the connection was not put back")
 	}
 	if o.result != balance.Success || g.forwarder.pool.IdleConns("i-0") != 1 || g.forwarder.pool.OpenConns() != 1 {
-		t.Errorf("result %d, %d idle, %d open; want an answer and its connection kept", o.result, g.forwarder.pool.IdleConns("i-0"), g.forwarder.pool.OpenConns())
+		t.Errorf("result %d, %d idle, %d open; want a response and its connection kept",
+			o.result, g.forwarder.pool.IdleConns("i-0"), g.forwarder.pool.OpenConns())
 	}
 	if g.forwarder.pool.Get(host) != c {
 		t.Error("the connection that was put back is closed")
@@ -142,7 +148,8 @@
 				filed.Add(1)
 				return good("filed")(w, h, body)
 			}
-			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", 2*maxHeldResponse, strings.Repeat("x", maxHeldResponse))
+			write(w, answerHead("200 OK", "a1", sealed("a1")+sized(2*maxHeldResponse)))
+			write(w, strings.Repeat("x", maxHeldResponse))
 			close(begun)
 			<-breakOff
 			return false
@@ -210,7 +217,7 @@
 			if h.Target == "/once/" {
 				return good(string(got))(w, h, nil)
 			}
-			writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", n, body[:n/2])
+			write(w, answerHead("200 OK", "a1", sealed("a1")+sized(n)), body[:n/2])
 			close(begun)
 			<-goOn
 			write(w, body[n/2:])
@@ -262,7 +269,8 @@
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		b := newBackend(t, func(w io.Writer, _ *h1.Head, _ []byte) bool {
-			writef(w, "HTTP/1.1 200 OK\r\nConnection: Server-Seal, Attempt-Id, X\r\nX: 1\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
+			write(w, "HTTP/1.1 200 OK\r\nConnection: Server-Seal, Attempt-Id, X\r\nX: 1\r\n",
+				"Attempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
 		c := dial(t, newGateway(t, b))
@@ -294,7 +302,8 @@
 			}
 			h, err := h1.ReadRequest(bufio.NewReader(c), 1<<16)
 			if err == nil {
-				writef(c, "HTTP/1.1 503 x\r\nNot-Executed: full\r\nAttempt-Id: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", h.Get("Attempt-Id"))
+				fields := "Not-Executed: full\r\nConnection: close\r\n" + sized(0)
+				write(c, answerHead("503 x", h.Get("Attempt-Id"), fields))
 			}
 			closeConn(c) // with what it has not read: a reset
 		}
--- a/dataplane/memorynet_test.go
+++ b/dataplane/memorynet_test.go
@@ -75,7 +75,10 @@
 func (m *memory) listen(t testing.TB) net.Listener {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := &memListener{m: m, at: memAddr(fmt.Sprintf("192.0.2.%d:80", len(m.listeners)+1)), come: make(chan net.Conn, 64), gone: make(chan struct{})}
+	l := &memListener{
+		m: m, at: memAddr(fmt.Sprintf("192.0.2.%d:80", len(m.listeners)+1)),
+		come: make(chan net.Conn, 64), closed: make(chan struct{}),
+	}
 	m.listeners[string(l.at)] = l
 	t.Cleanup(func() { closeConn(l) })
 	return l
@@ -96,7 +99,7 @@
 	m.conns = append(m.conns, a, b)
 	m.mu.Unlock()
 	select {
-	case <-l.gone:
+	case <-l.closed:
 		return nil, syscall.ECONNREFUSED
 	case l.come <- b:
 		return a, nil
@@ -128,24 +131,24 @@
 func (a memAddr) String() string { return string(a) }
 
 type memListener struct {
-	m    *memory
-	at   memAddr
-	come chan net.Conn
-	gone chan struct{}
-	once sync.Once
+	m      *memory
+	at     memAddr
+	come   chan net.Conn
+	closed chan struct{}
+	once   sync.Once
 }
 
 func (l *memListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.come:
 		return c, nil
-	case <-l.gone:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 func (l *memListener) Close() error {
-	l.once.Do(func() { close(l.gone) })
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
@@ -305,8 +308,8 @@
 
 type memRaw struct{ c *memConn }
 
-// silentSocket is a socket to which nobody can send.
-var silentSocket = sync.OnceValue(func() int {
+// quietSocket is a socket to which nobody can send.
+var quietSocket = sync.OnceValue(func() int {
 	fd, err := syscall.Socket(syscall.AF_UNIX, syscall.SOCK_DGRAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		panic(err)
@@ -325,7 +328,7 @@
 	case len(r.c.in) > 0 || r.c.ended || r.c.reset:
 		f(^uintptr(0))
 	default:
-		f(uintptr(silentSocket()))
+		f(uintptr(quietSocket()))
 	}
 	return nil
 }
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -104,8 +104,9 @@
 					if fault != "" {
 						t.Error(fault)
 					}
-					least := map[string]int{"get": 1200, "head": 1200, "once": 200, "chunks": 200} // a long body is gone after the first
-					if seconds < least[kind] {
+					// A long body can't be sent to a second one.
+					minimum := map[string]int{"get": 1200, "head": 1200, "once": 200, "chunks": 200}
+					if seconds < minimum[kind] {
 						t.Errorf("only %d requests came to a second server", seconds)
 					}
 				})
@@ -122,7 +123,8 @@
 	var some []move
 	for _, m := range moves {
 		switch m.name {
-		case "answers", "resets", "closes", "refuses before the body", "part of a body, silent", "long", "long, resets", "a long failure",
+		case "answers", "resets", "closes", "refuses before the body", "part of a body, silent",
+			"long", "long, resets", "a long failure",
 			"503, not executed", "nobody's behind", "closes behind its answer", "resets behind its answer":
 			some = append(some, m)
 		}
@@ -164,11 +166,13 @@
 					}
 					h, got, err := c.answer()
 					took := time.Since(sent)
-					if h == nil || !strings.HasPrefix(status, fmt.Sprint(h.Status)) || h.Get("Server-Seal") == "" || !strings.HasPrefix(long, got) {
+					if h == nil || !strings.HasPrefix(status, fmt.Sprint(h.Status)) ||
+						h.Get("Server-Seal") == "" || !strings.HasPrefix(long, got) {
 						t.Fatalf("%s, %s: %+v, %v", kind, status, h, err)
 					}
 					if whole := err == nil && got == long; whole != (takes < budget) || took != min(takes, budget) {
-						t.Errorf("%s, %s that takes %v: %d bytes and %v after %v", kind, status, takes, len(got), err, took)
+						t.Errorf("%s, %s that takes %v: %d bytes and %v after %v",
+							kind, status, takes, len(got), err, took)
 					}
 				})
 			}
@@ -209,7 +213,10 @@
 			return attempt.Classification{Result: balance.NotSent}, e.Response == attempt.NoResponse
 		}), "once", "ran 2 times"},
 		"a bare 503 is passed on": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
-			return attempt.Classification{Result: balance.Failure, MayHaveRun: true, Answer: attempt.ServerResponse}, e.Status == 503 && !e.NotExecuted && e.Response == attempt.Complete
+			passedOn := attempt.Classification{
+				Result: balance.Failure, MayHaveRun: true, Answer: attempt.ServerResponse,
+			}
+			return passedOn, e.Status == 503 && !e.NotExecuted && e.Response == attempt.Complete
 		}), "once", "answered 503, but it ran"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/dataplane/scriptedserver_test.go
+++ b/dataplane/scriptedserver_test.go
@@ -114,16 +114,26 @@
 	{name: "says nonsense", runs: true, do: func(a *asked) bool { a.say(secret, "\r\n\r\n"); return false }},
 	{name: "part of a head, closes", runs: true, do: func(a *asked) bool { a.say(a.whole()[:30]); return false }},
 	{name: "part of a head, silent", runs: true, do: func(a *asked) bool { a.say(a.whole()[:30]); return a.wait() }},
-	{name: "part of a body, closes", runs: true, do: func(a *asked) bool { w := a.whole(); a.say(w[:len(w)-3]); return false }},
-	{name: "part of a body, silent", runs: true, do: func(a *asked) bool { w := a.whole(); a.say(w[:len(w)-3]); return a.wait() }},
+	{name: "part of a body, closes", runs: true, do: func(a *asked) bool {
+		w := a.whole()
+		a.say(w[:len(w)-3])
+		return false
+	}},
+	{name: "part of a body, silent", runs: true, do: func(a *asked) bool {
+		w := a.whole()
+		a.say(w[:len(w)-3])
+		return a.wait()
+	}},
 	{name: "in chunks", runs: true, do: func(a *asked) bool {
 		b := ownBody(a.id)
-		a.say(answerHead("200 OK", a.id, sealed(a.id)+"Transfer-Encoding: chunked\r\n"), a.body(fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(b), b)))
+		head := answerHead("200 OK", a.id, sealed(a.id)+"Transfer-Encoding: chunked\r\n")
+		a.say(head, a.body(fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(b), b)))
 		return true
 	}},
 	{name: "in chunks, no last one", runs: true, breaks: true, do: func(a *asked) bool {
 		b := ownBody(a.id)
-		a.say(answerHead("200 OK", a.id, sealed(a.id)+"Transfer-Encoding: chunked\r\n"), fmt.Sprintf("%x\r\n%s\r\n", len(b), b))
+		head := answerHead("200 OK", a.id, sealed(a.id)+"Transfer-Encoding: chunked\r\n")
+		a.say(head, fmt.Sprintf("%x\r\n%s\r\n", len(b), b))
 		return false
 	}},
 	{name: "long", runs: true, do: func(a *asked) bool {
@@ -136,8 +146,16 @@
 		a.say(answerHead("200 OK", a.id, sealed(a.id)+sized(len(b))), a.body(b[:len(b)-9]))
 		return a.reset()
 	}},
-	{name: "a failure, cut short", runs: true, do: func(a *asked) bool { w := a.failure("500 x", ""); a.say(w[:len(w)-3]); return false }},
-	{name: "not found, cut short", runs: true, do: func(a *asked) bool { w := a.failure("404 x", ""); a.say(w[:len(w)-3]); return false }},
+	{name: "a failure, cut short", runs: true, do: func(a *asked) bool {
+		w := a.failure("500 x", "")
+		a.say(w[:len(w)-3])
+		return false
+	}},
+	{name: "not found, cut short", runs: true, do: func(a *asked) bool {
+		w := a.failure("404 x", "")
+		a.say(w[:len(w)-3])
+		return false
+	}},
 	{name: "a long failure", runs: true, do: func(a *asked) bool {
 		b := longBody(a.id)
 		a.say(answerHead("500 x", a.id, "Failed: 1\r\n"+sized(len(b))), a.body(b))
@@ -152,18 +170,39 @@
 	{name: "bare 408", runs: true, do: func(a *asked) bool { a.say(a.failure("408 x", "")); return true }},
 	{name: "bare 400", runs: true, do: func(a *asked) bool { a.say(a.failure("400 x", "")); return true }},
 	{name: "421", do: func(a *asked) bool { a.say(a.failure("421 x", "")); return true }},
-	{name: "503, not executed", do: func(a *asked) bool { a.say(a.failure("503 x", "Not-Executed: full\r\n")); return true }},
-	{name: "429, not executed", do: func(a *asked) bool { a.say(a.failure("429 x", "Not-Executed: full\r\n")); return true }},
-	{name: "500, not executed", do: func(a *asked) bool { a.say(a.failure("500 x", "Not-Executed: full\r\n")); return true }},
-	{name: "400, not executed", do: func(a *asked) bool { a.say(a.failure("400 x", "Not-Executed: bad\r\n")); return true }},
+	{name: "503, not executed", do: func(a *asked) bool {
+		a.say(a.failure("503 x", "Not-Executed: full\r\n"))
+		return true
+	}},
+	{name: "429, not executed", do: func(a *asked) bool {
+		a.say(a.failure("429 x", "Not-Executed: full\r\n"))
+		return true
+	}},
+	{name: "500, not executed", do: func(a *asked) bool {
+		a.say(a.failure("500 x", "Not-Executed: full\r\n"))
+		return true
+	}},
+	{name: "400, not executed", do: func(a *asked) bool {
+		a.say(a.failure("400 x", "Not-Executed: bad\r\n"))
+		return true
+	}},
 	{name: "503, not executed, cut short", do: func(a *asked) bool {
 		w := a.failure("503 x", "Not-Executed: full\r\n")
 		a.say(w[:len(w)-3])
 		return false
 	}},
-	{name: "no seal", runs: true, do: func(a *asked) bool { a.say(answerHead("200 OK", a.id, sized(2)), a.body("no")); return true }},
-	{name: "without an end", runs: true, do: func(a *asked) bool { a.say(answerHead("200 OK", a.id, sealed(a.id)), a.body("no end")); return false }},
-	{name: "announces it", runs: true, do: func(a *asked) bool { a.say("HTTP/1.1 103 x\r\nX: 1\r\n\r\n", a.whole()); return true }},
+	{name: "no seal", runs: true, do: func(a *asked) bool {
+		a.say(answerHead("200 OK", a.id, sized(2)), a.body("no"))
+		return true
+	}},
+	{name: "without an end", runs: true, do: func(a *asked) bool {
+		a.say(answerHead("200 OK", a.id, sealed(a.id)), a.body("no end"))
+		return false
+	}},
+	{name: "announces it", runs: true, do: func(a *asked) bool {
+		a.say("HTTP/1.1 103 x\r\nX: 1\r\n\r\n", a.whole())
+		return true
+	}},
 	{name: "says that it closes", runs: true, do: func(a *asked) bool {
 		a.say(strings.Replace(a.whole(), "\r\n", "\r\nConnection: close\r\n", 1))
 		return false
@@ -178,10 +217,23 @@
 	}},
 	{name: "twice", runs: true, do: func(a *asked) bool { a.say(a.whole(), a.whole()); return true }},
 	{name: "nobody's behind", runs: true, do: func(a *asked) bool { a.say(a.whole(), nobodysAnswer); return true }},
-	{name: "part of another's behind", runs: true, do: func(a *asked) bool { a.say(a.whole(), strayOf("x")[:40]); return true }},
-	{name: "twice, the second late", runs: true, crosses: true, do: func(a *asked) bool { a.say(a.whole()); a.say(a.whole()); return true }},
-	{name: "closes behind its answer", runs: true, crosses: true, do: func(a *asked) bool { a.say(a.whole()); return false }},
-	{name: "resets behind its answer", runs: true, crosses: true, do: func(a *asked) bool { a.say(a.whole()); return a.reset() }},
+	{name: "part of another's behind", runs: true, do: func(a *asked) bool {
+		a.say(a.whole(), strayOf("x")[:40])
+		return true
+	}},
+	{name: "twice, the second late", runs: true, crosses: true, do: func(a *asked) bool {
+		a.say(a.whole())
+		a.say(a.whole())
+		return true
+	}},
+	{name: "closes behind its answer", runs: true, crosses: true, do: func(a *asked) bool {
+		a.say(a.whole())
+		return false
+	}},
+	{name: "resets behind its answer", runs: true, crosses: true, do: func(a *asked) bool {
+		a.say(a.whole())
+		return a.reset()
+	}},
 }
 
 // script is what becomes of one request, and the ledger of what did.
@@ -277,7 +329,7 @@
 	version := s.g.EndpointsVersion() + 1
 	var list []api.Server
 	for i, b := range s.servers {
-		list = append(list, api.Server{ID: fmt.Sprintf("i-%d-%d", i, version), Upstream: "s", Addr: b.addr, Zone: "z", Capacity: 20, State: "in_service"})
+		list = append(list, serverAt(fmt.Sprintf("i-%d-%d", i, version), b.addr))
 	}
 	tell(s.t, s.g, &s.table, version, list)
 }
--- a/dataplane/unexpectedresponse_test.go
+++ b/dataplane/unexpectedresponse_test.go
@@ -32,6 +32,7 @@
 	of := func(id string) string { return "Attempt-Id: " + id + "\r\n" }
 	foreign := foreignResponse(of("x"), sized(len(foreignBody)), foreignBody)
 	chunked := foreignResponse(of("x"), "Transfer-Encoding: chunked\r\n", "16\r\n"+foreignBody+"\r\n0\r\n\r\n")
+	twoIDs := foreignResponse(of("x")+of("a1"), sized(len(foreignBody)), foreignBody)
 	promise := "HTTP/1.1 503 x\r\nNot-Executed: 1\r\n" + of("x") + "Content-Length: 0\r\n\r\n"
 	return map[string]interference{
 		"before one's own":      {before: foreign, once: 200},
@@ -39,7 +40,7 @@
 		"in chunks":             {before: chunked, once: 200},
 		"long":                  {before: foreignResponse(of("x"), sized(len(long)), long), once: 200},
 		"without an id":         {before: foreignResponse("", sized(len(foreignBody)), foreignBody), once: 502},
-		"with two ids":          {before: foreignResponse(of("x")+of("a1"), sized(len(foreignBody)), foreignBody), once: 502},
+		"with two ids":          {before: twoIDs, once: 502},
 		"without an end":        {before: foreignResponse(of("x"), "", foreignBody), once: 502},
 		"more than can be":      {before: strings.Repeat(foreign, attempt.MaxStrayResponses+1), once: 502},
 		"instead of one's own":  {before: foreign, ends: true, once: 502},
