--- a/dataplane/forwarder.go
+++ b/dataplane/forwarder.go
@@ -35,7 +35,7 @@
 	inFlight atomic.Int64 // requests that are being forwarded
 
 	// Guarded by guardedLimiter.mu.
-	waiting           map[*limiter.Flight]chan struct{} // downloads that wait for the link
+	waiting           map[*limiter.RequestState]chan struct{} // downloads that wait for the link
 	downloadsTimerSet bool                              // a look at them is due
 }
 
@@ -76,16 +76,16 @@
 		return nil, refuseMalformed(400, "an Attempt-Id is needed")
 	}
 	run := &lifecycle{forwarder: f, request: r, ended: make(chan *upstreamAttempt, max(1, r.route.Retries))}
-	run.state = l.NewFlight(limiter.Request{
+	run.state = l.StartRequest(limiter.Request{
 		Service:    r.service,
 		Route:      r.route.Name,
 		Bulk:       r.isDownload(),
-		Repeatable: r.route.IsIdempotent(),
-		Held:       r.stream == nil,
-		Tries:      r.route.Retries,
+		Idempotent: r.route.IsIdempotent(),
+		Buffered:       r.stream == nil,
+		MaxAttempts:      r.route.Retries,
 		ArrivedMs:  f.clock.sinceStartMs(r.arrived),
 		DeadlineMs: f.clock.sinceStartMs(r.deadline),
-		AimMs:      inMs(r.route.latencyTarget),
+		TargetMs:      inMs(r.route.latencyTarget),
 	})
 	r.lifecycle = run.state
 	f.guarded.mu.Unlock()
@@ -96,7 +96,7 @@
 func (f *forwarder) finish(r *request) {
 	if r.lifecycle != nil && r.isDownload() {
 		f.guarded.mu.Lock()
-		r.lifecycle.Over()
+		r.lifecycle.Finish()
 		f.startDownloads()
 		f.guarded.mu.Unlock()
 	}
@@ -109,7 +109,7 @@
 // guardedLimiter.mu.
 func (f *forwarder) startDownloads() {
 	now := f.clock.nowMs()
-	started, nextAt := f.guarded.limiter.Berths(now)
+	started, nextAt := f.guarded.limiter.GrantSlots(now)
 	for _, state := range started {
 		if granted := f.waiting[state]; granted != nil {
 			close(granted)
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -94,7 +94,7 @@
 	g.forwarder = forwarder{
 		log: o.Log, metrics: o.Metrics, clock: g.clock, guarded: g.guarded, router: &g.router, pool: pool,
 		link: downlink, rules: attempt.DefaultRules(),
-		waiting: map[*limiter.Flight]chan struct{}{},
+		waiting: map[*limiter.RequestState]chan struct{}{},
 	}
 	g.listener = clientListener{
 		log: o.Log, metrics: o.Metrics, link: downlink, router: &g.router, lease: &g.lease, readiness: &g.readiness,
--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -10,13 +10,13 @@
 	"example.org/elmspan/internal/connpool"
 )
 
-// lifecycle carries out what a [limiter.Flight] decides for one request: which servers get it, when a hedge starts,
+// lifecycle carries out what a [limiter.RequestState] decides for one request: which servers get it, when a hedge starts,
 // whether a failed attempt is retried. It belongs to the goroutine that forwards the request; attempts report to it
 // through ended.
 type lifecycle struct {
 	forwarder *forwarder
 	request   *request
-	state     *limiter.Flight // guarded by guardedLimiter.mu where its methods read or change the limiter
+	state     *limiter.RequestState // guarded by guardedLimiter.mu where its methods read or change the limiter
 	ended     chan *upstreamAttempt
 	running   []*upstreamAttempt
 	failure   *response // the last failure of a server's
@@ -44,7 +44,7 @@
 	}
 	f := l.forwarder
 	f.guarded.mu.Lock()
-	granted, wait, refused := l.state.Berth(f.clock.nowMs())
+	granted, wait, refused := l.state.AcquireSlot(f.clock.nowMs())
 	if !granted && !refused {
 		l.granted = make(chan struct{})
 		f.waiting[l.state] = l.granted
@@ -77,7 +77,7 @@
 	}
 	at.ctx, at.cancel = context.WithCancel(context.Background())
 	l.running = append(l.running, at)
-	if l.state.Parallel() {
+	if l.state.AllowsHedge() {
 		go l.runAttempt(at) // ends by the request's deadline
 	} else {
 		l.runAttempt(at)
@@ -91,7 +91,7 @@
 	f := l.forwarder
 	f.guarded.mu.Lock()
 	now := f.clock.nowMs()
-	member, wait, refused := l.state.Launch(now, hedge)
+	member, wait, refused := l.state.StartAttempt(now, hedge)
 	if member == nil {
 		f.guarded.mu.Unlock()
 		if refused {
@@ -102,7 +102,7 @@
 	at := &upstreamAttempt{
 		member: member, sentAt: time.Now(), load: member.Load(now) - 1, hedge: hedge, host: f.pool.Host(member.ID),
 	}
-	if wait, counts := l.state.LateMs(now, member); counts {
+	if wait, counts := l.state.OverdueAfterMs(now, member); counts {
 		at.lateAfter = millis(wait)
 	}
 	f.guarded.mu.Unlock()
@@ -146,11 +146,11 @@
 
 // hedgeTimer returns a timer that fires when a second server is to be asked as well, nil where none is.
 func (l *lifecycle) hedgeTimer(hasServer bool) *time.Timer {
-	if !hasServer || !l.state.Parallel() {
+	if !hasServer || !l.state.AllowsHedge() {
 		return nil
 	}
 	l.forwarder.guarded.mu.Lock()
-	wait, allowed := l.state.HedgeMs()
+	wait, allowed := l.state.HedgeDelayMs()
 	l.forwarder.guarded.mu.Unlock()
 	if !allowed {
 		return nil
@@ -187,7 +187,7 @@
 
 // ownResponse is the gateway's own response where no server's is of use.
 func (l *lifecycle) ownResponse() *response {
-	switch l.state.Status(l.forwarder.clock.nowMs()) {
+	switch l.state.FinalStatus(l.forwarder.clock.nowMs()) {
 	case 503:
 		return allRefused.response(retryAfterRefused)
 	case 504:
@@ -198,7 +198,7 @@
 
 // afterAttempt goes on after an attempt has ended. A response that is returned is final.
 func (l *lifecycle) afterAttempt(at *upstreamAttempt) (final *response) {
-	next := l.state.Ended(at.result, at.mayHaveRun, at.response != nil, l.request.started)
+	next := l.state.FinishAttempt(at.result, at.mayHaveRun, at.response != nil, l.request.started)
 	if next == limiter.Deliver {
 		l.noteDownloadLength(at.response)
 		return at.response
@@ -209,7 +209,7 @@
 		}
 		l.failure = at.response
 	}
-	if next == limiter.Relaunch {
+	if next == limiter.Retry {
 		if _, refusal := l.startAttempt(false); refusal != nil {
 			return refusal
 		}
@@ -233,7 +233,7 @@
 		length = 0
 	}
 	f.guarded.mu.Lock()
-	l.state.Head(f.clock.nowMs(), length)
+	l.state.ResponseStarted(f.clock.nowMs(), length)
 	f.startDownloads()
 	f.guarded.mu.Unlock()
 }
--- a/dataplane/limiter/berth.go
+++ b/dataplane/limiter/berth.go
@@ -25,67 +25,67 @@
 	laterTry    = 0.97 // of the time that clients of a route have: with less, it is a later try
 )
 
-// berths says when long answers may be asked for, on a link that they can fill.
-type berths struct {
-	perMs   float64 // bytes a millisecond; 0: no plan is needed
-	busyTo  float64 // the link brings what has begun until then
-	mean    float64 // bytes of a long answer
-	n       float64
-	workMs  float64
-	asked   []*Flight          // whose heads have not come
-	waiting []*Flight          // first come, first served
-	budgets map[string]float64 // the most time that a client of a route had
+// downloadScheduler says when long answers may be asked for, on a link that they can fill.
+type downloadScheduler struct {
+	bytesPerMs   float64 // bytes a millisecond; 0: no plan is needed
+	linkBusyUntil  float64 // the link brings what has begun until then
+	meanBytes    float64 // bytes of a long answer
+	completed       float64
+	typicalMs  float64
+	inFlight   []*RequestState          // whose heads have not come
+	waiting []*RequestState          // first come, first served
+	longestTimeout map[string]float64 // the most time that a client of a route had
 }
 
-func newBerths(perMs float64) berths {
-	return berths{perMs: perMs, mean: meanBytes, workMs: typicalMs, budgets: map[string]float64{}}
+func newDownloadScheduler(perMs float64) downloadScheduler {
+	return downloadScheduler{bytesPerMs: perMs, meanBytes: meanBytes, typicalMs: typicalMs, longestTimeout: map[string]float64{}}
 }
 
-// transfer is how long the link takes for a typical long answer.
-func (b *berths) transfer() float64 { return b.mean / b.perMs }
+// transferMs is how long the link takes for a typical long answer.
+func (b *downloadScheduler) transferMs() float64 { return b.meanBytes / b.bytesPerMs }
 
-// free tells whether one more may be asked for, and else from when on it may; 0:
+// slotFree tells whether one more may be asked for, and else from when on it may; 0:
 // from when the head of another has come. Where the link brings several in the
 // time that a server works on one, so many may be asked for.
-func (b *berths) free(now float64) (ok bool, at float64) {
+func (b *downloadScheduler) slotFree(now float64) (ok bool, at float64) {
 	out := 0
-	for _, f := range b.asked {
-		if now-f.askedAt < stuckTimes*b.workMs {
+	for _, f := range b.inFlight {
+		if now-f.sentAt < stuckTimes*b.typicalMs {
 			out++
 		}
 	}
-	if out >= max(1, int(b.workMs/b.transfer())) {
+	if out >= max(1, int(b.typicalMs/b.transferMs())) {
 		return false, 0
 	}
-	if at = b.busyTo - b.workMs; now < at {
+	if at = b.linkBusyUntil - b.typicalMs; now < at {
 		return false, at
 	}
 	return true, 0
 }
 
-// finish is when an answer that is asked for now would be here, behind all others.
-func (b *berths) finish(now float64) float64 {
-	ahead := float64(len(b.waiting) + len(b.asked))
-	return max(now, b.busyTo-b.workMs) + b.workMs + (ahead+1)*b.transfer()
+// finishTime is when an answer that is asked for now would be here, behind all others.
+func (b *downloadScheduler) finishTime(now float64) float64 {
+	ahead := float64(len(b.waiting) + len(b.inFlight))
+	return max(now, b.linkBusyUntil-b.typicalMs) + b.typicalMs + (ahead+1)*b.transferMs()
 }
 
-// Berth asks for a place on the link, before the first Launch. Where it has to be
-// waited for, [Limiter.Berths] hands the flight out when its time has come. One
+// AcquireSlot asks for a place on the link, before the first Launch. Where it has to be
+// waited for, [Limiter.GrantSlots] hands the flight out when its time has come. One
 // that would come past its aim is refused: waitMs tells when to come back.
-func (f *Flight) Berth(now float64) (granted bool, waitMs float64, refused bool) {
-	b := &f.l.berths
-	if !f.r.Bulk || b.perMs == 0 {
+func (f *RequestState) AcquireSlot(now float64) (granted bool, waitMs float64, refused bool) {
+	b := &f.l.downloads
+	if !f.r.Bulk || b.bytesPerMs == 0 {
 		return true, 0, false
 	}
-	if ok, _ := b.free(now); ok && len(b.waiting) == 0 {
+	if ok, _ := b.slotFree(now); ok && len(b.waiting) == 0 {
 		return true, 0, false
 	}
-	if f.r.AimMs > 0 {
+	if f.r.TargetMs > 0 {
 		room := berthRoom
-		if f.later() {
+		if f.isRetry() {
 			room = berthAgain
 		}
-		if over := b.finish(now) - f.r.ArrivedMs - room*f.r.AimMs; over > 0 || len(b.waiting) >= mostWaiting {
+		if over := b.finishTime(now) - f.r.ArrivedMs - room*f.r.TargetMs; over > 0 || len(b.waiting) >= mostWaiting {
 			return false, max(leastAgain, over), true
 		}
 	}
@@ -93,75 +93,75 @@
 	return false, 0, false
 }
 
-// later tells whether the client has asked before: it has less time than clients
+// isRetry tells whether the client has asked before: it has less time than clients
 // of the route have at first.
-func (f *Flight) later() bool {
-	b, left := &f.l.berths, f.r.DeadlineMs-f.r.ArrivedMs
-	if most := b.budgets[f.r.Route]; left >= most {
-		if len(b.budgets) >= mostRoutes { // those that are asked for come back
-			clear(b.budgets)
+func (f *RequestState) isRetry() bool {
+	b, left := &f.l.downloads, f.r.DeadlineMs-f.r.ArrivedMs
+	if most := b.longestTimeout[f.r.Route]; left >= most {
+		if len(b.longestTimeout) >= mostRoutes { // those that are asked for come back
+			clear(b.longestTimeout)
 		}
-		b.budgets[f.r.Route] = left
+		b.longestTimeout[f.r.Route] = left
 		return false
 	} else {
 		return left < laterTry*most
 	}
 }
 
-// Berths returns the flights whose time has come, and when to ask again; 0: there
+// GrantSlots returns the flights whose time has come, and when to ask again; 0: there
 // is no need before something else happens.
-func (l *Limiter) Berths(now float64) (start []*Flight, at float64) {
-	b := &l.berths
+func (l *Limiter) GrantSlots(now float64) (start []*RequestState, at float64) {
+	b := &l.downloads
 	for len(b.waiting) > 0 {
-		ok, at := b.free(now)
+		ok, at := b.slotFree(now)
 		if !ok {
 			if at == 0 { // a server that is stuck is not waited for without end
-				at = now + stuckTimes*b.workMs
+				at = now + stuckTimes*b.typicalMs
 			}
 			return start, at
 		}
 		f := b.waiting[0]
 		b.waiting = b.waiting[1:]
-		f.ask(now)
+		f.recordSent(now)
 		start = append(start, f)
 	}
 	return start, 0
 }
 
-// ask notes that a server is asked for the answer now.
-func (f *Flight) ask(now float64) {
-	if b := &f.l.berths; f.r.Bulk && b.perMs > 0 {
-		f.askedAt = now
-		if !slices.Contains(b.asked, f) {
-			b.asked = append(b.asked, f)
+// recordSent notes that a server is asked for the answer now.
+func (f *RequestState) recordSent(now float64) {
+	if b := &f.l.downloads; f.r.Bulk && b.bytesPerMs > 0 {
+		f.sentAt = now
+		if !slices.Contains(b.inFlight, f) {
+			b.inFlight = append(b.inFlight, f)
 		}
 	}
 }
 
-// Head notes that the head of a long answer has come, of so many bytes; below 0:
+// ResponseStarted notes that the head of a long answer has come, of so many bytes; below 0:
 // it does not say.
-func (f *Flight) Head(now float64, bytes int64) {
-	b := &f.l.berths
-	i := slices.Index(b.asked, f)
+func (f *RequestState) ResponseStarted(now float64, bytes int64) {
+	b := &f.l.downloads
+	i := slices.Index(b.inFlight, f)
 	if i < 0 {
 		return
 	}
-	b.asked = slices.Delete(b.asked, i, i+1)
-	b.workMs += (min(now-f.askedAt, stuckTimes*b.workMs) - b.workMs) * workShare
-	size := b.mean
+	b.inFlight = slices.Delete(b.inFlight, i, i+1)
+	b.typicalMs += (min(now-f.sentAt, stuckTimes*b.typicalMs) - b.typicalMs) * workShare
+	size := b.meanBytes
 	if bytes >= 0 {
 		size = float64(bytes)
-		b.n++
-		b.mean += (size - b.mean) * max(meanWeight, 1/b.n)
+		b.completed++
+		b.meanBytes += (size - b.meanBytes) * max(meanWeight, 1/b.completed)
 	}
-	b.busyTo = max(now, b.busyTo) + min(size, burst)/b.perMs
+	b.linkBusyUntil = max(now, b.linkBusyUntil) + min(size, burst)/b.bytesPerMs
 }
 
-// Over ends a flight: its answer was written, or none will be. The host calls it
-// for each, and then [Limiter.Berths].
-func (f *Flight) Over() {
-	b := &f.l.berths
-	is := func(o *Flight) bool { return o == f }
-	b.asked = slices.DeleteFunc(b.asked, is)
+// Finish ends a flight: its answer was written, or none will be. The host calls it
+// for each, and then [Limiter.GrantSlots].
+func (f *RequestState) Finish() {
+	b := &f.l.downloads
+	is := func(o *RequestState) bool { return o == f }
+	b.inFlight = slices.DeleteFunc(b.inFlight, is)
 	b.waiting = slices.DeleteFunc(b.waiting, is)
 }
--- a/dataplane/limiter/growth_test.go
+++ b/dataplane/limiter/growth_test.go
@@ -53,8 +53,8 @@
 					}
 					if int(now)%33 < int(gossip.TickMs) {
 						one.Admit(now, tenantID)
-						c := one.NewFlight(Request{Service: "s", Repeatable: true, Held: true, Tries: 2, ArrivedMs: now, DeadlineMs: now + 1000, AimMs: 300})
-						if m, _, _ := c.Launch(now, false); m != nil {
+						c := one.StartRequest(Request{Service: "s", Idempotent: true, Buffered: true, MaxAttempts: 2, ArrivedMs: now, DeadlineMs: now + 1000, TargetMs: 300})
+						if m, _, _ := c.StartAttempt(now, false); m != nil {
 							one.Done(now+50, m, 0, 50)
 						}
 					}
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -49,7 +49,7 @@
 	teller  *gossip.Disseminator
 	retries map[string]float64 // further tries saved up, by service
 	peers   map[uint64]bool
-	berths  berths
+	downloads  downloadScheduler
 }
 
 // New returns a limiter that starts now.
@@ -57,7 +57,7 @@
 	self := quota.Member{ID: cfg.Self, Zone: cfg.Zone}
 	return &Limiter{cfg: cfg, quota: quota.New(now, self), balance: balance.New(cfg.Zone, cfg.Self, cfg.Seed),
 		teller: gossip.NewDisseminator(self, cfg.Life, cfg.Words), retries: map[string]float64{}, peers: map[uint64]bool{},
-		berths: newBerths(cfg.LinkPerS / 1000)}
+		downloads: newDownloadScheduler(cfg.LinkPerS / 1000)}
 }
 
 // Plans takes over the tenants' quotas of a configuration, by the hashes of their names.
--- a/dataplane/request.go
+++ b/dataplane/request.go
@@ -36,7 +36,7 @@
 	stream      *h1.Body // or too long to be held
 	length      int64    // of the stream; h1.Chunked where it isn't known
 	started     bool     // a part of the stream was sent to a server
-	lifecycle   *limiter.Flight
+	lifecycle   *limiter.RequestState
 }
 
 // prepare validates a request, finds its route and tenant, sets its deadline and reads its body. A response that is
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -236,8 +236,8 @@
 		return
 	}
 	now := n.clock()
-	x.course = n.policy.begin(limiter.Request{Service: x.class.Service, Bulk: x.class.Type == api.Download, Repeatable: x.class.Idempotent(),
-		Held: true, Tries: 2, ArrivedMs: now, DeadlineMs: now + x.until - f.engine.now, AimMs: x.class.TargetMs})
+	x.course = n.policy.begin(limiter.Request{Service: x.class.Service, Bulk: x.class.Type == api.Download, Idempotent: x.class.Idempotent(),
+		Buffered: true, MaxAttempts: 2, ArrivedMs: now, DeadlineMs: now + x.until - f.engine.now, TargetMs: x.class.TargetMs})
 	x.launch(false)
 	if wait, may := x.course.hedgeMs(); may && !x.over {
 		f.engine.after(wait, func() {
@@ -308,9 +308,9 @@
 	switch x.course.ended(n.clock(), id, r, ran, answered, f.engine.now-since) {
 	case limiter.Deliver:
 		x.finish(200, 0, id)
-	case limiter.Relaunch:
+	case limiter.Retry:
 		x.launch(false)
-	case limiter.Stop:
+	case limiter.GiveUp:
 		x.finish(x.course.status(n.clock()), mostAdvice, "")
 	}
 }
--- a/lab/simulation/policy.go
+++ b/lab/simulation/policy.go
@@ -91,18 +91,18 @@
 type own struct{ *limiter.Limiter }
 
 type ownCourse struct {
-	*limiter.Flight
+	*limiter.RequestState
 	l   *limiter.Limiter
 	out map[string]*balance.Member
 }
 
 func (o *own) begin(r limiter.Request) course {
 	o.SaveUp(r.Service)
-	return &ownCourse{Flight: o.NewFlight(r), l: o.Limiter, out: map[string]*balance.Member{}}
+	return &ownCourse{RequestState: o.StartRequest(r), l: o.Limiter, out: map[string]*balance.Member{}}
 }
 
 func (c *ownCourse) launch(now float64, hedge bool) (string, float64, bool) {
-	m, wait, refused := c.Launch(now, hedge)
+	m, wait, refused := c.StartAttempt(now, hedge)
 	if m == nil {
 		return "", wait, refused
 	}
@@ -112,18 +112,18 @@
 
 func (c *ownCourse) ended(now float64, server string, r balance.Result, ran, answered bool, tookMs float64) limiter.Next {
 	c.l.Done(now, c.out[server], r, tookMs)
-	return c.Ended(r, ran, answered, false)
+	return c.FinishAttempt(r, ran, answered, false)
 }
 
 func (c *ownCourse) givenUp(now float64, server string, tookMs float64) {
 	c.l.Done(now, c.out[server], balance.HedgeLost, tookMs)
 }
 
-func (c *ownCourse) status(now float64) int   { return c.Status(now) }
-func (c *ownCourse) hedgeMs() (float64, bool) { return c.HedgeMs() }
+func (c *ownCourse) status(now float64) int   { return c.FinalStatus(now) }
+func (c *ownCourse) hedgeMs() (float64, bool) { return c.HedgeDelayMs() }
 
 func (c *ownCourse) lateMs(now float64, server string) (float64, bool) {
-	return c.LateMs(now, c.out[server])
+	return c.OverdueAfterMs(now, c.out[server])
 }
 func (c *ownCourse) overdue(now float64, server string) { c.l.Overdue(now, c.out[server]) }
 
@@ -193,7 +193,7 @@
 func (p *plainPolicy) begin(r limiter.Request) course { return &plainCourse{p: p, r: r} }
 
 func (c *plainCourse) launch(now float64, hedge bool) (string, float64, bool) {
-	if hedge || now >= c.r.DeadlineMs || len(c.tried) >= max(1, c.r.Tries) {
+	if hedge || now >= c.r.DeadlineMs || len(c.tried) >= max(1, c.r.MaxAttempts) {
 		return "", 0, false
 	}
 	ids := slices.DeleteFunc(slices.Clone(c.p.servers[c.r.Service]), func(id string) bool { return slices.Contains(c.tried, id) })
@@ -212,10 +212,10 @@
 	switch {
 	case answered:
 		return limiter.Deliver
-	case c.ran && !c.r.Repeatable:
-		return limiter.Stop
+	case c.ran && !c.r.Idempotent:
+		return limiter.GiveUp
 	}
-	return limiter.Relaunch
+	return limiter.Retry
 }
 
 func (c *plainCourse) givenUp(_ float64, server string, _ float64) { c.p.out[server]-- }
