--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,142 +1,143 @@
-// Package balancer decides, for a gateway in front of a shared back end,
-// which requests pass and which server gets them, so that every customer is
-// held to a quota shared by all gateways.
+// Package balancer decides, for one of several gateways in front of shared servers, which
+// requests are admitted and which server gets each of them. Every customer is held to a
+// quota that all gateways share.
 //
-// A [Limiter] is a state machine without input or output of its own: the host
-// hands it events together with the current time and carries out the actions
-// it returns. It keeps no goroutine and reads no clock; equal seeds and equal
-// events give equal actions. Times are in milliseconds on a clock of the
-// host's that never goes backwards.
+// A [Limiter] is a state machine without I/O, clock or goroutines: the host calls
+// [Limiter.Handle] with each event and the current time, and carries out the actions that it
+// returns. Equal settings, seeds and events give equal actions. Times are in milliseconds on
+// a clock of the host's that never goes backwards.
 package balancer
 
-// Settings describe the deployment to one Limiter. The zero value of an
-// optional field means that the deployment has no such limit or facility.
+// Settings describe the deployment to one Limiter. A zero value means that the deployment
+// has no such limit or facility, but for Balancers, Classes and Plans, which are required.
 type Settings struct {
-	Position              int // this gateway's number, from 0
-	Balancers             int // gateways in all
-	Zone                  int // this gateway's zone
-	PollMembership        bool
+	Position              int  // this limiter's number, from 0
+	Balancers             int  // number of limiters
+	Zone                  int  // this limiter's zone
+	PollMembership        bool // the list of servers must be requested
 	Classes               []Class
 	Plans                 []Plan
 	Caps                  Caps
 	Rules                 Rules
-	PeerMessagesPerSecond float64 // messages a second that a gateway takes in
-	TrueUp                bool    // units are a guess, settled by the answer
-	CrossZonePrice        float64 // price of one attempt that crosses zones
-	PollWithinMs          float64 // ms within which membership must be asked again
+	PeerMessagesPerSecond float64 // messages that a limiter can take in
+	TrueUp                bool    // Submit.Units is an estimate, Outcome.SettledUnits the true value
+	CrossZonePrice        float64 // price of one attempt that leaves the zone
+	PollWithinMs          float64 // the list must be requested again within this time
 }
 
 // Class describes one kind of request.
 type Class struct {
 	Idempotency     Idempotency
 	DedupScope      DedupScope
-	LatencyTargetMs float64 // an answer within this earns the full worth
-	DeadlineMs      float64
-	DedupWindowMs   float64 // how long repeats of a key are dropped
-	Value           float64
-	LateValueShare  float64 // share of the worth earned after the aim
+	LatencyTargetMs float64 // a response within this time has the full value
+	DeadlineMs      float64 // longest time that clients wait
+	DedupWindowMs   float64 // how long a key is remembered and its repeats dropped
+	Value           float64 // of a response, without unit
+	LateValueShare  float64 // share of the value of a response after the latency target
 }
 
-// Repeat tells what a second execution of a request would do.
+// Idempotency says what a second execution of a request would do.
 type Idempotency int
 
 // The idempotency classes.
 const (
-	Safe   Idempotency = iota // repeating does no harm
-	Keyed                     // repeats are dropped inside a group of servers
-	Unsafe                    // must never run twice
+	Safe   Idempotency = iota // a repeat does no harm
+	Keyed                     // repeats of a key are dropped within a DedupScope
+	Unsafe                    // must never be executed twice
 )
 
-// Group names the servers that drop each other's repeats of a key.
+// DedupScope says which servers share remembered idempotency keys: one drops a repeat of what
+// another one of the scope has executed.
 type DedupScope int
 
-// The groups of servers that share remembered keys.
+// The scopes of deduplication.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
 	DedupCell
 )
 
-// Plan is what customers of one plan may use, over all gateways together.
+// Plan is what a customer of one plan may use, at all limiters together.
 type Plan struct {
-	Rate             float64 // units a second; 0: no such quota
-	Burst            float64 // units the store holds at most
-	MaxInFlight      int     // attempts out at once; 0: no such quota
-	HardRate         float64 // units a second of the hard ceiling; 0: none
-	HardBurst        float64
-	Price            float64 // factor on the worth
-	ExcessValueShare float64 // share of the worth earned beyond the quota
-	ExcessPenalty    float64 // share of the worth lost by sending beyond it
+	Rate             float64 // units per second; 0: no such quota
+	Burst            float64 // units that the bucket holds
+	MaxInFlight      int     // attempts in flight; 0: no such quota
+	HardRate         float64 // units per second that must never be exceeded; 0: no such limit
+	HardBurst        float64 // units that may be used at once within HardRate
+	Price            float64 // factor on the value of a response
+	ExcessValueShare float64 // share of the value of a response beyond the quota
+	ExcessPenalty    float64 // share of the value lost by forwarding beyond the quota
 }
 
 // Caps are the limits and facilities of the deployment.
 type Caps struct {
-	MaxAttempts      int // most attempts of one request
-	Cancel           bool
-	Peers            bool
-	Probes           bool
-	RetryAfter       bool
-	Hedging          bool
-	MaxRetryAfterMs  float64 // longest advice that clients heed
-	ConnectTimeoutMs float64 // connect time-out
+	MaxAttempts      int     // of one request; 0 counts as 1
+	Cancel           bool    // attempts can be canceled
+	Peers            bool    // limiters can send each other messages
+	Probes           bool    // servers can be probed
+	RetryAfter       bool    // a rejection may say when to retry
+	Hedging          bool    // several attempts of a request may be in flight
+	MaxRetryAfterMs  float64 // longest time to a retry that clients respect
+	ConnectTimeoutMs float64
 }
 
-// Rules are the figures of the drain and cold-server rules.
+// Rules are the figures of the rules on slow start and overload of servers.
 type Rules struct {
-	SlowStartShare float64 // share of capacity a server starts with
-	SlowStartMs    float64 // it is warm after this at the latest
-	OverloadFactor float64 // this many times its capacity ...
-	OverloadMs     float64 // ... for this long makes it fall over
+	SlowStartShare float64 // share of its capacity that a server starts with
+	SlowStartMs    float64 // time after which a server has its full capacity
+	OverloadFactor float64 // a server fails that gets this many times its capacity ...
+	OverloadMs     float64 // ... for this long
 }
 
-// Event is something that happened. The event types are [Submit], [Outcome],
-// [Aborted], [FirstByte], [Alarm], [Endpoints], [Probed] and [PeerMessage].
+// Event is something that happened. The event types are [Submit], [Outcome], [ClientGone],
+// [FirstByte], [TimerFired], [Endpoints], [ProbeResult] and [PeerMessage].
 type Event interface{ event() }
 
-// Submit is a client's request, which is now owed one final answer.
+// Submit is a request of a client. It gets exactly one final response: Reject, Fail, or the
+// response of an attempt whose Outcome is Final.
 type Submit struct {
 	ID        string
 	TimeoutMs float64 // time until the client gives up
-	Units     float64
-	Class     int
-	Plan      int
-	Retry     bool
+	Units     float64 // of the quota
+	Class     int     // index in Settings.Classes
+	Plan      int     // index in Settings.Plans
+	Retry     bool    // the client marks it as a retry
 	Customer  uint64
-	Spread    int // gateways this customer's requests come through ...
-	First     int // ... in a row from this position
+	Spread    int // number of limiters that the customer's requests arrive at ...
+	First     int // ... in a row from this position on
 }
 
-// Outcome tells how one attempt ended.
+// Outcome says how one attempt ended.
 type Outcome struct {
 	ID           string
 	Attempt      int
 	Server       uint64
 	Result       Result
 	LatencyMs    float64
-	Final        bool    // the request has its final answer
-	SettledUnits float64 // true units, where they are settled; else 0
+	Final        bool    // the request has its final response
+	SettledUnits float64 // true units of the request; 0: not settled
 	Load         Load
 }
 
-// Aborted tells that the client is gone.
+// ClientGone says that the client no longer waits for a response.
 type ClientGone struct{ ID string }
 
-// FirstByte tells that a streamed answer has begun.
+// FirstByte says that a streamed response has begun: the request is no longer retried.
 type FirstByte struct {
 	ID      string
 	Attempt int
 }
 
-// Alarm is a [Timer] that is due.
+// TimerFired is a [SetTimer] that is due.
 type TimerFired struct{ Name string }
 
-// Endpoints is what discovery tells about the servers.
+// Endpoints is a list of servers from discovery, or a change of it.
 type Endpoints struct {
 	Scope   Scope
 	Servers []ServerInfo
 }
 
-// Probed is the result of a [Probe].
+// ProbeResult is the result of a [ProbeServer].
 type ProbeResult struct {
 	Server    uint64
 	Result    Result
@@ -144,7 +145,7 @@
 	Load      Load
 }
 
-// PeerMessage is what another gateway sent.
+// PeerMessage is a message of another limiter. The limiter keeps no part of Data.
 type PeerMessage struct {
 	From int
 	Data []byte
@@ -159,7 +160,7 @@
 func (ProbeResult) event() {}
 func (PeerMessage) event() {}
 
-// Scope tells how a list of servers relates to the one before.
+// Scope says how a list of servers relates to the one before.
 type Scope int
 
 // The scopes of a list.
@@ -167,7 +168,7 @@
 	Partial   Scope = iota // changed entries only
 	Complete               // the whole list
 	Persisted              // the whole list, perhaps stale
-	Failed                 // asking failed; the old list holds
+	Failed                 // the request for the list failed; the old one holds
 )
 
 // ServerInfo is one entry of a list.
@@ -176,7 +177,7 @@
 	Kind    int
 	Zone    int
 	Cell    int
-	ReadyAt float64 // when it last started; 0: long ago
+	ReadyAt float64 // when its process started; 0: long ago
 	Phase   Phase
 	Weight  float64
 }
@@ -193,62 +194,65 @@
 
 // Load is a server's load report. A negative field was not reported.
 type Load struct {
-	Busy, Pending, ServiceMs float64
+	Busy      float64 // requests in execution
+	Pending   float64 // requests in its queue
+	ServiceMs float64 // time to execute one request
 }
 
 // Result is how an attempt or a probe ended.
 type Result int
 
-// The results. NoRoom, NoRoute and StaleSend prove that nothing ran.
+// The results. Rejected, ConnectFailed and NotSent prove that nothing was executed.
 const (
-	Success Result = iota
-	ServerError
-	Rejected
-	TimedOut
-	ConnectFailed
-	ConnectionLost
-	Canceled
-	NotSent
-	InvalidResponse // an answer came that is of no use; it says nothing about the server
+	Success         Result = iota
+	ServerError            // a response with an error
+	Rejected               // the server has no capacity
+	TimedOut               // no response in time
+	ConnectFailed          // no connection
+	ConnectionLost         // the connection broke after the request was sent
+	Canceled               // by CancelAttempt
+	NotSent                // the attempt came too late to be sent
+	InvalidResponse        // a response that can't be used; it says nothing about the server
 )
 
-// Action is something the host is to do. The action types are [PassOn],
-// [Refuse], [Fail], [AbortAttempt], [Timer], [Probe], [Tell], [Log],
-// [Listen] and [QueryAll].
+// Action is something that the host is to do. The action types are [StartAttempt], [Reject],
+// [Fail], [CancelAttempt], [SetTimer], [ProbeServer], [SendPeer], [Log], [WatchEndpoints] and
+// [FetchEndpoints].
 type Action interface{ action() }
 
-// PassOn starts an attempt of a request at a server.
+// StartAttempt forwards a request to a server. The attempts of a request are numbered from 0
+// in this order.
 type StartAttempt struct {
 	ID        string
-	TimeoutMs float64 // time-out; 0: until the client gives up
+	TimeoutMs float64 // 0: until the client gives up
 	Server    uint64
 }
 
-// Refuse is a final answer: nothing ran, trying again does no harm.
+// Reject is a final response: a retry can't execute the request twice.
 type Reject struct {
 	ID           string
-	RetryAfterMs float64 // how long to stay away; 0: no advice
+	RetryAfterMs float64 // time after which a retry may succeed; 0: not known
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final response: the request may have been executed.
 type Fail struct{ ID string }
 
-// AbortAttempt stops waiting for an attempt.
+// CancelAttempt stops waiting for an attempt.
 type CancelAttempt struct {
 	ID      string
 	Attempt int
 }
 
-// Timer asks for an [Alarm] at a time.
+// SetTimer requests a [TimerFired] at a time.
 type SetTimer struct {
 	At   float64
 	Name string
 }
 
-// Probe asks for a check of a server.
+// ProbeServer requests a health check of a server.
 type ProbeServer struct{ Server uint64 }
 
-// Tell sends a message to another gateway.
+// SendPeer sends a message to another limiter. It may be lost.
 type SendPeer struct {
 	To   int
 	Data []byte
@@ -257,10 +261,10 @@
 // Log is a line for the operators.
 type Log struct{ Line string }
 
-// Listen subscribes to changes of the list.
+// WatchEndpoints subscribes to changes of the list of servers.
 type WatchEndpoints struct{}
 
-// QueryAll asks for the whole list once.
+// FetchEndpoints requests the whole list of servers once.
 type FetchEndpoints struct{}
 
 func (StartAttempt) action()   {}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -11,21 +11,28 @@
 // goldenPeerMessages lists one message of each form that gateways exchange. The files under
 // testdata/golden hold their bytes as written by f96d826: later versions write the same.
 func goldenPeerMessages() map[string]peerMessage {
-	entry := peerEntry{customer: 4569004829, plan: 2, spread: 9, firstLimiter: 3, spent: 1 << 40, newlySpent: 300, level: -77}
-	withOut := entry
-	withOut.inFlight = 12
+	entry := peerEntry{
+		customer: 4569004829, plan: 2, spread: 9, firstLimiter: 3, spent: 1 << 40, newlySpent: 300, level: -77,
+	}
+	withInFlight := entry
+	withInFlight.inFlight = 12
 	level := peerEntry{customer: 1, plan: 0, level: 1 << 33, margin: 130}
 	low := peerEntry{customer: 1<<64 - 1, plan: 1, level: -1, margin: 0}
+	failing := peerEntry{customer: 51530247, plan: 3}
+	grant := peerEntry{customer: 17, plan: 1, level: 40}
 	return map[string]peerMessage{
 		"report.bin":      {incarnation: 0xdeadbeef, seq: 129, ageMs: 65000, entries: []peerEntry{entry, entry}},
 		"asking.bin":      {flags: flagLevelsRequest, incarnation: 1, seq: 1, ageMs: 0},
-		"in-flight.bin":   {flags: flagInFlight, incarnation: 7, seq: 2, ageMs: 50, entries: []peerEntry{withOut}},
+		"in-flight.bin":   {flags: flagInFlight, incarnation: 7, seq: 2, ageMs: 50, entries: []peerEntry{withInFlight}},
 		"levels.bin":      {flags: flagLevelUpdate | flagLevelsResponse, ageMs: 123456, entries: []peerEntry{level, low}},
 		"level.bin":       {flags: flagLevelUpdate, entries: []peerEntry{low}},
-		"failing.bin":     {flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{{customer: 51530247, plan: 3}}},
-		"grant.bin":       {flags: flagLevelUpdate | flagEscrowGrant, entries: []peerEntry{{customer: 17, plan: 1, level: 40}}},
-		"asking-out.bin":  {flags: flagLevelsRequest | flagInFlight, incarnation: 9, seq: 3, ageMs: 1999, entries: []peerEntry{withOut}},
+		"failing.bin":     {flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{failing}},
+		"grant.bin":       {flags: flagLevelUpdate | flagEscrowGrant, entries: []peerEntry{grant}},
 		"empty-level.bin": {flags: flagLevelUpdate | flagLevelsResponse, ageMs: 1},
+		"asking-out.bin": {
+			flags: flagLevelsRequest | flagInFlight, incarnation: 9, seq: 3, ageMs: 1999,
+			entries: []peerEntry{withInFlight},
+		},
 	}
 }
 
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -56,7 +56,8 @@
 	l.receiveRate += (l.levelsReceived/fair - l.receiveRate) * tickIntervalMs / 1000
 	l.levelsReceived = 0
 	excess := max(0, l.receiveRate-0.5)
-	l.levelInterval = 1000 * levelIntervalMessages / l.cfg.PeerMessagesPerSecond * math.Exp(levelIntervalSteepness*excess)
+	l.levelInterval = 1000 * levelIntervalMessages / l.cfg.PeerMessagesPerSecond *
+		math.Exp(levelIntervalSteepness*excess)
 }
 
 // sendGrants sends each peer the escrow granted to it.
--- a/balancer/peercodec.go
+++ b/balancer/peercodec.go
@@ -2,11 +2,15 @@
 
 import "encoding/binary"
 
-// maxPeerBytes is the longest message that the wire between gateways takes.
+// This file encodes messages between limiters. A message is one datagram: a magic byte, the
+// version, the flags, the header that the flags call for, and entries until the end. Numbers
+// are varints but for the incarnation, which has four bytes, little-endian.
+
+// maxPeerBytes is the length of the longest message in bytes.
 const maxPeerBytes = 256
 
-// peerMagic and peerVersion open every message, so that a foreign one or one
-// of another version is dropped whole.
+// peerMagic and peerVersion begin every message, so that one of another protocol or version
+// is dropped whole.
 const (
 	peerMagic   = 0x5c
 	peerVersion = 2
@@ -14,43 +18,44 @@
 
 // Flags of a peer message.
 const (
-	flagLevelsRequest  = 1 << iota // the sender is new and asks for levels
-	flagLevelsResponse             // the answer to a question for levels
-	flagInFlight                   // entries carry the attempts out
-	flagLevelUpdate                // a keeper tells levels: customer, plan and level alone
-	flagFailureHint                // with flagNews: servers and classes that fail
-	flagEscrowGrant                // with flagNews: a keeper grants a part of the ceiling, as the level
-	knownFlags         = flagLevelsRequest | flagLevelsResponse | flagInFlight | flagLevelUpdate | flagFailureHint | flagEscrowGrant
+	flagLevelsRequest  = 1 << iota // a report whose sender has just started and requests levels
+	flagLevelsResponse             // with flagLevelUpdate: the response to a request for levels
+	flagInFlight                   // entries carry the attempts in flight
+	flagLevelUpdate                // entries are levels: customer, plan, level and margin alone
+	flagFailureHint                // with flagLevelUpdate: entries are servers and classes that fail
+	flagEscrowGrant                // with flagLevelUpdate: an aggregator grants units, as the level
+
+	knownFlags = flagLevelsRequest | flagLevelsResponse | flagInFlight |
+		flagLevelUpdate | flagFailureHint | flagEscrowGrant
 )
 
-// unitScale is the number of steps in which a unit is told.
+// unitScale is the number of steps in a unit: units are encoded as whole steps.
 const unitScale = 4
 
-// peerMsg is one message between gateways.
+// peerMessage is one message between limiters.
 type peerMessage struct {
 	flags       byte
 	incarnation uint32 // incarnation of the sender
-	seq         uint64 // rises by one with each message to this recipient
-	ageMs       uint64 // how long the sender has run
+	seq         uint64 // rises by one with each report to this recipient
+	ageMs       uint64 // time since the sender started
 	entries     []peerEntry
 }
 
-// peerEntry tells of one customer.
+// peerEntry is what a message says about one customer.
 type peerEntry struct {
 	customer     uint64
 	plan         uint64
-	spread       uint64 // gateways of the customer ...
-	firstLimiter uint64 // ... in a row from this one
-	spent        uint64 // units passed since the sender started, in steps
-	newlySpent   uint64 // those of them not told before
-	margin       uint64 // told with news, in steps
-	level        int64  // the sender's bucket level, in steps
-	inFlight     uint64 // attempts out
+	spread       uint64 // number of the customer's limiters ...
+	firstLimiter uint64 // ... in a row from this one on
+	spent        uint64 // steps admitted since the sender started
+	newlySpent   uint64 // those of them that were not reported before
+	margin       uint64 // with a level, in steps
+	level        int64  // the sender's balance, in steps
+	inFlight     uint64 // attempts in flight at the sender
 }
 
-// encode writes the message with as many of its entries as fit and returns
-// the bytes and the number of entries written.
-func (m *peerMessage) encode() ([]byte, int) {
+// encode returns the message with as many of its entries as fit in, and their number.
+func (m *peerMessage) encode() (data []byte, entries int) {
 	b := make([]byte, 0, maxPeerBytes)
 	b = append(b, peerMagic, peerVersion, m.flags)
 	if m.flags&flagLevelUpdate == 0 {
@@ -60,9 +65,8 @@
 	if m.flags&flagLevelUpdate == 0 || m.flags&flagLevelsResponse != 0 {
 		b = binary.AppendUvarint(b, m.ageMs)
 	}
-	n := 0
 	for _, e := range m.entries {
-		mark := len(b)
+		start := len(b)
 		b = binary.AppendUvarint(b, e.customer)
 		b = binary.AppendUvarint(b, e.plan)
 		b = binary.AppendVarint(b, e.level)
@@ -78,55 +82,54 @@
 			b = binary.AppendUvarint(b, e.inFlight)
 		}
 		if len(b) > maxPeerBytes {
-			b = b[:mark]
-			break
+			return b[:start], entries
 		}
-		n++
+		entries++
 	}
-	return b, n
+	return b, entries
 }
 
-// decodePeer reads a message; ok is false if any part of it is not sound.
+// decodePeerMessage decodes a message; ok is false if any part of it is not valid.
 func decodePeerMessage(b []byte) (m peerMessage, ok bool) {
 	if len(b) < 3 || len(b) > maxPeerBytes || b[0] != peerMagic || b[1] != peerVersion || b[2]&^knownFlags != 0 {
 		return m, false
 	}
 	m.flags = b[2]
-	news := m.flags&flagLevelUpdate != 0
+	isReport := m.flags&flagLevelUpdate == 0
 	b = b[3:]
-	sound := true
+	valid := true
 	uvarint := func() uint64 {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
-			sound, b = false, nil
+			valid, b = false, nil
 			return 0
 		}
 		b = b[n:]
 		return v
 	}
-	if !news {
+	if isReport {
 		if len(b) < 4 {
 			return m, false
 		}
 		m.incarnation, b = binary.LittleEndian.Uint32(b), b[4:]
 		m.seq = uvarint()
 	}
-	if !news || m.flags&flagLevelsResponse != 0 {
+	if isReport || m.flags&flagLevelsResponse != 0 {
 		m.ageMs = uvarint()
 	}
-	for sound && len(b) > 0 {
+	for valid && len(b) > 0 {
 		e := peerEntry{customer: uvarint(), plan: uvarint()}
 		level := uvarint()
-		e.level = int64(level>>1) ^ -int64(level&1) // as Varint is laid out
-		if news {
-			e.margin = uvarint()
-		} else {
+		e.level = int64(level>>1) ^ -int64(level&1) // the zigzag encoding of a signed varint
+		if isReport {
 			e.spread, e.firstLimiter, e.spent, e.newlySpent = uvarint(), uvarint(), uvarint(), uvarint()
+		} else {
+			e.margin = uvarint()
 		}
 		if m.flags&flagInFlight != 0 {
 			e.inFlight = uvarint()
 		}
 		m.entries = append(m.entries, e)
 	}
-	return m, sound
+	return m, valid
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// checkSettings returns an error that names the setting that makes no sense.
+// checkSettings returns an error that names the setting that is not valid.
 func checkSettings(s Settings) error {
 	switch {
 	case s.Balancers < 1:
@@ -25,12 +25,19 @@
 		}
 	}
 	for i, p := range s.Plans {
-		if p.Rate < 0 || p.Burst < 0 || p.MaxInFlight < 0 || p.HardRate < 0 || p.HardBurst < 0 {
-			return fmt.Errorf("packages.%d: a quota is below 0", i)
-		}
-		if p.Rate > 0 && p.Burst <= 0 {
-			return fmt.Errorf("packages.%d: burst must be above 0 where per_second is", i)
+		if err := checkPlan(p); err != nil {
+			return fmt.Errorf("packages.%d: %w", i, err)
 		}
 	}
 	return nil
 }
+
+func checkPlan(p Plan) error {
+	if p.Rate < 0 || p.Burst < 0 || p.MaxInFlight < 0 || p.HardRate < 0 || p.HardBurst < 0 {
+		return errors.New("a quota is below 0")
+	}
+	if p.Rate > 0 && p.Burst <= 0 {
+		return errors.New("burst must be above 0 where per_second is")
+	}
+	return nil
+}
