--- a/dataplane/clientconn.go
+++ b/dataplane/clientconn.go
@@ -231,7 +231,7 @@
 	return until
 }
 
-// abort closes the connection in the middle of a response. Where its length is not told, only a reset tells the client
+// abort closes the connection in the middle of a response. Where its length is not known, only a reset shows the client
 // that it isn't whole.
 func (c *clientConn) abort(reset bool) {
 	if reset {
--- a/dataplane/clientconn_test.go
+++ b/dataplane/clientconn_test.go
@@ -23,7 +23,7 @@
 func TestLastResponseIsNotLostToAReset(t *testing.T) {
 	t.Parallel()
 	g := newGateway(t, newBackend(t, good("yes")))
-	g.listener.linger = patience
+	g.listener.linger = hangTimeout
 	c := dial(t, g)
 	c.send("POST /once/", "Content-Length: 9999999\r\n", strings.Repeat("b", 64<<10))
 	if h := c.want(413, ""); !h.ClosesConnection() {
@@ -38,7 +38,7 @@
 		}
 	}
 	closeConn(c)
-	untilGone(t, g)
+	waitForNoConns(t, g)
 }
 
 // A client of HTTP/1.0 knows no chunks: it gets the body as it is, up to the end of the
@@ -82,7 +82,7 @@
 		c := dial(t, g)
 		write(c, "POST /once/ HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n",
 			"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
-		untilRead(t, g, 1)
+		waitForRequests(t, g, 1)
 		write(c, "body")
 		if line, err := c.in.ReadString('\n'); err != nil || line != "HTTP/1.1 200 OK\r\n" {
 			t.Errorf("%q, %v", line, err)
@@ -91,7 +91,7 @@
 }
 
 // An answer to HEAD says of the body what its server says, and has none.
-func TestHeadResponseTellsTheLengthOfGet(t *testing.T) {
+func TestHeadResponseHasTheLengthOfGet(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
@@ -229,7 +229,7 @@
 						return
 					}
 					c := &client{t, nc, nil}
-					setDeadline(c, time.Now().Add(patience))
+					setDeadline(c, time.Now().Add(hangTimeout))
 					name := fmt.Sprintf("c%d-%d", n, round)
 					talk := conversation{stage: s, client: c, name: name, rng: rng, broken: broken}
 					answers.Add(talk.run(&refused))
@@ -365,13 +365,13 @@
 	})
 }
 
-// Who asks before it sends a body, and is turned away, is told so at once: the body may
+// Who asks before it sends a body, and is turned away, is refused at once: the body may
 // never come.
 func TestRefusedBeforeTheBodyIsSent(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		g := newGateway(t, newBackend(t, good("yes")))
-		g.listener.linger = 2 * patience
+		g.listener.linger = 2 * hangTimeout
 		c := dial(t, g)
 		c.send("POST /none/", "Content-Length: 4\r\nExpect: 100-continue\r\n", "")
 		if h := c.want(404, ""); !h.ClosesConnection() {
--- a/dataplane/clock.go
+++ b/dataplane/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// clock tells the time since the process started, on the steady clock: a change of the wall clock has no effect.
+// clock measures the time since the process started, on the steady clock: a change of the wall clock has no effect.
 type clock struct{ start time.Time }
 
 // now returns the time since the start.
--- a/dataplane/delta_test.go
+++ b/dataplane/delta_test.go
@@ -40,8 +40,8 @@
 	return r
 }
 
-// bring has a gateway take over a configuration, as what changed in a table.
-func bring(t testing.TB, g *Gateway, table *versioned.Table, c *api.Config) {
+// applyConfig has a gateway take over a configuration, as what changed in a table.
+func applyConfig(t testing.TB, g *Gateway, table *versioned.Table, c *api.Config) {
 	t.Helper()
 	table.Replace(c.Revision, rowsOf(t, c))
 	if err := g.ApplyConfig(since(t, table, g.Revision())); err != nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// tell has a gateway take over a list of servers, likewise.
-func tell(t testing.TB, g *Gateway, table *versioned.Table, version uint64, list []api.Server) {
+// applyServers has a gateway take over a list of servers, likewise.
+func applyServers(t testing.TB, g *Gateway, table *versioned.Table, version uint64, list []api.Server) {
 	t.Helper()
 	rows := map[string][]byte{}
 	for _, s := range list {
--- a/dataplane/fixtures_test.go
+++ b/dataplane/fixtures_test.go
@@ -20,10 +20,10 @@
 	"example.org/elmspan/versioned"
 )
 
-// patience is for what hangs. No verdict hangs on it.
-const patience = 2 * time.Minute
+// hangTimeout is for what hangs. No verdict hangs on it.
+const hangTimeout = 2 * time.Minute
 
-// backend is a stand-in for a server: it answers each request as it is told to.
+// backend is a stand-in for a server: it answers each request as a function says.
 type backend struct {
 	addr string
 	seen atomic.Int64
@@ -43,7 +43,7 @@
 			}
 			go func() {
 				defer closeConn(c)
-				setDeadline(c, time.Now().Add(patience))
+				setDeadline(c, time.Now().Add(hangTimeout))
 				in := bufio.NewReader(c)
 				for {
 					h, body, err := h1.ReadWhole(in, 1<<16)
@@ -89,8 +89,8 @@
 	upstream, timeoutMs := settings.DefaultTuning().Upstream, 3000.0
 	limits := api.RequestLimits{MaxHeaderBytes: 2000, MaxBodyBytes: 1 << 20}
 	if _, fake := t.(inMemory); !fake { // a busy machine's time says nothing: limits are for what hangs
-		upstream.ConnectMs, timeoutMs = inMs(patience), inMs(patience)
-		limits.HeaderTimeoutMs, limits.IdleTimeoutMs = inMs(patience), inMs(2*patience)
+		upstream.ConnectMs, timeoutMs = inMs(hangTimeout), inMs(hangTimeout)
+		limits.HeaderTimeoutMs, limits.IdleTimeoutMs = inMs(hangTimeout), inMs(2*hangTimeout)
 		timing.RevokeMs *= 1000
 	}
 	node := nodeOf("n")
@@ -101,12 +101,12 @@
 		t.Fatal(err)
 	}
 	g.listener.openFor = 0
-	bring(t, g, &versioned.Table{}, testConfig(timeoutMs, limits))
+	applyConfig(t, g, &versioned.Table{}, testConfig(timeoutMs, limits))
 	var list []api.Server
 	for i, b := range backends {
 		list = append(list, serverAt("i-"+strconv.Itoa(i), b.addr))
 	}
-	tell(t, g, &versioned.Table{}, 1, list)
+	applyServers(t, g, &versioned.Table{}, 1, list)
 	g.ExtendLease(g.Uptime())
 	if m, ok := t.(inMemory); ok {
 		m.serve(g)
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeConn(c) })
-	setDeadline(c, time.Now().Add(patience))
+	setDeadline(c, time.Now().Add(hangTimeout))
 	return &client{t, c, bufio.NewReader(c)}
 }
 
--- a/dataplane/forwarder.go
+++ b/dataplane/forwarder.go
@@ -71,7 +71,7 @@
 	}
 	r.service = r.route.pickService(f.guarded.rng.Float64())
 	l.SaveUp(r.service)
-	if r.head.Get("Attempt-Id") == "" { // its response could not be told from another's
+	if r.head.Get("Attempt-Id") == "" { // its response could not be distinguished from another's
 		f.guarded.mu.Unlock()
 		return nil, refuseMalformed(400, "an Attempt-Id is needed")
 	}
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -86,7 +86,7 @@
 }
 
 // A request that must not run twice goes to a second server only where the
-// first says that it has not run it; else the client is promised nothing.
+// first says that it has not run it; else the client gets 502.
 func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
@@ -149,7 +149,7 @@
 		} {
 			var odd atomic.Bool
 			odd.Store(true)
-			either := func(w io.Writer, h *h1.Head, body []byte) bool { // whichever is asked first fails
+			either := func(w io.Writer, h *h1.Head, body []byte) bool { // whichever is scriptedRequest first fails
 				if odd.Swap(false) {
 					return first(w, h, body)
 				}
@@ -350,18 +350,18 @@
 		defer g.guarded.mu.Unlock()
 		return g.peers.regroups, g.guarded.limiter.Others()
 	}
-	again := []api.Peer{all[7]}
-	again[0].StartID, again[0].Incarnation, again[0].Addr = 2, 2, "127.0.0.1:9999"
-	if n := testing.AllocsPerRun(100, func() { g.ApplyPeers(again) }); n != 0 {
+	restarted := []api.Peer{all[7]}
+	restarted[0].StartID, restarted[0].Incarnation, restarted[0].Addr = 2, 2, "127.0.0.1:9999"
+	if n := testing.AllocsPerRun(100, func() { g.ApplyPeers(restarted) }); n != 0 {
 		t.Errorf("a limiter that starts again costs %v allocations", n)
 	}
-	again[0].State = membership.Leaving
-	g.ApplyPeers(again)
+	restarted[0].State = membership.Leaving
+	g.ApplyPeers(restarted)
 	if n, others := regroups(); n != 1 || others != 300 {
 		t.Errorf("told %d times of %d", n, others)
 	}
 	g.guarded.mu.Lock()
-	if at := g.peers.byID[xxhash.Sum64String(again[0].Name)].addr.String(); at != again[0].Addr {
+	if at := g.peers.byID[xxhash.Sum64String(restarted[0].Name)].addr.String(); at != restarted[0].Addr {
 		t.Errorf("words go to %s", at)
 	}
 	g.guarded.mu.Unlock()
@@ -371,10 +371,10 @@
 		func(p *api.Peer) { p.Zone = "elsewhere" },
 		func(p *api.Peer) { p.Edge = false },
 	} {
-		change(&again[0])
-		g.ApplyPeers(again)
+		change(&restarted[0])
+		g.ApplyPeers(restarted)
 		want := 300
-		if again[0].State == membership.Dead || !again[0].Edge {
+		if restarted[0].State == membership.Dead || !restarted[0].Edge {
 			want--
 		}
 		if n, others := regroups(); n != 2+i || others != want {
--- a/dataplane/h1/body.go
+++ b/dataplane/h1/body.go
@@ -93,7 +93,7 @@
 }
 
 // short returns the error of a body that is not at its end: io.EOF means that it ended early. Where it is malformed
-// too, that is told.
+// too, that is reported.
 func short(err error) error {
 	if errors.Is(err, io.EOF) && !errors.As(err, new(*Error)) {
 		return ErrUnexpectedEnd
--- a/dataplane/h1/head.go
+++ b/dataplane/h1/head.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Error tells what is wrong with a message of the other side. Callers find it with [errors.As]. Its texts are sent to
+// Error says what is wrong with a message of the other side. Callers find it with [errors.As]. Its texts are sent to
 // clients as they are.
 type Error struct {
 	Status int    // of the response to it
@@ -97,7 +97,7 @@
 }
 
 // ReadRequest reads the head of a request, of limit bytes at most. The error is an *Error where the client is to be
-// told of it.
+// sent it.
 func ReadRequest(r *bufio.Reader, limit int) (*Head, error) {
 	text, err := readLines(r, limit, &Error{431, "the head is too long"})
 	if err != nil {
@@ -229,7 +229,7 @@
 	return UntilClose, nil
 }
 
-// framing returns the framing that the fields tell, and whether they tell one.
+// framing returns the framing that the fields state, and whether they state one.
 func (h *Head) framing() (n int64, framed bool, err error) {
 	te, cl := h.Count("Transfer-Encoding"), h.Count("Content-Length")
 	switch {
@@ -256,7 +256,7 @@
 }
 
 // KeepAlive returns how long the sender says that it keeps an idle connection, in
-// whole seconds as it is told; 0 where it says nothing that can be read.
+// whole seconds as it is stated; 0 where it says nothing that can be read.
 func (h *Head) KeepAlive() time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/dataplane/isolation_test.go
+++ b/dataplane/isolation_test.go
@@ -117,7 +117,7 @@
 	r := &request{
 		head:     &h1.Head{Method: "GET", Target: "/get/", Fields: fields},
 		route:    g.router.current().route("h", "/get/"),
-		deadline: time.Now().Add(patience),
+		deadline: time.Now().Add(hangTimeout),
 	}
 	g.guarded.mu.Lock()
 	m := g.guarded.limiter.Members()[0]
@@ -159,20 +159,20 @@
 		c.send("GET /get/", "", "")
 		<-begun
 		c.send("POST /once/", "Content-Length: 4\r\n", "body")
-		untilRead(t, g, 2)
+		waitForRequests(t, g, 2)
 		close(breakOff)
 		if h, _, err := c.answer(); err == nil {
 			t.Errorf("%+v looks complete", h)
 		}
-		untilGone(t, g)
+		waitForNoConns(t, g)
 		if n := filed.Load(); n != 0 {
 			t.Errorf("ran %d times behind an answer that ended the connection", n)
 		}
 	})
 }
 
-// untilRead waits until a gateway's only connection has had so many requests.
-func untilRead(t testing.TB, g *Gateway, n int) {
+// waitForRequests waits until a gateway's only connection has had so many requests.
+func waitForRequests(t testing.TB, g *Gateway, n int) {
 	t.Helper()
 	wait(t, func() bool {
 		for c := range g.listener.conns {
@@ -184,16 +184,16 @@
 	}, g)
 }
 
-// untilGone waits until a gateway has no connection of clients.
-func untilGone(t testing.TB, g *Gateway) {
+// waitForNoConns waits until a gateway has no connection of clients.
+func waitForNoConns(t testing.TB, g *Gateway) {
 	t.Helper()
 	wait(t, func() bool { return len(g.listener.conns) == 0 }, g)
 }
 
-// wait waits until something holds, which is asked under the listener's mutex.
+// wait waits until something holds, which is scriptedRequest under the listener's mutex.
 func wait(t testing.TB, holds func() bool, g *Gateway) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
 		g.listener.mu.Lock()
 		ok := holds()
 		g.listener.mu.Unlock()
@@ -231,7 +231,7 @@
 			t.Fatalf("%+v, %v", h, err)
 		}
 		c.send("POST /once/", "Content-Length: 4\r\nExpect: 100-continue\r\n", "")
-		untilRead(t, g, 2)
+		waitForRequests(t, g, 2)
 		close(goOn)
 		got := make([]byte, n)
 		if _, err := io.ReadFull(c.in, got); err != nil || string(got) != body {
@@ -248,7 +248,7 @@
 	})
 }
 
-// A request without an id is not sent: its answer could not be told from another's.
+// A request without an id is not sent: its answer could not be distinguished from another's.
 func TestRequestWithoutIDIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
@@ -322,11 +322,11 @@
 	server := newBackend(b, good("a small answer"))
 	g := newGateway(b, server)
 	c := dial(b, g)
-	ask := []byte("GET /get/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n\r\n")
+	request := []byte("GET /get/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n\r\n")
 	setDeadline(c, time.Time{})
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := c.Write(ask); err != nil {
+		if _, err := c.Write(request); err != nil {
 			b.Fatal(err)
 		}
 		if h, _, err := c.answer(); err != nil || h.Status != 200 {
--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// noteDownloadLength tells the limiter how long a download is, once its head is here.
+// noteDownloadLength passes the length of a download to the limiter, once its head is here.
 func (l *lifecycle) noteDownloadLength(resp *response) {
 	if !l.request.isDownload() {
 		return
--- a/dataplane/memoryconn_test.go
+++ b/dataplane/memoryconn_test.go
@@ -111,8 +111,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			setDeadline(near, time.Now().Add(patience))
-			setDeadline(far, time.Now().Add(patience))
+			setDeadline(near, time.Now().Add(hangTimeout))
+			setDeadline(far, time.Now().Add(hangTimeout))
 			if err := c.do(near.(end), far.(end)); !errors.Is(err, c.want) {
 				_, fake := t.(inMemory)
 				t.Errorf("%s, in memory %v: %v, want %v", name, fake, err, c.want)
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -15,7 +15,7 @@
 // The gateway is put before three servers that do, with the request of each id, what a
 // script says: everything that a server can do at each moment of a try, in each order
 // of two, on fresh and kept connections, for each kind of request. What then reached
-// clients and what ran is held against the promises.
+// clients and what ran is checked against the invariants.
 
 // playRun is a run through all moves with all others as second ones.
 type playRun struct {
@@ -53,27 +53,27 @@
 // step sends a request whose servers do the two moves, then another that they answer.
 func (p *playRun) step(first, second *move) {
 	p.setUp()
-	status, sc := p.ask(p.kind, first, second)
+	status, sc := p.request(p.kind, first, second)
 	if sc.arrivals.Load() == 0 && status == 503 { // the servers that there are now are kept off too
 		p.renew()
-		status, sc = p.ask(p.kind, first, second)
+		status, sc = p.request(p.kind, first, second)
 	}
 	if sc.arrivals.Load() > 1 {
 		p.seconds++
 	}
-	if sc.arrivals.Load() == 0 && !silent(first, second) {
+	if sc.arrivals.Load() == 0 && !endsByDeadline(first, second) {
 		p.broken("%s, %s, then %s: it came to no server: %d", p.kind, first.name, second.name, status)
 	}
 	what := fmt.Sprintf("%s, kept %v, %s, then %s", p.kind, p.kept, first.name, second.name)
 	// Whatever stands on connections now, the next filing gets its own answer.
-	next, nextScript := p.ask("once", &fine, &fine)
+	next, nextScript := p.request("once", &fine, &fine)
 	p.refused = next == 503
 	mayFail := next == 502 && (first.crosses || second.crosses)
 	if next != 200 && !p.refused && !mayFail {
 		p.broken("%s: the next filing is answered %d", what, next)
 	}
-	p.settle(what, p.once, status, sc)
-	p.settle(what+", the next one", true, next, nextScript)
+	p.checkRuns(what, p.once, status, sc)
+	p.checkRuns(what+", the next one", true, next, nextScript)
 }
 
 // setUp puts servers and connections in place for a step.
@@ -85,7 +85,7 @@
 		p.warm()
 	}
 	if _, fake := p.t.(inMemory); fake {
-		time.Sleep(20 * time.Millisecond) // servers that failed are asked again
+		time.Sleep(20 * time.Millisecond) // servers that failed are scriptedRequest again
 	}
 }
 
@@ -241,14 +241,14 @@
 			s.warm()
 		}
 		answered, late := make(chan struct{}), make(chan error, 1)
-		slow := move{name: "answers late", runs: true, do: func(a *asked) bool {
+		slow := move{name: "answers late", runs: true, do: func(a *scriptedRequest) bool {
 			<-answered
 			a.say(strings.ReplaceAll(a.whole(), "own:", "not:")) // as long: nothing else speaks against the connection
 			_, err := a.in.ReadByte()                            // the connection has ended, whatever was sent on it
 			late <- err
 			return false
 		}}
-		status, sc := s.ask("get", &slow, &fine)
+		status, sc := s.request("get", &slow, &fine)
 		close(answered)
 		if status != 200 || sc.arrivals.Load() != 2 {
 			t.Fatalf("answered %d, %d servers had it", status, sc.arrivals.Load())
@@ -258,7 +258,7 @@
 			t.Errorf("the connection of the slower one goes on: %v after %v", err, time.Since(begun))
 		}
 		for range 10 {
-			if status, sc := s.ask("once", &fine, &fine); status != 200 || sc.runs.Load() != 1 {
+			if status, sc := s.request("once", &fine, &fine); status != 200 || sc.runs.Load() != 1 {
 				t.Errorf("the next one is answered %d, ran %d times", status, sc.runs.Load())
 			}
 		}
--- a/dataplane/peers.go
+++ b/dataplane/peers.go
@@ -27,7 +27,7 @@
 	known atomic.Bool // the control side has named other processes
 
 	byID     map[uint64]peer // guarded by guardedLimiter.mu
-	regroups int             // guarded by guardedLimiter.mu; how often the limiter was told a new set of peers
+	regroups int             // guarded by guardedLimiter.mu; how often the limiter was given a new set of peers
 }
 
 // apply takes in the processes of which something has changed. One that only started again, at the same address or
@@ -62,7 +62,7 @@
 	return !had || before.zone != p.Zone
 }
 
-// regroup tells the limiter the present set of peers. Called under guardedLimiter.mu.
+// regroup gives the limiter the present set of peers. Called under guardedLimiter.mu.
 func (t *peerTable) regroup() {
 	members := make([]quota.Member, 0, len(t.byID))
 	for id, p := range t.byID {
--- a/dataplane/readiness.go
+++ b/dataplane/readiness.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// aloneAfter is when a gateway that has not been told of any peer is ready without: there is none.
+	// aloneAfter is when a gateway that knows of no peer is ready without: there is none.
 	aloneAfter = 2500 * time.Millisecond
 
 	probeHeaderTimeout = 2 * time.Second
--- a/dataplane/request.go
+++ b/dataplane/request.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// sendContinue tells a client that waits for it to send the body, never in the middle of a response before.
+// sendContinue asks a client that waits for it to send the body, never in the middle of a response before.
 func (c *clientConn) sendContinue(head *h1.Head, mine <-chan struct{}) {
 	if head.HasToken("Expect", "100-continue") && !head.HTTP10 && c.in.Buffered() == 0 {
 		<-mine
--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -23,7 +23,7 @@
 type attemptOutcome struct {
 	result     balance.Result
 	mayHaveRun bool      // the server may have executed the request
-	response   *response // what its client can be told, if anything
+	response   *response // what its client can be sent, if anything
 	reusable   bool      // the connection may carry another request
 }
 
@@ -177,7 +177,7 @@
 // completeResponse is the outcome of an attempt whose response was read whole.
 func (f *forwarder) completeResponse(c *conn, e attempt.Evidence, resp *response) attemptOutcome {
 	resp.length = int64(len(resp.body))
-	if e.HeadRequest { // what GET would have is told all the same
+	if e.HeadRequest { // what GET would have is stated all the same
 		resp.length, _ = resp.head.ResponseFraming("GET") // an error was met before
 	}
 	e.Response, e.TrailingBytes = attempt.Complete, c.Reader.Buffered()
@@ -218,7 +218,7 @@
 var errUnexpectedResponse = errors.New("the response is not to this request")
 
 // readOwnHead reads the head of the response to a request: the one with its id. A server that has stuttered sends a
-// second response to an earlier request where the next one is due. Its id tells, and the request's own response stands
+// second response to an earlier request where the next one is due. Its id shows it, and the request's own response stands
 // behind it. A response without an id could be anybody's: nothing that follows can be trusted. It counts the responses
 // that were not this request's.
 func (f *forwarder) readOwnHead(in *bufio.Reader, requestHead *h1.Head, unexpected *int) (*h1.Head, error) {
@@ -248,7 +248,7 @@
 // on the request.
 const forgottenWithin = 50 * time.Millisecond
 
-// noteForgotten notes that a server had forgotten a kept connection of an age group, and has the peers told.
+// noteForgotten notes that a server had forgotten a kept connection of an age group, and has gossip spread it.
 func (f *forwarder) noteForgotten(server string, age int) {
 	f.pool.RecordStale(age, connpool.Self)
 	f.guarded.mu.Lock()
--- a/dataplane/scriptedserver_test.go
+++ b/dataplane/scriptedserver_test.go
@@ -25,24 +25,24 @@
 	"example.org/elmspan/versioned"
 )
 
-// asked is a request as a scripted server has it.
-type asked struct {
+// scriptedRequest is a request as a scripted server has it.
+type scriptedRequest struct {
 	net.Conn
 	in   *bufio.Reader
 	head *h1.Head
 	id   string
-	prev string // id of the request before on the connection, or a stranger's
+	prev string // id of the request before on the connection, or an unknown one
 }
 
-func (a *asked) reset() bool {
+func (a *scriptedRequest) reset() bool {
 	resetOnClose(a.Conn)
 	return false
 }
 
-func (a *asked) say(parts ...string) { write(a, strings.Join(parts, "")) }
+func (a *scriptedRequest) say(parts ...string) { write(a, strings.Join(parts, "")) }
 
 // wait waits until the gateway gives the connection up.
-func (a *asked) wait() bool {
+func (a *scriptedRequest) wait() bool {
 	_, _ = io.Copy(io.Discard, a.in) // it ends with the connection, in whatever way
 	return false
 }
@@ -62,26 +62,26 @@
 }
 
 // body is a body, unless the request is one that has none in its answer.
-func (a *asked) body(s string) string {
+func (a *scriptedRequest) body(s string) string {
 	if a.head.Method == "HEAD" {
 		return ""
 	}
 	return s
 }
 
-func (a *asked) whole() string {
+func (a *scriptedRequest) whole() string {
 	b := ownBody(a.id)
 	return answerHead("200 OK", a.id, sealed(a.id)+sized(len(b))) + a.body(b)
 }
 
-func (a *asked) failure(status, fields string) string {
+func (a *scriptedRequest) failure(status, fields string) string {
 	b := "fail:" + a.id
 	return answerHead(status, a.id, "Failed: 1\r\n"+fields+sized(len(b))) + a.body(b)
 }
 
 const secret = "SOMEONE-ELSES"
 
-func strayOf(id string) string {
+func responseTo(id string) string {
 	return answerHead("200 OK", id, sealed(id)+sized(len(secret))) + secret
 }
 
@@ -94,149 +94,149 @@
 	early   bool // before it has read the body
 	breaks  bool // an answer may end before its end, visibly
 	crosses bool // what it sends later may meet the next request on its way
-	do      func(a *asked) bool
+	do      func(a *scriptedRequest) bool
 }
 
-var fine = move{name: "answers", runs: true, do: func(a *asked) bool { a.say(a.whole()); return true }}
+var fine = move{name: "answers", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole()); return true }}
 
 // moves are all that a server can do.
 var moves = []move{
 	fine,
-	{name: "resets before the body", early: true, do: (*asked).reset},
-	{name: "closes before the body", early: true, do: func(*asked) bool { return false }},
-	{name: "refuses before the body", early: true, do: func(a *asked) bool {
+	{name: "resets before the body", early: true, do: (*scriptedRequest).reset},
+	{name: "closes before the body", early: true, do: func(*scriptedRequest) bool { return false }},
+	{name: "refuses before the body", early: true, do: func(a *scriptedRequest) bool {
 		a.say(a.failure("503 x", "Not-Executed: full\r\nConnection: close\r\n"))
 		return false
 	}},
-	{name: "resets", runs: true, do: (*asked).reset},
-	{name: "closes", runs: true, do: func(*asked) bool { return false }},
-	{name: "is silent", runs: true, do: (*asked).wait},
-	{name: "says nonsense", runs: true, do: func(a *asked) bool { a.say(secret, "\r\n\r\n"); return false }},
-	{name: "part of a head, closes", runs: true, do: func(a *asked) bool { a.say(a.whole()[:30]); return false }},
-	{name: "part of a head, silent", runs: true, do: func(a *asked) bool { a.say(a.whole()[:30]); return a.wait() }},
-	{name: "part of a body, closes", runs: true, do: func(a *asked) bool {
+	{name: "resets", runs: true, do: (*scriptedRequest).reset},
+	{name: "closes", runs: true, do: func(*scriptedRequest) bool { return false }},
+	{name: "is silent", runs: true, do: (*scriptedRequest).wait},
+	{name: "says nonsense", runs: true, do: func(a *scriptedRequest) bool { a.say(secret, "\r\n\r\n"); return false }},
+	{name: "part of a head, closes", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole()[:30]); return false }},
+	{name: "part of a head, silent", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole()[:30]); return a.wait() }},
+	{name: "part of a body, closes", runs: true, do: func(a *scriptedRequest) bool {
 		w := a.whole()
 		a.say(w[:len(w)-3])
 		return false
 	}},
-	{name: "part of a body, silent", runs: true, do: func(a *asked) bool {
+	{name: "part of a body, silent", runs: true, do: func(a *scriptedRequest) bool {
 		w := a.whole()
 		a.say(w[:len(w)-3])
 		return a.wait()
 	}},
-	{name: "in chunks", runs: true, do: func(a *asked) bool {
+	{name: "in chunks", runs: true, do: func(a *scriptedRequest) bool {
 		b := ownBody(a.id)
 		head := answerHead("200 OK", a.id, sealed(a.id)+"Transfer-Encoding: chunked\r\n")
 		a.say(head, a.body(fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(b), b)))
 		return true
 	}},
-	{name: "in chunks, no last one", runs: true, breaks: true, do: func(a *asked) bool {
+	{name: "in chunks, no last one", runs: true, breaks: true, do: func(a *scriptedRequest) bool {
 		b := ownBody(a.id)
 		head := answerHead("200 OK", a.id, sealed(a.id)+"Transfer-Encoding: chunked\r\n")
 		a.say(head, fmt.Sprintf("%x\r\n%s\r\n", len(b), b))
 		return false
 	}},
-	{name: "long", runs: true, do: func(a *asked) bool {
+	{name: "long", runs: true, do: func(a *scriptedRequest) bool {
 		b := longBody(a.id)
 		a.say(answerHead("200 OK", a.id, sealed(a.id)+sized(len(b))), a.body(b))
 		return true
 	}},
-	{name: "long, resets", runs: true, breaks: true, do: func(a *asked) bool {
+	{name: "long, resets", runs: true, breaks: true, do: func(a *scriptedRequest) bool {
 		b := longBody(a.id)
 		a.say(answerHead("200 OK", a.id, sealed(a.id)+sized(len(b))), a.body(b[:len(b)-9]))
 		return a.reset()
 	}},
-	{name: "a failure, cut short", runs: true, do: func(a *asked) bool {
+	{name: "a failure, cut short", runs: true, do: func(a *scriptedRequest) bool {
 		w := a.failure("500 x", "")
 		a.say(w[:len(w)-3])
 		return false
 	}},
-	{name: "not found, cut short", runs: true, do: func(a *asked) bool {
+	{name: "not found, cut short", runs: true, do: func(a *scriptedRequest) bool {
 		w := a.failure("404 x", "")
 		a.say(w[:len(w)-3])
 		return false
 	}},
-	{name: "a long failure", runs: true, do: func(a *asked) bool {
+	{name: "a long failure", runs: true, do: func(a *scriptedRequest) bool {
 		b := longBody(a.id)
 		a.say(answerHead("500 x", a.id, "Failed: 1\r\n"+sized(len(b))), a.body(b))
 		return true
 	}},
-	{name: "500", runs: true, do: func(a *asked) bool { a.say(a.failure("500 x", "")); return true }},
-	{name: "504", runs: true, do: func(a *asked) bool { a.say(a.failure("504 x", "")); return true }},
-	{name: "404", runs: true, do: func(a *asked) bool { a.say(a.failure("404 x", "")); return true }},
-	{name: "204", runs: true, do: func(a *asked) bool { a.say(answerHead("204 x", a.id, sealed(a.id))); return true }},
-	{name: "bare 503", runs: true, do: func(a *asked) bool { a.say(a.failure("503 x", "")); return true }},
-	{name: "bare 429", runs: true, do: func(a *asked) bool { a.say(a.failure("429 x", "")); return true }},
-	{name: "bare 408", runs: true, do: func(a *asked) bool { a.say(a.failure("408 x", "")); return true }},
-	{name: "bare 400", runs: true, do: func(a *asked) bool { a.say(a.failure("400 x", "")); return true }},
-	{name: "421", do: func(a *asked) bool { a.say(a.failure("421 x", "")); return true }},
-	{name: "503, not executed", do: func(a *asked) bool {
+	{name: "500", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("500 x", "")); return true }},
+	{name: "504", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("504 x", "")); return true }},
+	{name: "404", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("404 x", "")); return true }},
+	{name: "204", runs: true, do: func(a *scriptedRequest) bool { a.say(answerHead("204 x", a.id, sealed(a.id))); return true }},
+	{name: "bare 503", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("503 x", "")); return true }},
+	{name: "bare 429", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("429 x", "")); return true }},
+	{name: "bare 408", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("408 x", "")); return true }},
+	{name: "bare 400", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("400 x", "")); return true }},
+	{name: "421", do: func(a *scriptedRequest) bool { a.say(a.failure("421 x", "")); return true }},
+	{name: "503, not executed", do: func(a *scriptedRequest) bool {
 		a.say(a.failure("503 x", "Not-Executed: full\r\n"))
 		return true
 	}},
-	{name: "429, not executed", do: func(a *asked) bool {
+	{name: "429, not executed", do: func(a *scriptedRequest) bool {
 		a.say(a.failure("429 x", "Not-Executed: full\r\n"))
 		return true
 	}},
-	{name: "500, not executed", do: func(a *asked) bool {
+	{name: "500, not executed", do: func(a *scriptedRequest) bool {
 		a.say(a.failure("500 x", "Not-Executed: full\r\n"))
 		return true
 	}},
-	{name: "400, not executed", do: func(a *asked) bool {
+	{name: "400, not executed", do: func(a *scriptedRequest) bool {
 		a.say(a.failure("400 x", "Not-Executed: bad\r\n"))
 		return true
 	}},
-	{name: "503, not executed, cut short", do: func(a *asked) bool {
+	{name: "503, not executed, cut short", do: func(a *scriptedRequest) bool {
 		w := a.failure("503 x", "Not-Executed: full\r\n")
 		a.say(w[:len(w)-3])
 		return false
 	}},
-	{name: "no seal", runs: true, do: func(a *asked) bool {
+	{name: "no seal", runs: true, do: func(a *scriptedRequest) bool {
 		a.say(answerHead("200 OK", a.id, sized(2)), a.body("no"))
 		return true
 	}},
-	{name: "without an end", runs: true, do: func(a *asked) bool {
+	{name: "without an end", runs: true, do: func(a *scriptedRequest) bool {
 		a.say(answerHead("200 OK", a.id, sealed(a.id)), a.body("no end"))
 		return false
 	}},
-	{name: "announces it", runs: true, do: func(a *asked) bool {
+	{name: "announces it", runs: true, do: func(a *scriptedRequest) bool {
 		a.say("HTTP/1.1 103 x\r\nX: 1\r\n\r\n", a.whole())
 		return true
 	}},
-	{name: "says that it closes", runs: true, do: func(a *asked) bool {
+	{name: "says that it closes", runs: true, do: func(a *scriptedRequest) bool {
 		a.say(strings.Replace(a.whole(), "\r\n", "\r\nConnection: close\r\n", 1))
 		return false
 	}},
-	{name: "another's before", runs: true, do: func(a *asked) bool { a.say(strayOf(a.prev), a.whole()); return true }},
-	{name: "another's instead", runs: true, do: func(a *asked) bool { a.say(strayOf(a.prev)); return false }},
-	{name: "nobody's before", runs: true, do: func(a *asked) bool { a.say(nobodysAnswer, a.whole()); return true }},
-	{name: "nobody's instead", runs: true, do: func(a *asked) bool { a.say(nobodysAnswer); return true }},
-	{name: "with two ids", runs: true, do: func(a *asked) bool {
+	{name: "another's before", runs: true, do: func(a *scriptedRequest) bool { a.say(responseTo(a.prev), a.whole()); return true }},
+	{name: "another's instead", runs: true, do: func(a *scriptedRequest) bool { a.say(responseTo(a.prev)); return false }},
+	{name: "nobody's before", runs: true, do: func(a *scriptedRequest) bool { a.say(nobodysAnswer, a.whole()); return true }},
+	{name: "nobody's instead", runs: true, do: func(a *scriptedRequest) bool { a.say(nobodysAnswer); return true }},
+	{name: "with two ids", runs: true, do: func(a *scriptedRequest) bool {
 		a.say(strings.Replace(a.whole(), "\r\n", "\r\nAttempt-Id: x\r\n", 1))
 		return true
 	}},
-	{name: "twice", runs: true, do: func(a *asked) bool { a.say(a.whole(), a.whole()); return true }},
-	{name: "nobody's behind", runs: true, do: func(a *asked) bool { a.say(a.whole(), nobodysAnswer); return true }},
-	{name: "part of another's behind", runs: true, do: func(a *asked) bool {
-		a.say(a.whole(), strayOf("x")[:40])
+	{name: "twice", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole(), a.whole()); return true }},
+	{name: "nobody's behind", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole(), nobodysAnswer); return true }},
+	{name: "part of another's behind", runs: true, do: func(a *scriptedRequest) bool {
+		a.say(a.whole(), responseTo("x")[:40])
 		return true
 	}},
-	{name: "twice, the second late", runs: true, crosses: true, do: func(a *asked) bool {
+	{name: "twice, the second late", runs: true, crosses: true, do: func(a *scriptedRequest) bool {
 		a.say(a.whole())
 		a.say(a.whole())
 		return true
 	}},
-	{name: "closes behind its answer", runs: true, crosses: true, do: func(a *asked) bool {
+	{name: "closes behind its answer", runs: true, crosses: true, do: func(a *scriptedRequest) bool {
 		a.say(a.whole())
 		return false
 	}},
-	{name: "resets behind its answer", runs: true, crosses: true, do: func(a *asked) bool {
+	{name: "resets behind its answer", runs: true, crosses: true, do: func(a *scriptedRequest) bool {
 		a.say(a.whole())
 		return a.reset()
 	}},
 }
 
-// script is what becomes of one request, and the ledger of what did.
+// script is what becomes of one request, and the record of what did.
 type script struct {
 	moves    [2]*move // of the first servers that it reaches; the third answers
 	arrivals atomic.Int32
@@ -253,15 +253,15 @@
 	servers []*backend
 	n       int
 	c       *client
-	fault   string // the first promise that was broken
+	fault   string // the first invariant that was broken
 }
 
 func (s *stage) serve(c net.Conn) {
 	defer closeConn(c)
-	a := &asked{Conn: c, in: bufio.NewReader(c), id: "stranger"}
+	a := &scriptedRequest{Conn: c, in: bufio.NewReader(c), id: "stranger"}
 	for {
 		var err error
-		setDeadline(c, time.Now().Add(2*patience))
+		setDeadline(c, time.Now().Add(2*hangTimeout))
 		if a.head, err = h1.ReadRequest(a.in, 1<<16); err != nil {
 			return
 		}
@@ -323,7 +323,7 @@
 	return s
 }
 
-// renew puts new lives of the servers in place of those before: nothing speaks against
+// renew puts new instances of the servers in place of those before: nothing speaks against
 // them, and no connection leads to them.
 func (s *stage) renew() {
 	version := s.g.EndpointsVersion() + 1
@@ -331,13 +331,13 @@
 	for i, b := range s.servers {
 		list = append(list, serverAt(fmt.Sprintf("i-%d-%d", i, version), b.addr))
 	}
-	tell(s.t, s.g, &s.table, version, list)
+	applyServers(s.t, s.g, &s.table, version, list)
 }
 
 // warm has connections kept, as many as come by themselves.
 func (s *stage) warm() {
 	for range 4 {
-		s.ask("get", &fine, &fine)
+		s.request("get", &fine, &fine)
 	}
 }
 
@@ -369,8 +369,8 @@
 	return clientRequest{method: "GET", line: "GET /get/"}
 }
 
-// ask sends one request and holds its response against the invariants.
-func (s *stage) ask(kind string, first, second *move) (status int, sc *script) {
+// request sends one request and holds its response against the invariants.
+func (s *stage) request(kind string, first, second *move) (status int, sc *script) {
 	s.n++
 	id := fmt.Sprintf("%s-%d", kind, s.n)
 	sc = &script{moves: [2]*move{first, second}}
@@ -379,9 +379,9 @@
 	if s.c == nil {
 		s.c = dial(s.t, s.g)
 	}
-	setDeadline(s.c, time.Now().Add(patience))
+	setDeadline(s.c, time.Now().Add(hangTimeout))
 	budget := ""
-	if silent(first, second) {
+	if endsByDeadline(first, second) {
 		budget = "Time-Budget-Ms: 40\r\n"
 	}
 	r := requestOf(kind)
@@ -463,8 +463,8 @@
 	}
 }
 
-// silent tells whether one of the moves ends with the request's time.
-func silent(ms ...*move) bool {
+// endsByDeadline reports whether one of the moves ends with the request's time.
+func endsByDeadline(ms ...*move) bool {
 	return slices.ContainsFunc(ms, func(m *move) bool { return strings.Contains(m.name, "silent") })
 }
 
@@ -473,8 +473,8 @@
 	s.c = nil
 }
 
-// settle holds a request's ledger against its status, once nothing of it is under way.
-func (s *stage) settle(what string, once bool, status int, sc *script) {
+// checkRuns checks a request's record against its status, once nothing of it is under way.
+func (s *stage) checkRuns(what string, once bool, status int, sc *script) {
 	runs := sc.runs.Load()
 	switch {
 	case once && runs > 1:
--- a/dataplane/snapshot_test.go
+++ b/dataplane/snapshot_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// What was seen draining here gets nothing again, whoever tells: a new leader
+// What was seen draining here gets nothing again, whoever says otherwise: a new leader
 // that knows less, or this limiter's own question to the platform.
 func TestDrainingStaysDraining(t *testing.T) {
 	g := newGateway(t)
@@ -129,10 +129,10 @@
 		return out
 	}
 	var first, second versioned.Table
-	tell(t, g, &first, 10, list)
-	tell(t, g, &first, 11, drained)
+	applyServers(t, g, &first, 10, list)
+	applyServers(t, g, &first, 11, drained)
 	const want = "a:draining b:in_service "
-	tell(t, g, &second, 1<<32, list) // of a new leader, from an older answer of the platform
+	applyServers(t, g, &second, 1<<32, list) // of a new leader, from an older answer of the platform
 	if got := seen(); got != want {
 		t.Errorf("told by another leader: %s", got)
 	}
@@ -140,8 +140,8 @@
 	if got := seen(); got != want {
 		t.Errorf("by its own question: %s", got)
 	}
-	tell(t, g, &second, 1<<32+1, list[1:])
-	tell(t, g, &second, 1<<32+2, list)
+	applyServers(t, g, &second, 1<<32+1, list[1:])
+	applyServers(t, g, &second, 1<<32+2, list)
 	if got := seen(); got != "b:in_service " {
 		t.Errorf("after it had gone: %s", got)
 	}
--- a/dataplane/staleconn_test.go
+++ b/dataplane/staleconn_test.go
@@ -29,7 +29,7 @@
 					defer closeConn(c)
 					in := bufio.NewReader(c)
 					for first := true; ; first = false {
-						setDeadline(c, time.Now().Add(patience))
+						setDeadline(c, time.Now().Add(hangTimeout))
 						if _, err := in.Peek(1); err != nil {
 							return
 						}
--- a/dataplane/unexpectedresponse_test.go
+++ b/dataplane/unexpectedresponse_test.go
@@ -11,13 +11,13 @@
 	"example.org/elmspan/dataplane/h1"
 )
 
-// foreignResponse is a response to a request before: another id, another's body.
-func foreignResponse(id, framing, body string) string {
+// otherResponse is a response to a request before: another id, another's body.
+func otherResponse(id, framing, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%sServer-Seal: other\r\n%s\r\n%s", id, framing, body)
 }
 
-// foreignBody is the body of responses that are not the client's.
-const foreignBody = "ANOTHER-TENANTS-ANSWER"
+// otherBody is the body of responses that are not the client's.
+const otherBody = "ANOTHER-TENANTS-ANSWER"
 
 // interference is what a server sends beside the response that is due.
 type interference struct {
@@ -26,27 +26,27 @@
 	once          int    // the status for a request that must not run twice
 }
 
-// interferences are the ways in which a foreign response may come.
+// interferences are the ways in which another response may come.
 func interferences() map[string]interference {
-	long := strings.Repeat(foreignBody, 4000)
+	long := strings.Repeat(otherBody, 4000)
 	of := func(id string) string { return "Attempt-Id: " + id + "\r\n" }
-	foreign := foreignResponse(of("x"), sized(len(foreignBody)), foreignBody)
-	chunked := foreignResponse(of("x"), "Transfer-Encoding: chunked\r\n", "16\r\n"+foreignBody+"\r\n0\r\n\r\n")
-	twoIDs := foreignResponse(of("x")+of("a1"), sized(len(foreignBody)), foreignBody)
-	promise := "HTTP/1.1 503 x\r\nNot-Executed: 1\r\n" + of("x") + "Content-Length: 0\r\n\r\n"
+	other := otherResponse(of("x"), sized(len(otherBody)), otherBody)
+	chunked := otherResponse(of("x"), "Transfer-Encoding: chunked\r\n", "16\r\n"+otherBody+"\r\n0\r\n\r\n")
+	twoIDs := otherResponse(of("x")+of("a1"), sized(len(otherBody)), otherBody)
+	refusal := "HTTP/1.1 503 x\r\nNot-Executed: 1\r\n" + of("x") + "Content-Length: 0\r\n\r\n"
 	return map[string]interference{
-		"before one's own":      {before: foreign, once: 200},
-		"two before":            {before: strings.Repeat(foreign, 2), once: 200},
+		"before one's own":      {before: other, once: 200},
+		"two before":            {before: strings.Repeat(other, 2), once: 200},
 		"in chunks":             {before: chunked, once: 200},
-		"long":                  {before: foreignResponse(of("x"), sized(len(long)), long), once: 200},
-		"without an id":         {before: foreignResponse("", sized(len(foreignBody)), foreignBody), once: 502},
+		"long":                  {before: otherResponse(of("x"), sized(len(long)), long), once: 200},
+		"without an id":         {before: otherResponse("", sized(len(otherBody)), otherBody), once: 502},
 		"with two ids":          {before: twoIDs, once: 502},
-		"without an end":        {before: foreignResponse(of("x"), "", foreignBody), once: 502},
-		"more than can be":      {before: strings.Repeat(foreign, attempt.MaxStrayResponses+1), once: 502},
-		"instead of one's own":  {before: foreign, ends: true, once: 502},
-		"broken off":            {before: foreignResponse(of("x"), sized(999), foreignBody), ends: true, once: 502},
-		"behind, in one piece":  {after: foreignResponse(of("a1"), sized(len(foreignBody)), foreignBody), once: 200},
-		"a promise of another":  {before: promise, ends: true, once: 502},
+		"without an end":        {before: otherResponse(of("x"), "", otherBody), once: 502},
+		"more than can be":      {before: strings.Repeat(other, attempt.MaxStrayResponses+1), once: 502},
+		"instead of one's own":  {before: other, ends: true, once: 502},
+		"broken off":            {before: otherResponse(of("x"), sized(999), otherBody), ends: true, once: 502},
+		"behind, in one piece":  {after: otherResponse(of("a1"), sized(len(otherBody)), otherBody), once: 200},
+		"a promise of another":  {before: refusal, ends: true, once: 502},
 		"half a head, one's id": {before: "HTTP/1.1 200 OK\r\n" + of("a1"), ends: true, once: 502},
 	}
 }
@@ -98,8 +98,8 @@
 	runs.Store(0)
 	k.send(line, fields, body)
 	h, got, err := k.answer()
-	foreign := strings.Contains(got, foreignBody) || h != nil && h.Get("Server-Seal") == "other"
-	if err != nil || h.Status != want || foreign || want == 200 && got != "own" {
+	other := strings.Contains(got, otherBody) || h != nil && h.Get("Server-Seal") == "other"
+	if err != nil || h.Status != want || other || want == 200 && got != "own" {
 		t.Errorf("%s, %s: %+v %q, %v; want %d", name, line, h, got, err, want)
 	}
 	if want == 502 && runs.Load() != 1 {
@@ -120,7 +120,7 @@
 		g := newGateway(t, newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 			good("own")(w, h, body)
 			if n.Add(1) == 1 {
-				write(w, foreignResponse("Attempt-Id: a1\r\n", "Content-Length: 2\r\n", "no"))
+				write(w, otherResponse("Attempt-Id: a1\r\n", "Content-Length: 2\r\n", "no"))
 				close(late)
 			}
 			return true
--- a/dataplane/upstreamrequest.go
+++ b/dataplane/upstreamrequest.go
@@ -117,7 +117,7 @@
 	return err
 }
 
-// end sends what tells that the body is whole.
+// end sends what marks the body as whole.
 func (s *bodyStream) end() error {
 	if !s.chunked {
 		return nil
