--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -218,9 +218,9 @@
 var errUnexpectedResponse = errors.New("the response is not to this request")
 
 // readOwnHead reads the head of the response to a request: the one with its id. A server that has stuttered sends a
-// second response to an earlier request where the next one is due. Its id shows it, and the request's own response stands
-// behind it. A response without an id could be anybody's: nothing that follows can be trusted. It counts the responses
-// that were not this request's.
+// second response to an earlier request where the next one is due. Its id shows it, and the request's own response
+// stands behind it. A response without an id could be anybody's: nothing that follows can be trusted. It counts the
+// responses that were not this request's.
 func (f *forwarder) readOwnHead(in *bufio.Reader, requestHead *h1.Head, unexpected *int) (*h1.Head, error) {
 	for {
 		h, err := h1.ReadResponse(in, maxResponseHead)
--- a/dataplane/scriptedserver_test.go
+++ b/dataplane/scriptedserver_test.go
@@ -112,8 +112,14 @@
 	{name: "closes", runs: true, do: func(*scriptedRequest) bool { return false }},
 	{name: "is silent", runs: true, do: (*scriptedRequest).wait},
 	{name: "says nonsense", runs: true, do: func(a *scriptedRequest) bool { a.say(secret, "\r\n\r\n"); return false }},
-	{name: "part of a head, closes", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole()[:30]); return false }},
-	{name: "part of a head, silent", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole()[:30]); return a.wait() }},
+	{name: "part of a head, closes", runs: true, do: func(a *scriptedRequest) bool {
+		a.say(a.whole()[:30])
+		return false
+	}},
+	{name: "part of a head, silent", runs: true, do: func(a *scriptedRequest) bool {
+		a.say(a.whole()[:30])
+		return a.wait()
+	}},
 	{name: "part of a body, closes", runs: true, do: func(a *scriptedRequest) bool {
 		w := a.whole()
 		a.say(w[:len(w)-3])
@@ -164,7 +170,10 @@
 	{name: "500", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("500 x", "")); return true }},
 	{name: "504", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("504 x", "")); return true }},
 	{name: "404", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("404 x", "")); return true }},
-	{name: "204", runs: true, do: func(a *scriptedRequest) bool { a.say(answerHead("204 x", a.id, sealed(a.id))); return true }},
+	{name: "204", runs: true, do: func(a *scriptedRequest) bool {
+		a.say(answerHead("204 x", a.id, sealed(a.id)))
+		return true
+	}},
 	{name: "bare 503", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("503 x", "")); return true }},
 	{name: "bare 429", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("429 x", "")); return true }},
 	{name: "bare 408", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("408 x", "")); return true }},
@@ -207,16 +216,28 @@
 		a.say(strings.Replace(a.whole(), "\r\n", "\r\nConnection: close\r\n", 1))
 		return false
 	}},
-	{name: "another's before", runs: true, do: func(a *scriptedRequest) bool { a.say(responseTo(a.prev), a.whole()); return true }},
-	{name: "another's instead", runs: true, do: func(a *scriptedRequest) bool { a.say(responseTo(a.prev)); return false }},
-	{name: "nobody's before", runs: true, do: func(a *scriptedRequest) bool { a.say(nobodysAnswer, a.whole()); return true }},
+	{name: "another's before", runs: true, do: func(a *scriptedRequest) bool {
+		a.say(responseTo(a.prev), a.whole())
+		return true
+	}},
+	{name: "another's instead", runs: true, do: func(a *scriptedRequest) bool {
+		a.say(responseTo(a.prev))
+		return false
+	}},
+	{name: "nobody's before", runs: true, do: func(a *scriptedRequest) bool {
+		a.say(nobodysAnswer, a.whole())
+		return true
+	}},
 	{name: "nobody's instead", runs: true, do: func(a *scriptedRequest) bool { a.say(nobodysAnswer); return true }},
 	{name: "with two ids", runs: true, do: func(a *scriptedRequest) bool {
 		a.say(strings.Replace(a.whole(), "\r\n", "\r\nAttempt-Id: x\r\n", 1))
 		return true
 	}},
 	{name: "twice", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole(), a.whole()); return true }},
-	{name: "nobody's behind", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole(), nobodysAnswer); return true }},
+	{name: "nobody's behind", runs: true, do: func(a *scriptedRequest) bool {
+		a.say(a.whole(), nobodysAnswer)
+		return true
+	}},
 	{name: "part of another's behind", runs: true, do: func(a *scriptedRequest) bool {
 		a.say(a.whole(), responseTo("x")[:40])
 		return true
