--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -10,9 +10,9 @@
 	"example.org/elmspan/internal/connpool"
 )
 
-// lifecycle carries out what a [limiter.RequestState] decides for one request: which servers get it, when a hedge starts,
-// whether a failed attempt is retried. It belongs to the goroutine that forwards the request; attempts report to it
-// through ended.
+// lifecycle carries out what a [limiter.RequestState] decides for one request: which servers get it, when a hedge
+// starts, whether a failed attempt is retried. It belongs to the goroutine that forwards the request; attempts report
+// to it through ended.
 type lifecycle struct {
 	forwarder *forwarder
 	request   *request
