--- a/dataplane/limiter/growth_test.go
+++ b/dataplane/limiter/growth_test.go
@@ -22,7 +22,7 @@
 			}
 			f := newFleet(n, quota.Plan{Rate: float64(30 * n), Burst: float64(30 * n)})
 			for _, id := range f.ids {
-				f.at[id].Servers(0, list)
+				f.at[id].SetServers(0, list)
 			}
 			one := f.at[f.ids[0]]
 			var in []*gossip.Message // what comes to one limiter in 150 ms
@@ -49,7 +49,7 @@
 				for end := now + 1000; now < end; now += gossip.TickMs {
 					one.Tick(now, func(uint64, *gossip.Message) { sent++ })
 					for k := 0; k < len(in)*6/150+1 && len(in) > 0; k++ {
-						one.Hear(now, in[(int(now)+k)%len(in)])
+						one.Receive(now, in[(int(now)+k)%len(in)])
 					}
 					if int(now)%33 < int(gossip.TickMs) {
 						one.Admit(now, tenantID)
@@ -62,7 +62,7 @@
 			}
 			b.StopTimer()
 			b.ReportMetric(float64(sent)/float64(b.N), "words/s")
-			b.ReportMetric(float64(one.Targets()), "told")
+			b.ReportMetric(float64(one.GossipRecipients()), "told")
 			b.ReportMetric(held(n, list), "B-held")
 		})
 	}
@@ -82,8 +82,8 @@
 	runtime.ReadMemStats(&before)
 	for range copies {
 		l := New(0, Config{Self: 1, Zone: zone(1), Seed: 1})
-		l.Servers(0, list)
-		l.Peers(0, others)
+		l.SetServers(0, list)
+		l.SetPeers(0, others)
 		all = append(all, l)
 	}
 	runtime.GC()
--- a/dataplane/limiter/limiter_test.go
+++ b/dataplane/limiter/limiter_test.go
@@ -32,7 +32,7 @@
 	}
 	f.know(0)
 	for _, l := range f.at {
-		l.Plans(0, map[uint64]quota.Plan{tenantID: p})
+		l.SetPlans(0, map[uint64]quota.Plan{tenantID: p})
 	}
 	return f
 }
--- a/lab/simulation/policy.go
+++ b/lab/simulation/policy.go
@@ -144,8 +144,8 @@
 
 func (p *plainPolicy) SetPlans(_ float64, plans map[uint64]quota.Plan) { p.plans = plans }
 func (p *plainPolicy) Tick(float64, func(uint64, *gossip.Message))     {}
-func (p *plainPolicy) Receive(float64, *gossip.Message) bool              { return true }
-func (p *plainPolicy) GossipRecipients() int                                    { return 0 }
+func (p *plainPolicy) Receive(float64, *gossip.Message) bool           { return true }
+func (p *plainPolicy) GossipRecipients() int                           { return 0 }
 func (p *plainPolicy) TickMs() float64                                 { return 100 }
 
 // Peers fixes the share at the first fleet that is known.
