--- a/dataplane/quota/digest.go
+++ b/dataplane/quota/digest.go
@@ -17,8 +17,8 @@
 // next call of the enforcer. First is the sender's to set, for each receiver.
 func (e *Enforcer) ReportDigest(now float64, out []Usage) Digest {
 	e.currentShare(now)
-	h := &e.sharing
-	d := Digest{Level: e.level, LiveCount: h.liveCount, LiveSet: h.groupLiveSet, Classes: h.classes, Consumed: out}
+	s := &e.sharing
+	d := Digest{Level: e.level, LiveCount: s.liveCount, LiveSet: s.groupLiveSet, Classes: s.classes, Consumed: out}
 	for id, t := range e.groupUnreported {
 		if !t.group.due() {
 			delete(e.groupUnreported, id)
--- a/dataplane/quota/groups.go
+++ b/dataplane/quota/groups.go
@@ -82,11 +82,11 @@
 func (e *Enforcer) regroup(now float64) {
 	e.updateLevel()
 	e.dropTimedOutGroups(now)
-	h := &e.sharing
-	h.groupPeers = h.groupPeers[:0]
+	s := &e.sharing
+	s.groupPeers = s.groupPeers[:0]
 	for _, p := range e.peers {
 		if e.sameGroup(p.Member) {
-			h.groupPeers = append(h.groupPeers, p)
+			s.groupPeers = append(s.groupPeers, p)
 			continue
 		}
 		id := e.level.Group(p.Member)
--- a/dataplane/quota/quota_test.go
+++ b/dataplane/quota/quota_test.go
@@ -9,13 +9,13 @@
 
 // fleet is a set of limiters that report to each other. lost tells which messages are lost.
 type fleet struct {
-	sets []*Enforcer
-	lost func(i, j int) bool
-	rng  *rand.Rand
+	limiters []*Enforcer
+	lost     func(i, j int) bool
+	rng      *rand.Rand
 }
 
 func newFleet(n int, p Plan) *fleet {
-	g := &fleet{lost: func(int, int) bool { return false }, rng: rand.New(rand.NewPCG(1, 2))}
+	f := &fleet{lost: func(int, int) bool { return false }, rng: rand.New(rand.NewPCG(1, 2))}
 	for i := range n {
 		s := New(0, Member{ID: uint64(i + 1)})
 		var others []Member
@@ -26,24 +26,24 @@
 		}
 		s.SetMembers(0, others)
 		s.SetPlans(0, map[uint64]Plan{tenantID: p})
-		g.sets = append(g.sets, s)
+		f.limiters = append(f.limiters, s)
 	}
-	return g
+	return f
 }
 
 // play sends requests to random limiters at a rate, in steps of 10 ms, and returns when
 // requests were admitted.
-func (g *fleet) play(fromMs, toMs, perS float64) (at []float64) {
+func (f *fleet) play(fromMs, toMs, perS float64) (at []float64) {
 	for now := fromMs; now < toMs; now += 10 {
-		for i, s := range g.sets {
-			if g.rng.Float64() < perS/100/float64(len(g.sets)) {
+		for i, s := range f.limiters {
+			if f.rng.Float64() < perS/100/float64(len(f.limiters)) {
 				if _, ok := s.Admit(now, tenantID); ok {
 					at = append(at, now)
 				}
 			}
 			reports := s.ReportUsage(now, nil)
-			for j, o := range g.sets {
-				if j != i && !g.lost(i, j) {
+			for j, o := range f.limiters {
+				if j != i && !f.lost(i, j) {
 					o.ReceiveUsage(now, uint64(i+1), uint64(100+i), now, s.LiveSet(now), reports)
 				}
 			}
@@ -72,8 +72,8 @@
 // A tenant that sends many times its quota gets its quota, over all limiters.
 func TestQuotaIsShared(t *testing.T) {
 	p := Plan{Rate: 100, Burst: 100}
-	g := newFleet(15, p)
-	at := g.play(0, 20000, 600)
+	f := newFleet(15, p)
+	at := f.play(0, 20000, 600)
 	if n := maxInWindow(at); n > bound(p) {
 		t.Errorf("%d in 5 s, %d at most", n, bound(p))
 	}
@@ -96,10 +96,10 @@
 			return i == 0 && j >= 1 && j <= 3 || j == 0 && i >= 1 && i <= 3
 		},
 	} {
-		g := newFleet(12, p)
-		at := g.play(0, 8000, 600)
-		g.lost = cut
-		at = append(at, g.play(8000, 30000, 600)...)
+		f := newFleet(12, p)
+		at := f.play(0, 8000, 600)
+		f.lost = cut
+		at = append(at, f.play(8000, 30000, 600)...)
 		limit := bound(p)
 		if name == "each alone" { // all at once: until each has noticed, all that is asked may pass
 			limit += int(GroupedLivenessTimeoutMs / 1000 * 600)
@@ -120,8 +120,8 @@
 // A new configuration gives an existing bucket no fresh burst. Units of others are drawn
 // below zero, and those of one incarnation only once.
 func TestNewPlanGivesNoFreshBurst(t *testing.T) {
-	g := newFleet(2, Plan{Rate: 10, Burst: 50})
-	s := g.sets[0]
+	f := newFleet(2, Plan{Rate: 10, Burst: 50})
+	s := f.limiters[0]
 	s.ReceiveUsage(0, 2, 5, 0, fingerprint(1)^fingerprint(2), nil)
 	for range 60 {
 		s.Admit(1, tenantID)
@@ -143,8 +143,8 @@
 
 // The share of a removed member is kept back for a time.
 func TestShareOfRemovedMemberIsRetained(t *testing.T) {
-	g := newFleet(4, Plan{Rate: 10, Burst: 50})
-	s := g.sets[0]
+	f := newFleet(4, Plan{Rate: 10, Burst: 50})
+	s := f.limiters[0]
 	receive := func(now float64) {
 		for id := uint64(2); id <= 3; id++ {
 			s.ReceiveUsage(now, id, id, now, fingerprint(1)^fingerprint(2)^fingerprint(3), nil)
@@ -178,11 +178,12 @@
 		}
 		s.SetMembers(now, others)
 		s.SetPlans(now, map[uint64]Plan{tenantID: p})
-		f.sets[0] = s
+		f.limiters[0] = s
 	}
 	join(10_000)
 	f.play(10_000, 10_300, 60)
-	if a, b := f.sets[0].Balance(10_300, tenantID), f.sets[1].Balance(10_300, tenantID); a < 0.8*b || a > 1.05*b {
+	a, b := f.limiters[0].Balance(10_300, tenantID), f.limiters[1].Balance(10_300, tenantID)
+	if a < 0.8*b || a > 1.05*b {
 		t.Errorf("it holds %.0f where the others hold %.0f", a, b)
 	}
 	f.play(10_300, 15_000, 1000) // all is used up
--- a/dataplane/quota/share.go
+++ b/dataplane/quota/share.go
@@ -64,7 +64,7 @@
 func fingerprint(id uint64) uint32 { return uint32(id ^ id>>32) }
 
 // invalidate has the share computed again at its next use.
-func (h *sharing) invalidate() { h.validUntil = 0 }
+func (s *sharing) invalidate() { s.validUntil = 0 }
 
 // Share returns the share of each quota that this limiter may spend, from 0 to 1, for
 // status reports.
@@ -89,13 +89,13 @@
 // computeShare finds the limiters that share with this one. The order matters: the live set
 // must be complete before others are compared with it.
 func (e *Enforcer) computeShare(now float64) {
-	h := &e.sharing
-	h.validUntil = now + shareCacheMs
+	s := &e.sharing
+	s.validUntil = now + shareCacheMs
 	e.updateLiveSet(now)
 	sharers := 1 + e.countGroupSharers(now)
-	h.trimClasses()
+	s.trimClasses()
 	sharers += e.countOtherGroupSharers(now)
-	h.share = min(1, float64(sharers)/float64(len(e.peers)+1))
+	s.share = min(1, float64(sharers)/float64(len(e.peers)+1))
 	if !e.inheriting && 2*sharers > len(e.peers) {
 		e.startInheriting(now)
 	}
@@ -103,18 +103,18 @@
 
 // updateLiveSet sums up whom this limiter receives from, itself or by digests.
 func (e *Enforcer) updateLiveSet(now float64) {
-	h := &e.sharing
-	h.groupLiveSet, h.liveCount = fingerprint(e.self.ID), 1
-	for _, p := range h.groupPeers {
+	s := &e.sharing
+	s.groupLiveSet, s.liveCount = fingerprint(e.self.ID), 1
+	for _, p := range s.groupPeers {
 		if e.live(now, p) {
-			h.groupLiveSet ^= fingerprint(p.ID)
-			h.liveCount++
+			s.groupLiveSet ^= fingerprint(p.ID)
+			s.liveCount++
 		}
 	}
-	h.liveSet = h.groupLiveSet
+	s.liveSet = s.groupLiveSet
 	for _, g := range e.groups {
 		if e.groupLive(now, g) {
-			h.liveSet ^= g.liveSet
+			s.liveSet ^= g.liveSet
 		}
 	}
 }
@@ -122,14 +122,14 @@
 // countGroupSharers counts the live peers of the group that share with this limiter, and
 // sorts all live ones into classes by their live sets.
 func (e *Enforcer) countGroupSharers(now float64) (sharers int) {
-	h := &e.sharing
-	h.classes = append(h.classes[:0], SharingClass{h.liveSet, 1})
-	for _, p := range h.groupPeers {
+	s := &e.sharing
+	s.classes = append(s.classes[:0], SharingClass{s.liveSet, 1})
+	for _, p := range s.groupPeers {
 		if !e.live(now, p) {
 			continue
 		}
-		h.addToClass(p.liveSet)
-		if p.liveSet == h.liveSet {
+		s.addToClass(p.liveSet)
+		if p.liveSet == s.liveSet {
 			p.sameLiveSetAt = now
 		}
 		if p.sharesWithSelf(now) {
@@ -156,20 +156,20 @@
 }
 
 // addToClass counts one limiter of the group that has this live set.
-func (h *sharing) addToClass(liveSet uint32) {
-	for i := range h.classes {
-		if h.classes[i].LiveSet == liveSet {
-			h.classes[i].Count++
+func (s *sharing) addToClass(liveSet uint32) {
+	for i := range s.classes {
+		if s.classes[i].LiveSet == liveSet {
+			s.classes[i].Count++
 			return
 		}
 	}
-	h.classes = append(h.classes, SharingClass{liveSet, 1})
+	s.classes = append(s.classes, SharingClass{liveSet, 1})
 }
 
 // trimClasses keeps the largest classes.
-func (h *sharing) trimClasses() {
-	slices.SortStableFunc(h.classes, func(a, b SharingClass) int { return b.Count - a.Count })
-	h.classes = h.classes[:min(len(h.classes), maxReportedClasses)]
+func (s *sharing) trimClasses() {
+	slices.SortStableFunc(s.classes, func(a, b SharingClass) int { return b.Count - a.Count })
+	s.classes = s.classes[:min(len(s.classes), maxReportedClasses)]
 }
 
 // sharesWithSelf tells whether a peer of the group has the same live set as this limiter,
