--- a/dataplane/limiter/limiter_test.go
+++ b/dataplane/limiter/limiter_test.go
@@ -48,7 +48,7 @@
 				others = append(others, quota.Member{ID: o, Zone: zone(o)})
 			}
 		}
-		l.Peers(now, others)
+		l.SetPeers(now, others)
 	}
 }
 
@@ -68,7 +68,7 @@
 			l.Tick(now, func(to uint64, w *gossip.Message) {
 				f.sent++
 				if !f.dead[to] && !f.lost(id, to) {
-					f.at[to].Hear(now, w)
+					f.at[to].Receive(now, w)
 				}
 			})
 		}
--- a/dataplane/limiter/vast_test.go
+++ b/dataplane/limiter/vast_test.go
@@ -25,7 +25,7 @@
 			f := newFleet(c.n, p)
 			for _, id := range f.ids {
 				f.at[id] = New(0, Config{Self: id, Incarnation: id, Zone: zone(id), Seed: id, GossipBudget: c.budget})
-				f.at[id].Plans(0, map[uint64]quota.Plan{tenantID: p})
+				f.at[id].SetPlans(0, map[uint64]quota.Plan{tenantID: p})
 			}
 			f.know(0)
 			f.lost = func(_, _ uint64) bool { return f.rng.Float64() < 0.01 }
