--- a/tools/equal-days.sh
+++ b/tools/equal-days.sh
@@ -2,8 +2,9 @@
 # Plays simulated days on two revisions with equal seeds and compares every figure
 # but the time that the run took. A change that only renames and moves leaves all equal.
 #
-# Two plays of docs/days/large.toml by one program differ a little, already at f96d826
-# (some order is that of a Go map's iteration): a few outcomes come again and again. So
+# Two plays of docs/days/large.toml by one program may differ a little, already at
+# f96d826: a few outcomes come again and again. The cause is not known yet; the order in
+# which demands are summed (dataplane/balance, deal) alone is not it. So
 # of its first seconds each revision is played up to PLAYS times (4), until an outcome of
 # the new one equals one of the old one in every figure; over its whole length the
 # figures must be near (NEAR percent, 5), and the verdict says which was held to what.
