--- a/balancer/node/clients_test.go
+++ b/balancer/node/clients_test.go
@@ -131,7 +131,7 @@
 func TestTooManyInHand(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
-	r := startWith(t, func(c *Config) { c.Settings.MaxOpen = 1 }, server("s-1", srv.addr))
+	r := startWith(t, func(c *Config) { c.Settings.MaxInFlight = 1 }, server("s-1", srv.addr))
 	out := r.send(r.newRequest("send-bulk-paid", "enterprise", ""))
 	c := srv.accept()
 	c.request()
@@ -148,8 +148,8 @@
 // new ones are accepted all the same.
 func TestConnectionBudget(t *testing.T) {
 	t.Parallel()
-	r := startWith(t, func(c *Config) { c.Limits.Sockets = leastSockets }, server("s-1", echo(t)))
-	_, budget := socketBudget(leastSockets)
+	r := startWith(t, func(c *Config) { c.Limits.Sockets = minSockets }, server("s-1", echo(t)))
+	_, budget := socketBudget(minSockets)
 	var conns []net.Conn
 	for range budget + 1 {
 		c, _ := r.dial()
@@ -169,7 +169,7 @@
 // which needs one to a server: with fewer of them sound requests ended as NoRoom.
 func TestSocketBudget(t *testing.T) {
 	t.Parallel()
-	for _, sockets := range []int{0, leastSockets, 256, 1024} {
+	for _, sockets := range []int{0, minSockets, 256, 1024} {
 		upstream, clients := socketBudget(sockets)
 		limit := sockets
 		if limit == 0 {
@@ -218,16 +218,16 @@
 		}
 	}
 	until(t, "the connections are forgotten", func() bool {
-		r.node.conns.mu.Lock()
-		defer r.node.conns.mu.Unlock()
-		c := r.node.conns
-		return len(c.open) <= 1 && c.fresh.Len() == 0 && c.idle.Len() == len(c.open) && budget > 0
+		r.node.clients.mu.Lock()
+		defer r.node.clients.mu.Unlock()
+		c := r.node.clients
+		return len(c.open) <= 1 && c.neverUsed.Len() == 0 && c.idle.Len() == len(c.open) && budget > 0
 	})
 	kept.Close()
 	until(t, "the last one is forgotten", func() bool {
-		r.node.conns.mu.Lock()
-		defer r.node.conns.mu.Unlock()
-		return len(r.node.conns.open) == 0 && r.node.conns.idle.Len() == 0
+		r.node.clients.mu.Lock()
+		defer r.node.clients.mu.Unlock()
+		return len(r.node.clients.open) == 0 && r.node.clients.idle.Len() == 0
 	})
 }
 
@@ -460,20 +460,20 @@
 
 	conn, other := net.Pipe()
 	defer other.Close()
-	r.node.conns.changed(conn, http.StateNew)
-	r.node.conns.dropUnused()
-	r.node.conns.changed(conn, http.StateActive)
+	r.node.clients.stateChanged(conn, http.StateNew)
+	r.node.clients.closeUnused()
+	r.node.clients.stateChanged(conn, http.StateActive)
 	req := r.newRequest("send-bulk-paid", "enterprise", "")
 	aborted := func() (p any) {
 		defer func() { p = recover() }()
-		r.node.serve(httptest.NewRecorder(), req.WithContext(context.WithValue(req.Context(), connKey{}, conn)))
+		r.node.serveRequest(httptest.NewRecorder(), req.WithContext(context.WithValue(req.Context(), connKey{}, conn)))
 		return nil
 	}()
 	if aborted != http.ErrAbortHandler {
 		t.Errorf("the request went on: %v", aborted)
 	}
-	r.node.conns.changed(conn, http.StateClosed)
-	if r.node.conns.wasDropped(conn) {
+	r.node.clients.stateChanged(conn, http.StateClosed)
+	if r.node.clients.wasClosed(conn) {
 		t.Error("the connection is remembered for ever")
 	}
 }
--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -1,6 +1,6 @@
-// Package node is the real limiter: it connects the decision module, which
-// does no input or output, to clients, servers, discovery and peers on
-// sockets.
+// Package node runs the limiter in service: it connects the decision module, package balancer,
+// which does no I/O, to clients, servers, discovery and peers on sockets. Load the
+// configuration with [LoadConfig], make a [Node] with [New] and call [Node.Run].
 package node
 
 import (
@@ -20,18 +20,18 @@
 	"example.org/elmspan/balancer/wire"
 )
 
-// Config is what a limiter is told at its start.
+// Config is the configuration of a limiter.
 type Config struct {
-	Name       string
-	Listen     string // where clients connect
-	Discovery  string
-	Seed       uint64
-	Limits     Limits
-	PeerListen string // empty: no talk with peers
-	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort // reaches every peer at once
-	Known      serverList     // as last held, perhaps stale
-	Settings   Settings
+	Name          string
+	Listen        string // where clients connect
+	Discovery     string
+	Seed          uint64
+	Limits        Limits
+	PeerListen    string // empty: no messages to peers
+	Peers         []netip.AddrPort
+	BroadcastPeer netip.AddrPort // reaches every peer at once
+	KnownServers  serverList     // the last known list, perhaps stale
+	Settings      Settings
 
 	path            string // of the file, to read it again
 	getenv          func(string) string
@@ -47,15 +47,15 @@
 
 // Settings are those of the deployment: the module's, and what the sockets need.
 type Settings struct {
-	Module      balancer.Settings
-	ClassNames  map[string]int
-	PlanNames   map[string]int
-	Zones       []string
-	ConnIdle    time.Duration // a server closes a connection that is idle this long
-	ConnTimeout time.Duration
-	MaxOpen     int           // requests in hand; 0: no limit
-	MostUnits   float64       // units that one request takes
-	Longest     time.Duration // the longest deadline of a class
+	Module          balancer.Settings
+	ClassNames      map[string]int
+	PlanNames       map[string]int
+	Zones           []string
+	ConnIdle        time.Duration // a server closes a connection that is idle this long
+	ConnTimeout     time.Duration
+	MaxInFlight     int           // requests in hand; 0: no limit
+	MaxUnits        float64       // units that one request takes
+	LongestDeadline time.Duration // the longest deadline of a class
 }
 
 // defaultConnTimeout and defaultConnIdle hold where the settings name none.
@@ -113,50 +113,65 @@
 
 // config checks the file's values.
 func (f *file) config() (*Config, error) {
-	c := &Config{Name: f.Name, Limits: f.Limits, Known: f.Known}
-	for _, a := range []struct {
-		name, from string
-		to         *string
-	}{{"listen", f.Listen, &c.Listen}, {"discovery", f.Discovery, &c.Discovery}} {
-		if _, err := netip.ParseAddrPort(a.from); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.name, err)
-		}
-		*a.to = a.from
+	c := &Config{
+		Name: f.Name, Limits: f.Limits, KnownServers: f.Known, Listen: f.Listen, Discovery: f.Discovery,
+	}
+	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	if _, err := netip.ParseAddrPort(f.Discovery); err != nil {
+		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if l := f.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 || l.Sockets > 0 && l.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits: %+v can't hold a limiter", l)
+	if !f.Limits.valid() {
+		return nil, fmt.Errorf("limits: %+v can't hold a limiter", f.Limits)
 	}
 	if c.Settings, err = parseSettings(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	m := &c.Settings.Module
-	if m.Caps.Peers = m.Caps.Peers && f.PeerListen != ""; !m.Caps.Peers {
-		return c, nil
+	caps := &c.Settings.Module.Caps
+	caps.Peers = caps.Peers && f.PeerListen != ""
+	if caps.Peers {
+		err = f.peerConfig(c)
 	}
-	if len(f.Peers) != m.Balancers {
-		return nil, fmt.Errorf("peers: %d addresses for %d limiters", len(f.Peers), m.Balancers)
+	if err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// valid reports whether a limiter can run within the limits.
+func (l Limits) valid() bool {
+	return l.Cores >= 0 && l.MemoryMB >= 0 && (l.Sockets == 0 || l.Sockets >= minSockets)
+}
+
+// peerConfig checks the addresses of the peers and sets them in c.
+func (f *file) peerConfig(c *Config) error {
+	if len(f.Peers) != c.Settings.Module.Balancers {
+		return fmt.Errorf("peers: %d addresses for %d limiters", len(f.Peers), c.Settings.Module.Balancers)
 	}
 	if _, err := netip.ParseAddrPort(f.PeerListen); err != nil {
-		return nil, fmt.Errorf("peer_listen: %w", err)
+		return fmt.Errorf("peer_listen: %w", err)
 	}
 	c.PeerListen = f.PeerListen
 	for i, p := range f.Peers {
 		a, err := netip.ParseAddrPort(p)
 		if err != nil {
-			return nil, fmt.Errorf("peers.%d: %w", i, err)
+			return fmt.Errorf("peers.%d: %w", i, err)
 		}
 		c.Peers = append(c.Peers, a)
 	}
-	if f.PeersAll != "" {
-		if c.PeersAll, err = netip.ParseAddrPort(f.PeersAll); err != nil {
-			return nil, fmt.Errorf("peers_all: %w", err)
-		}
+	if f.PeersAll == "" {
+		return nil
 	}
-	return c, nil
+	var err error
+	if c.BroadcastPeer, err = netip.ParseAddrPort(f.PeersAll); err != nil {
+		return fmt.Errorf("peers_all: %w", err)
+	}
+	return nil
 }
 
 // parseSettings reads the settings object through the parser of the
@@ -183,10 +198,10 @@
 	s.Zones = strings.Split(p.Text("failure_domains"), ",")
 	s.ConnIdle = cmp.Or(millis(p.Number("caps.conn_idle_ms")), defaultConnIdle)
 	s.ConnTimeout = cmp.Or(millis(s.Module.Caps.ConnectTimeoutMs), defaultConnTimeout)
-	s.MaxOpen = p.Integer("caps.max_open")
-	s.MostUnits = cmp.Or(p.Number("family_info.units_top"), math.MaxFloat64)
+	s.MaxInFlight = p.Integer("caps.max_open")
+	s.MaxUnits = cmp.Or(p.Number("family_info.units_top"), math.MaxFloat64)
 	for _, c := range s.Module.Classes {
-		s.Longest = max(s.Longest, millis(c.DeadlineMs))
+		s.LongestDeadline = max(s.LongestDeadline, millis(c.DeadlineMs))
 	}
 	return s, p.Err()
 }
--- a/balancer/node/discovery_test.go
+++ b/balancer/node/discovery_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("served by %q", body)
 	}
 	draining := server("s-a", a)
-	draining.Health = "draining"
+	draining.State = "draining"
 	r.discovery.set(draining, server("s-b", b))
 	until(t, "the new server serves", func() bool {
 		_, body, _ := r.do(r.newRequest("status-check", "enterprise", ""))
@@ -60,7 +60,7 @@
 	until(t, "several calls", func() bool { return eighth.Load() > 0 })
 	// Each is followed by a pause of idlePause or retryFirst at the least. The first came
 	// after the beginning: on a slow machine long before the start has returned.
-	if took := time.Duration(eighth.Load()); took < (n-2)*min(idlePause, retryFirst) {
+	if took := time.Duration(eighth.Load()); took < (n-2)*min(idlePause, minRetryPause) {
 		t.Errorf("%d calls in %v", n, took)
 	}
 	if status, _, _ := r.do(r.newRequest("status-check", "enterprise", "")); status != 200 {
@@ -97,7 +97,7 @@
 		status, _, _ := r.do(r.newRequest("status-check", "enterprise", ""))
 		return status == 200
 	})
-	if n := strings.Count(r.log.String(), "dropped a list entry"); n == 0 || n > logBurst {
+	if n := strings.Count(r.log.String(), "server list entry dropped"); n == 0 || n > logBurst {
 		t.Errorf("%d lines in the log", n)
 	}
 }
@@ -127,11 +127,11 @@
 	const limiters, work, patience, line = 80, time.Second / 15, 2 * time.Second, 40
 	cfg := &Config{}
 	cfg.Settings.Module.Balancers, cfg.Settings.Module.PollMembership = limiters, true
-	var pace []*pacing
+	var pace []*discoveryPacing
 	next := make([]time.Duration, limiters) // the next call of each; below 0 with its list
 	for i := range limiters {
 		cfg.Seed = uint64(i)
-		pace = append(pace, newPacing(cfg))
+		pace = append(pace, newDiscoveryPacing(cfg))
 		next[i] = pace[i].spread
 	}
 	var free time.Duration // when the service has worked off its line
@@ -171,7 +171,7 @@
 	t.Parallel()
 	cfg := &Config{Seed: 1}
 	cfg.Settings.Module.Balancers, cfg.Settings.Module.PollMembership = 3, true
-	p := newPacing(cfg)
+	p := newDiscoveryPacing(cfg)
 	if p.spread > 250*time.Millisecond {
 		t.Errorf("the first call comes after %v", p.spread)
 	}
--- a/balancer/node/node_test.go
+++ b/balancer/node/node_test.go
@@ -120,7 +120,7 @@
 }
 
 func server(name, dial string) serverItem {
-	return serverItem{Host: name, Dial: dial, Site: "room-a", Block: 1, Health: "ready", Share: 1}
+	return serverItem{Host: name, Address: dial, Zone: "room-a", Cell: 1, State: "ready", Weight: 1}
 }
 
 // testSettings are the settings as the configuration file has them.
@@ -204,7 +204,7 @@
 	until(t, "the list is known", func() bool {
 		r.node.mu.Lock()
 		defer r.node.mu.Unlock()
-		return r.node.listed || len(items) == 0
+		return r.node.hasServers || len(items) == 0
 	})
 	return r
 }
--- a/balancer/node/peers.go
+++ b/balancer/node/peers.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxDatagram = 256
-	tellQueue   = 256 // messages waiting to be written; more are dropped, as the network may
+	maxDatagram     = 256
+	sendQueueLength = 256 // messages
 )
 
 // peerLink exchanges datagrams with the other limiters.
@@ -38,8 +38,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening to peers: %w", err)
 	}
-	p := &peerLink{conn: conn, addrs: cfg.Peers, all: cfg.PeersAll, from: map[netip.AddrPort]int{},
-		queue: make(chan datagram, tellQueue)}
+	p := &peerLink{conn: conn, addrs: cfg.Peers, all: cfg.BroadcastPeer, from: map[netip.AddrPort]int{},
+		queue: make(chan datagram, sendQueueLength)}
 	for i, a := range cfg.Peers {
 		if i != cfg.Settings.Module.Position {
 			p.from[a] = i
@@ -48,11 +48,12 @@
 	return p, nil
 }
 
-// tell queues a message to one peer, or to all for -1. It never blocks.
-func (p *peerLink) tell(to int, data []byte) {
+// send queues a message to one peer, or to all for -1. It never blocks: a message that finds
+// the queue full is dropped, as the network may drop it.
+func (p *peerLink) send(to int, data []byte) {
 	if to == -1 && !p.all.IsValid() { // no address reaches all of them
 		for _, i := range p.from {
-			p.tell(i, data)
+			p.send(i, data)
 		}
 		return
 	}
@@ -69,31 +70,31 @@
 	}
 }
 
-// sendPeers writes queued messages until the link closes.
-func (n *Node) sendPeers() {
+// sendToPeers writes queued messages until the link closes.
+func (n *Node) sendToPeers() {
 	for d := range n.peers.queue {
 		if _, err := n.peers.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
-			n.badInput.warn("could not write to a peer", "err", err)
+			n.inputLog.warn("sending to a peer failed", "error", err)
 		}
 	}
 }
 
-// hearPeers takes in messages until the link closes.
-func (n *Node) hearPeers() {
+// receivePeers passes messages to the module until the link closes.
+func (n *Node) receivePeers() {
 	buf := make([]byte, maxDatagram+1)
 	for {
 		size, addr, err := n.peers.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // what a peer's machine sent back for a message to it
-			n.badInput.warn("could not read from a peer", "err", err)
-			time.Sleep(retryFirst)
+		if err != nil { // an ICMP error for a message sent before
+			n.inputLog.warn("receiving from peers failed", "error", err)
+			time.Sleep(minRetryPause)
 			continue
 		}
 		from, ok := n.peers.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		if !ok || size > maxDatagram {
-			n.badInput.warn("dropped a datagram", "from", addr, "bytes", size)
+			n.inputLog.warn("datagram dropped", "from", addr, "bytes", size)
 			continue
 		}
 		n.dispatch(balancer.PeerMessage{From: from, Data: buf[:size]}) // the module keeps no part of it
--- a/balancer/node/peers_test.go
+++ b/balancer/node/peers_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	until(t, "the stranger's datagrams are dropped", func() bool {
-		return strings.Contains(rigs[1].log.String(), "dropped a datagram")
+		return strings.Contains(rigs[1].log.String(), "datagram dropped")
 	})
 	customer := 0
 	pass := func(r *rig) bool {
@@ -67,7 +67,7 @@
 		time.Sleep(200 * time.Millisecond) // some ticks; if they are too few, the next customer tells
 		return !pass(rigs[1])
 	})
-	if n := strings.Count(rigs[1].log.String(), "dropped a datagram"); n > logBurst {
+	if n := strings.Count(rigs[1].log.String(), "datagram dropped"); n > logBurst {
 		t.Errorf("%d lines in the log", n)
 	}
 }
--- a/balancer/node/reload_test.go
+++ b/balancer/node/reload_test.go
@@ -74,10 +74,10 @@
 	good := configText(next.addr)
 	for _, text := range []string{"", string(good[:len(good)/2]), strings.Replace(string(good), next.addr, "nowhere", 1)} {
 		r.rewrite([]byte(text))
-		lines := strings.Count(r.log.String(), "kept the configuration")
+		lines := strings.Count(r.log.String(), "configuration reload failed")
 		r.node.Reload()
 		until(t, "the bad file is noticed", func() bool {
-			return strings.Count(r.log.String(), "kept the configuration") > lines
+			return strings.Count(r.log.String(), "configuration reload failed") > lines
 		})
 		if _, body, _ := r.do(r.newRequest("status-check", "enterprise", "")); body != "a" {
 			t.Errorf("served by %q", body)
@@ -105,7 +105,7 @@
 	calls := r.discovery.asked()
 	r.node.Reload() // the file as it was, with an address that was never used
 	until(t, "the file is read", func() bool {
-		return strings.Contains(r.log.String(), "read the configuration again")
+		return strings.Contains(r.log.String(), "configuration reloaded")
 	})
 	r.rewrite(configText(next.addr))
 	r.node.Reload()
--- a/balancer/node/servers.go
+++ b/balancer/node/servers.go
@@ -20,18 +20,18 @@
 	maxBody      = 64 << 10
 	probeTimeout = 250 * time.Millisecond
 
-	// maxAnswer bounds what is read for one answer, with the heads that announce it
-	// and the frames of its chunks.
-	maxAnswer = maxHead + 2*maxBody
-	// An answer that has begun comes whole within restTime, which leaves room for a
-	// lost packet, or within this part of the time left.
-	restTime = 250 * time.Millisecond
-	restPart = 4
-	// maxLoad is more than any load that a server can have.
+	// maxResponse bounds what is read for one response, with interim heads and the frames
+	// of its chunks, in bytes.
+	maxResponse = maxHead + 2*maxBody
+	// A response that has begun must be complete within responseTime, which leaves room for
+	// a lost packet, or within this part of the time left.
+	responseTime = 250 * time.Millisecond
+	responsePart = 4
+	// maxLoad is above any load that a server can have; a higher figure is not used.
 	maxLoad = 1e6
 )
 
-// noLoad is the load of an answer without a report.
+// noLoad is the load of a response without a report.
 var noLoad = balancer.Load{Busy: -1, Pending: -1, ServiceMs: -1}
 
 // The connections to servers are kept by server number.
@@ -41,173 +41,204 @@
 	conn = connpool.Conn[uint64]
 )
 
-// reply is what came of an attempt.
-type reply struct {
-	result  balancer.Result
-	body    []byte
-	content string
-	load    balancer.Load
-	err     error // why an answer was of no use
+// attemptResult is what came of an attempt.
+type attemptResult struct {
+	result      balancer.Result
+	body        []byte
+	contentType string
+	load        balancer.Load
+	err         error // why a response can't be used
 }
 
-// try carries out an attempt and returns what came of it.
-func (n *Node) try(at *attempt) reply {
+// noConnection is the result of an attempt that was not sent.
+func noConnection(result balancer.Result) attemptResult {
+	return attemptResult{result: result, load: noLoad}
+}
+
+// execute carries out an attempt and returns what came of it. A kept connection on which
+// nothing could be written is replaced by the next one.
+func (n *Node) execute(at *attempt) attemptResult {
 	for {
-		rep, stale := n.tryOnce(at)
-		if !stale {
-			return rep
+		c, failed := n.connect(at)
+		if c == nil {
+			return failed
+		}
+		if res, done := n.executeOn(at, c); done {
+			return res
 		}
 	}
 }
 
-// tryOnce carries out an attempt on one connection. It is stale if the kept
-// connection turned out to be of no use before anything was written on it.
-func (n *Node) tryOnce(at *attempt) (rep reply, stale bool) {
-	c := n.servers.Get(at.host)
-	if c == nil {
-		ctx, cancel := context.WithDeadline(context.Background(), at.stopAt)
-		defer cancel()
-		n.mu.Lock()
-		at.cancel = cancel
-		over := at.over
-		n.mu.Unlock()
-		if over {
-			return reply{result: balancer.ConnectFailed, load: noLoad}, false
-		}
-		var err error
-		c, err = n.servers.Connect(ctx, at.host)
-		if errors.Is(err, connpool.ErrPoolExhausted) {
-			return reply{result: balancer.Rejected, load: noLoad}, false
-		}
-		if err != nil {
-			if ctx.Err() != context.Canceled { // given up: says nothing about the server
-				n.servers.CloseIdle(at.host)
-			}
-			return reply{result: balancer.ConnectFailed, load: noLoad}, false
-		}
+// connect returns a connection to the attempt's server: a kept one, or a new one. Without a
+// connection it returns the attempt's result.
+func (n *Node) connect(at *attempt) (*conn, attemptResult) {
+	if c := n.pool.Get(at.host); c != nil {
+		return c, attemptResult{}
 	}
-	// A connect takes time: what was decided before it may no longer hold. The
-	// grace of a drain and the client's time count from the first byte sent.
+	ctx, cancel := context.WithDeadline(context.Background(), at.stopAt)
+	defer cancel()
 	n.mu.Lock()
-	stopAt := at.stopAt
-	if !n.stopBy.IsZero() && n.stopBy.Before(stopAt) { // SIGTERM came after the request
-		stopAt = n.stopBy
+	at.cancel = cancel
+	ended := at.ended
+	n.mu.Unlock()
+	if ended {
+		return nil, noConnection(balancer.ConnectFailed)
 	}
-	off := at.over || !n.servers.Available(at.host) || !time.Now().Before(stopAt)
-	if at.cancel = nil; !off {
-		at.conn = c
+	c, err := n.pool.Connect(ctx, at.host)
+	switch {
+	case errors.Is(err, connpool.ErrPoolExhausted):
+		return nil, noConnection(balancer.Rejected)
+	case err != nil:
+		if !errors.Is(ctx.Err(), context.Canceled) { // a canceled connect says nothing about the server
+			n.pool.CloseIdle(at.host)
+		}
+		return nil, noConnection(balancer.ConnectFailed)
 	}
-	n.mu.Unlock()
-	if off {
-		// No longer the attempt's: giving it up must not close a connection that
+	return c, attemptResult{}
+}
+
+// executeOn carries out an attempt on a connection, which it puts back or closes. done is
+// false if the connection turned out to be unusable before anything was written on it.
+func (n *Node) executeOn(at *attempt, c *conn) (res attemptResult, done bool) {
+	stopAt, ok := n.claimConn(at, c)
+	if !ok {
+		// The attempt doesn't have the connection: canceling it must not close one that
 		// another attempt has taken meanwhile.
-		n.servers.Put(c)
-		return reply{result: balancer.ConnectFailed, load: noLoad}, false
+		n.pool.Put(c)
+		return noConnection(balancer.ConnectFailed), true
 	}
-	rep, end := exchange(c, &at.req.call, stopAt)
+	res, state := exchange(c, &at.req.call, stopAt)
 	n.mu.Lock()
 	at.conn = nil
-	over := at.over
+	ended := at.ended
 	n.mu.Unlock()
-	if end == reusable && !over {
-		n.servers.Put(c)
+	if state == reusable && !ended {
+		n.pool.Put(c)
 	} else {
-		c.Close() // before the next attempt can go out
+		c.Close() // before the next attempt can be sent
 	}
-	if end == dead && !over { // not where giving up closed it
-		n.servers.CloseIdle(at.host)
+	if state == broken && !ended { // not where canceling closed it
+		n.pool.CloseIdle(at.host)
+	}
+	if res.result == balancer.InvalidResponse {
+		n.inputLog.warn("server response not usable", "server", at.host.ID, "error", res.err)
+	}
+	return res, state != neverWritten || ended
+}
+
+// claimConn gives an attempt its connection if it may still be sent, and returns the time at
+// which the attempt ends. A connect takes time, so what was checked before it may no longer
+// hold: the grace of a drain and the client's time count from the first byte sent.
+func (n *Node) claimConn(at *attempt, c *conn) (stopAt time.Time, ok bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	stopAt = at.stopAt
+	if !n.stopBy.IsZero() && n.stopBy.Before(stopAt) { // SIGTERM came after the request
+		stopAt = n.stopBy
 	}
-	if rep.result == balancer.InvalidResponse {
-		n.badInput.warn("an answer can't be used", "server", at.host.ID, "err", rep.err)
+	at.cancel = nil
+	if at.ended || !n.pool.Available(at.host) || !time.Now().Before(stopAt) {
+		return stopAt, false
 	}
-	return rep, end == unused && !over
+	at.conn = c
+	return stopAt, true
 }
 
-// ending is what is left of a connection after an exchange.
-type ending int
+// connState is the state of a connection after an exchange.
+type connState int
 
 const (
-	finished ending = iota // of no further use
+	notReusable connState = iota
 	reusable
-	unused // kept, but closed or spoilt meanwhile: nothing was written on it
-	dead   // the connection itself broke
+	neverWritten // kept before, but closed meanwhile: nothing was written on it
+	broken       // the connection itself failed
 )
 
-// exchange writes one request and reads its answer. It knows whether the last
-// byte was written: a failure before that proves that nothing ran.
-func exchange(c *conn, call *call, stopAt time.Time) (rep reply, end ending) {
-	rep = reply{result: balancer.ConnectFailed, load: noLoad}
+// exchange writes one request and reads its response. It knows whether the last byte was
+// written: a failure before that proves that nothing was executed.
+func exchange(c *conn, call *call, stopAt time.Time) (res attemptResult, state connState) {
+	res = noConnection(balancer.ConnectFailed)
 	req := call.request(time.Until(stopAt))
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
-		return rep, finished
+		return res, notReusable
 	}
 	if c.SetDeadline(stopAt) != nil {
-		return rep, dead
+		return res, broken
 	}
-	// As late as can be: what a server sends behind an answer, also long after it,
-	// must not be taken for the next one, and one that it has closed would cut an
+	// Checked as late as possible: what a server sends after a response, even long after it,
+	// must not be taken for the next one, and a connection that it has closed would fail an
 	// unsafe request for good.
 	if c.Used && !c.Reusable() {
-		return rep, unused
+		return res, neverWritten
 	}
 	group := c.IdleGroup()
-	defer func() { c.RecordExchange(group, end == dead) }()
-	c.BeginExchange(maxAnswer)
+	defer func() { c.RecordExchange(group, state == broken) }()
+	c.BeginExchange(maxResponse)
 	if _, err := c.Write(out.Bytes()); err != nil {
-		return rep, dead
+		return res, broken
 	}
-	resp, err := read(c, req, stopAt)
+	resp, err := readResponseHead(c, req, stopAt)
 	if err == nil {
-		defer resp.Body.Close()
-		rep.body, err = readBody(resp)
+		defer func() { _ = resp.Body.Close() }() // it has been read, or the connection is closed
+		res.body, err = readBody(resp)
 	}
-	switch {
-	case c.ReadErr() != nil && err != nil:
-		rep.result, rep.err = balancer.ConnectionLost, err
-		return rep, dead
-	case err == errSilent:
-		rep.result = balancer.TimedOut
-		return rep, finished
-	case err != nil:
-		// It may have run, and says nothing about the server: such answers come from
-		// any, and the next one may be good.
-		rep.result, rep.err = balancer.InvalidResponse, err
-		return rep, finished
-	}
-	rep.load = parseLoad(resp.Header.Get("X-Server-Load"))
-	rep.content = resp.Header.Get("Content-Type")
-	switch code := resp.StatusCode; {
-	case code == http.StatusOK:
-		rep.result = balancer.Success
-	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
-		resp.Header.Get("X-Not-Processed") == "1":
-		rep.result = balancer.Rejected
-	default:
-		rep.result = balancer.ServerError
+	if err != nil {
+		return failedExchange(res, c, err)
 	}
+	res.result = classify(resp)
+	res.load = parseLoad(resp.Header.Get("X-Server-Load"))
+	res.contentType = resp.Header.Get("Content-Type")
 	if !resp.Close && c.Reader.Buffered() == 0 {
-		end = reusable
+		state = reusable
 	}
-	return rep, end
+	return res, state
 }
 
-// errSilent tells that no answer has begun in time.
-var errSilent = errors.New("no answer")
+// failedExchange returns the result of an exchange whose request was written, but whose
+// response could not be read.
+func failedExchange(res attemptResult, c *conn, err error) (attemptResult, connState) {
+	if c.ReadErr() != nil {
+		res.result, res.err = balancer.ConnectionLost, err
+		return res, broken
+	}
+	if errors.Is(err, errNoResponse) {
+		res.result = balancer.TimedOut
+		return res, notReusable
+	}
+	// The request may have been executed. This says nothing about the server: such responses
+	// come from any, and the next one may be good.
+	res.result, res.err = balancer.InvalidResponse, err
+	return res, notReusable
+}
+
+// classify returns the result that a response means.
+func classify(resp *http.Response) balancer.Result {
+	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
+	switch {
+	case resp.StatusCode == http.StatusOK:
+		return balancer.Success
+	case unavailable && resp.Header.Get("X-Not-Processed") == "1":
+		return balancer.Rejected
+	}
+	return balancer.ServerError
+}
 
-// read reads the head of the answer and passes over those that only announce it.
-// Guards against an answer that begins and never ends: it is given up while there
-// is time for another attempt.
-func read(c *conn, req *http.Request, stopAt time.Time) (*http.Response, error) {
+// errNoResponse says that no response has begun in time.
+var errNoResponse = errors.New("no response")
+
+// readResponseHead reads the head of the response and skips interim ones. A response that
+// begins and doesn't end fails while there is time for another attempt.
+func readResponseHead(c *conn, req *http.Request, stopAt time.Time) (*http.Response, error) {
 	for {
 		if err := c.SetReadDeadline(stopAt); err != nil {
 			return nil, err
 		}
 		if _, err := c.Reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil, errSilent
+			return nil, errNoResponse
 		}
 		now := time.Now()
-		if err := c.SetReadDeadline(now.Add(min(restTime, stopAt.Sub(now)/restPart))); err != nil {
+		if err := c.SetReadDeadline(now.Add(min(responseTime, stopAt.Sub(now)/responsePart))); err != nil {
 			return nil, err
 		}
 		resp, err := http.ReadResponse(c.Reader, req)
@@ -233,18 +264,18 @@
 	return body, err
 }
 
-// request is the call in the form of net/http.
+// request returns the call as a request of net/http, with the time left as its time-out.
 func (c *call) request(left time.Duration) *http.Request {
 	h := http.Header{
 		"User-Agent":   {""}, // none
 		"X-Request-Id": {c.requestID},
 		"X-Timeout":    {strconv.FormatInt(max(1, left.Milliseconds()), 10) + "m"},
 	}
-	if c.key != "" {
-		h["Idempotency-Key"] = []string{c.key}
+	if c.idempotencyKey != "" {
+		h["Idempotency-Key"] = []string{c.idempotencyKey}
 	}
-	if c.content != "" {
-		h["Content-Type"] = []string{c.content}
+	if c.contentType != "" {
+		h["Content-Type"] = []string{c.contentType}
 	}
 	// Opaque is written as it stands, where Path and RawQuery may be encoded anew.
 	r := &http.Request{Method: c.method, URL: &url.URL{Opaque: c.target}, Host: c.host, Header: h}
@@ -254,7 +285,7 @@
 	return r
 }
 
-// parseLoad reads a load report; what is not understood counts as not reported.
+// parseLoad reads a load report. Figures that are not valid count as not reported.
 func parseLoad(text string) balancer.Load {
 	l := noLoad
 	for text != "" {
@@ -277,37 +308,43 @@
 	return l
 }
 
-// probe asks a server for its health and reports the result to the module.
+// probe checks a server's health and reports the result to the module.
 func (n *Node) probe(id uint64) {
 	begun := time.Now()
 	ev := balancer.ProbeResult{Server: id, Result: balancer.ConnectFailed, Load: noLoad}
-	if h := n.servers.Host(id); h != nil {
-		ctx, cancel := context.WithDeadline(context.Background(), begun.Add(probeTimeout))
-		defer cancel()
-		var err error
-		for end := unused; end == unused; {
-			c := n.servers.Get(h)
-			if c == nil {
-				if c, err = n.servers.Connect(ctx, h); err != nil {
-					break
-				}
-			}
-			var rep reply
-			rep, end = exchange(c, &call{method: http.MethodGet, target: healthPath, host: h.Addr}, begun.Add(probeTimeout))
-			ev.Result, ev.Load = rep.result, rep.load
-			if end == reusable {
-				n.servers.Put(c)
-			} else {
-				c.Close()
+	if h := n.pool.Host(id); h != nil {
+		ev.Result, ev.Load = n.probeHost(h, begun.Add(probeTimeout))
+	}
+	ev.LatencyMs = msSince(begun)
+	n.dispatch(ev)
+}
+
+// probeHost makes one health check, on kept connections first.
+func (n *Node) probeHost(h *host, stopAt time.Time) (balancer.Result, balancer.Load) {
+	ctx, cancel := context.WithDeadline(context.Background(), stopAt)
+	defer cancel()
+	res := noConnection(balancer.ConnectFailed)
+	for state := neverWritten; state == neverWritten; {
+		c := n.pool.Get(h)
+		if c == nil {
+			var err error
+			if c, err = n.pool.Connect(ctx, h); errors.Is(err, connpool.ErrPoolExhausted) {
+				return balancer.Rejected, res.load
+			} else if err != nil {
+				break
 			}
 		}
-		switch {
-		case errors.Is(err, connpool.ErrPoolExhausted):
-			ev.Result = balancer.Rejected
-		case ev.Result == balancer.ConnectFailed, ev.Result == balancer.ConnectionLost, ev.Result == balancer.TimedOut:
-			n.servers.CloseIdle(h)
+		health := &call{method: http.MethodGet, target: healthPath, host: h.Addr}
+		res, state = exchange(c, health, stopAt)
+		if state == reusable {
+			n.pool.Put(c)
+		} else {
+			c.Close()
 		}
 	}
-	ev.LatencyMs = msSince(begun)
-	n.dispatch(ev)
+	switch res.result {
+	case balancer.ConnectFailed, balancer.ConnectionLost, balancer.TimedOut:
+		n.pool.CloseIdle(h)
+	}
+	return res.result, res.load
 }
--- a/balancer/node/servers_test.go
+++ b/balancer/node/servers_test.go
@@ -100,7 +100,7 @@
 }
 
 func idle(n *Node, host string) int {
-	return n.servers.IdleConns(serverID(host))
+	return n.pool.IdleConns(serverID(host))
 }
 
 // What proves that nothing ran goes to another server, also for an unsafe
@@ -213,7 +213,7 @@
 	}
 	c := connect()
 	c.Conn.(*net.TCPConn).CloseWrite()
-	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectFailed || end != dead {
+	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectFailed || end != broken {
 		t.Errorf("a write that failed gave %v", rep.result)
 	}
 	c = connect()
@@ -223,7 +223,7 @@
 		s.request()
 		s.Close()
 	}()
-	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost || end != dead {
+	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost || end != broken {
 		t.Errorf("a connection that broke after the request gave %v", rep.result)
 	}
 	c = connect()
@@ -244,7 +244,7 @@
 		defer c.Close()
 		const left = 20 * time.Millisecond
 		begun := time.Now()
-		if rep, end := exchange(c, call, begun.Add(left)); rep.result != balancer.TimedOut || end != finished || time.Since(begun) != left {
+		if rep, end := exchange(c, call, begun.Add(left)); rep.result != balancer.TimedOut || end != notReusable || time.Since(begun) != left {
 			t.Errorf("silence gave %v after %v", rep.result, time.Since(begun))
 		}
 	})
@@ -261,12 +261,12 @@
 	first := a.accept()
 	first.request()
 	r.discovery.set(server("s-a", a.addr), server("s-b", b.addr))
-	until(t, "the second server is known", func() bool { return r.node.servers.Host(serverID("s-b")) != nil })
+	until(t, "the second server is known", func() bool { return r.node.pool.Host(serverID("s-b")) != nil })
 	// Known to the pool is known to the module once the mutex is free.
 	r.node.mu.Lock()
-	r.node.do(balancer.CancelAttempt{ID: req.Header.Get("X-Request-ID"), Attempt: 0})
-	r.node.work()
-	r.node.do(balancer.CancelAttempt{ID: req.Header.Get("X-Request-ID"), Attempt: 0}) // again: no second Outcome
+	r.node.perform(balancer.CancelAttempt{ID: req.Header.Get("X-Request-ID"), Attempt: 0})
+	r.node.handleQueue()
+	r.node.perform(balancer.CancelAttempt{ID: req.Header.Get("X-Request-ID"), Attempt: 0}) // again: no second Outcome
 	if len(r.node.queue) != 0 {
 		t.Errorf("queued %+v", r.node.queue)
 	}
@@ -289,14 +289,14 @@
 	srv := newRawServer(t)
 	r := start(t, server("s-1", srv.addr))
 	n := r.node
-	h := n.servers.Host(serverID("s-1"))
+	h := n.pool.Host(serverID("s-1"))
 	at := &attempt{req: &request{call: call{method: "POST", target: "/api", host: "x", requestID: "r"}}, host: h,
 		stopAt: time.Now().Add(patience)}
 	draining := server("s-1", srv.addr)
-	draining.Health = "draining"
+	draining.State = "draining"
 	r.discovery.set(draining)
-	until(t, "the drain is known", func() bool { return !n.servers.Available(h) })
-	if rep := n.try(at); rep.result != balancer.ConnectFailed {
+	until(t, "the drain is known", func() bool { return !n.pool.Available(h) })
+	if rep := n.execute(at); rep.result != balancer.ConnectFailed {
 		t.Errorf("result %v", rep.result)
 	}
 	srv.accept().closed()
@@ -307,10 +307,10 @@
 func TestChangedServerDropsConnections(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*serverItem){
-		"draining": func(i *serverItem) { i.Health = "draining" },
-		"gone":     func(i *serverItem) { i.Health, i.Dial = "gone", "" },
-		"born":     func(i *serverItem) { i.BornMs = 12345 },
-		"moved":    func(i *serverItem) { i.Dial = "127.0.0.1:9" },
+		"draining": func(i *serverItem) { i.State = "draining" },
+		"gone":     func(i *serverItem) { i.State, i.Address = "gone", "" },
+		"born":     func(i *serverItem) { i.StartedMs = 12345 },
+		"moved":    func(i *serverItem) { i.Address = "127.0.0.1:9" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			srv := newRawServer(t)
@@ -458,7 +458,7 @@
 			r.got(outs[1])
 			until(t, "both are idle", func() bool { return idle(r.node, "s-a") == 2 })
 			r.discovery.set(server("s-a", a.addr), server("s-b", b.addr))
-			until(t, "the second server is known", func() bool { return r.node.servers.Host(serverID("s-b")) != nil })
+			until(t, "the second server is known", func() bool { return r.node.pool.Host(serverID("s-b")) != nil })
 			r.node.mu.Lock() // known to the pool is known to the module once the mutex is free
 			r.node.mu.Unlock()
 			// Whichever server has the first attempt spoils it, the other one serves.
@@ -524,7 +524,7 @@
 	c := a.accept()
 	c.request()
 	r.discovery.set(server("s-a", a.addr), server("s-b", b.addr))
-	until(t, "the second server is known", func() bool { return r.node.servers.Host(serverID("s-b")) != nil })
+	until(t, "the second server is known", func() bool { return r.node.pool.Host(serverID("s-b")) != nil })
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n")
 	if res := r.got(out); res.status != 502 {
 		t.Errorf("answer %d", res.status)
@@ -576,11 +576,11 @@
 	c.request()
 	c.answer("200 OK", "")
 	r.got(out)
-	old := r.node.servers.Host(serverID("s-old"))
+	old := r.node.pool.Host(serverID("s-old"))
 	r.discovery.set(server("s-old", srv.addr), server("s-new", srv.addr))
-	until(t, "the new server is known", func() bool { return r.node.servers.Host(serverID("s-new")) != nil })
+	until(t, "the new server is known", func() bool { return r.node.pool.Host(serverID("s-new")) != nil })
 	c.closed()
-	if r.node.servers.Available(old) {
+	if r.node.pool.Available(old) {
 		t.Error("the old server is still sent something")
 	}
 	out = r.send(r.newRequest("send-bulk-paid", "enterprise", ""))
@@ -598,7 +598,7 @@
 func TestIdleTimeIsMostOfTheServers(t *testing.T) {
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
-	if idle, most := r.node.servers.IdleTimeout, r.node.cfg.Settings.ConnIdle; idle < most*3/4 || idle > most*19/20 {
+	if idle, most := r.node.pool.IdleTimeout, r.node.cfg.Settings.ConnIdle; idle < most*3/4 || idle > most*19/20 {
 		t.Errorf("idle connections are kept for %v, servers keep them for %v", idle, most)
 	}
 }
@@ -640,7 +640,7 @@
 			s.request()
 			s.Close()
 		}()
-		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost || end != dead {
+		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost || end != broken {
 			t.Fatalf("result %v", rep.result)
 		}
 		c.Close()
--- a/balancer/wire/wire.go
+++ b/balancer/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire reads and writes the bench's line protocol. It translates
-// between lines of text and the types of package balancer and decides
-// nothing.
+// Package wire reads and writes the simulator's line protocol. It translates between lines of
+// text and the types of package balancer, and decides nothing.
 package wire
 
 import (
@@ -16,7 +15,7 @@
 	"example.org/elmspan/balancer"
 )
 
-// maxLine bounds one line of input.
+// maxLine bounds one line of input, in bytes.
 const maxLine = 64 << 20
 
 // maxSheets is the number of server lists that the protocol can hold at once.
@@ -56,7 +55,7 @@
 	return &Reader{in: s}
 }
 
-// fields takes the values of one line in turn and keeps the first error.
+// fields reads the values of one line in turn and keeps the first error.
 type fields struct {
 	rest string
 	err  error
@@ -266,6 +265,7 @@
 	return nil
 }
 
+// item reads one line that concerns an instance.
 func (r *Reader) item(name string, f *fields) (Item, error) {
 	it := Item{Instance: f.integer()}
 	switch name {
@@ -276,52 +276,81 @@
 		}
 	case "RETIRE":
 		it.Kind = Retire
-	case "ENDPOINTS":
-		scope := choose(f, scopes)
-		f.word() // the revision: events come in order and leave nothing out
-		e := balancer.Endpoints{Scope: scope}
-		if sheet := f.integer(); f.err == nil && scope != balancer.Failed {
-			if sheet < 0 || sheet >= maxSheets {
-				return it, errors.New("sheet out of range")
-			}
-			e.Servers = r.sheets[sheet]
+	case "ADDED": // the library never calls the counter
+	default:
+		var err error
+		if it.Event, err = r.event(name, f); err != nil {
+			return it, err
 		}
-		it.Event = e
+	}
+	return it, f.err
+}
+
+// event reads the values of an event.
+func (r *Reader) event(name string, f *fields) (balancer.Event, error) {
+	switch name {
+	case "ENDPOINTS":
+		return r.endpoints(f)
 	case "SUBMIT":
-		e := balancer.Submit{ID: f.word(), TimeoutMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag(), Plan: f.integer()}
-		f.flag() // write: the class says what matters here
-		e.Spread, e.First, e.Customer = int(f.number()), int(f.number()), f.id()
-		it.Event = e
+		return f.submit(), nil
 	case "FIRST":
-		it.Event = balancer.FirstByte{ID: f.word(), Attempt: f.integer()}
+		return balancer.FirstByte{ID: f.word(), Attempt: f.integer()}, nil
 	case "REPORT_BACK":
-		e := balancer.Outcome{ID: f.word(), Attempt: f.integer(), Server: f.id(), Result: choose(f, results), LatencyMs: f.number(), Final: f.flag()}
-		f.number() // quota_use: the mechanism hears its peers, not a meter
-		e.SettledUnits, e.Load = f.number(), f.load()
-		it.Event = e
+		return f.outcome(), nil
 	case "ABORTED":
-		it.Event = balancer.ClientGone{ID: f.word()}
+		return balancer.ClientGone{ID: f.word()}, nil
 	case "ALARM":
-		it.Event = balancer.TimerFired{Name: f.word()}
+		return balancer.TimerFired{Name: f.word()}, nil
 	case "HEALTH_RESULT":
 		e := balancer.ProbeResult{LatencyMs: f.number(), Server: f.id(), Result: choose(f, results)}
 		e.Load = f.load()
-		it.Event = e
+		return e, nil
 	case "FROM_PEER":
-		e := balancer.PeerMessage{From: f.integer()}
-		if w := f.word(); w != "-" && f.err == nil {
-			data, err := hex.DecodeString(w)
-			if err != nil {
-				return it, fmt.Errorf("bad bytes: %w", err)
-			}
-			e.Data = data
+		return f.peerMessage()
+	}
+	return nil, errors.New("unknown message")
+}
+
+func (r *Reader) endpoints(f *fields) (balancer.Event, error) {
+	e := balancer.Endpoints{Scope: choose(f, scopes)}
+	f.word() // the revision: events come in order and leave nothing out
+	if sheet := f.integer(); f.err == nil && e.Scope != balancer.Failed {
+		if sheet < 0 || sheet >= maxSheets {
+			return nil, errors.New("sheet out of range")
 		}
-		it.Event = e
-	case "ADDED": // the library never calls the counter
-	default:
-		return it, errors.New("unknown message")
+		e.Servers = r.sheets[sheet]
 	}
-	return it, f.err
+	return e, nil
+}
+
+func (f *fields) submit() balancer.Submit {
+	e := balancer.Submit{ID: f.word(), TimeoutMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag()}
+	e.Plan = f.integer()
+	f.flag() // write: the class says what matters here
+	e.Spread, e.First, e.Customer = int(f.number()), int(f.number()), f.id()
+	return e
+}
+
+func (f *fields) outcome() balancer.Outcome {
+	e := balancer.Outcome{ID: f.word(), Attempt: f.integer(), Server: f.id(), Result: choose(f, results)}
+	e.LatencyMs, e.Final = f.number(), f.flag()
+	f.number() // quota_use: the limiter relies on its peers, not on a meter
+	e.SettledUnits, e.Load = f.number(), f.load()
+	return e
+}
+
+func (f *fields) peerMessage() (balancer.Event, error) {
+	e := balancer.PeerMessage{From: f.integer()}
+	w := f.word()
+	if w == "-" || f.err != nil {
+		return e, nil
+	}
+	data, err := hex.DecodeString(w)
+	if err != nil {
+		return nil, fmt.Errorf("bad bytes: %w", err)
+	}
+	e.Data = data
+	return e, nil
 }
 
 // seed reads any 64-bit number, signed or not.
@@ -343,13 +372,13 @@
 // NewWriter returns a Writer to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{bufio.NewWriterSize(w, 1<<16)} }
 
-// Yield ends a reply and sends it off.
+// Yield ends a reply and writes it. It returns the first error of the reply.
 func (w *Writer) Yield() error {
-	w.out.WriteString("YIELD\n")
+	w.write("YIELD\n")
 	return w.out.Flush()
 }
 
-// Fault tells that an instance has failed.
+// Fault reports that an instance has failed.
 func (w *Writer) Fault(who int, text string) { w.line("FAULT", who, oneLine(text)) }
 
 // Action writes one action of an instance.
@@ -383,16 +412,19 @@
 }
 
 func (w *Writer) line(name string, who int, values ...string) {
-	w.out.WriteString(name)
-	w.out.WriteByte(' ')
-	w.out.WriteString(strconv.Itoa(who))
+	w.write(name)
+	w.write(" ")
+	w.write(strconv.Itoa(who))
 	for _, v := range values {
-		w.out.WriteByte(' ')
-		w.out.WriteString(v)
+		w.write(" ")
+		w.write(v)
 	}
-	w.out.WriteByte('\n')
+	w.write("\n")
 }
 
+// write buffers a text. The buffer keeps the first error, which Yield returns.
+func (w *Writer) write(text string) { _, _ = w.out.WriteString(text) }
+
 func num(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
 
 func oneLine(s string) string { return strings.NewReplacer("\n", " ", "\r", " ").Replace(s) }
--- a/cmd/elmspan-balancer/main_test.go
+++ b/cmd/elmspan-balancer/main_test.go
@@ -89,7 +89,7 @@
 	select {
 	case err := <-ended:
 		t.Fatalf("ended on SIGHUP: %v", err)
-	case <-lines.seen("read the configuration again"):
+	case <-lines.seen("configuration reloaded"):
 	case <-time.After(patience):
 		t.Fatal("SIGHUP has no effect")
 	}
