--- a/cmd/elmspan-lab/main.go
+++ b/cmd/elmspan-lab/main.go
@@ -121,7 +121,7 @@
 		}
 	}
 	begun := time.Now()
-	cells, err := simulation.Sweep(ctx, day, "", nil, c.policies(), c.Seeds, func(s string) { fmt.Fprintln(os.Stderr, s) })
+	cells, err := simulation.Sweep(ctx, &simulation.Experiment{Day: day, Policies: c.policies(), Seeds: c.Seeds, Progress: progress})
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,8 @@
 		}
 		values = append(values, v)
 	}
-	cells, err := simulation.Sweep(ctx, day, name, values, c.policies(), c.Seeds, func(s string) { fmt.Fprintln(os.Stderr, s) })
+	cells, err := simulation.Sweep(ctx, &simulation.Experiment{Day: day, Parameter: name, Values: values,
+		Policies: c.policies(), Seeds: c.Seeds, Progress: progress})
 	if err != nil {
 		return err
 	}
@@ -176,6 +177,15 @@
 	Seeds  int     `help:"So many seeds, all of which must hold." default:"3"`
 }
 
+// Factors on the file's number of servers between which a plan is searched.
+const (
+	minServerFactor = 0.2
+	maxServerFactor = 4
+)
+
+// progress shows how far an experiment is.
+func progress(line string) { fmt.Fprintln(os.Stderr, line) }
+
 // Run searches.
 func (c *planCmd) Run(ctx context.Context) error {
 	if err := (&Common{Policy: []string{c.Policy}, Seeds: c.Seeds}).check(); err != nil {
@@ -188,7 +198,8 @@
 	if err != nil {
 		return err
 	}
-	x, err := simulation.Least(ctx, day, c.Policy, c.InAim, 0.2, 4, c.Seeds, func(s string) { fmt.Fprintln(os.Stderr, s) })
+	x, err := simulation.MinServerFactor(ctx, &simulation.Requirement{Day: day, Policy: c.Policy, Share: c.InAim,
+		Low: minServerFactor, High: maxServerFactor, Seeds: c.Seeds, Progress: progress})
 	if err != nil {
 		return err
 	}
@@ -212,13 +223,13 @@
 	{"in aim", func(r *simulation.Result) float64 { return r.InTarget() }},
 	{"p50 ms", func(r *simulation.Result) float64 { return r.Quantile(50) }},
 	{"p99 ms", func(r *simulation.Result) float64 { return r.Quantile(99) }},
-	{"words/s", func(r *simulation.Result) float64 { return r.WordsPerS }},
+	{"words/s", func(r *simulation.Result) float64 { return r.MessagesPerS }},
 	{"bytes/s", func(r *simulation.Result) float64 { return r.BytesPerS }},
-	{"heartbeats/s", func(r *simulation.Result) float64 { return r.BeatsPerS }},
+	{"heartbeats/s", func(r *simulation.Result) float64 { return r.HeartbeatsPerS }},
 	{"rules broken", func(r *simulation.Result) float64 { return float64(len(r.ViolationCounts)) }},
 }
 
-func rows(cells []simulation.Cell, name string) (head []string, out [][]string) {
+func rows(cells []simulation.Point, name string) (head []string, out [][]string) {
 	head = []string{"policy"}
 	if name != "" {
 		head = append(head, name)
@@ -249,7 +260,7 @@
 	return head, out
 }
 
-func table(cells []simulation.Cell, name string) {
+func table(cells []simulation.Point, name string) {
 	head, out := rows(cells, name)
 	fmt.Println(strings.Join(head, "\t"))
 	for _, r := range out {
@@ -258,7 +269,7 @@
 }
 
 // perSecond are the charts of one day under several policies.
-func perSecond(cells []simulation.Cell) []plots.Chart {
+func perSecond(cells []simulation.Point) []plots.Chart {
 	good := plots.Chart{Title: "Answered within the aim, of what was within the quotas", X: "second", Y: "share"}
 	tail := plots.Chart{Title: "Times of answers", X: "share of answers that are slower, percent", Y: "ms", LogX: true, LogY: true}
 	for _, c := range cells {
@@ -280,7 +291,7 @@
 }
 
 // overValues are the charts of a sweep: each figure over the parameter.
-func overValues(cells []simulation.Cell, name string) (out []plots.Chart) {
+func overValues(cells []simulation.Point, name string) (out []plots.Chart) {
 	for _, f := range figures {
 		c := plots.Chart{Title: f.name, X: name, Y: f.name}
 		byPolicy := map[string]int{}
@@ -301,7 +312,7 @@
 
 // write writes the page and the lines that were asked for, and tells of a
 // broken rule of the gateway's own policy.
-func (c *Common) write(title, name string, cells []simulation.Cell, charts []plots.Chart) error {
+func (c *Common) write(title, name string, cells []simulation.Point, charts []plots.Chart) error {
 	if c.HTML != "" {
 		p := plots.Page{Title: title, Charts: charts, Intro: []string{"Simulated; means over the seeds, with the least and the most of them. Policies other than elmspan have a fixed, equal share of each quota and tell nobody anything."}}
 		p.Head, p.Rows = rows(cells, name)
--- a/lab/simulation/fleet.go
+++ b/lab/simulation/fleet.go
@@ -2,12 +2,10 @@
 
 import (
 	"cmp"
-	"context"
 	"fmt"
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -17,183 +15,154 @@
 	"example.org/elmspan/lab/scenario"
 )
 
+// Times of the modelled world, in ms.
 const (
-	settleMs   = 3000.0 // before traffic, in which the limiters get to know each other
-	noticeMs   = 1000.0 // the platform's checks of limiters
-	listMs     = 1000.0 // between two looks of the core at the platform's list
-	watchMs    = 40.0   // until a limiter has news of the core, at most
-	zoneMs     = 0.25   // one way, where the day says nothing
-	crossMs    = 1.0
-	clients    = 40 // a zone
-	keepDeadMs = 500.0
+	stabilizationMs  = 3000.0 // before traffic, in which the limiters get to know each other
+	readinessCheckMs = 1000.0 // between the platform's checks of limiters
+	serverListMs     = 1000.0 // between two reads of the platform's list by the control plane
+	maxWatchDelayMs  = 40.0   // until a limiter has an update of the control plane, at most
+	sameZoneDelayMs  = 0.25   // one way, where the day says nothing
+	crossZoneDelayMs = 1.0    // one way, where the day says nothing
+	readyAfterMs     = 500.0  // until the platform takes a started limiter for ready
 )
 
-// Options say how a day is simulated.
-type Options struct {
-	Policy   string       // of [Policies]; empty: the gateway's own
-	Progress func(string) // is told every simulated five seconds; may be nil
-}
-
-// Result is what came of a day.
-type Result struct {
-	*checker.Report
-	Policy   string
-	Limiters int
-	// Means over the limiters and the time of traffic.
-	PerS                                     Traffic
-	WordsPerS, BytesPerS, BeatsPerS, Targets float64
-	Events                                   uint64
-}
+const (
+	delayJitter    = 0.3 // mean of the exponential part of a delay, as a share of it
+	clientsPerZone = 40  // where the day says nothing
+)
 
-// fleet is the simulated world.
+// fleet is the simulated world. All of it belongs to the goroutine that runs its engine.
 type fleet struct {
 	engine  engine
 	day     *scenario.Day
-	policy  string
+	policy  string // of [Policies]
 	rng     *rand.Rand
-	ledger  *checker.Log
-	tally   *checker.Counter
-	nodes   []*node
-	byID    map[uint64]*node
-	byName  map[string]*node
-	servers map[string]*server // that live, and those that crashed while the list shows them
-	lives   int
-	listed  []api.Server
-	version int
-	cut     string // this zone's limiters don't hear the others
-	dark    string // zone whose servers are not reached
-	hot     string
-	hotX    float64
-	flights int
-	asked   int
-	open    int // requests of clients that have not ended
-	skipped []string
+	log     *checker.Log     // what limiters and servers did, for the rules
+	counter *checker.Counter // what the clients saw
 	plans   map[uint64]quota.Plan
+
+	nodes  []*node
+	byID   map[uint64]*node
+	byName map[string]*node
+
+	servers        map[string]*server // that run, and crashed ones while the list shows them
+	serversStarted int
+	serverList     []api.Server // the platform's list as the control plane has it
+	listVersion    int
+
+	partitionedZone string // the limiters of this zone and the others don't reach each other
+	unreachableZone string // the servers of this zone are not reached
+	hotTenant       string // has hotFactor times its traffic
+	hotFactor       float64
+
+	requests      int // of clients, so far
+	openRequests  int // requests of clients that have not ended
+	forwarded     int // requests that limiters took, so far
+	skippedFaults []string
 }
 
-// Run simulates a day.
-func Run(ctx context.Context, day *scenario.Day, o Options) (*Result, error) {
-	f := &fleet{day: day, policy: cmp.Or(o.Policy, Elmspan), rng: rand.New(rand.NewPCG(day.Seed, 0x51)), tally: checker.NewCounter(day),
-		byID: map[uint64]*node{}, byName: map[string]*node{}, servers: map[string]*server{}}
-	f.engine.now = -settleMs
-	f.ledger = checker.New(day.RetryBudget, func() time.Duration { return time.Duration(f.engine.now * float64(time.Millisecond)) })
-	if err := f.build(); err != nil {
-		return nil, err
-	}
-	for at := -settleMs; at < 0; at += 500 {
-		if err := ctx.Err(); err != nil {
-			return nil, err
-		}
-		f.engine.until(at)
-	}
-	f.engine.until(0)
+// newFleet is an empty world at the beginning of the time before traffic.
+func newFleet(day *scenario.Day, policy string) *fleet {
+	f := &fleet{
+		day:     day,
+		policy:  cmp.Or(policy, Elmspan),
+		rng:     rand.New(rand.NewPCG(day.Seed, 0x51)),
+		counter: checker.NewCounter(day),
+		plans:   map[uint64]quota.Plan{},
+		byID:    map[uint64]*node{},
+		byName:  map[string]*node{},
+		servers: map[string]*server{},
+	}
+	f.engine.now = -stabilizationMs
+	f.log = checker.New(day.RetryBudget, f.engine.elapsed)
+	return f
+}
+
+// build starts servers and limiters.
+func (f *fleet) build() error {
+	f.setQuotas()
+	f.startServers()
+	f.refreshServers()
+	f.addNodes()
 	for _, n := range f.nodes {
-		n.traffic = Traffic{}
-	}
-	f.begin()
-	end := day.LengthS * 1000
-	for at := 250.0; at <= end; at += 250 {
-		if err := ctx.Err(); err != nil {
-			return nil, err
-		}
-		f.engine.until(at)
-		if o.Progress != nil && int(at)%5000 == 0 {
-			o.Progress(f.tally.Progress(f.ledger))
+		if err := n.start(); err != nil {
+			return err
 		}
+		n.policy.SetPlans(0, f.plans)
 	}
-	r := &Result{Policy: f.policy, Limiters: len(f.nodes)}
-	for _, n := range f.nodes {
-		k := float64(len(f.nodes)) * day.LengthS
-		r.PerS.add(&n.traffic, 1/k)
-		r.Targets += float64(n.policy.GossipRecipients()) / float64(len(f.nodes))
-	}
-	r.WordsPerS, r.BytesPerS, r.BeatsPerS = r.PerS.Words, r.PerS.WordBytes(), r.PerS.Beats
-	for i := 0; f.open > 0 && i < 200; i++ { // what was asked ends by its deadline
-		f.engine.until(f.engine.now + 100)
+	f.introduceAll()
+	var refresh func()
+	refresh = func() {
+		f.refreshServers()
+		f.engine.after(serverListMs, refresh)
 	}
-	if f.open > 0 {
-		f.ledger.Violation("LOST", "%d requests never ended", f.open)
-	}
-	r.Report, r.Events = f.tally.Report(f.ledger), f.engine.done
-	r.Notes = append(r.Notes, fmt.Sprintf("%d limiters, each sends words to %.0f others: %.0f words, %.0f bytes, %.1f heartbeats a second",
-		r.Limiters, r.Targets, r.WordsPerS, r.BytesPerS, r.BeatsPerS))
-	r.Notes = append(r.Notes, r.PerS.String())
-	for _, s := range f.skipped {
-		r.Notes = append(r.Notes, "not simulated: "+s)
-	}
-	return r, nil
+	f.engine.after(serverListMs*f.rng.Float64(), refresh)
+	return nil
 }
 
-func (f *fleet) build() error {
-	plans := map[uint64]quota.Plan{}
+func (f *fleet) setQuotas() {
 	for i := range f.day.Tenants {
 		t := &f.day.Tenants[i]
 		rate := f.day.Rate(t)
-		plans[quota.TenantID(t.Name)] = quota.Plan{Rate: rate, Burst: rate}
-		f.ledger.Quota(t.Name, rate, rate)
+		f.plans[quota.TenantID(t.Name)] = quota.Plan{Rate: rate, Burst: rate}
+		f.log.Quota(t.Name, rate, rate)
 	}
+}
+
+// startServers starts the day's servers, all of them warm.
+func (f *fleet) startServers() {
 	for i := range f.day.Services {
 		v := &f.day.Services[i]
 		for k := range v.Servers {
-			f.startServer(v, f.day.Zones[k%len(f.day.Zones)]).bornMs = f.engine.now - 1000*v.WarmupS
+			s := f.startServer(v, f.day.Zones[k%len(f.day.Zones)])
+			s.startedMs = f.engine.now - 1000*v.WarmupS
 		}
 	}
-	f.look()
+}
+
+func (f *fleet) addNodes() {
 	for _, z := range f.day.Zones {
 		for i := range f.day.PerZone {
 			name := fmt.Sprintf("edge-%s-%d", z, i+1)
-			n := &node{f: f, name: name, id: xxhash.Sum64String(name), zone: z}
+			n := &node{fleet: f, name: name, id: xxhash.Sum64String(name), zone: z}
 			f.nodes = append(f.nodes, n)
 			f.byID[n.id], f.byName[name] = n, n
 		}
 	}
-	for _, n := range f.nodes {
-		if err := n.start(); err != nil {
-			return err
-		}
-		n.policy.SetPlans(0, plans)
-	}
-	f.plans = plans
-	// A fleet that has run for long: all know all.
+}
+
+// introduceAll makes all limiters known to all, as in a fleet that has run for long.
+func (f *fleet) introduceAll() {
 	var all []api.Peer
 	for _, n := range f.nodes {
 		all = append(all, n.view.Self())
 	}
 	for _, n := range f.nodes {
 		n.view.Merge(1, all)
-		n.news()
-	}
-	var look func()
-	look = func() {
-		f.look()
-		f.engine.after(listMs, look)
+		n.notifyPolicy()
 	}
-	f.engine.after(listMs*f.rng.Float64(), look)
-	return nil
 }
 
-// list is the platform's list as the core has it.
-func (f *fleet) list() []api.Server { return f.listed }
-
-// look has the core ask the platform; a list with news reaches each limiter.
-func (f *fleet) look() {
+// refreshServers has the control plane read the platform's list; a changed one reaches
+// each limiter.
+func (f *fleet) refreshServers() {
 	var list []api.Server
 	for _, id := range slices.Sorted(maps.Keys(f.servers)) {
-		list = append(list, f.servers[id].entry(f.engine.now))
+		list = append(list, f.servers[id].listEntry(f.engine.now))
 	}
-	same := slices.EqualFunc(f.listed, list, func(a, b api.Server) bool { return a.ID == b.ID && a.State == b.State })
-	if same {
+	equal := func(a, b api.Server) bool { return a.ID == b.ID && a.State == b.State }
+	if slices.EqualFunc(f.serverList, list, equal) {
 		return
 	}
-	f.listed = list
-	f.version++
-	version := f.version
+	f.serverList = list
+	f.listVersion++
+	version := f.listVersion
 	for _, n := range f.nodes {
-		life := n.life
-		f.engine.after(watchMs*f.rng.Float64(), func() {
-			if n.up && n.life == life && n.seen < version {
-				n.whenAwake(func() {
-					n.seen = version
+		incarnation := n.incarnation
+		f.engine.after(maxWatchDelayMs*f.rng.Float64(), func() {
+			if n.up && n.incarnation == incarnation && n.listVersion < version {
+				n.whenResumed(func() {
+					n.listVersion = version
 					n.policy.SetServers(n.clock(), list)
 				})
 			}
@@ -201,29 +170,34 @@
 	}
 }
 
-func (f *fleet) startServer(v *scenario.Service, zone string) *server {
-	f.lives++
-	s := &server{f: f, id: fmt.Sprintf("i-%s-%05d", v.Name, f.lives), zone: zone, spec: v, bornMs: f.engine.now, slow: 1, inHand: map[*job]bool{}}
+func (f *fleet) startServer(service *scenario.Service, zone string) *server {
+	f.serversStarted++
+	s := &server{
+		fleet:     f,
+		id:        fmt.Sprintf("i-%s-%05d", service.Name, f.serversStarted),
+		zone:      zone,
+		spec:      service,
+		startedMs: f.engine.now,
+		slowdown:  1,
+		accepted:  map[*job]bool{},
+	}
 	f.servers[s.id] = s
 	return s
 }
 
-func (f *fleet) jobsInOrder(set map[*job]bool) []*job {
-	return slices.SortedFunc(maps.Keys(set), func(a, b *job) int { return cmp.Compare(a.id, b.id) })
-}
-
-// delay is the time that a message takes, one way.
-func (f *fleet) delay(a, b string) float64 {
-	ms := cmp.Or(f.day.Network.ZoneMs, zoneMs)
-	if a != b {
-		ms = cmp.Or(f.day.Network.CrossMs, crossMs)
+// delay is the time in ms that a message takes, one way. Each call draws from the
+// seeded numbers.
+func (f *fleet) delay(fromZone, toZone string) float64 {
+	ms := cmp.Or(f.day.Network.ZoneMs, sameZoneDelayMs)
+	if fromZone != toZone {
+		ms = cmp.Or(f.day.Network.CrossMs, crossZoneDelayMs)
 	}
-	return ms * (1 + 0.3*f.rng.ExpFloat64())
+	return ms * (1 + delayJitter*f.rng.ExpFloat64())
 }
 
-// cutOff tells that two limiters don't hear each other.
-func (f *fleet) cutOff(a, b *node) bool {
-	return f.cut != "" && (a.zone == f.cut) != (b.zone == f.cut)
+// partitioned tells that two limiters don't reach each other.
+func (f *fleet) partitioned(a, b *node) bool {
+	return f.partitionedZone != "" && (a.zone == f.partitionedZone) != (b.zone == f.partitionedZone)
 }
 
 // restart starts a limiter again after some time.
@@ -234,7 +208,7 @@
 		}
 		if err := n.start(); err == nil { // its policy is known: it was started before
 			n.policy.SetPlans(0, f.plans)
-			n.beat()
+			n.sendHeartbeats()
 		}
 	})
 }
--- a/lab/simulation/server.go
+++ b/lab/simulation/server.go
@@ -1,58 +1,64 @@
 package simulation
 
 import (
+	"cmp"
+	"maps"
+	"slices"
+
 	"example.org/elmspan/api"
 	"example.org/elmspan/dataplane/balance"
 	"example.org/elmspan/lab/checker"
 	"example.org/elmspan/lab/scenario"
 )
 
-// server is one life of a server: so many slots, a queue, and no more. Its
-// model is that of the emulator's.
+// server is one incarnation of a server: a number of slots, a bounded queue, and no more.
+// Its model is that of the emulator.
 type server struct {
-	f        *fleet
-	id, zone string
-	spec     *scenario.Service
-	bornMs   float64
-	slow     float64 // work takes so many times as long
-	lose     float64 // share of answers that are lost
-	draining bool
-	dead     bool
-	busy     int
-	queue    []*job
-	inHand   map[*job]bool
+	fleet     *fleet
+	id, zone  string
+	spec      *scenario.Service
+	startedMs float64
+	slowdown  float64 // factor on the time that work takes
+	lossShare float64 // share of answers that are lost
+	draining  bool
+	dead      bool
+	busy      int // slots in use
+	queue     []*job
+	accepted  map[*job]bool // queued or running
 }
 
-// job is a request at a server.
+// job is an attempt at a server.
 type job struct {
 	id       string
 	tenant   string
 	class    *scenario.Class
 	deadline float64
 	answer   func(r balance.Result, ran, answered bool)
-	over     bool
+	ended    bool
 }
 
+// end answers once; later calls do nothing.
 func (j *job) end(r balance.Result, ran, answered bool) {
-	if !j.over {
-		j.over = true
+	if !j.ended {
+		j.ended = true
 		j.answer(r, ran, answered)
 	}
 }
 
-func (s *server) entry(now float64) api.Server {
+// listEntry is the server as the platform lists it.
+func (s *server) listEntry(now float64) api.Server {
 	e := api.Server{ID: s.id, Upstream: s.spec.Name, Addr: s.id, Zone: s.zone, Revision: "v1", Capacity: s.spec.Slots,
-		State: "in_service", WarmupMs: max(0, 1000*s.spec.WarmupS-(now-s.bornMs))}
+		State: api.InService, WarmupMs: max(0, 1000*s.spec.WarmupS-(now-s.startedMs))}
 	if s.draining {
 		e.State = api.Draining
 	}
 	return e
 }
 
-// arrive takes a request in, or turns it away.
+// arrive accepts an attempt or rejects it.
 func (s *server) arrive(j *job) {
-	e := &s.f.engine
-	s.f.ledger.Arrived(j.id, s.spec.Name)
+	e := &s.fleet.engine
+	s.fleet.log.Arrived(j.id, s.spec.Name)
 	if s.busy+len(s.queue) >= s.spec.Slots+s.spec.Queue {
 		if s.spec.HangsWhenFull {
 			e.after(j.deadline-e.now, func() { j.end(balance.Failure, true, false) })
@@ -61,47 +67,51 @@
 		j.end(balance.Rejected, false, false)
 		return
 	}
-	s.inHand[j] = true
+	s.accepted[j] = true
 	s.queue = append(s.queue, j)
-	s.next()
+	s.startQueued()
 }
 
-// next starts what waits while there are slots.
-func (s *server) next() {
-	e := &s.f.engine
+// startQueued starts queued jobs while there are free slots.
+func (s *server) startQueued() {
 	for s.busy < s.spec.Slots && len(s.queue) > 0 {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
-		if e.now >= j.deadline { // its time is up: it does not run
-			delete(s.inHand, j)
+		if s.fleet.engine.now >= j.deadline { // it does not run
+			delete(s.accepted, j)
 			j.end(balance.Rejected, false, false)
 			continue
 		}
-		s.busy++
-		s.f.ledger.Ran(j.id, checker.Run{Service: s.spec.Name, Member: s.id, Tenant: j.tenant}, false)
-		work := j.class.DrawWork(s.f.rng, s.slow, e.now-s.bornMs < 1000*s.spec.WarmupS)
-		lost := s.f.rng.Float64() < s.lose
-		e.after(work, func() {
-			if s.dead {
-				return
-			}
-			s.busy--
-			delete(s.inHand, j)
-			if lost {
-				e.after(j.deadline-e.now, func() { j.end(balance.Failure, true, false) })
-			} else {
-				j.end(balance.Success, true, true)
-			}
-			s.next()
-		})
+		s.run(j)
 	}
 }
 
-// stop ends the server: what it has in hand is cut off.
+func (s *server) run(j *job) {
+	e := &s.fleet.engine
+	s.busy++
+	s.fleet.log.Ran(j.id, checker.Run{Service: s.spec.Name, Member: s.id, Tenant: j.tenant}, false)
+	work := j.class.DrawWork(s.fleet.rng, s.slowdown, e.now-s.startedMs < 1000*s.spec.WarmupS)
+	lost := s.fleet.rng.Float64() < s.lossShare
+	e.after(work, func() {
+		if s.dead {
+			return
+		}
+		s.busy--
+		delete(s.accepted, j)
+		if lost {
+			e.after(j.deadline-e.now, func() { j.end(balance.Failure, true, false) })
+		} else {
+			j.end(balance.Success, true, true)
+		}
+		s.startQueued()
+	})
+}
+
+// stop ends the server: what it accepted is cut off, in the order of the attempts' ids.
 func (s *server) stop() {
 	s.dead = true
-	jobs := s.f.jobsInOrder(s.inHand)
-	clear(s.inHand)
+	jobs := slices.SortedFunc(maps.Keys(s.accepted), func(a, b *job) int { return cmp.Compare(a.id, b.id) })
+	clear(s.accepted)
 	s.queue = nil
 	for _, j := range jobs {
 		j.end(balance.Failure, true, false)
--- a/lab/simulation/sweep.go
+++ b/lab/simulation/sweep.go
@@ -13,7 +13,7 @@
 	"example.org/elmspan/lab/scenario"
 )
 
-// Vary sets a parameter of a day. The machines' number takes the load and the
+// Vary sets a parameter of a day. The number of machines takes the load and the
 // servers along, so that each limiter keeps its share.
 func Vary(d *scenario.Day, name string, v float64) error {
 	if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
@@ -40,7 +40,8 @@
 	case "seed":
 		d.Seed = uint64(v)
 	default:
-		return fmt.Errorf("simulation: no parameter %q; there are machines_per_zone, load, servers, words_loss, quota_x, seed", name)
+		return fmt.Errorf(
+			"simulation: no parameter %q; there are machines_per_zone, load, servers, words_loss, quota_x, seed", name)
 	}
 	return d.Validate()
 }
@@ -61,118 +62,158 @@
 	return &c
 }
 
-// Cell is one value of a parameter under one policy, with a result a seed.
-type Cell struct {
+// Experiment is a set of days to simulate: each value under each policy, with each seed.
+type Experiment struct {
+	Day       *scenario.Day
+	Parameter string // see [Vary]; empty: the day as it is, and Values is not used
+	Values    []float64
+	Policies  []string
+	Seeds     int              // number of seeds, from the day's own on
+	Progress  func(msg string) // is called after each day; may be nil
+}
+
+// Point is one value of a parameter under one policy, with a result for each seed.
+type Point struct {
 	Policy  string
 	Value   float64
 	Results []*Result
 }
 
-// Sweep simulates a day with each value of a parameter, under each policy, with
-// so many seeds from the day's own on. An empty name is the day as it is. Days
-// run side by side, each on its own.
-func Sweep(ctx context.Context, day *scenario.Day, name string, values []float64, policies []string, seeds int, done func(string)) ([]Cell, error) {
-	if name == "" {
+// points are those of the experiment, without results.
+func (x *Experiment) points() (points []Point) {
+	values := x.Values
+	if x.Parameter == "" {
 		values = []float64{0}
 	}
-	var cells []Cell
-	for _, p := range policies {
+	for _, p := range x.Policies {
 		for _, v := range values {
-			cells = append(cells, Cell{p, v, make([]*Result, seeds)})
+			points = append(points, Point{p, v, make([]*Result, x.Seeds)})
 		}
 	}
+	return points
+}
+
+// day is that of one value and seed.
+func (x *Experiment) day(value float64, seed int) (*scenario.Day, error) {
+	d := clone(x.Day)
+	d.Seed += uint64(seed)
+	if x.Parameter == "" {
+		return d, nil
+	}
+	return d, Vary(d, x.Parameter, value)
+}
+
+// Sweep plays an experiment. Days run side by side, each on its own; the first error
+// ends all.
+func Sweep(ctx context.Context, x *Experiment) ([]Point, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var tasks sync.WaitGroup
-	places := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var mu sync.Mutex
-	var first error
-	for i := range cells {
-		for k := range seeds {
-			d := clone(day)
-			d.Seed += uint64(k)
-			var err error
-			if name != "" {
-				err = Vary(d, name, cells[i].Value)
-			}
+	s := &sweep{experiment: x, cancel: cancel, points: x.points(), slots: make(chan struct{}, runtime.GOMAXPROCS(0))}
+	for i := range s.points {
+		for seed := range x.Seeds {
+			d, err := x.day(s.points[i].Value, seed)
 			if err != nil {
 				cancel()
-				tasks.Wait()
+				s.tasks.Wait()
 				return nil, err
 			}
-			tasks.Go(func() {
-				places <- struct{}{}
-				defer func() { <-places }()
-				r, err := Run(ctx, d, Options{Policy: cells[i].Policy})
-				mu.Lock()
-				defer mu.Unlock()
-				if err != nil {
-					if first == nil {
-						first = err
-					}
-					cancel()
-					return
-				}
-				cells[i].Results[k] = r
-				if done != nil {
-					done(fmt.Sprintf("%s %s=%v seed %d: served %.4f, in aim %.4f, %d rules broken", cells[i].Policy, name, cells[i].Value, d.Seed,
-						r.Served(), r.InTarget(), len(r.ViolationCounts)))
-				}
-			})
+			s.tasks.Go(func() { s.play(ctx, &s.points[i], seed, d) })
 		}
 	}
-	tasks.Wait()
-	return cells, first
+	s.tasks.Wait()
+	return s.points, s.err
+}
+
+// sweep is an experiment that is being played.
+type sweep struct {
+	experiment *Experiment
+	cancel     context.CancelFunc
+	slots      chan struct{} // holds one element for each day that runs
+	tasks      sync.WaitGroup
+
+	mu     sync.Mutex // over the following, while days run
+	points []Point
+	err    error // the first
+}
+
+// play simulates one day and stores its result.
+func (s *sweep) play(ctx context.Context, p *Point, seed int, d *scenario.Day) {
+	s.slots <- struct{}{}
+	defer func() { <-s.slots }()
+	r, err := Run(ctx, d, Options{Policy: p.Policy})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		if s.err == nil {
+			s.err = err
+		}
+		s.cancel()
+		return
+	}
+	p.Results[seed] = r
+	if s.experiment.Progress != nil {
+		s.experiment.Progress(fmt.Sprintf("%s %s=%v seed %d: served %.4f, in aim %.4f, %d rules broken",
+			p.Policy, s.experiment.Parameter, p.Value, d.Seed, r.Served(), r.InTarget(), len(r.ViolationCounts)))
+	}
 }
 
-// Over returns the mean, least and most of a figure over the cell's seeds.
-func (c *Cell) Over(of func(*Result) float64) (mean, low, high float64) {
+// Over returns the mean, lowest and highest value of a figure over the seeds.
+func (p *Point) Over(figure func(*Result) float64) (mean, low, high float64) {
 	low, high = math.Inf(1), math.Inf(-1)
-	for _, r := range c.Results {
-		v := of(r)
-		mean += v / float64(len(c.Results))
+	for _, r := range p.Results {
+		v := figure(r)
+		mean += v / float64(len(p.Results))
 		low, high = min(low, v), max(high, v)
 	}
 	return mean, low, high
 }
 
-// Quantile is one of the times of answers with success, over all classes, in ms.
+// brokenRules counts the rules broken, over all seeds.
+func (p *Point) brokenRules() (n int) {
+	for _, r := range p.Results {
+		n += len(r.ViolationCounts)
+	}
+	return n
+}
+
+// maxLatencyUs is the longest time of an answer that a histogram keeps, in µs.
+const maxLatencyUs = 60_000_000
+
+// Quantile is the q-th percentile of the times of successful answers, over all classes, in ms.
 func (r *Result) Quantile(q float64) float64 {
-	all := hdrhistogram.New(1, 60_000_000, 3)
+	all := hdrhistogram.New(1, maxLatencyUs, 3)
 	for _, c := range r.Classes {
 		all.Merge(r.Stats[c].Latency)
 	}
 	return float64(all.ValueAtQuantile(q)) / 1000
 }
 
-// Least finds the least factor on the servers' number with which a share of the
-// requests within the quotas is answered within its aim, over all seeds and with
-// no rule broken. It looks between low and high to a tenth.
-func Least(ctx context.Context, day *scenario.Day, policy string, share, low, high float64, seeds int, done func(string)) (float64, error) {
-	holds := func(x float64) (bool, error) {
-		cells, err := Sweep(ctx, day, "servers", []float64{x}, []string{policy}, seeds, nil)
-		if err != nil {
-			return false, err
-		}
-		_, least, _ := cells[0].Over(func(r *Result) float64 { return r.InTarget() })
-		broken := 0
-		for _, r := range cells[0].Results {
-			broken += len(r.ViolationCounts)
-		}
-		if done != nil {
-			done(fmt.Sprintf("%.2f times the servers: %.4f in aim, %d rules broken", x, least, broken))
-		}
-		return least >= share && broken == 0, nil
-	}
-	if ok, err := holds(high); err != nil || !ok {
+// Requirement is what a day's servers must be enough for.
+type Requirement struct {
+	Day       *scenario.Day
+	Policy    string
+	Share     float64 // of the requests within the quotas, to be answered within their target
+	Low, High float64 // factors on the number of servers between which to search
+	Seeds     int     // with each of which it must hold
+	Progress  func(msg string)
+}
+
+// factorStep is how near [MinServerFactor] comes.
+const factorStep = 0.1
+
+// MinServerFactor finds the lowest factor on the number of servers with which the
+// requirement holds, over all seeds and with no rule broken, to within 0.1.
+func MinServerFactor(ctx context.Context, q *Requirement) (float64, error) {
+	low, high := q.Low, q.High
+	if ok, err := q.holds(ctx, high); err != nil || !ok {
 		if err == nil {
 			err = fmt.Errorf("simulation: not even %.2f times the servers are enough", high)
 		}
 		return 0, err
 	}
-	for high-low > 0.1 {
+	for high-low > factorStep {
 		mid := (low + high) / 2
-		ok, err := holds(mid)
+		ok, err := q.holds(ctx, mid)
 		if err != nil {
 			return 0, err
 		}
@@ -184,3 +225,17 @@
 	}
 	return high, nil
 }
+
+func (q *Requirement) holds(ctx context.Context, factor float64) (bool, error) {
+	points, err := Sweep(ctx, &Experiment{Day: q.Day, Parameter: "servers", Values: []float64{factor},
+		Policies: []string{q.Policy}, Seeds: q.Seeds})
+	if err != nil {
+		return false, err
+	}
+	_, lowest, _ := points[0].Over(func(r *Result) float64 { return r.InTarget() })
+	broken := points[0].brokenRules()
+	if q.Progress != nil {
+		q.Progress(fmt.Sprintf("%.2f times the servers: %.4f in aim, %d rules broken", factor, lowest, broken))
+	}
+	return lowest >= q.Share && broken == 0, nil
+}
--- a/lab/simulation/traffic.go
+++ b/lab/simulation/traffic.go
@@ -14,70 +14,73 @@
 // HPACK has in its table.
 const callOverhead = 120
 
-// Traffic is what a limiter sends for control, by kind: counts, and bytes with what
-// is below them. Of a word each part's bytes are counted for themselves.
+// Traffic is what a limiter sends for control, by kind: counts, and bytes with the headers
+// of the protocols below. Of a gossip message the bytes of each section are counted apart.
 type Traffic struct {
-	Words     float64
-	Heads     float64 // of words: who speaks, IP and UDP, and what says nothing else
-	Units     float64 // this limiter's, tenant by tenant, to its group
-	Groups    float64 // who is heard by how many, to other groups
-	Sums      float64 // the group's units, tenant by tenant, to other groups
-	Hints     float64 // loads and answers of servers
-	Demand    float64 // of services
-	Told      float64 // tenants in words, each time that one is told of
-	Beats     float64 // heartbeats
-	BeatBytes float64 // ... and the answers to those of others
+	Messages     float64 // gossip messages
+	Headers      float64 // bytes of the sender, IP and UDP, and of empty sections
+	Units        float64 // bytes of this limiter's usage by tenant, to its group
+	Classes      float64 // bytes of the sharing classes, to other groups
+	GroupUnits   float64 // bytes of the group's usage by tenant, to other groups
+	Hints        float64 // bytes of the loads and answers of servers
+	Demand       float64 // bytes of the demand for services
+	UsageEntries float64 // tenants in messages, counted in each message anew
+
+	Heartbeats     float64
+	HeartbeatBytes float64 // of heartbeats sent, and of the responses to those of others
 }
 
-// WordBytes are the bytes of all words.
-func (t *Traffic) WordBytes() float64 {
-	return t.Heads + t.Units + t.Groups + t.Sums + t.Hints + t.Demand
+// MessageBytes are the bytes of all gossip messages.
+func (t *Traffic) MessageBytes() float64 {
+	return t.Headers + t.Units + t.Classes + t.GroupUnits + t.Hints + t.Demand
 }
 
-// add adds some times another's.
+// add adds x times another's traffic.
 func (t *Traffic) add(o *Traffic, x float64) {
-	t.Words += x * o.Words
-	t.Heads += x * o.Heads
+	t.Messages += x * o.Messages
+	t.Headers += x * o.Headers
 	t.Units += x * o.Units
-	t.Groups += x * o.Groups
-	t.Sums += x * o.Sums
+	t.Classes += x * o.Classes
+	t.GroupUnits += x * o.GroupUnits
 	t.Hints += x * o.Hints
 	t.Demand += x * o.Demand
-	t.Told += x * o.Told
-	t.Beats += x * o.Beats
-	t.BeatBytes += x * o.BeatBytes
+	t.UsageEntries += x * o.UsageEntries
+	t.Heartbeats += x * o.Heartbeats
+	t.HeartbeatBytes += x * o.HeartbeatBytes
 }
 
-// size is a word's length in bytes.
-func size(w *gossip.Message) float64 { return float64(len(w.Append(nil))) }
+// size is the length of an encoded message in bytes.
+func size(m *gossip.Message) float64 { return float64(len(m.Append(nil))) }
 
-// word counts a word of so many bytes, part by part: each is what the word would be
-// shorter without it.
-func (t *Traffic) word(w *gossip.Message, n int) {
-	rest := *w
-	part := func(of *float64, leaveOut func()) {
+// countMessage counts a message section by section: the bytes of a section are what the
+// message is shorter without it.
+func (t *Traffic) countMessage(m *gossip.Message) {
+	rest := *m
+	section := func(bytes *float64, remove func()) {
 		before := size(&rest)
-		leaveOut()
-		*of += before - size(&rest)
+		remove()
+		*bytes += before - size(&rest)
 	}
-	t.Words++
-	t.Told += float64(len(w.Consumed) + len(w.GroupDigest.Consumed))
-	part(&t.Hints, func() { rest.Hints = nil })
-	part(&t.Demand, func() { rest.Demand = nil })
-	part(&t.Units, func() { rest.Consumed = nil })
-	part(&t.Sums, func() { rest.GroupDigest.Consumed = nil })
-	part(&t.Groups, func() { rest.GroupDigest.Classes = nil })
-	t.Heads += size(&rest) + gossip.DatagramOverhead
+	t.Messages++
+	t.UsageEntries += float64(len(m.Consumed) + len(m.GroupDigest.Consumed))
+	section(&t.Hints, func() { rest.Hints = nil })
+	section(&t.Demand, func() { rest.Demand = nil })
+	section(&t.Units, func() { rest.Consumed = nil })
+	section(&t.GroupUnits, func() { rest.GroupDigest.Consumed = nil })
+	section(&t.Classes, func() { rest.GroupDigest.Classes = nil })
+	t.Headers += size(&rest) + gossip.DatagramOverhead
 }
 
-// beat counts a heartbeat.
-func (t *Traffic) beat(b *api.HeartbeatRequest) {
-	t.Beats++
-	t.BeatBytes += encoded(b) + callOverhead
+// countHeartbeat counts a heartbeat.
+func (t *Traffic) countHeartbeat(b *api.HeartbeatRequest) {
+	t.Heartbeats++
+	t.HeartbeatBytes += encoded(b) + callOverhead
 }
 
-// answer counts the answer to one.
-func (t *Traffic) answer(r *api.HeartbeatResponse) { t.BeatBytes += encoded(r) + callOverhead }
+// countResponse counts the response to a heartbeat.
+func (t *Traffic) countResponse(r *api.HeartbeatResponse) {
+	t.HeartbeatBytes += encoded(r) + callOverhead
+}
 
 func encoded(v any) float64 {
 	b, err := cbor.Marshal(v)
@@ -89,6 +92,8 @@
 
 // String says where the bytes of a second go.
 func (t *Traffic) String() string {
-	return fmt.Sprintf("bytes a second and limiter: words %.0f (heads %.0f, units %.0f, groups %.0f, sums %.0f, hints %.0f, demand %.0f; %.0f tenants told), heartbeats %.0f",
-		t.WordBytes(), t.Heads, t.Units, t.Groups, t.Sums, t.Hints, t.Demand, t.Told, t.BeatBytes)
+	return fmt.Sprintf("bytes a second and limiter: words %.0f (heads %.0f, units %.0f, groups %.0f, sums %.0f, "+
+		"hints %.0f, demand %.0f; %.0f tenants told), heartbeats %.0f",
+		t.MessageBytes(), t.Headers, t.Units, t.Classes, t.GroupUnits,
+		t.Hints, t.Demand, t.UsageEntries, t.HeartbeatBytes)
 }
