--- a/dataplane/limiter/downloads_test.go
+++ b/dataplane/limiter/downloads_test.go
@@ -45,7 +45,7 @@
 	if start, _ = l.GrantSlots(at); len(start) != 1 || start[0] != b {
 		t.Fatalf("at its time %d may go", len(start))
 	}
-	if start, at = l.GrantSlots(at + 10*typicalMs); len(start) != 1 || start[0] != c {
+	if start, at = l.GrantSlots(at + 10*initialTypicalMs); len(start) != 1 || start[0] != c {
 		t.Errorf("behind a server that is stuck %d may go, again at %v", len(start), at)
 	}
 	for _, f := range []*RequestState{a, b, c} {
@@ -64,7 +64,7 @@
 	for range 30 {
 		f := flight(0, 2500)
 		switch ok, wait, refused := f.AcquireSlot(0); {
-		case refused && wait < leastAgain:
+		case refused && wait < minRetryAfterMs:
 			t.Errorf("come back after %v ms", wait)
 		case refused:
 			refusals++
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -1,8 +1,11 @@
-// Package limiter holds the decisions of one limiter: whether a tenant's quota
-// lets a request through, which server gets it, whether a further try may be
-// made, and what other limiters are told. It does no I/O, reads no clock and
-// starts no goroutine: the gateway hosts it on sockets, the simulation on a
-// clock of its own. Times are in milliseconds on the host's steady clock.
+// Package limiter makes the decisions of one limiter: whether a tenant's quota admits a
+// request, which server gets it, whether it may be retried or hedged, when a download may
+// use a small link, and what is sent to peers.
+//
+// It does no I/O, reads no clock and starts no goroutine: the gateway hosts it on sockets,
+// the simulation on a clock of its own. Times are milliseconds on the host's steady clock.
+// For each request a host calls Admit, AccrueRetryBudget, StartRequest, then the methods of
+// [RequestState]; it calls Tick every TickMs.
 package limiter
 
 import (
@@ -13,41 +16,42 @@
 )
 
 const (
-	// Further tries that reach a server are saved up for: so many for each request, up
-	// to a most. All limiters' shares together stay within the operator's budget: below
-	// its ratio, and each saves up its part of the slack alone.
-	retryShare = 0.15
-	retryPart  = 0.75 // of the operator's ratio
-	retryMost  = 10.0
-	slackPart  = 0.6 // of the operator's slack
-
-	// A repeatable request whose answer takes hedgeAfter times the typical one is sent
-	// to a second server too, where one is free and the aim can still be met.
-	hedgeAfter = 2.6
-	hedgeRoom  = 0.5 // of the typical time must be left to the aim
-	lateAfter  = 3.0 // times what is typical of a server: it speaks against it
+	// Retries that reach a server come out of a budget: each request adds to it, up to a
+	// maximum. The budgets of all limiters together stay within the operator's: below its
+	// ratio, and each limiter has its own part of the slack.
+	retryBudgetPerRequest = 0.15
+	operatorRatioShare    = 0.75 // of the operator's ratio that a request adds at most
+	maxRetryBudget        = 10.0
+	operatorSlackShare    = 0.6 // of the operator's slack that all limiters use together
+
+	// An idempotent request whose response takes hedgeFactor times the typical time is sent to
+	// a second server too, where one is idle and the latency target can still be met.
+	hedgeFactor   = 2.6
+	hedgeReserve  = 0.5 // of the typical time that must be left until the target
+	overdueFactor = 3.0 // times the server's typical time: a missing response counts against it
 )
 
-// Config is what a limiter is.
+// Config is the identity and the limits of a limiter.
 type Config struct {
 	Self        uint64 // hash of its name
-	Incarnation uint64 // this start of it
+	Incarnation uint64 // differs for each start of the limiter
 	Zone        string
 	Seed        uint64
-	// The operator's budget of further tries over all limiters; 0: none is set.
+	// The operator's retry budget over all limiters; 0: none is set.
 	RetryRatio, RetrySlack float64
-	// The machine's link in bytes a second, where long answers can fill it; 0: they can't.
+	// The machine's link in bytes a second, where downloads can fill it; 0: they can't.
 	LinkBytesPerSecond float64
 	GossipBudget       gossip.Budget
 }
 
-// Limiter is one limiter. It is not safe for concurrent use.
+// Limiter holds the decision state of one limiter. It is not safe for concurrent use: the
+// host's lock guards it, and the RequestStates that it starts.
 type Limiter struct {
 	cfg         Config
 	quota       *quota.Enforcer
 	balance     *balance.Set
 	gossip      *gossip.Disseminator
-	retryBudget map[string]float64 // further tries saved up, by service
+	retryBudget map[string]float64 // retries that may be made, by service
 	peers       map[uint64]bool
 	downloads   downloadScheduler
 }
@@ -55,28 +59,36 @@
 // New returns a limiter that starts now.
 func New(now float64, cfg Config) *Limiter {
 	self := quota.Member{ID: cfg.Self, Zone: cfg.Zone}
-	return &Limiter{cfg: cfg, quota: quota.New(now, self), balance: balance.New(cfg.Zone, cfg.Self, cfg.Seed),
-		gossip: gossip.NewDisseminator(self, cfg.Incarnation, cfg.GossipBudget), retryBudget: map[string]float64{}, peers: map[uint64]bool{},
-		downloads: newDownloadScheduler(cfg.LinkBytesPerSecond / 1000)}
+	return &Limiter{
+		cfg:         cfg,
+		quota:       quota.New(now, self),
+		balance:     balance.New(cfg.Zone, cfg.Self, cfg.Seed),
+		gossip:      gossip.NewDisseminator(self, cfg.Incarnation, cfg.GossipBudget),
+		retryBudget: map[string]float64{},
+		peers:       map[uint64]bool{},
+		downloads:   newDownloadScheduler(cfg.LinkBytesPerSecond / 1000),
+	}
 }
 
-// SetPlans replaces the tenants' quotas of a configuration, by the hashes of their names.
+// SetPlans replaces the quotas of all tenants, by [quota.TenantID].
 func (l *Limiter) SetPlans(now float64, plans map[uint64]quota.Plan) { l.quota.SetPlans(now, plans) }
 
-// ChangePlans takes over the quotas that a new configuration changes.
-func (l *Limiter) ChangePlans(now float64, put map[uint64]quota.Plan, gone []uint64) {
-	l.quota.ChangePlans(now, put, gone)
+// ChangePlans applies the quotas that a new configuration adds or changes, and removes those
+// of tenants that no longer exist.
+func (l *Limiter) ChangePlans(now float64, put map[uint64]quota.Plan, removed []uint64) {
+	l.quota.ChangePlans(now, put, removed)
 }
 
-// ChangeServers takes over servers that are new or not as they were, and which are gone.
-func (l *Limiter) ChangeServers(now float64, put []api.Server, gone []string) {
-	l.balance.ApplyDelta(now, put, gone)
+// ChangeServers puts servers that are new or changed, and removes others by their ids.
+func (l *Limiter) ChangeServers(now float64, put []api.Server, removed []string) {
+	l.balance.ApplyDelta(now, put, removed)
 }
 
-// SetServers replaces a whole list of servers.
+// SetServers replaces the list of servers.
 func (l *Limiter) SetServers(now float64, list []api.Server) { l.balance.SetServers(now, list) }
 
-// SetPeers replaces which other limiters there are.
+// SetPeers replaces the list of the other limiters. The quota comes first: its grouping level
+// decides whom gossip is sent to.
 func (l *Limiter) SetPeers(now float64, peers []quota.Member) {
 	var zone []uint64
 	clear(l.peers)
@@ -91,101 +103,102 @@
 	l.gossip.SetPeers(peers, l.quota.Level())
 }
 
-// Admit takes one unit of a tenant's quota, or tells when to come back.
+// Admit takes one unit of a tenant's quota. If there is none it returns false, and the time
+// after which the client should come back.
 func (l *Limiter) Admit(now float64, tenant uint64) (waitMs float64, ok bool) {
 	return l.quota.Admit(now, tenant)
 }
 
-// AccrueRetryBudget counts a request to a service toward the further tries that may be made.
+// AccrueRetryBudget adds a request to the retry budget of its service.
 func (l *Limiter) AccrueRetryBudget(service string) {
-	share, most := retryShare, retryMost
+	perRequest, limit := retryBudgetPerRequest, maxRetryBudget
 	if l.cfg.RetryRatio > 0 {
-		share = min(share, retryPart*l.cfg.RetryRatio)
+		perRequest = min(perRequest, operatorRatioShare*l.cfg.RetryRatio)
 	}
 	if l.cfg.RetrySlack > 0 {
-		most = max(1, min(most, slackPart*l.cfg.RetrySlack/float64(len(l.peers)+1)))
+		limit = max(1, min(limit, operatorSlackShare*l.cfg.RetrySlack/float64(len(l.peers)+1)))
 	}
-	saved, begun := l.retryBudget[service]
-	if !begun {
-		saved = 1 // one that has just started can make up for one server's refusal
+	budget, started := l.retryBudget[service]
+	if !started {
+		budget = 1 // a limiter that has just started can make up for one server's refusal
 	}
-	l.retryBudget[service] = min(most, saved+share)
+	l.retryBudget[service] = min(limit, budget+perRequest)
 }
 
-// choose takes a server for a request, nil where none will do: waitMs is then
-// when to come back. A further try, of what has reached a server before, comes
-// out of what was saved up.
-func (l *Limiter) choose(now float64, r balance.Request, further bool) (m *balance.Member, waitMs float64) {
-	if further && l.retryBudget[r.Service] < 1 {
+// choose takes a server for an attempt. It returns nil if there is none; waitMs is then the
+// time after which the client should come back. A retry of a request that has reached a
+// server, or a hedge, comes out of the retry budget.
+func (l *Limiter) choose(now float64, r balance.Request, retry bool) (m *balance.Member, waitMs float64) {
+	if retry && l.retryBudget[r.Service] < 1 {
 		return nil, 0
 	}
 	m, waitMs = l.balance.Choose(now, r)
 	if m == nil {
 		return nil, waitMs
 	}
-	if further {
+	if retry {
 		l.retryBudget[r.Service]--
 	}
 	l.balance.StartAttempt(m)
 	return m, 0
 }
 
-// FinishAttempt notes how a try ended.
+// FinishAttempt notes how an attempt at a server ended.
 func (l *Limiter) FinishAttempt(now float64, m *balance.Member, r balance.Result, tookMs float64) {
 	l.balance.FinishAttempt(now, m, r, tookMs)
 }
 
-// UnreachableZones lists the zones whose servers are passed over.
+// UnreachableZones lists the zones whose servers are not chosen.
 func (l *Limiter) UnreachableZones(now float64) []string { return l.balance.UnreachableZones(now) }
 
-// ObserveOverdue notes that a server owes an answer for longer than is usual.
+// ObserveOverdue notes that a response of a server is missing for longer than usual.
 func (l *Limiter) ObserveOverdue(now float64, m *balance.Member) { l.balance.ObserveOverdue(now, m) }
 
-// hedgeMs is after what time a second server is tried beside the first, for a
-// request with an aim (0: none); false where that is of no use.
-func (l *Limiter) hedgeMs(service string, aimMs float64) (float64, bool) {
+// hedgeMs is the time after which a request with a latency target (0: none) is sent to a
+// second server too; false: it is not.
+func (l *Limiter) hedgeMs(service string, targetMs float64) (float64, bool) {
 	typical := l.balance.TypicalMs(service)
-	wait := hedgeAfter * typical
-	return wait, typical > 0 && (aimMs == 0 || wait+hedgeRoom*typical < aimMs)
+	wait := hedgeFactor * typical
+	return wait, typical > 0 && (targetMs == 0 || wait+hedgeReserve*typical < targetMs)
 }
 
-// Tick hands out the words to other limiters that are due. The host calls it
-// every [Limiter.TickMs].
-func (l *Limiter) Tick(now float64, send func(to uint64, w *gossip.Message)) {
+// Tick hands out the gossip messages that are due. The host calls it every [Limiter.TickMs].
+func (l *Limiter) Tick(now float64, send func(to uint64, m *gossip.Message)) {
 	l.gossip.Tick(now, l.quota, l.balance, send)
 }
 
 // TickMs is how often the host is to call [Limiter.Tick].
 func (l *Limiter) TickMs() float64 { return l.gossip.TickMs() }
 
-// Receive takes in a word of another limiter. A stranger's is passed over: false.
-func (l *Limiter) Receive(now float64, w *gossip.Message) (known bool) {
-	if !l.peers[w.From] {
+// Receive takes in a gossip message. It returns false, and ignores the message, if the sender
+// is not a known peer.
+func (l *Limiter) Receive(now float64, m *gossip.Message) (known bool) {
+	if !l.peers[m.From] {
 		return false
 	}
-	if w.GroupDigest.Level > 0 {
-		l.quota.ReceiveDigest(now, w.From, w.Incarnation, w.AgeMs, w.GroupDigest)
+	if m.GroupDigest.Level > 0 {
+		l.quota.ReceiveDigest(now, m.From, m.Incarnation, m.AgeMs, m.GroupDigest)
 	} else {
-		l.quota.ReceiveUsage(now, w.From, w.Incarnation, w.AgeMs, w.LiveSet, w.Consumed)
+		l.quota.ReceiveUsage(now, m.From, m.Incarnation, m.AgeMs, m.LiveSet, m.Consumed)
 	}
-	l.balance.ReceiveHints(now, w.From, w.Hints)
-	l.balance.ReceiveDemand(w.From, w.Demand)
+	l.balance.ReceiveHints(now, m.From, m.Hints)
+	l.balance.ReceiveDemand(m.From, m.Demand)
 	return true
 }
 
-// QuotaShare is the share of the quotas that this limiter may use.
+// QuotaShare is the share of each quota that this limiter may use, from 0 to 1.
 func (l *Limiter) QuotaShare(now float64) float64 { return l.quota.Share(now) }
 
-// ReportStaleConnection has others told that a server had forgotten a connection of an age
-// (connpool's group): requests that must not run twice then avoid such ones.
+// ReportStaleConnection has peers told that a server had closed an idle connection of an age
+// group of connpool without notice: requests that must not run twice then avoid such ones.
 func (l *Limiter) ReportStaleConnection(now float64, age int) {
 	l.gossip.ReportStaleConnection(now, age)
 }
 
-// PeerCount is how many other limiters there are; Targets how many of them are told something.
+// PeerCount is the number of other limiters.
 func (l *Limiter) PeerCount() int { return len(l.peers) }
 
-// GossipRecipients is how many of the others this limiter sends words.
+// GossipRecipients is the number of peers that this limiter sends gossip to.
 func (l *Limiter) GossipRecipients() int { return l.gossip.Recipients() }
 
 // Members returns the servers of all services, by id.
--- a/dataplane/limiter/request.go
+++ b/dataplane/limiter/request.go
@@ -5,73 +5,79 @@
 	"example.org/elmspan/dataplane/balance"
 )
 
-// Request is what the course of a request depends on. Times are in
-// milliseconds on the host's clock.
+// Request is what the lifecycle of a request depends on. Times are in milliseconds on the
+// host's steady clock.
 type Request struct {
 	Service     string
 	Route       string
-	Bulk        bool // a large answer
-	Idempotent  bool // it may run more than once
-	Buffered    bool // its body is there in full and can be sent again
-	MaxAttempts int  // servers that it may be sent to
-	ArrivedMs   float64
-	DeadlineMs  float64
-	TargetMs    float64 // to be answered within; 0: none
+	Bulk        bool    // a download: its response can fill a small link
+	Idempotent  bool    // it may run more than once
+	Buffered    bool    // its body is here in full and can be sent again
+	MaxAttempts int     // attempts at servers; below 1: one
+	ArrivedMs   float64 // time of arrival
+	DeadlineMs  float64 // time when the client gives up
+	TargetMs    float64 // latency target from ArrivedMs on; 0: none
 }
 
-// RequestState is the course of one request to servers: one after the other, or a
-// second one beside the first where that is slow.
+// RequestState is the lifecycle of one request: attempts at servers one after the other, or
+// a second one beside the first where that is slow (a hedge). It shares its limiter's state:
+// the lock that guards the limiter guards it too.
 type RequestState struct {
-	l        *Limiter
-	r        Request
-	choice   balance.Request
+	limiter  *Limiter
+	request  Request
+	choice   balance.Request // of the next server
 	attempts attempt.Tracker
-	sentAt   float64 // for a long answer; see [Flight.Berth]
+	sentAt   float64 // when a download was requested from a server; see AcquireSlot
 }
 
-// StartRequest begins the course of a request that was admitted.
+// StartRequest begins the lifecycle of a request that was admitted.
 func (l *Limiter) StartRequest(r Request) *RequestState {
 	r.MaxAttempts = max(1, r.MaxAttempts)
-	return &RequestState{l: l, r: r, choice: balance.Request{Service: r.Service, Bulk: r.Bulk, NonIdempotent: !r.Idempotent},
-		attempts: attempt.Tracker{Idempotent: r.Idempotent}}
+	return &RequestState{
+		limiter:  l,
+		request:  r,
+		choice:   balance.Request{Service: r.Service, Bulk: r.Bulk, NonIdempotent: !r.Idempotent},
+		attempts: attempt.Tracker{Idempotent: r.Idempotent},
+	}
 }
 
-// AllowsHedge tells whether two servers may have the request at the same time. Two
-// long answers on a link that one can fill would only make both late.
-func (f *RequestState) AllowsHedge() bool {
-	return f.r.Idempotent && f.r.Buffered && f.r.MaxAttempts > 1 && !(f.r.Bulk && f.l.downloads.bytesPerMs > 0)
+// AllowsHedge tells whether two servers may have the request at the same time. Two downloads
+// on a link that one can fill would only make both late.
+func (s *RequestState) AllowsHedge() bool {
+	r := &s.request
+	return r.Idempotent && r.Buffered && r.MaxAttempts > 1 && !(r.Bulk && s.limiter.downloads.bytesPerMs > 0)
 }
 
-// StartAttempt takes a server for one more try, nil where there is none. Where the
-// request was never sent, waitMs tells when to come back: it is refused.
-func (f *RequestState) StartAttempt(now float64, hedge bool) (m *balance.Member, waitMs float64, refused bool) {
-	left := f.r.DeadlineMs - now
-	if left <= 0 || f.attempts.Started() >= f.r.MaxAttempts {
+// StartAttempt chooses a server for one more attempt; nil: there is none. A request that was
+// never sent is then refused, and waitMs tells when the client should come back.
+func (s *RequestState) StartAttempt(now float64, hedge bool) (m *balance.Member, waitMs float64, refused bool) {
+	left := s.request.DeadlineMs - now
+	if left <= 0 || s.attempts.Started() >= s.request.MaxAttempts {
 		return nil, 0, false
 	}
-	// A queue that is longer than the aim allows serves nobody better: what is beyond
-	// is told at once to come back.
-	if aim := f.r.ArrivedMs + f.r.TargetMs - now; f.r.TargetMs > 0 && aim > 0 {
-		left = min(left, aim)
-	} else if f.r.TargetMs > 0 {
+	// A queue at a server that is longer than the latency target allows serves nobody better:
+	// clients beyond it are told at once to come back.
+	if untilTarget := s.request.ArrivedMs + s.request.TargetMs - now; s.request.TargetMs > 0 && untilTarget > 0 {
+		left = min(left, untilTarget)
+	} else if s.request.TargetMs > 0 {
 		left /= 2
 	}
-	f.choice.RemainingMs, f.choice.IdleOnly = left, hedge
-	further := f.attempts.ReachedServer() || hedge // what reaches a server once more comes out of what was saved up
-	m, waitMs = f.l.choose(now, f.choice, further)
+	s.choice.RemainingMs, s.choice.IdleOnly = left, hedge
+	retry := s.attempts.ReachedServer() || hedge // may load a server once more: it needs retry budget
+	m, waitMs = s.limiter.choose(now, s.choice, retry)
 	if m == nil {
-		return nil, waitMs, !further
+		return nil, waitMs, !retry
 	}
-	f.recordSent(now)
-	f.choice.Attempted = append(f.choice.Attempted, m)
-	f.attempts.Start()
+	s.recordSent(now)
+	s.choice.Attempted = append(s.choice.Attempted, m)
+	s.attempts.Start()
 	return m, 0, false
 }
 
-// Next is what follows on the end of a try.
+// Next is what follows on the end of an attempt.
 type Next = attempt.Next
 
-// What follows.
+// What can follow; see package attempt.
 const (
 	Deliver = attempt.Deliver
 	Wait    = attempt.Wait
@@ -79,30 +85,30 @@
 	GiveUp  = attempt.GiveUp
 )
 
-// FinishAttempt notes how a try ended; see [attempt.Tracker.Finish].
-func (f *RequestState) FinishAttempt(result balance.Result, ran, answered, started bool) Next {
-	return f.attempts.Finish(result, ran, answered, started)
+// FinishAttempt notes how an attempt ended and tells what follows; see [attempt.Tracker.Finish].
+func (s *RequestState) FinishAttempt(result balance.Result, ran, answered, started bool) Next {
+	return s.attempts.Finish(result, ran, answered, started)
 }
 
-// FinalStatus is the status of the final answer where no server gave one; see
+// FinalStatus is the status of the final response where no server gave one; see
 // [attempt.Tracker.FinalStatus].
-func (f *RequestState) FinalStatus(now float64) int {
-	return f.attempts.FinalStatus(now >= f.r.DeadlineMs)
+func (s *RequestState) FinalStatus(now float64) int {
+	return s.attempts.FinalStatus(now >= s.request.DeadlineMs)
 }
 
-// HedgeDelayMs is after what time a second server is tried beside the first; false
-// where that is of no use.
-func (f *RequestState) HedgeDelayMs() (float64, bool) {
-	if !f.AllowsHedge() {
+// HedgeDelayMs is the time after which a second attempt is started beside the first; false:
+// none is.
+func (s *RequestState) HedgeDelayMs() (float64, bool) {
+	if !s.AllowsHedge() {
 		return 0, false
 	}
-	return f.l.hedgeMs(f.r.Service, f.r.TargetMs)
+	return s.limiter.hedgeMs(s.request.Service, s.request.TargetMs)
 }
 
-// OverdueAfterMs is after what time an answer that has not come speaks against its server;
-// false where that can't be said.
-func (f *RequestState) OverdueAfterMs(now float64, m *balance.Member) (float64, bool) {
-	typical := f.l.balance.TypicalMs(f.r.Service)
-	// A long answer may wait for the link.
-	return lateAfter * typical * m.Slowness(now), typical > 0 && !f.r.Bulk
+// OverdueAfterMs is the time after which a missing response counts against its server; false:
+// it never does.
+func (s *RequestState) OverdueAfterMs(now float64, m *balance.Member) (float64, bool) {
+	typical := s.limiter.balance.TypicalMs(s.request.Service)
+	// A download may be waiting for the link.
+	return overdueFactor * typical * m.Slowness(now), typical > 0 && !s.request.Bulk
 }
