--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -116,8 +116,9 @@
 func limiterConfig(cfg *settings.Node, o Options, self, incarnation uint64, downlink *link.Pacer) limiter.Config {
 	return limiter.Config{
 		Self: self, Incarnation: incarnation, Zone: cfg.Zone, Seed: o.Seed,
-		RetryRatio: cfg.Timing.RetryRatio, RetrySlack: cfg.Timing.RetrySlack, LinkBytesPerSecond: downlink.BulkBytesPerS(),
-		GossipBudget: o.Link.GossipBudget(cfg.Limits.LinkMbps, cfg.Limits.CPUShare),
+		RetryRatio: cfg.Timing.RetryRatio, RetrySlack: cfg.Timing.RetrySlack,
+		LinkBytesPerSecond: downlink.BulkBytesPerS(),
+		GossipBudget:       o.Link.GossipBudget(cfg.Limits.LinkMbps, cfg.Limits.CPUShare),
 	}
 }
 
--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -16,11 +16,13 @@
 type lifecycle struct {
 	forwarder *forwarder
 	request   *request
-	state     *limiter.RequestState // guarded by guardedLimiter.mu where its methods read or change the limiter
-	ended     chan *upstreamAttempt
-	running   []*upstreamAttempt
-	failure   *response // the last failure of a server's
-	granted   chan struct{}
+	// state decides. What reads or changes the limiter (servers, slots, hedge times) is called under guardedLimiter.mu;
+	// the rest belongs to this goroutine.
+	state   *limiter.RequestState
+	ended   chan *upstreamAttempt
+	running []*upstreamAttempt
+	failure *response     // the last failure of a server's
+	granted chan struct{} // closed when a download has its slot; nil: it doesn't wait for one
 }
 
 // upstreamAttempt is an attempt at one server.
