--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -31,35 +31,35 @@
 }
 
 // script drives one Limiter by hand.
-type script struct {
+type limiterDriver struct {
 	t   *testing.T
 	l   *Limiter
 	now float64
 	n   int
 }
 
-func newScript(t *testing.T, s Settings, servers ...ServerInfo) *script {
+func newLimiterDriver(t *testing.T, s Settings, servers ...ServerInfo) *limiterDriver {
 	t.Helper()
 	l, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc := &script{t: t, l: l, now: 1000}
+	sc := &limiterDriver{t: t, l: l, now: 1000}
 	sc.do(Endpoints{Scope: Persisted, Servers: servers})
 	return sc
 }
 
-func fleet(n int) (s []ServerInfo) {
+func testServers(n int) (s []ServerInfo) {
 	for i := range n {
 		s = append(s, ServerInfo{ID: uint64(i + 1), Cell: i % 2, Zone: i % 2, Weight: 1})
 	}
 	return s
 }
 
-func (s *script) do(e Event) []Action { return append([]Action(nil), s.l.Handle(s.now, e)...) }
+func (s *limiterDriver) do(e Event) []Action { return append([]Action(nil), s.l.Handle(s.now, e)...) }
 
 // submit hands in a request and returns its id and the answer.
-func (s *script) submit(e Submit) (string, Action) {
+func (s *limiterDriver) submit(e Submit) (string, Action) {
 	s.n++
 	e.ID = fmt.Sprint("r", s.n)
 	if e.TimeoutMs == 0 {
@@ -75,7 +75,7 @@
 }
 
 // answer returns the one action among acts that concerns a request.
-func (s *script) answer(acts []Action) (got Action) {
+func (s *limiterDriver) answer(acts []Action) (got Action) {
 	s.t.Helper()
 	for _, a := range acts {
 		switch a.(type) {
@@ -89,14 +89,14 @@
 	return got
 }
 
-func (s *script) outcome(id string, try int, server uint64, r Result) Action {
+func (s *limiterDriver) outcome(id string, try int, server uint64, r Result) Action {
 	s.t.Helper()
 	return s.answer(s.do(Outcome{ID: id, Attempt: try, Server: server, Result: r, LatencyMs: 20, Final: r == Success,
 		Load: Load{Busy: -1, Pending: -1, ServiceMs: -1}}))
 }
 
 // pass serves a request that must have been passed on.
-func (s *script) pass(id string, a Action) {
+func (s *limiterDriver) pass(id string, a Action) {
 	s.t.Helper()
 	p, ok := a.(StartAttempt)
 	if !ok {
@@ -106,7 +106,7 @@
 }
 
 // admit counts how many of n requests pass, each served at once.
-func (s *script) admit(n int, e Submit) (passed int) {
+func (s *limiterDriver) admit(n int, e Submit) (passed int) {
 	for range n {
 		if id, a := s.submit(e); a != nil {
 			if _, ok := a.(StartAttempt); ok {
@@ -118,7 +118,7 @@
 	return passed
 }
 
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettingIsNamed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"balancers":       func(s *Settings) { s.Balancers = 0 },
 		"position":        func(s *Settings) { s.Position = 2 },
@@ -137,8 +137,8 @@
 	}
 }
 
-func TestBucket(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestTokenBucketAdmitsBurstAndRate(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	if got := s.admit(40, Submit{}); got != 20 {
 		t.Errorf("a full bucket of 20 let %d through", got)
 	}
@@ -160,7 +160,7 @@
 }
 
 // peer encodes what a peer of this age says of customer 0.
-func peerSays(ageMs float64, seq, spentUnits uint64, flags byte, level float64) PeerMessage {
+func peerReport(ageMs float64, seq, spentUnits uint64, flags byte, level float64) PeerMessage {
 	m := peerMessage{flags: flags, incarnation: 77, seq: seq, ageMs: uint64(ageMs)}
 	m.entries = []peerEntry{{spread: 2, spent: spentUnits * unitScale, level: int64(level * unitScale)}}
 	data, _ := m.encode()
@@ -168,7 +168,7 @@
 }
 
 // peerAnswers encodes the answer of a peer of this age: levels below full.
-func peerAnswers(ageMs float64, levels ...float64) PeerMessage {
+func peerLevels(ageMs float64, levels ...float64) PeerMessage {
 	m := peerMessage{flags: flagLevelUpdate | flagLevelsResponse, ageMs: uint64(ageMs)}
 	for _, level := range levels {
 		m.entries = append(m.entries, peerEntry{level: int64(level * unitScale)})
@@ -177,19 +177,19 @@
 	return PeerMessage{From: 1, Data: data}
 }
 
-func TestPeerSpending(t *testing.T) {
+func TestPeerReportsDrawFromTheBalance(t *testing.T) {
 	both := Submit{Spread: 2}
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	s.now += 5000 // the burst has filled meanwhile
 	s.admit(1, both)
-	s.do(peerSays(5000, 1, 30, 0, 0))
+	s.do(peerReport(5000, 1, 30, 0, 0))
 	if got := s.admit(30, both); got != 0 {
 		t.Errorf("balance 20-1-30 let %d through", got)
 	}
-	s.do(peerSays(5000, 1, 30, 0, 0)) // repeated
-	s.do(peerSays(5000, 3, 31, 0, 0)) // one lost before it
-	s.do(peerSays(5000, 2, 29, 0, 0)) // late
-	s.now += 1700                     // refill repays the debt of 12, 5 are left
+	s.do(peerReport(5000, 1, 30, 0, 0)) // repeated
+	s.do(peerReport(5000, 3, 31, 0, 0)) // one lost before it
+	s.do(peerReport(5000, 2, 29, 0, 0)) // late
+	s.now += 1700                       // refill repays the debt of 12, 5 are left
 	if got := s.admit(30, both); got != 5 {
 		t.Errorf("after the debt was repaid %d passed, want 5", got)
 	}
@@ -197,7 +197,7 @@
 	for _, bad := range [][]byte{nil, {1, 2}, []byte("foreign message, quite long"), {peerMagic, 9, 0, 1, 1, 1, 1, 1, 1}} {
 		s.do(PeerMessage{From: 1, Data: bad})
 	}
-	s.do(PeerMessage{From: 9, Data: peerSays(0, 9, 50, 0, 0).Data})
+	s.do(PeerMessage{From: 9, Data: peerReport(0, 9, 50, 0, 0).Data})
 	if s.l.customers[0].balance != before {
 		t.Error("a message that is not sound changed the balance")
 	}
@@ -206,25 +206,25 @@
 // An unseen customer starts with the burst split over its gateways; the rest
 // is released when the peers have answered, and only what they have not told
 // of. Found as a loss of the cheap plans: the held part never came back.
-func TestUnseenCustomer(t *testing.T) {
+func TestNewCustomerStartsWithItsPartOfTheBurst(t *testing.T) {
 	both := Submit{Spread: 2}
-	s := newScript(t, testSettings(), fleet(4)...)
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	if got := s.admit(40, both); got != 10 {
 		t.Errorf("split of 20 over two let %d through", got)
 	}
-	s.do(peerAnswers(1)) // an answer that tells of nobody
+	s.do(peerLevels(1)) // an answer that tells of nobody
 	if got := s.admit(40, both); got != 10 {
 		t.Errorf("after the peer's answer %d more passed, want 10", got)
 	}
-	s = newScript(t, testSettings(), fleet(4)...)
-	s.do(peerAnswers(90000, 3)) // an older peer knows the level
+	s = newLimiterDriver(t, testSettings(), testServers(4)...)
+	s.do(peerLevels(90000, 3)) // an older peer knows the level
 	if got := s.admit(40, both); got != 3 {
 		t.Errorf("told a level of 3, %d passed", got)
 	}
 }
 
-func TestRestartedGatewayAsks(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestStartingLimiterRequestsLevels(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	var asked bool
 	for _, a := range s.do(TimerFired{Name: "tick"}) {
 		if tell, ok := a.(SendPeer); ok {
@@ -251,8 +251,8 @@
 	}
 }
 
-func TestAtOnce(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestAttemptsInFlightAreLimited(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	id, a := s.submit(Submit{Plan: 2})
 	s.submit(Submit{Plan: 2})
 	if _, c := s.submit(Submit{Plan: 2}); c == nil {
@@ -268,10 +268,10 @@
 	}
 }
 
-func TestTrueUp(t *testing.T) {
+func TestSettledUnitsCorrectTheBalance(t *testing.T) {
 	cfg := testSettings()
 	cfg.TrueUp = true
-	s := newScript(t, cfg, fleet(4)...)
+	s := newLimiterDriver(t, cfg, testServers(4)...)
 	id, a := s.submit(Submit{})
 	s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true, SettledUnits: 25})
 	if got := s.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
@@ -280,7 +280,7 @@
 }
 
 // Rule 2 and the final answers, as a table of outcome and class.
-func TestFurtherAttempts(t *testing.T) {
+func TestRetriesByIdempotencyAndResult(t *testing.T) {
 	const again, refuse, fail = "again", "refuse", "fail"
 	for _, c := range []struct {
 		class  int
@@ -293,7 +293,7 @@
 		{2, Rejected, again}, {2, ConnectFailed, again}, {2, NotSent, again},
 		{3, ServerError, again},
 	} {
-		s := newScript(t, testSettings(), fleet(4)...)
+		s := newLimiterDriver(t, testSettings(), testServers(4)...)
 		id, a := s.submit(Submit{Class: c.class})
 		first := a.(StartAttempt).Server
 		got := s.outcome(id, 0, first, c.result)
@@ -323,14 +323,14 @@
 	}
 }
 
-func TestKeyedWindowAndGroup(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestKeyedRetryStaysInDedupWindowAndScope(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	id, a := s.submit(Submit{Class: 1, TimeoutMs: 1900})
 	s.now += 1001 // past the window
 	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
 		t.Errorf("a keyed request past its window: %#v, want Fail", got)
 	}
-	s = newScript(t, testSettings(), fleet(2)...) // one server a cell
+	s = newLimiterDriver(t, testSettings(), testServers(2)...) // one server a cell
 	id, a = s.submit(Submit{Class: 1})
 	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
 		t.Errorf("no other server in the cell: %#v, want Fail", got)
@@ -342,8 +342,8 @@
 	}
 }
 
-func TestDeadline(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestNoRetryAfterDeadline(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	id, a := s.submit(Submit{TimeoutMs: 300})
 	s.now += 300
 	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, TimedOut).(Fail); !ok {
@@ -354,8 +354,8 @@
 	}
 }
 
-func TestDrain(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
+func TestDrainingServersGetNoRequests(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 1, Phase: Draining}}})
 	for range 10 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
@@ -384,10 +384,10 @@
 
 // A cold server gets no more than its warmth times what a warm one gets, and
 // one request a window where there is none to compare with.
-func TestColdServer(t *testing.T) {
-	f := fleet(4)
+func TestSlowStartLimitsAServer(t *testing.T) {
+	f := testServers(4)
 	f[0].ReadyAt = 999
-	s := newScript(t, testSettings(), f...)
+	s := newLimiterDriver(t, testSettings(), f...)
 	sent := map[uint64]int{}
 	for range 50 {
 		s.now += 20
@@ -407,15 +407,15 @@
 	if sent[1] == 0 || sent[1] > sent[2]/3 {
 		t.Errorf("cold server got %d, warm ones %d %d %d", sent[1], sent[2], sent[3], sent[4])
 	}
-	s = newScript(t, testSettings(), f[0])
+	s = newLimiterDriver(t, testSettings(), f[0])
 	if n := s.admit(200, Submit{Plan: 3}); n > 2 {
 		t.Errorf("the only server is cold and got %d requests at once", n)
 	}
 }
 
 // The gateways' shares of a ceiling never exceed it, whatever is lost.
-func TestCeilingShare(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestEscrowStaysWithinItsPart(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	plan := testSettings().Plans[1]
 	start := s.now
 	s.now += 1e6
@@ -430,14 +430,14 @@
 	if most := (plan.HardBurst + plan.HardRate*(s.now-begin)/1000) / 2; float64(spent) > most {
 		t.Errorf("passed %d, this gateway's half is %g", spent, most)
 	}
-	s = newScript(t, testSettings(), fleet(4)...)
+	s = newLimiterDriver(t, testSettings(), testServers(4)...)
 	if n := s.admit(10, Submit{Plan: 1, Spread: 2}); n != 0 || s.now != start {
 		t.Errorf("a gateway that just started passed %d of an empty share", n)
 	}
 }
 
-func TestIgnoresWhatIsOver(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
+func TestEventsOfEndedRequestsAreIgnored(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	id, a := s.submit(Submit{})
 	s.pass(id, a)
 	for _, e := range []Event{
@@ -456,8 +456,8 @@
 // A report of a server's load, however high, keeps no server out of use. Found
 // on an overloaded day, when reports that were believed left one server in ten
 // in use, and again when leaving them out served a twentieth more.
-func TestReportsShutNoServerOut(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestLoadReportsExcludeNoServer(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	used := map[uint64]int{}
 	for range 100 {
 		id, a := s.submit(Submit{Plan: 3})
@@ -477,8 +477,8 @@
 }
 
 // A gateway that has been refusing for lack of servers tries them again.
-func TestTriesAgainAfterPressure(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
+func TestServersAreTriedAgainAfterOverload(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 50 {
 		id, a := s.submit(Submit{Plan: 3})
 		s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
@@ -505,11 +505,11 @@
 
 // Where many gateways stand before few servers, one request of each at every
 // idle server is too much: servers that were overdriven never recovered.
-func TestManyGatewaysTryLess(t *testing.T) {
+func TestLargeFleetTriesIdleServersLess(t *testing.T) {
 	for balancers, want := range map[int]int{2: 8, 16: 3} {
 		cfg := testSettings()
 		cfg.Balancers = balancers
-		s := newScript(t, cfg, fleet(8)...)
+		s := newLimiterDriver(t, cfg, testServers(8)...)
 		for range 50 {
 			id, a := s.submit(Submit{Plan: 3})
 			s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
@@ -530,8 +530,8 @@
 
 // Tries whose remaining time shows that their aim is over are refused and
 // spend nothing; a last try with more time than usual and time to spare passes.
-func TestLateTry(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestLateRequestIsRejected(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for range 5 {
 		id, a := s.submit(Submit{TimeoutMs: 1000})
 		s.pass(id, a)
@@ -552,8 +552,8 @@
 
 // A server that fails fast is ejected although it looks idle, and is tried
 // again, gently, with requests that may be repeated.
-func TestFailingServerKeptOff(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestFailingServerIsEjected(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	serve := func() (bad int) {
 		id, a := s.submit(Submit{Plan: 3})
 		for try := 0; ; try++ {
@@ -587,8 +587,8 @@
 	}
 }
 
-func TestSilentServerIsProbedAndLeft(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
+func TestSilentServerIsProbedAndMarkedDown(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	ids := map[string]uint64{}
 	for range 4 {
 		id, a := s.submit(Submit{Plan: 3})
@@ -632,10 +632,10 @@
 }
 
 // Under pressure the request worth least for its work gives way first.
-func TestWorthUnderPressure(t *testing.T) {
+func TestValueDecidesUnderOverload(t *testing.T) {
 	cfg := testSettings()
 	cfg.Plans[0].Price, cfg.Plans[3].Price = 5, 0.2
-	s := newScript(t, cfg, fleet(2)...)
+	s := newLimiterDriver(t, cfg, testServers(2)...)
 	for range 60 {
 		for _, plan := range []int{0, 3} {
 			id, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)})
@@ -659,8 +659,8 @@
 }
 
 // Idle customers are forgotten, and come back with a full bucket they earned.
-func TestForgetsIdleCustomers(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestIdleCustomersAreEvicted(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for c := range 500 {
 		s.admit(1, Submit{Customer: uint64(c)})
 	}
@@ -676,8 +676,8 @@
 
 // Where clients mark their retries, a first try with a short time of its own has only
 // just begun and is served; a retry with it is what is left of a time mostly over.
-func TestFirstTriesInAHurry(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestFirstRequestsWithShortTimeoutAreServed(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	pass := func(e Submit) bool {
 		t.Helper()
 		id, a := s.submit(e)
@@ -704,8 +704,8 @@
 
 // Customers that come once, here or by a peer's word, and servers that are replaced
 // leave nothing behind.
-func TestCountsReturnToTheBase(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestInFlightCountsReturnToZero(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for i := range 4000 {
 		s.now += 20
 		s.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), Spread: 2})
@@ -737,8 +737,8 @@
 
 // One datagram can't keep a customer out for long, nor make it seem richer than its
 // plan, and a customer forgotten here is not charged with all that a peer ever passed.
-func TestBoundsAPeersWord(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestPeerLevelsAndReportsAreBounded(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	s.admit(1, Submit{Customer: 5, Spread: 2})
 	tell := func(e peerEntry, seq uint64, flags byte) {
 		m := peerMessage{incarnation: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// chaos drives several limiters with random legal events and checks the five
+// randomFleet drives several limiters with random legal events and checks the five
 // rules on what they do. It has no notion of load or speed: outcomes, delays,
 // losses, restarts and list changes are drawn blindly.
-type chaos struct {
+type randomFleet struct {
 	t        *testing.T
 	rng      *rand.Rand
 	now      float64
@@ -18,16 +18,16 @@
 	limiters []*Limiter
 	servers  map[uint64]ServerInfo
 	told     []map[uint64]ServerInfo // what each limiter was last told
-	open     []map[string]*chaosReq
-	timers   []chaosTimer
+	open     []map[string]*randomRequest
+	timers   []randomTimer
 	store    []float64              // true store of the ceiling of each customer
 	sends    []map[uint64][]float64 // by gateway and server: when it was sent to
 	ids      int
-	mail     []chaosMail
+	mail     []randomMail
 	done     int
 }
 
-type chaosReq struct {
+type randomRequest struct {
 	id       string
 	submit   Submit
 	deadline float64
@@ -38,35 +38,34 @@
 	over     bool
 }
 
-type chaosTimer struct {
+type randomTimer struct {
 	at   float64
 	who  int
 	name string
 	l    *Limiter
 }
 
-type chaosMail struct {
-	to   int
-	at   float64
-	msg  PeerMessage
-	from *Limiter
+type randomMail struct {
+	to  int
+	at  float64
+	msg PeerMessage
 }
 
-const chaosGateways = 3
+const randomLimiters = 3
 
-func (c *chaos) start(i int) {
+func (c *randomFleet) start(i int) {
 	cfg := c.cfg
 	cfg.Position = i
 	l, err := New(cfg, c.rng.Uint64())
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.limiters[i], c.open[i], c.told[i] = l, map[string]*chaosReq{}, map[uint64]ServerInfo{}
+	c.limiters[i], c.open[i], c.told[i] = l, map[string]*randomRequest{}, map[uint64]ServerInfo{}
 	c.sends[i] = map[uint64][]float64{}
-	c.tellList(i, Persisted)
+	c.sendList(i, Persisted)
 }
 
-func (c *chaos) list() (s []ServerInfo) {
+func (c *randomFleet) list() (s []ServerInfo) {
 	for _, info := range c.servers {
 		s = append(s, info)
 	}
@@ -74,7 +73,7 @@
 	return s
 }
 
-func (c *chaos) tellList(i int, scope Scope) {
+func (c *randomFleet) sendList(i int, scope Scope) {
 	if scope != Partial {
 		c.told[i] = map[uint64]ServerInfo{}
 	}
@@ -84,83 +83,101 @@
 	c.event(i, Endpoints{Scope: scope, Servers: c.list()})
 }
 
-func (c *chaos) event(i int, e Event) {
+func (c *randomFleet) event(i int, e Event) {
 	for _, a := range c.limiters[i].Handle(c.now, e) {
 		c.action(i, a)
 	}
 }
 
-func (c *chaos) action(i int, a Action) {
-	t := c.t
+// action checks one action of a limiter and carries it out.
+func (c *randomFleet) action(i int, a Action) {
 	switch a := a.(type) {
 	case StartAttempt:
-		r := c.open[i][a.ID]
-		if r == nil || r.over {
-			t.Fatalf("sent %s, which is over", a.ID)
-		}
-		info, ok := c.told[i][a.Server]
-		if !ok || info.Phase != Up {
-			t.Fatalf("sent to server %d, which drains, is gone or was never listed", a.Server)
-		}
-		class := c.cfg.Classes[r.submit.Class]
-		if len(r.live) > 0 && !c.cfg.Caps.Hedging {
-			t.Fatal("two attempts out at once")
-		}
-		if len(r.sent) >= c.cfg.Caps.MaxAttempts {
-			t.Fatal("more attempts than allowed")
-		}
-		for _, k := range r.ran {
-			before := c.told[i][r.sent[k].Server]
-			switch {
-			case class.Idempotency == Unsafe:
-				t.Fatal("an unsafe request that may have run was sent again")
-			case class.Idempotency == Keyed && class.DedupScope == DedupCell && before.Cell != info.Cell:
-				t.Fatal("a keyed request left its cell")
-			case class.Idempotency == Keyed && c.now >= r.sentAt[k]+class.DedupWindowMs:
-				t.Fatal("a keyed request was sent again after its window")
-			}
-		}
-		if len(r.sent) == 0 {
-			c.spendCeiling(r.submit)
-		}
-		c.sends[i][a.Server] = append(c.sends[i][a.Server], c.now)
-		c.checkCold(i, info)
-		r.live[len(r.sent)] = a
-		r.sent = append(r.sent, a)
-		r.sentAt = append(r.sentAt, c.now)
+		c.startAttempt(i, a)
 	case Reject:
-		r := c.open[i][a.ID]
-		if r == nil || r.over {
-			return
-		}
-		class := c.cfg.Classes[r.submit.Class]
-		harmless := class.Idempotency == Safe || class.Idempotency == Keyed && class.DedupScope == DedupAll
-		if !harmless && (len(r.ran) > 0 || len(r.live) > 0) {
-			t.Fatalf("refused a request of class %d that may have run", r.submit.Class)
-		}
-		c.finish(i, r)
+		c.reject(i, a)
 	case Fail:
 		if r := c.open[i][a.ID]; r != nil && !r.over {
-			c.finish(i, r)
+			c.finish(r)
 		}
 	case CancelAttempt:
 		if r := c.open[i][a.ID]; r != nil && a.Attempt >= len(r.sent) {
-			t.Fatal("called off an attempt never made")
+			c.t.Fatal("canceled an attempt that was never made")
 		}
 	case SetTimer:
-		c.timers = append(c.timers, chaosTimer{a.At, i, a.Name, c.limiters[i]})
+		c.timers = append(c.timers, randomTimer{a.At, i, a.Name, c.limiters[i]})
 	case SendPeer:
 		if len(a.Data) > maxPeerBytes || a.To == i {
-			t.Fatalf("bad message of %d bytes to %d", len(a.Data), a.To)
+			c.t.Fatalf("bad message of %d bytes to %d", len(a.Data), a.To)
 		}
 		if c.rng.Float64() < 0.9 {
-			c.mail = append(c.mail, chaosMail{a.To, c.now + 40*c.rng.Float64(), PeerMessage{From: i, Data: a.Data}, nil})
+			message := PeerMessage{From: i, Data: a.Data}
+			c.mail = append(c.mail, randomMail{a.To, c.now + 40*c.rng.Float64(), message})
 		}
 	}
 }
 
+// startAttempt checks that an attempt may be made: the request is open, the server is up, and
+// no rule on the number of attempts or on a second execution is broken.
+func (c *randomFleet) startAttempt(i int, a StartAttempt) {
+	r := c.open[i][a.ID]
+	if r == nil || r.over {
+		c.t.Fatalf("sent %s, which is over", a.ID)
+	}
+	info, ok := c.told[i][a.Server]
+	if !ok || info.Phase != Up {
+		c.t.Fatalf("sent to server %d, which drains, is gone or was never listed", a.Server)
+	}
+	if len(r.live) > 0 && !c.cfg.Caps.Hedging {
+		c.t.Fatal("two attempts in flight at once")
+	}
+	if len(r.sent) >= c.cfg.Caps.MaxAttempts {
+		c.t.Fatal("more attempts than allowed")
+	}
+	for _, k := range r.ran {
+		c.checkRepeat(i, r, k, info)
+	}
+	if len(r.sent) == 0 {
+		c.spendHardLimit(r.submit)
+	}
+	c.sends[i][a.Server] = append(c.sends[i][a.Server], c.now)
+	c.checkSlowStart(i, info)
+	r.live[len(r.sent)] = a
+	r.sent = append(r.sent, a)
+	r.sentAt = append(r.sentAt, c.now)
+}
+
+// checkRepeat checks that a request whose attempt k may have been executed may be sent to a
+// server once more.
+func (c *randomFleet) checkRepeat(i int, r *randomRequest, k int, info ServerInfo) {
+	class := c.cfg.Classes[r.submit.Class]
+	before := c.told[i][r.sent[k].Server]
+	switch {
+	case class.Idempotency == Unsafe:
+		c.t.Fatal("an unsafe request that may have been executed was sent again")
+	case class.Idempotency == Keyed && class.DedupScope == DedupCell && before.Cell != info.Cell:
+		c.t.Fatal("a keyed request left its cell")
+	case class.Idempotency == Keyed && c.now >= r.sentAt[k]+class.DedupWindowMs:
+		c.t.Fatal("a keyed request was sent again after its window")
+	}
+}
+
+// reject checks that a rejected request can be retried by its client.
+func (c *randomFleet) reject(i int, a Reject) {
+	r := c.open[i][a.ID]
+	if r == nil || r.over {
+		return
+	}
+	class := c.cfg.Classes[r.submit.Class]
+	harmless := class.Idempotency == Safe || class.Idempotency == Keyed && class.DedupScope == DedupAll
+	if !harmless && (len(r.ran) > 0 || len(r.live) > 0) {
+		c.t.Fatalf("rejected a request of class %d that may have been executed", r.submit.Class)
+	}
+	c.finish(r)
+}
+
 // warmth is what rule 4 lets a server of that age be counted for.
-func (c *chaos) warmth(info ServerInfo) float64 {
+func (c *randomFleet) warmth(info ServerInfo) float64 {
 	if info.ReadyAt <= 0 {
 		return 1
 	}
@@ -168,10 +185,10 @@
 	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*(c.now-info.ReadyAt)/r.SlowStartMs)
 }
 
-// checkCold holds a gateway to its part of a cold server's budget: the rule's
+// checkSlowStart holds a gateway to its part of a cold server's budget: the rule's
 // multiple of its warmth times what the gateway sends to the busiest warm
 // server in the same window, and a few for chance and for works of other sizes.
-func (c *chaos) checkCold(i int, info ServerInfo) {
+func (c *randomFleet) checkSlowStart(i int, info ServerInfo) {
 	w := c.warmth(info)
 	if w >= 1 {
 		return
@@ -184,18 +201,18 @@
 		}
 		return n
 	}
-	most := 0.0 // what was sent to a server while it was warm still counts
+	busiest := 0.0 // what was sent to a server while it was warm still counts
 	for id := range c.told[i] {
 		if id != info.ID {
-			most = max(most, since(id, c.now-3*c.cfg.Rules.OverloadMs))
+			busiest = max(busiest, since(id, c.now-3*c.cfg.Rules.OverloadMs))
 		}
 	}
-	if n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.Rules.OverloadMs)); n > 3+c.cfg.Rules.OverloadFactor*w*most {
-		c.t.Fatalf("cold server %d (warmth %.2f) got %g in a window, the busiest warm one %g", info.ID, w, n, most)
+	if n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.Rules.OverloadMs)); n > 3+c.cfg.Rules.OverloadFactor*w*busiest {
+		c.t.Fatalf("cold server %d (warmth %.2f) got %g in a window, the busiest warm one %g", info.ID, w, n, busiest)
 	}
 }
 
-func (c *chaos) finish(i int, r *chaosReq) {
+func (c *randomFleet) finish(r *randomRequest) {
 	r.over = true
 	c.done++
 	if c.now > r.deadline+8 {
@@ -203,7 +220,7 @@
 	}
 }
 
-func (c *chaos) spendCeiling(s Submit) {
+func (c *randomFleet) spendHardLimit(s Submit) {
 	if c.cfg.Plans[s.Plan].HardRate == 0 {
 		return
 	}
@@ -213,32 +230,59 @@
 	}
 }
 
-// answerOne ends one attempt that is out with a drawn result.
-func (c *chaos) answerOne(i int, r *chaosReq, try int, forced Result) {
-	delete(r.live, try)
+// endAttempt ends one attempt that is out with a drawn result.
+func (c *randomFleet) endAttempt(i int, r *randomRequest, attempt int, forced Result) {
+	delete(r.live, attempt)
 	result := forced
 	if result < 0 {
 		result = Result(c.rng.IntN(8))
 	}
 	if !provesNotExecuted(result) {
-		r.ran = append(r.ran, try)
+		r.ran = append(r.ran, attempt)
 	}
 	done := r.over
 	if result == Success && !r.over {
-		c.finish(i, r)
+		c.finish(r)
 		done = true
 	}
-	c.event(i, Outcome{ID: r.id, Attempt: try, Server: r.sent[try].Server, Result: result,
-		LatencyMs: c.now - r.sentAt[try], Final: done, Load: Load{Busy: float64(c.rng.IntN(9) - 1)}})
+	c.event(i, Outcome{ID: r.id, Attempt: attempt, Server: r.sent[attempt].Server, Result: result,
+		LatencyMs: c.now - r.sentAt[attempt], Final: done, Load: Load{Busy: float64(c.rng.IntN(9) - 1)}})
 }
 
-func (c *chaos) step() {
+// step lets some time pass and makes one random event.
+func (c *randomFleet) step() {
 	dt := min(4, c.rng.ExpFloat64()*3)
 	c.now += dt
 	for k := range c.store {
 		p := c.cfg.Plans[1]
 		c.store[k] = min(p.HardBurst, c.store[k]+dt*p.HardRate/1000)
 	}
+	c.fireTimers()
+	c.deliverMail()
+	for i := range c.open {
+		c.endAttempts(i)
+	}
+	i := c.rng.IntN(randomLimiters)
+	switch u := c.rng.Float64(); {
+	case u < 0.8:
+		c.submit(i)
+	case u < 0.81:
+		c.clientGone(i)
+	case u < 0.815: // the limiter restarts with its last list
+		c.start(i)
+	case u < 0.83:
+		c.changeServer()
+	case u < 0.85:
+		c.event(i, ProbeResult{Server: uint64(1 + c.rng.IntN(9)), Result: Result(c.rng.IntN(8))})
+	case u < 0.86:
+		from := c.rng.IntN(4)
+		data := []byte{peerMagic, peerVersion, byte(c.rng.IntN(9)), 1, 2, 3, 4, 5, 6, 7}
+		c.event(i, PeerMessage{From: from, Data: data})
+	}
+}
+
+// fireTimers fires the timers that are due, but not those of limiters that have restarted.
+func (c *randomFleet) fireTimers() {
 	for k := 0; k < len(c.timers); k++ {
 		if tm := c.timers[k]; tm.at <= c.now {
 			c.timers = slices.Delete(c.timers, k, k+1)
@@ -248,6 +292,10 @@
 			}
 		}
 	}
+}
+
+// deliverMail delivers the messages that are due.
+func (c *randomFleet) deliverMail() {
 	for k := 0; k < len(c.mail); k++ {
 		if m := c.mail[k]; m.at <= c.now {
 			c.mail = slices.Delete(c.mail, k, k+1)
@@ -255,70 +303,76 @@
 			c.event(m.to, m.msg)
 		}
 	}
-	for i := range c.open { // time-outs at the deadline, then random outcomes
-		ids := make([]string, 0, len(c.open[i]))
-		for id := range c.open[i] {
-			ids = append(ids, id)
-		}
-		slices.Sort(ids)
-		for _, id := range ids {
-			r := c.open[i][id]
-			for try := range r.sent {
-				if _, live := r.live[try]; live && c.now >= r.deadline {
-					c.answerOne(i, r, try, TimedOut)
-				} else if live && c.rng.Float64() < 0.05 {
-					c.answerOne(i, r, try, -1)
-				}
-			}
-			if r.over && len(r.live) == 0 {
-				delete(c.open[i], id)
-			} else if !r.over && len(r.live) == 0 {
-				c.t.Fatalf("%s is held with nothing out", id)
-			}
-		}
+}
+
+// endAttempts ends a limiter's attempts at the deadline, and others at random. A request
+// without an attempt in flight must have its final response.
+func (c *randomFleet) endAttempts(i int) {
+	ids := make([]string, 0, len(c.open[i]))
+	for id := range c.open[i] {
+		ids = append(ids, id)
 	}
-	i := c.rng.IntN(chaosGateways)
-	switch u := c.rng.Float64(); {
-	case u < 0.8:
-		c.ids++
-		plan := c.rng.IntN(len(c.cfg.Plans))
-		s := Submit{ID: fmt.Sprint("q", c.ids), TimeoutMs: 50 + 1950*c.rng.Float64(), Units: float64(1 + c.rng.IntN(4)),
-			Class: c.rng.IntN(len(c.cfg.Classes)), Plan: plan, Customer: uint64(plan + len(c.cfg.Plans)*c.rng.IntN(4)),
-			Spread: chaosGateways}
-		r := &chaosReq{id: s.ID, submit: s, deadline: c.now + s.TimeoutMs, live: map[int]StartAttempt{}}
-		c.open[i][s.ID] = r
-		c.event(i, s)
-		if len(r.sent) == 0 && !r.over {
-			c.t.Fatalf("%s got no answer", s.ID)
-		}
-	case u < 0.81: // the client leaves
-		for _, id := range firstKey(c.open[i]) {
-			if r := c.open[i][id]; !r.over {
-				r.over = true
-				c.event(i, ClientGone{ID: id})
+	slices.Sort(ids)
+	for _, id := range ids {
+		r := c.open[i][id]
+		for k := range r.sent {
+			if _, live := r.live[k]; live && c.now >= r.deadline {
+				c.endAttempt(i, r, k, TimedOut)
+			} else if live && c.rng.Float64() < 0.05 {
+				c.endAttempt(i, r, k, -1)
 			}
 		}
-	case u < 0.815: // the gateway dies and comes back with its last list
-		c.start(i)
-	case u < 0.83: // a server drains, goes, restarts or comes
-		id := uint64(1 + c.rng.IntN(8))
-		info := c.servers[id]
-		info.Phase = Phase(c.rng.IntN(3))
-		if c.rng.Float64() < 0.5 {
-			info.Phase, info.ReadyAt = Up, c.now
+		if len(r.live) > 0 {
+			continue
 		}
-		c.servers[id] = info
-		for k := range c.limiters {
-			c.tellList(k, Scope(c.rng.IntN(2)))
+		if !r.over {
+			c.t.Fatalf("%s is open with nothing in flight", id)
 		}
-	case u < 0.85:
-		c.event(i, ProbeResult{Server: uint64(1 + c.rng.IntN(9)), Result: Result(c.rng.IntN(8))})
-	case u < 0.86:
-		c.event(i, PeerMessage{From: c.rng.IntN(4), Data: []byte{peerMagic, peerVersion, byte(c.rng.IntN(9)), 1, 2, 3, 4, 5, 6, 7}})
+		delete(c.open[i], id)
+	}
+}
+
+// submit makes a random request, which must get an attempt or a final response at once.
+func (c *randomFleet) submit(i int) {
+	c.ids++
+	plan := c.rng.IntN(len(c.cfg.Plans))
+	s := Submit{ID: fmt.Sprint("q", c.ids), TimeoutMs: 50 + 1950*c.rng.Float64(), Units: float64(1 + c.rng.IntN(4)),
+		Class: c.rng.IntN(len(c.cfg.Classes)), Plan: plan, Customer: uint64(plan + len(c.cfg.Plans)*c.rng.IntN(4)),
+		Spread: randomLimiters}
+	r := &randomRequest{id: s.ID, submit: s, deadline: c.now + s.TimeoutMs, live: map[int]StartAttempt{}}
+	c.open[i][s.ID] = r
+	c.event(i, s)
+	if len(r.sent) == 0 && !r.over {
+		c.t.Fatalf("%s got no response", s.ID)
+	}
+}
+
+// clientGone lets the client of a limiter's first request leave.
+func (c *randomFleet) clientGone(i int) {
+	for _, id := range firstKey(c.open[i]) {
+		if r := c.open[i][id]; !r.over {
+			r.over = true
+			c.event(i, ClientGone{ID: id})
+		}
+	}
+}
+
+// changeServer lets a random server drain, leave, restart or come, and sends all limiters a
+// list, whole or of changes.
+func (c *randomFleet) changeServer() {
+	id := uint64(1 + c.rng.IntN(8))
+	info := c.servers[id]
+	info.Phase = Phase(c.rng.IntN(3))
+	if c.rng.Float64() < 0.5 {
+		info.Phase, info.ReadyAt = Up, c.now
+	}
+	c.servers[id] = info
+	for k := range c.limiters {
+		c.sendList(k, Scope(c.rng.IntN(2)))
 	}
 }
 
-func firstKey(m map[string]*chaosReq) []string {
+func firstKey(m map[string]*randomRequest) []string {
 	var ids []string
 	for id := range m {
 		ids = append(ids, id)
@@ -331,11 +385,11 @@
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			cfg := testSettings()
-			cfg.Balancers = chaosGateways
-			c := &chaos{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
-				limiters: make([]*Limiter, chaosGateways), told: make([]map[uint64]ServerInfo, chaosGateways),
-				open: make([]map[string]*chaosReq, chaosGateways), servers: map[uint64]ServerInfo{},
-				store: make([]float64, 64), sends: make([]map[uint64][]float64, chaosGateways)}
+			cfg.Balancers = randomLimiters
+			c := &randomFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
+				limiters: make([]*Limiter, randomLimiters), told: make([]map[uint64]ServerInfo, randomLimiters),
+				open: make([]map[string]*randomRequest, randomLimiters), servers: map[uint64]ServerInfo{},
+				store: make([]float64, 64), sends: make([]map[uint64][]float64, randomLimiters)}
 			for k := range c.store {
 				c.store[k] = cfg.Plans[1].HardBurst
 			}
@@ -356,14 +410,14 @@
 }
 
 // Equal seeds and equal events give equal actions.
-func TestDeterministic(t *testing.T) {
+func TestEqualSeedsGiveEqualActions(t *testing.T) {
 	run := func() string {
 		l, err := New(testSettings(), 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		rng := rand.New(rand.NewPCG(5, 5))
-		out := fmt.Sprint(l.Handle(1, Endpoints{Scope: Persisted, Servers: fleet(9)}))
+		out := fmt.Sprint(l.Handle(1, Endpoints{Scope: Persisted, Servers: testServers(9)}))
 		for n := range 3000 {
 			now := float64(n * 3)
 			out += fmt.Sprint(l.Handle(now, Submit{ID: fmt.Sprint(n), TimeoutMs: 900, Units: 1, Plan: rng.IntN(4),
@@ -413,7 +467,7 @@
 			t.Fatal(err)
 		}
 		now := 0.0
-		l.Handle(now, Endpoints{Servers: fleet(3)})
+		l.Handle(now, Endpoints{Servers: testServers(3)})
 		for len(b) >= 4 {
 			k, x, y, z := b[0], int(int8(b[1])), int(b[2]), b[3]
 			b = b[4:]
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -7,7 +7,7 @@
 )
 
 // crowd is a number of limiters that see nothing of each other but messages.
-type crowd struct {
+type testFleet struct {
 	t        testing.TB
 	now      float64
 	limiters []*Limiter
@@ -17,9 +17,9 @@
 	tick     bool
 }
 
-func newCrowd(t testing.TB, cfg Settings, n int, servers []ServerInfo) *crowd {
+func newTestFleet(t testing.TB, cfg Settings, n int, servers []ServerInfo) *testFleet {
 	t.Helper()
-	c := &crowd{t: t, now: 1e6, sent: map[uint64]int{}, lose: func(int, int) bool { return false }}
+	c := &testFleet{t: t, now: 1e6, sent: map[uint64]int{}, lose: func(int, int) bool { return false }}
 	cfg.Balancers = n
 	for i := range n {
 		cfg.Position = i
@@ -35,7 +35,7 @@
 
 // event hands an event in, serves what is passed on at once, delivers messages
 // at once, and returns whether the event's request was passed on.
-func (c *crowd) event(i int, e Event) (passed bool) {
+func (c *testFleet) event(i int, e Event) (passed bool) {
 	for _, a := range append([]Action(nil), c.limiters[i].Handle(c.now, e)...) {
 		switch a := a.(type) {
 		case StartAttempt:
@@ -51,14 +51,14 @@
 	return passed
 }
 
-func (c *crowd) submit(i int, e Submit) bool {
+func (c *testFleet) submit(i int, e Submit) bool {
 	c.ids++
 	e.ID, e.TimeoutMs = fmt.Sprint("c", c.ids), 1500
 	e.Units = max(1, e.Units)
 	return c.event(i, e)
 }
 
-func (c *crowd) ticks(ms float64) {
+func (c *testFleet) ticks(ms float64) {
 	for end := c.now + ms; c.now < end; {
 		c.now += tickIntervalMs
 		for i := range c.limiters {
@@ -73,7 +73,7 @@
 	const n = 100
 	cfg := testSettings()
 	cfg.PeerMessagesPerSecond = 20
-	c := newCrowd(t, cfg, n, fleet(4))
+	c := newTestFleet(t, cfg, n, testServers(4))
 	c.ticks(6000) // bursts are whole by now
 	passed, rng := 0, rand.New(rand.NewPCG(1, 1))
 	for range 200 { // ten seconds of 40 units a second on a rate of 10
@@ -90,11 +90,11 @@
 }
 
 // The stand-in takes over when the first keeper is gone.
-func TestStandInKeeper(t *testing.T) {
+func TestStandbyAggregatorTakesOver(t *testing.T) {
 	const n = 40
 	cfg := testSettings()
 	cfg.PeerMessagesPerSecond = 100
-	c := newCrowd(t, cfg, n, fleet(4))
+	c := newTestFleet(t, cfg, n, testServers(4))
 	gone := -1
 	c.lose = func(from, to int) bool { return from == gone || to == gone }
 	c.submit(0, Submit{Customer: 5, Spread: n})
@@ -113,10 +113,10 @@
 }
 
 // A level told twice, late or by one who is no keeper of the customer.
-func TestToldLevels(t *testing.T) {
+func TestLevelsFromAggregators(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 40
-	s := newScript(t, cfg, fleet(4)...)
+	s := newLimiterDriver(t, cfg, testServers(4)...)
 	s.now += 6000
 	s.submit(Submit{Customer: 5, Spread: 40})
 	c := s.l.customers[5]
@@ -146,13 +146,13 @@
 // Cold servers: the parts of any number of independent gateways add up to less
 // than the rule allows. Found in the code: one request a window from each gateway
 // was nothing for three gateways and far too much for hundreds.
-func TestColdPartsAddUp(t *testing.T) {
+func TestSlowStartPartsAddUp(t *testing.T) {
 	for _, n := range []int{1, 3, 40, 300} {
 		cfg := testSettings()
 		cfg.Caps.Peers = false
-		f := fleet(10)
+		f := testServers(10)
 		f[0].ReadyAt = 1e6
-		c := newCrowd(t, cfg, n, f)
+		c := newTestFleet(t, cfg, n, f)
 		rng := rand.New(rand.NewPCG(2, 2))
 		for range 2000 { // ten seconds at 200 requests a second over all gateways
 			i := rng.IntN(n)
@@ -177,11 +177,11 @@
 }
 
 // A restarted fleet with none but cold servers sends few, however many gateways.
-func TestAllCold(t *testing.T) {
+func TestFleetOfServersInSlowStart(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		cfg := testSettings()
 		cfg.Caps.Peers = false
-		c := newCrowd(t, cfg, n, []ServerInfo{{ID: 1, ReadyAt: 1e6}})
+		c := newTestFleet(t, cfg, n, []ServerInfo{{ID: 1, ReadyAt: 1e6}})
 		for k := range 2000 {
 			c.submit(k%n, Submit{Plan: 3, Customer: uint64(k), Spread: n})
 			c.now += 0.5
@@ -194,11 +194,11 @@
 
 // The shares of a ceiling of hundreds of gateways that hear nothing of each
 // other, with restarts, never add up to more than the ceiling.
-func TestCeilingPartsAddUp(t *testing.T) {
+func TestEscrowPartsAddUp(t *testing.T) {
 	const n = 300
 	cfg := testSettings()
 	cfg.Plans[1] = Plan{Rate: 1e6, Burst: 1e6, HardRate: 400, HardBurst: 900, Price: 1}
-	c := newCrowd(t, cfg, n, fleet(4))
+	c := newTestFleet(t, cfg, n, testServers(4))
 	c.lose = func(int, int) bool { return true }
 	rng := rand.New(rand.NewPCG(3, 3))
 	c.now += 10000
@@ -220,14 +220,14 @@
 				t.Fatal(err)
 			}
 			c.limiters[i] = l
-			c.event(i, Endpoints{Scope: Persisted, Servers: fleet(4)})
+			c.event(i, Endpoints{Scope: Persisted, Servers: testServers(4)})
 		}
 	}
 }
 
 // A server that fails one class only is kept off for that class; peers are told.
-func TestOneClassFails(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestServerIsEjectedForOneClass(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	hints := 0
 	for range 40 {
 		s.now += 100
@@ -261,7 +261,7 @@
 // Hints of all gateways together stay within what each takes in, however many
 // gateways and failures. Found as two incidents in which they were nine tenths of
 // all messages. Fails if each gateway may hint as it likes.
-func TestHintsStayFew(t *testing.T) {
+func TestFailureHintsAreBounded(t *testing.T) {
 	for _, n := range []int{20, 300} {
 		cfg := testSettings()
 		cfg.Balancers = n
@@ -272,7 +272,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.Handle(0, Endpoints{Scope: Persisted, Servers: fleet(9)})
+			l.Handle(0, Endpoints{Scope: Persisted, Servers: testServers(9)})
 			for k := range 40 { // two seconds, every fifth answer fails
 				now, id := float64(50*k), fmt.Sprint(k)
 				for _, a := range l.Handle(now, Submit{ID: id, TimeoutMs: 900, Units: 1, Plan: 3, Class: 2, Spread: 1}) {
@@ -300,8 +300,8 @@
 
 // Hints about servers or classes that the own list and settings do not name
 // change nothing; two sound ones keep a server off.
-func TestHints(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(4)...)
+func TestFailureHintsEjectAServer(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	hint := func(server, class uint64) {
 		m := peerMessage{flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{{customer: server, plan: class}}}
 		data, _ := m.encode()
@@ -327,8 +327,8 @@
 }
 
 // A gateway that stood still learns nothing against servers from what was out.
-func TestStoodStill(t *testing.T) {
-	s := newScript(t, testSettings(), fleet(2)...)
+func TestPausedLimiterBlamesNoServer(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 30 {
 		id, a := s.submit(Submit{Plan: 3})
 		s.pass(id, a)
@@ -351,10 +351,10 @@
 }
 
 // What a customer costs does not grow with gateways that never touched it.
-func TestCustomerCost(t *testing.T) {
+func TestCustomerCostIsIndependentOfFleetSize(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 470
-	s := newScript(t, cfg, fleet(4)...)
+	s := newLimiterDriver(t, cfg, testServers(4)...)
 	s.submit(Submit{Customer: 5, Spread: 200})
 	s.do(TimerFired{Name: "tick"})
 	if n := len(s.l.customers[5].peerViews); n > aggregatorCount {
@@ -370,7 +370,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	l.Handle(0, Endpoints{Scope: Persisted, Servers: fleet(90)})
+	l.Handle(0, Endpoints{Scope: Persisted, Servers: testServers(90)})
 	for k := range b.N {
 		now := 10000 + float64(k)*300
 		id := fmt.Sprint(k)
@@ -392,8 +392,8 @@
 	cfg := testSettings()
 	cfg.Caps.Peers = false
 	cfg.Rules.SlowStartShare, cfg.Rules.SlowStartMs = 0.3, 16000
-	f := fleet(servers)
-	c := newCrowd(t, cfg, n, f)
+	f := testServers(servers)
+	c := newTestFleet(t, cfg, n, f)
 	rng := rand.New(rand.NewPCG(3, 3))
 	run := func(requests int) { // 400 a second over all gateways
 		clear(c.sent)
@@ -431,11 +431,11 @@
 
 // A gateway of many uses few servers, every server has equally many gateways, and
 // a change of the list moves little. Fails where each chooses among all.
-func TestSubsets(t *testing.T) {
+func TestSubsetsAreBalanced(t *testing.T) {
 	const n, servers = 80, 60
 	cfg := testSettings()
-	f := fleet(servers)
-	c := newCrowd(t, cfg, n, f)
+	f := testServers(servers)
+	c := newTestFleet(t, cfg, n, f)
 	pairs := func() (of map[[2]uint64]bool) {
 		of = map[[2]uint64]bool{}
 		for i, l := range c.limiters {
@@ -499,7 +499,7 @@
 // A customer of eleven gateways has most of its requests come through one, which
 // needs more of the ceiling than an equal share. Fails without grants. Whatever is
 // lost, and with gateways starting anew, all together never pass the ceiling.
-func TestCeilingFollowsDemand(t *testing.T) {
+func TestEscrowGrantsFollowDemand(t *testing.T) {
 	const n = 11
 	cfg := testSettings()
 	cfg.Plans[1] = Plan{Rate: 12, Burst: 22, HardRate: 25, HardBurst: 46, Price: 1}
@@ -508,7 +508,7 @@
 		restarts           bool
 		least              float64 // share that passes
 	}{{8, 0.7, 0.1, false, 0.85}, {8, 0.7, 1, false, 0}, {400, 0.2, 0.3, false, 0}, {60, 0.5, 0.5, true, 0}, {400, 0.9, 0.9, true, 0}} {
-		c := newCrowd(t, cfg, n, fleet(4))
+		c := newTestFleet(t, cfg, n, testServers(4))
 		rng := rand.New(rand.NewPCG(4, 4))
 		c.lose = func(int, int) bool { return rng.Float64() < p.lost }
 		c.now += 10000
@@ -537,7 +537,7 @@
 					t.Fatal(err)
 				}
 				c.limiters[cfg.Position] = l
-				c.event(cfg.Position, Endpoints{Scope: Persisted, Servers: fleet(4)})
+				c.event(cfg.Position, Endpoints{Scope: Persisted, Servers: testServers(4)})
 			}
 		}
 		if passed < p.least*asked {
@@ -549,11 +549,11 @@
 // Levels of a plan that is worth little are told seldom, however far its customers
 // ask beyond their quotas: each is told to dozens of gateways, which take in only so
 // many messages. Fails where it may wait but four times as long as the mean plan.
-func TestCheapLevelsLeaveRoom(t *testing.T) {
+func TestLevelsOfCheapPlansLeaveRoom(t *testing.T) {
 	const n = 60
 	cfg := testSettings()
 	cfg.Plans = []Plan{{Rate: 0.84, Burst: 4, Price: 0.8}, {Rate: 3, Burst: 11, Price: 1.2}, {Rate: 12, Burst: 22, Price: 1.8}}
-	c := newCrowd(t, cfg, n, fleet(4))
+	c := newTestFleet(t, cfg, n, testServers(4))
 	told := map[uint64]int{}
 	c.lose = func(int, int) bool { return false }
 	for step := range 400 { // twenty seconds; each asks for some four times its quota
@@ -582,13 +582,13 @@
 // A fleet that has just begun has full ceilings as soon as its gateways have heard of
 // each other; one gateway that starts among older ones has none, nor one whose peers
 // are silent. Fails where every start begins with nothing.
-func TestCeilingOfAFreshFleet(t *testing.T) {
+func TestNewFleetStartsWithFullEscrow(t *testing.T) {
 	const n = 20
 	cfg := testSettings()
-	ask := func(c *crowd, i int) bool { // three units are most of a full share
+	ask := func(c *testFleet, i int) bool { // three units are most of a full share
 		return c.submit(i, Submit{Plan: 1, Customer: 1, Spread: 10, Units: 3})
 	}
-	c := newCrowd(t, cfg, n, fleet(4))
+	c := newTestFleet(t, cfg, n, testServers(4))
 	c.ticks(8 * tickIntervalMs)
 	if !ask(c, 1) {
 		t.Error("a fleet that has just begun has none of a ceiling's burst")
@@ -600,12 +600,12 @@
 		t.Fatal(err)
 	}
 	c.limiters[2] = l
-	c.event(2, Endpoints{Scope: Persisted, Servers: fleet(4)})
+	c.event(2, Endpoints{Scope: Persisted, Servers: testServers(4)})
 	c.ticks(8 * tickIntervalMs)
 	if ask(c, 2) {
 		t.Error("a gateway that started among older ones has a part of a ceiling's burst")
 	}
-	c = newCrowd(t, cfg, n, fleet(4))
+	c = newTestFleet(t, cfg, n, testServers(4))
 	c.lose = func(int, int) bool { return true }
 	c.ticks(8 * tickIntervalMs)
 	if ask(c, 1) {
@@ -616,7 +616,7 @@
 // One of many gateways spreads what it has out at once over different servers: a
 // further request at a busy one waits there, and needs a connection of its own.
 // Fails where chance alone decides.
-func TestBusyServersWait(t *testing.T) {
+func TestBusyServersComeLast(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 80
 	twice := 0
@@ -625,7 +625,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Handle(1000, Endpoints{Scope: Persisted, Servers: fleet(12)})
+		l.Handle(1000, Endpoints{Scope: Persisted, Servers: testServers(12)})
 		used := map[uint64]bool{}
 		for k := range 6 {
 			for _, a := range l.Handle(1000, Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Spread: 1, Units: 1}) {
