--- /dev/null
+++ b/balancer/attempts_test.go
@@ -0,0 +1,81 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Rule 2 and the final answers, as a table of outcome and class.
+func TestRetriesByIdempotencyAndResult(t *testing.T) {
+	const again, refuse, fail = "again", "refuse", "fail"
+	for _, c := range []struct {
+		class  int
+		result Result
+		want   string
+	}{
+		{0, ServerError, again}, {0, TimedOut, again}, {0, Rejected, again}, {0, ConnectFailed, again}, {0, Canceled, again},
+		{1, ServerError, again}, {1, ConnectionLost, again}, {1, Rejected, again}, {1, NotSent, again},
+		{2, ServerError, fail}, {2, ConnectionLost, fail}, {2, TimedOut, fail}, {2, Canceled, fail},
+		{2, Rejected, again}, {2, ConnectFailed, again}, {2, NotSent, again},
+		{3, ServerError, again},
+	} {
+		s := newLimiterDriver(t, testSettings(), testServers(4)...)
+		id, a := s.submit(Submit{Class: c.class})
+		first := a.(StartAttempt).Server
+		got := s.outcome(id, 0, first, c.result)
+		name := fmt.Sprintf("class %d, result %d", c.class, c.result)
+		switch g := got.(type) {
+		case StartAttempt:
+			if c.want != again {
+				t.Errorf("%s: sent again, want %s", name, c.want)
+			}
+			if g.Server == first {
+				t.Errorf("%s: sent to the same server", name)
+			}
+			if c.class == 1 && !provesNotExecuted(c.result) && (g.Server-first)%2 != 0 {
+				t.Errorf("%s: a keyed request left its cell", name)
+			}
+		case Reject:
+			if c.want != refuse {
+				t.Errorf("%s: refused, want %s", name, c.want)
+			}
+		case Fail:
+			if c.want != fail {
+				t.Errorf("%s: failed, want %s", name, c.want)
+			}
+		default:
+			t.Errorf("%s: no answer", name)
+		}
+	}
+}
+
+func TestKeyedRetryStaysInDedupWindowAndScope(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	id, a := s.submit(Submit{Class: 1, TimeoutMs: 1900})
+	s.now += 1001 // past the window
+	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
+		t.Errorf("a keyed request past its window: %#v, want Fail", got)
+	}
+	s = newLimiterDriver(t, testSettings(), testServers(2)...) // one server a cell
+	id, a = s.submit(Submit{Class: 1})
+	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
+		t.Errorf("no other server in the cell: %#v, want Fail", got)
+	}
+	id, a = s.submit(Submit{Class: 3, TimeoutMs: 1900})
+	s.now += 1500
+	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Reject); !ok {
+		t.Errorf("keyed for all: %#v, want Refuse", got)
+	}
+}
+
+func TestNoRetryAfterDeadline(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	id, a := s.submit(Submit{TimeoutMs: 300})
+	s.now += 300
+	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, TimedOut).(Fail); !ok {
+		t.Errorf("time-out at the deadline: %#v, want Fail", got)
+	}
+	if len(s.l.requests) != 0 {
+		t.Error("a finished request is still held")
+	}
+}
--- /dev/null
+++ b/balancer/gossip_test.go
@@ -0,0 +1,122 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestPeerReportsDrawFromTheBalance(t *testing.T) {
+	both := Submit{Spread: 2}
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	s.now += 5000 // the burst has filled meanwhile
+	s.admit(1, both)
+	s.do(peerReport(5000, 1, 30, 0, 0))
+	if got := s.admit(30, both); got != 0 {
+		t.Errorf("balance 20-1-30 let %d through", got)
+	}
+	s.do(peerReport(5000, 1, 30, 0, 0)) // repeated
+	s.do(peerReport(5000, 3, 31, 0, 0)) // one lost before it
+	s.do(peerReport(5000, 2, 29, 0, 0)) // late
+	s.now += 1700                       // refill repays the debt of 12, 5 are left
+	if got := s.admit(30, both); got != 5 {
+		t.Errorf("after the debt was repaid %d passed, want 5", got)
+	}
+	before := s.l.customers[0].balance
+	for _, bad := range [][]byte{nil, {1, 2}, []byte("foreign message, quite long"), {peerMagic, 9, 0, 1, 1, 1, 1, 1, 1}} {
+		s.do(PeerMessage{From: 1, Data: bad})
+	}
+	s.do(PeerMessage{From: 9, Data: peerReport(0, 9, 50, 0, 0).Data})
+	if s.l.customers[0].balance != before {
+		t.Error("a message that is not sound changed the balance")
+	}
+}
+
+func TestStartingLimiterRequestsLevels(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	var asked bool
+	for _, a := range s.do(TimerFired{Name: "tick"}) {
+		if tell, ok := a.(SendPeer); ok {
+			m, ok := decodePeerMessage(tell.Data)
+			asked = ok && m.flags&flagLevelsRequest != 0
+		}
+	}
+	if !asked {
+		t.Error("a starting gateway did not ask its peer")
+	}
+	s.admit(4, Submit{Spread: 2})
+	ask := peerMessage{flags: flagLevelsRequest, incarnation: 5, seq: 1}
+	data, _ := ask.encode()
+	var levels []peerEntry
+	for _, a := range s.do(PeerMessage{From: 1, Data: data}) {
+		if tell, ok := a.(SendPeer); ok {
+			if m, ok := decodePeerMessage(tell.Data); ok && m.flags&flagLevelsResponse != 0 {
+				levels = m.entries
+			}
+		}
+	}
+	if len(levels) != 1 || levels[0].level != 16*unitScale {
+		t.Errorf("the answer tells %v, want one level of 16", levels)
+	}
+}
+
+// One datagram can't keep a customer out for long, nor make it seem richer than its
+// plan, and a customer forgotten here is not charged with all that a peer ever passed.
+func TestPeerLevelsAndReportsAreBounded(t *testing.T) {
+	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	s.admit(1, Submit{Customer: 5, Spread: 2})
+	tell := func(e peerEntry, seq uint64, flags byte) {
+		m := peerMessage{incarnation: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
+		data, _ := m.encode()
+		s.do(PeerMessage{From: 1, Data: data})
+	}
+	tell(peerEntry{customer: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
+	s.now += 6500 // three bursts of 20 at 10 a second and a little
+	if got := s.admit(1, Submit{Customer: 5, Spread: 2}); got != 1 {
+		t.Error("kept out for longer than the gateways' bursts take")
+	}
+	tell(peerEntry{customer: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
+	if c := s.l.customers[5]; c.balance > 20 || c.margin > 20 {
+		t.Errorf("balance %g, margin %g with a burst of 20", c.balance, c.margin)
+	}
+	tell(peerEntry{customer: 5, level: -1 << 40}, 3, flagLevelUpdate)
+	if c := s.l.customers[5]; c.balance < -41 { // two bursts and what passed last
+		t.Errorf("balance %g", c.balance)
+	}
+	for range 5 {
+		s.now += idleCustomerMs
+		s.do(TimerFired{Name: "tick"})
+	}
+	if len(s.l.customers) != 0 {
+		t.Error("the customer is still known")
+	}
+	tell(peerEntry{customer: 5, spread: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
+	if c := s.l.customers[5]; c == nil || c.balance != 18 {
+		t.Errorf("after it was forgotten: %+v", c)
+	}
+}
+
+func FuzzDecodePeer(f *testing.F) {
+	m := peerMessage{flags: knownFlags, incarnation: 9, seq: 300, ageMs: 70000, entries: []peerEntry{{customer: 1 << 32, plan: 2, spread: 3, spent: 77, newlySpent: 4, level: -5, inFlight: 3}, {customer: 4, spread: 1, level: 9}}}
+	data, _ := m.encode()
+	f.Add(data)
+	f.Add([]byte{peerMagic, peerVersion, 0})
+	f.Fuzz(func(t *testing.T, b []byte) {
+		m, ok := decodePeerMessage(b)
+		if !ok {
+			return
+		}
+		again, n := m.encode()
+		if n != len(m.entries) {
+			return // a wasteful encoding of more entries than fit
+		}
+		m2, ok := decodePeerMessage(again)
+		if !ok || fmt.Sprint(m) != fmt.Sprint(m2) {
+			t.Errorf("%v became %v", m, m2)
+		}
+		l, err := New(testSettings(), 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		l.Handle(1, PeerMessage{From: 1, Data: b})
+	})
+}
--- /dev/null
+++ b/balancer/harness_test.go
@@ -0,0 +1,198 @@
+package balancer
+
+// This file has the drivers of the tests: one limiter by hand, and a fleet of limiters.
+
+import (
+	"fmt"
+	"testing"
+)
+
+// testSettings has one class of each kind and a plan with and one without a
+// ceiling.
+func testSettings() Settings {
+	return Settings{
+		Balancers: 2, PeerMessagesPerSecond: 40,
+		Classes: []Class{
+			{Idempotency: Safe, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1, DedupWindowMs: 1000},
+			{Idempotency: Keyed, DedupScope: DedupCell, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1, DedupWindowMs: 1000},
+			{Idempotency: Unsafe, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1},
+			{Idempotency: Keyed, DedupScope: DedupAll, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1, DedupWindowMs: 1000},
+		},
+		Plans: []Plan{
+			{Rate: 10, Burst: 20, Price: 1},
+			{Rate: 10, Burst: 20, Price: 1, HardRate: 20, HardBurst: 40},
+			{Rate: 10, Burst: 20, Price: 1, MaxInFlight: 2},
+			{Price: 1},
+		},
+		Caps: Caps{MaxAttempts: 4, Cancel: true, Peers: true, Probes: true, RetryAfter: true,
+			MaxRetryAfterMs: 1000, ConnectTimeoutMs: 250},
+		Rules: Rules{SlowStartShare: 0.2, SlowStartMs: 10000, OverloadFactor: 2, OverloadMs: 1000},
+	}
+}
+
+// script drives one Limiter by hand.
+type limiterDriver struct {
+	t   *testing.T
+	l   *Limiter
+	now float64
+	n   int
+}
+
+func newLimiterDriver(t *testing.T, s Settings, servers ...ServerInfo) *limiterDriver {
+	t.Helper()
+	l, err := New(s, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sc := &limiterDriver{t: t, l: l, now: 1000}
+	sc.do(Endpoints{Scope: Persisted, Servers: servers})
+	return sc
+}
+
+func testServers(n int) (s []ServerInfo) {
+	for i := range n {
+		s = append(s, ServerInfo{ID: uint64(i + 1), Cell: i % 2, Zone: i % 2, Weight: 1})
+	}
+	return s
+}
+
+func (s *limiterDriver) do(e Event) []Action { return append([]Action(nil), s.l.Handle(s.now, e)...) }
+
+// submit hands in a request and returns its id and the answer.
+func (s *limiterDriver) submit(e Submit) (string, Action) {
+	s.n++
+	e.ID = fmt.Sprint("r", s.n)
+	if e.TimeoutMs == 0 {
+		e.TimeoutMs = 1500
+	}
+	if e.Spread == 0 {
+		e.Spread = 1
+	}
+	if e.Units == 0 {
+		e.Units = 1
+	}
+	return e.ID, s.answer(s.do(e))
+}
+
+// answer returns the one action among acts that concerns a request.
+func (s *limiterDriver) answer(acts []Action) (got Action) {
+	s.t.Helper()
+	for _, a := range acts {
+		switch a.(type) {
+		case StartAttempt, Reject, Fail:
+			if got != nil {
+				s.t.Fatalf("two answers: %v and %v", got, a)
+			}
+			got = a
+		}
+	}
+	return got
+}
+
+func (s *limiterDriver) outcome(id string, try int, server uint64, r Result) Action {
+	s.t.Helper()
+	return s.answer(s.do(Outcome{ID: id, Attempt: try, Server: server, Result: r, LatencyMs: 20, Final: r == Success,
+		Load: Load{Busy: -1, Pending: -1, ServiceMs: -1}}))
+}
+
+// pass serves a request that must have been passed on.
+func (s *limiterDriver) pass(id string, a Action) {
+	s.t.Helper()
+	p, ok := a.(StartAttempt)
+	if !ok {
+		s.t.Fatalf("%s: got %#v, want a PassOn", id, a)
+	}
+	s.outcome(id, 0, p.Server, Success)
+}
+
+// admit counts how many of n requests pass, each served at once.
+func (s *limiterDriver) admit(n int, e Submit) (passed int) {
+	for range n {
+		if id, a := s.submit(e); a != nil {
+			if _, ok := a.(StartAttempt); ok {
+				passed++
+				s.pass(id, a)
+			}
+		}
+	}
+	return passed
+}
+
+// peer encodes what a peer of this age says of customer 0.
+func peerReport(ageMs float64, seq, spentUnits uint64, flags byte, level float64) PeerMessage {
+	m := peerMessage{flags: flags, incarnation: 77, seq: seq, ageMs: uint64(ageMs)}
+	m.entries = []peerEntry{{spread: 2, spent: spentUnits * unitScale, level: int64(level * unitScale)}}
+	data, _ := m.encode()
+	return PeerMessage{From: 1, Data: data}
+}
+
+// peerAnswers encodes the answer of a peer of this age: levels below full.
+func peerLevels(ageMs float64, levels ...float64) PeerMessage {
+	m := peerMessage{flags: flagLevelUpdate | flagLevelsResponse, ageMs: uint64(ageMs)}
+	for _, level := range levels {
+		m.entries = append(m.entries, peerEntry{level: int64(level * unitScale)})
+	}
+	data, _ := m.encode()
+	return PeerMessage{From: 1, Data: data}
+}
+
+// crowd is a number of limiters that see nothing of each other but messages.
+type testFleet struct {
+	t        testing.TB
+	now      float64
+	limiters []*Limiter
+	ids      int
+	sent     map[uint64]int // by server
+	lose     func(from, to int) bool
+	tick     bool
+}
+
+func newTestFleet(t testing.TB, cfg Settings, n int, servers []ServerInfo) *testFleet {
+	t.Helper()
+	c := &testFleet{t: t, now: 1e6, sent: map[uint64]int{}, lose: func(int, int) bool { return false }}
+	cfg.Balancers = n
+	for i := range n {
+		cfg.Position = i
+		l, err := New(cfg, uint64(i)+9)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.limiters = append(c.limiters, l)
+		c.event(i, Endpoints{Scope: Persisted, Servers: servers})
+	}
+	return c
+}
+
+// event hands an event in, serves what is passed on at once, delivers messages
+// at once, and returns whether the event's request was passed on.
+func (c *testFleet) event(i int, e Event) (passed bool) {
+	for _, a := range append([]Action(nil), c.limiters[i].Handle(c.now, e)...) {
+		switch a := a.(type) {
+		case StartAttempt:
+			passed = true
+			c.sent[a.Server]++
+			c.event(i, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
+		case SendPeer:
+			if !c.lose(i, a.To) {
+				c.event(a.To, PeerMessage{From: i, Data: a.Data})
+			}
+		}
+	}
+	return passed
+}
+
+func (c *testFleet) submit(i int, e Submit) bool {
+	c.ids++
+	e.ID, e.TimeoutMs = fmt.Sprint("c", c.ids), 1500
+	e.Units = max(1, e.Units)
+	return c.event(i, e)
+}
+
+func (c *testFleet) ticks(ms float64) {
+	for end := c.now + ms; c.now < end; {
+		c.now += tickIntervalMs
+		for i := range c.limiters {
+			c.event(i, TimerFired{Name: "tick"})
+		}
+	}
+}
--- /dev/null
+++ b/balancer/slowstart_test.go
@@ -0,0 +1,131 @@
+package balancer
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// A cold server gets no more than its warmth times what a warm one gets, and
+// one request a window where there is none to compare with.
+func TestSlowStartLimitsAServer(t *testing.T) {
+	f := testServers(4)
+	f[0].ReadyAt = 999
+	s := newLimiterDriver(t, testSettings(), f...)
+	sent := map[uint64]int{}
+	for range 50 {
+		s.now += 20
+		out := map[string]Action{}
+		for range 12 {
+			if id, a := s.submit(Submit{Plan: 3}); a != nil {
+				if p, ok := a.(StartAttempt); ok {
+					out[id] = a
+					sent[p.Server]++
+				}
+			}
+		}
+		for id, a := range out {
+			s.pass(id, a)
+		}
+	}
+	if sent[1] == 0 || sent[1] > sent[2]/3 {
+		t.Errorf("cold server got %d, warm ones %d %d %d", sent[1], sent[2], sent[3], sent[4])
+	}
+	s = newLimiterDriver(t, testSettings(), f[0])
+	if n := s.admit(200, Submit{Plan: 3}); n > 2 {
+		t.Errorf("the only server is cold and got %d requests at once", n)
+	}
+}
+
+// Cold servers: the parts of any number of independent gateways add up to less
+// than the rule allows. Found in the code: one request a window from each gateway
+// was nothing for three gateways and far too much for hundreds.
+func TestSlowStartPartsAddUp(t *testing.T) {
+	for _, n := range []int{1, 3, 40, 300} {
+		cfg := testSettings()
+		cfg.Caps.Peers = false
+		f := testServers(10)
+		f[0].ReadyAt = 1e6
+		c := newTestFleet(t, cfg, n, f)
+		rng := rand.New(rand.NewPCG(2, 2))
+		for range 2000 { // ten seconds at 200 requests a second over all gateways
+			i := rng.IntN(n)
+			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
+			l := c.limiters[i] // it takes whatever part it has, as if no other server were better
+			for s := l.servers[1]; l.hasSlowStartCredit(c.now, s); s.slowStartCredit-- {
+				c.sent[1]++
+			}
+			c.now += 5
+		}
+		warm := 0
+		for id, k := range c.sent {
+			if id != 1 {
+				warm += k
+			}
+		}
+		// Mean warmth over the ten seconds is 0.6; the rule allows twice that.
+		if mean := float64(warm) / 9; float64(c.sent[1]) > 0.7*mean+3 {
+			t.Errorf("%d gateways sent the cold server %d, a warm one %.0f", n, c.sent[1], mean)
+		}
+	}
+}
+
+// A restarted fleet with none but cold servers sends few, however many gateways.
+func TestFleetOfServersInSlowStart(t *testing.T) {
+	for _, n := range []int{3, 300} {
+		cfg := testSettings()
+		cfg.Caps.Peers = false
+		c := newTestFleet(t, cfg, n, []ServerInfo{{ID: 1, ReadyAt: 1e6}})
+		for k := range 2000 {
+			c.submit(k%n, Submit{Plan: 3, Customer: uint64(k), Spread: n})
+			c.now += 0.5
+		}
+		if c.sent[1] == 0 || c.sent[1] > 40 {
+			t.Errorf("%d gateways sent a cold server %d in its first second", n, c.sent[1])
+		}
+	}
+}
+
+// Six in ten servers of a large fleet are replaced: the cold ones get at once what
+// they can bear, and the warm ones are not left with all of the load. Fails where
+// each gateway takes the best server that it sees, as all see the same.
+func TestReplacedServersShareLoad(t *testing.T) {
+	const n, servers, cold = 80, 60, 36
+	cfg := testSettings()
+	cfg.Caps.Peers = false
+	cfg.Rules.SlowStartShare, cfg.Rules.SlowStartMs = 0.3, 16000
+	f := testServers(servers)
+	c := newTestFleet(t, cfg, n, f)
+	rng := rand.New(rand.NewPCG(3, 3))
+	run := func(requests int) { // 400 a second over all gateways
+		clear(c.sent)
+		for range requests {
+			c.submit(rng.IntN(n), Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
+			c.now += 2.5
+		}
+	}
+	run(4000)
+	for i := range cold {
+		f[i].ReadyAt = c.now
+	}
+	for i := range n {
+		c.event(i, Endpoints{Scope: Complete, Servers: f})
+	}
+	const requests = 2000 // five seconds; the mean warmth is 0.41
+	run(requests)
+	got := 0
+	for i := range cold {
+		got += c.sent[f[i].ID]
+		if part := float64(c.sent[f[i].ID]); part > 2*0.41*requests/servers {
+			t.Errorf("cold server %d was sent %g", i, part)
+		}
+	}
+	fair := requests * cold * 0.41 / (cold*0.41 + servers - cold)
+	if float64(got) < 0.8*fair || float64(got) > 1.1*fair {
+		t.Errorf("%d of %d went to the cold servers, which can bear %.0f", got, requests, fair)
+	}
+	for i := cold; i < servers; i++ {
+		if mean := float64(requests-got) / (servers - cold); float64(c.sent[f[i].ID]) > 1.6*mean {
+			t.Errorf("warm server %d was sent %d, the mean one %.0f", i, c.sent[f[i].ID], mean)
+		}
+	}
+}
