--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -295,7 +295,7 @@
 	c.want(200, "yes")
 }
 
-// Words wait for the tick, all that have come are taken in at one, and none wakes the
+// Gossip messages wait for the tick, all that have come are received at one, and none wakes the
 // process by itself.
 func TestGossipIsReceivedAtATick(t *testing.T) {
 	const sent = 40
@@ -325,10 +325,10 @@
 		t.Fatal(err)
 	}
 	if received != 0 {
-		t.Errorf("%d words were taken in before the tick", received)
+		t.Errorf("%d messages were received before the tick", received)
 	}
 	if newGossipReceiver(&g.gossip).receiveAll(); received != sent {
-		t.Errorf("%d of %d words were taken in at the tick", received, sent)
+		t.Errorf("%d of %d messages were received at the tick", received, sent)
 	}
 }
 
--- a/dataplane/h1/h1_test.go
+++ b/dataplane/h1/h1_test.go
@@ -13,7 +13,7 @@
 func read(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 64) }
 
 // What two readers could take differently is refused, with the status that says why.
-func TestRequestsRefused(t *testing.T) {
+func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	for text, want := range map[string]int{
 		"GET / HTTP/1.1\nHost: x\r\n\r\n":                                                     400,
 		"GET / HTTP/1.1\r\nHost : x\r\n\r\n":                                                  400,
@@ -43,7 +43,7 @@
 }
 
 // A body ends where its framing says, and what follows is left to the next message.
-func TestBodies(t *testing.T) {
+func TestBodyEndsWhereItsFramingSays(t *testing.T) {
 	for _, c := range []struct {
 		text    string
 		framing int64
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponseHeads(t *testing.T) {
 	h, err := ReadResponse(read("HTTP/1.1 103 Early\r\nLink: x\r\n\r\n"+
 		"HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 4\r\n\r\n"), 1000)
 	if err != nil || h.Status != 200 || !h.ClosesConnection() {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestKeepAlive(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{"timeout=8": 8 * time.Second, "max=5, Timeout=3": 3 * time.Second,
 		"": 0, "timeout=-1": 0, "timeout=x": 0, "timeout=99999999": 0} {
 		h := Head{Fields: []Field{{"Keep-Alive", text}}}
@@ -131,7 +131,7 @@
 }
 
 // Whatever a server sends, reading it ends; a body whose end is known ends there.
-func FuzzAnswer(f *testing.F) {
+func FuzzResponse(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 204 x\r\n\r\n", false)
 	f.Add("HTTP/1.1 100 x\r\n\r\n"+
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n0\r\nT: 1\r\n\r\n", false)
@@ -167,7 +167,7 @@
 }
 
 // Heads that announce an answer are passed over, but not without end.
-func TestInterimAnswers(t *testing.T) {
+func TestInterimResponsesAreBounded(t *testing.T) {
 	const interim, final = "HTTP/1.1 103 x\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"
 	for n, want := range map[int]int{0: 200, maxInterim: 200, maxInterim + 1: 0} {
 		h, err := ReadResponse(bufio.NewReader(strings.NewReader(strings.Repeat(interim, n)+final)), 100)
@@ -179,7 +179,7 @@
 
 // A body is had up to a bound, whole or not, however it is framed; one of a known length
 // costs its own bytes and no more.
-func TestReadUpTo(t *testing.T) {
+func TestReadUpToKeepsToItsLimit(t *testing.T) {
 	text := strings.Repeat("0123456789", 500)
 	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text)
 	for name, c := range map[string]struct {
