--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -69,7 +69,8 @@
 	cfg.TrueUp = true
 	s := newLimiterDriver(t, cfg, testServers(4)...)
 	id, a := s.submit(Submit{})
-	s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true, SettledUnits: 25})
+	s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true,
+		SettledUnits: 25})
 	if got := s.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
 		t.Errorf("balance %g after true units of 25 of 20, want -5", got)
 	}
@@ -84,7 +85,8 @@
 	s.now += 2 * idleCustomerMs
 	s.do(TimerFired{Name: "tick"})
 	if len(s.l.customers) != 0 || len(s.l.customerList) != 0 || len(s.l.requests) != 0 {
-		t.Errorf("%d customers, %d listed, %d requests are still held", len(s.l.customers), len(s.l.customerList), len(s.l.requests))
+		t.Errorf("%d customers, %d listed, %d requests are still held", len(s.l.customers), len(s.l.customerList),
+			len(s.l.requests))
 	}
 	if got := s.admit(40, Submit{Customer: 3}); got != 20 {
 		t.Errorf("a forgotten customer got %d, want its burst of 20", got)
--- a/balancer/aggregation_test.go
+++ b/balancer/aggregation_test.go
@@ -87,14 +87,16 @@
 func TestLevelsOfCheapPlansLeaveRoom(t *testing.T) {
 	const n = 60
 	cfg := testSettings()
-	cfg.Plans = []Plan{{Rate: 0.84, Burst: 4, Price: 0.8}, {Rate: 3, Burst: 11, Price: 1.2}, {Rate: 12, Burst: 22, Price: 1.8}}
+	cfg.Plans = []Plan{{Rate: 0.84, Burst: 4, Price: 0.8}, {Rate: 3, Burst: 11, Price: 1.2},
+		{Rate: 12, Burst: 22, Price: 1.8}}
 	c := newTestFleet(t, cfg, n, testServers(4))
 	told := map[uint64]int{}
 	c.lose = func(int, int) bool { return false }
 	for step := range 400 { // twenty seconds; each asks for some four times its quota
 		for plan, each := range []int{6, 2, 1} {
 			if step%each == 0 {
-				c.submit((step*7+plan)%n, Submit{Customer: uint64(plan), Plan: plan, Spread: n, Units: 1 + float64(plan)})
+				c.submit((step*7+plan)%n, Submit{Customer: uint64(plan), Plan: plan, Spread: n,
+					Units: 1 + float64(plan)})
 			}
 		}
 		c.now += tickIntervalMs
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -13,7 +13,8 @@
 		result Result
 		want   string
 	}{
-		{0, ServerError, again}, {0, TimedOut, again}, {0, Rejected, again}, {0, ConnectFailed, again}, {0, Canceled, again},
+		{0, ServerError, again}, {0, TimedOut, again}, {0, Rejected, again}, {0, ConnectFailed, again}, {0,
+			Canceled, again},
 		{1, ServerError, again}, {1, ConnectionLost, again}, {1, Rejected, again}, {1, NotSent, again},
 		{2, ServerError, fail}, {2, ConnectionLost, fail}, {2, TimedOut, fail}, {2, Canceled, fail},
 		{2, Rejected, again}, {2, ConnectFailed, again}, {2, NotSent, again},
--- a/balancer/escrow_test.go
+++ b/balancer/escrow_test.go
@@ -72,7 +72,8 @@
 		demand, skew, lost float64
 		restarts           bool
 		least              float64 // share that passes
-	}{{8, 0.7, 0.1, false, 0.85}, {8, 0.7, 1, false, 0}, {400, 0.2, 0.3, false, 0}, {60, 0.5, 0.5, true, 0}, {400, 0.9, 0.9, true, 0}} {
+	}{{8, 0.7, 0.1, false, 0.85}, {8, 0.7, 1, false, 0}, {400, 0.2, 0.3, false, 0}, {60, 0.5, 0.5, true, 0}, {400,
+		0.9, 0.9, true, 0}} {
 		c := newTestFleet(t, cfg, n, testServers(4))
 		rng := rand.New(rand.NewPCG(4, 4))
 		c.lose = func(int, int) bool { return rng.Float64() < p.lost }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -27,7 +27,8 @@
 			switch a := action.(type) {
 			case balancer.StartAttempt:
 				fmt.Printf("%s goes to server %d\n", a.ID, a.Server)
-				l.Handle(now, balancer.Outcome{ID: a.ID, Server: a.Server, Result: balancer.Success, LatencyMs: 5, Final: true})
+				l.Handle(now, balancer.Outcome{ID: a.ID, Server: a.Server, Result: balancer.Success, LatencyMs: 5,
+					Final: true})
 			case balancer.Reject:
 				fmt.Printf("%s is refused for %.0f ms\n", a.ID, a.RetryAfterMs)
 			}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -21,10 +21,11 @@
 	failing := peerEntry{customer: 51530247, plan: 3}
 	grant := peerEntry{customer: 17, plan: 1, level: 40}
 	return map[string]peerMessage{
-		"report.bin":      {incarnation: 0xdeadbeef, seq: 129, ageMs: 65000, entries: []peerEntry{entry, entry}},
-		"asking.bin":      {flags: flagLevelsRequest, incarnation: 1, seq: 1, ageMs: 0},
-		"in-flight.bin":   {flags: flagInFlight, incarnation: 7, seq: 2, ageMs: 50, entries: []peerEntry{withInFlight}},
-		"levels.bin":      {flags: flagLevelUpdate | flagLevelsResponse, ageMs: 123456, entries: []peerEntry{level, low}},
+		"report.bin":    {incarnation: 0xdeadbeef, seq: 129, ageMs: 65000, entries: []peerEntry{entry, entry}},
+		"asking.bin":    {flags: flagLevelsRequest, incarnation: 1, seq: 1, ageMs: 0},
+		"in-flight.bin": {flags: flagInFlight, incarnation: 7, seq: 2, ageMs: 50, entries: []peerEntry{withInFlight}},
+		"levels.bin": {flags: flagLevelUpdate | flagLevelsResponse, ageMs: 123456,
+			entries: []peerEntry{level, low}},
 		"level.bin":       {flags: flagLevelUpdate, entries: []peerEntry{low}},
 		"failing.bin":     {flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{failing}},
 		"grant.bin":       {flags: flagLevelUpdate | flagEscrowGrant, entries: []peerEntry{grant}},
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -10,22 +10,23 @@
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	s.now += 5000 // the burst has filled meanwhile
 	s.admit(1, both)
-	s.do(peerReport(5000, 1, 30, 0, 0))
+	s.do(peerReport(5000, 1, 30))
 	if got := s.admit(30, both); got != 0 {
 		t.Errorf("balance 20-1-30 let %d through", got)
 	}
-	s.do(peerReport(5000, 1, 30, 0, 0)) // repeated
-	s.do(peerReport(5000, 3, 31, 0, 0)) // one lost before it
-	s.do(peerReport(5000, 2, 29, 0, 0)) // late
-	s.now += 1700                       // refill repays the debt of 12, 5 are left
+	s.do(peerReport(5000, 1, 30)) // repeated
+	s.do(peerReport(5000, 3, 31)) // one lost before it
+	s.do(peerReport(5000, 2, 29)) // late
+	s.now += 1700                 // refill repays the debt of 12, 5 are left
 	if got := s.admit(30, both); got != 5 {
 		t.Errorf("after the debt was repaid %d passed, want 5", got)
 	}
 	before := s.l.customers[0].balance
-	for _, bad := range [][]byte{nil, {1, 2}, []byte("foreign message, quite long"), {peerMagic, 9, 0, 1, 1, 1, 1, 1, 1}} {
+	for _, bad := range [][]byte{nil, {1, 2}, []byte("foreign message, quite long"),
+		{peerMagic, 9, 0, 1, 1, 1, 1, 1, 1}} {
 		s.do(PeerMessage{From: 1, Data: bad})
 	}
-	s.do(PeerMessage{From: 9, Data: peerReport(0, 9, 50, 0, 0).Data})
+	s.do(PeerMessage{From: 9, Data: peerReport(0, 9, 50).Data})
 	if s.l.customers[0].balance != before {
 		t.Error("a message that is not sound changed the balance")
 	}
@@ -96,7 +97,9 @@
 }
 
 func FuzzDecodePeer(f *testing.F) {
-	m := peerMessage{flags: knownFlags, incarnation: 9, seq: 300, ageMs: 70000, entries: []peerEntry{{customer: 1 << 32, plan: 2, spread: 3, spent: 77, newlySpent: 4, level: -5, inFlight: 3}, {customer: 4, spread: 1, level: 9}}}
+	m := peerMessage{flags: knownFlags, incarnation: 9, seq: 300, ageMs: 70000,
+		entries: []peerEntry{{customer: 1 << 32, plan: 2, spread: 3, spent: 77, newlySpent: 4, level: -5,
+			inFlight: 3}, {customer: 4, spread: 1, level: 9}}}
 	data, _ := m.encode()
 	f.Add(data)
 	f.Add([]byte{peerMagic, peerVersion, 0})
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -14,9 +14,11 @@
 		Balancers: 2, PeerMessagesPerSecond: 40,
 		Classes: []Class{
 			{Idempotency: Safe, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1, DedupWindowMs: 1000},
-			{Idempotency: Keyed, DedupScope: DedupCell, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1, DedupWindowMs: 1000},
+			{Idempotency: Keyed, DedupScope: DedupCell, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1,
+				DedupWindowMs: 1000},
 			{Idempotency: Unsafe, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1},
-			{Idempotency: Keyed, DedupScope: DedupAll, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1, DedupWindowMs: 1000},
+			{Idempotency: Keyed, DedupScope: DedupAll, LatencyTargetMs: 500, DeadlineMs: 2000, Value: 1,
+				DedupWindowMs: 1000},
 		},
 		Plans: []Plan{
 			{Rate: 10, Burst: 20, Price: 1},
@@ -119,9 +121,9 @@
 }
 
 // peer encodes what a peer of this age says of customer 0.
-func peerReport(ageMs float64, seq, spentUnits uint64, flags byte, level float64) PeerMessage {
-	m := peerMessage{flags: flags, incarnation: 77, seq: seq, ageMs: uint64(ageMs)}
-	m.entries = []peerEntry{{spread: 2, spent: spentUnits * unitScale, level: int64(level * unitScale)}}
+func peerReport(ageMs float64, seq, spentUnits uint64) PeerMessage {
+	m := peerMessage{incarnation: 77, seq: seq, ageMs: uint64(ageMs)}
+	m.entries = []peerEntry{{spread: 2, spent: spentUnits * unitScale}}
 	data, _ := m.encode()
 	return PeerMessage{From: 1, Data: data}
 }
@@ -144,7 +146,6 @@
 	ids      int
 	sent     map[uint64]int // by server
 	lose     func(from, to int) bool
-	tick     bool
 }
 
 func newTestFleet(t testing.TB, cfg Settings, n int, servers []ServerInfo) *testFleet {
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -136,7 +136,8 @@
 			l.Handle(0, Endpoints{Scope: Persisted, Servers: testServers(9)})
 			for k := range 40 { // two seconds, every fifth answer fails
 				now, id := float64(50*k), fmt.Sprint(k)
-				for _, a := range l.Handle(now, Submit{ID: id, TimeoutMs: 900, Units: 1, Plan: 3, Class: 2, Spread: 1}) {
+				for _, a := range l.Handle(now,
+					Submit{ID: id, TimeoutMs: 900, Units: 1, Plan: 3, Class: 2, Spread: 1}) {
 					if p, ok := a.(StartAttempt); ok {
 						o := Outcome{ID: id, Server: p.Server, LatencyMs: 20, Result: Success, Final: true}
 						if k%5 == 0 {
@@ -164,7 +165,8 @@
 func TestFailureHintsEjectAServer(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	hint := func(server, class uint64) {
-		m := peerMessage{flags: flagLevelUpdate | flagFailureHint, entries: []peerEntry{{customer: server, plan: class}}}
+		m := peerMessage{flags: flagLevelUpdate | flagFailureHint,
+			entries: []peerEntry{{customer: server, plan: class}}}
 		data, _ := m.encode()
 		s.do(PeerMessage{From: 1, Data: data})
 	}
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -67,8 +67,10 @@
 		s.now += 2 * idleCustomerMs
 		s.do(TimerFired{Name: "tick"})
 	}
-	if len(s.l.customers)+len(s.l.customerList)+len(s.l.aggregated)+len(s.l.unreported)+len(s.l.requests) != 0 || s.l.inFlight != 0 {
-		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.customers), len(s.l.customerList),
+	if len(s.l.customers)+len(s.l.customerList)+len(s.l.aggregated)+len(s.l.unreported)+len(s.l.requests) != 0 ||
+		s.l.inFlight != 0 {
+		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.customers),
+			len(s.l.customerList),
 			len(s.l.aggregated), len(s.l.unreported), len(s.l.requests), s.l.inFlight)
 	}
 	if len(s.l.servers) != 5 || len(s.l.serverList) != 5 {
@@ -141,12 +143,15 @@
 			now := float64(n * 3)
 			out += fmt.Sprint(l.Handle(now, Submit{ID: fmt.Sprint(n), TimeoutMs: 900, Units: 1, Plan: rng.IntN(4),
 				Class: rng.IntN(4), Customer: uint64(rng.IntN(30)), Spread: 2}))
-			out += fmt.Sprint(l.Handle(now, Outcome{ID: fmt.Sprint(rng.IntN(n + 1)), Result: Result(rng.IntN(8)), LatencyMs: 30}))
-			out += fmt.Sprint(l.Handle(now, TimerFired{Name: "tick"}), l.Handle(now, ProbeResult{Server: 3, Result: TimedOut}))
+			out += fmt.Sprint(l.Handle(now, Outcome{ID: fmt.Sprint(rng.IntN(n + 1)), Result: Result(rng.IntN(8)),
+				LatencyMs: 30}))
+			out += fmt.Sprint(l.Handle(now, TimerFired{Name: "tick"}),
+				l.Handle(now, ProbeResult{Server: 3, Result: TimedOut}))
 		}
 		return out
 	}
-	if run() != run() {
+	first, second := run(), run()
+	if first != second {
 		t.Error("two runs differ")
 	}
 }
@@ -168,10 +173,12 @@
 			id := fmt.Sprint(y % 8)
 			switch k % 9 {
 			case 0, 1:
-				l.Handle(now, Submit{ID: id, TimeoutMs: float64(x * 10), Units: float64(x), Class: y % 5, Plan: int(z) % 5,
+				l.Handle(now, Submit{ID: id, TimeoutMs: float64(x * 10), Units: float64(x), Class: y % 5,
+					Plan:     int(z) % 5,
 					Customer: uint64(y), Spread: x, First: x})
 			case 2, 3:
-				l.Handle(now, Outcome{ID: id, Attempt: x % 4, Server: uint64(y), Result: Result(z % 9), LatencyMs: float64(x), Final: y%2 == 0})
+				l.Handle(now, Outcome{ID: id, Attempt: x % 4, Server: uint64(y), Result: Result(z % 9),
+					LatencyMs: float64(x), Final: y%2 == 0})
 			case 4:
 				l.Handle(now, ClientGone{ID: id})
 			case 5:
@@ -179,7 +186,8 @@
 			case 6:
 				l.Handle(now, ProbeResult{Server: uint64(y % 4), Result: Result(z % 8)})
 			case 7:
-				l.Handle(now, Endpoints{Scope: Scope(y % 4), Servers: []ServerInfo{{ID: uint64(x & 3), Phase: Phase(z % 3), ReadyAt: float64(y)}}})
+				l.Handle(now, Endpoints{Scope: Scope(y % 4),
+					Servers: []ServerInfo{{ID: uint64(x & 3), Phase: Phase(z % 3), ReadyAt: float64(y)}}})
 			case 8:
 				l.Handle(now, PeerMessage{From: x, Data: b})
 			}
@@ -199,7 +207,8 @@
 	for k := range b.N {
 		now := 10000 + float64(k)*300
 		id := fmt.Sprint(k)
-		for _, a := range l.Handle(now, Submit{ID: id, TimeoutMs: 900, Units: 1, Customer: uint64(k % 300), Spread: 100}) {
+		for _, a := range l.Handle(now, Submit{ID: id, TimeoutMs: 900, Units: 1, Customer: uint64(k % 300),
+			Spread: 100}) {
 			if p, ok := a.(StartAttempt); ok {
 				l.Handle(now+20, Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 20, Final: true})
 				break
--- a/balancer/node/bench_test.go
+++ b/balancer/node/bench_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -24,13 +24,14 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				buf := make([]byte, 4096)
 				for {
 					if _, err := c.Read(buf); err != nil {
 						return
 					}
-					io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Server-Load: inflight=7,queue=2\r\nContent-Length: 2\r\n\r\nok")
+					_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Server-Load: inflight=7,queue=2\r\n"+
+						"Content-Length: 2\r\n\r\nok")
 				}
 			}()
 		}
@@ -42,17 +43,19 @@
 		b.Fatal(err)
 	}
 	ctx := b.Context()
-	go n.Run(ctx)
+	go func() { _ = n.Run(ctx) }()
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
+	const text = "GET /api?key=00000000b4d65521 HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: r\r\n" +
+		"X-Priority-Class: status-check\r\nPlan: enterprise\r\nX-Timeout: 9000m\r\n" +
+		"Quota-Info: units=1,spread=1,first=0\r\n\r\n"
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if _, err := io.WriteString(c, "GET /api?key=00000000b4d65521 HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: r\r\n"+
-			"X-Priority-Class: status-check\r\nPlan: enterprise\r\nX-Timeout: 9000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(c, text); err != nil {
 			b.Fatal(err)
 		}
 		resp, err := http.ReadResponse(in, nil)
--- a/balancer/node/clients.go
+++ b/balancer/node/clients.go
@@ -358,16 +358,16 @@
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
 			return badRequestf("Quota-Info %q", text)
 		}
-		whole, ok := v == math.Trunc(v), true
+		ok := true
 		switch name {
 		case "units":
 			ok = v > 0 && v <= maxUnits
 			ev.Units, hasUnits = v, true
 		case "spread":
-			ok = whole && v >= 1 && v <= float64(balancers)
+			ok = wholeBetween(v, 1, balancers)
 			ev.Spread, hasSpread = int(v), true
 		case "first":
-			ok = whole && v >= 0 && v < float64(balancers)
+			ok = wholeBetween(v, 0, balancers-1)
 			ev.First, hasFirst = int(v), true
 		}
 		if !ok {
@@ -380,6 +380,11 @@
 	return nil
 }
 
+// wholeBetween reports whether v is a whole number from low to high.
+func wholeBetween(v float64, low, high int) bool {
+	return v == math.Trunc(v) && v >= float64(low) && v <= float64(high)
+}
+
 // readRequestBody reads the body, if there is one.
 func readRequestBody(w http.ResponseWriter, hr *http.Request, r *request, arrived time.Time) error {
 	if hr.ContentLength == 0 {
--- a/balancer/node/clients_test.go
+++ b/balancer/node/clients_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -19,7 +20,7 @@
 // echo runs a server that answers every request with its id.
 func echo(t *testing.T) string {
 	return serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, r.Header.Get("X-Request-ID"))
+		_, _ = io.WriteString(w, r.Header.Get("X-Request-ID"))
 	})
 }
 
@@ -72,18 +73,34 @@
 	}
 }
 
+// writeRequest writes a request to a connection.
+func writeRequest(t *testing.T, c net.Conn, req *http.Request) {
+	t.Helper()
+	if err := req.Write(c); err != nil {
+		t.Fatalf("writing a request: %v", err)
+	}
+}
+
+// isTimeout reports whether a read or a write ended by its deadline.
+func isTimeout(err error) bool {
+	var ne net.Error
+	return errors.As(err, &ne) && ne.Timeout()
+}
+
 func TestNoHTTPAtAll(t *testing.T) {
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
-	for _, text := range []string{"\x00\x01\x02\r\n\r\n", "GET / HTTP/9\r\n\r\n", "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-ID\r\n\r\n",
-		"GET /" + strings.Repeat("a", 1<<17) + " HTTP/1.1\r\n\r\n", "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: -3\r\n\r\n"} {
+	for _, text := range []string{"\x00\x01\x02\r\n\r\n", "GET / HTTP/9\r\n\r\n",
+		"GET /api HTTP/1.1\r\nHost: x\r\nX-Request-ID\r\n\r\n",
+		"GET /" + strings.Repeat("a", 1<<17) + " HTTP/1.1\r\n\r\n",
+		"POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: -3\r\n\r\n"} {
 		c, in := r.dial()
-		go io.WriteString(c, text)
+		go func() { _, _ = io.WriteString(c, text) }()
 		resp, err := http.ReadResponse(in, nil)
 		if err == nil && (resp.StatusCode < 400 || resp.StatusCode > 599 || resp.StatusCode == 503) {
 			t.Errorf("%.20q: status %d", text, resp.StatusCode)
 		}
-		c.Close()
+		_ = c.Close()
 	}
 	if status, _, _ := r.do(r.newRequest("status-check", "enterprise", "")); status != 200 {
 		t.Errorf("a sound request got %d", status)
@@ -135,7 +152,8 @@
 	out := r.send(r.newRequest("send-bulk-paid", "enterprise", ""))
 	c := srv.accept()
 	c.request()
-	if status, _, header := r.do(r.newRequest("status-check", "enterprise", "")); status != 503 || header.Get("Retry-After") == "" {
+	if status, _, header := r.do(r.newRequest("status-check", "enterprise", "")); status != 503 ||
+		header.Get("Retry-After") == "" {
 		t.Errorf("status %d", status)
 	}
 	c.answer("200 OK", "")
@@ -157,7 +175,7 @@
 	}
 	if _, err := conns[0].Read(make([]byte, 1)); err == nil {
 		t.Error("a byte came")
-	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
+	} else if isTimeout(err) {
 		t.Error("the oldest connection stayed open")
 	}
 	if status, _, _ := r.do(r.newRequest("status-check", "enterprise", "")); status != 200 {
@@ -190,7 +208,7 @@
 	serve := func() {
 		t.Helper()
 		req := r.newRequest("status-check", "enterprise", "")
-		req.Write(kept)
+		writeRequest(t, kept, req)
 		resp, err := http.ReadResponse(in, req)
 		if err != nil {
 			t.Fatal(err)
@@ -213,7 +231,7 @@
 	for _, c := range silent { // the last ones by the time-out, the others at once
 		if _, err := c.Read(make([]byte, 1)); err == nil {
 			t.Error("a byte came")
-		} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
+		} else if isTimeout(err) {
 			t.Fatal("a silent connection stayed open")
 		}
 	}
@@ -223,7 +241,7 @@
 		c := r.node.clients
 		return len(c.open) <= 1 && c.neverUsed.Len() == 0 && c.idle.Len() == len(c.open) && budget > 0
 	})
-	kept.Close()
+	_ = kept.Close()
 	until(t, "the last one is forgotten", func() bool {
 		r.node.clients.mu.Lock()
 		defer r.node.clients.mu.Unlock()
@@ -244,7 +262,7 @@
 	ask := func(c client) {
 		t.Helper()
 		req := r.newRequest("status-check", "enterprise", "")
-		req.Write(c)
+		writeRequest(t, c, req)
 		if resp, err := http.ReadResponse(c.in, req); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("a new client got no answer: %v", err)
 		}
@@ -284,23 +302,26 @@
 	for name, bytes := range map[string]string{
 		"both":          text(sound(), "1.1", "Content-Length: 4", "Transfer-Encoding: chunked") + "0\r\n\r\n" + hidden,
 		"both reversed": text(sound(), "1.1", "Transfer-Encoding: chunked", "Content-Length: 4") + "0\r\n\r\n" + hidden,
-		"both in 1.0": text(sound(), "1.0", "Connection: keep-alive", "Content-Length: 5", "Transfer-Encoding: chunked") +
+		"both in 1.0": text(sound(), "1.0", "Connection: keep-alive", "Content-Length: 5",
+			"Transfer-Encoding: chunked") +
 			"0\r\n\r\n" + hidden,
-		"on healthz": "GET /healthz HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-		"chunks":     text(sound(), "1.1", "Transfer-Encoding: chunked") + chunk + hidden,
+		"on healthz": "GET /healthz HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n" +
+			"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
+		"chunks": text(sound(), "1.1", "Transfer-Encoding: chunked") + chunk + hidden,
 		"two lengths": text(sound(), "1.1", "Content-Length: 0", fmt.Sprintf("Content-Length: %d", len(hidden))) +
 			hidden,
-		"two ids":          text(sound(), "1.1", "X-Request-ID: another") + hidden,
-		"two sets":         text(sound(), "1.1", "Quota-Info: units=1,spread=1,first=0") + hidden,
-		"key for unsafe":   text(sound(), "1.1", "Idempotency-Key: k") + hidden,
-		"malformed, then":  text(sound(), "1.1", "Plan: none") + hidden,
-		"long body":        text(sound(), "1.1", "Content-Length: 62914560") + hidden,
-		"negative":         text(sound(), "1.1", "Content-Length: -1") + hidden,
-		"huge":             text(sound(), "1.1", "Content-Length: 99999999999999999999") + hidden,
-		"body for a check": text(r.newRequest("status-check", "enterprise", ""), "1.1", fmt.Sprintf("Content-Length: %d", len(hidden))) + hidden,
+		"two ids":         text(sound(), "1.1", "X-Request-ID: another") + hidden,
+		"two sets":        text(sound(), "1.1", "Quota-Info: units=1,spread=1,first=0") + hidden,
+		"key for unsafe":  text(sound(), "1.1", "Idempotency-Key: k") + hidden,
+		"malformed, then": text(sound(), "1.1", "Plan: none") + hidden,
+		"long body":       text(sound(), "1.1", "Content-Length: 62914560") + hidden,
+		"negative":        text(sound(), "1.1", "Content-Length: -1") + hidden,
+		"huge":            text(sound(), "1.1", "Content-Length: 99999999999999999999") + hidden,
+		"body for a check": text(r.newRequest("status-check", "enterprise", ""), "1.1",
+			fmt.Sprintf("Content-Length: %d", len(hidden))) + hidden,
 	} {
 		c, in := r.dial()
-		go io.WriteString(c, bytes)
+		go func() { _, _ = io.WriteString(c, bytes) }()
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Errorf("%s: no answer: %v", name, err)
@@ -309,8 +330,8 @@
 		if resp.StatusCode < 400 || resp.StatusCode == 429 || resp.StatusCode == 503 || !resp.Close {
 			t.Errorf("%s: status %d, closes %v", name, resp.StatusCode, resp.Close)
 		}
-		io.Copy(io.Discard, resp.Body) // up to the end of the connection
-		c.Close()
+		_, _ = io.Copy(io.Discard, resp.Body) // up to the end of the connection
+		_ = c.Close()
 	}
 	// Had anything gone on, the server would have seen it before this one.
 	req := sound()
@@ -330,7 +351,7 @@
 	req := r.newRequest("send-bulk-paid", "enterprise", "")
 	req.Body, req.ContentLength = nil, 0
 	var sound bytes.Buffer
-	req.Write(&sound)
+	_ = req.Write(&sound)
 	whole := strings.Replace(sound.String(), "Content-Length: 0\r\n", "", 1)
 	for name, text := range map[string]string{
 		"nothing":   "",
@@ -341,7 +362,7 @@
 			t.Parallel()
 			begun := time.Now()
 			c, in := r.dial()
-			io.WriteString(c, text)
+			_, _ = io.WriteString(c, text)
 			resp, err := http.ReadResponse(in, nil)
 			if err == nil && (resp.StatusCode < 400 || resp.StatusCode > 499) {
 				t.Errorf("status %d", resp.StatusCode)
@@ -358,7 +379,8 @@
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
 	for _, info := range []string{"units=7,spread=1,first=0", "units=1e9,spread=1,first=0", "units=-1,spread=1,first=0",
-		"units=1,spread=2,first=0", "units=1,spread=0,first=0", "units=1,spread=1,first=1", "units=1,spread=1,first=1e400"} {
+		"units=1,spread=2,first=0", "units=1,spread=0,first=0", "units=1,spread=1,first=1",
+		"units=1,spread=1,first=1e400"} {
 		for range 3 { // the burst holds two units
 			req := r.newRequest("status-check", "starter", "")
 			req.Header.Set("Quota-Info", info)
@@ -413,7 +435,7 @@
 		}
 		return resp
 	}
-	r.newRequest("send-bulk-paid", "enterprise", "").Write(kept)
+	writeRequest(t, kept, r.newRequest("send-bulk-paid", "enterprise", ""))
 	c1 := srv.accept()
 	if exchange(c1, "kept").Close {
 		t.Error("the connection closes before the stop")
@@ -425,7 +447,7 @@
 	late := r.send(r.newRequest("send-bulk-paid", "enterprise", "")) // on a new connection
 	c2 := srv.accept()
 	c2.request()
-	r.newRequest("send-bulk-paid", "enterprise", "").Write(kept) // on the kept one
+	writeRequest(t, kept, r.newRequest("send-bulk-paid", "enterprise", "")) // on the kept one
 	if !exchange(srv.accept(), "still").Close {
 		t.Error("the answer does not say that the connection closes")
 	}
@@ -448,7 +470,7 @@
 	srv := newRawServer(t)
 	r := start(t, server("s-1", srv.addr))
 	kept, in := r.dial()
-	r.newRequest("send-bulk-paid", "enterprise", "").Write(kept)
+	writeRequest(t, kept, r.newRequest("send-bulk-paid", "enterprise", ""))
 	c := srv.accept()
 	c.request()
 	r.stop()
@@ -459,7 +481,7 @@
 	}
 
 	conn, other := net.Pipe()
-	defer other.Close()
+	defer func() { _ = other.Close() }()
 	r.node.clients.stateChanged(conn, http.StateNew)
 	r.node.clients.closeUnused()
 	r.node.clients.stateChanged(conn, http.StateActive)
@@ -469,7 +491,7 @@
 		r.node.serveRequest(httptest.NewRecorder(), req.WithContext(context.WithValue(req.Context(), connKey{}, conn)))
 		return nil
 	}()
-	if aborted != http.ErrAbortHandler {
+	if err, ok := aborted.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
 		t.Errorf("the request went on: %v", aborted)
 	}
 	r.node.clients.stateChanged(conn, http.StateClosed)
@@ -512,7 +534,8 @@
 			t.Errorf("%q gave %v", timeout, d)
 		}
 		var ev balancer.Submit
-		if parseQuotaInfo(info, 3, 6, &ev) == nil && (!(ev.Units > 0 && ev.Units <= 6) || ev.Spread < 1 || ev.Spread > 3 || ev.First < 0 || ev.First > 2) {
+		if parseQuotaInfo(info, 3, 6, &ev) == nil &&
+			(!(ev.Units > 0 && ev.Units <= 6) || ev.Spread < 1 || ev.Spread > 3 || ev.First < 0 || ev.First > 2) {
 			t.Errorf("%q gave %+v", info, ev)
 		}
 	})
--- a/balancer/node/config_test.go
+++ b/balancer/node/config_test.go
@@ -13,12 +13,14 @@
 	t.Parallel()
 	c := testConfig(t, "127.0.0.1:8500", server("s-1", "127.0.0.1:3000"))
 	s := c.Settings
-	if c.Name != "n0" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.KnownServers.Hosts) != 1 || c.KnownServers.Seq != 1 {
+	if c.Name != "n0" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.KnownServers.Hosts) != 1 ||
+		c.KnownServers.Seq != 1 {
 		t.Errorf("config %+v", c)
 	}
 	if s.Module.Classes[1].Idempotency != balancer.Keyed || s.Module.Classes[1].DedupScope != balancer.DedupCell ||
 		s.Module.Plans[1].Rate != 1000 || s.ClassNames["send-bulk-paid"] != 2 || s.PlanNames["enterprise"] != 1 ||
-		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.ConnIdle != 30*time.Second || s.LongestDeadline != 15*time.Minute {
+		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.ConnIdle != 30*time.Second ||
+		s.LongestDeadline != 15*time.Minute {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/balancer/node/discovery.go
+++ b/balancer/node/discovery.go
@@ -160,8 +160,9 @@
 	rng := rand.New(rand.NewPCG(cfg.Seed, 0xd15c))
 	limiters := time.Duration(cfg.Settings.Module.Balancers)
 	p := &discoveryPacing{
-		failed:     backoff.New(minRetryPause, maxRetryPause, rng),
-		overloaded: backoff.New(max(minRetryPause, limiters*callEvery/2), max(maxRetryPause, limiters*overloadedEvery), rng),
+		failed: backoff.New(minRetryPause, maxRetryPause, rng),
+		overloaded: backoff.New(max(minRetryPause, limiters*callEvery/2),
+			max(maxRetryPause, limiters*overloadedEvery), rng),
 	}
 	if cfg.Settings.Module.PollMembership {
 		p.spread = backoff.Jitter(limiters*callEvery, rng)
--- a/balancer/node/discovery_test.go
+++ b/balancer/node/discovery_test.go
@@ -13,8 +13,8 @@
 // A change of the list takes effect through the watch.
 func TestWatchFollowsChanges(t *testing.T) {
 	t.Parallel()
-	a := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "a") })
-	b := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "b") })
+	a := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "a") })
+	b := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "b") })
 	r := start(t, server("s-a", a))
 	if _, body, _ := r.do(r.newRequest("status-check", "enterprise", "")); body != "a" {
 		t.Errorf("served by %q", body)
@@ -47,13 +47,13 @@
 		}
 		switch call % 4 {
 		case 0:
-			io.WriteString(w, "{nonsense")
+			_, _ = io.WriteString(w, "{nonsense")
 		case 1:
 			w.WriteHeader(500)
 		case 2:
 			panic(http.ErrAbortHandler)
 		default:
-			io.WriteString(w, `{"seq":1,"whole":false,"hosts":[]}`) // nothing new, at once
+			_, _ = io.WriteString(w, `{"seq":1,"whole":false,"hosts":[]}`) // nothing new, at once
 		}
 	})
 	r := startWith(t, func(c *Config) { c.Discovery = bad }, server("s-1", echo(t)))
@@ -103,7 +103,8 @@
 }
 
 func FuzzList(f *testing.F) {
-	f.Add([]byte(`{"seq":41,"whole":true,"hosts":[{"host":"s","dial":"10.1.0.18:3000","site":"a","block":3,"health":"ready","share":1.0,"born_ms":0}]}`))
+	f.Add([]byte(`{"seq":41,"whole":true,"hosts":[{"host":"s","dial":"10.1.0.18:3000","site":"a",` +
+		`"block":3,"health":"ready","share":1.0,"born_ms":0}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var l serverList
 		if json.Unmarshal(data, &l) != nil {
--- a/balancer/node/node.go
+++ b/balancer/node/node.go
@@ -236,7 +236,8 @@
 		n.startAttempt(a)
 	case balancer.Reject:
 		// Without a time to retry after, a client would retry at once.
-		n.setFinal(a.ID, &response{status: http.StatusTooManyRequests, retryAfterMs: cmp.Or(a.RetryAfterMs, capacityRetryAfterMs)})
+		n.setFinal(a.ID, &response{status: http.StatusTooManyRequests,
+			retryAfterMs: cmp.Or(a.RetryAfterMs, capacityRetryAfterMs)})
 	case balancer.Fail:
 		n.setFinal(a.ID, &response{status: http.StatusBadGateway})
 	case balancer.CancelAttempt:
--- a/balancer/node/node_test.go
+++ b/balancer/node/node_test.go
@@ -94,7 +94,7 @@
 		list = d.list
 		d.mu.Unlock()
 	}
-	json.NewEncoder(w).Encode(map[string]any{"seq": list.Seq, "whole": list.Whole, "hosts": list.Hosts})
+	_ = json.NewEncoder(w).Encode(map[string]any{"seq": list.Seq, "whole": list.Whole, "hosts": list.Hosts})
 }
 
 func (d *fakeDiscovery) set(items ...serverItem) {
@@ -114,8 +114,8 @@
 		t.Fatal(err)
 	}
 	s := &http.Server{Handler: h}
-	go s.Serve(ln)
-	t.Cleanup(func() { s.Close() })
+	go func() { _ = s.Serve(ln) }()
+	t.Cleanup(func() { _ = s.Close() })
 	return ln.Addr().String()
 }
 
@@ -130,9 +130,12 @@
  "family_info":{"peer_in_per_s":40.0,"units_top":6},
  "invariants":{"cold_ms":18000.0,"cold_share":0.18,"drain_grace_ms":500.0,"fall_ms":1500.0,"overload_factor":3.0},
  "request_classes":[
-  {"name":"status-check","idempotency":"read_like","group":"all","promise_ms":540000.0,"deadline_ms":900000.0,"window_ms":5000.0,"importance":2.0},
-  {"name":"send-reminder","idempotency":"idempotency_key","group":"cell","promise_ms":540000.0,"deadline_ms":900000.0,"window_ms":5000.0,"importance":3.0},
-  {"name":"send-bulk-paid","idempotency":"non_idempotent","group":"all","promise_ms":540000.0,"deadline_ms":900000.0,"window_ms":5000.0,"importance":5.0}],
+  {"name":"status-check","idempotency":"read_like","group":"all","promise_ms":540000.0,"deadline_ms":900000.0,
+   "window_ms":5000.0,"importance":2.0},
+  {"name":"send-reminder","idempotency":"idempotency_key","group":"cell","promise_ms":540000.0,"deadline_ms":900000.0,
+   "window_ms":5000.0,"importance":3.0},
+  {"name":"send-bulk-paid","idempotency":"non_idempotent","group":"all","promise_ms":540000.0,"deadline_ms":900000.0,
+   "window_ms":5000.0,"importance":5.0}],
  "packages":[
   {"name":"starter","per_second":0.001,"burst":2.0,"price":1.0},
   {"name":"enterprise","per_second":1000.0,"burst":1000.0,"price":1.0}]}`
@@ -232,7 +235,8 @@
 	if class == "status-check" {
 		method = http.MethodGet
 	}
-	req, err := http.NewRequest(method, "http://"+r.node.Addr().String()+"/api?key=00000000b4d65521", strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+r.node.Addr().String()+"/api?key=00000000b4d65521",
+		strings.NewReader(body))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -270,7 +274,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	return &rawServer{t, ln, ln.Addr().String()}
 }
 
@@ -283,13 +287,13 @@
 
 func (s *rawServer) accept() *rawConn {
 	s.t.Helper()
-	s.ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	_ = s.ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
 	c, err := s.ln.Accept()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	s.t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(patience))
 	return &rawConn{s.t, c, bufio.NewReader(c)}
 }
 
@@ -319,7 +323,7 @@
 	c.t.Helper()
 	if b, err := c.in.ReadByte(); err == nil {
 		c.t.Errorf("byte %q came where the connection should have been closed", b)
-	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
+	} else if isTimeout(err) {
 		c.t.Error("the connection was not closed")
 	}
 }
@@ -331,8 +335,8 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	r.t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(patience))
 	return c, bufio.NewReader(c)
 }
 
@@ -366,7 +370,7 @@
 			out <- result{body: err.Error()}
 			return
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		body, _ := io.ReadAll(resp.Body)
 		out <- result{resp.StatusCode, string(body), resp.Header}
 	}()
--- a/balancer/node/peers_test.go
+++ b/balancer/node/peers_test.go
@@ -19,7 +19,8 @@
 	// Ports of the system's, on addresses that no other test listens on, as they
 	// are free for a moment before the limiters take them.
 	for i := range socks {
-		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(fmt.Sprintf("127.77.0.%d:0", i+1))))
+		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(fmt.Sprintf("127.77.0.%d:0",
+			i+1))))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,7 +29,7 @@
 	}
 	var rigs [2]*rig
 	for i := range rigs {
-		socks[i].Close()
+		_ = socks[i].Close()
 		rigs[i] = startWith(t, func(c *Config) {
 			m := &c.Settings.Module
 			m.Balancers, m.Position, m.Caps.Peers = 2, i, true
@@ -40,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stranger.Close()
+	defer func() { _ = stranger.Close() }()
 	for range 100 {
 		if _, err := stranger.Write([]byte("nonsense")); err != nil {
 			break
--- a/balancer/node/reload_test.go
+++ b/balancer/node/reload_test.go
@@ -26,7 +26,7 @@
 
 // named runs a server that answers with a name.
 func named(t *testing.T, name string) string {
-	return serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(name)) })
+	return serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(name)) })
 }
 
 // A new configuration moves the watch: the old one ends at once, the new address
@@ -72,7 +72,8 @@
 	r := start(t, server("s-a", named(t, "a")))
 	next := newDiscovery(t, server("s-b", named(t, "b")))
 	good := configText(next.addr)
-	for _, text := range []string{"", string(good[:len(good)/2]), strings.Replace(string(good), next.addr, "nowhere", 1)} {
+	for _, text := range []string{"", string(good[:len(good)/2]),
+		strings.Replace(string(good), next.addr, "nowhere", 1)} {
 		r.rewrite([]byte(text))
 		lines := strings.Count(r.log.String(), "configuration reload failed")
 		r.node.Reload()
--- a/balancer/node/servers_test.go
+++ b/balancer/node/servers_test.go
@@ -59,8 +59,9 @@
 			}
 			out = r.send(r.newRequest(class, "enterprise", ""))
 			c.request() // on the same connection
-			c.Close()
-			if res := r.got(out); res.status == 200 || class == "send-bulk-paid" && (res.status == 429 || res.status == 503) {
+			_ = c.Close()
+			if res := r.got(out); res.status == 200 || class == "send-bulk-paid" &&
+				(res.status == 429 || res.status == 503) {
 				t.Errorf("answer %d where the request may have run", res.status)
 			}
 			// Only this server is known and it was tried: nothing more may come.
@@ -89,7 +90,7 @@
 	c.answer("200 OK", "one")
 	r.got(out)
 	until(t, "the connection is idle", func() bool { return idle(r.node, "s-1") == 1 })
-	c.Close()
+	_ = c.Close()
 	out = r.send(r.newRequest("send-bulk-paid", "enterprise", ""))
 	c = srv.accept()
 	c.request()
@@ -154,8 +155,8 @@
 			c := srv.accept()
 			c.request()
 			go func() { // the limiter may close before it has read all
-				io.WriteString(c, text)
-				c.Close()
+				_, _ = io.WriteString(c, text)
+				_ = c.Close()
 			}()
 			if res := r.got(out); res.status != 502 {
 				t.Errorf("answer %d %q", res.status, res.body)
@@ -168,7 +169,7 @@
 func TestRefusedConnectGoesToAnother(t *testing.T) {
 	t.Parallel()
 	dead := newRawServer(t)
-	dead.ln.Close()
+	_ = dead.ln.Close()
 	srv := newRawServer(t)
 	r := start(t, server("s-dead", dead.addr), server("s-2", srv.addr))
 	go func() {
@@ -179,7 +180,7 @@
 			}
 			go func() {
 				c := &rawConn{t, conn, nil}
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				buf := make([]byte, 4096)
 				for {
 					if _, err := conn.Read(buf); err != nil {
@@ -191,7 +192,8 @@
 		}
 	}()
 	for range 10 {
-		if status, body, _ := r.do(r.newRequest("send-bulk-paid", "enterprise", "")); status != 200 || body != "served" {
+		if status, body, _ := r.do(r.newRequest("send-bulk-paid", "enterprise", "")); status != 200 ||
+			body != "served" {
 			t.Fatalf("answer %d %q", status, body)
 		}
 	}
@@ -212,7 +214,7 @@
 		return c
 	}
 	c := connect()
-	c.Conn.(*net.TCPConn).CloseWrite()
+	_ = c.Conn.(*net.TCPConn).CloseWrite()
 	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectFailed || end != broken {
 		t.Errorf("a write that failed gave %v", rep.result)
 	}
@@ -221,20 +223,21 @@
 	go func() {
 		s := srv.accept()
 		s.request()
-		s.Close()
+		_ = s.Close()
 	}()
 	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost || end != broken {
 		t.Errorf("a connection that broke after the request gave %v", rep.result)
 	}
 	c = connect()
-	if rep, end := exchange(c, call, time.Now().Add(-time.Second)); rep.result != balancer.ConnectFailed || end == reusable {
+	if rep, end := exchange(c, call, time.Now().Add(-time.Second)); rep.result != balancer.ConnectFailed ||
+		end == reusable {
 		t.Errorf("with no time left the request was written: %v", rep.result)
 	}
 	synctest.Test(t, func(t *testing.T) { // silence: in fake time the request is written before its time is up
 		p := connpool.New[uint64](8, patience, patience)
 		p.Dial = func(context.Context, string, string) (net.Conn, error) {
 			ours, theirs := net.Pipe()
-			go io.Copy(io.Discard, theirs)
+			go func() { _, _ = io.Copy(io.Discard, theirs) }()
 			return ours, nil
 		}
 		c, err := p.Connect(t.Context(), h)
@@ -244,7 +247,8 @@
 		defer c.Close()
 		const left = 20 * time.Millisecond
 		begun := time.Now()
-		if rep, end := exchange(c, call, begun.Add(left)); rep.result != balancer.TimedOut || end != notReusable || time.Since(begun) != left {
+		if rep, end := exchange(c, call, begun.Add(left)); rep.result != balancer.TimedOut || end != notReusable ||
+			time.Since(begun) != left {
 			t.Errorf("silence gave %v after %v", rep.result, time.Since(begun))
 		}
 	})
@@ -359,7 +363,7 @@
 			if err != nil {
 				return
 			}
-			c.SetDeadline(time.Now().Add(patience))
+			_ = c.SetDeadline(time.Now().Add(patience))
 			come <- &rawConn{t, c, bufio.NewReader(c)}
 		}
 	}()
@@ -370,7 +374,7 @@
 		res := r.got(r.send(req))
 		select {
 		case c := <-come:
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			if _, err := http.ReadRequest(c.in); err != nil {
 				continue
 			}
@@ -428,7 +432,7 @@
 			}
 		}
 	}
-	text := func(s string) func(*rawConn) { return func(c *rawConn) { io.WriteString(c, s) } }
+	text := func(s string) func(*rawConn) { return func(c *rawConn) { _, _ = io.WriteString(c, s) } }
 	for name, spoil := range map[string]func(*rawConn){
 		"noise":        text("\x00\x8f\xff\r\n\r\n\x01\x02\x03\r\n"),
 		"head":         text("HTTP/1.1 200 OK\r\nno colon here\r\n\r\n"),
@@ -444,76 +448,102 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := newRawServer(t), newRawServer(t)
-			r := start(t, server("s-a", a.addr))
-			// Two connections, one of which stays idle.
-			outs := []<-chan result{r.send(r.newRequest("send-bulk-paid", "enterprise", "")),
-				r.send(r.newRequest("send-bulk-paid", "enterprise", ""))}
-			conns := []*rawConn{a.accept(), a.accept()}
-			for _, c := range conns {
-				c.request()
-				c.answer("200 OK", "")
-			}
-			r.got(outs[0])
-			r.got(outs[1])
-			until(t, "both are idle", func() bool { return idle(r.node, "s-a") == 2 })
-			r.discovery.set(server("s-a", a.addr), server("s-b", b.addr))
-			until(t, "the second server is known", func() bool { return r.node.pool.Host(serverID("s-b")) != nil })
-			r.node.mu.Lock() // known to the pool is known to the module once the mutex is free
-			r.node.mu.Unlock()
-			// Whichever server has the first attempt spoils it, the other one serves.
-			type got struct {
-				c  *rawConn
-				at *rawServer
-			}
-			first := make(chan got, 3)
-			for _, c := range conns {
-				go func() {
-					if _, err := c.in.Peek(1); err == nil {
-						first <- got{c, a}
-					}
-				}()
-			}
-			go func() {
-				if c, err := b.ln.Accept(); err == nil {
-					first <- got{&rawConn{t, c, bufio.NewReader(c)}, b}
-				}
-			}()
-			out := r.send(r.newRequest("status-check", "enterprise", ""))
-			begun := time.Now()
-			next := func() got {
-				select {
-				case g := <-first:
-					return g
-				case res := <-out:
-					t.Fatalf("answer %d %q where an attempt was due\n%s", res.status, res.body, r.log)
-				case <-time.After(patience):
-					t.Fatal("no attempt came")
-				}
-				return got{}
-			}
-			g := next()
-			g.c.request()
-			go spoil(g.c)
-			other := next()
-			if took := time.Since(begun); took > requestTime/2 {
-				t.Errorf("the next attempt came after %v", took)
-			}
-			if other.at == g.at {
-				t.Fatal("the same server had both attempts")
-			}
-			other.c.request()
-			other.c.answer("200 OK", "good")
-			if res := r.got(out); res.status != 200 || res.body != "good" {
-				t.Errorf("answer %d %q", res.status, res.body)
-			}
-			if g.at == a {
-				until(t, "the other connection stays", func() bool { return idle(r.node, "s-a") == 1 })
-			}
+			checkUnusableResponse(t, spoil)
 		})
 	}
 }
 
+// firstAttempt is an attempt that came to one of two servers.
+type firstAttempt struct {
+	conn   *rawConn
+	server *rawServer
+}
+
+// checkUnusableResponse has the server of a request's first attempt spoil its response: the
+// other server must get the next attempt at once.
+func checkUnusableResponse(t *testing.T, spoil func(*rawConn)) {
+	t.Helper()
+	a, b := newRawServer(t), newRawServer(t)
+	r := start(t, server("s-a", a.addr))
+	conns := idlePair(t, r, a)
+	r.discovery.set(server("s-a", a.addr), server("s-b", b.addr))
+	until(t, "the second server is known", func() bool { return r.node.pool.Host(serverID("s-b")) != nil })
+	r.awaitModule()
+	attempts := acceptAttempts(t, a, conns, b)
+	out := r.send(r.newRequest("status-check", "enterprise", ""))
+	begun := time.Now()
+	next := func() firstAttempt {
+		t.Helper()
+		select {
+		case attempt := <-attempts:
+			return attempt
+		case res := <-out:
+			t.Fatalf("answer %d %q where an attempt was due\n%s", res.status, res.body, r.log)
+		case <-time.After(patience):
+			t.Fatal("no attempt came")
+		}
+		return firstAttempt{}
+	}
+	first := next()
+	first.conn.request()
+	go spoil(first.conn)
+	other := next()
+	if took := time.Since(begun); took > requestTime/2 {
+		t.Errorf("the next attempt came after %v", took)
+	}
+	if other.server == first.server {
+		t.Fatal("the same server had both attempts")
+	}
+	other.conn.request()
+	other.conn.answer("200 OK", "good")
+	if res := r.got(out); res.status != 200 || res.body != "good" {
+		t.Errorf("answer %d %q", res.status, res.body)
+	}
+	if first.server == a {
+		until(t, "the other connection stays", func() bool { return idle(r.node, "s-a") == 1 })
+	}
+}
+
+// idlePair makes two connections to a server by two requests at once, and returns them idle.
+func idlePair(t *testing.T, r *rig, a *rawServer) []*rawConn {
+	t.Helper()
+	outs := []<-chan result{r.send(r.newRequest("send-bulk-paid", "enterprise", "")),
+		r.send(r.newRequest("send-bulk-paid", "enterprise", ""))}
+	conns := []*rawConn{a.accept(), a.accept()}
+	for _, c := range conns {
+		c.request()
+		c.answer("200 OK", "")
+	}
+	r.got(outs[0])
+	r.got(outs[1])
+	until(t, "both are idle", func() bool { return idle(r.node, "s-a") == 2 })
+	return conns
+}
+
+// acceptAttempts returns the attempts that come on idle connections to a or on a new one to b.
+func acceptAttempts(t *testing.T, a *rawServer, conns []*rawConn, b *rawServer) <-chan firstAttempt {
+	attempts := make(chan firstAttempt, 3)
+	for _, c := range conns {
+		go func() {
+			if _, err := c.in.Peek(1); err == nil {
+				attempts <- firstAttempt{c, a}
+			}
+		}()
+	}
+	go func() {
+		if c, err := b.ln.Accept(); err == nil {
+			attempts <- firstAttempt{&rawConn{t, c, bufio.NewReader(c)}, b}
+		}
+	}()
+	return attempts
+}
+
+// awaitModule waits until the module knows what the pool knows: both change under the mutex.
+func (r *rig) awaitModule() {
+	r.node.mu.Lock()
+	defer r.node.mu.Unlock()
+}
+
 // Of an unsafe request that had a spoilt answer nothing more goes out, and the
 // client is not told that a retry does no harm.
 func TestSpoiltUnsafe(t *testing.T) {
@@ -525,7 +555,7 @@
 	c.request()
 	r.discovery.set(server("s-a", a.addr), server("s-b", b.addr))
 	until(t, "the second server is known", func() bool { return r.node.pool.Host(serverID("s-b")) != nil })
-	io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n")
+	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n")
 	if res := r.got(out); res.status != 502 {
 		t.Errorf("answer %d", res.status)
 	}
@@ -545,11 +575,11 @@
 			c := srv.accept()
 			c.request()
 			if later {
-				io.WriteString(c, good)
+				_, _ = io.WriteString(c, good)
 				until(t, "the connection is idle", func() bool { return idle(r.node, "s-1") == 1 })
-				io.WriteString(c, good)
+				_, _ = io.WriteString(c, good)
 			} else {
-				io.WriteString(c, good+good)
+				_, _ = io.WriteString(c, good+good)
 			}
 			if res := r.got(out); res.status != 200 || res.body != "good" {
 				t.Errorf("answer %d %q", res.status, res.body)
@@ -638,9 +668,10 @@
 		}
 		go func() {
 			s.request()
-			s.Close()
+			_ = s.Close()
 		}()
-		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost || end != broken {
+		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost ||
+			end != broken {
 			t.Fatalf("result %v", rep.result)
 		}
 		c.Close()
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -85,7 +85,8 @@
 		for _, plan := range []int{0, 3} {
 			id, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)})
 			if p, ok := a.(StartAttempt); ok {
-				s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true, Load: Load{Busy: -1}})
+				s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
+					Load: Load{Busy: -1}})
 			}
 		}
 	}
--- a/balancer/randomfleet_test.go
+++ b/balancer/randomfleet_test.go
@@ -209,7 +209,8 @@
 			busiest = max(busiest, since(id, c.now-3*c.cfg.Rules.OverloadMs))
 		}
 	}
-	if n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.Rules.OverloadMs)); n > 3+c.cfg.Rules.OverloadFactor*w*busiest {
+	n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.Rules.OverloadMs))
+	if n > 3+c.cfg.Rules.OverloadFactor*w*busiest {
 		c.t.Fatalf("cold server %d (warmth %.2f) got %g in a window, the busiest warm one %g", info.ID, w, n, busiest)
 	}
 }
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -46,7 +46,8 @@
 			t.Fatalf("refused beside idle servers: %#v", a)
 		}
 		used[p.Server]++
-		s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true, Load: Load{Busy: 200 * float64(p.Server)}})
+		s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
+			Load: Load{Busy: 200 * float64(p.Server)}})
 		s.now += 20
 	}
 	for id := uint64(1); id <= 4; id++ {
@@ -56,55 +57,44 @@
 	}
 }
 
-// A gateway of many uses few servers, every server has equally many gateways, and
-// a change of the list moves little. Fails where each chooses among all.
-func TestSubsetsAreBalanced(t *testing.T) {
-	const n, servers = 80, 60
-	cfg := testSettings()
-	f := testServers(servers)
-	c := newTestFleet(t, cfg, n, f)
-	pairs := func() (of map[[2]uint64]bool) {
-		of = map[[2]uint64]bool{}
-		for i, l := range c.limiters {
-			for id, s := range l.servers {
-				if s.inSubset {
-					of[[2]uint64{uint64(i), id}] = true
-				}
+// subsetPairs lists the pairs of a limiter and a server of its subset.
+func (c *testFleet) subsetPairs() map[[2]uint64]bool {
+	pairs := map[[2]uint64]bool{}
+	for i, l := range c.limiters {
+		for id, s := range l.servers {
+			if s.inSubset {
+				pairs[[2]uint64{uint64(i), id}] = true
 			}
 		}
-		return of
 	}
-	before := pairs()
+	return pairs
+}
+
+// One of many limiters uses few servers, every server has equally many limiters, and a change
+// of the list moves little. Fails where each chooses among all.
+func TestSubsetsAreBalanced(t *testing.T) {
+	const n, servers = 80, 60
+	f := testServers(servers)
+	c := newTestFleet(t, testSettings(), n, f)
+	before := c.subsetPairs()
 	at := map[uint64]int{}
 	for p := range before {
 		at[p[1]]++
 	}
 	for _, s := range f {
 		if at[s.ID] < n/4-4 || at[s.ID] > n/4+4 {
-			t.Errorf("server %d has %d gateways of %d", s.ID, at[s.ID], n)
-		}
-	}
-	used := map[[2]int]bool{}
-	for k := range 4000 {
-		l := c.limiters[k%n]
-		for _, a := range append([]Action(nil), l.Handle(c.now, Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3,
-			Customer: 1, Spread: n, Units: 1})...) {
-			if a, ok := a.(StartAttempt); ok {
-				used[[2]int{k % n, int(a.Server)}] = true
-				l.Handle(c.now, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
-			}
+			t.Errorf("server %d has %d limiters of %d", s.ID, at[s.ID], n)
 		}
-		c.now += 2.5
 	}
-	if len(used) == 0 || len(used) > n*servers/4 {
-		t.Errorf("%d gateways use %d connections to %d servers", n, len(used), servers)
+	if used := c.usedConnections(4000); used == 0 || used > n*servers/4 {
+		t.Errorf("%d limiters use %d connections to %d servers", n, used, servers)
 	}
 	gone := f[7]
 	gone.Phase = Removed
 	for i := range n {
 		c.event(i, Endpoints{Scope: Partial, Servers: []ServerInfo{gone}})
 	}
-	after, moved := pairs(), 0
+	after, moved := c.subsetPairs(), 0
 	for p := range after {
 		if !before[p] {
 			moved++
@@ -113,14 +103,32 @@
 	if moved > 2*n { // the one that is gone, and a place at each edge
 		t.Errorf("%d of %d pairs are new after one server went", moved, len(after))
 	}
-	// With its subset out of reach a gateway goes on with the others.
-	l := c.limiters[0]
-	for _, s := range l.servers {
+	// With its subset out of reach a limiter goes on with the others.
+	for _, s := range c.limiters[0].servers {
 		s.down = s.inSubset
 	}
 	if !c.submit(0, Submit{Plan: 3, Customer: 1, Spread: n}) {
-		t.Error("a gateway whose subset is down turned a request away")
+		t.Error("a limiter whose subset is down rejected a request")
+	}
+}
+
+// usedConnections makes requests at the limiters in turn and counts the pairs of a limiter and
+// a server that they use.
+func (c *testFleet) usedConnections(requests int) int {
+	n := len(c.limiters)
+	used := map[[2]int]bool{}
+	for k := range requests {
+		l := c.limiters[k%n]
+		submit := Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Customer: 1, Spread: n, Units: 1}
+		for _, a := range append([]Action(nil), l.Handle(c.now, submit)...) {
+			if a, ok := a.(StartAttempt); ok {
+				used[[2]int{k % n, int(a.Server)}] = true
+				l.Handle(c.now, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
+			}
+		}
+		c.now += 2.5
 	}
+	return len(used)
 }
 
 // One of many gateways spreads what it has out at once over different servers: a
--- a/balancer/wire/wire_test.go
+++ b/balancer/wire/wire_test.go
@@ -11,7 +11,13 @@
 )
 
 const good = `SYNC 8412.25
-BEGIN 3 5138197539985895 az=1 balancers=2 position=1 membership_mode=push new.key=7 caps.cancel=true family_info.peer_in_per_s=40.0 request_classes.count=1 request_classes.0.idempotency=idempotency_key request_classes.0.group=zone request_classes.0.promise_ms=300.0 request_classes.0.deadline_ms=900.0 packages.count=1 packages.0.per_second=2.5 packages.0.burst=9.0
+` +
+	"BEGIN 3 5138197539985895 az=1 balancers=2 position=1 membership_mode=push new.key=7 " +
+	"caps.cancel=true family_info.peer_in_per_s=40.0 request_classes.count=1 " +
+	"request_classes.0.idempotency=idempotency_key request_classes.0.group=zone " +
+	"request_classes.0.promise_ms=300.0 request_classes.0.deadline_ms=900.0 packages.count=1 " +
+	"packages.0.per_second=2.5 packages.0.burst=9.0" +
+	`
 LIST 0 2
 ROW 0 - 0 up 51530247 0 1
 ROW 0 6100.0 0 draining 747639282 2 1.5
@@ -32,13 +38,10 @@
 	if err != nil || now != 8412.25 || len(items) != 9 {
 		t.Fatalf("now %g, %d items, %v", now, len(items), err)
 	}
-	s := items[0].Settings
-	if items[0].Err != nil || s.Position != 1 || s.Zone != 1 || !s.Caps.Cancel || s.Plans[0].Burst != 9 ||
-		s.Classes[0].Idempotency != balancer.Keyed || s.Classes[0].DedupScope != balancer.DedupZone {
-		t.Errorf("settings %+v, %v", s, items[0].Err)
-	}
+	checkSettings(t, items[0])
 	list := items[1].Event.(balancer.Endpoints)
-	if len(list.Servers) != 2 || list.Servers[1] != (balancer.ServerInfo{ID: 747639282, ReadyAt: 6100, Phase: balancer.Draining, Cell: 2, Weight: 1.5}) {
+	draining := balancer.ServerInfo{ID: 747639282, ReadyAt: 6100, Phase: balancer.Draining, Cell: 2, Weight: 1.5}
+	if len(list.Servers) != 2 || list.Servers[1] != draining {
 		t.Errorf("list %+v", list)
 	}
 	want := balancer.Submit{ID: "rq_a", TimeoutMs: 240, Units: 2, Spread: 3, First: 1, Customer: 4569004829}
@@ -46,7 +49,8 @@
 		t.Errorf("submit %+v", got)
 	}
 	out := items[3].Event.(balancer.Outcome)
-	if out.LatencyMs != 18.5 || !out.Final || out.SettledUnits != 3 || out.Load.Busy != 7 || out.Load.ServiceMs != 14.5 || out.Load.Pending != -1 {
+	load := balancer.Load{Busy: 7, Pending: -1, ServiceMs: 14.5}
+	if out.LatencyMs != 18.5 || !out.Final || out.SettledUnits != 3 || out.Load != load {
 		t.Errorf("outcome %+v", out)
 	}
 	if _, _, err := r.Batch(); !errors.Is(err, io.EOF) {
@@ -54,6 +58,15 @@
 	}
 }
 
+func checkSettings(t *testing.T, begin Item) {
+	t.Helper()
+	s := begin.Settings
+	if begin.Err != nil || s.Position != 1 || s.Zone != 1 || !s.Caps.Cancel || s.Plans[0].Burst != 9 ||
+		s.Classes[0].Idempotency != balancer.Keyed || s.Classes[0].DedupScope != balancer.DedupZone {
+		t.Errorf("settings %+v, %v", s, begin.Err)
+	}
+}
+
 func TestMalformedNamesTheLine(t *testing.T) {
 	for in, want := range map[string]string{
 		"HELLO 3\n":                                "line 1",
@@ -89,9 +102,12 @@
 	var b bytes.Buffer
 	w := NewWriter(&b)
 	for _, a := range []balancer.Action{
-		balancer.StartAttempt{ID: "r", TimeoutMs: 80, Server: 5}, balancer.Reject{ID: "r", RetryAfterMs: 1.5}, balancer.Fail{ID: "r"},
-		balancer.CancelAttempt{ID: "r", Attempt: 1}, balancer.SetTimer{At: 9, Name: "tick"}, balancer.ProbeServer{Server: 5},
-		balancer.SendPeer{To: 1, Data: []byte{104, 105}}, balancer.Log{Line: "a\nb"}, balancer.WatchEndpoints{}, balancer.FetchEndpoints{},
+		balancer.StartAttempt{ID: "r", TimeoutMs: 80, Server: 5}, balancer.Reject{ID: "r",
+			RetryAfterMs: 1.5}, balancer.Fail{ID: "r"},
+		balancer.CancelAttempt{ID: "r", Attempt: 1}, balancer.SetTimer{At: 9,
+			Name: "tick"}, balancer.ProbeServer{Server: 5},
+		balancer.SendPeer{To: 1, Data: []byte{104,
+			105}}, balancer.Log{Line: "a\nb"}, balancer.WatchEndpoints{}, balancer.FetchEndpoints{},
 	} {
 		w.Action(3, a)
 	}
@@ -99,7 +115,8 @@
 	if err := w.Yield(); err != nil {
 		t.Fatal(err)
 	}
-	want := "PASS_ON 3 r 80.000 5\nOVERLOAD_REPLY 3 r 1.500\nERROR 3 r\nABORT_ATTEMPT 3 r 1\nTIMER 3 9.000 tick\nINSPECT 3 5\n" +
+	want := "PASS_ON 3 r 80.000 5\nOVERLOAD_REPLY 3 r 1.500\nERROR 3 r\n" +
+		"ABORT_ATTEMPT 3 r 1\nTIMER 3 9.000 tick\nINSPECT 3 5\n" +
 		"SHARE 3 1 6869\nDEBUG 3 a b\nLISTEN 3 1\nQUERY_ALL 3\nFAULT 3 bad\nYIELD\n"
 	if b.String() != want {
 		t.Errorf("got\n%s", b.String())
--- a/cmd/elmspan-balancer-sim/main_test.go
+++ b/cmd/elmspan-balancer-sim/main_test.go
@@ -10,12 +10,14 @@
 )
 
 const begin = "BEGIN 3 5 balancers=1 position=0 request_classes.count=1 request_classes.0.idempotency=read_like" +
-	" request_classes.0.promise_ms=300 request_classes.0.deadline_ms=900 packages.count=1 packages.0.per_second=5 packages.0.burst=9\n" +
+	" request_classes.0.promise_ms=300 request_classes.0.deadline_ms=900" +
+	" packages.count=1 packages.0.per_second=5 packages.0.burst=9\n" +
 	"LIST 0 1\nROW 0 - 0 up 77 0 1\nENDPOINTS 3 Persisted 1 0\n"
 
 func TestRun(t *testing.T) {
 	var out bytes.Buffer
-	in := "SYNC 10\nCOMMIT\nSYNC 20\n" + begin + "COMMIT\nSYNC 30\nRETIRE 3\n" + begin + "SUBMIT 3 a 240 1 0 0 0 0 1 0 9\nCOMMIT\n"
+	in := "SYNC 10\nCOMMIT\nSYNC 20\n" + begin + "COMMIT\nSYNC 30\nRETIRE 3\n" +
+		begin + "SUBMIT 3 a 240 1 0 0 0 0 1 0 9\nCOMMIT\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/elmspan-balancer/main_test.go
+++ b/cmd/elmspan-balancer/main_test.go
@@ -19,7 +19,8 @@
 
 const settings = `{"balancers":1,"position":0,"failure_domains":["a"],
  "caps":{"attempts_cap":3,"connect_timeout_ms":60000.0,"conn_idle_ms":30000.0},
- "request_classes":[{"name":"check","idempotency":"read_like","promise_ms":540000.0,"deadline_ms":900000.0,"importance":1.0}],
+ "request_classes":[
+  {"name":"check","idempotency":"read_like","promise_ms":540000.0,"deadline_ms":900000.0,"importance":1.0}],
  "packages":[{"name":"team","per_second":100.0,"burst":100.0,"price":1.0}]}`
 
 // command is what starts the program: BALANCER_RUN, from the root of the
@@ -38,22 +39,34 @@
 	return exec.Command(bin)
 }
 
-// The program starts, goes on when it is sent SIGHUP, serves a request, and ends
-// on SIGTERM with exit code 0.
-func TestServesAndStops(t *testing.T) {
-	server := listen(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") })
+// program is a running elmspan-balancer.
+type program struct {
+	t     *testing.T
+	cmd   *exec.Cmd
+	addr  string
+	lines *lineWatch
+	ended chan error
+}
+
+// startProgram starts the program with one server.
+func startProgram(t *testing.T, server string) *program {
+	t.Helper()
 	// A port that was free a moment ago, on an address that no other test uses.
 	ln, err := net.Listen("tcp", "127.78.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := ln.Addr().String()
-	ln.Close()
-	config, err := json.Marshal(map[string]any{"name": "n0", "listen": addr, "discovery": listen(t, http.NotFound), "seed": "1f",
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"known": map[string]any{"seq": 1, "whole": true, "hosts": []any{map[string]any{
-			"host": "s-1", "dial": server, "site": "a", "health": "ready", "share": 1.0}}},
-		"settings": json.RawMessage(settings)})
+	p := &program{t: t, cmd: command(t), addr: ln.Addr().String(), lines: &lineWatch{}, ended: make(chan error, 1)}
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
+	host := map[string]any{"host": "s-1", "dial": server, "site": "a", "health": "ready", "share": 1.0}
+	config, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": p.addr, "discovery": listen(t, http.NotFound), "seed": "1f",
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+		"known":    map[string]any{"seq": 1, "whole": true, "hosts": []any{host}},
+		"settings": json.RawMessage(settings),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,41 +74,46 @@
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := command(t)
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+path)
-	lines := &lineWatch{}
-	cmd.Stderr = lines
-	if err := cmd.Start(); err != nil {
+	p.cmd.Env = append(os.Environ(), "NODE_CONFIG="+path)
+	p.cmd.Stderr = p.lines
+	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
-	t.Cleanup(func() { cmd.Process.Kill() })
+	go func() { p.ended <- p.cmd.Wait() }()
+	t.Cleanup(func() { _ = p.cmd.Process.Kill() }) // it may have ended
+	return p
+}
+
+// awaitReady waits until the program says that it can serve.
+func (p *program) awaitReady() {
+	p.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		resp, err := http.Get("http://" + addr + "/healthz")
+		resp, err := http.Get("http://" + p.addr + "/healthz")
 		if err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == 200 {
-				break
+			_ = resp.Body.Close() // only the status matters
+			if resp.StatusCode == http.StatusOK {
+				return
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("the limiter is not ready")
+			p.t.Fatal("the limiter is not ready")
 		}
 	}
-	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
-	select {
-	case err := <-ended:
-		t.Fatalf("ended on SIGHUP: %v", err)
-	case <-lines.seen("configuration reloaded"):
-	case <-time.After(patience):
-		t.Fatal("SIGHUP has no effect")
+}
+
+func (p *program) signal(s os.Signal) {
+	p.t.Helper()
+	if err := p.cmd.Process.Signal(s); err != nil {
+		p.t.Fatal(err)
 	}
-	req, err := http.NewRequest("GET", "http://"+addr+"/api?key=0000000000000001", nil)
+}
+
+// request makes one request and returns the response's status and body.
+func (p *program) request() (status int, body string) {
+	p.t.Helper()
+	req, err := http.NewRequest(http.MethodGet, "http://"+p.addr+"/api?key=0000000000000001", nil)
 	if err != nil {
-		t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	for name, value := range map[string]string{"X-Request-ID": "r1", "X-Priority-Class": "check", "Plan": "team",
 		"X-Timeout": "600000m", "Quota-Info": "units=1,spread=1,first=0"} {
@@ -103,17 +121,36 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	defer resp.Body.Close()
-	if body, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != "served" {
-		t.Errorf("answer %d %q", resp.StatusCode, body)
+	defer func() { _ = resp.Body.Close() }() // it has been read
+	data, err := io.ReadAll(resp.Body)
+	if err != nil {
+		p.t.Fatal(err)
 	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+	return resp.StatusCode, string(data)
+}
+
+// The program starts, goes on when it is sent SIGHUP, serves a request, and ends on SIGTERM
+// with exit code 0.
+func TestServesAndStops(t *testing.T) {
+	server := listen(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") })
+	p := startProgram(t, server)
+	p.awaitReady()
+	p.signal(syscall.SIGHUP)
+	select {
+	case err := <-p.ended:
+		t.Fatalf("ended on SIGHUP: %v", err)
+	case <-p.lines.seen("configuration reloaded"):
+	case <-time.After(patience):
+		t.Fatal("SIGHUP has no effect")
+	}
+	if status, body := p.request(); status != http.StatusOK || body != "served" {
+		t.Errorf("answer %d %q", status, body)
 	}
+	p.signal(syscall.SIGTERM)
 	select {
-	case err := <-ended:
+	case err := <-p.ended:
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
@@ -165,7 +202,8 @@
 		cmd := command(t)
 		cmd.Env = []string{env}
 		out, err := cmd.CombinedOutput()
-		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "elmspan-balancer: ") {
+		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out),
+			"elmspan-balancer: ") {
 			t.Errorf("%s: %v, %q", env, err, out)
 		}
 	}
@@ -178,7 +216,7 @@
 		t.Fatal(err)
 	}
 	s := &http.Server{Handler: h}
-	go s.Serve(ln)
-	t.Cleanup(func() { s.Close() })
+	go func() { _ = s.Serve(ln) }()
+	t.Cleanup(func() { _ = s.Close() })
 	return ln.Addr().String()
 }
