--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -64,13 +64,13 @@
 	}
 }
 
-func TestSettledUnitsCorrectTheBalance(t *testing.T) {
+func TestActualUnitsCorrectTheBalance(t *testing.T) {
 	cfg := testSettings()
 	cfg.TrueUp = true
 	s := newLimiterDriver(t, cfg, testServers(4)...)
 	id, a := s.submit(Submit{})
 	s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true,
-		SettledUnits: 25})
+		ActualUnits: 25})
 	if got := s.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
 		t.Errorf("balance %g after true units of 25 of 20, want -5", got)
 	}
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -109,18 +109,18 @@
 
 // Outcome says how one attempt ended.
 type Outcome struct {
-	ID           string
-	Attempt      int
-	Server       uint64
-	Result       Result
-	LatencyMs    float64
-	Final        bool    // the request has its final response
-	SettledUnits float64 // true units of the request; 0: not settled
-	Load         Load
+	ID          string
+	Attempt     int
+	Server      uint64
+	Result      Result
+	LatencyMs   float64
+	Final       bool    // the request has its final response
+	ActualUnits float64 // true units of the request; 0: not settled
+	Load        Load
 }
 
 // ClientGone says that the client no longer waits for a response.
-type ClientGone struct{ ID string }
+type ClientDisconnected struct{ ID string }
 
 // FirstByte says that a streamed response has begun: the request is no longer retried.
 type FirstByte struct {
@@ -151,14 +151,14 @@
 	Data []byte
 }
 
-func (Submit) event()      {}
-func (Outcome) event()     {}
-func (ClientGone) event()  {}
-func (FirstByte) event()   {}
-func (TimerFired) event()  {}
-func (Endpoints) event()   {}
-func (ProbeResult) event() {}
-func (PeerMessage) event() {}
+func (Submit) event()             {}
+func (Outcome) event()            {}
+func (ClientDisconnected) event() {}
+func (FirstByte) event()          {}
+func (TimerFired) event()         {}
+func (Endpoints) event()          {}
+func (ProbeResult) event()        {}
+func (PeerMessage) event()        {}
 
 // Scope says how a list of servers relates to the one before.
 type Scope int
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -73,11 +73,11 @@
 		return
 	}
 	a := &r.attempts[e.Attempt]
-	l.settleAttempt(r, a)
+	l.releaseAttempt(r, a)
 	l.observeOutcome(now, a, r, e)
-	if c := r.customer; e.SettledUnits > 0 && l.cfg.TrueUp {
+	if c := r.customer; e.ActualUnits > 0 && l.cfg.TrueUp {
 		l.refill(now, c)
-		c.balance, c.spent = c.balance-(e.SettledUnits-r.units), c.spent+(e.SettledUnits-r.units)
+		c.balance, c.spent = c.balance-(e.ActualUnits-r.units), c.spent+(e.ActualUnits-r.units)
 	}
 	l.markUnreported(r.customer)
 	if !provesNotExecuted(e.Result) && r.executedOn == nil {
@@ -137,7 +137,7 @@
 	}
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.ended {
-			l.settleAttempt(r, a)
+			l.releaseAttempt(r, a)
 			if l.cfg.Caps.Cancel {
 				l.emit(CancelAttempt{ID: r.id, Attempt: i})
 			}
@@ -147,7 +147,7 @@
 }
 
 // settleAttempt takes an attempt that is no longer in flight out of all counts.
-func (l *Limiter) settleAttempt(r *request, a *attempt) {
+func (l *Limiter) releaseAttempt(r *request, a *attempt) {
 	a.ended = true
 	r.inFlight--
 	r.customer.inFlight--
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -9,7 +9,7 @@
 	// downAfterFailures is the number of failed connects in a row after which a server is down.
 	downAfterFailures = 2
 	// A server is silent after silenceFactor times the expected time without a response.
-	silenceFactor = 4.0
+	unresponsiveFactor = 4.0
 	// minProbeIntervalMs is the least time between two probes of a server, in ms.
 	minProbeIntervalMs = 500.0
 
@@ -129,19 +129,19 @@
 }
 
 // silent reports whether a server has requests in flight and has not responded for long.
-func (l *Limiter) silent(now float64, s *server) bool {
+func (l *Limiter) unresponsive(now float64, s *server) bool {
 	if s.inFlight == 0 {
 		return false
 	}
 	typical := slices.Max(l.typicalMs) * s.relativeTime(now) / l.slowStartShare(now, s) * l.loadModel.factor(s.load())
-	return now-s.waitingSince > silenceFactor*typical+l.cfg.Caps.ConnectTimeoutMs
+	return now-s.waitingSince > unresponsiveFactor*typical+l.cfg.Caps.ConnectTimeoutMs
 }
 
 // checkServers probes the servers that are down or silent. Where there are no probes, a server
 // that is down is tried with one request at a time.
 func (l *Limiter) checkServers(now float64) {
 	for _, s := range l.serverList {
-		if s.info.Phase != Up || !s.down && !l.silent(now, s) || now < s.probedAt+minProbeIntervalMs {
+		if s.info.Phase != Up || !s.down && !l.unresponsive(now, s) || now < s.probedAt+minProbeIntervalMs {
 			continue
 		}
 		s.probedAt = now
@@ -167,7 +167,7 @@
 			l.logf("server %d answers again", s.info.ID)
 		}
 	case TimedOut, ConnectFailed, ConnectionLost:
-		if s.down || l.silent(now, s) {
+		if s.down || l.unresponsive(now, s) {
 			l.markDown(s, "silent, and the probe failed")
 		}
 	}
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestSilentServerIsProbedAndMarkedDown(t *testing.T) {
+func TestUnresponsiveServerIsProbedAndMarkedDown(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	ids := map[string]uint64{}
 	for range 4 {
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -49,7 +49,7 @@
 	evictedAt          float64     // when idle customers were last evicted
 	evicted            bool        // a customer has been evicted since the start
 	limitsInFlight     bool        // some plan limits the attempts in flight
-	usualTimeouts      []usualTimeout
+	typicalTimeouts    []typicalTimeout
 	clientsMarkRetries bool
 
 	// Load and overload.
@@ -97,17 +97,17 @@
 	}
 	classes := len(s.Classes)
 	l := &Limiter{
-		cfg:           s,
-		rng:           rand.New(rand.NewPCG(seed, 0x51)),
-		retryBudget:   maxRetryBudget,
-		servers:       map[uint64]*server{},
-		requests:      map[string]*request{},
-		customers:     map[uint64]*customer{},
-		peers:         make([]peer, s.Balancers),
-		typicalMs:     make([]float64, classes),
-		answerCount:   make([]float64, classes),
-		usualTimeouts: make([]usualTimeout, classes),
-		planPacing:    planPacing(s.Plans),
+		cfg:             s,
+		rng:             rand.New(rand.NewPCG(seed, 0x51)),
+		retryBudget:     maxRetryBudget,
+		servers:         map[uint64]*server{},
+		requests:        map[string]*request{},
+		customers:       map[uint64]*customer{},
+		peers:           make([]peer, s.Balancers),
+		typicalMs:       make([]float64, classes),
+		answerCount:     make([]float64, classes),
+		typicalTimeouts: make([]typicalTimeout, classes),
+		planPacing:      planPacing(s.Plans),
 	}
 	l.incarnation = l.rng.Uint32() | 1
 	l.unseenShare = max(0, 1-smallFleet/float64(s.Balancers))
@@ -132,7 +132,7 @@
 		l.handleSubmit(now, e)
 	case Outcome:
 		l.handleOutcome(now, e)
-	case ClientGone:
+	case ClientDisconnected:
 		l.removeRequest(l.requests[e.ID])
 	case FirstByte:
 		l.handleFirstByte(e)
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -31,7 +31,7 @@
 	id, a := s.submit(Submit{})
 	s.pass(id, a)
 	for _, e := range []Event{
-		Outcome{ID: id, Server: 1}, Outcome{ID: "no", Server: 1, Attempt: 3}, ClientGone{ID: id}, ClientGone{ID: "no"},
+		Outcome{ID: id, Server: 1}, Outcome{ID: "no", Server: 1, Attempt: 3}, ClientDisconnected{ID: id}, ClientDisconnected{ID: "no"},
 		FirstByte{ID: "no"}, TimerFired{Name: "no"}, ProbeResult{Server: 99}, Submit{ID: "x", Class: 99}, nil,
 		PeerMessage{From: -1}, PeerMessage{From: 0},
 	} {
@@ -108,7 +108,7 @@
 			cfg := testSettings()
 			cfg.Balancers = randomLimiters
 			c := &randomFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
-				limiters: make([]*Limiter, randomLimiters), told: make([]map[uint64]ServerInfo, randomLimiters),
+				limiters: make([]*Limiter, randomLimiters), listed: make([]map[uint64]ServerInfo, randomLimiters),
 				open: make([]map[string]*randomRequest, randomLimiters), servers: map[uint64]ServerInfo{},
 				store: make([]float64, 64), sends: make([]map[uint64][]float64, randomLimiters)}
 			for k := range c.store {
@@ -180,7 +180,7 @@
 				l.Handle(now, Outcome{ID: id, Attempt: x % 4, Server: uint64(y), Result: Result(z % 9),
 					LatencyMs: float64(x), Final: y%2 == 0})
 			case 4:
-				l.Handle(now, ClientGone{ID: id})
+				l.Handle(now, ClientDisconnected{ID: id})
 			case 5:
 				l.Handle(now, TimerFired{Name: "tick"})
 			case 6:
--- a/balancer/node/clients_test.go
+++ b/balancer/node/clients_test.go
@@ -87,7 +87,7 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-func TestNoHTTPAtAll(t *testing.T) {
+func TestInputThatIsNotHTTP(t *testing.T) {
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
 	for _, text := range []string{"\x00\x01\x02\r\n\r\n", "GET / HTTP/9\r\n\r\n",
@@ -201,7 +201,7 @@
 
 // Silent clients by the hundred are closed in time and only drive out each other:
 // a client that keeps its connection goes on being served on it.
-func TestSilentClients(t *testing.T) {
+func TestIdleConnectionsCloseOnlyEachOther(t *testing.T) {
 	t.Parallel()
 	r := startWith(t, func(c *Config) { c.Limits.Sockets = 96 }, server("s-1", echo(t)))
 	kept, in := r.dial()
@@ -251,7 +251,7 @@
 
 // Where many clients ask once and stay, a new client's connection is not closed to
 // make room before its request has come, however many come at a time.
-func TestManyThatAskOnceAndStay(t *testing.T) {
+func TestNewConnectionIsNotClosedBeforeItsRequest(t *testing.T) {
 	t.Parallel()
 	r := startWith(t, func(c *Config) { c.Limits.Sockets = 128 }, server("s-1", echo(t)))
 	_, budget := socketBudget(128)
@@ -345,7 +345,7 @@
 }
 
 // What does not come whole is given up long before the request's own time is over.
-func TestHalfRequests(t *testing.T) {
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
 	req := r.newRequest("send-bulk-paid", "enterprise", "")
--- a/balancer/node/node.go
+++ b/balancer/node/node.go
@@ -360,7 +360,7 @@
 		left := time.Until(r.stopAt)
 		if left <= 0 { // the module has not ended it: the client gets a response all the same
 			n.setFinal(r.id, &response{status: http.StatusGatewayTimeout})
-			n.handleEvent(balancer.ClientGone{ID: r.id})
+			n.handleEvent(balancer.ClientDisconnected{ID: r.id})
 			continue
 		}
 		if r.wakeup == nil {
@@ -416,7 +416,7 @@
 		return
 	}
 	n.setFinal(r.id, noResponse)
-	n.handleEvent(balancer.ClientGone{ID: r.id})
+	n.handleEvent(balancer.ClientDisconnected{ID: r.id})
 }
 
 // removeRequest drops a request that has its final response.
--- a/balancer/node/node_test.go
+++ b/balancer/node/node_test.go
@@ -21,7 +21,7 @@
 )
 
 // patience bounds each wait in the tests; none of them depends on its length.
-const patience = 2 * time.Minute
+const testTimeout = 2 * time.Minute
 
 // rig is a limiter with a discovery and a server on loopback sockets.
 type rig struct {
@@ -200,7 +200,7 @@
 		cancel()
 		select {
 		case <-done:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("the limiter did not end")
 		}
 	})
@@ -217,7 +217,7 @@
 // until waits for a condition.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain: %s", what)
 		}
@@ -287,13 +287,13 @@
 
 func (s *rawServer) accept() *rawConn {
 	s.t.Helper()
-	_ = s.ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	_ = s.ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	c, err := s.ln.Accept()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return &rawConn{s.t, c, bufio.NewReader(c)}
 }
 
@@ -336,7 +336,7 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
@@ -348,7 +348,7 @@
 		if err != nil {
 			r.t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Error("the limiter did not end")
 	}
 }
@@ -363,7 +363,7 @@
 // send makes a request in the background.
 func (r *rig) send(req *http.Request) <-chan result {
 	out := make(chan result, 1)
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	go func() {
 		resp, err := client.Do(req)
 		if err != nil {
@@ -382,7 +382,7 @@
 	select {
 	case res := <-c:
 		return res
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Fatal("no answer")
 		return result{}
 	}
--- a/balancer/node/servers_test.go
+++ b/balancer/node/servers_test.go
@@ -203,7 +203,7 @@
 func TestExchangeKnowsWhetherTheLastByteWasWritten(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
-	p := connpool.New[uint64](8, patience, patience)
+	p := connpool.New[uint64](8, testTimeout, testTimeout)
 	h := &host{ID: 1, Addr: srv.addr}
 	call := &call{method: "POST", target: "/api", host: "x", requestID: "r", body: []byte("body")}
 	connect := func() *conn {
@@ -215,7 +215,7 @@
 	}
 	c := connect()
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
-	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectFailed || end != broken {
+	if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.ConnectFailed || end != broken {
 		t.Errorf("a write that failed gave %v", rep.result)
 	}
 	c = connect()
@@ -225,7 +225,7 @@
 		s.request()
 		_ = s.Close()
 	}()
-	if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost || end != broken {
+	if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.ConnectionLost || end != broken {
 		t.Errorf("a connection that broke after the request gave %v", rep.result)
 	}
 	c = connect()
@@ -234,7 +234,7 @@
 		t.Errorf("with no time left the request was written: %v", rep.result)
 	}
 	synctest.Test(t, func(t *testing.T) { // silence: in fake time the request is written before its time is up
-		p := connpool.New[uint64](8, patience, patience)
+		p := connpool.New[uint64](8, testTimeout, testTimeout)
 		p.Dial = func(context.Context, string, string) (net.Conn, error) {
 			ours, theirs := net.Pipe()
 			go func() { _, _ = io.Copy(io.Discard, theirs) }()
@@ -295,7 +295,7 @@
 	n := r.node
 	h := n.pool.Host(serverID("s-1"))
 	at := &attempt{req: &request{call: call{method: "POST", target: "/api", host: "x", requestID: "r"}}, host: h,
-		stopAt: time.Now().Add(patience)}
+		stopAt: time.Now().Add(testTimeout)}
 	draining := server("s-1", srv.addr)
 	draining.State = "draining"
 	r.discovery.set(draining)
@@ -333,7 +333,7 @@
 }
 
 // A client that goes away ends its attempt: the connection is closed.
-func TestClientGone(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
 	r := start(t, server("s-1", srv.addr))
@@ -363,7 +363,7 @@
 			if err != nil {
 				return
 			}
-			_ = c.SetDeadline(time.Now().Add(patience))
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			come <- &rawConn{t, c, bufio.NewReader(c)}
 		}
 	}()
@@ -423,7 +423,7 @@
 // An answer that can't be used is a failed attempt that may have run. It says
 // nothing about its server: what is kept open to it stays, it is not kept off, and a
 // request that may be repeated goes on at once, long before its time is over.
-func TestSpoiltAnswers(t *testing.T) {
+func TestUnusableResponsesAreRetried(t *testing.T) {
 	t.Parallel()
 	endless := func(head, more string) func(*rawConn) {
 		return func(c *rawConn) {
@@ -479,7 +479,7 @@
 			return attempt
 		case res := <-out:
 			t.Fatalf("answer %d %q where an attempt was due\n%s", res.status, res.body, r.log)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("no attempt came")
 		}
 		return firstAttempt{}
@@ -546,7 +546,7 @@
 
 // Of an unsafe request that had a spoilt answer nothing more goes out, and the
 // client is not told that a retry does no harm.
-func TestSpoiltUnsafe(t *testing.T) {
+func TestUnusableResponseOfUnsafeRequestIsNotRetried(t *testing.T) {
 	t.Parallel()
 	a, b := newRawServer(t), newRawServer(t)
 	r := start(t, server("s-a", a.addr))
@@ -625,7 +625,7 @@
 // An idle connection is kept for most of the time for which servers keep it, and
 // closed before they do: a limiter of many meets a server once in some seconds, and
 // each new connection costs a handshake. Fails at half of the time.
-func TestIdleTimeIsMostOfTheServers(t *testing.T) {
+func TestIdleTimeIsBelowTheServers(t *testing.T) {
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
 	if idle, most := r.node.pool.IdleTimeout, r.node.cfg.Settings.ConnIdle; idle < most*3/4 || idle > most*19/20 {
@@ -638,7 +638,7 @@
 func TestStaleConnections(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
-	p := connpool.New[uint64](8, patience, patience)
+	p := connpool.New[uint64](8, testTimeout, testTimeout)
 	p.Update(1, srv.addr, 0, true)
 	h := p.Host(1)
 	call := &call{method: "GET", target: "/api", host: "x", requestID: "r"}
@@ -655,7 +655,7 @@
 			s.request()
 			s.answer("200 OK", "")
 		}()
-		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.Success || end != reusable {
+		if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.Success || end != reusable {
 			t.Fatalf("result %v", rep.result)
 		}
 		p.Put(c)
@@ -670,7 +670,7 @@
 			s.request()
 			_ = s.Close()
 		}()
-		if rep, end := exchange(c, call, time.Now().Add(patience)); rep.result != balancer.ConnectionLost ||
+		if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.ConnectionLost ||
 			end != broken {
 			t.Fatalf("result %v", rep.result)
 		}
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -8,7 +8,7 @@
 const (
 	// usualTimeoutTolerance is the relative difference up to which two time-outs count as
 	// equal: the time in transit varies.
-	usualTimeoutTolerance = 0.01
+	timeoutTolerance = 0.01
 	// maxTimeoutVotes bounds the majority vote for the usual time-out, so that it follows
 	// a change.
 	maxTimeoutVotes = 200
@@ -20,14 +20,14 @@
 
 // usualTimeout is the time-out that clients give most requests of a class, found by a
 // majority vote.
-type usualTimeout struct {
+type typicalTimeout struct {
 	ms    float64
 	votes int
 }
 
 // vote counts a time-out and reports whether it is the usual one.
-func (u *usualTimeout) vote(timeoutMs float64) bool {
-	if math.Abs(timeoutMs-u.ms) <= usualTimeoutTolerance*u.ms {
+func (u *typicalTimeout) vote(timeoutMs float64) bool {
+	if math.Abs(timeoutMs-u.ms) <= timeoutTolerance*u.ms {
 		u.votes = min(u.votes+1, maxTimeoutVotes)
 		return true
 	}
@@ -45,7 +45,7 @@
 // are not spent on what is already too late. Where clients mark their retries, a first request
 // has only just begun, however short its time-out: it is not taken for a late one.
 func (l *Limiter) timeToTarget(e Submit) float64 {
-	class, usual := l.cfg.Classes[e.Class], &l.usualTimeouts[e.Class]
+	class, usual := l.cfg.Classes[e.Class], &l.typicalTimeouts[e.Class]
 	isUsual := usual.vote(e.TimeoutMs)
 	left := class.LatencyTargetMs
 	l.clientsMarkRetries = l.clientsMarkRetries || e.Retry
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A gateway that has been refusing for lack of servers tries them again.
-func TestServersAreTriedAgainAfterOverload(t *testing.T) {
+func TestServersAreUsedAfterOverloadEnds(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 50 {
 		id, a := s.submit(Submit{Plan: 3})
@@ -31,7 +31,7 @@
 
 // Where many gateways stand before few servers, one request of each at every
 // idle server is too much: servers that were overdriven never recovered.
-func TestLargeFleetTriesIdleServersLess(t *testing.T) {
+func TestLargeFleetUsesIdleServersLess(t *testing.T) {
 	for balancers, want := range map[int]int{2: 8, 16: 3} {
 		cfg := testSettings()
 		cfg.Balancers = balancers
--- a/balancer/randomfleet_test.go
+++ b/balancer/randomfleet_test.go
@@ -19,7 +19,7 @@
 	cfg      Settings
 	limiters []*Limiter
 	servers  map[uint64]ServerInfo
-	told     []map[uint64]ServerInfo // what each limiter was last told
+	listed   []map[uint64]ServerInfo // what each limiter was last told
 	open     []map[string]*randomRequest
 	timers   []randomTimer
 	store    []float64              // true store of the ceiling of each customer
@@ -62,7 +62,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.limiters[i], c.open[i], c.told[i] = l, map[string]*randomRequest{}, map[uint64]ServerInfo{}
+	c.limiters[i], c.open[i], c.listed[i] = l, map[string]*randomRequest{}, map[uint64]ServerInfo{}
 	c.sends[i] = map[uint64][]float64{}
 	c.sendList(i, Persisted)
 }
@@ -77,10 +77,10 @@
 
 func (c *randomFleet) sendList(i int, scope Scope) {
 	if scope != Partial {
-		c.told[i] = map[uint64]ServerInfo{}
+		c.listed[i] = map[uint64]ServerInfo{}
 	}
 	for _, s := range c.list() {
-		c.told[i][s.ID] = s
+		c.listed[i][s.ID] = s
 	}
 	c.event(i, Endpoints{Scope: scope, Servers: c.list()})
 }
@@ -126,7 +126,7 @@
 	if r == nil || r.over {
 		c.t.Fatalf("sent %s, which is over", a.ID)
 	}
-	info, ok := c.told[i][a.Server]
+	info, ok := c.listed[i][a.Server]
 	if !ok || info.Phase != Up {
 		c.t.Fatalf("sent to server %d, which drains, is gone or was never listed", a.Server)
 	}
@@ -153,7 +153,7 @@
 // server once more.
 func (c *randomFleet) checkRepeat(i int, r *randomRequest, k int, info ServerInfo) {
 	class := c.cfg.Classes[r.submit.Class]
-	before := c.told[i][r.sent[k].Server]
+	before := c.listed[i][r.sent[k].Server]
 	switch {
 	case class.Idempotency == Unsafe:
 		c.t.Fatal("an unsafe request that may have been executed was sent again")
@@ -204,7 +204,7 @@
 		return n
 	}
 	busiest := 0.0 // what was sent to a server while it was warm still counts
-	for id := range c.told[i] {
+	for id := range c.listed[i] {
 		if id != info.ID {
 			busiest = max(busiest, since(id, c.now-3*c.cfg.Rules.OverloadMs))
 		}
@@ -270,7 +270,7 @@
 	case u < 0.8:
 		c.submit(i)
 	case u < 0.81:
-		c.clientGone(i)
+		c.clientDisconnects(i)
 	case u < 0.815: // the limiter restarts with its last list
 		c.start(i)
 	case u < 0.83:
@@ -351,11 +351,11 @@
 }
 
 // clientGone lets the client of a limiter's first request leave.
-func (c *randomFleet) clientGone(i int) {
+func (c *randomFleet) clientDisconnects(i int) {
 	for _, id := range firstKey(c.open[i]) {
 		if r := c.open[i][id]; !r.over {
 			r.over = true
-			c.event(i, ClientGone{ID: id})
+			c.event(i, ClientDisconnected{ID: id})
 		}
 	}
 }
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -13,7 +13,7 @@
 	headroomShare = 0.25
 	// maxTriesPerServer bounds the requests in flight per server, over all limiters, up to
 	// which an idle server is tried although its expected time is too long.
-	maxTriesPerServer = 6.0
+	maxIdleAttemptsPerServer = 6.0
 	// smallFleet is the number of limiters up to which the load that each one sees tells
 	// which server is best.
 	smallFleet = 8
@@ -44,7 +44,7 @@
 	if best == nil {
 		return nil, rejectedPauseMs
 	}
-	if late := l.expectedTime(now, best, r.class) - l.timeBudget(now, r, best); late > 0 && !l.mayTryIdle(best) {
+	if late := l.expectedTime(now, best, r.class) - l.timeBudget(now, r, best); late > 0 && !l.mayUseIdle(best) {
 		return nil, late
 	}
 	return best, 0
@@ -107,8 +107,8 @@
 // An idle server is tried, as nothing is learned while nothing is sent. But servers slowed
 // by too many requests recover only when these become fewer, so all limiters together try
 // with no more than maxTriesPerServer requests per server.
-func (l *Limiter) mayTryIdle(s *server) bool {
-	tries := maxTriesPerServer * float64(len(l.serverList)) / float64(l.cfg.Balancers)
+func (l *Limiter) mayUseIdle(s *server) bool {
+	tries := maxIdleAttemptsPerServer * float64(len(l.serverList)) / float64(l.cfg.Balancers)
 	return s.inFlight == 0 && float64(l.inFlight) < max(1, tries)
 }
 
@@ -132,7 +132,7 @@
 	if r.hasAttemptAt(s) || !l.deduplicates(s, r) {
 		return false
 	}
-	return degraded || now >= s.ejections[r.class].until && now >= s.rejectingUntil && !l.silent(now, s)
+	return degraded || now >= s.ejections[r.class].until && now >= s.rejectingUntil && !l.unresponsive(now, s)
 }
 
 // deduplicates reports whether a server would drop a request with an idempotency key that was
--- a/balancer/wire/wire.go
+++ b/balancer/wire/wire.go
@@ -19,7 +19,7 @@
 const maxLine = 64 << 20
 
 // maxSheets is the number of server lists that the protocol can hold at once.
-const maxSheets = 16
+const maxLists = 16
 
 // Kind is what an Item asks of the host.
 type Kind int
@@ -43,9 +43,9 @@
 
 // Reader reads batches.
 type Reader struct {
-	in     *bufio.Scanner
-	line   int
-	sheets [maxSheets][]balancer.ServerInfo
+	in    *bufio.Scanner
+	line  int
+	lists [maxLists][]balancer.ServerInfo
 }
 
 // NewReader returns a Reader of r.
@@ -63,7 +63,7 @@
 
 var errShort = errors.New("too few values")
 
-func (f *fields) word() string {
+func (f *fields) token() string {
 	if f.rest == "" {
 		f.fail(errShort)
 		return ""
@@ -83,7 +83,7 @@
 }
 
 func (f *fields) number() float64 {
-	w := f.word()
+	w := f.token()
 	if w == "-" || f.err != nil {
 		return 0
 	}
@@ -95,7 +95,7 @@
 }
 
 func (f *fields) integer() int {
-	w := f.word()
+	w := f.token()
 	if w == "-" || f.err != nil {
 		return 0
 	}
@@ -107,7 +107,7 @@
 }
 
 func (f *fields) id() uint64 {
-	w := f.word()
+	w := f.token()
 	if w == "-" || f.err != nil {
 		return 0
 	}
@@ -119,7 +119,7 @@
 }
 
 func (f *fields) flag() bool {
-	switch w := f.word(); w {
+	switch w := f.token(); w {
 	case "1":
 		return true
 	case "0", "-", "":
@@ -131,7 +131,7 @@
 
 // choose reads a word that must be one of the names.
 func choose[T any](f *fields, names map[string]T) (v T) {
-	w := f.word()
+	w := f.token()
 	if f.err != nil {
 		return v
 	}
@@ -144,7 +144,7 @@
 
 func (f *fields) load() balancer.Load {
 	l := balancer.Load{Busy: -1, Pending: -1, ServiceMs: -1}
-	w := f.word()
+	w := f.token()
 	if w == "-" || f.err != nil {
 		return l
 	}
@@ -238,7 +238,7 @@
 
 func (r *Reader) list(f *fields) error {
 	sheet, n := f.integer(), f.integer()
-	if f.err == nil && (sheet < 0 || sheet >= maxSheets || n < 0) {
+	if f.err == nil && (sheet < 0 || sheet >= maxLists || n < 0) {
 		f.fail(errors.New("number out of range"))
 	}
 	if f.err != nil {
@@ -261,7 +261,7 @@
 		}
 		rows = append(rows, s)
 	}
-	r.sheets[sheet] = rows
+	r.lists[sheet] = rows
 	return nil
 }
 
@@ -294,13 +294,13 @@
 	case "SUBMIT":
 		return f.submit(), nil
 	case "FIRST":
-		return balancer.FirstByte{ID: f.word(), Attempt: f.integer()}, nil
+		return balancer.FirstByte{ID: f.token(), Attempt: f.integer()}, nil
 	case "REPORT_BACK":
 		return f.outcome(), nil
 	case "ABORTED":
-		return balancer.ClientGone{ID: f.word()}, nil
+		return balancer.ClientDisconnected{ID: f.token()}, nil
 	case "ALARM":
-		return balancer.TimerFired{Name: f.word()}, nil
+		return balancer.TimerFired{Name: f.token()}, nil
 	case "HEALTH_RESULT":
 		e := balancer.ProbeResult{LatencyMs: f.number(), Server: f.id(), Result: choose(f, results)}
 		e.Load = f.load()
@@ -313,18 +313,18 @@
 
 func (r *Reader) endpoints(f *fields) (balancer.Event, error) {
 	e := balancer.Endpoints{Scope: choose(f, scopes)}
-	f.word() // the revision: events come in order and leave nothing out
+	f.token() // the revision: events come in order and leave nothing out
 	if sheet := f.integer(); f.err == nil && e.Scope != balancer.Failed {
-		if sheet < 0 || sheet >= maxSheets {
+		if sheet < 0 || sheet >= maxLists {
 			return nil, errors.New("sheet out of range")
 		}
-		e.Servers = r.sheets[sheet]
+		e.Servers = r.lists[sheet]
 	}
 	return e, nil
 }
 
 func (f *fields) submit() balancer.Submit {
-	e := balancer.Submit{ID: f.word(), TimeoutMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag()}
+	e := balancer.Submit{ID: f.token(), TimeoutMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag()}
 	e.Plan = f.integer()
 	f.flag() // write: the class says what matters here
 	e.Spread, e.First, e.Customer = int(f.number()), int(f.number()), f.id()
@@ -332,16 +332,16 @@
 }
 
 func (f *fields) outcome() balancer.Outcome {
-	e := balancer.Outcome{ID: f.word(), Attempt: f.integer(), Server: f.id(), Result: choose(f, results)}
+	e := balancer.Outcome{ID: f.token(), Attempt: f.integer(), Server: f.id(), Result: choose(f, results)}
 	e.LatencyMs, e.Final = f.number(), f.flag()
 	f.number() // quota_use: the limiter relies on its peers, not on a meter
-	e.SettledUnits, e.Load = f.number(), f.load()
+	e.ActualUnits, e.Load = f.number(), f.load()
 	return e
 }
 
 func (f *fields) peerMessage() (balancer.Event, error) {
 	e := balancer.PeerMessage{From: f.integer()}
-	w := f.word()
+	w := f.token()
 	if w == "-" || f.err != nil {
 		return e, nil
 	}
@@ -355,7 +355,7 @@
 
 // seed reads any 64-bit number, signed or not.
 func (f *fields) seed() uint64 {
-	w := f.word()
+	w := f.token()
 	if v, err := strconv.ParseUint(w, 10, 64); err == nil {
 		return v
 	}
--- a/balancer/wire/wire_test.go
+++ b/balancer/wire/wire_test.go
@@ -50,7 +50,7 @@
 	}
 	out := items[3].Event.(balancer.Outcome)
 	load := balancer.Load{Busy: 7, Pending: -1, ServiceMs: 14.5}
-	if out.LatencyMs != 18.5 || !out.Final || out.SettledUnits != 3 || out.Load != load {
+	if out.LatencyMs != 18.5 || !out.Final || out.ActualUnits != 3 || out.Load != load {
 		t.Errorf("outcome %+v", out)
 	}
 	if _, _, err := r.Batch(); !errors.Is(err, io.EOF) {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestMalformedNamesTheLine(t *testing.T) {
+func TestErrorNamesTheLine(t *testing.T) {
 	for in, want := range map[string]string{
 		"HELLO 3\n":                                "line 1",
 		"SYNC x\n":                                 "line 1",
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestBadSetting(t *testing.T) {
+func TestInvalidSettingIsNamed(t *testing.T) {
 	for _, text := range []string{"balancers=x", "balancers=1.5", "caps.cancel=maybe",
 		"request_classes.count=1 request_classes.0.idempotency=often", "packages.count=-1"} {
 		name := text[strings.LastIndex(text, " ")+1 : strings.LastIndex(text, "=")]
