--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -27,23 +27,23 @@
 	}
 }
 
-// An unseen customer starts with the burst split over its gateways; the rest
-// is released when the peers have answered, and only what they have not told
-// of. Found as a loss of the cheap plans: the held part never came back.
+// An unseen customer starts with the burst split over its limiters; the rest
+// is released when the peers have answered, and only what they have not
+// reported. Found as a loss of the cheap plans: the held part never came back.
 func TestNewCustomerStartsWithItsPartOfTheBurst(t *testing.T) {
 	both := Submit{Spread: 2}
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	if got := s.admit(40, both); got != 10 {
 		t.Errorf("split of 20 over two let %d through", got)
 	}
-	s.do(peerLevels(1)) // an answer that tells of nobody
+	s.do(peerLevels(1)) // a response without levels
 	if got := s.admit(40, both); got != 10 {
 		t.Errorf("after the peer's answer %d more passed, want 10", got)
 	}
 	s = newLimiterDriver(t, testSettings(), testServers(4)...)
 	s.do(peerLevels(90000, 3)) // an older peer knows the level
 	if got := s.admit(40, both); got != 3 {
-		t.Errorf("told a level of 3, %d passed", got)
+		t.Errorf("sent a level of 3, %d passed", got)
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// What a customer costs does not grow with gateways that never touched it.
+// What a customer costs does not grow with limiters that never touched it.
 func TestCustomerCostIsIndependentOfFleetSize(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 470
@@ -101,6 +101,6 @@
 	s.submit(Submit{Customer: 5, Spread: 200})
 	s.do(TimerFired{Name: "tick"})
 	if n := len(s.l.customers[5].peerViews); n > aggregatorCount {
-		t.Errorf("a customer of 200 gateways has %d records of peers, want %d", n, aggregatorCount)
+		t.Errorf("a customer of 200 limiters has %d records of peers, want %d", n, aggregatorCount)
 	}
 }
--- a/balancer/aggregation.go
+++ b/balancer/aggregation.go
@@ -23,7 +23,7 @@
 )
 
 // planPacing returns each plan's factor on the interval between two levels: levels are sent
-// more often where a request is worth more and where bursts are short.
+// more often where requests have more value and where bursts are short.
 func planPacing(plans []Plan) []float64 {
 	meanValue := 0.0
 	for _, p := range plans {
--- a/balancer/aggregation_test.go
+++ b/balancer/aggregation_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A customer of a hundred gateways: each sees one request in a while, and all
-// together pass its quota, not a burst each. Fails without keepers.
+// A customer of a hundred limiters: each sees one request in a while, and all
+// together pass its quota, not a burst each. Fails without aggregators.
 func TestLargeSetHoldsQuota(t *testing.T) {
 	const n = 100
 	cfg := testSettings()
@@ -27,30 +27,30 @@
 	}
 }
 
-// The stand-in takes over when the first keeper is gone.
+// The standby takes over when the first aggregator has failed.
 func TestStandbyAggregatorTakesOver(t *testing.T) {
 	const n = 40
 	cfg := testSettings()
 	cfg.PeerMessagesPerSecond = 100
 	c := newTestFleet(t, cfg, n, testServers(4))
-	gone := -1
-	c.lose = func(from, to int) bool { return from == gone || to == gone }
+	failed := -1
+	c.lose = func(from, to int) bool { return from == failed || to == failed }
 	c.submit(0, Submit{Customer: 5, Spread: n})
-	gone = c.limiters[0].customers[5].reportsTo[0]
+	failed = c.limiters[0].customers[5].reportsTo[0]
 	c.ticks(6000)
 	passed := 0
 	for k := range 200 {
-		if i := k % n; i != gone && c.submit(i, Submit{Customer: 5, Spread: n}) {
+		if i := k % n; i != failed && c.submit(i, Submit{Customer: 5, Spread: n}) {
 			passed++
 		}
 		c.ticks(tickIntervalMs)
 	}
 	if passed > 20+130 {
-		t.Errorf("%d passed without the first keeper, the quota has 120", passed)
+		t.Errorf("%d passed without the first aggregator, the quota has 120", passed)
 	}
 }
 
-// A level told twice, late or by one who is no keeper of the customer.
+// A level sent twice, late or by a limiter that is no aggregator of the customer.
 func TestLevelsFromAggregators(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 40
@@ -58,31 +58,31 @@
 	s.now += 6000
 	s.submit(Submit{Customer: 5, Spread: 40})
 	c := s.l.customers[5]
-	news := func(from int, level float64) PeerMessage {
+	levelFrom := func(from int, level float64) PeerMessage {
 		m := peerMessage{flags: flagLevelUpdate, entries: []peerEntry{{customer: 5, level: int64(level * unitScale)}}}
 		data, _ := m.encode()
 		return PeerMessage{From: from, Data: data}
 	}
-	stranger := 1
-	for stranger == c.reportsTo[0] || stranger == c.reportsTo[1] {
-		stranger++
+	other := 1
+	for other == c.reportsTo[0] || other == c.reportsTo[1] {
+		other++
 	}
 	before := c.balance
-	s.do(news(stranger, -50))
+	s.do(levelFrom(other, -50))
 	if c.balance != before {
-		t.Error("a level from a gateway that is no keeper counted")
+		t.Error("a level from a limiter that is no aggregator counted")
 	}
-	s.now += 500 // what passed here is in the keeper's level by now
+	s.now += 500 // what passed here is in the aggregator's level by now
 	for range 2 {
-		s.do(news(c.reportsTo[0], 3))
+		s.do(levelFrom(c.reportsTo[0], 3))
 		if c.balance != 3 {
-			t.Errorf("told a level of 3, the balance is %g", c.balance)
+			t.Errorf("sent a level of 3, the balance is %g", c.balance)
 		}
 	}
 }
 
 // Levels of a plan that is worth little are told seldom, however far its customers
-// ask beyond their quotas: each is told to dozens of gateways, which take in only so
+// ask beyond their quotas: each is told to dozens of limiters, which take in only so
 // many messages. Fails where it may wait but four times as long as the mean plan.
 func TestLevelsOfCheapPlansLeaveRoom(t *testing.T) {
 	const n = 60
@@ -90,7 +90,7 @@
 	cfg.Plans = []Plan{{Rate: 0.84, Burst: 4, Price: 0.8}, {Rate: 3, Burst: 11, Price: 1.2},
 		{Rate: 12, Burst: 22, Price: 1.8}}
 	c := newTestFleet(t, cfg, n, testServers(4))
-	told := map[uint64]int{}
+	sent := map[uint64]int{}
 	c.lose = func(int, int) bool { return false }
 	for step := range 400 { // twenty seconds; each asks for some four times its quota
 		for plan, each := range []int{6, 2, 1} {
@@ -104,14 +104,14 @@
 			for _, a := range append([]Action(nil), l.Handle(c.now, TimerFired{Name: "tick"})...) {
 				if a, ok := a.(SendPeer); ok {
 					if m, _ := decodePeerMessage(a.Data); m.flags == flagLevelUpdate {
-						told[m.entries[0].plan]++
+						sent[m.entries[0].plan]++
 					}
 					c.event(a.To, PeerMessage{From: i, Data: a.Data})
 				}
 			}
 		}
 	}
-	if told[0] == 0 || told[0] > 10*n || told[0]*2 > told[1] {
-		t.Errorf("levels told, by plan from the cheapest: %v", told)
+	if sent[0] == 0 || sent[0] > 10*n || sent[0]*2 > sent[1] {
+		t.Errorf("levels sent, by plan from the cheapest: %v", sent)
 	}
 }
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -89,7 +89,7 @@
 	OverloadMs     float64 // ... for this long
 }
 
-// Event is something that happened. The event types are [Submit], [Outcome], [ClientGone],
+// Event is something that happened. The event types are [Submit], [Outcome], [ClientDisconnected],
 // [FirstByte], [TimerFired], [Endpoints], [ProbeResult] and [PeerMessage].
 type Event interface{ event() }
 
@@ -119,7 +119,7 @@
 	Load        Load
 }
 
-// ClientGone says that the client no longer waits for a response.
+// ClientDisconnected says that the client no longer waits for a response.
 type ClientDisconnected struct{ ID string }
 
 // FirstByte says that a streamed response has begun: the request is no longer retried.
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -7,18 +7,18 @@
 
 // Rule 2 and the final answers, as a table of outcome and class.
 func TestRetriesByIdempotencyAndResult(t *testing.T) {
-	const again, refuse, fail = "again", "refuse", "fail"
+	const retry, refuse, fail = "retry", "refuse", "fail"
 	for _, c := range []struct {
 		class  int
 		result Result
 		want   string
 	}{
-		{0, ServerError, again}, {0, TimedOut, again}, {0, Rejected, again}, {0, ConnectFailed, again}, {0,
-			Canceled, again},
-		{1, ServerError, again}, {1, ConnectionLost, again}, {1, Rejected, again}, {1, NotSent, again},
+		{0, ServerError, retry}, {0, TimedOut, retry}, {0, Rejected, retry}, {0, ConnectFailed, retry},
+		{0, Canceled, retry},
+		{1, ServerError, retry}, {1, ConnectionLost, retry}, {1, Rejected, retry}, {1, NotSent, retry},
 		{2, ServerError, fail}, {2, ConnectionLost, fail}, {2, TimedOut, fail}, {2, Canceled, fail},
-		{2, Rejected, again}, {2, ConnectFailed, again}, {2, NotSent, again},
-		{3, ServerError, again},
+		{2, Rejected, retry}, {2, ConnectFailed, retry}, {2, NotSent, retry},
+		{3, ServerError, retry},
 	} {
 		s := newLimiterDriver(t, testSettings(), testServers(4)...)
 		id, a := s.submit(Submit{Class: c.class})
@@ -27,8 +27,8 @@
 		name := fmt.Sprintf("class %d, result %d", c.class, c.result)
 		switch g := got.(type) {
 		case StartAttempt:
-			if c.want != again {
-				t.Errorf("%s: sent again, want %s", name, c.want)
+			if c.want != retry {
+				t.Errorf("%s: retried, want %s", name, c.want)
 			}
 			if g.Server == first {
 				t.Errorf("%s: sent to the same server", name)
--- a/balancer/escrow.go
+++ b/balancer/escrow.go
@@ -11,7 +11,7 @@
 )
 
 // minGrantShare is the smallest deficit that is granted, as a share of a limiter's full
-// escrow: less is not worth a message.
+// escrow: a smaller one would cost a message for little.
 const minGrantShare = 0.3
 
 // escrowPart is the share of the hard limit that each part of this limiter's escrow holds.
--- a/balancer/escrow_test.go
+++ b/balancer/escrow_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The gateways' shares of a ceiling never exceed it, whatever is lost.
+// The limiters' shares of a hard limit never exceed it, whatever is lost.
 func TestEscrowStaysWithinItsPart(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	plan := testSettings().Plans[1]
@@ -19,17 +19,17 @@
 		s.now += 10
 		spent += s.admit(3, Submit{Plan: 1, Spread: 2})
 	}
-	if most := (plan.HardBurst + plan.HardRate*(s.now-begin)/1000) / 2; float64(spent) > most {
-		t.Errorf("passed %d, this gateway's half is %g", spent, most)
+	if limit := (plan.HardBurst + plan.HardRate*(s.now-begin)/1000) / 2; float64(spent) > limit {
+		t.Errorf("passed %d, this limiter's half is %g", spent, limit)
 	}
 	s = newLimiterDriver(t, testSettings(), testServers(4)...)
 	if n := s.admit(10, Submit{Plan: 1, Spread: 2}); n != 0 || s.now != start {
-		t.Errorf("a gateway that just started passed %d of an empty share", n)
+		t.Errorf("a limiter that just started passed %d of an empty share", n)
 	}
 }
 
-// The shares of a ceiling of hundreds of gateways that hear nothing of each
-// other, with restarts, never add up to more than the ceiling.
+// The shares of a hard limit of hundreds of limiters that receive nothing of each
+// other, with restarts, never add up to more than the hard limit.
 func TestEscrowPartsAddUp(t *testing.T) {
 	const n = 300
 	cfg := testSettings()
@@ -47,7 +47,7 @@
 			store--
 		}
 		if store < 0 {
-			t.Fatal("the ceiling is passed")
+			t.Fatal("the hard limit is passed")
 		}
 		if rng.IntN(200) == 0 {
 			cfg.Balancers, cfg.Position = n, i
@@ -61,9 +61,9 @@
 	}
 }
 
-// A customer of eleven gateways has most of its requests come through one, which
-// needs more of the ceiling than an equal share. Fails without grants. Whatever is
-// lost, and with gateways starting anew, all together never pass the ceiling.
+// A customer of eleven limiters has most of its requests come through one, which
+// needs more of the hard limit than an equal share. Fails without grants. Whatever is
+// lost, and with limiters starting anew, all together never pass the hard limit.
 func TestEscrowGrantsFollowDemand(t *testing.T) {
 	const n = 11
 	cfg := testSettings()
@@ -71,7 +71,7 @@
 	for _, p := range []struct {
 		demand, skew, lost float64
 		restarts           bool
-		least              float64 // share that passes
+		minShare           float64 // share that passes
 	}{{8, 0.7, 0.1, false, 0.85}, {8, 0.7, 1, false, 0}, {400, 0.2, 0.3, false, 0}, {60, 0.5, 0.5, true, 0}, {400,
 		0.9, 0.9, true, 0}} {
 		c := newTestFleet(t, cfg, n, testServers(4))
@@ -79,7 +79,7 @@
 		c.lose = func(int, int) bool { return rng.Float64() < p.lost }
 		c.now += 10000
 		c.ticks(tickIntervalMs)
-		store, at, asked, passed := 46.0, c.now, 0.0, 0.0
+		store, at, requested, passed := 46.0, c.now, 0.0, 0.0
 		for end := c.now + 20000; c.now < end; {
 			c.ticks(tickIntervalMs)
 			for range int(p.demand*tickIntervalMs/1000/1.5 + rng.Float64()) {
@@ -87,13 +87,13 @@
 				if rng.Float64() < p.skew {
 					i = 3
 				}
-				asked += units
+				requested += units
 				if c.submit(i, Submit{Plan: 1, Customer: 1, Spread: n, Units: units}) {
 					store, at = min(46, store+(c.now-at)*25/1000)-units, c.now
 					passed += units
 				}
 				if store < -1e-6 {
-					t.Fatalf("%+v: the ceiling is passed by %g", p, -store)
+					t.Fatalf("%+v: the hard limit is passed by %g", p, -store)
 				}
 			}
 			if p.restarts && rng.IntN(10) == 0 {
@@ -106,25 +106,25 @@
 				c.event(cfg.Position, Endpoints{Scope: Persisted, Servers: testServers(4)})
 			}
 		}
-		if passed < p.least*asked {
-			t.Errorf("%+v: %.0f of %.0f units passed", p, passed, asked)
+		if passed < p.minShare*requested {
+			t.Errorf("%+v: %.0f of %.0f units passed", p, passed, requested)
 		}
 	}
 }
 
-// A fleet that has just begun has full ceilings as soon as its gateways have heard of
-// each other; one gateway that starts among older ones has none, nor one whose peers
-// are silent. Fails where every start begins with nothing.
+// A fleet that has just begun has full hard limits as soon as its limiters have received from
+// each other; one limiter that starts among older ones has none, nor one whose peers
+// do not respond. Fails where every start begins with nothing.
 func TestNewFleetStartsWithFullEscrow(t *testing.T) {
 	const n = 20
 	cfg := testSettings()
-	ask := func(c *testFleet, i int) bool { // three units are most of a full share
+	submit := func(c *testFleet, i int) bool { // three units are most of a full share
 		return c.submit(i, Submit{Plan: 1, Customer: 1, Spread: 10, Units: 3})
 	}
 	c := newTestFleet(t, cfg, n, testServers(4))
 	c.ticks(8 * tickIntervalMs)
-	if !ask(c, 1) {
-		t.Error("a fleet that has just begun has none of a ceiling's burst")
+	if !submit(c, 1) {
+		t.Error("a fleet that has just begun has none of a hard limit's burst")
 	}
 	c.now += 60000
 	cfg.Balancers, cfg.Position = n, 2
@@ -135,13 +135,13 @@
 	c.limiters[2] = l
 	c.event(2, Endpoints{Scope: Persisted, Servers: testServers(4)})
 	c.ticks(8 * tickIntervalMs)
-	if ask(c, 2) {
-		t.Error("a gateway that started among older ones has a part of a ceiling's burst")
+	if submit(c, 2) {
+		t.Error("a limiter that started among older ones has a part of a hard limit's burst")
 	}
 	c = newTestFleet(t, cfg, n, testServers(4))
 	c.lose = func(int, int) bool { return true }
 	c.ticks(8 * tickIntervalMs)
-	if ask(c, 1) {
-		t.Error("a gateway that heard nothing has a part of a ceiling's burst")
+	if submit(c, 1) {
+		t.Error("a limiter that received nothing has a part of a hard limit's burst")
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"example.org/elmspan/balancer"
 )
 
-// One gateway, one server, a quota of one unit a second with a store of two.
+// One limiter, one server, a quota of one unit a second with a store of two.
 func Example() {
 	l, err := balancer.New(balancer.Settings{
 		Balancers: 1,
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// goldenPeerMessages lists one message of each form that gateways exchange. The files under
+// goldenPeerMessages lists one message of each form that limiters exchange. The files under
 // testdata/golden hold their bytes as written by f96d826: later versions write the same.
 func goldenPeerMessages() map[string]peerMessage {
 	entry := peerEntry{
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestGoldenPeerMessages holds the layout of messages between gateways: limiters of two
+// TestGoldenPeerMessages holds the layout of messages between limiters: limiters of two
 // versions run beside each other while a fleet is upgraded.
 func TestGoldenPeerMessages(t *testing.T) {
 	for name, want := range goldenPeerMessages() {
@@ -53,8 +53,8 @@
 			if !ok || !reflect.DeepEqual(got, want) {
 				t.Fatalf("read %+v, %v, want %+v", got, ok, want)
 			}
-			if again, _ := got.encode(); !bytes.Equal(again, data) {
-				t.Errorf("read and written again: %x, want %x", again, data)
+			if encoded, _ := got.encode(); !bytes.Equal(encoded, data) {
+				t.Errorf("read and written again: %x, want %x", encoded, data)
 			}
 		})
 	}
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -34,23 +34,23 @@
 
 func TestStartingLimiterRequestsLevels(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	var asked bool
+	var requested bool
 	for _, a := range s.do(TimerFired{Name: "tick"}) {
-		if tell, ok := a.(SendPeer); ok {
-			m, ok := decodePeerMessage(tell.Data)
-			asked = ok && m.flags&flagLevelsRequest != 0
+		if message, ok := a.(SendPeer); ok {
+			m, ok := decodePeerMessage(message.Data)
+			requested = ok && m.flags&flagLevelsRequest != 0
 		}
 	}
-	if !asked {
-		t.Error("a starting gateway did not ask its peer")
+	if !requested {
+		t.Error("a starting limiter did not ask its peer")
 	}
 	s.admit(4, Submit{Spread: 2})
-	ask := peerMessage{flags: flagLevelsRequest, incarnation: 5, seq: 1}
-	data, _ := ask.encode()
+	request := peerMessage{flags: flagLevelsRequest, incarnation: 5, seq: 1}
+	data, _ := request.encode()
 	var levels []peerEntry
 	for _, a := range s.do(PeerMessage{From: 1, Data: data}) {
-		if tell, ok := a.(SendPeer); ok {
-			if m, ok := decodePeerMessage(tell.Data); ok && m.flags&flagLevelsResponse != 0 {
+		if message, ok := a.(SendPeer); ok {
+			if m, ok := decodePeerMessage(message.Data); ok && m.flags&flagLevelsResponse != 0 {
 				levels = m.entries
 			}
 		}
@@ -65,21 +65,21 @@
 func TestPeerLevelsAndReportsAreBounded(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	s.admit(1, Submit{Customer: 5, Spread: 2})
-	tell := func(e peerEntry, seq uint64, flags byte) {
+	send := func(e peerEntry, seq uint64, flags byte) {
 		m := peerMessage{incarnation: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
 		data, _ := m.encode()
 		s.do(PeerMessage{From: 1, Data: data})
 	}
-	tell(peerEntry{customer: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
+	send(peerEntry{customer: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
 	s.now += 6500 // three bursts of 20 at 10 a second and a little
 	if got := s.admit(1, Submit{Customer: 5, Spread: 2}); got != 1 {
-		t.Error("kept out for longer than the gateways' bursts take")
+		t.Error("kept out for longer than the limiters' bursts take")
 	}
-	tell(peerEntry{customer: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
+	send(peerEntry{customer: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
 	if c := s.l.customers[5]; c.balance > 20 || c.margin > 20 {
 		t.Errorf("balance %g, margin %g with a burst of 20", c.balance, c.margin)
 	}
-	tell(peerEntry{customer: 5, level: -1 << 40}, 3, flagLevelUpdate)
+	send(peerEntry{customer: 5, level: -1 << 40}, 3, flagLevelUpdate)
 	if c := s.l.customers[5]; c.balance < -41 { // two bursts and what passed last
 		t.Errorf("balance %g", c.balance)
 	}
@@ -90,7 +90,7 @@
 	if len(s.l.customers) != 0 {
 		t.Error("the customer is still known")
 	}
-	tell(peerEntry{customer: 5, spread: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
+	send(peerEntry{customer: 5, spread: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
 	if c := s.l.customers[5]; c == nil || c.balance != 18 {
 		t.Errorf("after it was forgotten: %+v", c)
 	}
@@ -108,11 +108,11 @@
 		if !ok {
 			return
 		}
-		again, n := m.encode()
+		encoded, n := m.encode()
 		if n != len(m.entries) {
 			return // a wasteful encoding of more entries than fit
 		}
-		m2, ok := decodePeerMessage(again)
+		m2, ok := decodePeerMessage(encoded)
 		if !ok || fmt.Sprint(m) != fmt.Sprint(m2) {
 			t.Errorf("%v became %v", m, m2)
 		}
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -8,7 +8,7 @@
 )
 
 // testSettings has one class of each kind and a plan with and one without a
-// ceiling.
+// hard limit.
 func testSettings() Settings {
 	return Settings{
 		Balancers: 2, PeerMessagesPerSecond: 40,
@@ -91,10 +91,11 @@
 	return got
 }
 
-func (s *limiterDriver) outcome(id string, try int, server uint64, r Result) Action {
+func (s *limiterDriver) outcome(id string, attempt int, server uint64, r Result) Action {
 	s.t.Helper()
-	return s.answer(s.do(Outcome{ID: id, Attempt: try, Server: server, Result: r, LatencyMs: 20, Final: r == Success,
-		Load: Load{Busy: -1, Pending: -1, ServiceMs: -1}}))
+	return s.answer(s.do(Outcome{ID: id, Attempt: attempt, Server: server, Result: r, LatencyMs: 20,
+		Final: r == Success,
+		Load:  Load{Busy: -1, Pending: -1, ServiceMs: -1}}))
 }
 
 // pass serves a request that must have been passed on.
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,6 +1,6 @@
 package balancer
 
-// This file judges the health of servers: failed connects and silence mark a server down,
+// This file judges the health of servers: failed connects and missing responses mark a server down,
 // failures of a class eject it for that class, and probes bring it back.
 
 import "slices"
@@ -8,7 +8,8 @@
 const (
 	// downAfterFailures is the number of failed connects in a row after which a server is down.
 	downAfterFailures = 2
-	// A server is silent after silenceFactor times the expected time without a response.
+	// A server is unresponsive after unresponsiveFactor times the expected time without a
+	// response.
 	unresponsiveFactor = 4.0
 	// minProbeIntervalMs is the least time between two probes of a server, in ms.
 	minProbeIntervalMs = 500.0
@@ -66,7 +67,7 @@
 	}
 }
 
-// sendFailureHint tells all peers of a failure of a class at a server, if a hint is due and
+// sendFailureHint sends all peers a hint of a failure of a class at a server, if a hint is due and
 // the server is not ejected for the class yet.
 func (l *Limiter) sendFailureHint(now float64, s *server, class int) {
 	due := now >= l.nextHintAt && l.failureShare < maxHintFailureShare
@@ -128,7 +129,7 @@
 	}
 }
 
-// silent reports whether a server has requests in flight and has not responded for long.
+// unresponsive reports whether a server has requests in flight and has not responded for long.
 func (l *Limiter) unresponsive(now float64, s *server) bool {
 	if s.inFlight == 0 {
 		return false
@@ -137,7 +138,7 @@
 	return now-s.waitingSince > unresponsiveFactor*typical+l.cfg.Caps.ConnectTimeoutMs
 }
 
-// checkServers probes the servers that are down or silent. Where there are no probes, a server
+// checkServers probes the servers that are down or unresponsive. Where there are no probes, a server
 // that is down is tried with one request at a time.
 func (l *Limiter) checkServers(now float64) {
 	for _, s := range l.serverList {
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -11,7 +11,7 @@
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	serve := func() (bad int) {
 		id, a := s.submit(Submit{Plan: 3})
-		for try := 0; ; try++ {
+		for attempt := 0; ; attempt++ {
 			p, ok := a.(StartAttempt)
 			if !ok {
 				return bad
@@ -20,7 +20,7 @@
 			if p.Server == 1 {
 				r, bad = ServerError, bad+1
 			}
-			a = s.outcome(id, try, p.Server, r)
+			a = s.outcome(id, attempt, p.Server, r)
 		}
 	}
 	for range 200 {
@@ -62,7 +62,7 @@
 		}
 	}
 	if !probed {
-		t.Fatal("a server silent for long was not probed")
+		t.Fatal("a server without a response for long was not probed")
 	}
 	aborted := 0
 	for _, a := range s.do(ProbeResult{Server: 1, Result: TimedOut}) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// A server that fails one class only is kept off for that class; peers are told.
+// A server that fails one class only is ejected for that class; peers are sent a hint.
 func TestServerIsEjectedForOneClass(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	hints := 0
@@ -102,8 +102,8 @@
 			continue
 		}
 		for _, b := range s.do(Outcome{ID: id, Server: 1, Result: TimedOut, LatencyMs: 900}) {
-			if tell, ok := b.(SendPeer); ok {
-				if m, ok := decodePeerMessage(tell.Data); ok && m.flags&flagFailureHint != 0 {
+			if message, ok := b.(SendPeer); ok {
+				if m, ok := decodePeerMessage(message.Data); ok && m.flags&flagFailureHint != 0 {
 					hints++
 				}
 			} else if q, ok := b.(StartAttempt); ok {
@@ -112,21 +112,21 @@
 		}
 	}
 	if srv := s.l.servers[1]; srv.ejections[0].until <= s.now || srv.ejections[1].until > s.now {
-		t.Errorf("class 0 fails at server 1: kept off to %v at %v", srv.ejections, s.now)
+		t.Errorf("class 0 fails at server 1: ejected to %v at %v", srv.ejections, s.now)
 	}
 	if hints == 0 {
 		t.Error("the peer got no hint")
 	}
 }
 
-// Hints of all gateways together stay within what each takes in, however many
-// gateways and failures. Found as two incidents in which they were nine tenths of
-// all messages. Fails if each gateway may hint as it likes.
+// Hints of all limiters together stay within what each takes in, however many
+// limiters and failures. Found as two incidents in which they were nine tenths of
+// all messages. Fails if each limiter may hint as it likes.
 func TestFailureHintsAreBounded(t *testing.T) {
 	for _, n := range []int{20, 300} {
 		cfg := testSettings()
 		cfg.Balancers = n
-		told := 0
+		sent := 0
 		for i := range n {
 			cfg.Position = i
 			l, err := New(cfg, uint64(i))
@@ -145,7 +145,7 @@
 						}
 						for _, b := range l.Handle(now, o) {
 							if _, ok := b.(SendPeer); ok {
-								told++
+								sent++
 							}
 						}
 					}
@@ -154,8 +154,8 @@
 		}
 		// Each takes in 40 a second, of which hintShare are hints, for two seconds.
 		// More than a fifth of all would crowd out the levels.
-		if each := float64(told) / float64(n); each < 1 || each > min(1.5*2*40*hintMessageShare, 2*40/5.0) {
-			t.Errorf("%d gateways: each got %.0f hints in two seconds", n, each)
+		if each := float64(sent) / float64(n); each < 1 || each > min(1.5*2*40*hintMessageShare, 2*40/5.0) {
+			t.Errorf("%d limiters: each got %.0f hints in two seconds", n, each)
 		}
 	}
 }
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -13,7 +13,7 @@
 
 const (
 	// tickIntervalMs is the period of the tick, at which peers are sent what has changed,
-	// silent servers are probed and idle customers are evicted.
+	// unresponsive servers are probed and idle customers are evicted.
 	tickIntervalMs = 50.0
 	// pausedAfterMs is the time without an event after which this process must have been
 	// paused. What was in flight meanwhile says nothing about servers.
@@ -34,7 +34,7 @@
 type Limiter struct {
 	cfg         Settings
 	rng         *rand.Rand
-	incarnation uint32 // tells peers this process from an earlier one; never 0
+	incarnation uint32 // distinguishes this process from an earlier one; never 0
 	actions     []Action
 
 	started     bool
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -31,7 +31,8 @@
 	id, a := s.submit(Submit{})
 	s.pass(id, a)
 	for _, e := range []Event{
-		Outcome{ID: id, Server: 1}, Outcome{ID: "no", Server: 1, Attempt: 3}, ClientDisconnected{ID: id}, ClientDisconnected{ID: "no"},
+		Outcome{ID: id, Server: 1}, Outcome{ID: "no", Server: 1,
+			Attempt: 3}, ClientDisconnected{ID: id}, ClientDisconnected{ID: "no"},
 		FirstByte{ID: "no"}, TimerFired{Name: "no"}, ProbeResult{Server: 99}, Submit{ID: "x", Class: 99}, nil,
 		PeerMessage{From: -1}, PeerMessage{From: 0},
 	} {
@@ -78,7 +79,7 @@
 	}
 }
 
-// A gateway that stood still learns nothing against servers from what was out.
+// A limiter that stood still learns nothing against servers from what was out.
 func TestPausedLimiterBlamesNoServer(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 30 {
@@ -98,7 +99,7 @@
 		s.do(Outcome{ID: id, Server: to[k], Result: TimedOut, LatencyMs: 1600})
 	}
 	if s.l.typicalMs[0] != work || s.l.servers[1].ejections[0].failures+s.l.servers[2].ejections[0].failures > 0 {
-		t.Error("the gateway's own pause counted against servers")
+		t.Error("the limiter's own pause counted against servers")
 	}
 }
 
@@ -195,7 +196,7 @@
 	})
 }
 
-// BenchmarkHandle serves requests at a gateway of 470 with 90 servers.
+// BenchmarkHandle serves requests at a limiter of 470 with 90 servers.
 func BenchmarkHandle(b *testing.B) {
 	cfg := testSettings()
 	cfg.Balancers, cfg.PeerMessagesPerSecond = 470, 40
--- a/balancer/node/clients_test.go
+++ b/balancer/node/clients_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// A customer beyond its quota is refused at once, and told when to come back.
+// A customer beyond its quota is rejected at once, with the time of a retry.
 func TestRefusedAtOnceWithAdvice(t *testing.T) {
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
@@ -218,21 +218,21 @@
 		}
 	}
 	serve()
-	var silent []net.Conn
+	var unused []net.Conn
 	for i := range 300 {
 		c, _ := r.dial()
-		silent = append(silent, c)
+		unused = append(unused, c)
 		if i%50 == 0 {
 			serve()
 		}
 	}
 	serve()
 	_, budget := socketBudget(96)
-	for _, c := range silent { // the last ones by the time-out, the others at once
+	for _, c := range unused { // the last ones by the time-out, the others at once
 		if _, err := c.Read(make([]byte, 1)); err == nil {
 			t.Error("a byte came")
 		} else if isTimeout(err) {
-			t.Fatal("a silent connection stayed open")
+			t.Fatal("an idle connection stayed open")
 		}
 	}
 	until(t, "the connections are forgotten", func() bool {
@@ -259,7 +259,7 @@
 		net.Conn
 		in *bufio.Reader
 	}
-	ask := func(c client) {
+	request := func(c client) {
 		t.Helper()
 		req := r.newRequest("status-check", "enterprise", "")
 		writeRequest(t, c, req)
@@ -269,7 +269,7 @@
 	}
 	for range 2 * budget {
 		c, in := r.dial()
-		ask(client{c, in})
+		request(client{c, in})
 	}
 	for range 5 { // several connect, and ask only then
 		var some []client
@@ -278,7 +278,7 @@
 			some = append(some, client{c, in})
 		}
 		for _, c := range some {
-			ask(c)
+			request(c)
 		}
 	}
 }
@@ -500,7 +500,7 @@
 	}
 }
 
-// A stop with a silent server still answers before the platform kills: what is
+// A stop with a server that does not respond still answers before the platform kills: what is
 // in hand ends early. A connection without any request must not hold the stop up.
 func TestStopEndsWhatHangs(t *testing.T) {
 	t.Parallel()
--- a/balancer/node/discovery_test.go
+++ b/balancer/node/discovery_test.go
@@ -28,7 +28,7 @@
 	})
 	for range 5 {
 		if _, body, _ := r.do(r.newRequest("status-check", "enterprise", "")); body != "b" {
-			t.Errorf("served by %q after the drain was told", body)
+			t.Errorf("served by %q after the drain was listed", body)
 		}
 	}
 }
--- a/balancer/node/node_test.go
+++ b/balancer/node/node_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// patience bounds each wait in the tests; none of them depends on its length.
+// testTimeout bounds each wait in the tests; none of them depends on its length.
 const testTimeout = 2 * time.Minute
 
 // rig is a limiter with a discovery and a server on loopback sockets.
--- a/balancer/node/peers_test.go
+++ b/balancer/node/peers_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Limiters tell each other what they passed: the quota holds over both.
+// Limiters report to each other what they admitted: the quota holds over both.
 // Datagrams of strangers and such that are no message are dropped.
 func TestQuotaOverTwoLimiters(t *testing.T) {
 	t.Parallel()
@@ -37,17 +37,17 @@
 			c.PeerListen, c.Peers = addrs[i].String(), addrs
 		}, server("s-1", addr))
 	}
-	stranger, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addrs[1]))
+	unknown, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addrs[1]))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = stranger.Close() }()
+	defer func() { _ = unknown.Close() }()
 	for range 100 {
-		if _, err := stranger.Write([]byte("nonsense")); err != nil {
+		if _, err := unknown.Write([]byte("nonsense")); err != nil {
 			break
 		}
 	}
-	until(t, "the stranger's datagrams are dropped", func() bool {
+	until(t, "the unknown's datagrams are dropped", func() bool {
 		return strings.Contains(rigs[1].log.String(), "datagram dropped")
 	})
 	customer := 0
@@ -59,13 +59,13 @@
 		return status == 200
 	}
 	// A customer spends all at one limiter. The other, which has never seen it,
-	// refuses its first request once it has heard of that; without messages each
+	// refuses its first request once it has received that; without messages each
 	// would pass half of the burst of its own.
 	until(t, "spending at one limiter counts at the other", func() bool {
 		customer++
 		for pass(rigs[0]) {
 		}
-		time.Sleep(200 * time.Millisecond) // some ticks; if they are too few, the next customer tells
+		time.Sleep(200 * time.Millisecond) // some ticks; if they are too few, the next customer shows it
 		return !pass(rigs[1])
 	})
 	if n := strings.Count(rigs[1].log.String(), "datagram dropped"); n > logBurst {
--- a/balancer/node/servers_test.go
+++ b/balancer/node/servers_test.go
@@ -66,11 +66,11 @@
 			}
 			// Only this server is known and it was tried: nothing more may come.
 			out = r.send(r.newRequest(class, "enterprise", ""))
-			again := srv.accept()
-			if again.request().Header.Get("X-Request-ID") == "" {
+			next := srv.accept()
+			if next.request().Header.Get("X-Request-ID") == "" {
 				t.Error("no id")
 			}
-			again.answer("200 OK", "two")
+			next.answer("200 OK", "two")
 			if res := r.got(out); res.status != 200 || res.body != "two" {
 				t.Errorf("the next request got %d %q", res.status, res.body)
 			}
@@ -215,7 +215,8 @@
 	}
 	c := connect()
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
-	if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.ConnectFailed || end != broken {
+	if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.ConnectFailed ||
+		end != broken {
 		t.Errorf("a write that failed gave %v", rep.result)
 	}
 	c = connect()
@@ -225,7 +226,8 @@
 		s.request()
 		_ = s.Close()
 	}()
-	if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.ConnectionLost || end != broken {
+	if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.ConnectionLost ||
+		end != broken {
 		t.Errorf("a connection that broke after the request gave %v", rep.result)
 	}
 	c = connect()
@@ -233,7 +235,8 @@
 		end == reusable {
 		t.Errorf("with no time left the request was written: %v", rep.result)
 	}
-	synctest.Test(t, func(t *testing.T) { // silence: in fake time the request is written before its time is up
+	// a missing response: in fake time the request is written before its time is up
+	synctest.Test(t, func(t *testing.T) {
 		p := connpool.New[uint64](8, testTimeout, testTimeout)
 		p.Dial = func(context.Context, string, string) (net.Conn, error) {
 			ours, theirs := net.Pipe()
@@ -286,7 +289,7 @@
 	}
 }
 
-// A drain that is told while a connect is slow: nothing is written on the
+// A drain that is listed while a connect is slow: nothing is written on the
 // connection once it is there.
 func TestDrainDuringSlowConnect(t *testing.T) {
 	t.Parallel()
@@ -350,7 +353,7 @@
 	})
 }
 
-// A silent server: the final answer is out before the client gives up, and the
+// A server that does not respond: the final answer is out before the client gives up, and the
 // attempt's connection is closed.
 func TestAnswerBeforeTheClientGivesUp(t *testing.T) {
 	t.Parallel()
@@ -389,7 +392,7 @@
 	t.Error("no attempt came")
 }
 
-// Probes tell the module of the health of a server.
+// Probes report the health of a server to the module.
 func TestProbe(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -545,7 +548,7 @@
 }
 
 // Of an unsafe request that had a spoilt answer nothing more goes out, and the
-// client is not told that a retry does no harm.
+// client gets no answer that says that a retry does no harm.
 func TestUnusableResponseOfUnsafeRequestIsNotRetried(t *testing.T) {
 	t.Parallel()
 	a, b := newRawServer(t), newRawServer(t)
@@ -628,8 +631,8 @@
 func TestIdleTimeIsBelowTheServers(t *testing.T) {
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
-	if idle, most := r.node.pool.IdleTimeout, r.node.cfg.Settings.ConnIdle; idle < most*3/4 || idle > most*19/20 {
-		t.Errorf("idle connections are kept for %v, servers keep them for %v", idle, most)
+	if idle, limit := r.node.pool.IdleTimeout, r.node.cfg.Settings.ConnIdle; idle < limit*3/4 || idle > limit*19/20 {
+		t.Errorf("idle connections are kept for %v, servers keep them for %v", idle, limit)
 	}
 }
 
@@ -655,7 +658,8 @@
 			s.request()
 			s.answer("200 OK", "")
 		}()
-		if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.Success || end != reusable {
+		if rep, end := exchange(c, call, time.Now().Add(testTimeout)); rep.result != balancer.Success ||
+			end != reusable {
 			t.Fatalf("result %v", rep.result)
 		}
 		p.Put(c)
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -41,7 +41,7 @@
 
 // timeToTarget returns the time in ms in which a response still meets the latency target.
 // Clients give most requests of a class the same time-out. A request with another one has
-// what is left of the deadline, which tells how long ago the client began: quota and servers
+// what is left of the deadline, which shows how long ago the client began: quota and servers
 // are not spent on what is already too late. Where clients mark their retries, a first request
 // has only just begun, however short its time-out: it is not taken for a late one.
 func (l *Limiter) timeToTarget(e Submit) float64 {
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A gateway that has been refusing for lack of servers tries them again.
+// A limiter that has been refusing for lack of servers tries them again.
 func TestServersAreUsedAfterOverloadEnds(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 50 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Where many gateways stand before few servers, one request of each at every
+// Where many limiters stand before few servers, one request of each at every
 // idle server is too much: servers that were overdriven never recovered.
 func TestLargeFleetUsesIdleServersLess(t *testing.T) {
 	for balancers, want := range map[int]int{2: 8, 16: 3} {
@@ -49,12 +49,12 @@
 			}
 		}
 		if out != want {
-			t.Errorf("%d gateways, 8 slow servers: %d out, want %d", balancers, out, want)
+			t.Errorf("%d limiters, 8 slow servers: %d out, want %d", balancers, out, want)
 		}
 	}
 }
 
-// Tries whose remaining time shows that their aim is over are refused and
+// Tries whose remaining time shows that their latency target is missed are refused and
 // spend nothing; a last try with more time than usual and time to spare passes.
 func TestLateRequestIsRejected(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
@@ -76,7 +76,7 @@
 	}
 }
 
-// Under pressure the request worth least for its work gives way first.
+// Under overload the request of least value for its work is rejected first.
 func TestValueDecidesUnderOverload(t *testing.T) {
 	cfg := testSettings()
 	cfg.Plans[0].Price, cfg.Plans[3].Price = 5, 0.2
--- a/balancer/randomfleet_test.go
+++ b/balancer/randomfleet_test.go
@@ -19,11 +19,11 @@
 	cfg      Settings
 	limiters []*Limiter
 	servers  map[uint64]ServerInfo
-	listed   []map[uint64]ServerInfo // what each limiter was last told
+	listed   []map[uint64]ServerInfo // the last list of each limiter
 	open     []map[string]*randomRequest
 	timers   []randomTimer
-	store    []float64              // true store of the ceiling of each customer
-	sends    []map[uint64][]float64 // by gateway and server: when it was sent to
+	store    []float64              // true store of the hard limit of each customer
+	sends    []map[uint64][]float64 // by limiter and server: when it was sent to
 	ids      int
 	mail     []randomMail
 	done     int
@@ -156,11 +156,11 @@
 	before := c.listed[i][r.sent[k].Server]
 	switch {
 	case class.Idempotency == Unsafe:
-		c.t.Fatal("an unsafe request that may have been executed was sent again")
+		c.t.Fatal("an unsafe request that may have been executed was retried")
 	case class.Idempotency == Keyed && class.DedupScope == DedupCell && before.Cell != info.Cell:
 		c.t.Fatal("a keyed request left its cell")
 	case class.Idempotency == Keyed && c.now >= r.sentAt[k]+class.DedupWindowMs:
-		c.t.Fatal("a keyed request was sent again after its window")
+		c.t.Fatal("a keyed request was retried after its window")
 	}
 }
 
@@ -187,8 +187,8 @@
 	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*(c.now-info.ReadyAt)/r.SlowStartMs)
 }
 
-// checkSlowStart holds a gateway to its part of a cold server's budget: the rule's
-// multiple of its warmth times what the gateway sends to the busiest warm
+// checkSlowStart holds a limiter to its part of a server in slow start's budget: the rule's
+// multiple of its warmth times what the limiter sends to the busiest warm
 // server in the same window, and a few for chance and for works of other sizes.
 func (c *randomFleet) checkSlowStart(i int, info ServerInfo) {
 	w := c.warmth(info)
@@ -211,7 +211,8 @@
 	}
 	n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.Rules.OverloadMs))
 	if n > 3+c.cfg.Rules.OverloadFactor*w*busiest {
-		c.t.Fatalf("cold server %d (warmth %.2f) got %g in a window, the busiest warm one %g", info.ID, w, n, busiest)
+		c.t.Fatalf("server in slow start %d (warmth %.2f) got %g in a window, the busiest warm one %g", info.ID, w,
+			n, busiest)
 	}
 }
 
@@ -229,7 +230,7 @@
 	}
 	left := &c.store[s.Customer]
 	if *left -= s.Units; *left < -1e-6 {
-		c.t.Fatalf("the ceiling of customer %d is passed by %g", s.Customer, -*left)
+		c.t.Fatalf("the hard limit of customer %d is passed by %g", s.Customer, -*left)
 	}
 }
 
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -14,7 +14,7 @@
 	// maxTriesPerServer bounds the requests in flight per server, over all limiters, up to
 	// which an idle server is tried although its expected time is too long.
 	maxIdleAttemptsPerServer = 6.0
-	// smallFleet is the number of limiters up to which the load that each one sees tells
+	// smallFleet is the number of limiters up to which the load that each one sees shows
 	// which server is best.
 	smallFleet = 8
 	// busyServerCost is added to the cost factor of a server in use, in a very large fleet.
@@ -32,7 +32,7 @@
 const (
 	subsetTier   serverTier = iota // the subset of this limiter
 	allTier                        // all servers
-	degradedTier                   // also those that are ejected, silent or rejecting
+	degradedTier                   // also those that are ejected, unresponsive or rejecting
 	serverTiers                    // number of tiers
 )
 
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -89,10 +89,10 @@
 	if used := c.usedConnections(4000); used == 0 || used > n*servers/4 {
 		t.Errorf("%d limiters use %d connections to %d servers", n, used, servers)
 	}
-	gone := f[7]
-	gone.Phase = Removed
+	removed := f[7]
+	removed.Phase = Removed
 	for i := range n {
-		c.event(i, Endpoints{Scope: Partial, Servers: []ServerInfo{gone}})
+		c.event(i, Endpoints{Scope: Partial, Servers: []ServerInfo{removed}})
 	}
 	after, moved := c.subsetPairs(), 0
 	for p := range after {
@@ -100,7 +100,7 @@
 			moved++
 		}
 	}
-	if moved > 2*n { // the one that is gone, and a place at each edge
+	if moved > 2*n { // the one that was removed, and a place at each edge
 		t.Errorf("%d of %d pairs are new after one server went", moved, len(after))
 	}
 	// With its subset out of reach a limiter goes on with the others.
@@ -131,7 +131,7 @@
 	return len(used)
 }
 
-// One of many gateways spreads what it has out at once over different servers: a
+// One of many limiters spreads what it has out at once over different servers: a
 // further request at a busy one waits there, and needs a connection of its own.
 // Fails where chance alone decides.
 func TestBusyServersComeLast(t *testing.T) {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -34,7 +34,7 @@
 
 // hasSlowStartCredit reports whether a server may get a request. A server in slow start gets
 // from this limiter its share of capacity times what the limiter sends for each warm server's
-// worth of capacity, as credit for one request at a time from a random start. So the parts of
+// unit of capacity, as credit for one request at a time from a random start. So the parts of
 // any number of limiters add up to the share of what a warm server gets, without messages;
 // where hardly anything is sent, to minSlowStartRequests in a window. Where most servers are
 // in slow start, a part rises by maxSlowStartRise at most, as all that was sent may have been
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A cold server gets no more than its warmth times what a warm one gets, and
+// A server in slow start gets no more than its warmth times what a warm one gets, and
 // one request a window where there is none to compare with.
 func TestSlowStartLimitsAServer(t *testing.T) {
 	f := testServers(4)
@@ -28,7 +28,7 @@
 		}
 	}
 	if sent[1] == 0 || sent[1] > sent[2]/3 {
-		t.Errorf("cold server got %d, warm ones %d %d %d", sent[1], sent[2], sent[3], sent[4])
+		t.Errorf("server in slow start got %d, warm ones %d %d %d", sent[1], sent[2], sent[3], sent[4])
 	}
 	s = newLimiterDriver(t, testSettings(), f[0])
 	if n := s.admit(200, Submit{Plan: 3}); n > 2 {
@@ -36,9 +36,9 @@
 	}
 }
 
-// Cold servers: the parts of any number of independent gateways add up to less
-// than the rule allows. Found in the code: one request a window from each gateway
-// was nothing for three gateways and far too much for hundreds.
+// Servers in slow start: the parts of any number of independent limiters add up to less
+// than the rule allows. Found in the code: one request a window from each limiter
+// was nothing for three limiters and far too much for hundreds.
 func TestSlowStartPartsAddUp(t *testing.T) {
 	for _, n := range []int{1, 3, 40, 300} {
 		cfg := testSettings()
@@ -47,7 +47,7 @@
 		f[0].ReadyAt = 1e6
 		c := newTestFleet(t, cfg, n, f)
 		rng := rand.New(rand.NewPCG(2, 2))
-		for range 2000 { // ten seconds at 200 requests a second over all gateways
+		for range 2000 { // ten seconds at 200 requests a second over all limiters
 			i := rng.IntN(n)
 			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
 			l := c.limiters[i] // it takes whatever part it has, as if no other server were better
@@ -64,12 +64,12 @@
 		}
 		// Mean warmth over the ten seconds is 0.6; the rule allows twice that.
 		if mean := float64(warm) / 9; float64(c.sent[1]) > 0.7*mean+3 {
-			t.Errorf("%d gateways sent the cold server %d, a warm one %.0f", n, c.sent[1], mean)
+			t.Errorf("%d limiters sent the server in slow start %d, a warm one %.0f", n, c.sent[1], mean)
 		}
 	}
 }
 
-// A restarted fleet with none but cold servers sends few, however many gateways.
+// A restarted fleet with none but servers in slow start sends few, however many limiters.
 func TestFleetOfServersInSlowStart(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		cfg := testSettings()
@@ -80,23 +80,23 @@
 			c.now += 0.5
 		}
 		if c.sent[1] == 0 || c.sent[1] > 40 {
-			t.Errorf("%d gateways sent a cold server %d in its first second", n, c.sent[1])
+			t.Errorf("%d limiters sent a server in slow start %d in its first second", n, c.sent[1])
 		}
 	}
 }
 
 // Six in ten servers of a large fleet are replaced: the cold ones get at once what
 // they can bear, and the warm ones are not left with all of the load. Fails where
-// each gateway takes the best server that it sees, as all see the same.
+// each limiter takes the best server that it sees, as all see the same.
 func TestReplacedServersShareLoad(t *testing.T) {
-	const n, servers, cold = 80, 60, 36
+	const n, servers, starting = 80, 60, 36
 	cfg := testSettings()
 	cfg.Caps.Peers = false
 	cfg.Rules.SlowStartShare, cfg.Rules.SlowStartMs = 0.3, 16000
 	f := testServers(servers)
 	c := newTestFleet(t, cfg, n, f)
 	rng := rand.New(rand.NewPCG(3, 3))
-	run := func(requests int) { // 400 a second over all gateways
+	run := func(requests int) { // 400 a second over all limiters
 		clear(c.sent)
 		for range requests {
 			c.submit(rng.IntN(n), Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
@@ -104,7 +104,7 @@
 		}
 	}
 	run(4000)
-	for i := range cold {
+	for i := range starting {
 		f[i].ReadyAt = c.now
 	}
 	for i := range n {
@@ -113,18 +113,18 @@
 	const requests = 2000 // five seconds; the mean warmth is 0.41
 	run(requests)
 	got := 0
-	for i := range cold {
+	for i := range starting {
 		got += c.sent[f[i].ID]
 		if part := float64(c.sent[f[i].ID]); part > 2*0.41*requests/servers {
-			t.Errorf("cold server %d was sent %g", i, part)
+			t.Errorf("server in slow start %d was sent %g", i, part)
 		}
 	}
-	fair := requests * cold * 0.41 / (cold*0.41 + servers - cold)
+	fair := requests * starting * 0.41 / (starting*0.41 + servers - starting)
 	if float64(got) < 0.8*fair || float64(got) > 1.1*fair {
-		t.Errorf("%d of %d went to the cold servers, which can bear %.0f", got, requests, fair)
+		t.Errorf("%d of %d went to the servers in slow start, which can bear %.0f", got, requests, fair)
 	}
-	for i := cold; i < servers; i++ {
-		if mean := float64(requests-got) / (servers - cold); float64(c.sent[f[i].ID]) > 1.6*mean {
+	for i := starting; i < servers; i++ {
+		if mean := float64(requests-got) / (servers - starting); float64(c.sent[f[i].ID]) > 1.6*mean {
 			t.Errorf("warm server %d was sent %d, the mean one %.0f", i, c.sent[f[i].ID], mean)
 		}
 	}
--- a/cmd/elmspan-balancer/main.go
+++ b/cmd/elmspan-balancer/main.go
@@ -1,5 +1,5 @@
-// Command elmspan-balancer is one rate limiter. It is told all it needs by the
-// environment; see the README.
+// Command elmspan-balancer is one rate limiter with its choice of server. The environment and the
+// file that NODE_CONFIG names configure it; see docs/limiter.md.
 package main
 
 import (
--- a/cmd/elmspan-balancer/main_test.go
+++ b/cmd/elmspan-balancer/main_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-const patience = 120 * time.Second
+const testTimeout = 120 * time.Second
 
 const settings = `{"balancers":1,"position":0,"failure_domains":["a"],
  "caps":{"attempts_cap":3,"connect_timeout_ms":60000.0,"conn_idle_ms":30000.0},
@@ -87,7 +87,7 @@
 // awaitReady waits until the program says that it can serve.
 func (p *program) awaitReady() {
 	p.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + p.addr + "/healthz")
 		if err == nil {
 			_ = resp.Body.Close() // only the status matters
@@ -142,7 +142,7 @@
 	case err := <-p.ended:
 		t.Fatalf("ended on SIGHUP: %v", err)
 	case <-p.lines.seen("configuration reloaded"):
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("SIGHUP has no effect")
 	}
 	if status, body := p.request(); status != http.StatusOK || body != "served" {
@@ -154,12 +154,12 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("did not end on SIGTERM")
 	}
 }
 
-// lineWatch passes a program's log on and tells when a text has come.
+// lineWatch passes a program's log on and reports when a text has come.
 type lineWatch struct {
 	mu   sync.Mutex
 	text strings.Builder
