--- a/dataplane/attempt/attempt.go
+++ b/dataplane/attempt/attempt.go
@@ -95,12 +95,12 @@
 	TrailingBytes  int  // bytes that were read behind the answer
 }
 
-// ClientAnswer is what a client can be answered after an attempt.
-type ClientAnswer int
+// ClientResponse is what a client can be answered after an attempt.
+type ClientResponse int
 
 // The answers to a client.
 const (
-	NoAnswer       ClientAnswer = iota // none yet: another attempt, or [Tracker.FinalStatus]
+	NoAnswer       ClientResponse = iota // none yet: another attempt, or [Tracker.FinalStatus]
 	ServerResponse                     // the server's answer, unchanged
 	BadGateway                         // 502, in place of a server's failure that can't be forwarded
 	ClientError                        // the error in the client's own request
@@ -110,7 +110,7 @@
 type Classification struct {
 	Result     balance.Result // for the server's load and health
 	MayHaveRun bool           // the server may have run the request, or may still run it
-	Answer     ClientAnswer
+	Answer     ClientResponse
 }
 
 // Classify returns the meaning of an attempt's end.
