--- a/dataplane/attempt/attempt.go
+++ b/dataplane/attempt/attempt.go
@@ -100,7 +100,7 @@
 
 // The answers to a client.
 const (
-	NoAnswer       ClientResponse = iota // none yet: another attempt, or [Tracker.FinalStatus]
+	NoClientResponse       ClientResponse = iota // none yet: another attempt, or [Tracker.FinalStatus]
 	ServerResponse                     // the server's answer, unchanged
 	BadGateway                         // 502, in place of a server's failure that can't be forwarded
 	ClientError                        // the error in the client's own request
@@ -121,7 +121,7 @@
 	case e.Response == RequestAborted:
 		return Classification{balance.Cancelled, true, ClientError}
 	case e.Response == NoResponse:
-		return Classification{balance.Failure, true, NoAnswer}
+		return Classification{balance.Failure, true, NoClientResponse}
 	case e.Status/100 == 2:
 		return classifySuccess(e)
 	case e.Status == http.StatusMisdirectedRequest:
@@ -137,7 +137,7 @@
 	if e.Sealed && e.Response != Truncated {
 		return Classification{balance.Success, true, ServerResponse}
 	}
-	return Classification{balance.Failure, true, NoAnswer}
+	return Classification{balance.Failure, true, NoClientResponse}
 }
 
 // classifyNotExecuted lets another server have the request, unless none would take it.
--- a/dataplane/attempt/explorer_test.go
+++ b/dataplane/attempt/explorer_test.go
@@ -112,7 +112,7 @@
 	}
 	s.bodyConsumed = s.bodyConsumed || !x.buffered && e.Written != NotWritten
 	x.checkForwarded(e, c)
-	switch s.tracker.Finish(c.Result, c.MayHaveRun, c.Answer != NoAnswer, s.bodyConsumed) {
+	switch s.tracker.Finish(c.Result, c.MayHaveRun, c.Answer != NoClientResponse, s.bodyConsumed) {
 	case Deliver:
 		x.checkAnswer(s, answerStatus(e, c), fmt.Sprintf("for %+v", e))
 	case Wait:
@@ -132,7 +132,7 @@
 
 // keep returns the state with the attempt's answer kept as the last failure, if it has one.
 func (s state) keep(e Evidence, c Classification) state {
-	if c.Answer != NoAnswer {
+	if c.Answer != NoClientResponse {
 		s.keptStatus = answerStatus(e, c)
 	}
 	return s
--- a/dataplane/attempt/faults_test.go
+++ b/dataplane/attempt/faults_test.go
@@ -83,7 +83,7 @@
 	}), "408 is answered"},
 	{"a 500 is taken for proof", classifyFault(func(e Evidence, c *Classification) {
 		if e.Status == http.StatusInternalServerError {
-			c.MayHaveRun, c.Answer = false, NoAnswer
+			c.MayHaveRun, c.Answer = false, NoClientResponse
 		}
 	}), "sent again"},
 	{"Not-Executed is ignored", classifyFault(func(e Evidence, c *Classification) {
