--- a/dataplane/attempt/attempt.go
+++ b/dataplane/attempt/attempt.go
@@ -110,7 +110,7 @@
 type Classification struct {
 	Result     balance.Result // for the server's load and health
 	MayHaveRun bool           // the server may have run the request, or may still run it
-	Answer     ClientResponse
+	Response     ClientResponse
 }
 
 // Classify returns the meaning of an attempt's end.
--- a/dataplane/attempt/explorer_test.go
+++ b/dataplane/attempt/explorer_test.go
@@ -112,7 +112,7 @@
 	}
 	s.bodyConsumed = s.bodyConsumed || !x.buffered && e.Written != NotWritten
 	x.checkForwarded(e, c)
-	switch s.tracker.Finish(c.Result, c.MayHaveRun, c.Answer != NoClientResponse, s.bodyConsumed) {
+	switch s.tracker.Finish(c.Result, c.MayHaveRun, c.Response != NoClientResponse, s.bodyConsumed) {
 	case Deliver:
 		x.checkAnswer(s, answerStatus(e, c), fmt.Sprintf("for %+v", e))
 	case Wait:
@@ -132,7 +132,7 @@
 
 // keep returns the state with the attempt's answer kept as the last failure, if it has one.
 func (s state) keep(e Evidence, c Classification) state {
-	if c.Answer != NoClientResponse {
+	if c.Response != NoClientResponse {
 		s.keptStatus = answerStatus(e, c)
 	}
 	return s
@@ -165,7 +165,7 @@
 // checkForwarded: what is forwarded is whole or ends visibly, and a success is the server's.
 func (x *explorer) checkForwarded(e Evidence, c Classification) {
 	switch {
-	case c.Answer == ServerResponse && e.Response != Complete && e.Response != Streaming:
+	case c.Response == ServerResponse && e.Response != Complete && e.Response != Streaming:
 		x.failf("%+v: what is not whole is passed on", e)
 	case answerStatus(e, c)/100 == 2 && !e.Sealed:
 		x.failf("%+v: a success that is not the server's", e)
@@ -182,7 +182,7 @@
 
 // answerStatus is the status that a client gets by a classification, 0 for none.
 func answerStatus(e Evidence, c Classification) int {
-	switch c.Answer {
+	switch c.Response {
 	case ServerResponse:
 		return e.Status
 	case BadGateway:
--- a/dataplane/attempt/faults_test.go
+++ b/dataplane/attempt/faults_test.go
@@ -68,7 +68,7 @@
 	}), "sent again"},
 	{"a bare 503 is passed on", classifyFault(func(e Evidence, c *Classification) {
 		if unmarked(e, http.StatusServiceUnavailable) {
-			c.Answer = ServerResponse
+			c.Response = ServerResponse
 		}
 	}), "503 is answered"},
 	{"a bare 429 is taken for proof", classifyFault(func(e Evidence, c *Classification) {
@@ -78,12 +78,12 @@
 	}), "sent again"},
 	{"a bare 408 is passed on", classifyFault(func(e Evidence, c *Classification) {
 		if unmarked(e, http.StatusRequestTimeout) {
-			c.Answer = ServerResponse
+			c.Response = ServerResponse
 		}
 	}), "408 is answered"},
 	{"a 500 is taken for proof", classifyFault(func(e Evidence, c *Classification) {
 		if e.Status == http.StatusInternalServerError {
-			c.MayHaveRun, c.Answer = false, NoClientResponse
+			c.MayHaveRun, c.Response = false, NoClientResponse
 		}
 	}), "sent again"},
 	{"Not-Executed is ignored", classifyFault(func(e Evidence, c *Classification) {
@@ -92,8 +92,8 @@
 		}
 	}), "it has not run, and is given up"},
 	{"a truncated failure is passed on", classifyFault(func(e Evidence, c *Classification) {
-		if e.Response == Truncated && c.Answer == BadGateway {
-			c.Answer = ServerResponse
+		if e.Response == Truncated && c.Response == BadGateway {
+			c.Response = ServerResponse
 		}
 	}), "not whole"},
 	{"a success without a seal is passed on", classifyFault(func(e Evidence, c *Classification) {
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -214,7 +214,7 @@
 		}), "once", "ran 2 times"},
 		"a bare 503 is passed on": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
 			passedOn := attempt.Classification{
-				Result: balance.Failure, MayHaveRun: true, Answer: attempt.ServerResponse,
+				Result: balance.Failure, MayHaveRun: true, Response: attempt.ServerResponse,
 			}
 			return passedOn, e.Status == 503 && !e.NotExecuted && e.Response == attempt.Complete
 		}), "once", "answered 503, but it ran"},
--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -210,7 +210,7 @@
 func (f *forwarder) classify(e attempt.Evidence, resp *response) attemptOutcome {
 	v := f.rules.Classify(e)
 	o := attemptOutcome{result: v.Result, mayHaveRun: v.MayHaveRun}
-	switch v.Answer {
+	switch v.Response {
 	case attempt.ServerResponse, attempt.ClientError:
 		o.response = resp
 	case attempt.BadGateway:
