--- a/dataplane/gossip/codec.go
+++ b/dataplane/gossip/codec.go
@@ -106,7 +106,7 @@
 // appendDigest appends the group section of a message with a digest.
 func appendDigest(b []byte, d *quota.Digest) []byte {
 	level := byte(d.Level) | digestFlag
-	if d.First {
+	if d.Primary {
 		level |= firstFlag
 	}
 	b = append(b, level)
@@ -246,7 +246,7 @@
 // digest reads the group section after its first byte, which says that there is a digest.
 func (r *reader) digest(level uint8, d *quota.Digest) {
 	d.Level = quota.GroupingLevel(level &^ (digestFlag | firstFlag))
-	d.First = level&firstFlag != 0
+	d.Primary = level&firstFlag != 0
 	if level&digestFlag == 0 || d.Level == 0 || d.Level > maxLevel {
 		r.ok = false
 		return
--- a/dataplane/gossip/disseminator.go
+++ b/dataplane/gossip/disseminator.go
@@ -171,6 +171,6 @@
 		return m
 	}
 	m.Consumed, m.GroupDigest = nil, digest
-	m.GroupDigest.First, m.GroupDigest.Consumed = !r.secondReporter, d.sentUsage
+	m.GroupDigest.Primary, m.GroupDigest.Consumed = !r.secondReporter, d.sentUsage
 	return m
 }
--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -32,7 +32,7 @@
 		hint := balance.Hint{Server: uint32(i) << 20, InFlight: uint8(i), Latency: uint8(255 - i)}
 		full.Hints = append(full.Hints, hint)
 	}
-	full.GroupDigest = quota.Digest{Level: 16, First: true, LiveCount: 1 << 20, LiveSet: 1<<32 - 1}
+	full.GroupDigest = quota.Digest{Level: 16, Primary: true, LiveCount: 1 << 20, LiveSet: 1<<32 - 1}
 	for i := range 8 {
 		class := quota.SharingClass{LiveSet: uint32(i), Count: 1 << i}
 		full.GroupDigest.Classes = append(full.GroupDigest.Classes, class)
@@ -49,7 +49,7 @@
 		return m
 	}
 	digest := func(level quota.GroupingLevel, first bool, received int, set uint32) quota.Digest {
-		return quota.Digest{Level: level, First: first, LiveCount: received, LiveSet: set}
+		return quota.Digest{Level: level, Primary: first, LiveCount: received, LiveSet: set}
 	}
 	return map[string]Message{
 		"empty":     {},
--- a/dataplane/quota/digest.go
+++ b/dataplane/quota/digest.go
@@ -5,7 +5,7 @@
 // Digest is what a reporter sends of its group to limiters of other groups.
 type Digest struct {
 	Level     GroupingLevel  // at which the sender forms groups; 0: no digest
-	First     bool           // the sender is the reporter that the receiver goes by while it is live
+	Primary     bool           // the sender is the reporter that the receiver goes by while it is live
 	LiveCount int            // limiters of the group that the sender receives from, itself among them
 	LiveSet   uint32         // the sum over them
 	Classes   []SharingClass // of the group, the largest first, maxReportedClasses at most
@@ -115,7 +115,7 @@
 	if d.LiveCount < g.liveCount {
 		return false
 	}
-	takesOver := d.First && !g.first
+	takesOver := d.Primary && !g.first
 	reachesMore := r.reachesMoreSince != 0 && now-r.reachesMoreSince >= liveSetGraceMs
 	return takesOver || reachesMore
 }
@@ -128,7 +128,7 @@
 	if !wasLive {
 		g.sharers, g.sharersAt = d.LiveCount, now
 	}
-	g.reporter, g.first, g.receivedAt, g.liveCount, g.liveSet = from, d.First, now, d.LiveCount, d.LiveSet
+	g.reporter, g.first, g.receivedAt, g.liveCount, g.liveSet = from, d.Primary, now, d.LiveCount, d.LiveSet
 	g.classes = append(g.classes[:0], d.Classes...)
 	e.currentShare(now)
 }
--- a/lab/controlbench/hollow/quota.go
+++ b/lab/controlbench/hollow/quota.go
@@ -111,7 +111,7 @@
 					}
 					w = gossip.Message{From: m.ID, Incarnation: 1, AgeMs: now, Consumed: spent}
 					if !own {
-						w.Consumed, w.GroupDigest = nil, quota.Digest{Level: level, First: reporters[g] == 1, LiveCount: 1, Consumed: spent}
+						w.Consumed, w.GroupDigest = nil, quota.Digest{Level: level, Primary: reporters[g] == 1, LiveCount: 1, Consumed: spent}
 					}
 					fleet[i].Receive(now, &w)
 				}
