--- a/dataplane/gossip/disseminator.go
+++ b/dataplane/gossip/disseminator.go
@@ -80,7 +80,7 @@
 	for _, r := range d.recipients {
 		d.addHints(r, servers)
 		if r.introduce && (r.groupMember || r.reportedTo) {
-			r.addUsage(quotas.Introduction(now, !r.groupMember, nil))
+			r.addUsage(quotas.UsageSnapshot(now, !r.groupMember, nil))
 		}
 		r.introduce = false
 		r.addTickUsage(d.usage, digest.Consumed)
--- a/dataplane/quota/inherit_test.go
+++ b/dataplane/quota/inherit_test.go
@@ -84,7 +84,7 @@
 	e.SetPlans(0, plans)
 	e.Admit(1, 7)
 	e.ReportUsage(100, nil)
-	got := e.Introduction(200, false, nil)
+	got := e.UsageSnapshot(200, false, nil)
 	if len(got) != 1 || got[0].Tenant != 7 || got[0].Units != 1 || got[0].FillLevel == 0 {
 		t.Errorf("%v", got)
 	}
@@ -92,10 +92,10 @@
 		e.Admit(300, id)
 	}
 	e.ReportUsage(400, nil)
-	if got := e.Introduction(500, false, nil); len(got) != maxIntroduced {
+	if got := e.UsageSnapshot(500, false, nil); len(got) != maxIntroduced {
 		t.Errorf("%d tenants", len(got))
 	}
-	if got := e.Introduction(500+introducedAgeMs, false, nil); len(got) != 0 {
+	if got := e.UsageSnapshot(500+introducedAgeMs, false, nil); len(got) != 0 {
 		t.Errorf("%d tenants that are not in use any more", len(got))
 	}
 }
--- a/dataplane/quota/report.go
+++ b/dataplane/quota/report.go
@@ -86,10 +86,10 @@
 	return out
 }
 
-// Introduction is the usage to report to a limiter that has just started, appended to out: this limiter's totals, or
+// UsageSnapshot is the usage to report to a limiter that has just started, appended to out: this limiter's totals, or
 // its group's, of the tenants that are in use, maxIntroduced at most. Sums that it receives for the first time are
 // where it begins to count: it would leave out the units that come with the first sum.
-func (e *Enforcer) Introduction(now float64, ofGroup bool, out []Usage) []Usage {
+func (e *Enforcer) UsageSnapshot(now float64, ofGroup bool, out []Usage) []Usage {
 	for id, t := range e.tenants {
 		c := &t.admitted
 		if ofGroup {
