--- a/dataplane/attempt/attempt.go
+++ b/dataplane/attempt/attempt.go
@@ -100,17 +100,17 @@
 
 // The answers to a client.
 const (
-	NoClientResponse       ClientResponse = iota // none yet: another attempt, or [Tracker.FinalStatus]
-	ServerResponse                     // the server's answer, unchanged
-	BadGateway                         // 502, in place of a server's failure that can't be forwarded
-	ClientError                        // the error in the client's own request
+	NoClientResponse ClientResponse = iota // none yet: another attempt, or [Tracker.FinalStatus]
+	ServerResponse                         // the server's answer, unchanged
+	BadGateway                             // 502, in place of a server's failure that can't be forwarded
+	ClientError                            // the error in the client's own request
 )
 
 // Classification is the meaning of an attempt's end.
 type Classification struct {
 	Result     balance.Result // for the server's load and health
 	MayHaveRun bool           // the server may have run the request, or may still run it
-	Response     ClientResponse
+	Response   ClientResponse
 }
 
 // Classify returns the meaning of an attempt's end.
--- a/dataplane/quota/counters.go
+++ b/dataplane/quota/counters.go
@@ -1,16 +1,16 @@
 package quota
 
-// Counters count what an [Enforcer] has decided since its start. They show why a quota was exceeded, or left
-// unused (docs/incidents/0025).
+// Counters are the cumulative results of the decisions of an [Enforcer] since its start. They show
+// why a quota was exceeded or left unused (docs/incidents/0025).
 type Counters struct {
 	Admitted      uint64  // requests
-	RejectedEmpty uint64  // requests for which the bucket was short
-	RejectedPaced uint64  // requests for which it was not, but pacing held them back
-	Drawn         float64 // units that were drawn for peers
-	// Forgiven is the units that peers admitted and that were not drawn, as the bucket was at its floor: nobody pays
-	// for them.
+	RejectedEmpty uint64  // requests rejected because the bucket was empty
+	RejectedPaced uint64  // requests rejected by pacing although the bucket held a unit
+	Drawn         float64 // units admitted by peers and drawn from the buckets
+	// Forgiven is the number of units admitted by peers that were not drawn, because the bucket had
+	// reached its floor. They are not paid back.
 	Forgiven float64
-	// Inherited is how many balances were taken over from peers after the start.
+	// Inherited is the number of balances taken over from peers after the start.
 	Inherited uint64
 }
 
--- a/dataplane/quota/digest.go
+++ b/dataplane/quota/digest.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Digest is what a reporter sends of its group to limiters of other groups.
+// Digest is the summary of a group that its reporters send to limiters of other groups.
 type Digest struct {
-	Level     GroupingLevel  // at which the sender forms groups; 0: no digest
-	Primary     bool           // the sender is the reporter that the receiver goes by while it is live
-	LiveCount int            // limiters of the group that the sender receives from, itself among them
-	LiveSet   uint32         // the sum over them
-	Classes   []SharingClass // of the group, the largest first, maxReportedClasses at most
+	Level     GroupingLevel  // grouping level of the sender; 0: no digest
+	Primary   bool           // the sender is the receiver's primary reporter, which is used while it is live
+	LiveCount int            // limiters of the group that the sender receives from, including itself
+	LiveSet   uint32         // XOR of the fingerprints of these limiters
+	Classes   []SharingClass // of the group, largest first, at most maxReportedClasses
 	Consumed  []Usage        // by the whole group since the sender's start
 }
 
-// ReportDigest returns the digest of this limiter's group, with the tenants whose reports
-// are due, appended to out as in [Enforcer.ReportUsage]. Its Classes are valid until the
-// next call of the enforcer. First is the sender's to set, for each receiver.
+// ReportDigest returns the digest of this limiter's group. Consumed is out with the reports that
+// are due appended, as in [Enforcer.ReportUsage]. Classes is valid until the next call of the
+// enforcer. The sender sets Primary for each receiver.
 func (e *Enforcer) ReportDigest(now float64, out []Usage) Digest {
 	e.currentShare(now)
 	s := &e.sharing
@@ -24,14 +24,14 @@
 			delete(e.groupUnreported, id)
 			continue
 		}
-		d.Consumed = e.appendDue(now, d.Consumed, id, t, &t.group, groupRelaxedMs)
+		d.Consumed = e.appendDue(now, d.Consumed, id, t, &t.group, groupRelaxedIntervalMs)
 	}
 	return d
 }
 
-// ReceiveDigest takes in the digest of a reporter of another group. One from a limiter that
-// forms groups by another level is ignored: until all have the same list of members, less
-// of the quotas is used, not more.
+// ReceiveDigest processes a digest from a reporter of another group. Digests from a limiter with
+// another grouping level are ignored: until all limiters have the same member list, quotas are used
+// less than fully, but are not exceeded.
 func (e *Enforcer) ReceiveDigest(now float64, from, incarnation uint64, ageMs float64, d Digest) {
 	g := e.groupOf(from, d.Level)
 	if g == nil {
@@ -39,23 +39,24 @@
 	}
 	r := g.reporterFor(now, from, incarnation, ageMs)
 	if now-r.lastReceived > e.livenessTimeout() {
-		// What a reporter sent to others while it didn't report here was paid for by the other
-		// reporter's digests, or came out of its group's own shares.
+		// What the reporter sent to others while nothing was received from it here was charged
+		// through the digests of the other reporter, or came out of its group's own shares.
 		r.usage.clear()
 		clear(r.undrawn)
 	}
 	r.lastReceived = now
 	e.recordDigest(now, r, ageMs, d.Consumed)
 	live := e.groupLive(now, g)
-	r.compareReach(now, g, from, d)
-	if live && g.reporter != from && !g.prefers(now, r, d) {
+	r.updateCoverage(now, g, from, d)
+	if live && g.activeReporter != from && !g.shouldSwitch(now, r, d) {
 		return
 	}
-	e.goBy(now, g, from, live, d)
+	e.useDigest(now, g, from, live, d)
 	e.drawDigest(now, g, r)
 }
 
-// groupOf returns the other group whose digest a limiter may send at a level; nil: none.
+// groupOf returns the other group that a sender of digests at the given level reports for, or nil
+// if the sender may not report to this limiter.
 func (e *Enforcer) groupOf(from uint64, level GroupingLevel) *group {
 	p := e.peers[from]
 	if e.level == 0 || level != e.level || p == nil || e.sameGroup(p.Member) {
@@ -64,7 +65,7 @@
 	return e.groups[e.level.Group(p.Member)]
 }
 
-// reporterFor returns the state of a reporter, new for a new incarnation.
+// reporterFor returns the state of a reporter. A new incarnation starts with a new state.
 func (g *group) reporterFor(now float64, from, incarnation uint64, ageMs float64) *reporter {
 	r := g.reporters[from]
 	if r != nil && r.incarnation == incarnation {
@@ -74,14 +75,14 @@
 		incarnation:  incarnation,
 		lastReceived: now,
 		undrawn:      map[uint64]uint64{},
-		// Of one that this limiter went by and that has started again, all units are new.
-		countsFromStart: r != nil && g.reporter == from && ageMs <= newPeerMs,
+		// If the active reporter has just restarted, all its units are new.
+		countsFromStart: r != nil && g.activeReporter == from && ageMs <= newPeerMs,
 	}
 	return g.reporters[from]
 }
 
-// recordDigest adds a digest's new units to the undrawn ones of its reporter. Sums count
-// from the first one that is received here.
+// recordDigest adds the new units of a digest to the undrawn units of its reporter. The first total
+// received from a reporter is only a baseline, unless the reporter counts from its start.
 func (e *Enforcer) recordDigest(now float64, r *reporter, ageMs float64, consumed []Usage) {
 	for _, u := range consumed {
 		t := e.tenants[u.Tenant]
@@ -95,49 +96,50 @@
 	}
 }
 
-// compareReach notes since when a reporter receives from more of its group than the one
-// that this limiter goes by.
-func (r *reporter) compareReach(now float64, g *group, from uint64, d Digest) {
+// updateCoverage records since when a reporter receives from more limiters of its group than the
+// active reporter does.
+func (r *reporter) updateCoverage(now float64, g *group, from uint64, d Digest) {
 	switch {
-	case g.reporter == from || d.LiveCount <= g.liveCount:
-		r.reachesMoreSince = 0
-	case r.reachesMoreSince == 0:
-		r.reachesMoreSince = now
+	case g.activeReporter == from || d.LiveCount <= g.liveCount:
+		r.widerCoverageSince = 0
+	case r.widerCoverageSince == 0:
+		r.widerCoverageSince = now
 	}
 }
 
-// prefers reports whether this limiter goes by a digest of the other reporter of a live group
-// from now on. It does if that receives from no fewer of its group, and is the first one
-// where this limiter goes by the second, or has received from more for a while. Units of a
-// limiter that only the other reporter receives from would be drawn by nobody who goes by
-// this one.
-func (g *group) prefers(now float64, r *reporter, d Digest) bool {
+// shouldSwitch reports whether the sender of a digest replaces the active reporter of a live group.
+// It must receive from at least as many limiters of the group. In addition, it must be the primary
+// reporter while the active one is the backup, or must have received from more limiters for
+// liveSetGraceMs. Without the switch, the units of a limiter that only the other reporter receives
+// from would not be drawn.
+func (g *group) shouldSwitch(now float64, r *reporter, d Digest) bool {
 	if d.LiveCount < g.liveCount {
 		return false
 	}
-	takesOver := d.Primary && !g.first
-	reachesMore := r.reachesMoreSince != 0 && now-r.reachesMoreSince >= liveSetGraceMs
-	return takesOver || reachesMore
+	replacesBackup := d.Primary && !g.primary
+	widerCoverage := r.widerCoverageSince != 0 && now-r.widerCoverageSince >= liveSetGraceMs
+	return replacesBackup || widerCoverage
 }
 
-// goBy makes a digest the one that counts for its group, and computes the share by it.
-func (e *Enforcer) goBy(now float64, g *group, from uint64, wasLive bool, d Digest) {
+// useDigest makes a digest the current one of its group and its sender the active reporter, and
+// updates the share.
+func (e *Enforcer) useDigest(now float64, g *group, from uint64, wasLive bool, d Digest) {
 	if !wasLive || g.liveSet != d.LiveSet || !slices.Equal(g.classes, d.Classes) {
 		e.sharing.invalidate()
 	}
 	if !wasLive {
 		g.sharers, g.sharersAt = d.LiveCount, now
 	}
-	g.reporter, g.first, g.receivedAt, g.liveCount, g.liveSet = from, d.Primary, now, d.LiveCount, d.LiveSet
+	g.activeReporter, g.primary, g.receivedAt, g.liveCount, g.liveSet = from, d.Primary, now, d.LiveCount, d.LiveSet
 	g.classes = append(g.classes[:0], d.Classes...)
 	e.currentShare(now)
 }
 
-// drawDigest draws the undrawn units of the reporter that counts. Both reporters count the
-// same units: what the other one reports from here on is not drawn yet.
+// drawDigest draws the undrawn units of the active reporter. Both reporters count the same units,
+// so those of the other one are discarded as well.
 func (e *Enforcer) drawDigest(now float64, g *group, r *reporter) {
 	if g.sharers == 0 {
-		clear(r.undrawn) // none of the group shares with this limiter
+		clear(r.undrawn) // no limiter of the group shares with this one
 	}
 	for id, units := range r.undrawn {
 		if t := e.tenants[id]; t != nil {
--- a/dataplane/quota/groups.go
+++ b/dataplane/quota/groups.go
@@ -6,28 +6,31 @@
 	"slices"
 )
 
-// In a small fleet each limiter reports its usage to all others. In a large one that would
-// be as many messages for each as there are limiters. There, limiters form groups by their
-// zone and the first bits of their ids: within zones, so that where zones are partitioned a
-// limiter receives from all on its side, as all of them do. Those of one group report to
-// each other as in a small fleet. The sum of a group's usage and its live sets (share.go)
-// are reported to each limiter of other groups by two reporters of the group: it goes by
-// one of them, and by the other one when the first times out or receives from fewer of its
-// group. So nobody depends on one limiter, and each sends some n/G + 2G messages instead of
-// n, where there are G groups.
-
-// MaxUngroupedLimiters is the size of a fleet up to which all report to all.
+// In a small fleet each limiter reports its usage to all others. In a large fleet that would take
+// as many messages per limiter as there are limiters. Limiters of a large fleet therefore form
+// groups by zone and by the leading bits of their IDs. Groups do not span zones: when zones are
+// partitioned, each limiter then receives from all limiters on its side, and all of them have the
+// same live set.
+//
+// The limiters of a group report to each other as in a small fleet. The group's total usage and its
+// live sets (share.go) are sent to each limiter of the other groups by two reporters, the primary
+// and the backup. The receiver uses the digests of one of them, the active reporter, and switches
+// to the other one when the active reporter times out or receives from fewer limiters of the group.
+// No limiter is a single point of failure, and each sends about n/G + 2G messages instead of n,
+// where G is the number of groups.
+
+// MaxUngroupedLimiters is the size of the largest fleet in which all limiters report to all others.
 const MaxUngroupedLimiters = 24
 
-// maxReporterAgeMs is how long a reporter that has timed out is remembered.
-const maxReporterAgeMs = 10_000.0
+// reporterRetentionMs is how long the state of a reporter is kept after its last digest.
+const reporterRetentionMs = 10_000.0
 
-// GroupingLevel is how limiters form groups: 0 not at all, else by their zones and by one
-// bit of their ids less than the level.
+// GroupingLevel is how limiters form groups: 0 is a fleet without groups, and a level l above 0
+// groups limiters by zone and by the first l-1 bits of their IDs.
 type GroupingLevel uint
 
-// GroupingLevelFor returns the level of a fleet of some limiters in some zones. It has
-// about as many groups as make the messages of each limiter the fewest.
+// GroupingLevelFor returns the level of a fleet with the given numbers of limiters and zones. The
+// resulting number of groups approximately minimizes the messages of each limiter.
 func GroupingLevelFor(limiters, zones int) GroupingLevel {
 	if limiters <= MaxUngroupedLimiters {
 		return 0
@@ -35,13 +38,13 @@
 	return GroupingLevel(1 + max(0, bits.Len(uint(limiters/2))/2-bits.Len(uint(zones-1))))
 }
 
-// Group identifies a group. All limiters of an ungrouped fleet are in the zero Group.
+// Group identifies a group. All limiters of a fleet without groups are in the zero Group.
 type Group struct {
 	zone   string
-	idBits uint64 // the first bits of its members' ids
+	idBits uint64 // the leading bits of its members' IDs
 }
 
-// Group returns the group of a limiter.
+// Group returns the group of a limiter at this level.
 func (l GroupingLevel) Group(m Member) Group {
 	if l == 0 {
 		return Group{}
@@ -49,41 +52,42 @@
 	return Group{m.Zone, m.ID >> (65 - l)}
 }
 
-// group is what this limiter knows of another group.
+// group is the state of another group.
 type group struct {
-	size      int // members, by this limiter's list
+	size      int // members in this limiter's member list
 	reporters map[uint64]*reporter
-	// Of the last digest from the reporter that this limiter goes by:
-	reporter   uint64 // its id
-	first      bool   // it is the first of the two reporters
-	receivedAt float64
-	liveCount  int
-	liveSet    uint32
-	classes    []SharingClass
-	// How many of the group share with this limiter, and when there were last as many.
+	// From the last digest of the active reporter:
+	activeReporter uint64 // ID of the reporter whose digests are used
+	primary        bool   // the active reporter is the primary one
+	receivedAt     float64
+	liveCount      int
+	liveSet        uint32
+	classes        []SharingClass
+	// The number of limiters of the group that share with this one, and when it was last confirmed.
 	sharers   int
 	sharersAt float64
 }
 
-// reporter is a limiter that sends digests of its group.
+// reporter is the state of a limiter that sends digests of its group.
 type reporter struct {
 	incarnation  uint64
 	lastReceived float64
-	usage        usageTable // the group's sums since the reporter's start
-	// countsFromStart: a tenant's first sum is all new. Else it is where the sums begin: others reported it.
+	usage        usageTable // the group's totals since the reporter's start
+	// countsFromStart: a tenant's first total consists of new units. Otherwise it is only the
+	// baseline, because other reporters have reported its units.
 	countsFromStart bool
-	// undrawn has the units, by tenant, that this one has reported since the last digest of
-	// the reporter that this limiter goes by. They are drawn if it goes by this one instead.
+	// undrawn holds the units by tenant that this reporter has reported since the last digest of
+	// the active reporter. They are drawn if this reporter becomes the active one.
 	undrawn map[uint64]uint64
-	// reachesMoreSince is since when this one receives from more of its group than the
-	// reporter that this limiter goes by; 0: it doesn't.
-	reachesMoreSince float64
+	// widerCoverageSince is since when this reporter receives from more limiters of its group than
+	// the active reporter does; 0: it does not.
+	widerCoverageSince float64
 }
 
-// Level returns the level at which this limiter's fleet forms groups.
+// Level returns the grouping level of the fleet.
 func (e *Enforcer) Level() GroupingLevel { return e.level }
 
-// regroup forms the groups after a change of members.
+// regroup forms the groups after a membership change.
 func (e *Enforcer) regroup(now float64) {
 	e.updateLevel()
 	e.dropTimedOutGroups(now)
@@ -96,16 +100,16 @@
 		}
 		id := e.level.Group(p.Member)
 		if e.groups[id] == nil {
-			// Not live before its first digest, at any time.
+			// Not live before its first digest, whatever the current time.
 			e.groups[id] = &group{receivedAt: -2 * GroupedLivenessTimeoutMs, reporters: map[uint64]*reporter{}}
 		}
 		e.groups[id].size++
 	}
-	// In a fixed order: the sum of the peers' lateness depends on it in its last digits.
+	// Sorted, because the order of summation affects the last digits of the peers' mean lateness.
 	slices.SortFunc(s.groupPeers, func(a, b *peer) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// updateLevel sets the grouping level by the size of the fleet.
+// updateLevel sets the grouping level from the number of limiters and zones.
 func (e *Enforcer) updateLevel() {
 	zones := map[string]bool{e.self.Zone: true}
 	for _, p := range e.peers {
@@ -116,19 +120,19 @@
 		return
 	}
 	e.level = level
-	clear(e.groups) // their sums are of other groups than the new ones
+	clear(e.groups) // their totals belong to groups of the previous level
 	for _, p := range e.peers {
-		p.incarnation = 0 // regard it as new: one that didn't report for itself has admitted much since
+		p.incarnation = 0 // treat it as new: it may have admitted many units without reporting them here
 	}
 }
 
-// dropTimedOutGroups forgets reporters that timed out long ago, and groups without one.
-// The sizes of the others are reset.
+// dropTimedOutGroups deletes reporters whose last digest is older than reporterRetentionMs and
+// groups without a reporter, and resets the sizes of the remaining groups.
 func (e *Enforcer) dropTimedOutGroups(now float64) {
 	for id, g := range e.groups {
 		g.size = 0
 		for from, r := range g.reporters {
-			if now-r.lastReceived > maxReporterAgeMs {
+			if now-r.lastReceived > reporterRetentionMs {
 				delete(g.reporters, from)
 			}
 		}
@@ -138,12 +142,13 @@
 	}
 }
 
-// groupLive reports whether this limiter receives digests of another group.
+// groupLive reports whether a digest of another group was received within the liveness timeout.
 func (e *Enforcer) groupLive(now float64, g *group) bool {
 	return now-g.receivedAt <= e.livenessTimeout()
 }
 
-// countWithLiveSet returns how many of the group have a live set, by the last digest.
+// countWithLiveSet returns the number of limiters of the group with the given live set, according
+// to the last digest.
 func (g *group) countWithLiveSet(liveSet uint32) (count int) {
 	for _, c := range g.classes {
 		if c.LiveSet == liveSet {
--- a/dataplane/quota/groups_test.go
+++ b/dataplane/quota/groups_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// A group is reported by two of its members. Its units are drawn once, also where the
-// reporter that counts times out and the other goes on, and none is left out: at most what
-// was admitted between the digests of the two is drawn twice.
+// Two members of a group report its usage. Each unit is drawn exactly once while both report. When
+// the active reporter times out and the other one takes over, no unit is left out, and at most the
+// units admitted between the digests of the two are drawn twice.
 func TestUnitsFromTwoReportersAreDrawnOnce(t *testing.T) {
 	const n = 40
 	level := GroupingLevelFor(n, 2)
 	step := uint64(0x9e3779b97f4a7c15)
 	self := Member{step, "a"}
 	s := New(0, self)
-	var all, group []Member // another group's
+	var all, group []Member // group: the members of another group
 	for i := range uint64(n - 1) {
 		m := Member{(i + 2) * step, []string{"a", "b"}[i%2]}
 		all = append(all, m)
@@ -22,7 +22,7 @@
 	s.SetMembers(0, all)
 	s.SetPlans(0, map[uint64]Plan{tenantID: {Rate: 0.001, Burst: 10000}})
 	if len(group) < 3 || s.Level() != level || level == 0 {
-		t.Fatalf("%d of the group, level %d", len(group), s.Level())
+		t.Fatalf("the group has %d members, level %d", len(group), s.Level())
 	}
 	a, b, c := group[0].ID, group[1].ID, group[2].ID
 	const liveSet = 7 // of the group
@@ -40,40 +40,40 @@
 	requireDrawn := func(now float64, want float64, what string) {
 		t.Helper()
 		if got := start - s.Balance(now, tenantID); got < want-0.1 || got > want+between+0.1 {
-			t.Errorf("%s: %v units were drawn, want %v", what, got, want)
+			t.Errorf("%s: %v units drawn, want %v", what, got, want)
 		}
 	}
 	report(1, a, 0)
 	report(2, b, 0)
-	for now := 10.0; now <= 100; now += 10 { // both see the same, b a little later
+	for now := 10.0; now <= 100; now += 10 { // both report the same totals, b 5 ms later
 		report(now, a, uint64(now))
 		report(now+5, b, uint64(now))
 	}
 	requireDrawn(106, 100, "both report")
-	report(115, b, 130) // nothing comes from a from here on; 30 more were admitted
-	requireDrawn(116, 100, "too soon to go by the other")
+	report(115, b, 130) // a reports no longer; 30 more units were admitted
+	requireDrawn(116, 100, "before the active reporter has timed out")
 	report(110+GroupedLivenessTimeoutMs, b, 150)
 	between = 10
-	requireDrawn(111+GroupedLivenessTimeoutMs, 150, "the other one counts")
-	report(120+GroupedLivenessTimeoutMs, a, 160) // back, and no longer the one that counts
-	requireDrawn(121+GroupedLivenessTimeoutMs, 150, "the first is back")
+	requireDrawn(111+GroupedLivenessTimeoutMs, 150, "the other reporter is active")
+	report(120+GroupedLivenessTimeoutMs, a, 160) // a reports again, but is no longer active
+	requireDrawn(121+GroupedLivenessTimeoutMs, 150, "the first reporter is back")
 	report(130+GroupedLivenessTimeoutMs, b, 170)
-	requireDrawn(131+GroupedLivenessTimeoutMs, 170, "on with the other")
+	requireDrawn(131+GroupedLivenessTimeoutMs, 170, "the other reporter stays active")
 	otherLevel := Digest{Level: level + 1, LiveCount: 1, Consumed: []Usage{{Tenant: tenantID, Units: 9000}}}
 	s.ReceiveDigest(140+GroupedLivenessTimeoutMs, a, a, 0, otherLevel)
 	s.ReceiveDigest(140+GroupedLivenessTimeoutMs, b, b, 0, otherLevel)
-	requireDrawn(141+GroupedLivenessTimeoutMs, 170, "digests of other groups")
-	// Who reports changes with every limiter that joins or leaves. One that reports again
-	// after others did in its place, and one that is new, report units that were drawn long
-	// before. (Found on a day with a rolling restart: buckets of tenants far below their
-	// quotas stood 120 units below zero.)
+	requireDrawn(141+GroupedLivenessTimeoutMs, 170, "digests of another grouping level")
+	// The reporters of a group change with every limiter that joins or leaves. A reporter that
+	// resumes after others reported in its place, and a new reporter, report units that were drawn
+	// long before. Drawing them again during a rolling restart left buckets of tenants far below
+	// their quotas 120 units below zero.
 	for now := 2000.0; now <= 4000; now += 100 {
 		report(now, b, 170+uint64(now-2000))
 	}
-	requireDrawn(4001, 170+2000, "one reports alone")
+	requireDrawn(4001, 170+2000, "a single reporter")
 	for now := 4900.0; now <= 5100; now += 100 { // b has stopped
 		report(now, a, 2170+uint64(now-4900))
 		s.ReceiveDigest(now, c, c, now, digest(2170+uint64(now-4900)))
 	}
-	requireDrawn(5101, 170+2000+200, "one that reports again, and a new one")
+	requireDrawn(5101, 170+2000+200, "a reporter that resumes, and a new one")
 }
--- a/dataplane/quota/inherit_test.go
+++ b/dataplane/quota/inherit_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// started returns a limiter that starts at a time beside a peer that has run for long, and a function by which the peer
-// reports a fill level.
-func started(at float64, p Plan) (e *Enforcer, report func(now float64, units uint64, level uint8)) {
+// newLimiterWithPeer returns a limiter that starts at a given time beside a peer that has been
+// running for long, and a function that reports usage and a fill level as that peer.
+func newLimiterWithPeer(at float64, p Plan) (e *Enforcer, report func(now float64, units uint64, level uint8)) {
 	e = New(at, Member{ID: 1})
 	e.SetMembers(at, []Member{{ID: 2}})
 	e.SetPlans(at, map[uint64]Plan{tenantID: p})
@@ -14,46 +14,46 @@
 	}
 }
 
-// As long as peers report an empty bucket, which may be far below zero, a limiter that has just started admits nothing;
-// then it has what they report.
+// As long as peers report an empty bucket, which may be far below zero, a limiter that has just
+// started admits nothing. Then it takes over the reported balance.
 func TestStartedLimiterAdmitsNothingWhilePeersOwe(t *testing.T) {
 	p := Plan{Rate: 100, Burst: 100}
-	e, report := started(10_000, p)
+	e, report := newLimiterWithPeer(10_000, p)
 	for now := 10_010.0; now < 16_000; now += 10 {
 		if int(now)%250 == 0 {
 			report(now, 50, 0)
 		}
 		if _, ok := e.Admit(now, tenantID); ok && now > 10_250 {
-			t.Fatalf("admitted after %v ms, while the bucket is reported empty", now-10_000)
+			t.Fatalf("request admitted after %v ms while peers report an empty bucket", now-10_000)
 		}
 	}
 	report(16_000, 50, fullLevel/5)
 	if got := e.Balance(16_000, tenantID); got < 19 || got > 21 {
-		t.Errorf("balance %v where a peer reports 20", got)
+		t.Errorf("balance %v, want 20 as reported by the peer", got)
 	}
 	if _, ok := e.Admit(16_000, tenantID); !ok {
-		t.Error("refused with 20 in the bucket")
+		t.Error("request rejected with a balance of 20")
 	}
 }
 
-// Where nobody reports any more that the bucket is empty, it is filled again as usual. Reports of limiters that started
-// at the same time count for nothing.
+// A bucket is refilled as usual once no peer reports any longer that it is empty. Reports of
+// limiters that started at the same time do not count.
 func TestStartedLimiterGoesOnAlone(t *testing.T) {
 	p := Plan{Rate: 100, Burst: 100}
-	e, report := started(10_000, p)
+	e, report := newLimiterWithPeer(10_000, p)
 	report(10_100, 50, 0)
-	if _, ok := e.Admit(10_100+lowReportMs+1, tenantID); !ok {
-		t.Error("refused although nobody reports an empty bucket")
+	if _, ok := e.Admit(10_100+emptyReportHoldMs+1, tenantID); !ok {
+		t.Error("request rejected although no peer reports an empty bucket any longer")
 	}
-	young, _ := started(10_000, p)
-	young.ReceiveUsage(10_300, 2, 5, 200, fingerprint(1)^fingerprint(2), []Usage{{Tenant: tenantID, Units: 1}})
-	if _, ok := young.Admit(10_300, tenantID); !ok {
-		t.Error("refused by the report of a limiter that has just started")
+	sameAge, _ := newLimiterWithPeer(10_000, p)
+	sameAge.ReceiveUsage(10_300, 2, 5, 200, fingerprint(1)^fingerprint(2), []Usage{{Tenant: tenantID, Units: 1}})
+	if _, ok := sameAge.Admit(10_300, tenantID); !ok {
+		t.Error("request rejected because of a report from a limiter that has just started")
 	}
 }
 
-// A limiter goes on to report a bucket that is low although nobody has new units, so that one that has just started
-// receives it; not one that is well filled.
+// The report of a low bucket is repeated even if there are no new units, so that a limiter that has
+// just started receives it. The report of a well-filled bucket is not.
 func TestLowBucketIsReportedRepeatedly(t *testing.T) {
 	for _, c := range []struct {
 		units  int
@@ -69,12 +69,12 @@
 			reports += len(e.ReportUsage(now, nil))
 		}
 		if (reports > 4) != c.wanted {
-			t.Errorf("%d units of 20: %d reports in 2 s without new units", c.units, reports)
+			t.Errorf("%d units of 20 used: %d reports in 2 s without new units", c.units, reports)
 		}
 	}
 }
 
-// An introduction has the totals of tenants in use, and is bounded.
+// A usage snapshot contains the totals of the tenants in use, and its size is bounded.
 func TestIntroductionHasTenantsInUse(t *testing.T) {
 	e := New(0, Member{ID: 1})
 	plans := map[uint64]Plan{}
@@ -86,16 +86,16 @@
 	e.ReportUsage(100, nil)
 	got := e.UsageSnapshot(200, false, nil)
 	if len(got) != 1 || got[0].Tenant != 7 || got[0].Units != 1 || got[0].FillLevel == 0 {
-		t.Errorf("%v", got)
+		t.Errorf("snapshot %v, want one unit of tenant 7", got)
 	}
 	for id := range uint64(200) {
 		e.Admit(300, id)
 	}
 	e.ReportUsage(400, nil)
-	if got := e.UsageSnapshot(500, false, nil); len(got) != maxIntroduced {
-		t.Errorf("%d tenants", len(got))
+	if got := e.UsageSnapshot(500, false, nil); len(got) != maxSnapshotTenants {
+		t.Errorf("snapshot of %d tenants", len(got))
 	}
-	if got := e.UsageSnapshot(500+introducedAgeMs, false, nil); len(got) != 0 {
-		t.Errorf("%d tenants that are not in use any more", len(got))
+	if got := e.UsageSnapshot(500+snapshotMaxAgeMs, false, nil); len(got) != 0 {
+		t.Errorf("snapshot of %d tenants that are no longer in use", len(got))
 	}
 }
--- a/dataplane/quota/lateness.go
+++ b/dataplane/quota/lateness.go
@@ -2,20 +2,22 @@
 
 import "math"
 
-// offsetDriftPerMs is by how much the least offset that was seen of a peer is raised in each millisecond: clocks drift
-// apart, by far less than this.
+// offsetDriftPerMs is how much the minimum offset of a peer is raised per millisecond to follow
+// clock drift. Real clocks drift far less than this.
 const offsetDriftPerMs = 0.001
 
-// lateness estimates how late the messages of one incarnation of a peer come, without clocks that agree. A message has
-// its sender's age. What the receiver's clock is ahead of that age is least for the message that was quickest; what it
-// is more for another one is how much longer that one took, in queues, on links, or at a process that stood still.
+// lateness estimates the delay of the messages of one incarnation of a peer without synchronized
+// clocks. Each message carries its sender's age. The offset, the time of receipt minus that age, is
+// smallest for the fastest message. A larger offset shows how much longer another message took in
+// queues, on links, or because a process was suspended.
 type lateness struct {
 	minOffset float64
 	at        float64 // time of the last message; 0: none yet
-	ms        float64 // of the last message
+	ms        float64 // lateness of the last message
 }
 
-// observe notes a message that is received now, and returns how much later it came than the quickest one.
+// observe records a message that is received now, and returns how much longer it took than the
+// fastest one.
 func (l *lateness) observe(now, senderAgeMs float64) (ms float64) {
 	offset := now - senderAgeMs
 	if l.at == 0 {
@@ -26,8 +28,8 @@
 	return l.ms
 }
 
-// LatenessMs returns how late the latest of the last messages of the live peers came, beyond the time that their
-// quickest took.
+// LatenessMs returns the highest lateness among the last messages of all live peers. Lateness is
+// the delay beyond that of the peer's fastest message.
 func (e *Enforcer) LatenessMs(now float64) (latest float64) {
 	for _, p := range e.peers {
 		if now-p.lastReceived <= e.livenessTimeout() {
--- a/dataplane/quota/lateness_test.go
+++ b/dataplane/quota/lateness_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Lateness is what a message takes beyond the quickest one, whatever the clocks show; a clock that drifts does not
-// add up to lateness.
+// Lateness is the delay of a message beyond that of the fastest one, whatever the clock offset.
+// Clock drift does not accumulate as lateness.
 func TestLatenessIsTimeBeyondTheQuickestMessage(t *testing.T) {
 	var l lateness
-	const clockAhead = 7000.0 // of the receiver
+	const clockAhead = 7000.0 // offset of the receiver's clock
 	for _, m := range []struct{ sentAt, tookMs, want float64 }{
 		{1000, 5, 0}, {1100, 25, 20}, {1200, 2, 0}, {1300, 2, 0}, {1400, 402, 400},
 	} {
@@ -20,12 +20,12 @@
 	drifting := lateness{}
 	for sentAt := 0.0; sentAt < 3_600_000; sentAt += 200 {
 		if got := drifting.observe(sentAt*(1+50e-6)+clockAhead, sentAt); got > 1 {
-			t.Fatalf("after %v ms a clock that drifts by 50 ppm counts as %v ms late", sentAt, got)
+			t.Fatalf("after %v ms, a clock drift of 50 ppm counts as %v ms of lateness", sentAt, got)
 		}
 	}
 }
 
-// The lateness of a fleet is that of its latest live peer.
+// The lateness of a fleet is the highest lateness among its live peers.
 func TestLatenessOfLivePeers(t *testing.T) {
 	f := newFleet(3, Plan{Rate: 10, Burst: 10})
 	e := f.limiters[0]
@@ -34,18 +34,18 @@
 		e.ReceiveUsage(now, 3, 5, now-300*math.Mod(now/100, 2), 0, nil)
 	}
 	if got := e.LatenessMs(2000); got > 1 {
-		t.Errorf("lateness %v", got)
+		t.Errorf("lateness %v, want 0", got)
 	}
 	e.ReceiveUsage(2100, 3, 5, 1800, 0, nil)
 	if got := e.LatenessMs(2100); math.Abs(got-300) > 1 {
 		t.Errorf("lateness %v, want 300", got)
 	}
 	if got := e.LatenessMs(2101 + LivenessTimeoutMs); got != 0 {
-		t.Errorf("lateness %v of peers that are not live", got)
+		t.Errorf("lateness %v although no peer is live", got)
 	}
 }
 
-// The counters distinguish what was rejected, and what was drawn or not.
+// The counters distinguish the reasons for rejections, and drawn from forgiven units.
 func TestCountersOfDecisions(t *testing.T) {
 	f := newFleet(2, Plan{Rate: 10, Burst: 10})
 	e := f.limiters[0]
--- a/dataplane/quota/peers.go
+++ b/dataplane/quota/peers.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	// LivenessTimeoutMs is how long a peer counts as live after a message from it. What
-	// limiters admit beyond their shares in that time, when they are partitioned all of a
-	// sudden, is the most by which the sum can exceed the plan.
+	// LivenessTimeoutMs is how long a peer counts as live after a message from it. When limiters
+	// are suddenly partitioned, the units that they admit beyond their shares in this time bound
+	// the overshoot of the quota.
 	LivenessTimeoutMs = 450.0
-	// GroupedLivenessTimeoutMs is the same in a fleet that forms groups, where messages are
-	// fewer.
+	// GroupedLivenessTimeoutMs is the liveness timeout in a fleet with groups, where messages are
+	// less frequent.
 	GroupedLivenessTimeoutMs = 700.0
-	// ShareRetentionMs is how long the share of a removed member is kept back: longer than
-	// the member could go on by itself without updates from the control plane.
+	// ShareRetentionMs is how long the share of a removed member stays reserved. It is longer than
+	// the member can keep running without updates from the control plane.
 	ShareRetentionMs = 6000.0
-	// newPeerMs is the age up to which a peer that is first received from counts as just
-	// started: all its units are drawn. What an older one admitted before was paid for
-	// elsewhere.
+	// newPeerMs is the age up to which a peer counts as just started when its first message is
+	// received, so that all its units are drawn. Units that an older peer admitted before were
+	// charged elsewhere.
 	newPeerMs = 2000.0
 )
 
@@ -25,22 +25,22 @@
 	Zone string
 }
 
-// peer is another limiter. Fields but the member are about its messages, and so stay at
-// their initial values for a peer in another group.
+// peer is the state of another limiter. The fields about its messages keep their initial values for
+// a peer in another group.
 type peer struct {
 	Member
-	incarnation   uint64  // which start of it sent the last message; 0: regard the next as a new one
+	incarnation   uint64  // of the last message; 0: treat the next message as that of a new incarnation
 	firstReceived float64 // time of the first message of this incarnation
 	lastReceived  float64
-	liveSet       uint32     // of the peer: whom it receives from
-	sameLiveSetAt float64    // the last time when that equalled this limiter's live set
-	removedAt     float64    // 0: it is a member
-	usage         usageTable // reported by it
+	liveSet       uint32     // of the peer: the limiters that it receives from
+	sameLiveSetAt float64    // when it last equalled this limiter's live set
+	removedAt     float64    // when it was removed; 0: it is a member
+	usage         usageTable // reported by the peer
 	lateness      lateness   // of the messages of this incarnation
 }
 
-// SetMembers replaces the list of the other limiters of the fleet. A limiter that is no
-// longer a member keeps its share for ShareRetentionMs.
+// SetMembers replaces the list of the other limiters of the fleet. The share of a removed limiter
+// stays reserved for ShareRetentionMs.
 func (e *Enforcer) SetMembers(now float64, members []Member) {
 	current := make(map[uint64]bool, len(members))
 	for _, m := range members {
@@ -65,15 +65,17 @@
 	e.sharing.invalidate()
 }
 
-// sameGroup reports whether a limiter is in this limiter's group, and so reports for itself.
+// sameGroup reports whether a limiter is in this limiter's group and therefore reports its own
+// usage here.
 func (e *Enforcer) sameGroup(m Member) bool { return e.level.Group(m) == e.level.Group(e.self) }
 
-// live reports whether this limiter receives a peer's own messages.
+// live reports whether a message of a peer in this limiter's group was received within the liveness
+// timeout.
 func (e *Enforcer) live(now float64, p *peer) bool {
 	return e.sameGroup(p.Member) && now-p.lastReceived <= e.livenessTimeout()
 }
 
-// livenessTimeout is how long a peer or group counts as live after a message.
+// livenessTimeout returns how long a peer or group counts as live after a message.
 func (e *Enforcer) livenessTimeout() float64 {
 	if e.level > 0 {
 		return GroupedLivenessTimeoutMs
@@ -81,19 +83,19 @@
 	return LivenessTimeoutMs
 }
 
-// sentAt is the time from which a message that is received now shows that its sender is live. A process that stood
-// still finds messages in its socket that are older than the time-out: those say nothing of the present.
-func (e *Enforcer) sentAt(now, latenessMs float64) float64 {
+// effectiveSendTime returns the time as of which a message that is received now shows that its
+// sender is live. After a process was suspended, its socket holds messages older than the liveness
+// timeout, which do not show that their senders are still live.
+func (e *Enforcer) effectiveSendTime(now, latenessMs float64) float64 {
 	if latenessMs <= e.livenessTimeout() {
 		return now
 	}
 	return now - latenessMs
 }
 
-// ReceiveUsage takes in a message from a peer of this limiter's group: the sender's
-// incarnation and its age, its live set, and its usage. Units of a sender with another live
-// set are not drawn: it spends shares of its own. A message of an unknown sender, or of
-// one in another group, is ignored.
+// ReceiveUsage processes a message from a peer of this limiter's group: the sender's incarnation,
+// age, live set and usage. Units of a sender with a different live set are not drawn, because it
+// spends other shares. Messages from unknown senders and from other groups are ignored.
 func (e *Enforcer) ReceiveUsage(
 	now float64, from, incarnation uint64, ageMs float64, liveSet uint32, reported []Usage,
 ) {
@@ -106,12 +108,12 @@
 		p.usage.clear()
 		p.lateness = lateness{}
 	}
-	sentAt := e.sentAt(now, p.lateness.observe(now, ageMs))
+	sentAt := e.effectiveSendTime(now, p.lateness.observe(now, ageMs))
 	if now-p.lastReceived > e.livenessTimeout() || p.liveSet != liveSet {
 		e.sharing.invalidate()
 	}
 	p.lastReceived, p.liveSet = max(p.lastReceived, sentAt), liveSet
-	e.currentShare(now) // decides who shares before any unit is drawn
+	e.currentShare(now) // determines which peers share before any units are drawn
 	for _, u := range reported {
 		if t := e.tenants[u.Tenant]; t != nil {
 			e.receiveTenantUsage(now, p, ageMs, t, u)
@@ -119,6 +121,8 @@
 	}
 }
 
+// receiveTenantUsage records the usage of one tenant that a peer reports, and draws the new units
+// if the peer shares with this limiter.
 func (e *Enforcer) receiveTenantUsage(now float64, p *peer, ageMs float64, t *tenant, u Usage) {
 	e.inherit(now, t, ageMs, u.FillLevel)
 	units, known := p.usage.update(t.row, u.Units)
@@ -135,6 +139,6 @@
 	}
 }
 
-// ranBefore reports whether a sender had run for some time before it was first received from:
-// what it had admitted by then is not to be paid for here.
+// ranBefore reports whether a sender ran for more than newPeerMs before its first
+// message was received. The units that it had admitted by then are not charged here.
 func ranBefore(now, ageMs, firstReceived float64) bool { return ageMs > now-firstReceived+newPeerMs }
--- a/dataplane/quota/quota.go
+++ b/dataplane/quota/quota.go
@@ -1,19 +1,18 @@
-// Package quota enforces the quotas of tenants over all limiters of a fleet, without a
-// central counter. Each limiter has one token bucket for each tenant. The bucket is
-// refilled continuously at the plan's rate, capped at its burst, and pays for the requests
-// that this limiter admits and for the units that its peers report: its balance can fall
-// below zero.
+// Package quota enforces tenant quotas across all limiters of a fleet without a central counter.
+// Each limiter has one token bucket per tenant. The bucket is refilled continuously at the plan's
+// rate, up to its burst. It pays for the requests that this limiter admits and for the units that
+// its peers report, so its balance can become negative.
 //
-// A host uses an [Enforcer] like this: SetPlans or ChangePlans with each configuration,
-// SetMembers with each change of the fleet, Admit for each request. At each tick it takes
-// ReportUsage, ReportDigest and LiveSet and sends them to peers by gossip; what comes from
-// peers goes to ReceiveUsage and ReceiveDigest. The package reads no clock and does no I/O:
-// each call gets the time. All times and durations are milliseconds on the host's steady
+// A host calls the methods of an [Enforcer]: SetPlans or ChangePlans with each configuration,
+// SetMembers with each membership change, and Admit for each request. At each tick it sends the
+// results of ReportUsage, ReportDigest and LiveSet to peers by gossip, and passes what it receives
+// to ReceiveUsage and ReceiveDigest. The package reads no clock and does no I/O: the time is a
+// parameter of each call. All times and durations are in milliseconds of the host's monotonic
 // clock.
 //
-// A limiter may not spend the quota shares of peers that it doesn't receive from:
-// share.go has the rule and the bound that follows from it. In large fleets usage is
-// summed up by groups: groups.go.
+// A limiter must not spend the quota shares of peers that it does not receive from: share.go
+// describes the rule and the bound that follows from it. In large fleets usage is aggregated by
+// group: see groups.go.
 package quota
 
 import (
@@ -24,51 +23,52 @@
 
 const (
 	millisPerSecond = 1000
-	// defaultWindowS is the window of the operator's rule, in seconds, where none is set.
+	// defaultWindowS is the default window of the quota rule, in seconds.
 	defaultWindowS = 5.0
 )
 
-// TenantID is the name of a tenant in gossip messages: 40 bits of its name's hash.
+// TenantID returns the identifier of a tenant in gossip messages: the upper 40 bits of its name's
+// hash.
 func TenantID(name string) uint64 { return xxhash.Sum64String(name) >> 24 }
 
-// Plan is a tenant's quota over all limiters.
+// Plan is the quota of a tenant across all limiters.
 type Plan struct {
-	Rate  float64 // units a second; 0 is no limit
-	Burst float64 // units that the bucket holds at most
+	Rate  float64 // units per second; 0: unlimited
+	Burst float64 // capacity of the bucket in units
 }
 
-// Enforcer holds the buckets of one limiter and what it knows of its peers' usage. It is
-// not safe for concurrent use: the host's lock guards it.
+// Enforcer holds the buckets of one limiter and what it knows of the usage at its peers. It is not
+// safe for concurrent use: the host must hold a lock.
 type Enforcer struct {
 	self      Member
 	startedAt float64
-	windowMs  float64            // of the operator's rule on quotas
+	windowMs  float64            // of the quota rule
 	tenants   map[uint64]*tenant // by TenantID
 	rows      rowAllocator       // of the tenants in all usage tables
-	// Tenants that may have units to report, by this limiter and by its group. A look for
-	// reports that are due costs those with requests, not all tenants.
+	// Tenants that may have unreported usage, of this limiter and of its group. Looking for reports
+	// that are due visits only these, not all tenants.
 	unreported, groupUnreported map[uint64]*tenant
 	peers                       map[uint64]*peer // all other limiters, by Member.ID
 	level                       GroupingLevel
-	groups                      map[Group]*group // all groups but this limiter's own
+	groups                      map[Group]*group // all groups except this limiter's own
 	sharing                     sharing
-	// inheriting is set once this limiter shares with most peers: from then on its buckets
-	// may take over the balances that peers report (inherit.go).
+	// inheriting is set once this limiter shares with most peers. From then on its buckets may take
+	// over the balances that peers report (inherit.go).
 	inheriting bool
 	counters   Counters
 }
 
-// tenant is a tenant's bucket and usage at this limiter.
+// tenant is the bucket and the usage of a tenant at this limiter.
 type tenant struct {
 	plan      Plan
 	row       int32 // in the usage tables
 	balance   float64
-	updatedAt float64      // the balance is refilled up to this time
+	updatedAt float64      // the balance includes the refill up to this time
 	admitted  usageCounter // units admitted by this limiter, reported to its group
 	inherited inheritance
 	pacing    pacing
 	surge     surge
-	group     usageCounter // units known to be admitted by this limiter's group, reported to other groups
+	group     usageCounter // known units admitted by this limiter's group, reported to other groups
 }
 
 // New returns the enforcer of a limiter that starts now.
@@ -85,17 +85,18 @@
 	}
 }
 
-// SetWindow sets the window of the operator's rule: in each span of so many seconds a tenant may have its rate for that
-// time and its burst. 0 or less: it stays at 5 s.
+// SetWindow sets the window of the operator's quota rule: in any interval of this many seconds a
+// tenant may use its rate times the length of the interval, plus its burst and a tolerance. Values
+// of 0 or less are ignored; the default is 5 s.
 func (e *Enforcer) SetWindow(seconds float64) {
 	if seconds > 0 {
 		e.windowMs = seconds * millisPerSecond
 	}
 }
 
-// floor is the balance below which nothing is drawn from a bucket. It bounds for how long a wrong report can keep a
-// tenant out. What peers admitted is paid back as far as the window of the rule reaches: units that were forgiven
-// sooner would be admitted once more within it.
+// floor returns the balance below which nothing is drawn from a bucket. It bounds how long an
+// incorrect report can block a tenant. The debt to pay back covers a whole window of the quota
+// rule: units forgiven earlier than that would be admitted once more within the window.
 func (e *Enforcer) floor(p Plan) float64 { return -p.Burst - p.Rate*e.windowMs/millisPerSecond }
 
 // SetPlans replaces the plans of all tenants, by [TenantID].
@@ -109,9 +110,9 @@
 	e.ChangePlans(now, plans, removed)
 }
 
-// ChangePlans puts the plans that a new configuration adds or changes, and removes those of
-// tenants that no longer exist. An existing bucket keeps its balance, at most the new
-// burst: a new configuration gives nobody a fresh burst.
+// ChangePlans adds or replaces the plans in put, and removes the plans of the tenants in removed.
+// An existing bucket keeps its balance, capped at the new burst: a new configuration does not grant
+// a fresh burst.
 func (e *Enforcer) ChangePlans(now float64, put map[uint64]Plan, removed []uint64) {
 	for _, id := range removed {
 		if t := e.tenants[id]; t != nil {
@@ -128,56 +129,58 @@
 			continue
 		}
 		e.refill(now, t)
-		if t.plan.Rate == 0 && plan.Rate > 0 { // had no limit: nothing was saved up
+		if t.plan.Rate == 0 && plan.Rate > 0 { // was unlimited: no balance has accumulated
 			t.balance = 0
 		}
 		t.plan, t.balance = plan, min(t.balance, plan.Burst)
 	}
 }
 
-// newTenant returns a tenant whose bucket holds this limiter's share of the burst, and what
-// the plan has refilled since this limiter's start.
+// newTenant returns a tenant whose bucket holds this limiter's share of the burst, plus what the
+// plan has refilled since this limiter's start.
 func (e *Enforcer) newTenant(now float64, id uint64, plan Plan) *tenant {
 	limiters := float64(len(e.peers) + 1)
 	row, started := e.rows.allocate(), now-e.startedAt
 	t := &tenant{
 		plan:      plan,
 		row:       row,
-		pacing:    pacing{phase: e.pacingPhase(id)},
-		inherited: inheritance{awaited: started <= inheritWindowMs},
+		pacing:    pacing{initialTokens: e.initialPacingTokens(id)},
+		inherited: inheritance{pending: started <= inheritWindowMs},
 		balance:   min(plan.Burst, plan.Burst/limiters+plan.Rate*started/millisPerSecond),
 		updatedAt: now,
 	}
-	if t.inherited.awaited { // the bucket may be exhausted: many that start together would each spend what is left
+	// The bucket may be exhausted. Limiters that start together would otherwise each spend what is
+	// left.
+	if t.inherited.pending {
 		t.pacing.start(now)
 	}
 	return t
 }
 
-// Admit takes one unit for a request. If the bucket is short of it, Admit returns false and
-// the time until there will be a unit, as far as is known here.
+// Admit takes one unit for a request. If the request is not admitted, Admit returns false and the
+// time until a unit is expected to be available.
 func (e *Enforcer) Admit(now float64, id uint64) (waitMs float64, ok bool) {
 	t := e.tenants[id]
 	if t == nil || t.plan.Rate <= 0 {
 		return 0, true
 	}
 	e.refill(now, t)
-	if t.balance < 1 || t.inherited.heldEmpty(now) {
+	if t.balance < 1 || t.inherited.assumedEmpty(now) {
 		e.counters.RejectedEmpty++
-		t.pacing.exhausted(now)
+		t.pacing.recordExhausted(now)
 		return millisPerSecond * bucket.Wait(t.balance, 1, t.plan.Rate*e.currentShare(now)), false
 	}
-	if t.balance-t.surge.unheard(now, e.gossipMs()) < 1 {
+	if t.balance-t.surge.estimateUnreceived(now, e.gossipDelayMs()) < 1 {
 		t.pacing.start(now)
 	}
-	if waitMs, ok := e.paced(now, t); !ok {
+	if waitMs, ok := e.takePacingToken(now, t); !ok {
 		e.counters.RejectedPaced++
 		return waitMs, false
 	}
 	t.balance--
 	e.counters.Admitted++
-	t.pacing.noteAdmitted(now)
-	t.surge.noteAdmitted(now, e.gossipMs())
+	t.pacing.recordAdmitted(now)
+	t.surge.recordAdmitted(now, e.gossipDelayMs())
 	t.admitted.total++
 	t.group.total++
 	e.unreported[id], e.groupUnreported[id] = t, t
@@ -191,7 +194,7 @@
 	t.updatedAt = now
 }
 
-// draw takes units that others admitted from the bucket, below zero too.
+// draw takes units that other limiters admitted from the bucket. The balance may become negative.
 func (e *Enforcer) draw(now float64, t *tenant, units uint64) {
 	e.refill(now, t)
 	before := t.balance
@@ -199,14 +202,13 @@
 	drawn := before - t.balance
 	e.counters.Drawn += drawn
 	e.counters.Forgiven += float64(units) - drawn
-	t.inherited.noteDrawn(units)
-	t.pacing.noteDrawn(now, units)
-	t.surge.noteDrawn(now, float64(units))
-	t.pacing.noteBalance(t.balance, t.plan.Burst)
+	t.inherited.recordDrawn(units)
+	t.pacing.recordDrawn(now, units)
+	t.surge.recordDrawn(now, float64(units))
+	t.pacing.updateDebt(t.balance, t.plan.Burst)
 }
 
-// Balance returns the balance of a tenant's bucket, for status reports. It is 0 for an
-// unknown tenant.
+// Balance returns the balance of a tenant's bucket for status reports, or 0 for an unknown tenant.
 func (e *Enforcer) Balance(now float64, id uint64) float64 {
 	t := e.tenants[id]
 	if t == nil {
--- a/dataplane/quota/report_test.go
+++ b/dataplane/quota/report_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A tenant whose usage is all reported, twice against loss, is not visited any more: a
-// check of what is due costs tenants with requests, not all tenants. (Found by hollow
-// limiters with 14,000 tenants: two checks of all of them each 20 ms took 5 % of a core.)
+// Once the usage of a tenant has been reported twice, in case a message is lost, the tenant is no
+// longer visited: finding due reports costs time per tenant with requests, not per tenant. Two
+// scans of all 14,000 tenants every 20 ms took 5 % of a core.
 func TestReportsVisitOnlyTenantsWithRequests(t *testing.T) {
 	s := New(0, Member{ID: 1, Zone: "a"})
 	plans := map[uint64]Plan{}
@@ -27,7 +27,7 @@
 	}
 	for id := range reports {
 		if !requested[id] || reports[id] != 4 {
-			t.Errorf("tenant %d reported %d times, 2 by the limiter and 2 by its group wanted", id, reports[id])
+			t.Errorf("tenant %d reported %d times, want 2 by the limiter and 2 by its group", id, reports[id])
 		}
 	}
 	if len(reports) != len(requested) || len(s.unreported)+len(s.groupUnreported) != 0 {
@@ -36,22 +36,22 @@
 	s.Admit(4000, 3)
 	s.ChangePlans(4000, nil, []uint64{3})
 	if got := s.ReportUsage(5000, nil); len(got) != 0 {
-		t.Errorf("a removed tenant is reported: %v", got)
+		t.Errorf("removed tenant reported: %v", got)
 	}
 }
 
-// A tenant without a limit is not reported. Once it has one, its usage until then is.
+// A tenant without a limit is not reported. Its usage until then is reported once it has a limit.
 func TestUsageWithoutLimitIsReportedOnceLimited(t *testing.T) {
 	s := New(0, Member{ID: 1, Zone: "a"})
 	s.SetPlans(0, map[uint64]Plan{5: {Rate: 10, Burst: 10}})
 	s.Admit(0, 5)
 	s.ChangePlans(0, map[uint64]Plan{5: {}}, nil)
 	if got := s.ReportUsage(1000, nil); len(got) != 0 {
-		t.Errorf("reported without a limit: %v", got)
+		t.Errorf("tenant without a limit reported: %v", got)
 	}
 	s.ChangePlans(1000, map[uint64]Plan{5: {Rate: 10, Burst: 10}}, nil)
 	if got := s.ReportUsage(2000, nil); len(got) != 1 || got[0].Units != 1 {
-		t.Errorf("%v, one unit wanted", got)
+		t.Errorf("reports %v, want one unit", got)
 	}
 }
 
--- a/dataplane/quota/surge.go
+++ b/dataplane/quota/surge.go
@@ -2,73 +2,79 @@
 
 import "math"
 
-// Surges that are noticed before gossip brings them.
+// Detection of demand surges before gossip reports them.
 //
-// When a tenant surges, its requests surge at all limiters at about the same time. Each knows its own at once, and
-// those of the others only when gossip brings them: behind downloads on a full link, or at a processor that is busy, in
-// some tenths of a second, in which the burst is admitted several times over. So a limiter concludes from the units
-// that it admitted of late what the others have admitted meanwhile, by how much of the tenant's usage came in here
-// before, and is paced (pacing.go) as soon as its balance would not pay for that. Nothing is concluded from a few
-// units, or where others had none before: a tenant whose requests all come in at one limiter has its whole burst there.
+// When the demand of a tenant surges, its requests surge at all limiters at about the same time.
+// Each limiter sees its own requests immediately, and those of the others only when gossip delivers
+// them: some tenths of a second later where messages are queued behind downloads on a saturated
+// link or a processor is busy. Meanwhile the burst would be admitted several times over. A limiter
+// therefore estimates the units that the others have admitted in the meantime, from the units that
+// it has recently admitted itself and from its fraction of the tenant's usage before. Pacing
+// (pacing.go) starts as soon as its balance would not cover them. Nothing is estimated from a few
+// units, or if the others had no usage before: a tenant whose requests all arrive at one limiter
+// can use its whole burst there.
 const (
-	// knownUsageDecayMs is the time constant of the usage from which a limiter's share is known. Larger: a surge after
-	// a pause is noticed. Smaller: a tenant whose requests move to other limiters has its burst there sooner.
-	knownUsageDecayMs = 60_000.0
-	// gossipTakesMs is the time that gossip takes when it is not late, and groupedGossipTakesMs the same in a fleet
-	// that forms groups. Larger: surges are held back sooner. Smaller: a tenant within its quota is held back less.
-	gossipTakesMs        = 10.0
-	groupedGossipTakesMs = 175.0
-	// minSurgeUnits is how many units there must have been of late to conclude anything from them.
+	// longTermDecayMs is the time constant of the usage from which a limiter's fraction is
+	// computed. Larger: a surge after a pause is detected. Smaller: a tenant whose requests move to
+	// other limiters can use its burst there sooner.
+	longTermDecayMs = 60_000.0
+	// baseGossipDelayMs is the gossip delay while messages are not late, and
+	// baseGroupedGossipDelayMs the same in a fleet with groups. Larger: surges are paced sooner.
+	// Smaller: a tenant within its quota is held back less.
+	baseGossipDelayMs        = 10.0
+	baseGroupedGossipDelayMs = 175.0
+	// minSurgeUnits is the number of recent units below which nothing is estimated.
 	minSurgeUnits = 2.5
 )
 
-// usageMean is a count of units that decays.
-type usageMean struct{ units, at float64 }
+// decayingCount is an exponentially decaying count of units.
+type decayingCount struct{ units, at float64 }
 
-// add brings the count up to date and adds to it.
-func (m *usageMean) add(now, units, decayMs float64) {
-	m.units, m.at = m.value(now, decayMs)+units, now
+// add brings the count up to date and adds units to it.
+func (c *decayingCount) add(now, units, decayMs float64) {
+	c.units, c.at = c.value(now, decayMs)+units, now
 }
 
-// value is the count, decayed with a time constant.
-func (m *usageMean) value(now, decayMs float64) float64 {
-	if m.units == 0 || now == m.at {
-		return m.units
+// value returns the count at the given time, decayed with a time constant.
+func (c *decayingCount) value(now, decayMs float64) float64 {
+	if c.units == 0 || now == c.at {
+		return c.units
 	}
-	return m.units * math.Exp((m.at-now)/decayMs)
+	return c.units * math.Exp((c.at-now)/decayMs)
 }
 
-// surge is what is known of a tenant's usage here and elsewhere.
+// surge is the usage of a tenant at this limiter and at the others, by which a surge is detected.
 type surge struct {
-	recent usageMean // units admitted here in the time that gossip takes
-	own    usageMean // units admitted here for long
-	others usageMean // units drawn for others for long
+	recent decayingCount // units admitted here within the gossip delay
+	own    decayingCount // units admitted here in the long term
+	others decayingCount // units drawn for other limiters in the long term
 }
 
-// noteAdmitted counts a unit that this limiter admitted. gossipMs is the time until the others' units of the same
-// moment are known here.
-func (s *surge) noteAdmitted(now, gossipMs float64) {
-	s.recent.add(now, 1, gossipMs)
-	s.own.add(now, 1, knownUsageDecayMs)
+// recordAdmitted counts a unit that this limiter admitted. delayMs is the time until units that
+// others admit at the same moment are known here.
+func (s *surge) recordAdmitted(now, delayMs float64) {
+	s.recent.add(now, 1, delayMs)
+	s.own.add(now, 1, longTermDecayMs)
 }
 
-// noteDrawn counts units that others admitted.
-func (s *surge) noteDrawn(now, units float64) { s.others.add(now, units, knownUsageDecayMs) }
+// recordDrawn counts units that other limiters admitted.
+func (s *surge) recordDrawn(now, units float64) { s.others.add(now, units, longTermDecayMs) }
 
-// unheard is about how many units others have admitted that are not known here yet.
-func (s *surge) unheard(now, gossipMs float64) float64 {
-	recent := s.recent.value(now, gossipMs)
+// estimateUnreceived estimates how many units other limiters have admitted that are not known here
+// yet.
+func (s *surge) estimateUnreceived(now, delayMs float64) float64 {
+	recent := s.recent.value(now, delayMs)
 	if recent < minSurgeUnits {
 		return 0
 	}
-	return recent * s.others.value(now, knownUsageDecayMs) / s.own.value(now, knownUsageDecayMs)
+	return recent * s.others.value(now, longTermDecayMs) / s.own.value(now, longTermDecayMs)
 }
 
-// gossipMs is about the time until units that are admitted now are known to all.
-func (e *Enforcer) gossipMs() float64 {
-	takes := gossipTakesMs
+// gossipDelayMs estimates the time until units that are admitted now are known to all limiters.
+func (e *Enforcer) gossipDelayMs() float64 {
+	delayMs := baseGossipDelayMs
 	if e.level > 0 {
-		takes = groupedGossipTakesMs
+		delayMs = baseGroupedGossipDelayMs
 	}
-	return takes + min(e.sharing.meanLateness, e.livenessTimeout())
+	return delayMs + min(e.sharing.meanLateness, e.livenessTimeout())
 }
--- a/dataplane/quota/usagetable.go
+++ b/dataplane/quota/usagetable.go
@@ -2,28 +2,28 @@
 
 import "math/bits"
 
-// The usage counters that peers have reported are the largest table of a limiter: at the
-// design size, 68 peers with 14,000 tenants each. A map for each peer took 30 MB; these
-// tables take a third of it. A counter is kept as long as its tenant exists: units whose
-// previous count is unknown could not be drawn from the bucket.
+// The usage counters that peers have reported are the largest table of a limiter: at the design
+// size, 68 peers with 14,000 tenants each. With a map for each peer they took 30 MB; these tables
+// take a third of that. A counter is kept as long as its tenant exists: if the previous total of a
+// tenant is unknown, its units cannot be drawn from the bucket.
 
-// rowsPerBlock is how many rows of a usageTable are allocated together, when the first of
-// them is reported.
+// rowsPerBlock is how many rows of a usageTable are allocated together, when the first of them is
+// reported.
 const rowsPerBlock = 64
 
-// usageTable holds the usage counters that one peer has reported, by tenant row. Counters
-// are units since the peer's start. Only differences count, so the low 32 bits are kept.
+// usageTable holds the usage counters that one peer has reported, by tenant row. Counters are units
+// since the peer's start. Only differences are used, so only the low 32 bits are stored.
 type usageTable struct{ blocks []*usageBlock }
 
 // usageBlock holds the counters of rowsPerBlock consecutive rows.
 type usageBlock struct {
-	known uint64 // bit i: row i of the block has been reported
+	known uint64 // bit i is set if row i of the block has been reported
 	units [rowsPerBlock]uint32
 }
 
-// update records a counter that only grows. It returns by how much the counter has grown,
-// and whether an earlier value was known: if not, all units are new. A value that is older
-// than the recorded one is ignored.
+// update records the new total of a monotonic counter. It returns the increase, and whether an
+// earlier total was known: if not, the increase is the whole total. A total lower than the recorded
+// one is ignored.
 func (t *usageTable) update(row int32, units uint64) (grown uint64, known bool) {
 	i, bit := int(row)/rowsPerBlock, uint64(1)<<(row%rowsPerBlock)
 	for len(t.blocks) <= i {
@@ -39,7 +39,7 @@
 		*recorded = uint32(units)
 		return units, false
 	}
-	difference := int32(uint32(units) - *recorded) // signed: right also where the low 32 bits wrap
+	difference := int32(uint32(units) - *recorded) // signed, so that it is correct when the low 32 bits wrap around
 	if difference <= 0 {
 		return 0, true
 	}
@@ -47,7 +47,7 @@
 	return uint64(difference), true
 }
 
-// forget marks a row as not reported, so that another tenant can take it.
+// forget marks a row as not reported, so that it can be reused for another tenant.
 func (t *usageTable) forget(row int32) {
 	if i := int(row) / rowsPerBlock; i < len(t.blocks) && t.blocks[i] != nil {
 		t.blocks[i].known &^= 1 << (row % rowsPerBlock)
@@ -66,7 +66,7 @@
 	return n
 }
 
-// rowAllocator assigns table rows to tenants. Freed rows are used first.
+// rowAllocator assigns table rows to tenants. Free rows are reused first.
 type rowAllocator struct {
 	free []int32
 	next int32 // the lowest row that was never assigned
--- a/dataplane/quota/usagetable_test.go
+++ b/dataplane/quota/usagetable_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A usage table returns what a map by tenant would, for counters that grow, come late or
-// twice, and pass 32 bits.
+// A usage table behaves like a map by tenant, for counters that increase, arrive late or twice, and
+// exceed 32 bits.
 func TestUsageTableBehavesLikeMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var table usageTable
@@ -29,17 +29,17 @@
 		}
 		grown, known := table.update(row, units)
 		if grown != want || known != wasKnown {
-			t.Fatalf("row %d from %d (known %v) to %d: grown by %d, known %v",
+			t.Fatalf("row %d from %d (known %v) to %d: increase %d, known %v",
 				row, before, wasKnown, units, grown, known)
 		}
 		if wantUnits[row] = max(before, units); table.len() != len(wantUnits) {
-			t.Fatalf("%d known, %d wanted", table.len(), len(wantUnits))
+			t.Fatalf("%d rows known, want %d", table.len(), len(wantUnits))
 		}
 	}
 }
 
-// A tenant that takes the row of a removed one has none of its counters, and all units
-// reported of it are drawn.
+// A tenant that reuses the row of a removed tenant inherits none of its counters, and all its
+// reported units are drawn.
 func TestReusedRowKeepsNoUsage(t *testing.T) {
 	s := New(0, Member{ID: 1})
 	s.SetMembers(0, []Member{{ID: 2}})
@@ -53,15 +53,15 @@
 	before := s.Balance(4, 6)
 	receive(4, 6, 30)
 	if drawn := before - s.Balance(4, 6); drawn < 29.9 || drawn > 30.1 {
-		t.Errorf("%v units were drawn, 30 wanted", drawn)
+		t.Errorf("%v units drawn, want 30", drawn)
 	}
 	if s.rows.next != 1 || len(s.rows.free) != 0 {
-		t.Errorf("%d rows for one tenant at a time, %d free", s.rows.next, len(s.rows.free))
+		t.Errorf("%d rows allocated for one tenant at a time, %d free", s.rows.next, len(s.rows.free))
 	}
 }
 
-// What 68 peers have reported of 14,000 tenants takes less than 6 MB. Fails with a map for
-// each of them: 30 MB.
+// The usage counters of 14,000 tenants at 68 peers take less than 6 MB. Fails with a map for each
+// peer, which takes 30 MB.
 func TestUsageTablesFitInSixMegabytes(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -75,7 +75,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if held := int64(after.HeapAlloc) - int64(before.HeapAlloc); held > 6<<20 {
-		t.Errorf("%d bytes", held)
+		t.Errorf("usage tables take %d bytes", held)
 	}
 	runtime.KeepAlive(tables)
 }
