--- a/dataplane/attempt/attempt.go
+++ b/dataplane/attempt/attempt.go
@@ -1,17 +1,17 @@
-// Package attempt classifies the end of an attempt at a server, without I/O, clock or
-// goroutines. From what was written and what came back, [Classify] says whether the server
-// may have run the request, what the client can be answered and what it means for the
-// server's health; [Evidence.Reusable] whether the connection may carry another request.
-// A [Tracker] keeps the attempts of one request and decides whether another server may get
-// it, or which status ends it.
+// Package attempt classifies the outcome of an attempt to send a request to a server, without I/O,
+// clock or goroutines. From what was written and what was received, [Classify] determines whether
+// the server may have executed the request, what the client can be answered, and what the outcome
+// means for the server's health. [Evidence.Reusable] determines whether the connection may carry
+// another request. A [Tracker] follows the attempts at one request and decides whether the request
+// may be sent to another server, or which status ends it.
 //
-// The rules rest on what servers guarantee (RFC 9110, 9.2.2 and 9.3.1; RFC 9112, 9.2 and 9.6):
-//   - a request of which a connection took no byte has reached nobody;
-//   - an answer with Not-Executed, and status 421, say that the request has not run and
-//     never will;
-//   - nothing else says so: after any byte, a reset, a close, a time-out or a malformed
-//     answer leave open whether it ran, or still runs;
-//   - an answer belongs to the request whose Attempt-Id it carries, once.
+// The rules rely on what servers guarantee (RFC 9110, 9.2.2 and 9.3.1; RFC 9112, 9.2 and 9.6):
+//   - a request of which no byte was written to the connection has not reached any server;
+//   - a response with Not-Executed or with status 421 states that the request was not executed
+//     and never will be;
+//   - nothing else states this: after any byte was written, a reset, a close, a timeout or a
+//     malformed response leaves open whether the request was executed, or is still being executed;
+//   - a response belongs to the request whose Attempt-Id it carries exactly once.
 package attempt
 
 import (
@@ -20,28 +20,28 @@
 	"example.org/elmspan/dataplane/balance"
 )
 
-// WriteProgress is how much of a request its connection took.
+// WriteProgress is how much of a request was written to its connection.
 type WriteProgress int
 
 // The write progress of an attempt.
 const (
-	NotWritten    WriteProgress = iota // no byte: no server has it
-	PartlyWritten                      // the server may have enough to begin
+	NotWritten    WriteProgress = iota // no byte was written, so no server has received it
+	PartlyWritten                      // the server may have received enough to start executing it
 	FullyWritten
 )
 
-// ResponseOwner is the request that an answer belongs to.
+// ResponseOwner is the request to which a response belongs.
 type ResponseOwner int
 
-// The owners of an answer.
+// The owners of a response.
 const (
-	OwnerUnknown ResponseOwner = iota // without an Attempt-Id, or with several
-	OtherRequest                      // with the Attempt-Id of another request
+	OwnerUnknown ResponseOwner = iota // no Attempt-Id, or more than one
+	OtherRequest                      // the Attempt-Id of another request
 	ThisRequest
 )
 
-// OwnerOf returns the owner of an answer to the request with the id requestID. responseID is
-// the Attempt-Id that the answer carries, and count how many it carries.
+// OwnerOf returns the owner of a response that was received for the request with ID requestID.
+// responseID is the Attempt-Id of the response, and count is how many Attempt-Ids it carries.
 func OwnerOf(responseID string, count int, requestID string) ResponseOwner {
 	switch {
 	case responseID == "" || count != 1:
@@ -52,68 +52,69 @@
 	return ThisRequest
 }
 
-// MaxStrayResponses is how many answers to other requests are skipped on a connection
-// before the request's own.
+// MaxStrayResponses is the maximum number of responses to other requests that are skipped on a
+// connection before the response to the request itself.
 const MaxStrayResponses = 2
 
-// ShouldSkip reports whether to skip an answer whose owner is not [ThisRequest] and to read
-// the next one. count is how many of them came on this connection, this one included;
-// bounded reports that its end is known and not too far.
+// ShouldSkip reports whether to skip a response whose owner is not [ThisRequest] and to read the
+// next one. count is the number of such responses on this connection, including this one. bounded
+// reports whether the length of the response is known and small enough to read.
 func ShouldSkip(o ResponseOwner, count int, bounded bool) bool {
 	return o == OtherRequest && count <= MaxStrayResponses && bounded
 }
 
-// ResponseProgress is how much of an answer came back for a request that was written.
+// ResponseProgress is how much of the response to a request was received.
 type ResponseProgress int
 
-// The progress of an answer.
+// The progress of a response.
 const (
-	// NoResponse: no head of this request's own answer. The time was up, the connection
-	// ended, the answer was malformed, or it belonged to another request.
+	// NoResponse: no header of the request's own response was received. The request timed out, the
+	// connection was closed, or the response was malformed or belongs to another request.
 	NoResponse ResponseProgress = iota
-	// RequestAborted: the client's body broke off, so that the server never had all of it.
+	// RequestAborted: the client's request body was cut off, so the server never received all of
+	// it.
 	RequestAborted
-	// Truncated: the head came, and the body ended early or was malformed.
+	// Truncated: the header was received, and the body ended early or was malformed.
 	Truncated
-	// Streaming: the head and the beginning of a long body came; it is forwarded as it comes.
+	// Streaming: the header and the beginning of a long body were received. The body is forwarded
+	// while it arrives.
 	Streaming
-	// Complete: the whole answer came.
+	// Complete: the whole response was received.
 	Complete
 )
 
-// Evidence is all that is known of an attempt that has ended, or whose answer is
-// [Streaming].
+// Evidence is what is known of an attempt that has ended, or whose response is [Streaming].
 type Evidence struct {
 	Written        WriteProgress
 	Response       ResponseProgress
-	Status         int  // from Truncated on
-	NotExecuted    bool // the server says that it did not run the request
-	Sealed         bool // the answer has Server-Seal, no encoding, and an end that shows
-	Closes         bool // the connection ends after the answer
-	HeadRequest    bool // the method is HEAD: the body of a stray answer would not show
-	StrayResponses int  // answers to other requests that came before
-	TrailingBytes  int  // bytes that were read behind the answer
+	Status         int  // set if Response is Truncated, Streaming or Complete
+	NotExecuted    bool // the server states that it did not execute the request
+	Sealed         bool // the response has Server-Seal, no content encoding, and a detectable end
+	Closes         bool // the connection is closed after the response
+	HeadRequest    bool // the method is HEAD: the body of a stray response would go undetected
+	StrayResponses int  // responses to other requests that were received before
+	TrailingBytes  int  // bytes that were received after the response
 }
 
 // ClientResponse is what a client can be answered after an attempt.
 type ClientResponse int
 
-// The answers to a client.
+// The responses to a client.
 const (
-	NoClientResponse ClientResponse = iota // none yet: another attempt, or [Tracker.FinalStatus]
-	ServerResponse                         // the server's answer, unchanged
-	BadGateway                             // 502, in place of a server's failure that can't be forwarded
-	ClientError                            // the error in the client's own request
+	NoClientResponse ClientResponse = iota // none yet: another attempt follows, or [Tracker.FinalStatus]
+	ServerResponse                         // the server's response, unchanged
+	BadGateway                             // 502 in place of a server error that cannot be forwarded
+	ClientError                            // the error response to a fault in the client's own request
 )
 
-// Classification is the meaning of an attempt's end.
+// Classification is the meaning of the outcome of an attempt.
 type Classification struct {
 	Result     balance.Result // for the server's load and health
-	MayHaveRun bool           // the server may have run the request, or may still run it
+	MayHaveRun bool           // the server may have executed the request, or may still be executing it
 	Response   ClientResponse
 }
 
-// Classify returns the meaning of an attempt's end.
+// Classify returns the meaning of the outcome of an attempt.
 func Classify(e Evidence) Classification {
 	switch {
 	case e.Written == NotWritten:
@@ -132,7 +133,7 @@
 	return classifyFailure(e)
 }
 
-// classifySuccess forwards a success only if the server sealed it and all of it can come.
+// classifySuccess forwards a success only if the server sealed it and it was not truncated.
 func classifySuccess(e Evidence) Classification {
 	if e.Sealed && e.Response != Truncated {
 		return Classification{balance.Success, true, ServerResponse}
@@ -140,7 +141,8 @@
 	return Classification{balance.Failure, true, NoClientResponse}
 }
 
-// classifyNotExecuted lets another server have the request, unless none would take it.
+// classifyNotExecuted lets the request be sent to another server, except after status 400, which
+// every server would return.
 func classifyNotExecuted(e Evidence) Classification {
 	if e.Status == http.StatusBadRequest && e.Response != Truncated {
 		return Classification{balance.Success, false, ServerResponse}
@@ -148,41 +150,41 @@
 	return Classification{Result: balance.Rejected}
 }
 
-// classifyFailure classifies an answer that is no success and does not say whether the
-// request ran.
+// classifyFailure classifies a response that is not a success and does not state whether the
+// request was executed.
 func classifyFailure(e Evidence) Classification {
 	switch e.Status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		// These would assure the client that it has not run, which the server did not say.
+		// Forwarded, these would state that the request was not executed, which the server did not.
 		return Classification{balance.Failure, true, BadGateway}
 	}
-	// A truncated failure would either look complete to the client, or end its connection
-	// and with it the other requests on it.
-	answer := ServerResponse
+	// Forwarding a truncated failure would either make it look complete, or close the client's
+	// connection and abort the other requests on it.
+	response := ServerResponse
 	if e.Response == Truncated {
-		answer = BadGateway
+		response = BadGateway
 	}
 	switch {
-	case e.Status == http.StatusGatewayTimeout: // the time was up, which is not the server's fault
-		return Classification{balance.Cancelled, true, answer}
+	case e.Status == http.StatusGatewayTimeout: // the deadline has passed, which is not the server's fault
+		return Classification{balance.Cancelled, true, response}
 	case e.Status >= 500:
-		return Classification{balance.ServerError, true, answer}
+		return Classification{balance.ServerError, true, response}
 	case e.Response == Truncated:
-		return Classification{balance.Failure, true, answer}
+		return Classification{balance.Failure, true, response}
 	}
-	return Classification{balance.Success, true, answer}
+	return Classification{balance.Success, true, response}
 }
 
-// Reusable reports whether the connection may carry another request once the answer is
-// [Complete]. A server that sent a stray answer may send another one, and to skip a stray
-// answer to HEAD one would have to know that it has no body.
+// Reusable reports whether the connection may carry another request after the response is
+// [Complete]. A server that has sent a stray response may send another one. Skipping a stray
+// response to a HEAD request would require knowing that it has no body.
 func (e Evidence) Reusable() bool {
 	clean := !e.HeadRequest && e.StrayResponses == 0 && e.TrailingBytes == 0
 	return e.Written == FullyWritten && e.Response == Complete && !e.Closes && clean
 }
 
-// Rules are the decisions that a gateway applies. Tests replace them to show that a fault
-// in each one is found.
+// Rules are the decisions of this package as used by a gateway. Tests replace them to show that a
+// fault in each of them is detected.
 type Rules struct {
 	OwnerOf  func(responseID string, count int, requestID string) ResponseOwner
 	Classify func(Evidence) Classification
--- a/dataplane/attempt/explorer_test.go
+++ b/dataplane/attempt/explorer_test.go
@@ -6,38 +6,38 @@
 	"slices"
 )
 
-// maxAttempts is the most attempts at one request that are explored.
+// maxAttempts is the maximum number of attempts at one request that are explored.
 const maxAttempts = 3
 
-// state is one state of a request: what the code under test knows, and what is true.
+// state is one state of a request: what the code under test records, and the ground truth.
 type state struct {
 	tracker      Tracker
-	ran          int  // attempts that may have run
-	keptStatus   int  // of a failure that is kept while another attempt is in flight; 0: none
-	bodyConsumed bool // a part of a body that is not buffered is gone
+	ran          int  // attempts that may have been executed
+	keptStatus   int  // status of a failure kept while another attempt is in flight; 0: none
+	bodyConsumed bool // part of an unbuffered body has been consumed
 }
 
-// explorer goes through every order of everything that can be seen in up to maxAttempts
-// attempts, one after the other or beside each other, at one kind of request. It compares each
-// decision of the rules with what servers guarantee.
+// explorer explores all orders of all possible evidence in up to maxAttempts sequential or
+// concurrent attempts at one kind of request. It compares each decision of the rules with what
+// servers guarantee.
 type explorer struct {
 	rules      Rules
 	idempotent bool
-	buffered   bool // the body is there before the first attempt
+	buffered   bool // the whole body is available before the first attempt
 	evidence   []Evidence
 
 	queue  []state
 	known  map[state]bool
 	states int
 	steps  int
-	fault  string // the first fault that is found, or ""
+	fault  string // the first fault found, or ""
 }
 
 func newExplorer(rules Rules, idempotent, buffered bool) *explorer {
 	x := &explorer{rules: rules, idempotent: idempotent, buffered: buffered, known: map[state]bool{}}
 	for _, e := range allEvidence() {
 		if e.Response == RequestAborted && buffered {
-			continue // the body can't break off
+			continue // a buffered body cannot be cut off
 		}
 		x.evidence = append(x.evidence, e)
 	}
@@ -45,7 +45,7 @@
 	return x
 }
 
-// add queues a state that is new.
+// add queues a state unless it is already known.
 func (x *explorer) add(s state) {
 	if !x.known[s] {
 		x.known[s] = true
@@ -53,7 +53,7 @@
 	}
 }
 
-// failf records a fault, if it is the first.
+// failf records a fault if it is the first.
 func (x *explorer) failf(format string, args ...any) {
 	if x.fault == "" {
 		x.fault = fmt.Sprintf(format, args...)
@@ -70,14 +70,14 @@
 	}
 }
 
-// expand takes every step that is possible in a state.
+// expand takes all possible steps from a state.
 func (x *explorer) expand(s state) {
 	if x.mayStart(s) {
 		x.start(s)
 	}
 	if s.tracker.inFlight == 0 {
 		if !s.tracker.ReachedServer() && s.ran > 0 {
-			x.failf("it may have run, and can be refused as if no server had been reached")
+			x.failf("the request may have been executed, but counts as not having reached a server")
 		}
 		return
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// mayStart reports whether an attempt may start: the first one, or one beside another (a hedge).
-// Retries start in finish.
+// mayStart reports whether an attempt may start: the first one, or a hedge beside another one.
+// Retries are started by finish.
 func (x *explorer) mayStart(s state) bool {
 	if s.tracker.inFlight == 0 {
 		return s.tracker.started == 0
@@ -104,7 +104,8 @@
 	x.add(s)
 }
 
-// finish ends one attempt of a state with some evidence, and follows the decision.
+// finish ends one attempt in a state with the given evidence and follows the decision of the
+// tracker.
 func (x *explorer) finish(s state, e Evidence) {
 	c := x.rules.Classify(e)
 	if referenceMayHaveRun(e) {
@@ -114,31 +115,32 @@
 	x.checkForwarded(e, c)
 	switch s.tracker.Finish(c.Result, c.MayHaveRun, c.Response != NoClientResponse, s.bodyConsumed) {
 	case Deliver:
-		x.checkAnswer(s, answerStatus(e, c), fmt.Sprintf("for %+v", e))
+		x.checkStatus(s, clientStatus(e, c), fmt.Sprintf("for %+v", e))
 	case Wait:
 		x.add(s.keep(e, c))
 	case Retry:
 		if s.ran > 0 && !x.idempotent || s.bodyConsumed {
-			x.failf("%+v: it may have run or its body is gone, and is sent again", e)
+			x.failf("%+v: the request may have been executed or its body was consumed, but it is sent again", e)
 		}
 		x.retryOrEnd(s.keep(e, c), e)
 	case GiveUp:
 		if s.ran == 0 && !s.bodyConsumed {
-			x.failf("%+v: it has not run, and is given up", e)
+			x.failf("%+v: the request was not executed, but it is given up", e)
 		}
 		x.end(s, e)
 	}
 }
 
-// keep returns the state with the attempt's answer kept as the last failure, if it has one.
+// keep returns the state with the attempt's response kept as the last failure, if it has one.
 func (s state) keep(e Evidence, c Classification) state {
 	if c.Response != NoClientResponse {
-		s.keptStatus = answerStatus(e, c)
+		s.keptStatus = clientStatus(e, c)
 	}
 	return s
 }
 
-// retryOrEnd follows both ways after a decision to retry: a server is found, or none.
+// retryOrEnd explores both cases after a decision to retry: another server is available, or none
+// is.
 func (x *explorer) retryOrEnd(s state, e Evidence) {
 	if s.tracker.started < maxAttempts {
 		x.start(s)
@@ -146,42 +148,43 @@
 	x.end(s, e)
 }
 
-// end answers the client where no attempt is left: before the deadline and after it.
+// end responds to the client when no attempt is left, both before and after the deadline.
 func (x *explorer) end(s state, e Evidence) {
 	x.add(s)
 	for _, timedOut := range []bool{false, true} {
 		if s.keptStatus != 0 {
-			x.checkAnswer(s, s.keptStatus, "as kept")
+			x.checkStatus(s, s.keptStatus, "as the kept failure")
 			continue
 		}
 		status := s.tracker.FinalStatus(timedOut)
 		if status != http.StatusServiceUnavailable && s.ran == 0 {
-			x.failf("%d in the end, after %+v, though nothing has run", status, e)
+			x.failf("final status %d after %+v, although no attempt was executed", status, e)
 		}
-		x.checkAnswer(s, status, fmt.Sprintf("in the end, after %+v", e))
+		x.checkStatus(s, status, fmt.Sprintf("as the final status after %+v", e))
 	}
 }
 
-// checkForwarded: what is forwarded is whole or ends visibly, and a success is the server's.
+// checkForwarded checks that a forwarded response is complete or its truncation is detectable, and
+// that a success was sent by the server.
 func (x *explorer) checkForwarded(e Evidence, c Classification) {
 	switch {
 	case c.Response == ServerResponse && e.Response != Complete && e.Response != Streaming:
-		x.failf("%+v: what is not whole is passed on", e)
-	case answerStatus(e, c)/100 == 2 && !e.Sealed:
-		x.failf("%+v: a success that is not the server's", e)
+		x.failf("%+v: an incomplete response is forwarded", e)
+	case clientStatus(e, c)/100 == 2 && !e.Sealed:
+		x.failf("%+v: an unsealed success is forwarded", e)
 	}
 }
 
-// checkAnswer: a status that says that the request has not run is answered only where that is
-// true and stays so.
-func (x *explorer) checkAnswer(s state, status int, why string) {
+// checkStatus checks that a status which states that the request was not executed is returned only
+// if that is true and remains true.
+func (x *explorer) checkStatus(s state, status int, why string) {
 	if saysNotExecuted(status) && (s.ran > 0 || s.tracker.inFlight > 0) {
-		x.failf("%d is answered %s, but it may have run, or may still run", status, why)
+		x.failf("%d is returned %s, but the request may have been or may still be executed", status, why)
 	}
 }
 
-// answerStatus is the status that a client gets by a classification, 0 for none.
-func answerStatus(e Evidence, c Classification) int {
+// clientStatus returns the status that a client receives for a classification, or 0 for none.
+func clientStatus(e Evidence, c Classification) int {
 	switch c.Response {
 	case ServerResponse:
 		return e.Status
@@ -193,11 +196,11 @@
 	return 0
 }
 
-// statuses are one of each that is decided on, and one of each class that is not.
+// statuses contains each status with a rule of its own, and one of each class without.
 var statuses = []int{200, 204, 301, 400, 404, 408, 421, 429, 500, 502, 503, 504}
 
-// allEvidence is all that can be seen of an attempt, but for what [Evidence.Reusable] alone
-// goes by.
+// allEvidence returns all possible evidence of an attempt, without the fields that only
+// [Evidence.Reusable] uses.
 func allEvidence() []Evidence {
 	all := []Evidence{{Written: NotWritten}}
 	for _, w := range []WriteProgress{PartlyWritten, FullyWritten} {
@@ -219,19 +222,19 @@
 	return all
 }
 
-// referenceMayHaveRun says once more what servers guarantee, apart from the code under test.
+// referenceMayHaveRun restates what servers guarantee, independently of the code under test.
 func referenceMayHaveRun(e Evidence) bool {
 	proof := e.Response >= Truncated &&
 		(e.Status == http.StatusMisdirectedRequest || e.NotExecuted && e.Status/100 != 2)
 	return e.Written != NotWritten && !proof
 }
 
-// saysNotExecuted reports whether a status assures the client that the request has not run.
+// saysNotExecuted reports whether a status states to the client that the request was not executed.
 func saysNotExecuted(status int) bool {
 	return slices.Contains([]int{408, 421, 429, 503}, status)
 }
 
-// checkRules explores all kinds of requests, then the rules on connections and owners. It
+// checkRules explores all kinds of requests, then the rules for connections and response owners. It
 // returns the first fault, or "", and how much was explored.
 func checkRules(rules Rules) (fault string, states, steps int) {
 	for kind := range 4 {
@@ -248,9 +251,9 @@
 	return fault, states, steps
 }
 
-// reuseFault: a connection is used again only where nothing speaks against it.
+// reuseFault returns a fault unless a connection is reused exactly when no evidence rules it out.
 func reuseFault(rules Rules) string {
-	against := []func(*Evidence){
+	disqualifying := []func(*Evidence){
 		func(e *Evidence) { e.Closes = true },
 		func(e *Evidence) { e.HeadRequest = true },
 		func(e *Evidence) { e.StrayResponses = 1 },
@@ -258,28 +261,29 @@
 		func(e *Evidence) { e.Written = PartlyWritten },
 		func(e *Evidence) { e.Response = Streaming },
 	}
-	for bits := range 1 << len(against) {
+	for bits := range 1 << len(disqualifying) {
 		e := Evidence{Written: FullyWritten, Response: Complete}
-		for i, set := range against {
+		for i, set := range disqualifying {
 			if bits&(1<<i) != 0 {
 				set(&e)
 			}
 		}
 		if reused := rules.Reusable(e); reused != (bits == 0) {
-			return fmt.Sprintf("%+v: is the connection used again? %v", e, reused)
+			return fmt.Sprintf("%+v: connection reused: %v", e, reused)
 		}
 	}
 	return ""
 }
 
-// ownerFault: an answer is the request's own only with its id, once.
+// ownerFault returns a fault unless a response is the request's own exactly when it carries the
+// request's ID once.
 func ownerFault(rules Rules) string {
 	for _, id := range []string{"", "mine", "theirs", "min", "Mine"} {
 		for count := range 3 {
 			own := id == "mine" && count == 1
 			if (rules.OwnerOf(id, count, "mine") == ThisRequest) != own ||
 				rules.OwnerOf(id, count, "") == ThisRequest {
-				return fmt.Sprintf("id %q, %d times: whose is it?", id, count)
+				return fmt.Sprintf("id %q, %d times: wrong response owner", id, count)
 			}
 		}
 	}
--- a/dataplane/quota/inherit_test.go
+++ b/dataplane/quota/inherit_test.go
@@ -75,7 +75,7 @@
 }
 
 // A usage snapshot contains the totals of the tenants in use, and its size is bounded.
-func TestIntroductionHasTenantsInUse(t *testing.T) {
+func TestUsageSnapshotHasTenantsInUse(t *testing.T) {
 	e := New(0, Member{ID: 1})
 	plans := map[uint64]Plan{}
 	for id := range uint64(200) {
--- a/dataplane/quota/pacing.go
+++ b/dataplane/quota/pacing.go
@@ -27,9 +27,10 @@
 const (
 	// pacingEndLevel is the fraction of the burst from which on a bucket counts as filled again.
 	pacingEndLevel = 0.25
-	// pacingDebt is the overdraft, as a fraction of the burst and beyond pacingDebtUnits, from
-	// which on pacing lasts for a window of the quota rule. Larger: usage of a tenant can move to
-	// other limiters sooner. Smaller: the quota holds with a longer gossip delay.
+	// pacingDebt is the overdraft as a fraction of the burst, in addition to pacingDebtUnits, from
+	// which on pacing lasts for a window of the quota rule after the bucket was last exhausted.
+	// Larger: usage of a tenant can move to other limiters sooner. Smaller: the quota holds with a
+	// longer gossip delay.
 	pacingDebt      = 0.5
 	pacingDebtUnits = slackUnits / 2 // half of what the quota rule tolerates for any plan; the other half is a margin
 	// pacingGain is the relative increase of the pacing rate with a full bucket over the limiter's
