--- a/dataplane/quota/counters.go
+++ b/dataplane/quota/counters.go
@@ -3,7 +3,7 @@
 // Counters are the cumulative results of the decisions of an [Enforcer] since its start. They show
 // why a quota was exceeded or left unused (docs/incidents/0025).
 type Counters struct {
-	Admitted      uint64  // requests
+	Admitted      uint64  // requests admitted
 	RejectedEmpty uint64  // requests rejected because the bucket was empty
 	RejectedPaced uint64  // requests rejected by pacing although the bucket held a unit
 	Drawn         float64 // units admitted by peers and drawn from the buckets
--- a/dataplane/quota/pacing.go
+++ b/dataplane/quota/pacing.go
@@ -110,8 +110,8 @@
 	if !p.active {
 		return 0, true
 	}
-	estimated := t.balance - t.surge.estimateUnreceived(now, e.gossipDelayMs())
-	if estimated >= pacingEndLevel*t.plan.Burst && (!p.inDebt || now-p.exhaustedAt > e.windowMs) {
+	estimatedBalance := t.balance - t.surge.estimateUnreceived(now, e.gossipDelayMs())
+	if estimatedBalance >= pacingEndLevel*t.plan.Burst && (!p.inDebt || now-p.exhaustedAt > e.windowMs) {
 		p.active, p.inDebt = false, false
 		return 0, true
 	}
--- a/dataplane/quota/peers.go
+++ b/dataplane/quota/peers.go
@@ -139,6 +139,6 @@
 	}
 }
 
-// ranBefore reports whether a sender ran for more than newPeerMs before its first
-// message was received. The units that it had admitted by then are not charged here.
+// ranBefore reports whether a sender ran for more than newPeerMs before its first message was
+// received. The units that it had admitted by then are not charged here.
 func ranBefore(now, ageMs, firstReceived float64) bool { return ageMs > now-firstReceived+newPeerMs }
--- a/dataplane/quota/quota.go
+++ b/dataplane/quota/quota.go
@@ -1,7 +1,7 @@
 // Package quota enforces tenant quotas across all limiters of a fleet without a central counter.
 // Each limiter has one token bucket per tenant. The bucket is refilled continuously at the plan's
-// rate, up to its burst. It pays for the requests that this limiter admits and for the units that
-// its peers report, so its balance can become negative.
+// rate, up to its burst. A limiter draws from it the requests that it admits and the units that its
+// peers report, so its balance can become negative.
 //
 // A host calls the methods of an [Enforcer]: SetPlans or ChangePlans with each configuration,
 // SetMembers with each membership change, and Admit for each request. At each tick it sends the
--- a/dataplane/quota/surge_test.go
+++ b/dataplane/quota/surge_test.go
@@ -18,8 +18,8 @@
 			admitted++
 		}
 	}
-	if part := (p.Burst + 0.2*p.Rate) / limiters; float64(admitted) < part || float64(admitted) > 3*part {
-		t.Errorf("%d of 200 requests admitted, its fraction is %.0f", admitted, part)
+	if fraction := (p.Burst + 0.2*p.Rate) / limiters; float64(admitted) < fraction || float64(admitted) > 3*fraction {
+		t.Errorf("%d of 200 requests admitted, its fraction is %.0f", admitted, fraction)
 	}
 }
 
