--- a/dataplane/gossip/disseminator.go
+++ b/dataplane/gossip/disseminator.go
@@ -80,7 +80,7 @@
 	for _, r := range d.recipients {
 		d.addHints(r, servers)
 		if r.introduce && (r.groupMember || r.reportedTo) {
-			r.addUsage(quotas.Introduction(now, !r.groupMember, nil))
+			r.addUsage(quotas.UsageSnapshot(now, !r.groupMember, nil))
 		}
 		r.introduce = false
 		r.addTickUsage(d.usage, digest.Consumed)
@@ -171,6 +171,6 @@
 		return m
 	}
 	m.Consumed, m.GroupDigest = nil, digest
-	m.GroupDigest.First, m.GroupDigest.Consumed = !r.secondReporter, d.sentUsage
+	m.GroupDigest.Primary, m.GroupDigest.Consumed = !r.secondReporter, d.sentUsage
 	return m
 }
