--- a/balancer/api.go
+++ b/balancer/api.go
@@ -18,7 +18,7 @@
 	Classes               []Class
 	Plans                 []Plan
 	Caps                  Caps
-	Rules                 Rules
+	ServerLimits          ServerLimits
 	PeerMessagesPerSecond float64 // messages that a limiter can take in
 	TrueUp                bool    // Submit.Units is an estimate, Outcome.SettledUnits the true value
 	CrossZonePrice        float64 // price of one attempt that leaves the zone
@@ -81,8 +81,8 @@
 	ConnectTimeoutMs float64
 }
 
-// Rules are the figures of the rules on slow start and overload of servers.
-type Rules struct {
+// ServerLimits are the figures of the rules on slow start and overload of servers.
+type ServerLimits struct {
 	SlowStartShare float64 // share of its capacity that a server starts with
 	SlowStartMs    float64 // time after which a server has its full capacity
 	OverloadFactor float64 // a server fails that gets this many times its capacity ...
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -28,7 +28,7 @@
 		},
 		Caps: Caps{MaxAttempts: 4, Cancel: true, Peers: true, Probes: true, RetryAfter: true,
 			MaxRetryAfterMs: 1000, ConnectTimeoutMs: 250},
-		Rules: Rules{SlowStartShare: 0.2, SlowStartMs: 10000, OverloadFactor: 2, OverloadMs: 1000},
+		ServerLimits: ServerLimits{SlowStartShare: 0.2, SlowStartMs: 10000, OverloadFactor: 2, OverloadMs: 1000},
 	}
 }
 
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -13,7 +13,7 @@
 		"position":        func(s *Settings) { s.Position = 2 },
 		"request_classes": func(s *Settings) { s.Classes = nil },
 		"packages":        func(s *Settings) { s.Plans = nil },
-		"cold_share":      func(s *Settings) { s.Rules.SlowStartShare = 2 },
+		"cold_share":      func(s *Settings) { s.ServerLimits.SlowStartShare = 2 },
 		"promise_ms":      func(s *Settings) { s.Classes[0].LatencyTargetMs = 0 },
 		"burst":           func(s *Settings) { s.Plans[0].Burst = 0 },
 		"packages.1":      func(s *Settings) { s.Plans[1].HardRate = -1 },
--- a/balancer/randomfleet_test.go
+++ b/balancer/randomfleet_test.go
@@ -183,7 +183,7 @@
 	if info.ReadyAt <= 0 {
 		return 1
 	}
-	r := c.cfg.Rules
+	r := c.cfg.ServerLimits
 	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*(c.now-info.ReadyAt)/r.SlowStartMs)
 }
 
@@ -206,11 +206,11 @@
 	busiest := 0.0 // what was sent to a server while it was warm still counts
 	for id := range c.listed[i] {
 		if id != info.ID {
-			busiest = max(busiest, since(id, c.now-3*c.cfg.Rules.OverloadMs))
+			busiest = max(busiest, since(id, c.now-3*c.cfg.ServerLimits.OverloadMs))
 		}
 	}
-	n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.Rules.OverloadMs))
-	if n > 3+c.cfg.Rules.OverloadFactor*w*busiest {
+	n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.ServerLimits.OverloadMs))
+	if n > 3+c.cfg.ServerLimits.OverloadFactor*w*busiest {
 		c.t.Fatalf("server in slow start %d (warmth %.2f) got %g in a window, the busiest warm one %g", info.ID, w,
 			n, busiest)
 	}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -16,8 +16,8 @@
 		return errors.New("request_classes is empty")
 	case len(s.Plans) == 0:
 		return errors.New("packages is empty")
-	case s.Rules.SlowStartShare < 0 || s.Rules.SlowStartShare > 1:
-		return fmt.Errorf("cold_share %g is not a share", s.Rules.SlowStartShare)
+	case s.ServerLimits.SlowStartShare < 0 || s.ServerLimits.SlowStartShare > 1:
+		return fmt.Errorf("cold_share %g is not a share", s.ServerLimits.SlowStartShare)
 	}
 	for i, c := range s.Classes {
 		if c.LatencyTargetMs <= 0 || c.DeadlineMs <= 0 {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -25,7 +25,7 @@
 // slowStartShare is the least share of its capacity that a server can have by now: it rises
 // linearly from Rules.SlowStartShare at the start to 1 after Rules.SlowStartMs.
 func (l *Limiter) slowStartShare(now float64, s *server) float64 {
-	r := l.cfg.Rules
+	r := l.cfg.ServerLimits
 	if s.info.ReadyAt <= 0 || r.SlowStartMs <= 0 || r.SlowStartShare <= 0 {
 		return 1
 	}
@@ -46,7 +46,7 @@
 	}
 	use := slowStartUse + slowStartExtraUse*l.unseenShare
 	rate := max(use*share*l.decayedAttempts(now)/max(l.warmCapacity, l.upServers/maxSlowStartRise)*2/ejectionMs,
-		minSlowStartRequests/float64(l.cfg.Balancers)/max(1, l.cfg.Rules.OverloadMs))
+		minSlowStartRequests/float64(l.cfg.Balancers)/max(1, l.cfg.ServerLimits.OverloadMs))
 	s.slowStartCredit, s.slowStartCreditAt = min(1, max(0, s.slowStartCredit)+rate*(now-s.slowStartCreditAt)), now
 	return s.slowStartCredit >= 1
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -92,7 +92,7 @@
 	const n, servers, starting = 80, 60, 36
 	cfg := testSettings()
 	cfg.Caps.Peers = false
-	cfg.Rules.SlowStartShare, cfg.Rules.SlowStartMs = 0.3, 16000
+	cfg.ServerLimits.SlowStartShare, cfg.ServerLimits.SlowStartMs = 0.3, 16000
 	f := testServers(servers)
 	c := newTestFleet(t, cfg, n, f)
 	rng := rand.New(rand.NewPCG(3, 3))
--- a/balancer/wire/settings.go
+++ b/balancer/wire/settings.go
@@ -56,7 +56,7 @@
 			RetryAfter: p.flag("caps.retry_after"), Hedging: p.flag("caps.second_copies"),
 			MaxRetryAfterMs: p.Number("caps.max_retry_after_ms"), ConnectTimeoutMs: p.Number("caps.connect_timeout_ms"),
 		},
-		Rules: balancer.Rules{
+		ServerLimits: balancer.ServerLimits{
 			SlowStartShare: p.Number("invariants.cold_share"), SlowStartMs: p.Number("invariants.cold_ms"),
 			OverloadFactor: p.Number("invariants.overload_factor"), OverloadMs: p.Number("invariants.fall_ms"),
 		},
