--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -101,9 +101,9 @@
 		l.emit(Reject{ID: e.ID})
 		return
 	}
-	c := l.lookupCustomer(now, e.Customer, e.Plan, e.Spread)
+	c := l.lookupCustomer(now, e.Customer, e.Plan, e.LimiterCount)
 	if c.spread == 0 {
-		l.setMembership(now, c, e.Spread, e.First)
+		l.setMembership(now, c, e.LimiterCount, e.FirstLimiter)
 	}
 	l.refill(now, c)
 	l.releaseWithheldBurst(c)
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -31,7 +31,7 @@
 // is released when the peers have answered, and only what they have not
 // reported. Found as a loss of the cheap plans: the held part never came back.
 func TestNewCustomerStartsWithItsPartOfTheBurst(t *testing.T) {
-	both := Submit{Spread: 2}
+	both := Submit{LimiterCount: 2}
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	if got := s.admit(40, both); got != 10 {
 		t.Errorf("split of 20 over two let %d through", got)
@@ -98,7 +98,7 @@
 	cfg := testSettings()
 	cfg.Balancers = 470
 	s := newLimiterDriver(t, cfg, testServers(4)...)
-	s.submit(Submit{Customer: 5, Spread: 200})
+	s.submit(Submit{Customer: 5, LimiterCount: 200})
 	s.do(TimerFired{Name: "tick"})
 	if n := len(s.l.customers[5].peerViews); n > aggregatorCount {
 		t.Errorf("a customer of 200 limiters has %d records of peers, want %d", n, aggregatorCount)
--- a/balancer/aggregation_test.go
+++ b/balancer/aggregation_test.go
@@ -16,7 +16,7 @@
 	passed, rng := 0, rand.New(rand.NewPCG(1, 1))
 	for range 200 { // ten seconds of 40 units a second on a rate of 10
 		for range 2 {
-			if c.submit(rng.IntN(n), Submit{Customer: 5, Spread: n}) {
+			if c.submit(rng.IntN(n), Submit{Customer: 5, LimiterCount: n}) {
 				passed++
 			}
 		}
@@ -35,12 +35,12 @@
 	c := newTestFleet(t, cfg, n, testServers(4))
 	failed := -1
 	c.lose = func(from, to int) bool { return from == failed || to == failed }
-	c.submit(0, Submit{Customer: 5, Spread: n})
+	c.submit(0, Submit{Customer: 5, LimiterCount: n})
 	failed = c.limiters[0].customers[5].reportsTo[0]
 	c.ticks(6000)
 	passed := 0
 	for k := range 200 {
-		if i := k % n; i != failed && c.submit(i, Submit{Customer: 5, Spread: n}) {
+		if i := k % n; i != failed && c.submit(i, Submit{Customer: 5, LimiterCount: n}) {
 			passed++
 		}
 		c.ticks(tickIntervalMs)
@@ -56,7 +56,7 @@
 	cfg.Balancers = 40
 	s := newLimiterDriver(t, cfg, testServers(4)...)
 	s.now += 6000
-	s.submit(Submit{Customer: 5, Spread: 40})
+	s.submit(Submit{Customer: 5, LimiterCount: 40})
 	c := s.l.customers[5]
 	levelFrom := func(from int, level float64) PeerMessage {
 		m := peerMessage{flags: flagLevelUpdate, entries: []peerEntry{{customer: 5, level: int64(level * unitScale)}}}
@@ -95,7 +95,7 @@
 	for step := range 400 { // twenty seconds; each asks for some four times its quota
 		for plan, each := range []int{6, 2, 1} {
 			if step%each == 0 {
-				c.submit((step*7+plan)%n, Submit{Customer: uint64(plan), Plan: plan, Spread: n,
+				c.submit((step*7+plan)%n, Submit{Customer: uint64(plan), Plan: plan, LimiterCount: n,
 					Units: 1 + float64(plan)})
 			}
 		}
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -96,15 +96,15 @@
 // Submit is a request of a client. It gets exactly one final response: Reject, Fail, or the
 // response of an attempt whose Outcome is Final.
 type Submit struct {
-	ID        string
-	TimeoutMs float64 // time until the client gives up
-	Units     float64 // of the quota
-	Class     int     // index in Settings.Classes
-	Plan      int     // index in Settings.Plans
-	Retry     bool    // the client marks it as a retry
-	Customer  uint64
-	Spread    int // number of limiters that the customer's requests arrive at ...
-	First     int // ... in a row from this position on
+	ID           string
+	TimeoutMs    float64 // time until the client gives up
+	Units        float64 // of the quota
+	Class        int     // index in Settings.Classes
+	Plan         int     // index in Settings.Plans
+	Retry        bool    // the client marks it as a retry
+	Customer     uint64
+	LimiterCount int // number of limiters that the customer's requests arrive at ...
+	FirstLimiter int // ... in a row from this position on
 }
 
 // Outcome says how one attempt ended.
--- a/balancer/escrow_test.go
+++ b/balancer/escrow_test.go
@@ -17,13 +17,13 @@
 	s.l.cfg.Plans[1].Burst, s.l.cfg.Plans[1].Rate = 1e9, 1e9
 	for range 500 {
 		s.now += 10
-		spent += s.admit(3, Submit{Plan: 1, Spread: 2})
+		spent += s.admit(3, Submit{Plan: 1, LimiterCount: 2})
 	}
 	if limit := (plan.HardBurst + plan.HardRate*(s.now-begin)/1000) / 2; float64(spent) > limit {
 		t.Errorf("passed %d, this limiter's half is %g", spent, limit)
 	}
 	s = newLimiterDriver(t, testSettings(), testServers(4)...)
-	if n := s.admit(10, Submit{Plan: 1, Spread: 2}); n != 0 || s.now != start {
+	if n := s.admit(10, Submit{Plan: 1, LimiterCount: 2}); n != 0 || s.now != start {
 		t.Errorf("a limiter that just started passed %d of an empty share", n)
 	}
 }
@@ -43,7 +43,7 @@
 		c.now++
 		store = min(900, store+0.4)
 		i := rng.IntN(n)
-		if c.submit(i, Submit{Plan: 1, Customer: 1, Spread: n}) {
+		if c.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: n}) {
 			store--
 		}
 		if store < 0 {
@@ -88,7 +88,7 @@
 					i = 3
 				}
 				requested += units
-				if c.submit(i, Submit{Plan: 1, Customer: 1, Spread: n, Units: units}) {
+				if c.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: n, Units: units}) {
 					store, at = min(46, store+(c.now-at)*25/1000)-units, c.now
 					passed += units
 				}
@@ -119,7 +119,7 @@
 	const n = 20
 	cfg := testSettings()
 	submit := func(c *testFleet, i int) bool { // three units are most of a full share
-		return c.submit(i, Submit{Plan: 1, Customer: 1, Spread: 10, Units: 3})
+		return c.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: 10, Units: 3})
 	}
 	c := newTestFleet(t, cfg, n, testServers(4))
 	c.ticks(8 * tickIntervalMs)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -21,7 +21,7 @@
 	now := 1000.0 // milliseconds on the host's clock
 	l.Handle(now, balancer.Endpoints{Scope: balancer.Complete, Servers: []balancer.ServerInfo{{ID: 9}}})
 	for _, id := range []string{"a", "b", "c"} {
-		e := balancer.Submit{ID: id, TimeoutMs: 900, Units: 1, Customer: 7, Spread: 1}
+		e := balancer.Submit{ID: id, TimeoutMs: 900, Units: 1, Customer: 7, LimiterCount: 1}
 		// A slice of actions is valid until the next call of Handle.
 		for _, action := range append([]balancer.Action(nil), l.Handle(now, e)...) {
 			switch a := action.(type) {
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestPeerReportsDrawFromTheBalance(t *testing.T) {
-	both := Submit{Spread: 2}
+	both := Submit{LimiterCount: 2}
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	s.now += 5000 // the burst has filled meanwhile
 	s.admit(1, both)
@@ -44,7 +44,7 @@
 	if !requested {
 		t.Error("a starting limiter did not ask its peer")
 	}
-	s.admit(4, Submit{Spread: 2})
+	s.admit(4, Submit{LimiterCount: 2})
 	request := peerMessage{flags: flagLevelsRequest, incarnation: 5, seq: 1}
 	data, _ := request.encode()
 	var levels []peerEntry
@@ -64,7 +64,7 @@
 // plan, and a customer forgotten here is not charged with all that a peer ever passed.
 func TestPeerLevelsAndReportsAreBounded(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	s.admit(1, Submit{Customer: 5, Spread: 2})
+	s.admit(1, Submit{Customer: 5, LimiterCount: 2})
 	send := func(e peerEntry, seq uint64, flags byte) {
 		m := peerMessage{incarnation: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
 		data, _ := m.encode()
@@ -72,7 +72,7 @@
 	}
 	send(peerEntry{customer: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
 	s.now += 6500 // three bursts of 20 at 10 a second and a little
-	if got := s.admit(1, Submit{Customer: 5, Spread: 2}); got != 1 {
+	if got := s.admit(1, Submit{Customer: 5, LimiterCount: 2}); got != 1 {
 		t.Error("kept out for longer than the limiters' bursts take")
 	}
 	send(peerEntry{customer: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -67,8 +67,8 @@
 	if e.TimeoutMs == 0 {
 		e.TimeoutMs = 1500
 	}
-	if e.Spread == 0 {
-		e.Spread = 1
+	if e.LimiterCount == 0 {
+		e.LimiterCount = 1
 	}
 	if e.Units == 0 {
 		e.Units = 1
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -137,7 +137,7 @@
 			for k := range 40 { // two seconds, every fifth answer fails
 				now, id := float64(50*k), fmt.Sprint(k)
 				for _, a := range l.Handle(now,
-					Submit{ID: id, TimeoutMs: 900, Units: 1, Plan: 3, Class: 2, Spread: 1}) {
+					Submit{ID: id, TimeoutMs: 900, Units: 1, Plan: 3, Class: 2, LimiterCount: 1}) {
 					if p, ok := a.(StartAttempt); ok {
 						o := Outcome{ID: id, Server: p.Server, LatencyMs: 20, Result: Success, Final: true}
 						if k%5 == 0 {
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -50,7 +50,7 @@
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for i := range 4000 {
 		s.now += 20
-		s.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), Spread: 2})
+		s.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), LimiterCount: 2})
 		m := peerMessage{incarnation: 7, seq: uint64(i + 1), ageMs: uint64(s.now), entries: []peerEntry{
 			{customer: uint64(100000 + i), plan: uint64(i % 3), spread: 2, spent: 8, newlySpent: 8}}}
 		data, _ := m.encode()
@@ -143,7 +143,7 @@
 		for n := range 3000 {
 			now := float64(n * 3)
 			out += fmt.Sprint(l.Handle(now, Submit{ID: fmt.Sprint(n), TimeoutMs: 900, Units: 1, Plan: rng.IntN(4),
-				Class: rng.IntN(4), Customer: uint64(rng.IntN(30)), Spread: 2}))
+				Class: rng.IntN(4), Customer: uint64(rng.IntN(30)), LimiterCount: 2}))
 			out += fmt.Sprint(l.Handle(now, Outcome{ID: fmt.Sprint(rng.IntN(n + 1)), Result: Result(rng.IntN(8)),
 				LatencyMs: 30}))
 			out += fmt.Sprint(l.Handle(now, TimerFired{Name: "tick"}),
@@ -176,7 +176,7 @@
 			case 0, 1:
 				l.Handle(now, Submit{ID: id, TimeoutMs: float64(x * 10), Units: float64(x), Class: y % 5,
 					Plan:     int(z) % 5,
-					Customer: uint64(y), Spread: x, First: x})
+					Customer: uint64(y), LimiterCount: x, FirstLimiter: x})
 			case 2, 3:
 				l.Handle(now, Outcome{ID: id, Attempt: x % 4, Server: uint64(y), Result: Result(z % 9),
 					LatencyMs: float64(x), Final: y%2 == 0})
@@ -209,7 +209,7 @@
 		now := 10000 + float64(k)*300
 		id := fmt.Sprint(k)
 		for _, a := range l.Handle(now, Submit{ID: id, TimeoutMs: 900, Units: 1, Customer: uint64(k % 300),
-			Spread: 100}) {
+			LimiterCount: 100}) {
 			if p, ok := a.(StartAttempt); ok {
 				l.Handle(now+20, Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 20, Final: true})
 				break
--- a/balancer/node/clients_test.go
+++ b/balancer/node/clients_test.go
@@ -535,7 +535,8 @@
 		}
 		var ev balancer.Submit
 		if parseQuotaInfo(info, 3, 6, &ev) == nil &&
-			(!(ev.Units > 0 && ev.Units <= 6) || ev.Spread < 1 || ev.Spread > 3 || ev.First < 0 || ev.First > 2) {
+			(!(ev.Units > 0 && ev.Units <= 6) || ev.LimiterCount < 1 || ev.LimiterCount > 3 ||
+				ev.FirstLimiter < 0 || ev.FirstLimiter > 2) {
 			t.Errorf("%q gave %+v", info, ev)
 		}
 	})
--- a/balancer/node/parserequest.go
+++ b/balancer/node/parserequest.go
@@ -197,10 +197,10 @@
 			ev.Units, hasUnits = v, true
 		case "spread":
 			ok = wholeBetween(v, 1, balancers)
-			ev.Spread, hasSpread = int(v), true
+			ev.LimiterCount, hasSpread = int(v), true
 		case "first":
 			ok = wholeBetween(v, 0, balancers-1)
-			ev.First, hasFirst = int(v), true
+			ev.FirstLimiter, hasFirst = int(v), true
 		}
 		if !ok {
 			return badRequestf("Quota-Info %q", text)
--- a/balancer/randomfleet_test.go
+++ b/balancer/randomfleet_test.go
@@ -342,7 +342,7 @@
 	plan := c.rng.IntN(len(c.cfg.Plans))
 	s := Submit{ID: fmt.Sprint("q", c.ids), TimeoutMs: 50 + 1950*c.rng.Float64(), Units: float64(1 + c.rng.IntN(4)),
 		Class: c.rng.IntN(len(c.cfg.Classes)), Plan: plan, Customer: uint64(plan + len(c.cfg.Plans)*c.rng.IntN(4)),
-		Spread: randomLimiters}
+		LimiterCount: randomLimiters}
 	r := &randomRequest{id: s.ID, submit: s, deadline: c.now + s.TimeoutMs, live: map[int]StartAttempt{}}
 	c.open[i][s.ID] = r
 	c.event(i, s)
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -107,7 +107,7 @@
 	for _, s := range c.limiters[0].servers {
 		s.down = s.inSubset
 	}
-	if !c.submit(0, Submit{Plan: 3, Customer: 1, Spread: n}) {
+	if !c.submit(0, Submit{Plan: 3, Customer: 1, LimiterCount: n}) {
 		t.Error("a limiter whose subset is down rejected a request")
 	}
 }
@@ -119,7 +119,7 @@
 	used := map[[2]int]bool{}
 	for k := range requests {
 		l := c.limiters[k%n]
-		submit := Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Customer: 1, Spread: n, Units: 1}
+		submit := Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Customer: 1, LimiterCount: n, Units: 1}
 		for _, a := range append([]Action(nil), l.Handle(c.now, submit)...) {
 			if a, ok := a.(StartAttempt); ok {
 				used[[2]int{k % n, int(a.Server)}] = true
@@ -146,7 +146,8 @@
 		l.Handle(1000, Endpoints{Scope: Persisted, Servers: testServers(12)})
 		used := map[uint64]bool{}
 		for k := range 6 {
-			for _, a := range l.Handle(1000, Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Spread: 1, Units: 1}) {
+			for _, a := range l.Handle(1000,
+				Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, LimiterCount: 1, Units: 1}) {
 				if a, ok := a.(StartAttempt); ok {
 					if used[a.Server] {
 						twice++
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -49,7 +49,7 @@
 		rng := rand.New(rand.NewPCG(2, 2))
 		for range 2000 { // ten seconds at 200 requests a second over all limiters
 			i := rng.IntN(n)
-			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
+			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), LimiterCount: n})
 			l := c.limiters[i] // it takes whatever part it has, as if no other server were better
 			for s := l.servers[1]; l.hasSlowStartCredit(c.now, s); s.slowStartCredit-- {
 				c.sent[1]++
@@ -76,7 +76,7 @@
 		cfg.Caps.Peers = false
 		c := newTestFleet(t, cfg, n, []ServerInfo{{ID: 1, ReadyAt: 1e6}})
 		for k := range 2000 {
-			c.submit(k%n, Submit{Plan: 3, Customer: uint64(k), Spread: n})
+			c.submit(k%n, Submit{Plan: 3, Customer: uint64(k), LimiterCount: n})
 			c.now += 0.5
 		}
 		if c.sent[1] == 0 || c.sent[1] > 40 {
@@ -99,7 +99,7 @@
 	run := func(requests int) { // 400 a second over all limiters
 		clear(c.sent)
 		for range requests {
-			c.submit(rng.IntN(n), Submit{Plan: 3, Customer: rng.Uint64N(99), Spread: n})
+			c.submit(rng.IntN(n), Submit{Plan: 3, Customer: rng.Uint64N(99), LimiterCount: n})
 			c.now += 2.5
 		}
 	}
--- a/balancer/wire/wire.go
+++ b/balancer/wire/wire.go
@@ -327,7 +327,7 @@
 	e := balancer.Submit{ID: f.token(), TimeoutMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag()}
 	e.Plan = f.integer()
 	f.flag() // write: the class says what matters here
-	e.Spread, e.First, e.Customer = int(f.number()), int(f.number()), f.id()
+	e.LimiterCount, e.FirstLimiter, e.Customer = int(f.number()), int(f.number()), f.id()
 	return e
 }
 
--- a/balancer/wire/wire_test.go
+++ b/balancer/wire/wire_test.go
@@ -44,7 +44,8 @@
 	if len(list.Servers) != 2 || list.Servers[1] != draining {
 		t.Errorf("list %+v", list)
 	}
-	want := balancer.Submit{ID: "rq_a", TimeoutMs: 240, Units: 2, Spread: 3, First: 1, Customer: 4569004829}
+	want := balancer.Submit{ID: "rq_a", TimeoutMs: 240, Units: 2, LimiterCount: 3, FirstLimiter: 1,
+		Customer: 4569004829}
 	if got := items[2].Event.(balancer.Submit); got != want {
 		t.Errorf("submit %+v", got)
 	}
