--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,7 +1,7 @@
 package balancer
 
-// This file decides on admission: the token bucket of each customer, held at the plan's
-// global rate and burst, and the checks of a request against it.
+// Admission control: each customer has a token bucket with the global rate and burst of its
+// plan, against which its requests are checked.
 
 import (
 	"slices"
@@ -9,16 +9,16 @@
 	"example.org/elmspan/bucket"
 )
 
-// lookupCustomer returns the record of a customer and creates it on first sight. A new one
-// starts with the burst divided by the number of its limiters (spread), refilled since this
-// limiter started. The rest is withheld until its peers have answered, as they may know of
-// units spent before.
-func (l *Limiter) lookupCustomer(now float64, id uint64, plan, spread int) *customer {
+// getOrCreateCustomer returns the record of a customer and creates it on first use. A new
+// bucket holds the burst divided by limiterCount, plus the refill since this limiter started.
+// The rest of the burst is withheld until the peers have responded, as they may know of units
+// spent before.
+func (l *Limiter) getOrCreateCustomer(now float64, id uint64, plan, limiterCount int) *customer {
 	if c := l.customers[id]; c != nil {
 		return c
 	}
 	p := l.cfg.Plans[plan]
-	limiters := float64(max(1, min(spread, l.cfg.Balancers)))
+	limiters := float64(max(1, min(limiterCount, l.cfg.Balancers)))
 	c := &customer{id: id, plan: plan, refilledAt: now, seenAt: now, limitsInFlight: p.MaxInFlight > 0}
 	c.balance = min(p.Burst, p.Burst/limiters+p.Rate*(now-l.startedAt)/1000)
 	c.withheldBurst = p.Burst - c.balance
@@ -27,9 +27,9 @@
 	return c
 }
 
-// releaseWithheldBurst grants the withheld part of a customer's burst once all its peers
-// have answered the request for levels: what they did not report has not been spent. While
-// one of them has not answered, the bucket rises by its refill alone.
+// releaseWithheldBurst adds the withheld part of a customer's burst to its bucket once all its
+// peers have responded to the request for levels: units that they did not report have not been
+// spent. While a response is missing, only the refill raises the bucket.
 func (l *Limiter) releaseWithheldBurst(c *customer) {
 	if c.withheldBurst == 0 || !l.levelsComplete(c) {
 		return
@@ -39,20 +39,20 @@
 	c.withheldBurst = 0
 }
 
-// levelsComplete reports whether the peers that know a customer's level have answered.
+// levelsComplete reports whether the peers that know a customer's level have responded.
 func (l *Limiter) levelsComplete(c *customer) bool {
 	if c.usesAggregators() {
-		return l.neighborAnswered
+		return l.neighborResponded
 	}
-	return !slices.ContainsFunc(c.reportsTo, func(i int) bool { return !l.peers[i].answered })
+	return !slices.ContainsFunc(c.reportsTo, func(i int) bool { return !l.peers[i].responded })
 }
 
-// refill brings a customer's bucket and its escrow up to date.
+// refill brings a customer's bucket and escrow up to date.
 func (l *Limiter) refill(now float64, c *customer) {
 	p, seconds := l.cfg.Plans[c.plan], (now-c.refilledAt)/1000
 	c.refilledAt = now
 	c.balance = bucket.Refill(c.balance, seconds, p.Rate, p.Burst)
-	if c.spread == 0 {
+	if c.limiterCount == 0 {
 		return
 	}
 	part := c.escrowPart()
@@ -63,16 +63,17 @@
 }
 
 // checkQuota reports whether a customer may spend units now. If not, wait is the time in ms
-// until it may, as far as known here.
+// until it may, as far as this limiter knows.
 func (l *Limiter) checkQuota(c *customer, units float64) (wait float64, ok bool) {
 	p := l.cfg.Plans[c.plan]
-	// In a large set others admit what is not known here yet. Below the margin that came
-	// with a level, the lower the balance, the less is admitted. A full bucket has no margin.
+	// In a large set other limiters admit requests that are not known here yet. Below the
+	// margin that came with a level, the lower the balance, the fewer requests are admitted. A
+	// full bucket has no margin.
 	if p.Rate > 0 && c.balance < units+min(c.margin, p.Burst-c.balance)*l.rng.Float64() {
 		wait = bucket.Wait(c.balance, units, p.Rate) * 1000
 	}
 	if held := c.escrowBalance(); p.HardRate > 0 && held < units {
-		wait = max(wait, (units-held)/p.HardRate*float64(c.spread)*1000)
+		wait = max(wait, (units-held)/p.HardRate*float64(c.limiterCount)*1000)
 	}
 	if p.MaxInFlight > 0 && c.totalInFlight() >= p.MaxInFlight {
 		wait = max(wait, tickIntervalMs)
@@ -80,7 +81,8 @@
 	return wait, wait == 0
 }
 
-// spend takes units that this limiter admits. A request spends once, at its first attempt.
+// spend charges units that this limiter admits. A request is charged once, at its first
+// attempt.
 func (l *Limiter) spend(now float64, c *customer, units float64) {
 	c.balance, c.spent = c.balance-units, c.spent+units
 	for k := range c.escrow {
@@ -91,8 +93,8 @@
 	l.markUnreported(c)
 }
 
-// handleSubmit admits a request and starts its first attempt, or rejects it. Quota is checked
-// before the choice of server and spent after it, as only what is forwarded counts.
+// handleSubmit admits a request and starts its first attempt, or rejects it. The quota is
+// checked before the choice of a server and charged after it, as only forwarded requests count.
 func (l *Limiter) handleSubmit(now float64, e Submit) {
 	if l.requests[e.ID] != nil {
 		return
@@ -101,9 +103,9 @@
 		l.emit(Reject{ID: e.ID})
 		return
 	}
-	c := l.lookupCustomer(now, e.Customer, e.Plan, e.LimiterCount)
-	if c.spread == 0 {
-		l.setMembership(now, c, e.LimiterCount, e.FirstLimiter)
+	c := l.getOrCreateCustomer(now, e.Customer, e.Plan, e.LimiterCount)
+	if c.limiterCount == 0 {
+		l.assignLimiterSet(now, c, e.LimiterCount, e.FirstLimiter)
 	}
 	l.refill(now, c)
 	l.releaseWithheldBurst(c)
@@ -134,8 +136,8 @@
 	l.startAttempt(now, r, s)
 }
 
-// reject answers that nothing was executed, with the time in ms after which a retry may
-// succeed. Longer times than clients respect are shortened.
+// reject sends the final response that the request was not executed, with the time in ms after
+// which a retry may succeed, up to the longest that clients honor.
 func (l *Limiter) reject(id string, wait float64) {
 	if !l.cfg.Caps.RetryAfter {
 		wait = 0
--- a/balancer/aggregation.go
+++ b/balancer/aggregation.go
@@ -1,7 +1,7 @@
 package balancer
 
-// This file has the aggregation of a customer's spending in a large set of limiters. Two
-// aggregators receive every admission and send the set the level when it is low.
+// Aggregation of a customer's spending in a large set of limiters. Two aggregators receive
+// every admission and send the level of the bucket to the set when it is low.
 
 import (
 	"math"
@@ -9,21 +9,21 @@
 )
 
 const (
-	// maxPlanPacing is the largest factor on the interval between two levels. A level of a
-	// plan of little value that is sent to dozens of limiters takes the room of those of
-	// greater value: it may wait longer.
+	// maxPlanPacing is the largest factor on the interval between two levels. A level of a plan
+	// of little value that goes to dozens of limiters displaces levels of plans of greater
+	// value, so it may be delayed longer.
 	maxPlanPacing = 12.0
-	// lookaheadMs is how far ahead an aggregator looks for a low level, in ms.
+	// lookaheadMs is how far ahead an aggregator predicts a low level, in ms.
 	lookaheadMs = 500.0
 	// lowLevelShare is the share of the burst below which a level is low.
 	lowLevelShare = 0.4
-	// marginGain is the margin sent with a level, against the units that flow between two
+	// marginGain is the ratio of the margin sent with a level to the units spent between two
 	// levels.
 	marginGain = 2.0
 )
 
 // planPacing returns each plan's factor on the interval between two levels: levels are sent
-// more often where requests have more value and where bursts are short.
+// more often for plans with requests of greater value and with bursts that are soon spent.
 func planPacing(plans []Plan) []float64 {
 	meanValue := 0.0
 	for _, p := range plans {
@@ -38,15 +38,15 @@
 	return pacing
 }
 
-// setMembership sets through which limiters a customer's requests come, and which of them are
-// sent reports on what passes here: in a small set all of them. In a large set two
-// aggregators, which all limiters derive from the customer's number, receive every admission
-// and send the set the level when it is low. So an admission is known everywhere after two
-// messages, and nothing counts twice, as a level replaces what was known.
-func (l *Limiter) setMembership(now float64, c *customer, spread, first int) {
+// assignLimiterSet records which limiters receive a customer's requests, and which of them are
+// sent reports on what is admitted here. In a small set it is all of them. In a large set two
+// aggregators, which all limiters derive from the customer's id, receive every admission and
+// send the level to the set when it is low. An admission is thus known everywhere after two
+// messages, and none counts twice, as a level replaces what was known.
+func (l *Limiter) assignLimiterSet(now float64, c *customer, limiterCount, first int) {
 	n, p := l.cfg.Balancers, l.cfg.Plans[c.plan]
-	l.refill(now, c) // before the escrow is set, which covers the time until now
-	c.spread, c.firstLimiter = max(1, min(spread, n)), ((first%n)+n)%n
+	l.refill(now, c) // must precede the escrow, which already covers the time until now
+	c.limiterCount, c.firstLimiter = max(1, min(limiterCount, n)), ((first%n)+n)%n
 	c.initialHardBurst = p.HardBurst
 	if !l.newFleet {
 		c.initialHardBurst = min(p.HardBurst, p.HardRate*(now-l.startedAt)/1000)
@@ -55,17 +55,17 @@
 		c.escrow[k] = c.initialHardBurst * c.escrowPart()
 	}
 	if !c.usesAggregators() {
-		for k := range c.spread {
-			if i := (c.firstLimiter + k%c.spread) % n; i != l.cfg.Position {
+		for k := range c.limiterCount {
+			if i := (c.firstLimiter + k%c.limiterCount) % n; i != l.cfg.Position {
 				c.reportsTo = append(c.reportsTo, i)
 			}
 		}
 		return
 	}
 	h := hash64(c.id)
-	from, step := int(h%uint64(c.spread)), 1+int(h>>32)%(c.spread-1)
+	from, step := int(h%uint64(c.limiterCount)), 1+int(h>>32)%(c.limiterCount-1)
 	for rank := range aggregatorCount {
-		if i := (c.firstLimiter + (from+rank*step)%c.spread) % n; i != l.cfg.Position {
+		if i := (c.firstLimiter + (from+rank*step)%c.limiterCount) % n; i != l.cfg.Position {
 			c.reportsTo = append(c.reportsTo, i)
 			continue
 		}
@@ -74,8 +74,7 @@
 	}
 }
 
-// sendAggregatedLevels sends the sets of the customers aggregated here their levels, as far
-// as they are due.
+// sendAggregatedLevels sends the due levels of the customers that this limiter aggregates.
 func (l *Limiter) sendAggregatedLevels(now float64) {
 	for _, c := range l.aggregated {
 		l.refill(now, c)
@@ -86,9 +85,10 @@
 	}
 }
 
-// sendLevelIfDue sends a customer's level to its set if the set assumes more and the level is
-// low or soon will be, and with it the margin below which less is to be admitted. The standby
-// waits some ticks longer: it sends only if the first aggregator is gone.
+// sendLevelIfDue sends a customer's level to its set if the set assumes a higher one and the
+// level is low or soon will be. The message carries the margin below which fewer requests are
+// to be admitted. The standby waits some ticks longer: it sends only if the first aggregator
+// has failed.
 func (l *Limiter) sendLevelIfDue(now float64, c *customer) {
 	p, interval := l.cfg.Plans[c.plan], l.levelInterval*l.planPacing[c.plan]
 	assumed := min(p.Burst, c.sentLevel+p.Rate*(now-c.sentLevelAt)/1000)
@@ -104,18 +104,19 @@
 	c.sentLevel, c.sentLevelAt, c.overestimatedTicks = c.balance, now, 0
 	c.margin = min(p.Burst, marginGain*c.recentUnits*interval/1000)
 	level := peerMessage{flags: flagLevelUpdate, entries: []peerEntry{l.entryFor(now, c, 0)}}
-	l.sendToRange(level, c.firstLimiter, c.spread)
+	l.sendToRange(level, c.firstLimiter, c.limiterCount)
 }
 
-// applyLevel takes in a level from a peer. One from an aggregator replaces what was known
-// here, but for what was admitted too recently to be in it; the other aggregator relies on
-// the reports that it receives itself. The response of an older peer sets the level for a
-// limiter that has just started and knows nothing yet.
+// applyLevel applies a level received from a peer. A level from an aggregator replaces the
+// balance, less what was admitted here too recently to be included in it. An aggregator that
+// knows the level ignores that of the other one and relies on the reports that it receives
+// itself. The response of an older peer sets the level for a limiter that has just started and
+// knows none yet.
 func (l *Limiter) applyLevel(now float64, from int, m *peerMessage, en peerEntry) {
 	if !l.acceptsCustomer(en.customer) {
 		return
 	}
-	c := l.lookupCustomer(now, en.customer, int(en.plan), l.cfg.Balancers)
+	c := l.getOrCreateCustomer(now, en.customer, int(en.plan), l.cfg.Balancers)
 	burst := l.cfg.Plans[c.plan].Burst
 	level := min(burst, max(l.minLevel(c), float64(en.level)/unitScale))
 	l.refill(now, c)
@@ -125,7 +126,7 @@
 		}
 		return
 	}
-	if c.spread > 0 && !slices.Contains(c.reportsTo, from) {
+	if c.limiterCount > 0 && !slices.Contains(c.reportsTo, from) {
 		return
 	}
 	if !c.isAggregator || !c.levelKnown {
@@ -138,9 +139,9 @@
 	c.margin = min(burst, float64(min(en.margin, math.MaxInt32))/unitScale)
 }
 
-// minLevel is the lowest level that a bucket can come to: each of the customer's limiters
-// admits the whole burst before it receives a report. It bounds the level from a peer, which
-// could reject a customer for long otherwise.
+// minLevel is the lowest level that a bucket can reach: each of the customer's limiters admits
+// the whole burst before it receives a report. It bounds the level received from a peer, which
+// could otherwise lock a customer out for long.
 func (l *Limiter) minLevel(c *customer) float64 {
-	return -l.cfg.Plans[c.plan].Burst * float64(max(1, c.spread))
+	return -l.cfg.Plans[c.plan].Burst * float64(max(1, c.limiterCount))
 }
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -1,45 +1,45 @@
 package balancer
 
-// This file has the lifecycle of a request: its attempts, their outcomes, retries within
-// the retry budget, and the final response.
+// The lifecycle of a request: its attempts, their outcomes, retries within the retry budget,
+// and the final response.
 
 import "slices"
 
 const (
-	// Retries that may have cost a server work are paid from a budget: each first attempt
-	// adds retryBudgetShare, up to maxRetryBudget.
+	// Retries that may have cost a server work are charged to a budget: each first attempt adds
+	// retryBudgetShare to it, up to maxRetryBudget.
 	retryBudgetShare = 0.2
 	maxRetryBudget   = 10.0
 )
 
-// request is a request without its final response.
+// request is a request that has no final response yet.
 type request struct {
 	id         string
 	class      int
 	units      float64
 	customer   *customer
-	targetAt   float64 // a response until then meets the latency target
-	deadlineAt float64 // the client gives up then
-	waitFactor float64 // on its spare time, see setWaitFactor
+	targetAt   float64 // until then a response meets the latency target
+	deadlineAt float64 // the client gives up at this time
+	waitFactor float64 // factor on its spare time, see setWaitFactor
 	attempts   []attempt
 	inFlight   int  // attempts without an outcome
 	streaming  bool // the response has begun
 
-	// The first attempt that may have been executed; executedOn is nil while there is none.
+	// The first attempt that may have been executed; executedOn is nil if there is none.
 	executedOn     *server
 	executedOnInfo ServerInfo
 	executedAt     float64
 }
 
-// attempt is one forwarding of a request to a server.
+// attempt is one attempt to have a request executed by a server.
 type attempt struct {
 	server *server
 	sentAt float64
-	load   float64 // requests in flight at the server, with this one
+	load   float64 // requests in flight at the server, including this one
 	ended  bool
 }
 
-// hasAttemptAt reports whether an attempt of the request was sent to a server.
+// hasAttemptAt reports whether the request has been sent to a server.
 func (r *request) hasAttemptAt(s *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
@@ -65,8 +65,8 @@
 	}
 }
 
-// handleOutcome takes in how an attempt ended. The counts are settled first, so that all that
-// follows sees the attempt as ended.
+// handleOutcome handles the end of an attempt. The attempt is released first, so that all that
+// follows sees it as ended.
 func (l *Limiter) handleOutcome(now float64, e Outcome) {
 	r := l.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
@@ -90,8 +90,8 @@
 	}
 }
 
-// mayRetry reports whether another attempt can't execute the request twice and comes within
-// the deadline and the number of attempts.
+// mayRetry reports whether another attempt is permitted: it can't execute the request twice,
+// and neither the deadline nor the number of attempts is reached.
 func (l *Limiter) mayRetry(now float64, r *request) bool {
 	if now >= r.deadlineAt || len(r.attempts) >= max(1, l.cfg.Caps.MaxAttempts) {
 		return false
@@ -101,15 +101,16 @@
 		class.Idempotency == Keyed && now < r.executedAt+class.DedupWindowMs
 }
 
-// clientMayRetry reports whether a retry by the client can't execute the request twice. The
-// client's retry may come to any server.
+// clientMayRetry reports whether a retry by the client can't execute the request twice. Such a
+// retry may be sent to any server.
 func (l *Limiter) clientMayRetry(r *request) bool {
 	class := l.cfg.Classes[r.class]
 	return r.executedOn == nil || class.Idempotency == Safe ||
 		class.Idempotency == Keyed && class.DedupScope == DedupAll
 }
 
-// retryOrFinish makes another attempt or gives the final response. No attempt is in flight.
+// retryOrFinish starts another attempt or sends the final response. No attempt may be in
+// flight.
 func (l *Limiter) retryOrFinish(now float64, r *request, last Result) {
 	costly := last != ConnectFailed && last != NotSent
 	if l.mayRetry(now, r) && (!costly || l.retryBudget >= 1) {
@@ -129,8 +130,8 @@
 	l.removeRequest(r)
 }
 
-// removeRequest forgets a request and cancels its attempts in flight. Outcomes still to come
-// are ignored, so their counts are settled here. A nil request is ignored.
+// removeRequest removes a request and cancels its attempts in flight. It releases them, as
+// their outcomes will be ignored. A nil request is ignored.
 func (l *Limiter) removeRequest(r *request) {
 	if r == nil {
 		return
@@ -146,7 +147,7 @@
 	delete(l.requests, r.id)
 }
 
-// settleAttempt takes an attempt that is no longer in flight out of all counts.
+// releaseAttempt removes an attempt that is no longer in flight from all counts.
 func (l *Limiter) releaseAttempt(r *request, a *attempt) {
 	a.ended = true
 	r.inFlight--
@@ -155,11 +156,11 @@
 	l.inFlight--
 }
 
-// provesNotExecuted reports whether a result shows that nothing was executed.
+// provesNotExecuted reports whether a result proves that the request was not executed.
 func provesNotExecuted(r Result) bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// sortedRequests returns the ids of all requests in ascending order, so that equal events
-// give equal actions.
+// sortedRequests returns the ids of all requests in ascending order, so that equal events yield
+// equal actions.
 func (l *Limiter) sortedRequests() []string {
 	ids := make([]string, 0, len(l.requests))
 	for id := range l.requests {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,6 +1,6 @@
 package balancer
 
-// This file has the list of servers and the subset of it that this limiter uses.
+// The list of servers, and the subset of it that this limiter uses.
 
 import (
 	"cmp"
@@ -10,44 +10,46 @@
 // minSubsetServers is the least number of servers in the subset of a limiter.
 const minSubsetServers = 12
 
-// Bounds of the pause after which a failed request for the list is repeated, in ms.
+// A failed request for the list is repeated after minRewatchMs plus a random part of
+// rewatchJitterMs.
 const (
 	minRewatchMs    = 1000
 	rewatchJitterMs = 1000
 )
 
-// server is what is known of a server process.
+// server is the state of a server process at this limiter.
 type server struct {
 	info     ServerInfo
-	inSubset bool // this limiter normally uses it
-	inFlight int  // attempts of this limiter there
+	inSubset bool // part of the subset that this limiter normally uses
+	inFlight int  // attempts of this limiter in flight there
 
-	// Decaying sums of response times against the typical ones, and of their number.
-	relativeTimeSum  float64
-	answerWeight     float64
-	answersDecayedAt float64
+	// Decaying sums of the response times relative to the typical ones, and of their number.
+	relativeTimeSum        float64
+	responseWeight         float64
+	responseTimesDecayedAt float64
 
-	// Credit for one request in slow start, from below 0 to 1.
+	// Credit for requests in slow start: one request costs 1. It is at most 1 and may be
+	// negative.
 	slowStartCredit   float64
 	slowStartCreditAt float64
 
 	down            bool
-	connectFailures int     // in a row
-	rejectingUntil  float64 // it rejected a request and gets none until then
-	waitingSince    float64 // last response, or first request in flight after it
+	connectFailures int     // consecutive
+	rejectingUntil  float64 // it rejected a request and gets none until this time
+	waitingSince    float64 // time of the last response, or of the first attempt in flight if that is later
 	probedAt        float64
 	ejections       []ejection // by class
 }
 
-// newServer returns the record of a server process of which nothing is known. Its credit in
-// slow start is random, so that limiters don't send their first requests to it together.
+// newServer returns the state of a server process about which nothing is known. Its slow-start
+// credit is random, so that limiters don't all send it their first requests at once.
 func (l *Limiter) newServer(now float64, inFlight int) *server {
 	return &server{inFlight: inFlight, waitingSince: now, slowStartCredit: l.rng.Float64(), slowStartCreditAt: now,
 		ejections: make([]ejection, len(l.cfg.Classes))}
 }
 
-// handleEndpoints takes in a list of servers or a change of it. A server with another start
-// time is another process: nothing that is known of the former one holds.
+// handleEndpoints applies a list of servers or a change to it. A server with another start time
+// is another process: nothing that is known about the former one applies.
 func (l *Limiter) handleEndpoints(now float64, e Endpoints) {
 	if e.Scope == Failed {
 		if l.cfg.PollMembership {
@@ -74,8 +76,8 @@
 	l.chooseSubset()
 }
 
-// rebuildServerList removes servers that are no longer listed once no attempt is in flight
-// there, and orders the others by id, so that equal events give equal actions.
+// rebuildServerList removes servers that are no longer listed and have no attempt in flight,
+// and sorts the others by id, so that equal events yield equal actions.
 func (l *Limiter) rebuildServerList() {
 	l.serverList = l.serverList[:0]
 	for id, s := range l.servers {
@@ -89,11 +91,12 @@
 }
 
 // chooseSubset chooses the servers that this limiter normally uses, by deterministic
-// subsetting. One of many limiters that used all servers would send each so little that every
-// other request needed a new connection, and would learn nothing of any. Each group of
-// limiters divides all servers among its members, in an order of its own, so that every
-// server has equally many limiters and few change when the list does. The number of parts is
-// a power of two: a part of a coarser division holds the finer ones.
+// subsetting. If each of many limiters used all servers, each would send a server so little
+// that every other request needed a new connection, and would learn nothing about any server.
+// Each group of limiters divides all servers among its members, in an order of its own, so that
+// every server is used by equally many limiters and few assignments change with the list. The
+// number of parts is a power of two, so that a part of a coarser division contains those of the
+// finer ones.
 func (l *Limiter) chooseSubset() {
 	var up []*server
 	for _, s := range l.serverList {
@@ -115,7 +118,7 @@
 	}
 }
 
-// hash64 spreads a number over all bits: the finalizer of splitmix64.
+// hash64 mixes the bits of a number with the finalizer of splitmix64.
 func hash64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/balancer/escrow_test.go
+++ b/balancer/escrow_test.go
@@ -13,7 +13,7 @@
 	s.now += 1e6
 	spent := 0
 	begin := s.now
-	s.l.lookupCustomer(s.now, 0, 1, 2).balance = 1e9
+	s.l.getOrCreateCustomer(s.now, 0, 1, 2).balance = 1e9
 	s.l.cfg.Plans[1].Burst, s.l.cfg.Plans[1].Rate = 1e9, 1e9
 	for range 500 {
 		s.now += 10
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -12,7 +12,7 @@
 // testdata/golden hold their bytes as written by f96d826: later versions write the same.
 func goldenPeerMessages() map[string]peerMessage {
 	entry := peerEntry{
-		customer: 4569004829, plan: 2, spread: 9, firstLimiter: 3, spent: 1 << 40, newlySpent: 300, level: -77,
+		customer: 4569004829, plan: 2, limiterCount: 9, firstLimiter: 3, spent: 1 << 40, newlySpent: 300, level: -77,
 	}
 	withInFlight := entry
 	withInFlight.inFlight = 12
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -1,7 +1,8 @@
 package balancer
 
-// This file sends messages to peers: reports on what passed here, requests for levels and
-// the responses to them. Messages are paced so that no peer receives more than it can take.
+// Messages to peers: reports on what was admitted here, requests for levels and the responses
+// to them. A level is the balance of a customer's bucket. Messages are paced so that no peer
+// receives more than it can process.
 
 import (
 	"cmp"
@@ -10,31 +11,32 @@
 )
 
 const (
-	// levelsRequestMs is how long a starting limiter requests levels from its peers, in ms.
+	// levelsRequestMs is how long after its start a limiter requests levels, in ms.
 	levelsRequestMs = 2000.0
-	// gossipShare is the share that its peers use together of the messages that a limiter
-	// takes in; the rest covers jitter.
+	// gossipShare is the share of the messages that a limiter can receive which its peers use
+	// together; the rest is a reserve for jitter.
 	gossipShare = 0.9
-	// The interval between two levels of a customer rises from the time in which
-	// levelIntervalMessages messages are taken in, by this exponent of the messages received
-	// above half of the fair number.
+	// The interval between two levels of a customer is the time in which a limiter can receive
+	// levelIntervalMessages messages. It rises with exp(levelIntervalSteepness * excess), where
+	// excess is the number of levels received above half of the fair number, relative to that
+	// number.
 	levelIntervalMessages  = 10.0
 	levelIntervalSteepness = 4.0
 )
 
-// peer is what is known of another limiter, and what is to be sent to it.
+// peer is the state of another limiter, and what is to be sent to it.
 type peer struct {
 	incarnation         uint32 // of its last report
 	previousIncarnation uint32
-	seq                 uint64 // of the last report sent to it
-	answered            bool   // it has answered the request for levels
-	answeredAt          float64
-	due                 []*customer // to be reported in this tick
-	grants              []peerEntry // to be sent in this tick
+	seq                 uint64      // of the last report sent to it
+	responded           bool        // it has responded to the request for levels
+	levelsSentAt        float64     // when its request for levels was last responded to
+	due                 []*customer // customers to be reported in this tick
+	grants              []peerEntry // grants to be sent in this tick
 }
 
-// exchangeWithPeers sends what is due: levels first, then grants, then reports in turn while
-// there is credit.
+// exchangeWithPeers sends what is due: levels first, then grants, then reports to the peers in
+// turn while there is credit.
 func (l *Limiter) exchangeWithPeers(now float64) {
 	fair := gossipShare * l.cfg.PeerMessagesPerSecond * tickIntervalMs / 1000 // messages per tick
 	l.sendCredit = min(max(1, float64(len(l.peers)-1)), l.sendCredit+fair)
@@ -49,9 +51,9 @@
 	})
 }
 
-// paceLevels sets the interval between two levels of a customer. Limiters are sent equally
-// many levels: those received here show an aggregator whether it may send more often. Reports
-// show nothing, as only aggregators receive them.
+// paceLevels sets the interval between two levels of a customer. All limiters are sent equally
+// many levels, so the levels received here show an aggregator whether it may send more often.
+// Reports do not show it, as only aggregators receive them.
 func (l *Limiter) paceLevels(fair float64) {
 	l.receiveRate += (l.levelsReceived/fair - l.receiveRate) * tickIntervalMs / 1000
 	l.levelsReceived = 0
@@ -73,7 +75,7 @@
 	}
 }
 
-// collectDueReports lists for each peer the customers to report, the most urgent first.
+// collectDueReports lists the customers to report to each peer, the most urgent first.
 func (l *Limiter) collectDueReports() {
 	slices.SortStableFunc(l.unreported, func(a, b *customer) int {
 		return cmp.Compare(b.reportPriority(), a.reportPriority())
@@ -87,8 +89,8 @@
 	}
 }
 
-// sendDueReports sends reports while there is credit. The next tick goes on with the peer
-// after the last one, so that none is left out for long.
+// sendDueReports sends reports while there is credit. The next tick continues with the peer
+// after the last one served, so that no peer is skipped for long.
 func (l *Limiter) sendDueReports(now float64) {
 	for k, from := 0, l.nextPeer; k < len(l.peers); k++ {
 		i := (from + k) % len(l.peers)
@@ -101,15 +103,15 @@
 	}
 }
 
-// requestsLevels reports whether this limiter, just started, requests levels from a peer: one
-// near it on the ring that has not answered yet.
+// requestsLevels reports whether this limiter, having just started, requests levels from a
+// peer: one near it on the ring that has not responded yet.
 func (l *Limiter) requestsLevels(now float64, i int) bool {
 	distance := l.ringDistance(i)
-	return now-l.startedAt < levelsRequestMs && !l.peers[i].answered && distance > 0 && distance <= maxDirectPeers/2
+	return now-l.startedAt < levelsRequestMs && !l.peers[i].responded && distance > 0 && distance <= maxDirectPeers/2
 }
 
-// sendReport sends a peer what has changed, the most urgent first. In small sets each figure
-// is sent once more, in case the message is lost.
+// sendReport sends a peer what has changed, the most urgent first. In small sets each figure is
+// sent a second time, in case the first message is lost.
 func (l *Limiter) sendReport(now float64, i int) {
 	p := &l.peers[i]
 	p.seq++
@@ -142,17 +144,17 @@
 	return v.resend || c.spentSteps(v.sentSpent) != v.sentSpent || c.inFlight != v.sentInFlight && c.limitsInFlight
 }
 
-// reportPriority is the last spending against what is left.
+// reportPriority is the ratio of the units of the last request admitted to the balance.
 func (c *customer) reportPriority() float64 { return (c.lastUnits + 1) / max(1, c.balance) }
 
-// entryFor returns the report on a customer to a peer whose last report had sentSpent.
+// entryFor returns the report on a customer to a peer whose last report said sentSpent.
 func (l *Limiter) entryFor(now float64, c *customer, sentSpent uint64) peerEntry {
 	l.refill(now, c)
 	spent := c.spentSteps(sentSpent)
 	return peerEntry{
 		customer:     c.id,
 		plan:         uint64(c.plan),
-		spread:       uint64(c.spread),
+		limiterCount: uint64(c.limiterCount),
 		firstLimiter: uint64(c.firstLimiter),
 		spent:        spent,
 		newlySpent:   spent - sentSpent,
@@ -162,8 +164,8 @@
 	}
 }
 
-// sendToRange sends a message to n limiters in a row, but not to this one, and returns how
-// many of its entries fitted in.
+// sendToRange sends a message to n consecutive limiters, except this one, and returns how many
+// of its entries fitted in.
 func (l *Limiter) sendToRange(m peerMessage, first, n int) (entries int) {
 	data, entries := m.encode()
 	for j := range n {
@@ -174,7 +176,7 @@
 	return entries
 }
 
-// markUnreported lists a customer among those with something to report.
+// markUnreported adds a customer to those with something to report.
 func (l *Limiter) markUnreported(c *customer) {
 	if !c.unreported && l.cfg.Caps.Peers {
 		c.unreported = true
@@ -182,14 +184,14 @@
 	}
 }
 
-// ringDistance is the distance between this limiter and another on the ring of positions.
+// ringDistance is the distance between this limiter and another one on the ring of positions.
 func (l *Limiter) ringDistance(i int) int {
 	d := i - l.cfg.Position
 	return min(max(d, -d), l.cfg.Balancers-max(d, -d))
 }
 
-// sendLevelsResponse sends a limiter that has just started the levels below full, in as many
-// messages as they need.
+// sendLevelsResponse sends a limiter that has just started all levels below the burst, in as
+// many messages as needed.
 func (l *Limiter) sendLevelsResponse(now float64, to int) {
 	m := peerMessage{flags: flagLevelUpdate | flagLevelsResponse, ageMs: uint64(now - l.startedAt)}
 	for _, c := range l.customerList {
@@ -208,11 +210,11 @@
 }
 
 // sendsLevelOf reports whether a starting limiter is sent a customer's level. In large sets
-// only its neighbors on the ring send low levels: they have mostly the same customers.
+// only its neighbors on the ring send it low levels, as they have mostly the same customers.
 func (l *Limiter) sendsLevelOf(c *customer, to int) bool {
 	burst := l.cfg.Plans[c.plan].Burst
 	below := burst - c.balance - c.withheldBurst
-	if c.usesAggregators() || c.spread == 0 {
+	if c.usesAggregators() || c.limiterCount == 0 {
 		return l.ringDistance(to) == 1 && below > (1-lowLevelShare)*burst && below > 0
 	}
 	return slices.Contains(c.reportsTo, to) && below > 0
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -70,7 +70,7 @@
 		data, _ := m.encode()
 		s.do(PeerMessage{From: 1, Data: data})
 	}
-	send(peerEntry{customer: 5, spread: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
+	send(peerEntry{customer: 5, limiterCount: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
 	s.now += 6500 // three bursts of 20 at 10 a second and a little
 	if got := s.admit(1, Submit{Customer: 5, LimiterCount: 2}); got != 1 {
 		t.Error("kept out for longer than the limiters' bursts take")
@@ -90,7 +90,7 @@
 	if len(s.l.customers) != 0 {
 		t.Error("the customer is still known")
 	}
-	send(peerEntry{customer: 5, spread: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
+	send(peerEntry{customer: 5, limiterCount: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
 	if c := s.l.customers[5]; c == nil || c.balance != 18 {
 		t.Errorf("after it was forgotten: %+v", c)
 	}
@@ -98,8 +98,8 @@
 
 func FuzzDecodePeer(f *testing.F) {
 	m := peerMessage{flags: knownFlags, incarnation: 9, seq: 300, ageMs: 70000,
-		entries: []peerEntry{{customer: 1 << 32, plan: 2, spread: 3, spent: 77, newlySpent: 4, level: -5,
-			inFlight: 3}, {customer: 4, spread: 1, level: 9}}}
+		entries: []peerEntry{{customer: 1 << 32, plan: 2, limiterCount: 3, spent: 77, newlySpent: 4, level: -5,
+			inFlight: 3}, {customer: 4, limiterCount: 1, level: 9}}}
 	data, _ := m.encode()
 	f.Add(data)
 	f.Add([]byte{peerMagic, peerVersion, 0})
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -124,7 +124,7 @@
 // peer encodes what a peer of this age says of customer 0.
 func peerReport(ageMs float64, seq, spentUnits uint64) PeerMessage {
 	m := peerMessage{incarnation: 77, seq: seq, ageMs: uint64(ageMs)}
-	m.entries = []peerEntry{{spread: 2, spent: spentUnits * unitScale}}
+	m.entries = []peerEntry{{limiterCount: 2, spent: spentUnits * unitScale}}
 	data, _ := m.encode()
 	return PeerMessage{From: 1, Data: data}
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,38 +1,40 @@
 package balancer
 
-// This file judges the health of servers: failed connects and missing responses mark a server down,
-// failures of a class eject it for that class, and probes bring it back.
+// Health checking and outlier ejection: failed connects and missing responses mark a server
+// down, failures of a class eject it for that class, and probes bring it back.
 
 import "slices"
 
 const (
-	// downAfterFailures is the number of failed connects in a row after which a server is down.
+	// downAfterFailures is the number of consecutive failed connects after which a server is
+	// down.
 	downAfterFailures = 2
-	// A server is unresponsive after unresponsiveFactor times the expected time without a
-	// response.
+	// A server is unresponsive after unresponsiveFactor times the expected response time
+	// without a response.
 	unresponsiveFactor = 4.0
 	// minProbeIntervalMs is the least time between two probes of a server, in ms.
 	minProbeIntervalMs = 500.0
 
-	// A server is ejected for a class for ejectionMs after ejectAfterFailures failures of
-	// the class there within half of that time.
+	// A server is ejected for a class, for ejectionMs, after ejectAfterFailures failures of the
+	// class there, each within half of that time of the one before.
 	ejectionMs         = 4000.0
 	ejectAfterFailures = 2
-	// Failure hints to peers take hintMessageShare of the messages. None are sent where more
-	// than maxHintFailureShare of all responses fail, as that is no one server's fault.
+	// Failure hints to peers use at most hintMessageShare of the messages. None are sent while
+	// more than maxHintFailureShare of all responses fail, as no single server causes that.
 	hintMessageShare    = 0.12
 	maxHintFailureShare = 0.3
 )
 
-// ejection is what is known of the failures of one class at a server.
+// ejection is the state of one class at a server: its failures and its ejection.
 type ejection struct {
-	failures      int // within half of ejectionMs of each other
+	failures      int // each within half of ejectionMs of the one before
 	lastFailureAt float64
-	until         float64 // the server gets no requests of the class until then
+	until         float64 // the server gets no requests of the class until this time
 }
 
-// observeOutcome learns about a server and a class from how an attempt ended. An attempt that
-// was in flight while this process was paused says nothing.
+// observeOutcome updates what is known about a server and a class from the end of an attempt.
+// An attempt that was in flight while this process was paused is ignored, as its time says
+// nothing about the server.
 func (l *Limiter) observeOutcome(now float64, a *attempt, r *request, e Outcome) {
 	s := a.server
 	s.waitingSince = now
@@ -53,8 +55,8 @@
 	}
 }
 
-// observeFailureShare counts an executed attempt as success or failure. A failure is counted
-// at the server too, and peers may be sent a hint of it.
+// observeFailureShare counts an executed attempt as a success or a failure. A failure is also
+// counted at the server, and a hint of it may be sent to the peers.
 func (l *Limiter) observeFailureShare(now float64, s *server, class int, result Result) {
 	switch result {
 	case Success:
@@ -67,7 +69,7 @@
 	}
 }
 
-// sendFailureHint sends all peers a hint of a failure of a class at a server, if a hint is due and
+// sendFailureHint sends all peers a hint that a class failed at a server, if a hint is due and
 // the server is not ejected for the class yet.
 func (l *Limiter) sendFailureHint(now float64, s *server, class int) {
 	due := now >= l.nextHintAt && l.failureShare < maxHintFailureShare
@@ -83,10 +85,10 @@
 }
 
 // recordFailure counts a failure of a class at a server, observed here or reported by a peer.
-// One of many limiters sends each server too little to judge it alone. When the ejection ends
-// all use the server again, and the first failures eject it anew. A fault of all servers must
-// not be blamed on some: at most half of the servers are ejected, and as many failures as the
-// share of failures in the whole fleet makes likely count for nothing.
+// One of many limiters sends each server too few requests to judge it alone. When an ejection
+// ends, all limiters use the server again, and its first failures eject it anew. A fault that
+// affects all servers must not be attributed to some: at most half of the servers are ejected,
+// and as many failures as the failure share of the whole fleet makes likely are ignored.
 func (l *Limiter) recordFailure(now float64, s *server, class int) {
 	e := &s.ejections[class]
 	if now-e.lastFailureAt > ejectionMs/2 {
@@ -104,12 +106,12 @@
 		return
 	}
 	if now >= e.until {
-		l.logf("server %d: class %d fails there, kept off", s.info.ID, class)
+		l.logf("server %d ejected for request class %d after repeated failures", s.info.ID, class)
 	}
 	e.until = now + ejectionMs
 }
 
-// markDown stops the use of a server and cancels the attempts there that may be retried.
+// markDown marks a server down and cancels the attempts there that may be retried.
 func (l *Limiter) markDown(s *server, reason string) {
 	if !s.down {
 		l.logf("server %d is down: %s", s.info.ID, reason)
@@ -138,8 +140,8 @@
 	return now-s.waitingSince > unresponsiveFactor*typical+l.cfg.Caps.ConnectTimeoutMs
 }
 
-// checkServers probes the servers that are down or unresponsive. Where there are no probes, a server
-// that is down is tried with one request at a time.
+// checkServers probes the servers that are down or unresponsive. Where the deployment has no
+// probes, a server that is down is tried with one request at a time.
 func (l *Limiter) checkServers(now float64) {
 	for _, s := range l.serverList {
 		if s.info.Phase != Up || !s.down && !l.unresponsive(now, s) || now < s.probedAt+minProbeIntervalMs {
@@ -154,7 +156,8 @@
 	}
 }
 
-// handleProbeResult brings a server back that responds, and marks one down that doesn't.
+// handleProbeResult brings a server that responds back into use, and marks one down that does
+// not.
 func (l *Limiter) handleProbeResult(now float64, e ProbeResult) {
 	s := l.servers[e.Server]
 	if s == nil || s.info.Phase != Up {
@@ -165,11 +168,11 @@
 		s.waitingSince = now
 		if s.down {
 			s.down, s.connectFailures = false, 0
-			l.logf("server %d answers again", s.info.ID)
+			l.logf("server %d is up again: the probe succeeded", s.info.ID)
 		}
 	case TimedOut, ConnectFailed, ConnectionLost:
 		if s.down || l.unresponsive(now, s) {
-			l.markDown(s, "silent, and the probe failed")
+			l.markDown(s, "no response, and the probe failed")
 		}
 	}
 }
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -1,10 +1,10 @@
 package balancer
 
-// This file has the state of a limiter and the entry to its decisions. Each concern has
-// a file of its own: admission.go, escrow.go and overload.go decide whether a request is
-// admitted; serverchoice.go, latency.go, slowstart.go and endpoints.go which server gets it;
-// attempts.go whether it is retried; health.go which servers are ejected; gossip.go,
-// aggregation.go and peerupdates.go what limiters report to each other.
+// The state of a limiter and the dispatch of its events. Each concern has a file of its own:
+// admission.go, escrow.go and overload.go decide whether a request is admitted;
+// serverchoice.go, latency.go, slowstart.go and endpoints.go which server gets it; attempts.go
+// whether it is retried; health.go which servers are ejected; gossip.go, aggregation.go and
+// peerupdates.go what limiters report to each other.
 
 import (
 	"fmt"
@@ -12,14 +12,14 @@
 )
 
 const (
-	// tickIntervalMs is the period of the tick, at which peers are sent what has changed,
-	// unresponsive servers are probed and idle customers are evicted.
+	// tickIntervalMs is the period of the tick, in ms. At each tick peers are sent what has
+	// changed, unresponsive servers are probed and idle customers are evicted.
 	tickIntervalMs = 50.0
-	// pausedAfterMs is the time without an event after which this process must have been
-	// paused. What was in flight meanwhile says nothing about servers.
+	// pausedAfterMs is the time without an event, in ms, after which this process must have
+	// been paused. Attempts that were in flight meanwhile say nothing about servers.
 	pausedAfterMs = 4 * tickIntervalMs
-	// averagingWeight is the weight of one request in the moving averages of overload
-	// pressure, mean value and failure share.
+	// averagingWeight is the weight of one request in the moving averages of overload pressure,
+	// request value and failure share.
 	averagingWeight = 0.02
 )
 
@@ -29,68 +29,68 @@
 	rewatchTimer = "ask"
 )
 
-// Limiter decides for one gateway. Make one with [New]; it is not safe for concurrent use.
-// Times are in milliseconds on the host's clock.
+// Limiter makes the decisions of one gateway. Create one with [New]. It is not safe for
+// concurrent use.
 type Limiter struct {
 	cfg         Settings
 	rng         *rand.Rand
-	incarnation uint32 // distinguishes this process from an earlier one; never 0
+	incarnation uint32 // distinguishes this process from earlier ones of this position; never 0
 	actions     []Action
 
 	started     bool
 	startedAt   float64
 	lastEventAt float64
-	resumedAt   float64 // when this process last went on after a pause
+	resumedAt   float64 // when this process last resumed after a pause
 
 	// Requests and customers.
 	requests           map[string]*request
 	customers          map[uint64]*customer
-	customerList       []*customer // in order of appearance
-	evictedAt          float64     // when idle customers were last evicted
-	evicted            bool        // a customer has been evicted since the start
+	customerList       []*customer // in order of first use
+	evictedAt          float64     // when idle customers were last looked for
+	evicted            bool        // some customer has been evicted since the start
 	limitsInFlight     bool        // some plan limits the attempts in flight
 	typicalTimeouts    []typicalTimeout
 	clientsMarkRetries bool
 
 	// Load and overload.
-	inFlight         int     // attempts
-	overloadPressure float64 // share of recent requests rejected for lack of servers
-	meanValue        float64 // mean value of a request for its work
+	inFlight         int     // attempts in flight
+	overloadPressure float64 // share of recent requests rejected because no server could take them
+	meanValue        float64 // mean value of a request per typical response time
 	valuedRequests   float64 // number of requests in meanValue
 	retryBudget      float64 // retries that may be made now
 	recentAttempts   float64 // decaying number of attempts, see decayedAttempts
-	recentAttemptsAt float64 // when recentAttempts was brought up to date
-	failureShare     float64 // share of recent responses that fail
+	recentAttemptsAt float64 // last update of recentAttempts
+	failureShare     float64 // share of recent responses that were failures
 
 	// Servers.
-	servers      map[uint64]*server
-	serverList   []*server // by id
-	unseenShare  float64   // share of a server's load that this limiter can't see
-	warmCapacity float64   // what the servers of the subset can do, in warm servers
-	upServers    float64   // number of servers in the subset
-	typicalMs    []float64 // by class: response time alone on a server
-	answerCount  []float64 // by class: number of responses in typicalMs
-	loadModel    loadModel
-	hintInterval float64 // least time between two failure hints
-	nextHintAt   float64
+	servers       map[uint64]*server
+	serverList    []*server // by id
+	unseenShare   float64   // share of a server's load that this limiter does not see
+	warmCapacity  float64   // capacity of the subset, in warm servers
+	upServers     float64   // number of servers in the subset
+	typicalMs     []float64 // by class: typical response time
+	responseCount []float64 // by class: number of responses in typicalMs
+	loadModel     loadModel
+	hintInterval  float64 // least time between two failure hints, in ms
+	nextHintAt    float64
 
 	// Messages between limiters.
-	peers            []peer
-	aggregated       []*customer // customers of which this limiter is an aggregator
-	unreported       []*customer // customers with something to report
-	neighborAnswered bool        // a neighbor has answered the request for levels
-	olderPeerSeen    bool        // a peer has run for longer than this limiter
-	newFleet         bool        // all limiters have just started
-	nextPeer         int         // the peer that is sent its report first
-	sendCredit       float64     // messages that may be sent
-	levelsReceived   float64     // level updates since the last tick
-	receiveRate      float64     // level updates received, against the fair number
-	planPacing       []float64   // by plan: factor on levelInterval
-	levelInterval    float64     // least time between two levels of a customer
+	peers             []peer
+	aggregated        []*customer // customers of which this limiter is an aggregator
+	unreported        []*customer // customers with something to report
+	neighborResponded bool        // a neighbor has responded to the request for levels
+	olderPeerSeen     bool        // some peer has run for longer than this limiter
+	newFleet          bool        // all limiters have just started
+	nextPeer          int         // first peer to be sent its report in the next tick
+	sendCredit        float64     // messages that may be sent now
+	levelsReceived    float64     // level updates since the last tick
+	receiveRate       float64     // level updates received, relative to the fair number
+	planPacing        []float64   // by plan: factor on levelInterval
+	levelInterval     float64     // least time between two levels of a customer, in ms
 }
 
-// New returns a Limiter, or an error that names the setting that makes no sense. Limiters
-// with equal settings and seeds decide equally.
+// New returns a Limiter, or an error that names the invalid setting. Limiters with equal
+// settings and seeds decide equally.
 func New(s Settings, seed uint64) (*Limiter, error) {
 	if err := checkSettings(s); err != nil {
 		return nil, fmt.Errorf("balancer: %w", err)
@@ -105,7 +105,7 @@
 		customers:       map[uint64]*customer{},
 		peers:           make([]peer, s.Balancers),
 		typicalMs:       make([]float64, classes),
-		answerCount:     make([]float64, classes),
+		responseCount:   make([]float64, classes),
 		typicalTimeouts: make([]typicalTimeout, classes),
 		planPacing:      planPacing(s.Plans),
 	}
@@ -117,7 +117,8 @@
 	return l, nil
 }
 
-// Handle takes one event and returns what is to be done, valid until the next call.
+// Handle processes one event and returns the actions to execute. They are valid until the next
+// call.
 func (l *Limiter) Handle(now float64, ev Event) []Action {
 	l.actions = l.actions[:0]
 	if !l.started {
@@ -148,8 +149,8 @@
 	return l.actions
 }
 
-// start begins the tick and the watch of the endpoints, at the first event. Hints and ticks
-// begin at random times, so that limiters started together don't send together.
+// start begins the tick and the watch of the list of servers, at the first event. Hints and
+// ticks begin at random times, so that limiters started together don't send at the same time.
 func (l *Limiter) start(now float64) {
 	l.started, l.startedAt, l.evictedAt = true, now, now
 	l.hintInterval = 1000 * float64(len(l.peers)) / (hintMessageShare * max(1, l.cfg.PeerMessagesPerSecond))
@@ -181,8 +182,8 @@
 	}
 }
 
-// emit adds an action to the reply.
+// emit appends an action to those that Handle returns.
 func (l *Limiter) emit(a Action) { l.actions = append(l.actions, a) }
 
-// logf adds a line for the operators to the reply.
+// logf emits a log line for operators.
 func (l *Limiter) logf(format string, args ...any) { l.emit(Log{Line: fmt.Sprintf(format, args...)}) }
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -52,7 +52,7 @@
 		s.now += 20
 		s.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), LimiterCount: 2})
 		m := peerMessage{incarnation: 7, seq: uint64(i + 1), ageMs: uint64(s.now), entries: []peerEntry{
-			{customer: uint64(100000 + i), plan: uint64(i % 3), spread: 2, spent: 8, newlySpent: 8}}}
+			{customer: uint64(100000 + i), plan: uint64(i % 3), limiterCount: 2, spent: 8, newlySpent: 8}}}
 		data, _ := m.encode()
 		s.do(PeerMessage{From: 1, Data: data})
 		if i%10 == 0 { // a server goes, another comes
--- a/balancer/peercodec.go
+++ b/balancer/peercodec.go
@@ -2,15 +2,15 @@
 
 import "encoding/binary"
 
-// This file encodes messages between limiters. A message is one datagram: a magic byte, the
-// version, the flags, the header that the flags call for, and entries until the end. Numbers
-// are varints but for the incarnation, which has four bytes, little-endian.
+// The encoding of messages between limiters. A message is one datagram: a magic byte, the
+// version, the flags, the header that the flags call for, and entries up to its end. Numbers
+// are varints, except for the incarnation, which is four bytes in little-endian order.
 
-// maxPeerBytes is the length of the longest message in bytes.
+// maxPeerBytes is the maximum length of a message in bytes.
 const maxPeerBytes = 256
 
-// peerMagic and peerVersion begin every message, so that one of another protocol or version
-// is dropped whole.
+// peerMagic and peerVersion begin every message, so that messages of other protocols or
+// versions are dropped.
 const (
 	peerMagic   = 0x5c
 	peerVersion = 2
@@ -18,43 +18,43 @@
 
 // Flags of a peer message.
 const (
-	flagLevelsRequest  = 1 << iota // a report whose sender has just started and requests levels
+	flagLevelsRequest  = 1 << iota // a report from a limiter that has just started and requests levels
 	flagLevelsResponse             // with flagLevelUpdate: the response to a request for levels
-	flagInFlight                   // entries carry the attempts in flight
-	flagLevelUpdate                // entries are levels: customer, plan, level and margin alone
-	flagFailureHint                // with flagLevelUpdate: entries are servers and classes that fail
-	flagEscrowGrant                // with flagLevelUpdate: an aggregator grants units, as the level
+	flagInFlight                   // entries include the attempts in flight
+	flagLevelUpdate                // entries are levels: customer, plan, level and margin only
+	flagFailureHint                // with flagLevelUpdate: entries name servers and classes that fail there
+	flagEscrowGrant                // with flagLevelUpdate: an aggregator grants the units in level
 
 	knownFlags = flagLevelsRequest | flagLevelsResponse | flagInFlight |
 		flagLevelUpdate | flagFailureHint | flagEscrowGrant
 )
 
-// unitScale is the number of steps in a unit: units are encoded as whole steps.
+// unitScale is the number of steps per unit: units are encoded as whole steps.
 const unitScale = 4
 
 // peerMessage is one message between limiters.
 type peerMessage struct {
 	flags       byte
-	incarnation uint32 // incarnation of the sender
-	seq         uint64 // rises by one with each report to this recipient
+	incarnation uint32 // of the sender
+	seq         uint64 // increases by one with each report to this recipient
 	ageMs       uint64 // time since the sender started
 	entries     []peerEntry
 }
 
-// peerEntry is what a message says about one customer.
+// peerEntry is the part of a message about one customer.
 type peerEntry struct {
 	customer     uint64
 	plan         uint64
-	spread       uint64 // number of the customer's limiters ...
-	firstLimiter uint64 // ... in a row from this one on
+	limiterCount uint64 // number of limiters that receive the customer's requests ...
+	firstLimiter uint64 // ... consecutive from this one on
 	spent        uint64 // steps admitted since the sender started
-	newlySpent   uint64 // those of them that were not reported before
+	newlySpent   uint64 // part of spent that was not reported before
 	margin       uint64 // with a level, in steps
 	level        int64  // the sender's balance, in steps
 	inFlight     uint64 // attempts in flight at the sender
 }
 
-// encode returns the message with as many of its entries as fit in, and their number.
+// encode returns the message with as many of its entries as fit, and their number.
 func (m *peerMessage) encode() (data []byte, entries int) {
 	b := make([]byte, 0, maxPeerBytes)
 	b = append(b, peerMagic, peerVersion, m.flags)
@@ -73,7 +73,7 @@
 		if m.flags&flagLevelUpdate != 0 {
 			b = binary.AppendUvarint(b, e.margin)
 		} else {
-			b = binary.AppendUvarint(b, e.spread)
+			b = binary.AppendUvarint(b, e.limiterCount)
 			b = binary.AppendUvarint(b, e.firstLimiter)
 			b = binary.AppendUvarint(b, e.spent)
 			b = binary.AppendUvarint(b, e.newlySpent)
@@ -89,7 +89,7 @@
 	return b, entries
 }
 
-// decodePeerMessage decodes a message; ok is false if any part of it is not valid.
+// decodePeerMessage decodes a message; ok is false if any part of it is invalid.
 func decodePeerMessage(b []byte) (m peerMessage, ok bool) {
 	if len(b) < 3 || len(b) > maxPeerBytes || b[0] != peerMagic || b[1] != peerVersion || b[2]&^knownFlags != 0 {
 		return m, false
@@ -122,7 +122,7 @@
 		level := uvarint()
 		e.level = int64(level>>1) ^ -int64(level&1) // the zigzag encoding of a signed varint
 		if isReport {
-			e.spread, e.firstLimiter, e.spent, e.newlySpent = uvarint(), uvarint(), uvarint(), uvarint()
+			e.limiterCount, e.firstLimiter, e.spent, e.newlySpent = uvarint(), uvarint(), uvarint(), uvarint()
 		} else {
 			e.margin = uvarint()
 		}
--- a/balancer/peerupdates.go
+++ b/balancer/peerupdates.go
@@ -1,24 +1,24 @@
 package balancer
 
-// This file applies what peers send: reports, levels, grants and failure hints.
+// The handling of messages from peers: reports, levels, grants and failure hints.
 
 import (
 	"example.org/elmspan/bucket"
 )
 
 const (
-	// olderPeerMs is how much earlier a peer must have started to be older, in ms.
+	// olderPeerMs is how much earlier a peer must have started to count as older, in ms.
 	olderPeerMs = 1000.0
-	// minNewFleetAnswers is the number of answers, none of them by an older peer, from which
-	// a limiter concludes that the whole fleet is new.
-	minNewFleetAnswers = 4
-	// maxCustomersFromPeers is the number of known customers from which on a peer's report
-	// creates no new ones.
+	// minNewFleetResponses is the number of responses, none of them from an older peer, from
+	// which a limiter concludes that the whole fleet is new.
+	minNewFleetResponses = 4
+	// maxCustomersFromPeers is the number of known customers from which on messages from peers
+	// create no new ones.
 	maxCustomersFromPeers = 20000
 )
 
-// handlePeerMessage takes in a message of a peer. One that is not valid in all its parts is
-// dropped whole.
+// handlePeerMessage handles a message from a peer. A message with any invalid part is dropped
+// as a whole.
 func (l *Limiter) handlePeerMessage(now float64, e PeerMessage) {
 	m, ok := decodePeerMessage(e.Data)
 	if !ok || e.From < 0 || e.From >= len(l.peers) || e.From == l.cfg.Position || !l.validMessage(&m) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// validMessage reports whether the plans, classes and limiters that a message names exist.
+// validMessage reports whether the plans, classes and limiters named in a message exist.
 func (l *Limiter) validMessage(m *peerMessage) bool {
 	kinds := len(l.cfg.Plans)
 	if m.flags&flagFailureHint != 0 {
@@ -50,15 +50,15 @@
 			return false
 		}
 		isReport := m.flags&flagLevelUpdate == 0
-		if isReport && (e.spread < 1 || e.spread > limiters || e.firstLimiter >= limiters) {
+		if isReport && (e.limiterCount < 1 || e.limiterCount > limiters || e.firstLimiter >= limiters) {
 			return false
 		}
 	}
 	return true
 }
 
-// applyFailureHints counts failures that a peer observed at servers of the own list. The
-// entries of a hint have the server in place of the customer and the class in place of the plan.
+// applyFailureHints counts failures that a peer observed at known servers. An entry of a hint
+// has the server in place of the customer and the class in place of the plan.
 func (l *Limiter) applyFailureHints(now float64, m *peerMessage) {
 	for _, en := range m.entries {
 		if s := l.servers[en.customer]; s != nil {
@@ -67,12 +67,12 @@
 	}
 }
 
-// applyLevels takes in levels from an aggregator, or the response to a request for levels.
+// applyLevels applies levels from an aggregator, or the response to a request for levels.
 func (l *Limiter) applyLevels(now float64, from int, m *peerMessage) {
 	l.levelsReceived++
 	if m.flags&flagLevelsResponse != 0 {
-		l.peers[from].answered = true
-		l.neighborAnswered = l.neighborAnswered || l.ringDistance(from) == 1
+		l.peers[from].responded = true
+		l.neighborResponded = l.neighborResponded || l.ringDistance(from) == 1
 		l.observePeerAge(now, m)
 	}
 	for _, en := range m.entries {
@@ -80,8 +80,8 @@
 	}
 }
 
-// applyReports takes in a peer's reports and answers its request for levels. A late message
-// of a former incarnation is dropped.
+// applyReports applies a peer's reports and responds to its request for levels. A late message
+// of an earlier incarnation is dropped.
 func (l *Limiter) applyReports(now float64, from int, m *peerMessage) {
 	p := &l.peers[from]
 	if m.incarnation == p.previousIncarnation {
@@ -91,8 +91,8 @@
 		p.previousIncarnation, p.incarnation = p.incarnation, m.incarnation
 	}
 	l.observePeerAge(now, m)
-	if m.flags&flagLevelsRequest != 0 && now >= p.answeredAt+4*tickIntervalMs {
-		p.answeredAt = now
+	if m.flags&flagLevelsRequest != 0 && now >= p.levelsSentAt+4*tickIntervalMs {
+		p.levelsSentAt = now
 		l.sendLevelsResponse(now, from)
 	}
 	for _, en := range m.entries {
@@ -100,38 +100,39 @@
 	}
 }
 
-// applyReport takes in a peer's report on one customer. Its figures are cumulative, so that
-// the next report makes up for a lost one.
+// applyReport applies a peer's report on one customer. Its figures are cumulative, so that the
+// next report makes up for a lost one.
 func (l *Limiter) applyReport(now float64, from int, m *peerMessage, en peerEntry) {
 	if !l.acceptsCustomer(en.customer) {
 		return
 	}
-	c := l.lookupCustomer(now, en.customer, int(en.plan), int(en.spread))
-	if c.spread == 0 {
-		l.setMembership(now, c, int(en.spread), int(en.firstLimiter))
+	c := l.getOrCreateCustomer(now, en.customer, int(en.plan), int(en.limiterCount))
+	if c.limiterCount == 0 {
+		l.assignLimiterSet(now, c, int(en.limiterCount), int(en.firstLimiter))
 	}
 	l.refill(now, c)
 	v := c.peerView(from)
 	older := float64(m.ageMs) > now-l.startedAt+levelsRequestMs
 	if v.incarnation != m.incarnation {
-		v.restart(m.incarnation, en, older || l.evicted)
+		v.reset(m.incarnation, en, older || l.evicted)
 	}
 	if m.seq <= v.seq {
 		return
 	}
 	v.seq, v.inFlight = m.seq, int(min(en.inFlight, uint64(l.cfg.Plans[c.plan].MaxInFlight)))
 	l.applySpending(now, c, v, en.spent)
-	if c.isAggregator && older && !c.levelKnown { // an aggregator that has just started takes the peer's level
+	// An aggregator that has just started adopts the level of an older peer.
+	if c.isAggregator && older && !c.levelKnown {
 		level := min(l.cfg.Plans[c.plan].Burst, float64(en.level)/unitScale-c.spent)
 		c.setLevel(now, max(l.minLevel(c), level))
 	}
 }
 
-// restart begins the view of a peer anew, at the first report of an incarnation. All that a
-// known peer has spent since its restart, or a peer younger than this limiter, counts here. Of
-// an older peer only what is new with this report counts (newOnly), and so after customers
-// have been evicted here, which it may still know.
-func (v *peerView) restart(incarnation uint32, en peerEntry, newOnly bool) {
+// reset starts the view of a peer over, at the first report of an incarnation. If the peer was
+// known before or is younger than this limiter, all that it has spent counts here. Of an older
+// peer only what is new with its first report counts (newOnly). The same holds once customers
+// have been evicted here, as the peer may have reported its earlier spending before.
+func (v *peerView) reset(incarnation uint32, en peerEntry, newOnly bool) {
 	first := v.incarnation == 0
 	v.receivedSpent, v.incarnation, v.seq = 0, incarnation, 0
 	if first && newOnly {
@@ -139,8 +140,8 @@
 	}
 }
 
-// applySpending draws from the balance what a peer has admitted since its last report. A
-// figure below the last one shows that the peer evicted the customer meanwhile.
+// applySpending subtracts from the balance what a peer has admitted since its last report. A
+// figure below the last one shows that the peer has evicted the customer in between.
 func (l *Limiter) applySpending(now float64, c *customer, v *peerView, spent uint64) {
 	if spent < v.receivedSpent {
 		v.receivedSpent = 0
@@ -155,29 +156,29 @@
 	v.receivedSpent = spent
 }
 
-// acceptsCustomer reports whether a peer's message on a customer is taken in.
+// acceptsCustomer reports whether messages from peers about a customer are applied.
 func (l *Limiter) acceptsCustomer(id uint64) bool {
 	return len(l.customers) < maxCustomersFromPeers || l.customers[id] != nil
 }
 
-// observePeerAge learns how long a peer has run. A limiter that starts does not know what was
-// spent just before, and so begins with an empty escrow. But where no peer is older and all
-// near ones have answered, the whole fleet is new, and every escrow is full.
+// observePeerAge records whether a peer is older than this limiter. A limiter that starts does
+// not know what was spent just before, and so begins with an empty escrow. But if no peer is
+// older and all near ones have responded, the whole fleet is new, and every escrow is full.
 func (l *Limiter) observePeerAge(now float64, m *peerMessage) {
 	l.olderPeerSeen = l.olderPeerSeen || float64(m.ageMs) > now-l.startedAt+olderPeerMs
 	if l.newFleet || l.olderPeerSeen || now-l.startedAt > levelsRequestMs {
 		return
 	}
-	answered := 0
+	responded := 0
 	for i := range l.peers {
 		if l.requestsLevels(now, i) {
 			return
 		}
-		if l.peers[i].answered {
-			answered++
+		if l.peers[i].responded {
+			responded++
 		}
 	}
-	if answered < minNewFleetAnswers {
+	if responded < minNewFleetResponses {
 		return
 	}
 	l.newFleet = true
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -1,57 +1,59 @@
 package balancer
 
-// This file chooses the server of an attempt: the one with the least expected time among
-// those that are usable. In large fleets the choice is weighted random.
+// The choice of the server of an attempt: the usable server with the least expected time. In
+// large fleets the choice is weighted random.
 
 import (
 	"math"
 )
 
 const (
-	// headroomShare is the share of the time to the latency target that the expected time
-	// may use: response times vary.
-	headroomShare = 0.25
-	// maxTriesPerServer bounds the requests in flight per server, over all limiters, up to
-	// which an idle server is tried although its expected time is too long.
+	// latencyBudgetShare is the share of the time to the latency target that the expected time
+	// may use. The rest is a reserve, as response times vary.
+	latencyBudgetShare = 0.25
+	// maxIdleAttemptsPerServer is the number of requests in flight per server, over all
+	// limiters, up to which an idle server is tried although its expected time is too long.
 	maxIdleAttemptsPerServer = 6.0
-	// smallFleet is the number of limiters up to which the load that each one sees shows
-	// which server is best.
+	// smallFleet is the largest number of limiters at which each one sees enough of the load to
+	// tell which server is best.
 	smallFleet = 8
-	// busyServerCost is added to the cost factor of a server in use, in a very large fleet.
-	busyServerCost = 15.0
-	// crossZoneWeight is how much the price of a zone crossing adds to the cost factor.
+	// busyServerWeight is added to the cost factor of a server with requests in flight, in a
+	// very large fleet.
+	busyServerWeight = 15.0
+	// crossZoneWeight is the increase of the cost factor per price of an attempt in another
+	// zone.
 	crossZoneWeight = 10.0
-	// rejectedPauseMs is how long a server that rejected a request gets no other, in ms.
+	// rejectedPauseMs is how long a server gets no request after it rejected one, in ms.
 	rejectedPauseMs = 50.0
 )
 
-// serverTier says which servers are considered: if none of a tier is usable, the next one is
-// tried.
+// serverTier is the set of servers that are considered. If none of a tier is usable, the next
+// tier is tried.
 type serverTier int
 
 const (
 	subsetTier   serverTier = iota // the subset of this limiter
 	allTier                        // all servers
-	degradedTier                   // also those that are ejected, unresponsive or rejecting
+	degradedTier                   // all servers, including those that are ejected, unresponsive or rejecting
 	serverTiers                    // number of tiers
 )
 
-// chooseServer returns the server with the least expected time, or nil and the time in ms
-// after which a retry may succeed.
+// chooseServer returns the server with the least expected time, or nil and the time in ms after
+// which a retry may succeed.
 func (l *Limiter) chooseServer(now float64, r *request) (s *server, wait float64) {
-	l.countWarmCapacity(now)
+	l.updateWarmCapacity(now)
 	best := l.cheapestServer(now, r)
 	if best == nil {
 		return nil, rejectedPauseMs
 	}
-	if late := l.expectedTime(now, best, r.class) - l.timeBudget(now, r, best); late > 0 && !l.mayUseIdle(best) {
-		return nil, late
+	if excess := l.expectedTime(now, best, r.class) - l.timeBudget(now, r, best); excess > 0 && !l.mayUseIdle(best) {
+		return nil, excess
 	}
 	return best, 0
 }
 
-// countWarmCapacity brings up to date what the servers of the subset can do now.
-func (l *Limiter) countWarmCapacity(now float64) {
+// updateWarmCapacity recomputes the present capacity of the servers of the subset.
+func (l *Limiter) updateWarmCapacity(now float64) {
 	l.warmCapacity, l.upServers = 0, 0
 	for _, s := range l.serverList {
 		if s.inSubset && s.info.Phase == Up {
@@ -78,12 +80,12 @@
 	return best
 }
 
-// cost is the relative time that an answer from a server is expected to take, with what is
-// added for a new connection and for leaving the zone. It has a random factor.
+// cost is the relative time that a response from a server is expected to take, with surcharges
+// for a new connection and for leaving the zone, and a random factor.
 func (l *Limiter) cost(now float64, s *server) float64 {
 	cost := s.relativeTime(now) * l.slowStartCostFactor(now, s) * (s.load() + 1) * l.randomFactor()
-	if s.inFlight > 0 { // another request at the same time needs a connection of its own
-		cost *= 1 + busyServerCost*l.unseenShare
+	if s.inFlight > 0 { // a concurrent request needs a connection of its own
+		cost *= 1 + busyServerWeight*l.unseenShare
 	}
 	if s.info.Zone != l.cfg.Zone {
 		cost *= 1 + crossZoneWeight*l.cfg.CrossZonePrice
@@ -97,25 +99,25 @@
 	if now > r.targetAt {
 		return r.deadlineAt - now
 	}
-	alone := l.typicalTime(r.class) * s.relativeTime(now) / l.slowStartShare(now, s) * l.loadModel.factor(1)
-	budget := headroomShare * (r.targetAt - now)
-	budget += (r.waitFactor - 1) * max(0, budget-alone)
+	unloaded := l.typicalTime(r.class) * s.relativeTime(now) / l.slowStartShare(now, s) * l.loadModel.factor(1)
+	budget := latencyBudgetShare * (r.targetAt - now)
+	budget += (r.waitFactor - 1) * max(0, budget-unloaded)
 	return budget
 }
 
-// mayTryIdle reports whether a server may be tried although its expected time is too long.
-// An idle server is tried, as nothing is learned while nothing is sent. But servers slowed
-// by too many requests recover only when these become fewer, so all limiters together try
-// with no more than maxTriesPerServer requests per server.
+// mayUseIdle reports whether a server may be tried although its expected time is too long. An
+// idle server is tried, as nothing is learned about it while it gets no requests. But servers
+// slowed down by too many requests recover only when these become fewer, so all limiters
+// together try with no more than maxIdleAttemptsPerServer requests per server.
 func (l *Limiter) mayUseIdle(s *server) bool {
-	tries := maxIdleAttemptsPerServer * float64(len(l.serverList)) / float64(l.cfg.Balancers)
-	return s.inFlight == 0 && float64(l.inFlight) < max(1, tries)
+	limit := maxIdleAttemptsPerServer * float64(len(l.serverList)) / float64(l.cfg.Balancers)
+	return s.inFlight == 0 && float64(l.inFlight) < max(1, limit)
 }
 
-// randomFactor is the random factor on the cost of a server. One of few limiters sees in its
-// own load most of a server's load, and takes the least. One of many sees next to nothing of
-// it, and all would take the same few servers: with an exponential factor each server gets
-// requests in proportion to what it can do.
+// randomFactor is the random factor of a server's cost. In a small fleet, a limiter's own load
+// is most of a server's load, and it uses the server of least cost. In a large fleet it sees
+// almost none of a server's load, and all limiters would choose the same few servers: an
+// exponential factor gives each server requests in proportion to its capacity.
 func (l *Limiter) randomFactor() float64 {
 	if l.unseenShare > 0 {
 		return math.Pow(l.rng.ExpFloat64(), l.unseenShare)
@@ -123,8 +125,8 @@
 	return 1 + 0.05*l.rng.Float64()
 }
 
-// usable reports whether a request may go to a server now. With degraded, servers that are
-// only suspected are usable too.
+// usable reports whether a request may be sent to a server now. If degraded is set, servers
+// that are only suspected of failing are usable too.
 func (l *Limiter) usable(now float64, s *server, r *request, degraded bool) bool {
 	if s.info.Phase != Up || s.down || !l.hasSlowStartCredit(now, s) {
 		return false
@@ -136,7 +138,7 @@
 }
 
 // deduplicates reports whether a server would drop a request with an idempotency key that was
-// executed already: only servers of one zone or cell may share their keys.
+// executed already: the scope of keys may be limited to the servers of a zone or cell.
 func (l *Limiter) deduplicates(s *server, r *request) bool {
 	class := l.cfg.Classes[r.class]
 	if r.executedOn == nil || class.Idempotency != Keyed {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,29 +1,32 @@
 package balancer
 
-// This file holds this limiter to its part of what a server in slow start can do.
+// Slow start: each limiter uses no more than its part of the capacity of a server that has just
+// started.
 
 import (
 	"math"
 )
 
 const (
-	// slowStartUse is the share used of the likely capacity of a server in slow start.
-	slowStartUse = 0.8
-	// slowStartExtraUse is added to slowStartUse in a very large fleet, where no limiter can
-	// use what others leave.
-	slowStartExtraUse = 0.25
-	// maxSlowStartRise bounds the rise of the part where most servers are in slow start.
+	// slowStartUtilization is the share of the likely capacity of a server in slow start that
+	// is used.
+	slowStartUtilization = 0.8
+	// slowStartExtraUtilization is added to slowStartUtilization in a very large fleet, where
+	// no limiter can use what others leave unused.
+	slowStartExtraUtilization = 0.25
+	// maxSlowStartRise bounds the increase of a limiter's part where most servers are in slow
+	// start.
 	maxSlowStartRise = 1.75
-	// minSlowStartRequests is the least number of requests in a window of Rules.OverloadMs to
-	// a server in slow start, over all limiters, where little is sent.
+	// minSlowStartRequests is the least number of requests, over all limiters, that a server in
+	// slow start may get in a window of ServerLimits.OverloadMs when there is little load.
 	minSlowStartRequests = 3.0
-	// dueSlowStartCost is the cost factor of a request that is due to a server in slow start,
-	// in a very large fleet.
-	dueSlowStartCost = 0.02
+	// dueSlowStartCostFactor is the cost factor of a server in slow start for a request that is
+	// due to it, in a very large fleet.
+	dueSlowStartCostFactor = 0.02
 )
 
 // slowStartShare is the least share of its capacity that a server can have by now: it rises
-// linearly from Rules.SlowStartShare at the start to 1 after Rules.SlowStartMs.
+// linearly from ServerLimits.SlowStartShare at the start to 1 after ServerLimits.SlowStartMs.
 func (l *Limiter) slowStartShare(now float64, s *server) float64 {
 	r := l.cfg.ServerLimits
 	if s.info.ReadyAt <= 0 || r.SlowStartMs <= 0 || r.SlowStartShare <= 0 {
@@ -32,37 +35,37 @@
 	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*max(0, now-s.info.ReadyAt)/r.SlowStartMs)
 }
 
-// hasSlowStartCredit reports whether a server may get a request. A server in slow start gets
-// from this limiter its share of capacity times what the limiter sends for each warm server's
-// unit of capacity, as credit for one request at a time from a random start. So the parts of
-// any number of limiters add up to the share of what a warm server gets, without messages;
-// where hardly anything is sent, to minSlowStartRequests in a window. Where most servers are
-// in slow start, a part rises by maxSlowStartRise at most, as all that was sent may have been
-// all that the servers could do when warm.
+// hasSlowStartCredit reports whether a server may get a request now. A server in slow start
+// gets credit from this limiter, for one request at a time and from a random start. The credit
+// grows at the rate at which the limiter sends requests per warm server, times the server's
+// share of its capacity. So the parts of any number of limiters add up to that share of what a
+// warm server gets, without messages between them; where there is hardly any load, they add up
+// to minSlowStartRequests per window. Where most servers are in slow start, a part increases by
+// at most maxSlowStartRise, as the present load may be all that the servers could do when warm.
 func (l *Limiter) hasSlowStartCredit(now float64, s *server) bool {
 	share := l.slowStartShare(now, s)
 	if share >= 1 {
 		return true
 	}
-	use := slowStartUse + slowStartExtraUse*l.unseenShare
+	use := slowStartUtilization + slowStartExtraUtilization*l.unseenShare
 	rate := max(use*share*l.decayedAttempts(now)/max(l.warmCapacity, l.upServers/maxSlowStartRise)*2/ejectionMs,
 		minSlowStartRequests/float64(l.cfg.Balancers)/max(1, l.cfg.ServerLimits.OverloadMs))
 	s.slowStartCredit, s.slowStartCreditAt = min(1, max(0, s.slowStartCredit)+rate*(now-s.slowStartCreditAt)), now
 	return s.slowStartCredit >= 1
 }
 
-// slowStartCostFactor is the factor of slow start on a server's cost. One of many limiters has
-// saved up for long for its request to a server in slow start, which is due now: if it waited
-// until the warm servers have more in flight, it would never be sent, and all load would go to
-// the warm ones.
+// slowStartCostFactor is the factor on the cost of a server in slow start. One of many limiters
+// collects credit for a long time for its request to such a server, and the request is then
+// due. If it waited until the warm servers had more requests in flight, it would never be sent,
+// and the warm servers would get all the load.
 func (l *Limiter) slowStartCostFactor(now float64, s *server) float64 {
 	if share := l.slowStartShare(now, s); share < 1 {
-		return math.Pow(share, l.unseenShare-1) * math.Pow(dueSlowStartCost, l.unseenShare)
+		return math.Pow(share, l.unseenShare-1) * math.Pow(dueSlowStartCostFactor, l.unseenShare)
 	}
 	return 1
 }
 
-// decayedAttempts is the number of recent attempts: it decays with a time constant of half of
+// decayedAttempts is the number of recent attempts. It decays with a time constant of half of
 // ejectionMs.
 func (l *Limiter) decayedAttempts(now float64) float64 {
 	l.recentAttempts, l.recentAttemptsAt = l.recentAttempts*math.Exp((l.recentAttemptsAt-now)*2/ejectionMs), now
--- a/bucket/bucket.go
+++ b/bucket/bucket.go
@@ -1,25 +1,25 @@
-// Package bucket is a token bucket as three pure functions: a balance in units that is
-// refilled continuously at a rate, capped at a burst, and from which also what other
-// limiters admitted is subtracted, below 0 too. The gateway and the limiter in service
-// share it. It reads no clock and does no I/O; callers pass the seconds that have gone by.
+// Package bucket implements a token bucket as three pure functions. The balance, in units, is
+// refilled continuously at a rate and capped at a burst. Units that other limiters have
+// admitted are subtracted too and may make it negative. The gateway's limiter and the limiter
+// service share this package. It reads no clock and does no I/O; callers pass the elapsed
+// seconds.
 //
-// An admitted request is its caller's own subtraction: where [Wait] is 0 or less, it takes
-// the units off the balance.
+// The caller itself subtracts the units of a request that it admits, when [Wait] is 0 or less.
 package bucket
 
-// Refill returns a balance after some seconds at a rate in units a second, capped at the
+// Refill returns the balance after some seconds at a rate in units per second, capped at the
 // burst in units.
 func Refill(balance, seconds, rate, burst float64) float64 {
 	return min(burst, balance+seconds*rate)
 }
 
-// Draw returns a balance less the units that others admitted, but no lower than a floor,
-// unless it was below the floor already. The floor bounds for how long a wrong report can
-// keep a tenant out.
+// Draw returns the balance less the units that other limiters have admitted, but no lower than
+// a floor, unless it was below the floor already. The floor bounds how long a wrong report can
+// lock a tenant out.
 func Draw(balance, units, floor float64) float64 {
 	return max(balance-units, min(balance, floor))
 }
 
-// Wait returns the seconds until a balance that is short holds some units, at a rate in
-// units a second; 0 or less where it holds them already.
+// Wait returns the seconds until the balance reaches the given units, at a rate in units per
+// second; 0 or less if it has reached them already.
 func Wait(balance, units, rate float64) float64 { return (units - balance) / rate }
