--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -8,42 +8,42 @@
 func TestTokenBucketAdmitsBurstAndRate(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	if got := s.admit(40, Submit{}); got != 20 {
-		t.Errorf("a full bucket of 20 let %d through", got)
+		t.Errorf("a full bucket of 20 units admitted %d", got)
 	}
 	_, a := s.submit(Submit{})
 	if r, ok := a.(Reject); !ok || math.Abs(r.RetryAfterMs-100) > 1 {
-		t.Errorf("short of one unit at 10/s: got %#v, want a refusal for 100 ms", a)
+		t.Errorf("one unit short at 10 units/s: got %#v, want Reject with a retry after 100 ms", a)
 	}
 	s.now += 1000
 	if got := s.admit(40, Submit{}); got != 10 {
-		t.Errorf("after a second at 10/s %d passed", got)
+		t.Errorf("1 s of refill at 10 units/s admitted %d, want 10", got)
 	}
 	s.now += 60000
 	if got := s.admit(40, Submit{}); got != 20 {
-		t.Errorf("the store holds 20, %d passed", got)
+		t.Errorf("60 s of refill admitted %d, want the burst of 20", got)
 	}
 	if got := s.admit(100, Submit{Plan: 3, Customer: 9}); got != 100 {
-		t.Errorf("a plan without a quota let %d of 100 through", got)
+		t.Errorf("a plan without a quota admitted %d of 100", got)
 	}
 }
 
-// An unseen customer starts with the burst split over its limiters; the rest
-// is released when the peers have answered, and only what they have not
-// reported. Found as a loss of the cheap plans: the held part never came back.
+// A new customer starts with the burst divided by the number of its limiters. The rest is
+// released when the peers have responded, less what they reported. Guards against a withheld
+// part that is never released, which costs customers of cheap plans requests.
 func TestNewCustomerStartsWithItsPartOfTheBurst(t *testing.T) {
 	both := Submit{LimiterCount: 2}
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	if got := s.admit(40, both); got != 10 {
-		t.Errorf("split of 20 over two let %d through", got)
+		t.Errorf("a burst of 20 divided by two limiters admitted %d, want 10", got)
 	}
 	s.do(peerLevels(1)) // a response without levels
 	if got := s.admit(40, both); got != 10 {
-		t.Errorf("after the peer's answer %d more passed, want 10", got)
+		t.Errorf("%d more admitted after the peer responded, want 10", got)
 	}
 	s = newLimiterDriver(t, testSettings(), testServers(4)...)
 	s.do(peerLevels(90000, 3)) // an older peer knows the level
 	if got := s.admit(40, both); got != 3 {
-		t.Errorf("sent a level of 3, %d passed", got)
+		t.Errorf("%d admitted after a level of 3 from an older peer", got)
 	}
 }
 
@@ -52,14 +52,14 @@
 	id, a := s.submit(Submit{Plan: 2})
 	s.submit(Submit{Plan: 2})
 	if _, c := s.submit(Submit{Plan: 2}); c == nil {
-		t.Fatal("no answer")
+		t.Fatal("the request got no response")
 	} else if _, ok := c.(Reject); !ok {
-		t.Errorf("a third attempt out where two are allowed: %#v", c)
+		t.Errorf("third attempt in flight with MaxInFlight 2: got %#v, want Reject", c)
 	}
-	s.pass(id, a)
+	s.succeed(id, a)
 	if _, c := s.submit(Submit{Plan: 2}); c != nil {
 		if _, ok := c.(StartAttempt); !ok {
-			t.Errorf("one came back, the next is refused: %#v", c)
+			t.Errorf("after one of two attempts has ended: got %#v, want StartAttempt", c)
 		}
 	}
 }
@@ -72,11 +72,11 @@
 	s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true,
 		ActualUnits: 25})
 	if got := s.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
-		t.Errorf("balance %g after true units of 25 of 20, want -5", got)
+		t.Errorf("balance %g after 25 actual units with a burst of 20, want -5", got)
 	}
 }
 
-// Idle customers are forgotten, and come back with a full bucket they earned.
+// Idle customers are evicted and return with a full bucket.
 func TestIdleCustomersAreEvicted(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for c := range 500 {
@@ -85,15 +85,15 @@
 	s.now += 2 * idleCustomerMs
 	s.do(TimerFired{Name: "tick"})
 	if len(s.l.customers) != 0 || len(s.l.customerList) != 0 || len(s.l.requests) != 0 {
-		t.Errorf("%d customers, %d listed, %d requests are still held", len(s.l.customers), len(s.l.customerList),
+		t.Errorf("still held: %d customers, %d in the list, %d requests", len(s.l.customers), len(s.l.customerList),
 			len(s.l.requests))
 	}
 	if got := s.admit(40, Submit{Customer: 3}); got != 20 {
-		t.Errorf("a forgotten customer got %d, want its burst of 20", got)
+		t.Errorf("an evicted customer was admitted %d, want its burst of 20", got)
 	}
 }
 
-// What a customer costs does not grow with limiters that never touched it.
+// The state of a customer does not grow with limiters that have never reported on it.
 func TestCustomerCostIsIndependentOfFleetSize(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 470
@@ -101,6 +101,6 @@
 	s.submit(Submit{Customer: 5, LimiterCount: 200})
 	s.do(TimerFired{Name: "tick"})
 	if n := len(s.l.customers[5].peerViews); n > aggregatorCount {
-		t.Errorf("a customer of 200 limiters has %d records of peers, want %d", n, aggregatorCount)
+		t.Errorf("a customer of 200 limiters has %d peer views, want at most %d", n, aggregatorCount)
 	}
 }
--- a/balancer/aggregation.go
+++ b/balancer/aggregation.go
@@ -92,8 +92,8 @@
 func (l *Limiter) sendLevelIfDue(now float64, c *customer) {
 	p, interval := l.cfg.Plans[c.plan], l.levelInterval*l.planPacing[c.plan]
 	assumed := min(p.Burst, c.sentLevel+p.Rate*(now-c.sentLevelAt)/1000)
-	ahead := c.balance - lookaheadMs/1000*max(0, c.recentUnits-p.Rate)
-	if assumed-c.balance <= p.Burst/8 || ahead > lowLevelShare*p.Burst {
+	predicted := c.balance - lookaheadMs/1000*max(0, c.recentUnits-p.Rate)
+	if assumed-c.balance <= p.Burst/8 || predicted > lowLevelShare*p.Burst {
 		c.overestimatedTicks = 0
 		return
 	}
--- a/balancer/aggregation_test.go
+++ b/balancer/aggregation_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// A customer of a hundred limiters: each sees one request in a while, and all
-// together pass its quota, not a burst each. Fails without aggregators.
+// Each of a customer's hundred limiters gets a request only now and then. All together admit
+// the customer's quota, not one burst each. Fails without aggregators.
 func TestLargeSetHoldsQuota(t *testing.T) {
 	const n = 100
 	cfg := testSettings()
 	cfg.PeerMessagesPerSecond = 20
 	c := newTestFleet(t, cfg, n, testServers(4))
-	c.ticks(6000) // bursts are whole by now
-	passed, rng := 0, rand.New(rand.NewPCG(1, 1))
-	for range 200 { // ten seconds of 40 units a second on a rate of 10
+	c.ticks(6000) // the buckets are full by now
+	admitted, rng := 0, rand.New(rand.NewPCG(1, 1))
+	for range 200 { // 10 s at 40 units/s with a rate of 10 units/s
 		for range 2 {
 			if c.submit(rng.IntN(n), Submit{Customer: 5, LimiterCount: n}) {
-				passed++
+				admitted++
 			}
 		}
 		c.ticks(tickIntervalMs)
 	}
-	if fair := 20 + 10*10; passed < fair*6/10 || passed > fair*13/10 {
-		t.Errorf("%d passed in ten seconds, the quota has %d", passed, fair)
+	if fair := 20 + 10*10; admitted < fair*6/10 || admitted > fair*13/10 {
+		t.Errorf("%d admitted in 10 s, the quota is %d", admitted, fair)
 	}
 }
 
@@ -38,19 +38,20 @@
 	c.submit(0, Submit{Customer: 5, LimiterCount: n})
 	failed = c.limiters[0].customers[5].reportsTo[0]
 	c.ticks(6000)
-	passed := 0
+	admitted := 0
 	for k := range 200 {
 		if i := k % n; i != failed && c.submit(i, Submit{Customer: 5, LimiterCount: n}) {
-			passed++
+			admitted++
 		}
 		c.ticks(tickIntervalMs)
 	}
-	if passed > 20+130 {
-		t.Errorf("%d passed without the first aggregator, the quota has 120", passed)
+	if admitted > 20+130 {
+		t.Errorf("%d admitted without the first aggregator, the quota is 120", admitted)
 	}
 }
 
-// A level sent twice, late or by a limiter that is no aggregator of the customer.
+// A level from an aggregator replaces the balance, also when it is repeated or late. A level
+// from a limiter that is not an aggregator of the customer is ignored.
 func TestLevelsFromAggregators(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 40
@@ -70,20 +71,20 @@
 	before := c.balance
 	s.do(levelFrom(other, -50))
 	if c.balance != before {
-		t.Error("a level from a limiter that is no aggregator counted")
+		t.Error("a level from a limiter that is not an aggregator changed the balance")
 	}
-	s.now += 500 // what passed here is in the aggregator's level by now
+	s.now += 500 // the aggregator's level includes what was admitted here
 	for range 2 {
 		s.do(levelFrom(c.reportsTo[0], 3))
 		if c.balance != 3 {
-			t.Errorf("sent a level of 3, the balance is %g", c.balance)
+			t.Errorf("balance %g after a level of 3", c.balance)
 		}
 	}
 }
 
-// Levels of a plan that is worth little are told seldom, however far its customers
-// ask beyond their quotas: each is told to dozens of limiters, which take in only so
-// many messages. Fails where it may wait but four times as long as the mean plan.
+// Levels of plans of little value are sent seldom, however far their customers exceed their
+// quotas: each level goes to dozens of limiters, whose message rate is limited. Fails if their
+// interval is at most four times that of the mean plan.
 func TestLevelsOfCheapPlansLeaveRoom(t *testing.T) {
 	const n = 60
 	cfg := testSettings()
@@ -92,7 +93,7 @@
 	c := newTestFleet(t, cfg, n, testServers(4))
 	sent := map[uint64]int{}
 	c.lose = func(int, int) bool { return false }
-	for step := range 400 { // twenty seconds; each asks for some four times its quota
+	for step := range 400 { // 20 s; each customer requests some four times its quota
 		for plan, each := range []int{6, 2, 1} {
 			if step%each == 0 {
 				c.submit((step*7+plan)%n, Submit{Customer: uint64(plan), Plan: plan, LimiterCount: n,
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// Rule 2 and the final answers, as a table of outcome and class.
+// Whether a request is retried, rejected or failed depends on its idempotency class and on the
+// result of the attempt.
 func TestRetriesByIdempotencyAndResult(t *testing.T) {
-	const retry, refuse, fail = "retry", "refuse", "fail"
+	const retry, reject, fail = "retry", "reject", "fail"
 	for _, c := range []struct {
 		class  int
 		result Result
@@ -31,21 +32,21 @@
 				t.Errorf("%s: retried, want %s", name, c.want)
 			}
 			if g.Server == first {
-				t.Errorf("%s: sent to the same server", name)
+				t.Errorf("%s: retried at the same server", name)
 			}
 			if c.class == 1 && !provesNotExecuted(c.result) && (g.Server-first)%2 != 0 {
-				t.Errorf("%s: a keyed request left its cell", name)
+				t.Errorf("%s: a keyed request was retried in another cell", name)
 			}
 		case Reject:
-			if c.want != refuse {
-				t.Errorf("%s: refused, want %s", name, c.want)
+			if c.want != reject {
+				t.Errorf("%s: rejected, want %s", name, c.want)
 			}
 		case Fail:
 			if c.want != fail {
 				t.Errorf("%s: failed, want %s", name, c.want)
 			}
 		default:
-			t.Errorf("%s: no answer", name)
+			t.Errorf("%s: no response", name)
 		}
 	}
 }
@@ -53,19 +54,19 @@
 func TestKeyedRetryStaysInDedupWindowAndScope(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	id, a := s.submit(Submit{Class: 1, TimeoutMs: 1900})
-	s.now += 1001 // past the window
+	s.now += 1001 // past the deduplication window
 	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
-		t.Errorf("a keyed request past its window: %#v, want Fail", got)
+		t.Errorf("keyed request past its deduplication window: got %#v, want Fail", got)
 	}
-	s = newLimiterDriver(t, testSettings(), testServers(2)...) // one server a cell
+	s = newLimiterDriver(t, testSettings(), testServers(2)...) // one server per cell
 	id, a = s.submit(Submit{Class: 1})
 	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
-		t.Errorf("no other server in the cell: %#v, want Fail", got)
+		t.Errorf("no other server in the cell: got %#v, want Fail", got)
 	}
 	id, a = s.submit(Submit{Class: 3, TimeoutMs: 1900})
 	s.now += 1500
 	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Reject); !ok {
-		t.Errorf("keyed for all: %#v, want Refuse", got)
+		t.Errorf("keyed with DedupAll: got %#v, want Reject", got)
 	}
 }
 
@@ -74,7 +75,7 @@
 	id, a := s.submit(Submit{TimeoutMs: 300})
 	s.now += 300
 	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, TimedOut).(Fail); !ok {
-		t.Errorf("time-out at the deadline: %#v, want Fail", got)
+		t.Errorf("timeout at the deadline: got %#v, want Fail", got)
 	}
 	if len(s.l.requests) != 0 {
 		t.Error("a finished request is still held")
--- a/balancer/escrow_test.go
+++ b/balancer/escrow_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The limiters' shares of a hard limit never exceed it, whatever is lost.
+// A limiter admits no more than its part of a hard limit, and nothing right after its start,
+// when its escrow is empty.
 func TestEscrowStaysWithinItsPart(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	plan := testSettings().Plans[1]
@@ -20,16 +21,16 @@
 		spent += s.admit(3, Submit{Plan: 1, LimiterCount: 2})
 	}
 	if limit := (plan.HardBurst + plan.HardRate*(s.now-begin)/1000) / 2; float64(spent) > limit {
-		t.Errorf("passed %d, this limiter's half is %g", spent, limit)
+		t.Errorf("admitted %d, this limiter's half is %g", spent, limit)
 	}
 	s = newLimiterDriver(t, testSettings(), testServers(4)...)
 	if n := s.admit(10, Submit{Plan: 1, LimiterCount: 2}); n != 0 || s.now != start {
-		t.Errorf("a limiter that just started passed %d of an empty share", n)
+		t.Errorf("a limiter that has just started admitted %d from an empty escrow", n)
 	}
 }
 
-// The shares of a hard limit of hundreds of limiters that receive nothing of each
-// other, with restarts, never add up to more than the hard limit.
+// The escrows of hundreds of limiters that receive no messages and are restarted never add up
+// to more than the hard limit.
 func TestEscrowPartsAddUp(t *testing.T) {
 	const n = 300
 	cfg := testSettings()
@@ -38,16 +39,16 @@
 	c.lose = func(int, int) bool { return true }
 	rng := rand.New(rand.NewPCG(3, 3))
 	c.now += 10000
-	store := 900.0
+	hardBalance := 900.0
 	for range 8000 {
 		c.now++
-		store = min(900, store+0.4)
+		hardBalance = min(900, hardBalance+0.4)
 		i := rng.IntN(n)
 		if c.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: n}) {
-			store--
+			hardBalance--
 		}
-		if store < 0 {
-			t.Fatal("the hard limit is passed")
+		if hardBalance < 0 {
+			t.Fatal("the hard limit is exceeded")
 		}
 		if rng.IntN(200) == 0 {
 			cfg.Balancers, cfg.Position = n, i
@@ -61,25 +62,25 @@
 	}
 }
 
-// A customer of eleven limiters has most of its requests come through one, which
-// needs more of the hard limit than an equal share. Fails without grants. Whatever is
-// lost, and with limiters starting anew, all together never pass the hard limit.
+// Most requests of a customer of eleven limiters arrive at one of them, which needs more than
+// an equal part of the hard limit. Fails without grants. Whatever messages are lost, and with
+// limiters restarting, all together never exceed the hard limit.
 func TestEscrowGrantsFollowDemand(t *testing.T) {
 	const n = 11
 	cfg := testSettings()
 	cfg.Plans[1] = Plan{Rate: 12, Burst: 22, HardRate: 25, HardBurst: 46, Price: 1}
 	for _, p := range []struct {
-		demand, skew, lost float64
-		restarts           bool
-		minShare           float64 // share that passes
+		demand, skew, lossRate float64
+		restarts               bool
+		minShare               float64 // least share of the units that is admitted
 	}{{8, 0.7, 0.1, false, 0.85}, {8, 0.7, 1, false, 0}, {400, 0.2, 0.3, false, 0}, {60, 0.5, 0.5, true, 0}, {400,
 		0.9, 0.9, true, 0}} {
 		c := newTestFleet(t, cfg, n, testServers(4))
 		rng := rand.New(rand.NewPCG(4, 4))
-		c.lose = func(int, int) bool { return rng.Float64() < p.lost }
+		c.lose = func(int, int) bool { return rng.Float64() < p.lossRate }
 		c.now += 10000
 		c.ticks(tickIntervalMs)
-		store, at, requested, passed := 46.0, c.now, 0.0, 0.0
+		hardBalance, refilledAt, requested, admitted := 46.0, c.now, 0.0, 0.0
 		for end := c.now + 20000; c.now < end; {
 			c.ticks(tickIntervalMs)
 			for range int(p.demand*tickIntervalMs/1000/1.5 + rng.Float64()) {
@@ -89,11 +90,11 @@
 				}
 				requested += units
 				if c.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: n, Units: units}) {
-					store, at = min(46, store+(c.now-at)*25/1000)-units, c.now
-					passed += units
+					hardBalance, refilledAt = min(46, hardBalance+(c.now-refilledAt)*25/1000)-units, c.now
+					admitted += units
 				}
-				if store < -1e-6 {
-					t.Fatalf("%+v: the hard limit is passed by %g", p, -store)
+				if hardBalance < -1e-6 {
+					t.Fatalf("%+v: the hard limit is exceeded by %g", p, -hardBalance)
 				}
 			}
 			if p.restarts && rng.IntN(10) == 0 {
@@ -106,25 +107,25 @@
 				c.event(cfg.Position, Endpoints{Scope: Persisted, Servers: testServers(4)})
 			}
 		}
-		if passed < p.minShare*requested {
-			t.Errorf("%+v: %.0f of %.0f units passed", p, passed, requested)
+		if admitted < p.minShare*requested {
+			t.Errorf("%+v: %.0f of %.0f units admitted", p, admitted, requested)
 		}
 	}
 }
 
-// A fleet that has just begun has full hard limits as soon as its limiters have received from
-// each other; one limiter that starts among older ones has none, nor one whose peers
-// do not respond. Fails where every start begins with nothing.
+// In a fleet that has just started, the escrows are full as soon as the limiters have heard
+// from each other. A limiter that starts among older ones has an empty escrow, and so has one
+// whose peers do not respond. Fails if every limiter starts with an empty escrow.
 func TestNewFleetStartsWithFullEscrow(t *testing.T) {
 	const n = 20
 	cfg := testSettings()
-	submit := func(c *testFleet, i int) bool { // three units are most of a full share
+	submit := func(c *testFleet, i int) bool { // 3 units are most of a full escrow
 		return c.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: 10, Units: 3})
 	}
 	c := newTestFleet(t, cfg, n, testServers(4))
 	c.ticks(8 * tickIntervalMs)
 	if !submit(c, 1) {
-		t.Error("a fleet that has just begun has none of a hard limit's burst")
+		t.Error("a fleet that has just started has empty escrows")
 	}
 	c.now += 60000
 	cfg.Balancers, cfg.Position = n, 2
@@ -136,12 +137,12 @@
 	c.event(2, Endpoints{Scope: Persisted, Servers: testServers(4)})
 	c.ticks(8 * tickIntervalMs)
 	if submit(c, 2) {
-		t.Error("a limiter that started among older ones has a part of a hard limit's burst")
+		t.Error("a limiter that started among older ones has a full escrow")
 	}
 	c = newTestFleet(t, cfg, n, testServers(4))
 	c.lose = func(int, int) bool { return true }
 	c.ticks(8 * tickIntervalMs)
 	if submit(c, 1) {
-		t.Error("a limiter that received nothing has a part of a hard limit's burst")
+		t.Error("a limiter whose peers have not responded has a full escrow")
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"example.org/elmspan/balancer"
 )
 
-// One limiter, one server, a quota of one unit a second with a store of two.
+// One limiter, one server, and a quota of 1 unit per second with a burst of 2.
 func Example() {
 	l, err := balancer.New(balancer.Settings{
 		Balancers: 1,
@@ -26,16 +26,16 @@
 		for _, action := range append([]balancer.Action(nil), l.Handle(now, e)...) {
 			switch a := action.(type) {
 			case balancer.StartAttempt:
-				fmt.Printf("%s goes to server %d\n", a.ID, a.Server)
+				fmt.Printf("%s is forwarded to server %d\n", a.ID, a.Server)
 				l.Handle(now, balancer.Outcome{ID: a.ID, Server: a.Server, Result: balancer.Success, LatencyMs: 5,
 					Final: true})
 			case balancer.Reject:
-				fmt.Printf("%s is refused for %.0f ms\n", a.ID, a.RetryAfterMs)
+				fmt.Printf("%s is rejected, retry after %.0f ms\n", a.ID, a.RetryAfterMs)
 			}
 		}
 	}
 	// Output:
-	// a goes to server 9
-	// b goes to server 9
-	// c is refused for 1000 ms
+	// a is forwarded to server 9
+	// b is forwarded to server 9
+	// c is rejected, retry after 1000 ms
 }
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// goldenPeerMessages lists one message of each form that limiters exchange. The files under
-// testdata/golden hold their bytes as written by f96d826: later versions write the same.
+// goldenPeerMessages returns one message of each form that limiters exchange, by file name. The
+// files under testdata/golden hold the bytes as encoded by commit f96d826; later versions must
+// encode the same bytes.
 func goldenPeerMessages() map[string]peerMessage {
 	entry := peerEntry{
 		customer: 4569004829, plan: 2, limiterCount: 9, firstLimiter: 3, spent: 1 << 40, newlySpent: 300, level: -77,
@@ -37,8 +38,8 @@
 	}
 }
 
-// TestGoldenPeerMessages holds the layout of messages between limiters: limiters of two
-// versions run beside each other while a fleet is upgraded.
+// TestGoldenPeerMessages checks that the encoding of messages between limiters is unchanged:
+// limiters of two versions exchange messages while a fleet is upgraded.
 func TestGoldenPeerMessages(t *testing.T) {
 	for name, want := range goldenPeerMessages() {
 		t.Run(name, func(t *testing.T) {
@@ -46,15 +47,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if written, n := want.encode(); !bytes.Equal(written, data) || n != len(want.entries) {
-				t.Errorf("wrote %x with %d entries, want %x", written, n, data)
+			if result, n := want.encode(); !bytes.Equal(result, data) || n != len(want.entries) {
+				t.Errorf("encoded %x with %d entries, want %x", result, n, data)
 			}
 			got, ok := decodePeerMessage(data)
 			if !ok || !reflect.DeepEqual(got, want) {
-				t.Fatalf("read %+v, %v, want %+v", got, ok, want)
+				t.Fatalf("decoded %+v, %v, want %+v", got, ok, want)
 			}
 			if encoded, _ := got.encode(); !bytes.Equal(encoded, data) {
-				t.Errorf("read and written again: %x, want %x", encoded, data)
+				t.Errorf("decoded and encoded again: %x, want %x", encoded, data)
 			}
 		})
 	}
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -8,18 +8,18 @@
 func TestPeerReportsDrawFromTheBalance(t *testing.T) {
 	both := Submit{LimiterCount: 2}
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	s.now += 5000 // the burst has filled meanwhile
+	s.now += 5000 // the bucket is full by now
 	s.admit(1, both)
 	s.do(peerReport(5000, 1, 30))
 	if got := s.admit(30, both); got != 0 {
-		t.Errorf("balance 20-1-30 let %d through", got)
+		t.Errorf("a balance of 20-1-30 admitted %d", got)
 	}
 	s.do(peerReport(5000, 1, 30)) // repeated
-	s.do(peerReport(5000, 3, 31)) // one lost before it
+	s.do(peerReport(5000, 3, 31)) // the report before it was lost
 	s.do(peerReport(5000, 2, 29)) // late
-	s.now += 1700                 // refill repays the debt of 12, 5 are left
+	s.now += 1700                 // 17 units of refill: 12 pay off the deficit, 5 are left
 	if got := s.admit(30, both); got != 5 {
-		t.Errorf("after the debt was repaid %d passed, want 5", got)
+		t.Errorf("%d admitted after the deficit was refilled, want 5", got)
 	}
 	before := s.l.customers[0].balance
 	for _, bad := range [][]byte{nil, {1, 2}, []byte("foreign message, quite long"),
@@ -28,7 +28,7 @@
 	}
 	s.do(PeerMessage{From: 9, Data: peerReport(0, 9, 50).Data})
 	if s.l.customers[0].balance != before {
-		t.Error("a message that is not sound changed the balance")
+		t.Error("an invalid message changed the balance")
 	}
 }
 
@@ -42,7 +42,7 @@
 		}
 	}
 	if !requested {
-		t.Error("a starting limiter did not ask its peer")
+		t.Error("a starting limiter did not request levels from its peer")
 	}
 	s.admit(4, Submit{LimiterCount: 2})
 	request := peerMessage{flags: flagLevelsRequest, incarnation: 5, seq: 1}
@@ -56,12 +56,12 @@
 		}
 	}
 	if len(levels) != 1 || levels[0].level != 16*unitScale {
-		t.Errorf("the answer tells %v, want one level of 16", levels)
+		t.Errorf("the response has %v, want one level of 16", levels)
 	}
 }
 
-// One datagram can't keep a customer out for long, nor make it seem richer than its
-// plan, and a customer forgotten here is not charged with all that a peer ever passed.
+// A single datagram can neither lock a customer out for long nor raise its balance above its
+// plan. A customer evicted here is not charged for all that a peer has ever admitted.
 func TestPeerLevelsAndReportsAreBounded(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	s.admit(1, Submit{Customer: 5, LimiterCount: 2})
@@ -71,16 +71,16 @@
 		s.do(PeerMessage{From: 1, Data: data})
 	}
 	send(peerEntry{customer: 5, limiterCount: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
-	s.now += 6500 // three bursts of 20 at 10 a second and a little
+	s.now += 6500 // the refill of three bursts of 20 at 10 units/s, and a little more
 	if got := s.admit(1, Submit{Customer: 5, LimiterCount: 2}); got != 1 {
-		t.Error("kept out for longer than the limiters' bursts take")
+		t.Error("locked out for longer than the refill of the limiters' bursts takes")
 	}
 	send(peerEntry{customer: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
 	if c := s.l.customers[5]; c.balance > 20 || c.margin > 20 {
 		t.Errorf("balance %g, margin %g with a burst of 20", c.balance, c.margin)
 	}
 	send(peerEntry{customer: 5, level: -1 << 40}, 3, flagLevelUpdate)
-	if c := s.l.customers[5]; c.balance < -41 { // two bursts and what passed last
+	if c := s.l.customers[5]; c.balance < -41 { // two bursts and the last request
 		t.Errorf("balance %g", c.balance)
 	}
 	for range 5 {
@@ -88,11 +88,11 @@
 		s.do(TimerFired{Name: "tick"})
 	}
 	if len(s.l.customers) != 0 {
-		t.Error("the customer is still known")
+		t.Error("the customer has not been evicted")
 	}
 	send(peerEntry{customer: 5, limiterCount: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
 	if c := s.l.customers[5]; c == nil || c.balance != 18 {
-		t.Errorf("after it was forgotten: %+v", c)
+		t.Errorf("a report after the eviction: got %+v, want a balance of 18", c)
 	}
 }
 
@@ -110,11 +110,11 @@
 		}
 		encoded, n := m.encode()
 		if n != len(m.entries) {
-			return // a wasteful encoding of more entries than fit
+			return // a non-minimal encoding: more entries than fit into the minimal one
 		}
 		m2, ok := decodePeerMessage(encoded)
 		if !ok || fmt.Sprint(m) != fmt.Sprint(m2) {
-			t.Errorf("%v became %v", m, m2)
+			t.Errorf("%v was decoded as %v", m, m2)
 		}
 		l, err := New(testSettings(), 1)
 		if err != nil {
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -1,14 +1,14 @@
 package balancer
 
-// This file has the drivers of the tests: one limiter by hand, and a fleet of limiters.
+// The drivers of the tests: limiterDriver runs a single limiter, testFleet a fleet of limiters.
 
 import (
 	"fmt"
 	"testing"
 )
 
-// testSettings has one class of each kind and a plan with and one without a
-// hard limit.
+// testSettings has a class of each idempotency, and plans with a rate, with a hard limit, with
+// a limit of attempts in flight, and without any quota.
 func testSettings() Settings {
 	return Settings{
 		Balancers: 2, PeerMessagesPerSecond: 40,
@@ -32,7 +32,7 @@
 	}
 }
 
-// script drives one Limiter by hand.
+// limiterDriver drives a single Limiter.
 type limiterDriver struct {
 	t   *testing.T
 	l   *Limiter
@@ -46,9 +46,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc := &limiterDriver{t: t, l: l, now: 1000}
-	sc.do(Endpoints{Scope: Persisted, Servers: servers})
-	return sc
+	d := &limiterDriver{t: t, l: l, now: 1000}
+	d.do(Endpoints{Scope: Persisted, Servers: servers})
+	return d
 }
 
 func testServers(n int) (s []ServerInfo) {
@@ -60,7 +60,8 @@
 
 func (s *limiterDriver) do(e Event) []Action { return append([]Action(nil), s.l.Handle(s.now, e)...) }
 
-// submit hands in a request and returns its id and the answer.
+// submit submits a request and returns its id and the response. Zero fields of e get default
+// values.
 func (s *limiterDriver) submit(e Submit) (string, Action) {
 	s.n++
 	e.ID = fmt.Sprint("r", s.n)
@@ -73,17 +74,17 @@
 	if e.Units == 0 {
 		e.Units = 1
 	}
-	return e.ID, s.answer(s.do(e))
+	return e.ID, s.response(s.do(e))
 }
 
-// answer returns the one action among acts that concerns a request.
-func (s *limiterDriver) answer(acts []Action) (got Action) {
+// response returns the one action that concerns a request, or nil if there is none.
+func (s *limiterDriver) response(acts []Action) (got Action) {
 	s.t.Helper()
 	for _, a := range acts {
 		switch a.(type) {
 		case StartAttempt, Reject, Fail:
 			if got != nil {
-				s.t.Fatalf("two answers: %v and %v", got, a)
+				s.t.Fatalf("two responses: %v and %v", got, a)
 			}
 			got = a
 		}
@@ -93,35 +94,36 @@
 
 func (s *limiterDriver) outcome(id string, attempt int, server uint64, r Result) Action {
 	s.t.Helper()
-	return s.answer(s.do(Outcome{ID: id, Attempt: attempt, Server: server, Result: r, LatencyMs: 20,
+	return s.response(s.do(Outcome{ID: id, Attempt: attempt, Server: server, Result: r, LatencyMs: 20,
 		Final: r == Success,
 		Load:  Load{Busy: -1, Pending: -1, ServiceMs: -1}}))
 }
 
-// pass serves a request that must have been passed on.
-func (s *limiterDriver) pass(id string, a Action) {
+// succeed ends the attempt of a request, which must have been forwarded, with success.
+func (s *limiterDriver) succeed(id string, a Action) {
 	s.t.Helper()
 	p, ok := a.(StartAttempt)
 	if !ok {
-		s.t.Fatalf("%s: got %#v, want a PassOn", id, a)
+		s.t.Fatalf("%s: got %#v, want StartAttempt", id, a)
 	}
 	s.outcome(id, 0, p.Server, Success)
 }
 
-// admit counts how many of n requests pass, each served at once.
-func (s *limiterDriver) admit(n int, e Submit) (passed int) {
+// admit submits n requests, each served at once, and returns how many were admitted.
+func (s *limiterDriver) admit(n int, e Submit) (admitted int) {
 	for range n {
 		if id, a := s.submit(e); a != nil {
 			if _, ok := a.(StartAttempt); ok {
-				passed++
-				s.pass(id, a)
+				admitted++
+				s.succeed(id, a)
 			}
 		}
 	}
-	return passed
+	return admitted
 }
 
-// peer encodes what a peer of this age says of customer 0.
+// peerReport returns a report of a peer on customer 0; ageMs is the time since the peer's
+// start.
 func peerReport(ageMs float64, seq, spentUnits uint64) PeerMessage {
 	m := peerMessage{incarnation: 77, seq: seq, ageMs: uint64(ageMs)}
 	m.entries = []peerEntry{{limiterCount: 2, spent: spentUnits * unitScale}}
@@ -129,7 +131,8 @@
 	return PeerMessage{From: 1, Data: data}
 }
 
-// peerAnswers encodes the answer of a peer of this age: levels below full.
+// peerLevels returns a response to a request for levels, with levels of customer 0; ageMs is
+// the time since the peer's start.
 func peerLevels(ageMs float64, levels ...float64) PeerMessage {
 	m := peerMessage{flags: flagLevelUpdate | flagLevelsResponse, ageMs: uint64(ageMs)}
 	for _, level := range levels {
@@ -139,14 +142,14 @@
 	return PeerMessage{From: 1, Data: data}
 }
 
-// crowd is a number of limiters that see nothing of each other but messages.
+// testFleet is a number of limiters that share nothing but messages.
 type testFleet struct {
 	t        testing.TB
 	now      float64
 	limiters []*Limiter
 	ids      int
-	sent     map[uint64]int // by server
-	lose     func(from, to int) bool
+	sent     map[uint64]int          // attempts by server
+	lose     func(from, to int) bool // whether a message is lost
 }
 
 func newTestFleet(t testing.TB, cfg Settings, n int, servers []ServerInfo) *testFleet {
@@ -165,13 +168,13 @@
 	return c
 }
 
-// event hands an event in, serves what is passed on at once, delivers messages
-// at once, and returns whether the event's request was passed on.
-func (c *testFleet) event(i int, e Event) (passed bool) {
+// event passes an event to a limiter, serves forwarded requests and delivers messages at once,
+// and reports whether a request was forwarded.
+func (c *testFleet) event(i int, e Event) (forwarded bool) {
 	for _, a := range append([]Action(nil), c.limiters[i].Handle(c.now, e)...) {
 		switch a := a.(type) {
 		case StartAttempt:
-			passed = true
+			forwarded = true
 			c.sent[a.Server]++
 			c.event(i, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
 		case SendPeer:
@@ -180,7 +183,7 @@
 			}
 		}
 	}
-	return passed
+	return forwarded
 }
 
 func (c *testFleet) submit(i int, e Submit) bool {
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A server that fails fast is ejected although it looks idle, and is tried
-// again, gently, with requests that may be repeated.
+// A server that fails fast looks idle, but is ejected. After the ejection it is tried again
+// with a few requests.
 func TestFailingServerIsEjected(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	serve := func() (bad int) {
@@ -31,14 +31,14 @@
 		bad += serve()
 	}
 	if bad != 0 {
-		t.Errorf("a server that failed twice got %d of 200", bad)
+		t.Errorf("an ejected server got %d of 200 requests", bad)
 	}
 	s.now += 20000
 	for range 200 {
 		bad += serve()
 	}
 	if bad < ejectAfterFailures || bad > 2*ejectAfterFailures {
-		t.Errorf("tried anew it got %d of 200, want a few", bad)
+		t.Errorf("after its ejection the server got %d of 200 requests, want a few", bad)
 	}
 }
 
@@ -62,31 +62,31 @@
 		}
 	}
 	if !probed {
-		t.Fatal("a server without a response for long was not probed")
+		t.Fatal("a server that had not responded for long was not probed")
 	}
-	aborted := 0
+	canceled := 0
 	for _, a := range s.do(ProbeResult{Server: 1, Result: TimedOut}) {
 		if _, ok := a.(CancelAttempt); ok {
-			aborted++
+			canceled++
 		}
 	}
-	if aborted == 0 {
-		t.Error("nothing was called off at a server found down")
+	if canceled == 0 {
+		t.Error("no attempt was canceled at a server marked down")
 	}
 	for range 20 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
-			t.Fatal("sent to a server that is down")
+			t.Fatal("request sent to a server that is down")
 		} else {
-			s.pass(id, a)
+			s.succeed(id, a)
 		}
 	}
 	s.do(ProbeResult{Server: 1, Result: Success})
 	if s.l.servers[1].down {
-		t.Error("a server that answers is still held down")
+		t.Error("a server whose probe succeeded is still marked down")
 	}
 }
 
-// A server that fails one class only is ejected for that class; peers are sent a hint.
+// A server that fails only one class is ejected for that class, and the peers are sent hints.
 func TestServerIsEjectedForOneClass(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	hints := 0
@@ -112,16 +112,16 @@
 		}
 	}
 	if srv := s.l.servers[1]; srv.ejections[0].until <= s.now || srv.ejections[1].until > s.now {
-		t.Errorf("class 0 fails at server 1: ejected to %v at %v", srv.ejections, s.now)
+		t.Errorf("class 0 fails at server 1: ejections %v at %v", srv.ejections, s.now)
 	}
 	if hints == 0 {
-		t.Error("the peer got no hint")
+		t.Error("the peer was sent no hint")
 	}
 }
 
-// Hints of all limiters together stay within what each takes in, however many
-// limiters and failures. Found as two incidents in which they were nine tenths of
-// all messages. Fails if each limiter may hint as it likes.
+// The hints of all limiters together stay within the share of messages set aside for them,
+// however many limiters and failures there are. In two incidents hints were nine tenths of all
+// messages. Fails if a limiter may send hints without a limit.
 func TestFailureHintsAreBounded(t *testing.T) {
 	for _, n := range []int{20, 300} {
 		cfg := testSettings()
@@ -134,7 +134,7 @@
 				t.Fatal(err)
 			}
 			l.Handle(0, Endpoints{Scope: Persisted, Servers: testServers(9)})
-			for k := range 40 { // two seconds, every fifth answer fails
+			for k := range 40 { // 2 s, every fifth attempt fails
 				now, id := float64(50*k), fmt.Sprint(k)
 				for _, a := range l.Handle(now,
 					Submit{ID: id, TimeoutMs: 900, Units: 1, Plan: 3, Class: 2, LimiterCount: 1}) {
@@ -152,16 +152,15 @@
 				}
 			}
 		}
-		// Each takes in 40 a second, of which hintShare are hints, for two seconds.
-		// More than a fifth of all would crowd out the levels.
+		// For 2 s each receives 40 messages/s, of which hintMessageShare are hints. More than
+		// a fifth of the messages would displace the levels.
 		if each := float64(sent) / float64(n); each < 1 || each > min(1.5*2*40*hintMessageShare, 2*40/5.0) {
-			t.Errorf("%d limiters: each got %.0f hints in two seconds", n, each)
+			t.Errorf("%d limiters: each was sent %.0f hints in 2 s", n, each)
 		}
 	}
 }
 
-// Hints about servers or classes that the own list and settings do not name
-// change nothing; two sound ones keep a server off.
+// Hints of unknown servers or classes are ignored; two valid hints eject a server.
 func TestFailureHintsEjectAServer(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	hint := func(server, class uint64) {
@@ -175,16 +174,16 @@
 		hint(2, 99)
 	}
 	if len(s.l.servers) != 4 || s.l.servers[2].ejections[0].failures != 0 {
-		t.Error("an unsound hint counted")
+		t.Error("an invalid hint was counted")
 	}
 	for range 2 {
 		hint(2, 0)
 	}
 	for range 40 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server == 2 {
-			t.Fatal("sent to a server that peers say fails")
+			t.Fatal("request sent to a server that hints had ejected")
 		} else {
-			s.pass(id, a)
+			s.succeed(id, a)
 		}
 	}
 }
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -21,7 +21,7 @@
 		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: error %v does not name it", name, err)
+			t.Errorf("error %[2]v does not name %[1]s", name, err)
 		}
 	}
 }
@@ -29,7 +29,7 @@
 func TestEventsOfEndedRequestsAreIgnored(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	id, a := s.submit(Submit{})
-	s.pass(id, a)
+	s.succeed(id, a)
 	for _, e := range []Event{
 		Outcome{ID: id, Server: 1}, Outcome{ID: "no", Server: 1,
 			Attempt: 3}, ClientDisconnected{ID: id}, ClientDisconnected{ID: "no"},
@@ -44,9 +44,9 @@
 	}
 }
 
-// Customers that come once, here or by a peer's word, and servers that are replaced
-// leave nothing behind.
-func TestInFlightCountsReturnToZero(t *testing.T) {
+// No state is left behind by customers that appear once, in requests or in reports of peers, or
+// by servers that are replaced.
+func TestNoStateIsLeftBehind(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for i := range 4000 {
 		s.now += 20
@@ -55,14 +55,14 @@
 			{customer: uint64(100000 + i), plan: uint64(i % 3), limiterCount: 2, spent: 8, newlySpent: 8}}}
 		data, _ := m.encode()
 		s.do(PeerMessage{From: 1, Data: data})
-		if i%10 == 0 { // a server goes, another comes
+		if i%10 == 0 { // one server is removed, another added
 			s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: uint64(100 + i), Weight: 1},
 				{ID: uint64(90 + i), Phase: Removed}}})
 			s.do(TimerFired{Name: "tick"})
 		}
 	}
 	if n := len(s.l.customers); n > 3000 {
-		t.Errorf("%d customers are known 15 s after 80 s of new ones", n)
+		t.Errorf("%d customers held after 80 s of new ones, want those of the last 15 s", n)
 	}
 	for range 3 {
 		s.now += 2 * idleCustomerMs
@@ -70,21 +70,22 @@
 	}
 	if len(s.l.customers)+len(s.l.customerList)+len(s.l.aggregated)+len(s.l.unreported)+len(s.l.requests) != 0 ||
 		s.l.inFlight != 0 {
-		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.customers),
-			len(s.l.customerList),
-			len(s.l.aggregated), len(s.l.unreported), len(s.l.requests), s.l.inFlight)
+		t.Errorf("still held: %d customers, %d in the list, %d aggregated, %d unreported, %d requests, %d in flight",
+			len(s.l.customers), len(s.l.customerList), len(s.l.aggregated), len(s.l.unreported), len(s.l.requests),
+			s.l.inFlight)
 	}
 	if len(s.l.servers) != 5 || len(s.l.serverList) != 5 {
-		t.Errorf("%d servers, %d in order, want 5", len(s.l.servers), len(s.l.serverList))
+		t.Errorf("%d servers, %d in the list, want 5", len(s.l.servers), len(s.l.serverList))
 	}
 }
 
-// A limiter that stood still learns nothing against servers from what was out.
+// A limiter that was paused does not count timeouts of attempts in flight meanwhile against
+// servers.
 func TestPausedLimiterBlamesNoServer(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 30 {
 		id, a := s.submit(Submit{Plan: 3})
-		s.pass(id, a)
+		s.succeed(id, a)
 		s.now += 20
 	}
 	var ids []string
@@ -93,13 +94,13 @@
 		id, a := s.submit(Submit{Plan: 3})
 		ids, to = append(ids, id), append(to, a.(StartAttempt).Server)
 	}
-	work := s.l.typicalMs[0]
+	typical := s.l.typicalMs[0]
 	s.now += 1600
 	for k, id := range ids {
 		s.do(Outcome{ID: id, Server: to[k], Result: TimedOut, LatencyMs: 1600})
 	}
-	if s.l.typicalMs[0] != work || s.l.servers[1].ejections[0].failures+s.l.servers[2].ejections[0].failures > 0 {
-		t.Error("the limiter's own pause counted against servers")
+	if s.l.typicalMs[0] != typical || s.l.servers[1].ejections[0].failures+s.l.servers[2].ejections[0].failures > 0 {
+		t.Error("the limiter's own pause was counted against servers")
 	}
 }
 
@@ -110,10 +111,10 @@
 			cfg.Balancers = randomLimiters
 			c := &randomFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
 				limiters: make([]*Limiter, randomLimiters), listed: make([]map[uint64]ServerInfo, randomLimiters),
-				open: make([]map[string]*randomRequest, randomLimiters), servers: map[uint64]ServerInfo{},
-				store: make([]float64, 64), sends: make([]map[uint64][]float64, randomLimiters)}
-			for k := range c.store {
-				c.store[k] = cfg.Plans[1].HardBurst
+				requests: make([]map[string]*randomRequest, randomLimiters), servers: map[uint64]ServerInfo{},
+				hardBalances: make([]float64, 64), sentTimes: make([]map[uint64][]float64, randomLimiters)}
+			for k := range c.hardBalances {
+				c.hardBalances[k] = cfg.Plans[1].HardBurst
 			}
 			for id := uint64(1); id <= 8; id++ {
 				c.servers[id] = ServerInfo{ID: id, Cell: int(id % 2), Zone: int(id % 2)}
@@ -124,14 +125,14 @@
 			for range 6000 {
 				c.step()
 			}
-			if c.done < 3000 {
-				t.Errorf("only %d requests were answered", c.done)
+			if c.finishedRequests < 3000 {
+				t.Errorf("only %d requests got a final response", c.finishedRequests)
 			}
 		})
 	}
 }
 
-// Equal seeds and equal events give equal actions.
+// Equal seeds and events yield equal actions.
 func TestEqualSeedsGiveEqualActions(t *testing.T) {
 	run := func() string {
 		l, err := New(testSettings(), 3)
@@ -153,11 +154,11 @@
 	}
 	first, second := run(), run()
 	if first != second {
-		t.Error("two runs differ")
+		t.Error("two runs with equal seeds differ")
 	}
 }
 
-// FuzzEvents reads bytes as a script of events; nothing may panic.
+// FuzzEvents interprets bytes as a sequence of events; no event may cause a panic.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("a script of any bytes whatever, long enough for a few events"))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -196,7 +197,7 @@
 	})
 }
 
-// BenchmarkHandle serves requests at a limiter of 470 with 90 servers.
+// BenchmarkHandle measures a request and a tick at one of 470 limiters with 90 servers.
 func BenchmarkHandle(b *testing.B) {
 	cfg := testSettings()
 	cfg.Balancers, cfg.PeerMessagesPerSecond = 470, 40
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A limiter that has been refusing for lack of servers tries them again.
+// A limiter that rejected requests for lack of servers uses the servers again once they are
+// idle.
 func TestServersAreUsedAfterOverloadEnds(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 50 {
@@ -14,7 +15,7 @@
 	s.submit(Submit{Plan: 3})
 	if _, c := s.submit(Submit{Plan: 3}); c != nil {
 		if _, ok := c.(Reject); !ok {
-			t.Fatalf("400 ms an answer, aim 500, one in hand at each server: %#v, want Refuse", c)
+			t.Fatalf("400 ms per response, target 500 ms, one request in flight per server: got %#v, want Reject", c)
 		}
 	}
 	for id := range s.l.requests {
@@ -24,13 +25,13 @@
 	}
 	if _, a := s.submit(Submit{Plan: 3}); a != nil {
 		if _, ok := a.(StartAttempt); !ok {
-			t.Errorf("a server has nothing in hand: %#v, want PassOn", a)
+			t.Errorf("a server is idle: got %#v, want StartAttempt", a)
 		}
 	}
 }
 
-// Where many limiters stand before few servers, one request of each at every
-// idle server is too much: servers that were overdriven never recovered.
+// With many limiters and few servers, a request from each limiter to every idle server is too
+// much: overloaded servers never recovered.
 func TestLargeFleetUsesIdleServersLess(t *testing.T) {
 	for balancers, want := range map[int]int{2: 8, 16: 3} {
 		cfg := testSettings()
@@ -40,43 +41,43 @@
 			id, a := s.submit(Submit{Plan: 3})
 			s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
 		}
-		out := 0
+		inFlight := 0
 		for range 40 {
 			if _, a := s.submit(Submit{Plan: 3}); a != nil {
 				if _, ok := a.(StartAttempt); ok {
-					out++
+					inFlight++
 				}
 			}
 		}
-		if out != want {
-			t.Errorf("%d limiters, 8 slow servers: %d out, want %d", balancers, out, want)
+		if inFlight != want {
+			t.Errorf("%d limiters, 8 slow servers: %d requests in flight, want %d", balancers, inFlight, want)
 		}
 	}
 }
 
-// Tries whose remaining time shows that their latency target is missed are refused and
-// spend nothing; a last try with more time than usual and time to spare passes.
+// A request whose remaining time shows that it misses the latency target is rejected without a
+// charge. One with more time than usual, and time to spare, is admitted.
 func TestLateRequestIsRejected(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for range 5 {
 		id, a := s.submit(Submit{TimeoutMs: 1000})
-		s.pass(id, a)
+		s.succeed(id, a)
 	}
 	before := s.l.customers[0].balance
 	if _, a := s.submit(Submit{TimeoutMs: 1400}); a != (Reject{ID: "r6", RetryAfterMs: 1000}) {
-		t.Errorf("600 ms after the client began, aim 500: %#v", a)
+		t.Errorf("600 ms after the client began, target 500 ms: got %#v, want Reject", a)
 	}
 	if s.l.customers[0].balance != before {
-		t.Error("a refused try spent units")
+		t.Error("a rejected request was charged")
 	}
 	if _, a := s.submit(Submit{TimeoutMs: 1800}); a != nil {
 		if _, ok := a.(StartAttempt); !ok {
-			t.Errorf("200 ms after the client began: %#v", a)
+			t.Errorf("200 ms after the client began: got %#v, want StartAttempt", a)
 		}
 	}
 }
 
-// Under overload the request of least value for its work is rejected first.
+// Under overload, requests of the least value per work are rejected first.
 func TestValueDecidesUnderOverload(t *testing.T) {
 	cfg := testSettings()
 	cfg.Plans[0].Price, cfg.Plans[3].Price = 5, 0.2
@@ -90,25 +91,25 @@
 			}
 		}
 	}
-	passed := map[int]int{}
+	admitted := map[int]int{}
 	for i := range 200 {
 		plan := []int{0, 3}[i%2]
 		if _, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)}); a != nil {
 			if _, ok := a.(StartAttempt); ok {
-				passed[plan]++
+				admitted[plan]++
 			}
 		}
 	}
-	if passed[0] <= passed[3] {
-		t.Errorf("dear plan %d, cheap plan %d of 100 each", passed[0], passed[3])
+	if admitted[0] <= admitted[3] {
+		t.Errorf("admitted %d of 100 of the expensive plan, %d of the cheap one", admitted[0], admitted[3])
 	}
 }
 
-// Where clients mark their retries, a first try with a short time of its own has only
-// just begun and is served; a retry with it is what is left of a time mostly over.
+// Where clients mark their retries, a first request with a short timeout has only just begun
+// and is served. A retry with the same timeout has little of its deadline left.
 func TestFirstRequestsWithShortTimeoutAreServed(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	pass := func(e Submit) bool {
+	serve := func(e Submit) bool {
 		t.Helper()
 		id, a := s.submit(e)
 		p, ok := a.(StartAttempt)
@@ -119,15 +120,15 @@
 		return ok
 	}
 	for range 20 {
-		pass(Submit{Plan: 3, TimeoutMs: 1000})
+		serve(Submit{Plan: 3, TimeoutMs: 1000})
 	}
-	if pass(Submit{Plan: 3, TimeoutMs: 200}) {
-		t.Error("with no retry marked so far a short time is taken for what is left")
+	if serve(Submit{Plan: 3, TimeoutMs: 200}) {
+		t.Error("without marked retries, a short timeout was not taken for the rest of a deadline")
 	}
-	if pass(Submit{Plan: 3, TimeoutMs: 200, Retry: true}) {
-		t.Error("a late retry was sent on")
+	if serve(Submit{Plan: 3, TimeoutMs: 200, Retry: true}) {
+		t.Error("a late retry was forwarded")
 	}
-	if !pass(Submit{Plan: 3, TimeoutMs: 200}) {
-		t.Error("a first try in a hurry was refused")
+	if !serve(Submit{Plan: 3, TimeoutMs: 200}) {
+		t.Error("a first request with a short timeout was rejected")
 	}
 }
--- a/balancer/randomfleet_test.go
+++ b/balancer/randomfleet_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// This file has a fleet of limiters under random events, and the checks of what they do.
+// A fleet of limiters under random events, and the checks of their actions.
 
 import (
 	"fmt"
@@ -9,48 +9,49 @@
 	"testing"
 )
 
-// randomFleet drives several limiters with random legal events and checks the five
-// rules on what they do. It has no notion of load or speed: outcomes, delays,
-// losses, restarts and list changes are drawn blindly.
+// randomFleet drives several limiters with random valid events and checks their actions against
+// the rules on attempts, repeated execution, final responses, slow start and hard limits. It
+// does not model load or speed: outcomes, delays, losses, restarts and changes of the list are
+// drawn independently of the requests.
 type randomFleet struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      float64
-	cfg      Settings
-	limiters []*Limiter
-	servers  map[uint64]ServerInfo
-	listed   []map[uint64]ServerInfo // the last list of each limiter
-	open     []map[string]*randomRequest
-	timers   []randomTimer
-	store    []float64              // true store of the hard limit of each customer
-	sends    []map[uint64][]float64 // by limiter and server: when it was sent to
-	ids      int
-	mail     []randomMail
-	done     int
+	t                *testing.T
+	rng              *rand.Rand
+	now              float64
+	cfg              Settings
+	limiters         []*Limiter
+	servers          map[uint64]ServerInfo
+	listed           []map[uint64]ServerInfo // last list of each limiter
+	requests         []map[string]*randomRequest
+	timers           []randomTimer
+	hardBalances     []float64              // balance of the hard limit of each customer
+	sentTimes        []map[uint64][]float64 // by limiter and server: times of the attempts
+	ids              int
+	messages         []randomMessage
+	finishedRequests int
 }
 
 type randomRequest struct {
-	id       string
-	submit   Submit
-	deadline float64
-	live     map[int]StartAttempt
-	sent     []StartAttempt
-	sentAt   []float64
-	ran      []int // attempts that may have run
-	over     bool
+	id            string
+	submit        Submit
+	deadline      float64
+	inFlight      map[int]StartAttempt
+	sent          []StartAttempt
+	sentAt        []float64
+	maybeExecuted []int // attempts that may have been executed
+	finished      bool
 }
 
 type randomTimer struct {
-	at   float64
-	who  int
-	name string
-	l    *Limiter
+	at      float64
+	limiter int
+	name    string
+	setBy   *Limiter // the instance that set it, which may have been replaced
 }
 
-type randomMail struct {
-	to  int
-	at  float64
-	msg PeerMessage
+type randomMessage struct {
+	to      int
+	at      float64
+	message PeerMessage
 }
 
 const randomLimiters = 3
@@ -62,8 +63,8 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.limiters[i], c.open[i], c.listed[i] = l, map[string]*randomRequest{}, map[uint64]ServerInfo{}
-	c.sends[i] = map[uint64][]float64{}
+	c.limiters[i], c.requests[i], c.listed[i] = l, map[string]*randomRequest{}, map[uint64]ServerInfo{}
+	c.sentTimes[i] = map[uint64][]float64{}
 	c.sendList(i, Persisted)
 }
 
@@ -91,7 +92,7 @@
 	}
 }
 
-// action checks one action of a limiter and carries it out.
+// action checks an action of a limiter and executes it.
 func (c *randomFleet) action(i int, a Action) {
 	switch a := a.(type) {
 	case StartAttempt:
@@ -99,58 +100,58 @@
 	case Reject:
 		c.reject(i, a)
 	case Fail:
-		if r := c.open[i][a.ID]; r != nil && !r.over {
+		if r := c.requests[i][a.ID]; r != nil && !r.finished {
 			c.finish(r)
 		}
 	case CancelAttempt:
-		if r := c.open[i][a.ID]; r != nil && a.Attempt >= len(r.sent) {
-			c.t.Fatal("canceled an attempt that was never made")
+		if r := c.requests[i][a.ID]; r != nil && a.Attempt >= len(r.sent) {
+			c.t.Fatal("canceled an attempt that was never started")
 		}
 	case SetTimer:
 		c.timers = append(c.timers, randomTimer{a.At, i, a.Name, c.limiters[i]})
 	case SendPeer:
 		if len(a.Data) > maxPeerBytes || a.To == i {
-			c.t.Fatalf("bad message of %d bytes to %d", len(a.Data), a.To)
+			c.t.Fatalf("invalid message of %d bytes to limiter %d", len(a.Data), a.To)
 		}
 		if c.rng.Float64() < 0.9 {
 			message := PeerMessage{From: i, Data: a.Data}
-			c.mail = append(c.mail, randomMail{a.To, c.now + 40*c.rng.Float64(), message})
+			c.messages = append(c.messages, randomMessage{a.To, c.now + 40*c.rng.Float64(), message})
 		}
 	}
 }
 
-// startAttempt checks that an attempt may be made: the request is open, the server is up, and
-// no rule on the number of attempts or on a second execution is broken.
+// startAttempt checks that an attempt may be started: the request is unfinished, the server is
+// up, and the limits of attempts and the rules on repeated execution are kept.
 func (c *randomFleet) startAttempt(i int, a StartAttempt) {
-	r := c.open[i][a.ID]
-	if r == nil || r.over {
-		c.t.Fatalf("sent %s, which is over", a.ID)
+	r := c.requests[i][a.ID]
+	if r == nil || r.finished {
+		c.t.Fatalf("forwarded %s, which is finished", a.ID)
 	}
 	info, ok := c.listed[i][a.Server]
 	if !ok || info.Phase != Up {
-		c.t.Fatalf("sent to server %d, which drains, is gone or was never listed", a.Server)
+		c.t.Fatalf("forwarded to server %d, which is draining, removed or was never listed", a.Server)
 	}
-	if len(r.live) > 0 && !c.cfg.Caps.Hedging {
-		c.t.Fatal("two attempts in flight at once")
+	if len(r.inFlight) > 0 && !c.cfg.Caps.Hedging {
+		c.t.Fatal("two attempts of a request in flight at once")
 	}
 	if len(r.sent) >= c.cfg.Caps.MaxAttempts {
-		c.t.Fatal("more attempts than allowed")
+		c.t.Fatal("more attempts than Caps.MaxAttempts")
 	}
-	for _, k := range r.ran {
+	for _, k := range r.maybeExecuted {
 		c.checkRepeat(i, r, k, info)
 	}
 	if len(r.sent) == 0 {
 		c.spendHardLimit(r.submit)
 	}
-	c.sends[i][a.Server] = append(c.sends[i][a.Server], c.now)
+	c.sentTimes[i][a.Server] = append(c.sentTimes[i][a.Server], c.now)
 	c.checkSlowStart(i, info)
-	r.live[len(r.sent)] = a
+	r.inFlight[len(r.sent)] = a
 	r.sent = append(r.sent, a)
 	r.sentAt = append(r.sentAt, c.now)
 }
 
-// checkRepeat checks that a request whose attempt k may have been executed may be sent to a
-// server once more.
+// checkRepeat checks that a request whose attempt k may have been executed may be forwarded to
+// another server.
 func (c *randomFleet) checkRepeat(i int, r *randomRequest, k int, info ServerInfo) {
 	class := c.cfg.Classes[r.submit.Class]
 	before := c.listed[i][r.sent[k].Server]
@@ -158,28 +159,28 @@
 	case class.Idempotency == Unsafe:
 		c.t.Fatal("an unsafe request that may have been executed was retried")
 	case class.Idempotency == Keyed && class.DedupScope == DedupCell && before.Cell != info.Cell:
-		c.t.Fatal("a keyed request left its cell")
+		c.t.Fatal("a keyed request was retried in another cell")
 	case class.Idempotency == Keyed && c.now >= r.sentAt[k]+class.DedupWindowMs:
-		c.t.Fatal("a keyed request was retried after its window")
+		c.t.Fatal("a keyed request was retried after its deduplication window")
 	}
 }
 
 // reject checks that a rejected request can be retried by its client.
 func (c *randomFleet) reject(i int, a Reject) {
-	r := c.open[i][a.ID]
-	if r == nil || r.over {
+	r := c.requests[i][a.ID]
+	if r == nil || r.finished {
 		return
 	}
 	class := c.cfg.Classes[r.submit.Class]
 	harmless := class.Idempotency == Safe || class.Idempotency == Keyed && class.DedupScope == DedupAll
-	if !harmless && (len(r.ran) > 0 || len(r.live) > 0) {
+	if !harmless && (len(r.maybeExecuted) > 0 || len(r.inFlight) > 0) {
 		c.t.Fatalf("rejected a request of class %d that may have been executed", r.submit.Class)
 	}
 	c.finish(r)
 }
 
-// warmth is what rule 4 lets a server of that age be counted for.
-func (c *randomFleet) warmth(info ServerInfo) float64 {
+// slowStartShare is the share of its capacity that a server has by its age.
+func (c *randomFleet) slowStartShare(info ServerInfo) float64 {
 	if info.ReadyAt <= 0 {
 		return 1
 	}
@@ -187,16 +188,16 @@
 	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*(c.now-info.ReadyAt)/r.SlowStartMs)
 }
 
-// checkSlowStart holds a limiter to its part of a server in slow start's budget: the rule's
-// multiple of its warmth times what the limiter sends to the busiest warm
-// server in the same window, and a few for chance and for works of other sizes.
+// checkSlowStart checks that a limiter keeps to its part of a server in slow start: what it
+// sends to the busiest warm server in the same window, times the share of capacity and the
+// overload factor, plus a few requests for random variation and for differences in work.
 func (c *randomFleet) checkSlowStart(i int, info ServerInfo) {
-	w := c.warmth(info)
-	if w >= 1 {
+	share := c.slowStartShare(info)
+	if share >= 1 {
 		return
 	}
 	since := func(id uint64, from float64) (n float64) {
-		for _, at := range c.sends[i][id] {
+		for _, at := range c.sentTimes[i][id] {
 			if at > from {
 				n++
 			}
@@ -210,17 +211,17 @@
 		}
 	}
 	n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.ServerLimits.OverloadMs))
-	if n > 3+c.cfg.ServerLimits.OverloadFactor*w*busiest {
-		c.t.Fatalf("server in slow start %d (warmth %.2f) got %g in a window, the busiest warm one %g", info.ID, w,
-			n, busiest)
+	if n > 3+c.cfg.ServerLimits.OverloadFactor*share*busiest {
+		c.t.Fatalf("server %d, at %.2f of its capacity in slow start, got %g requests per window, the busiest %g",
+			info.ID, share, n, busiest)
 	}
 }
 
 func (c *randomFleet) finish(r *randomRequest) {
-	r.over = true
-	c.done++
+	r.finished = true
+	c.finishedRequests++
 	if c.now > r.deadline+8 {
-		c.t.Fatalf("%s answered %g ms late", r.id, c.now-r.deadline)
+		c.t.Fatalf("the final response to %s was %g ms late", r.id, c.now-r.deadline)
 	}
 }
 
@@ -228,42 +229,43 @@
 	if c.cfg.Plans[s.Plan].HardRate == 0 {
 		return
 	}
-	left := &c.store[s.Customer]
+	left := &c.hardBalances[s.Customer]
 	if *left -= s.Units; *left < -1e-6 {
-		c.t.Fatalf("the hard limit of customer %d is passed by %g", s.Customer, -*left)
+		c.t.Fatalf("the hard limit of customer %d is exceeded by %g", s.Customer, -*left)
 	}
 }
 
-// endAttempt ends one attempt that is out with a drawn result.
+// endAttempt ends an attempt in flight with a given result, or a random one if forced is
+// negative.
 func (c *randomFleet) endAttempt(i int, r *randomRequest, attempt int, forced Result) {
-	delete(r.live, attempt)
+	delete(r.inFlight, attempt)
 	result := forced
 	if result < 0 {
 		result = Result(c.rng.IntN(8))
 	}
 	if !provesNotExecuted(result) {
-		r.ran = append(r.ran, attempt)
+		r.maybeExecuted = append(r.maybeExecuted, attempt)
 	}
-	done := r.over
-	if result == Success && !r.over {
+	final := r.finished
+	if result == Success && !r.finished {
 		c.finish(r)
-		done = true
+		final = true
 	}
 	c.event(i, Outcome{ID: r.id, Attempt: attempt, Server: r.sent[attempt].Server, Result: result,
-		LatencyMs: c.now - r.sentAt[attempt], Final: done, Load: Load{Busy: float64(c.rng.IntN(9) - 1)}})
+		LatencyMs: c.now - r.sentAt[attempt], Final: final, Load: Load{Busy: float64(c.rng.IntN(9) - 1)}})
 }
 
-// step lets some time pass and makes one random event.
+// step advances the time and makes one random event.
 func (c *randomFleet) step() {
 	dt := min(4, c.rng.ExpFloat64()*3)
 	c.now += dt
-	for k := range c.store {
+	for k := range c.hardBalances {
 		p := c.cfg.Plans[1]
-		c.store[k] = min(p.HardBurst, c.store[k]+dt*p.HardRate/1000)
+		c.hardBalances[k] = min(p.HardBurst, c.hardBalances[k]+dt*p.HardRate/1000)
 	}
 	c.fireTimers()
-	c.deliverMail()
-	for i := range c.open {
+	c.deliverMessages()
+	for i := range c.requests {
 		c.endAttempts(i)
 	}
 	i := c.rng.IntN(randomLimiters)
@@ -285,84 +287,84 @@
 	}
 }
 
-// fireTimers fires the timers that are due, but not those of limiters that have restarted.
+// fireTimers fires the timers that are due, except those set by limiters that have restarted.
 func (c *randomFleet) fireTimers() {
 	for k := 0; k < len(c.timers); k++ {
 		if tm := c.timers[k]; tm.at <= c.now {
 			c.timers = slices.Delete(c.timers, k, k+1)
 			k--
-			if c.limiters[tm.who] == tm.l {
-				c.event(tm.who, TimerFired{Name: tm.name})
+			if c.limiters[tm.limiter] == tm.setBy {
+				c.event(tm.limiter, TimerFired{Name: tm.name})
 			}
 		}
 	}
 }
 
-// deliverMail delivers the messages that are due.
-func (c *randomFleet) deliverMail() {
-	for k := 0; k < len(c.mail); k++ {
-		if m := c.mail[k]; m.at <= c.now {
-			c.mail = slices.Delete(c.mail, k, k+1)
+// deliverMessages delivers the messages that are due.
+func (c *randomFleet) deliverMessages() {
+	for k := 0; k < len(c.messages); k++ {
+		if m := c.messages[k]; m.at <= c.now {
+			c.messages = slices.Delete(c.messages, k, k+1)
 			k--
-			c.event(m.to, m.msg)
+			c.event(m.to, m.message)
 		}
 	}
 }
 
-// endAttempts ends a limiter's attempts at the deadline, and others at random. A request
-// without an attempt in flight must have its final response.
+// endAttempts ends a limiter's attempts at their deadline, and others at random. A request
+// without attempts in flight must have its final response.
 func (c *randomFleet) endAttempts(i int) {
-	ids := make([]string, 0, len(c.open[i]))
-	for id := range c.open[i] {
+	ids := make([]string, 0, len(c.requests[i]))
+	for id := range c.requests[i] {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		r := c.open[i][id]
+		r := c.requests[i][id]
 		for k := range r.sent {
-			if _, live := r.live[k]; live && c.now >= r.deadline {
+			if _, inFlight := r.inFlight[k]; inFlight && c.now >= r.deadline {
 				c.endAttempt(i, r, k, TimedOut)
-			} else if live && c.rng.Float64() < 0.05 {
+			} else if inFlight && c.rng.Float64() < 0.05 {
 				c.endAttempt(i, r, k, -1)
 			}
 		}
-		if len(r.live) > 0 {
+		if len(r.inFlight) > 0 {
 			continue
 		}
-		if !r.over {
-			c.t.Fatalf("%s is open with nothing in flight", id)
+		if !r.finished {
+			c.t.Fatalf("%s has neither a final response nor an attempt in flight", id)
 		}
-		delete(c.open[i], id)
+		delete(c.requests[i], id)
 	}
 }
 
-// submit makes a random request, which must get an attempt or a final response at once.
+// submit submits a random request, which must get an attempt or a final response at once.
 func (c *randomFleet) submit(i int) {
 	c.ids++
 	plan := c.rng.IntN(len(c.cfg.Plans))
 	s := Submit{ID: fmt.Sprint("q", c.ids), TimeoutMs: 50 + 1950*c.rng.Float64(), Units: float64(1 + c.rng.IntN(4)),
 		Class: c.rng.IntN(len(c.cfg.Classes)), Plan: plan, Customer: uint64(plan + len(c.cfg.Plans)*c.rng.IntN(4)),
 		LimiterCount: randomLimiters}
-	r := &randomRequest{id: s.ID, submit: s, deadline: c.now + s.TimeoutMs, live: map[int]StartAttempt{}}
-	c.open[i][s.ID] = r
+	r := &randomRequest{id: s.ID, submit: s, deadline: c.now + s.TimeoutMs, inFlight: map[int]StartAttempt{}}
+	c.requests[i][s.ID] = r
 	c.event(i, s)
-	if len(r.sent) == 0 && !r.over {
+	if len(r.sent) == 0 && !r.finished {
 		c.t.Fatalf("%s got no response", s.ID)
 	}
 }
 
-// clientGone lets the client of a limiter's first request leave.
+// clientDisconnects lets the client of a limiter's first request disconnect.
 func (c *randomFleet) clientDisconnects(i int) {
-	for _, id := range firstKey(c.open[i]) {
-		if r := c.open[i][id]; !r.over {
-			r.over = true
+	for _, id := range firstID(c.requests[i]) {
+		if r := c.requests[i][id]; !r.finished {
+			r.finished = true
 			c.event(i, ClientDisconnected{ID: id})
 		}
 	}
 }
 
-// changeServer lets a random server drain, leave, restart or come, and sends all limiters a
-// list, whole or of changes.
+// changeServer lets a random server drain, be removed, restart or be added, and sends all
+// limiters a complete or partial list.
 func (c *randomFleet) changeServer() {
 	id := uint64(1 + c.rng.IntN(8))
 	info := c.servers[id]
@@ -376,7 +378,8 @@
 	}
 }
 
-func firstKey(m map[string]*randomRequest) []string {
+// firstID returns the smallest id, or nothing if there is none.
+func firstID(m map[string]*randomRequest) []string {
 	var ids []string
 	for id := range m {
 		ids = append(ids, id)
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -10,32 +10,32 @@
 	s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 1, Phase: Draining}}})
 	for range 10 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
-			t.Fatal("sent to a draining server")
+			t.Fatal("request sent to a draining server")
 		} else {
-			s.pass(id, a)
+			s.succeed(id, a)
 		}
 	}
 	s.do(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 3}}})
 	for range 10 {
 		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
-			t.Fatal("sent to a server missing from the whole list")
+			t.Fatal("request sent to a server missing from the complete list")
 		} else {
-			s.pass(id, a)
+			s.succeed(id, a)
 		}
 	}
 	s.do(Endpoints{Scope: Failed})
 	if _, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
-		t.Error("a failed list call changed the list")
+		t.Error("a failed request for the list changed the list")
 	}
 	s.do(Endpoints{Scope: Complete})
 	if _, a := s.submit(Submit{Plan: 3}); a != (Reject{ID: "r22", RetryAfterMs: rejectedPauseMs}) {
-		t.Errorf("with no server: %#v", a)
+		t.Errorf("without servers: got %#v, want Reject", a)
 	}
 }
 
-// A report of a server's load, however high, keeps no server out of use. Found
-// on an overloaded day, when reports that were believed left one server in ten
-// in use, and again when leaving them out served a twentieth more.
+// A load report, however high, keeps no server out of use. Under overload, limiters that
+// believed the reports used only one server in ten, and without the reports they served a
+// twentieth more.
 func TestLoadReportsExcludeNoServer(t *testing.T) {
 	s := newLimiterDriver(t, testSettings(), testServers(4)...)
 	used := map[uint64]int{}
@@ -43,7 +43,7 @@
 		id, a := s.submit(Submit{Plan: 3})
 		p, ok := a.(StartAttempt)
 		if !ok {
-			t.Fatalf("refused beside idle servers: %#v", a)
+			t.Fatalf("with idle servers: got %#v, want StartAttempt", a)
 		}
 		used[p.Server]++
 		s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
@@ -52,12 +52,12 @@
 	}
 	for id := uint64(1); id <= 4; id++ {
 		if used[id] < 10 {
-			t.Errorf("server %d got %d of 100", id, used[id])
+			t.Errorf("server %d got %d of 100 requests", id, used[id])
 		}
 	}
 }
 
-// subsetPairs lists the pairs of a limiter and a server of its subset.
+// subsetPairs returns the pairs of a limiter and a server of its subset.
 func (c *testFleet) subsetPairs() map[[2]uint64]bool {
 	pairs := map[[2]uint64]bool{}
 	for i, l := range c.limiters {
@@ -70,8 +70,8 @@
 	return pairs
 }
 
-// One of many limiters uses few servers, every server has equally many limiters, and a change
-// of the list moves little. Fails where each chooses among all.
+// Each of many limiters uses few servers, every server is used by equally many limiters, and a
+// change of the list changes few assignments. Fails if each limiter chooses among all servers.
 func TestSubsetsAreBalanced(t *testing.T) {
 	const n, servers = 80, 60
 	f := testServers(servers)
@@ -100,10 +100,10 @@
 			moved++
 		}
 	}
-	if moved > 2*n { // the one that was removed, and a place at each edge
-		t.Errorf("%d of %d pairs are new after one server went", moved, len(after))
+	if moved > 2*n { // the removed one, and a shift by one at each boundary
+		t.Errorf("%d of %d pairs are new after one server was removed", moved, len(after))
 	}
-	// With its subset out of reach a limiter goes on with the others.
+	// A limiter whose subset is down uses the other servers.
 	for _, s := range c.limiters[0].servers {
 		s.down = s.inSubset
 	}
@@ -112,8 +112,8 @@
 	}
 }
 
-// usedConnections makes requests at the limiters in turn and counts the pairs of a limiter and
-// a server that they use.
+// usedConnections submits requests to the limiters in turn and returns the number of pairs of a
+// limiter and a server that were used.
 func (c *testFleet) usedConnections(requests int) int {
 	n := len(c.limiters)
 	used := map[[2]int]bool{}
@@ -131,13 +131,13 @@
 	return len(used)
 }
 
-// One of many limiters spreads what it has out at once over different servers: a
-// further request at a busy one waits there, and needs a connection of its own.
-// Fails where chance alone decides.
+// In a large fleet, a limiter spreads its concurrent requests over different servers: a further
+// request to a busy server would wait there, and needs a connection of its own. Fails if the
+// choice is purely random.
 func TestBusyServersComeLast(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 80
-	twice := 0
+	busy := 0
 	for seed := range uint64(50) {
 		l, err := New(cfg, seed)
 		if err != nil {
@@ -150,7 +150,7 @@
 				Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, LimiterCount: 1, Units: 1}) {
 				if a, ok := a.(StartAttempt); ok {
 					if used[a.Server] {
-						twice++
+						busy++
 					}
 					used[a.Server] = true
 				}
@@ -160,7 +160,7 @@
 			t.Errorf("seed %d: only %d servers were used", seed, len(used))
 		}
 	}
-	if twice > 50*6/15 {
-		t.Errorf("%d of %d requests went to a server in use, with six idle ones left", twice, 50*6)
+	if busy > 50*6/15 {
+		t.Errorf("%d of %d requests were sent to a busy server, with six idle ones left", busy, 50*6)
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A server in slow start gets no more than its warmth times what a warm one gets, and
-// one request a window where there is none to compare with.
+// A server in slow start gets no more than its share of capacity times what a warm server gets,
+// and one request per window if there is no warm server.
 func TestSlowStartLimitsAServer(t *testing.T) {
 	f := testServers(4)
 	f[0].ReadyAt = 999
@@ -24,21 +24,22 @@
 			}
 		}
 		for id, a := range out {
-			s.pass(id, a)
+			s.succeed(id, a)
 		}
 	}
 	if sent[1] == 0 || sent[1] > sent[2]/3 {
-		t.Errorf("server in slow start got %d, warm ones %d %d %d", sent[1], sent[2], sent[3], sent[4])
+		t.Errorf("the server in slow start got %d requests, the warm ones %d, %d and %d",
+			sent[1], sent[2], sent[3], sent[4])
 	}
 	s = newLimiterDriver(t, testSettings(), f[0])
 	if n := s.admit(200, Submit{Plan: 3}); n > 2 {
-		t.Errorf("the only server is cold and got %d requests at once", n)
+		t.Errorf("the only server is in slow start and got %d requests at once", n)
 	}
 }
 
-// Servers in slow start: the parts of any number of independent limiters add up to less
-// than the rule allows. Found in the code: one request a window from each limiter
-// was nothing for three limiters and far too much for hundreds.
+// The parts that any number of independent limiters use of a server in slow start add up to
+// less than the rule allows. One request per window from each limiter would be almost nothing
+// for three limiters and far too much for hundreds.
 func TestSlowStartPartsAddUp(t *testing.T) {
 	for _, n := range []int{1, 3, 40, 300} {
 		cfg := testSettings()
@@ -47,10 +48,10 @@
 		f[0].ReadyAt = 1e6
 		c := newTestFleet(t, cfg, n, f)
 		rng := rand.New(rand.NewPCG(2, 2))
-		for range 2000 { // ten seconds at 200 requests a second over all limiters
+		for range 2000 { // 10 s at 200 requests/s over all limiters
 			i := rng.IntN(n)
 			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), LimiterCount: n})
-			l := c.limiters[i] // it takes whatever part it has, as if no other server were better
+			l := c.limiters[i] // it uses its whole part, as if no other server were better
 			for s := l.servers[1]; l.hasSlowStartCredit(c.now, s); s.slowStartCredit-- {
 				c.sent[1]++
 			}
@@ -62,14 +63,15 @@
 				warm += k
 			}
 		}
-		// Mean warmth over the ten seconds is 0.6; the rule allows twice that.
+		// The mean share of capacity over the 10 s is 0.6; the rule allows twice that.
 		if mean := float64(warm) / 9; float64(c.sent[1]) > 0.7*mean+3 {
-			t.Errorf("%d limiters sent the server in slow start %d, a warm one %.0f", n, c.sent[1], mean)
+			t.Errorf("%d limiters: the server in slow start got %d requests, a warm one %.0f", n, c.sent[1], mean)
 		}
 	}
 }
 
-// A restarted fleet with none but servers in slow start sends few, however many limiters.
+// If all servers of a restarted fleet are in slow start, they get few requests, however many
+// limiters there are.
 func TestFleetOfServersInSlowStart(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		cfg := testSettings()
@@ -80,14 +82,14 @@
 			c.now += 0.5
 		}
 		if c.sent[1] == 0 || c.sent[1] > 40 {
-			t.Errorf("%d limiters sent a server in slow start %d in its first second", n, c.sent[1])
+			t.Errorf("%d limiters: a server in slow start got %d requests in its first second", n, c.sent[1])
 		}
 	}
 }
 
-// Six in ten servers of a large fleet are replaced: the cold ones get at once what
-// they can bear, and the warm ones are not left with all of the load. Fails where
-// each limiter takes the best server that it sees, as all see the same.
+// Six in ten servers of a large fleet are replaced. The new ones get at once what they can
+// take, and the warm ones are not left with all of the load. Fails if each limiter uses the
+// server that it sees as the best, as all see the same.
 func TestReplacedServersShareLoad(t *testing.T) {
 	const n, servers, starting = 80, 60, 36
 	cfg := testSettings()
@@ -96,7 +98,7 @@
 	f := testServers(servers)
 	c := newTestFleet(t, cfg, n, f)
 	rng := rand.New(rand.NewPCG(3, 3))
-	run := func(requests int) { // 400 a second over all limiters
+	run := func(requests int) { // 400 requests/s over all limiters
 		clear(c.sent)
 		for range requests {
 			c.submit(rng.IntN(n), Submit{Plan: 3, Customer: rng.Uint64N(99), LimiterCount: n})
@@ -110,22 +112,22 @@
 	for i := range n {
 		c.event(i, Endpoints{Scope: Complete, Servers: f})
 	}
-	const requests = 2000 // five seconds; the mean warmth is 0.41
+	const requests = 2000 // 5 s; the mean share of capacity is 0.41
 	run(requests)
 	got := 0
 	for i := range starting {
 		got += c.sent[f[i].ID]
 		if part := float64(c.sent[f[i].ID]); part > 2*0.41*requests/servers {
-			t.Errorf("server in slow start %d was sent %g", i, part)
+			t.Errorf("server %d, in slow start, got %g requests", i, part)
 		}
 	}
 	fair := requests * starting * 0.41 / (starting*0.41 + servers - starting)
 	if float64(got) < 0.8*fair || float64(got) > 1.1*fair {
-		t.Errorf("%d of %d went to the servers in slow start, which can bear %.0f", got, requests, fair)
+		t.Errorf("%d of %d requests went to the servers in slow start, which can take %.0f", got, requests, fair)
 	}
 	for i := starting; i < servers; i++ {
 		if mean := float64(requests-got) / (servers - starting); float64(c.sent[f[i].ID]) > 1.6*mean {
-			t.Errorf("warm server %d was sent %d, the mean one %.0f", i, c.sent[f[i].ID], mean)
+			t.Errorf("warm server %d got %d requests, the mean of the warm ones is %.0f", i, c.sent[f[i].ID], mean)
 		}
 	}
 }
--- a/bucket/bucket_test.go
+++ b/bucket/bucket_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the order of refills and requests, a balance is never above the burst, and
-// what was admitted is never more than the burst and what was refilled.
-func TestNeverMoreThanThePlan(t *testing.T) {
+// In any order of refills and requests, a balance is never above the burst, and the admitted
+// units never exceed the burst plus the refill.
+func TestAdmittedUnitsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 1000).Draw(t, "rate")
 		burst := rapid.Float64Range(0, 1000).Draw(t, "burst")
@@ -17,19 +17,19 @@
 			s := rapid.Float64Range(0, 3).Draw(t, "seconds")
 			elapsed += s
 			if balance = Refill(balance, s, rate, burst); balance > burst {
-				t.Fatalf("balance %v of %v", balance, burst)
+				t.Fatalf("balance %v above the burst of %v", balance, burst)
 			}
 			if units := rapid.Float64Range(0, 50).Draw(t, "units"); Wait(balance, units, rate) <= 0 {
 				balance, admitted = balance-units, admitted+units
 			}
 		}
 		if admitted > (burst+rate*elapsed)*(1+1e-9)+1e-6 {
-			t.Fatalf("admitted %v of %v + %v", admitted, burst, rate*elapsed)
+			t.Fatalf("admitted %v, more than the burst %v + refill %v", admitted, burst, rate*elapsed)
 		}
 	})
 }
 
-// What others admitted is drawn below 0 too, but not past the floor.
+// Draw may make the balance negative, but does not lower it below the floor.
 func TestDraw(t *testing.T) {
 	for _, c := range []struct{ balance, units, floor, want float64 }{
 		{10, 4, -5, 6},
