--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -89,7 +89,7 @@
 			len(s.l.requests))
 	}
 	if got := s.admit(40, Submit{Customer: 3}); got != 20 {
-		t.Errorf("an evicted customer was admitted %d, want its burst of 20", got)
+		t.Errorf("%d admitted for an evicted customer, want its burst of 20", got)
 	}
 }
 
--- a/balancer/escrow_test.go
+++ b/balancer/escrow_test.go
@@ -137,12 +137,12 @@
 	c.event(2, Endpoints{Scope: Persisted, Servers: testServers(4)})
 	c.ticks(8 * tickIntervalMs)
 	if submit(c, 2) {
-		t.Error("a limiter that started among older ones has a full escrow")
+		t.Error("a limiter that started among older ones did not begin with an empty escrow")
 	}
 	c = newTestFleet(t, cfg, n, testServers(4))
 	c.lose = func(int, int) bool { return true }
 	c.ticks(8 * tickIntervalMs)
 	if submit(c, 1) {
-		t.Error("a limiter whose peers have not responded has a full escrow")
+		t.Error("a limiter whose peers have not responded did not begin with an empty escrow")
 	}
 }
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -21,7 +21,7 @@
 		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("error %[2]v does not name %[1]s", name, err)
+			t.Errorf("setting %s is not named in the error: %v", name, err)
 		}
 	}
 }
