--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -19,7 +19,7 @@
 	}
 	p := l.cfg.Plans[plan]
 	limiters := float64(max(1, min(limiterCount, l.cfg.Balancers)))
-	c := &customer{id: id, plan: plan, refilledAt: now, seenAt: now, limitsInFlight: p.MaxInFlight > 0}
+	c := &customer{id: id, plan: plan, refilledAt: now, lastActiveAt: now, limitsInFlight: p.MaxInFlight > 0}
 	c.balance = min(p.Burst, p.Burst/limiters+p.Rate*(now-l.startedAt)/1000)
 	c.withheldBurst = p.Burst - c.balance
 	l.customers[id] = c
@@ -109,7 +109,7 @@
 	}
 	l.refill(now, c)
 	l.releaseWithheldBurst(c)
-	c.seenAt = now
+	c.lastActiveAt = now
 	units := max(0, e.Units)
 	timeLeft := l.timeToTarget(e)
 	if wait, ok := l.checkQuota(c, units); !ok {
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,23 +6,23 @@
 )
 
 func TestTokenBucketAdmitsBurstAndRate(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	if got := s.admit(40, Submit{}); got != 20 {
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	if got := d.admit(40, Submit{}); got != 20 {
 		t.Errorf("a full bucket of 20 units admitted %d", got)
 	}
-	_, a := s.submit(Submit{})
+	_, a := d.submit(Submit{})
 	if r, ok := a.(Reject); !ok || math.Abs(r.RetryAfterMs-100) > 1 {
 		t.Errorf("one unit short at 10 units/s: got %#v, want Reject with a retry after 100 ms", a)
 	}
-	s.now += 1000
-	if got := s.admit(40, Submit{}); got != 10 {
+	d.now += 1000
+	if got := d.admit(40, Submit{}); got != 10 {
 		t.Errorf("1 s of refill at 10 units/s admitted %d, want 10", got)
 	}
-	s.now += 60000
-	if got := s.admit(40, Submit{}); got != 20 {
+	d.now += 60000
+	if got := d.admit(40, Submit{}); got != 20 {
 		t.Errorf("60 s of refill admitted %d, want the burst of 20", got)
 	}
-	if got := s.admit(100, Submit{Plan: 3, Customer: 9}); got != 100 {
+	if got := d.admit(100, Submit{Plan: 3, Customer: 9}); got != 100 {
 		t.Errorf("a plan without a quota admitted %d of 100", got)
 	}
 }
@@ -32,32 +32,32 @@
 // part that is never released, which costs customers of cheap plans requests.
 func TestNewCustomerStartsWithItsPartOfTheBurst(t *testing.T) {
 	both := Submit{LimiterCount: 2}
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	if got := s.admit(40, both); got != 10 {
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	if got := d.admit(40, both); got != 10 {
 		t.Errorf("a burst of 20 divided by two limiters admitted %d, want 10", got)
 	}
-	s.do(peerLevels(1)) // a response without levels
-	if got := s.admit(40, both); got != 10 {
+	d.do(peerLevels(1)) // a response without levels
+	if got := d.admit(40, both); got != 10 {
 		t.Errorf("%d more admitted after the peer responded, want 10", got)
 	}
-	s = newLimiterDriver(t, testSettings(), testServers(4)...)
-	s.do(peerLevels(90000, 3)) // an older peer knows the level
-	if got := s.admit(40, both); got != 3 {
+	d = newLimiterDriver(t, testSettings(), testServers(4)...)
+	d.do(peerLevels(90000, 3)) // an older peer knows the level
+	if got := d.admit(40, both); got != 3 {
 		t.Errorf("%d admitted after a level of 3 from an older peer", got)
 	}
 }
 
 func TestAttemptsInFlightAreLimited(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	id, a := s.submit(Submit{Plan: 2})
-	s.submit(Submit{Plan: 2})
-	if _, c := s.submit(Submit{Plan: 2}); c == nil {
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	id, a := d.submit(Submit{Plan: 2})
+	d.submit(Submit{Plan: 2})
+	if _, c := d.submit(Submit{Plan: 2}); c == nil {
 		t.Fatal("the request got no response")
 	} else if _, ok := c.(Reject); !ok {
 		t.Errorf("third attempt in flight with MaxInFlight 2: got %#v, want Reject", c)
 	}
-	s.succeed(id, a)
-	if _, c := s.submit(Submit{Plan: 2}); c != nil {
+	d.succeed(id, a)
+	if _, c := d.submit(Submit{Plan: 2}); c != nil {
 		if _, ok := c.(StartAttempt); !ok {
 			t.Errorf("after one of two attempts has ended: got %#v, want StartAttempt", c)
 		}
@@ -67,28 +67,28 @@
 func TestActualUnitsCorrectTheBalance(t *testing.T) {
 	cfg := testSettings()
 	cfg.TrueUp = true
-	s := newLimiterDriver(t, cfg, testServers(4)...)
-	id, a := s.submit(Submit{})
-	s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true,
+	d := newLimiterDriver(t, cfg, testServers(4)...)
+	id, a := d.submit(Submit{})
+	d.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true,
 		ActualUnits: 25})
-	if got := s.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
+	if got := d.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
 		t.Errorf("balance %g after 25 actual units with a burst of 20, want -5", got)
 	}
 }
 
 // Idle customers are evicted and return with a full bucket.
 func TestIdleCustomersAreEvicted(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for c := range 500 {
-		s.admit(1, Submit{Customer: uint64(c)})
+		d.admit(1, Submit{Customer: uint64(c)})
 	}
-	s.now += 2 * idleCustomerMs
-	s.do(TimerFired{Name: "tick"})
-	if len(s.l.customers) != 0 || len(s.l.customerList) != 0 || len(s.l.requests) != 0 {
-		t.Errorf("still held: %d customers, %d in the list, %d requests", len(s.l.customers), len(s.l.customerList),
-			len(s.l.requests))
+	d.now += 2 * idleCustomerMs
+	d.do(TimerFired{Name: "tick"})
+	if len(d.l.customers) != 0 || len(d.l.customerList) != 0 || len(d.l.requests) != 0 {
+		t.Errorf("still held: %d customers, %d in the list, %d requests", len(d.l.customers), len(d.l.customerList),
+			len(d.l.requests))
 	}
-	if got := s.admit(40, Submit{Customer: 3}); got != 20 {
+	if got := d.admit(40, Submit{Customer: 3}); got != 20 {
 		t.Errorf("%d admitted for an evicted customer, want its burst of 20", got)
 	}
 }
@@ -97,10 +97,10 @@
 func TestCustomerCostIsIndependentOfFleetSize(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 470
-	s := newLimiterDriver(t, cfg, testServers(4)...)
-	s.submit(Submit{Customer: 5, LimiterCount: 200})
-	s.do(TimerFired{Name: "tick"})
-	if n := len(s.l.customers[5].peerViews); n > aggregatorCount {
+	d := newLimiterDriver(t, cfg, testServers(4)...)
+	d.submit(Submit{Customer: 5, LimiterCount: 200})
+	d.do(TimerFired{Name: "tick"})
+	if n := len(d.l.customers[5].peerViews); n > aggregatorCount {
 		t.Errorf("a customer of 200 limiters has %d peer views, want at most %d", n, aggregatorCount)
 	}
 }
--- a/balancer/aggregation_test.go
+++ b/balancer/aggregation_test.go
@@ -11,16 +11,16 @@
 	const n = 100
 	cfg := testSettings()
 	cfg.PeerMessagesPerSecond = 20
-	c := newTestFleet(t, cfg, n, testServers(4))
-	c.ticks(6000) // the buckets are full by now
+	fleet := newTestFleet(t, cfg, n, testServers(4))
+	fleet.ticks(6000) // the buckets are full by now
 	admitted, rng := 0, rand.New(rand.NewPCG(1, 1))
 	for range 200 { // 10 s at 40 units/s with a rate of 10 units/s
 		for range 2 {
-			if c.submit(rng.IntN(n), Submit{Customer: 5, LimiterCount: n}) {
+			if fleet.submit(rng.IntN(n), Submit{Customer: 5, LimiterCount: n}) {
 				admitted++
 			}
 		}
-		c.ticks(tickIntervalMs)
+		fleet.ticks(tickIntervalMs)
 	}
 	if fair := 20 + 10*10; admitted < fair*6/10 || admitted > fair*13/10 {
 		t.Errorf("%d admitted in 10 s, the quota is %d", admitted, fair)
@@ -32,18 +32,18 @@
 	const n = 40
 	cfg := testSettings()
 	cfg.PeerMessagesPerSecond = 100
-	c := newTestFleet(t, cfg, n, testServers(4))
+	fleet := newTestFleet(t, cfg, n, testServers(4))
 	failed := -1
-	c.lose = func(from, to int) bool { return from == failed || to == failed }
-	c.submit(0, Submit{Customer: 5, LimiterCount: n})
-	failed = c.limiters[0].customers[5].reportsTo[0]
-	c.ticks(6000)
+	fleet.lose = func(from, to int) bool { return from == failed || to == failed }
+	fleet.submit(0, Submit{Customer: 5, LimiterCount: n})
+	failed = fleet.limiters[0].customers[5].reportsTo[0]
+	fleet.ticks(6000)
 	admitted := 0
 	for k := range 200 {
-		if i := k % n; i != failed && c.submit(i, Submit{Customer: 5, LimiterCount: n}) {
+		if i := k % n; i != failed && fleet.submit(i, Submit{Customer: 5, LimiterCount: n}) {
 			admitted++
 		}
-		c.ticks(tickIntervalMs)
+		fleet.ticks(tickIntervalMs)
 	}
 	if admitted > 20+130 {
 		t.Errorf("%d admitted without the first aggregator, the quota is 120", admitted)
@@ -55,10 +55,10 @@
 func TestLevelsFromAggregators(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 40
-	s := newLimiterDriver(t, cfg, testServers(4)...)
-	s.now += 6000
-	s.submit(Submit{Customer: 5, LimiterCount: 40})
-	c := s.l.customers[5]
+	d := newLimiterDriver(t, cfg, testServers(4)...)
+	d.now += 6000
+	d.submit(Submit{Customer: 5, LimiterCount: 40})
+	c := d.l.customers[5]
 	levelFrom := func(from int, level float64) PeerMessage {
 		m := peerMessage{flags: flagLevelUpdate, entries: []peerEntry{{customer: 5, level: int64(level * unitScale)}}}
 		data, _ := m.encode()
@@ -69,13 +69,13 @@
 		other++
 	}
 	before := c.balance
-	s.do(levelFrom(other, -50))
+	d.do(levelFrom(other, -50))
 	if c.balance != before {
 		t.Error("a level from a limiter that is not an aggregator changed the balance")
 	}
-	s.now += 500 // the aggregator's level includes what was admitted here
+	d.now += 500 // the aggregator's level includes what was admitted here
 	for range 2 {
-		s.do(levelFrom(c.reportsTo[0], 3))
+		d.do(levelFrom(c.reportsTo[0], 3))
 		if c.balance != 3 {
 			t.Errorf("balance %g after a level of 3", c.balance)
 		}
@@ -90,24 +90,24 @@
 	cfg := testSettings()
 	cfg.Plans = []Plan{{Rate: 0.84, Burst: 4, Price: 0.8}, {Rate: 3, Burst: 11, Price: 1.2},
 		{Rate: 12, Burst: 22, Price: 1.8}}
-	c := newTestFleet(t, cfg, n, testServers(4))
+	fleet := newTestFleet(t, cfg, n, testServers(4))
 	sent := map[uint64]int{}
-	c.lose = func(int, int) bool { return false }
+	fleet.lose = func(int, int) bool { return false }
 	for step := range 400 { // 20 s; each customer requests some four times its quota
 		for plan, each := range []int{6, 2, 1} {
 			if step%each == 0 {
-				c.submit((step*7+plan)%n, Submit{Customer: uint64(plan), Plan: plan, LimiterCount: n,
+				fleet.submit((step*7+plan)%n, Submit{Customer: uint64(plan), Plan: plan, LimiterCount: n,
 					Units: 1 + float64(plan)})
 			}
 		}
-		c.now += tickIntervalMs
-		for i, l := range c.limiters {
-			for _, a := range append([]Action(nil), l.Handle(c.now, TimerFired{Name: "tick"})...) {
+		fleet.now += tickIntervalMs
+		for i, l := range fleet.limiters {
+			for _, a := range append([]Action(nil), l.Handle(fleet.now, TimerFired{Name: "tick"})...) {
 				if a, ok := a.(SendPeer); ok {
 					if m, _ := decodePeerMessage(a.Data); m.flags == flagLevelUpdate {
 						sent[m.entries[0].plan]++
 					}
-					c.event(a.To, PeerMessage{From: i, Data: a.Data})
+					fleet.event(a.To, PeerMessage{From: i, Data: a.Data})
 				}
 			}
 		}
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -168,8 +168,8 @@
 // The scopes of an Endpoints event.
 const (
 	Partial   Scope = iota // changed entries only
-	Complete               // the whole list
-	Persisted              // the whole list, possibly stale
+	Complete               // the complete list
+	Persisted              // the complete list, possibly stale
 	Failed                 // the request for the list failed; the previous list stays in use
 )
 
@@ -267,7 +267,7 @@
 // WatchEndpoints subscribes to changes to the list of servers.
 type WatchEndpoints struct{}
 
-// FetchEndpoints requests the whole list of servers once.
+// FetchEndpoints requests the complete list of servers once.
 type FetchEndpoints struct{}
 
 func (StartAttempt) action()   {}
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -21,10 +21,10 @@
 		{2, Rejected, retry}, {2, ConnectFailed, retry}, {2, NotSent, retry},
 		{3, ServerError, retry},
 	} {
-		s := newLimiterDriver(t, testSettings(), testServers(4)...)
-		id, a := s.submit(Submit{Class: c.class})
+		d := newLimiterDriver(t, testSettings(), testServers(4)...)
+		id, a := d.submit(Submit{Class: c.class})
 		first := a.(StartAttempt).Server
-		got := s.outcome(id, 0, first, c.result)
+		got := d.outcome(id, 0, first, c.result)
 		name := fmt.Sprintf("class %d, result %d", c.class, c.result)
 		switch g := got.(type) {
 		case StartAttempt:
@@ -52,32 +52,32 @@
 }
 
 func TestKeyedRetryStaysInDedupWindowAndScope(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	id, a := s.submit(Submit{Class: 1, TimeoutMs: 1900})
-	s.now += 1001 // past the deduplication window
-	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	id, a := d.submit(Submit{Class: 1, TimeoutMs: 1900})
+	d.now += 1001 // past the deduplication window
+	if got, ok := d.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
 		t.Errorf("keyed request past its deduplication window: got %#v, want Fail", got)
 	}
-	s = newLimiterDriver(t, testSettings(), testServers(2)...) // one server per cell
-	id, a = s.submit(Submit{Class: 1})
-	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
+	d = newLimiterDriver(t, testSettings(), testServers(2)...) // one server per cell
+	id, a = d.submit(Submit{Class: 1})
+	if got, ok := d.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Fail); !ok {
 		t.Errorf("no other server in the cell: got %#v, want Fail", got)
 	}
-	id, a = s.submit(Submit{Class: 3, TimeoutMs: 1900})
-	s.now += 1500
-	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Reject); !ok {
+	id, a = d.submit(Submit{Class: 3, TimeoutMs: 1900})
+	d.now += 1500
+	if got, ok := d.outcome(id, 0, a.(StartAttempt).Server, ServerError).(Reject); !ok {
 		t.Errorf("keyed with DedupAll: got %#v, want Reject", got)
 	}
 }
 
 func TestNoRetryAfterDeadline(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	id, a := s.submit(Submit{TimeoutMs: 300})
-	s.now += 300
-	if got, ok := s.outcome(id, 0, a.(StartAttempt).Server, TimedOut).(Fail); !ok {
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	id, a := d.submit(Submit{TimeoutMs: 300})
+	d.now += 300
+	if got, ok := d.outcome(id, 0, a.(StartAttempt).Server, TimedOut).(Fail); !ok {
 		t.Errorf("timeout at the deadline: got %#v, want Fail", got)
 	}
-	if len(s.l.requests) != 0 {
+	if len(d.l.requests) != 0 {
 		t.Error("a finished request is still held")
 	}
 }
--- a/balancer/customer.go
+++ b/balancer/customer.go
@@ -22,9 +22,9 @@
 
 // customer is the state of a customer at this limiter.
 type customer struct {
-	id     uint64
-	plan   int
-	seenAt float64 // time of the last request or report
+	id           uint64
+	plan         int
+	lastActiveAt float64 // time of the last request or report
 
 	// The token bucket.
 	balance       float64
@@ -137,7 +137,7 @@
 func (l *Limiter) isIdle(now float64, c *customer) bool {
 	l.refill(now, c)
 	p := l.cfg.Plans[c.plan]
-	if c.inFlight != 0 || c.unreported || now-c.seenAt < idleCustomerMs || now-l.startedAt <= idleCustomerMs {
+	if c.inFlight != 0 || c.unreported || now-c.lastActiveAt < idleCustomerMs || now-l.startedAt <= idleCustomerMs {
 		return false
 	}
 	if c.balance < p.Burst {
--- a/balancer/escrow_test.go
+++ b/balancer/escrow_test.go
@@ -8,23 +8,23 @@
 // A limiter admits no more than its part of a hard limit, and nothing right after its start,
 // when its escrow is empty.
 func TestEscrowStaysWithinItsPart(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	plan := testSettings().Plans[1]
-	start := s.now
-	s.now += 1e6
+	start := d.now
+	d.now += 1e6
 	spent := 0
-	begin := s.now
-	s.l.getOrCreateCustomer(s.now, 0, 1, 2).balance = 1e9
-	s.l.cfg.Plans[1].Burst, s.l.cfg.Plans[1].Rate = 1e9, 1e9
+	begin := d.now
+	d.l.getOrCreateCustomer(d.now, 0, 1, 2).balance = 1e9
+	d.l.cfg.Plans[1].Burst, d.l.cfg.Plans[1].Rate = 1e9, 1e9
 	for range 500 {
-		s.now += 10
-		spent += s.admit(3, Submit{Plan: 1, LimiterCount: 2})
+		d.now += 10
+		spent += d.admit(3, Submit{Plan: 1, LimiterCount: 2})
 	}
-	if limit := (plan.HardBurst + plan.HardRate*(s.now-begin)/1000) / 2; float64(spent) > limit {
+	if limit := (plan.HardBurst + plan.HardRate*(d.now-begin)/1000) / 2; float64(spent) > limit {
 		t.Errorf("admitted %d, this limiter's half is %g", spent, limit)
 	}
-	s = newLimiterDriver(t, testSettings(), testServers(4)...)
-	if n := s.admit(10, Submit{Plan: 1, LimiterCount: 2}); n != 0 || s.now != start {
+	d = newLimiterDriver(t, testSettings(), testServers(4)...)
+	if n := d.admit(10, Submit{Plan: 1, LimiterCount: 2}); n != 0 || d.now != start {
 		t.Errorf("a limiter that has just started admitted %d from an empty escrow", n)
 	}
 }
@@ -35,16 +35,16 @@
 	const n = 300
 	cfg := testSettings()
 	cfg.Plans[1] = Plan{Rate: 1e6, Burst: 1e6, HardRate: 400, HardBurst: 900, Price: 1}
-	c := newTestFleet(t, cfg, n, testServers(4))
-	c.lose = func(int, int) bool { return true }
+	fleet := newTestFleet(t, cfg, n, testServers(4))
+	fleet.lose = func(int, int) bool { return true }
 	rng := rand.New(rand.NewPCG(3, 3))
-	c.now += 10000
+	fleet.now += 10000
 	hardBalance := 900.0
 	for range 8000 {
-		c.now++
+		fleet.now++
 		hardBalance = min(900, hardBalance+0.4)
 		i := rng.IntN(n)
-		if c.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: n}) {
+		if fleet.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: n}) {
 			hardBalance--
 		}
 		if hardBalance < 0 {
@@ -56,8 +56,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.limiters[i] = l
-			c.event(i, Endpoints{Scope: Persisted, Servers: testServers(4)})
+			fleet.limiters[i] = l
+			fleet.event(i, Endpoints{Scope: Persisted, Servers: testServers(4)})
 		}
 	}
 }
@@ -75,22 +75,22 @@
 		minShare               float64 // least share of the units that is admitted
 	}{{8, 0.7, 0.1, false, 0.85}, {8, 0.7, 1, false, 0}, {400, 0.2, 0.3, false, 0}, {60, 0.5, 0.5, true, 0}, {400,
 		0.9, 0.9, true, 0}} {
-		c := newTestFleet(t, cfg, n, testServers(4))
+		fleet := newTestFleet(t, cfg, n, testServers(4))
 		rng := rand.New(rand.NewPCG(4, 4))
-		c.lose = func(int, int) bool { return rng.Float64() < p.lossRate }
-		c.now += 10000
-		c.ticks(tickIntervalMs)
-		hardBalance, refilledAt, requested, admitted := 46.0, c.now, 0.0, 0.0
-		for end := c.now + 20000; c.now < end; {
-			c.ticks(tickIntervalMs)
+		fleet.lose = func(int, int) bool { return rng.Float64() < p.lossRate }
+		fleet.now += 10000
+		fleet.ticks(tickIntervalMs)
+		hardBalance, refilledAt, requested, admitted := 46.0, fleet.now, 0.0, 0.0
+		for end := fleet.now + 20000; fleet.now < end; {
+			fleet.ticks(tickIntervalMs)
 			for range int(p.demand*tickIntervalMs/1000/1.5 + rng.Float64()) {
 				i, units := 1+rng.IntN(n-1), float64(1+rng.IntN(2))
 				if rng.Float64() < p.skew {
 					i = 3
 				}
 				requested += units
-				if c.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: n, Units: units}) {
-					hardBalance, refilledAt = min(46, hardBalance+(c.now-refilledAt)*25/1000)-units, c.now
+				if fleet.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: n, Units: units}) {
+					hardBalance, refilledAt = min(46, hardBalance+(fleet.now-refilledAt)*25/1000)-units, fleet.now
 					admitted += units
 				}
 				if hardBalance < -1e-6 {
@@ -103,8 +103,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.limiters[cfg.Position] = l
-				c.event(cfg.Position, Endpoints{Scope: Persisted, Servers: testServers(4)})
+				fleet.limiters[cfg.Position] = l
+				fleet.event(cfg.Position, Endpoints{Scope: Persisted, Servers: testServers(4)})
 			}
 		}
 		if admitted < p.minShare*requested {
@@ -119,30 +119,30 @@
 func TestNewFleetStartsWithFullEscrow(t *testing.T) {
 	const n = 20
 	cfg := testSettings()
-	submit := func(c *testFleet, i int) bool { // 3 units are most of a full escrow
-		return c.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: 10, Units: 3})
+	submit := func(fleet *testFleet, i int) bool { // 3 units are most of a full escrow
+		return fleet.submit(i, Submit{Plan: 1, Customer: 1, LimiterCount: 10, Units: 3})
 	}
-	c := newTestFleet(t, cfg, n, testServers(4))
-	c.ticks(8 * tickIntervalMs)
-	if !submit(c, 1) {
+	fleet := newTestFleet(t, cfg, n, testServers(4))
+	fleet.ticks(8 * tickIntervalMs)
+	if !submit(fleet, 1) {
 		t.Error("a fleet that has just started has empty escrows")
 	}
-	c.now += 60000
+	fleet.now += 60000
 	cfg.Balancers, cfg.Position = n, 2
 	l, err := New(cfg, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.limiters[2] = l
-	c.event(2, Endpoints{Scope: Persisted, Servers: testServers(4)})
-	c.ticks(8 * tickIntervalMs)
-	if submit(c, 2) {
+	fleet.limiters[2] = l
+	fleet.event(2, Endpoints{Scope: Persisted, Servers: testServers(4)})
+	fleet.ticks(8 * tickIntervalMs)
+	if submit(fleet, 2) {
 		t.Error("a limiter that started among older ones did not begin with an empty escrow")
 	}
-	c = newTestFleet(t, cfg, n, testServers(4))
-	c.lose = func(int, int) bool { return true }
-	c.ticks(8 * tickIntervalMs)
-	if submit(c, 1) {
+	fleet = newTestFleet(t, cfg, n, testServers(4))
+	fleet.lose = func(int, int) bool { return true }
+	fleet.ticks(8 * tickIntervalMs)
+	if submit(fleet, 1) {
 		t.Error("a limiter whose peers have not responded did not begin with an empty escrow")
 	}
 }
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -7,35 +7,35 @@
 
 func TestPeerReportsDrawFromTheBalance(t *testing.T) {
 	both := Submit{LimiterCount: 2}
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	s.now += 5000 // the bucket is full by now
-	s.admit(1, both)
-	s.do(peerReport(5000, 1, 30))
-	if got := s.admit(30, both); got != 0 {
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d.now += 5000 // the bucket is full by now
+	d.admit(1, both)
+	d.do(peerReport(5000, 1, 30))
+	if got := d.admit(30, both); got != 0 {
 		t.Errorf("a balance of 20-1-30 admitted %d", got)
 	}
-	s.do(peerReport(5000, 1, 30)) // repeated
-	s.do(peerReport(5000, 3, 31)) // the report before it was lost
-	s.do(peerReport(5000, 2, 29)) // late
-	s.now += 1700                 // 17 units of refill: 12 pay off the deficit, 5 are left
-	if got := s.admit(30, both); got != 5 {
+	d.do(peerReport(5000, 1, 30)) // repeated
+	d.do(peerReport(5000, 3, 31)) // the report before it was lost
+	d.do(peerReport(5000, 2, 29)) // late
+	d.now += 1700                 // 17 units of refill: 12 pay off the deficit, 5 are left
+	if got := d.admit(30, both); got != 5 {
 		t.Errorf("%d admitted after the deficit was refilled, want 5", got)
 	}
-	before := s.l.customers[0].balance
+	before := d.l.customers[0].balance
 	for _, bad := range [][]byte{nil, {1, 2}, []byte("foreign message, quite long"),
 		{peerMagic, 9, 0, 1, 1, 1, 1, 1, 1}} {
-		s.do(PeerMessage{From: 1, Data: bad})
+		d.do(PeerMessage{From: 1, Data: bad})
 	}
-	s.do(PeerMessage{From: 9, Data: peerReport(0, 9, 50).Data})
-	if s.l.customers[0].balance != before {
+	d.do(PeerMessage{From: 9, Data: peerReport(0, 9, 50).Data})
+	if d.l.customers[0].balance != before {
 		t.Error("an invalid message changed the balance")
 	}
 }
 
 func TestStartingLimiterRequestsLevels(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	var requested bool
-	for _, a := range s.do(TimerFired{Name: "tick"}) {
+	for _, a := range d.do(TimerFired{Name: "tick"}) {
 		if message, ok := a.(SendPeer); ok {
 			m, ok := decodePeerMessage(message.Data)
 			requested = ok && m.flags&flagLevelsRequest != 0
@@ -44,11 +44,11 @@
 	if !requested {
 		t.Error("a starting limiter did not request levels from its peer")
 	}
-	s.admit(4, Submit{LimiterCount: 2})
+	d.admit(4, Submit{LimiterCount: 2})
 	request := peerMessage{flags: flagLevelsRequest, incarnation: 5, seq: 1}
 	data, _ := request.encode()
 	var levels []peerEntry
-	for _, a := range s.do(PeerMessage{From: 1, Data: data}) {
+	for _, a := range d.do(PeerMessage{From: 1, Data: data}) {
 		if message, ok := a.(SendPeer); ok {
 			if m, ok := decodePeerMessage(message.Data); ok && m.flags&flagLevelsResponse != 0 {
 				levels = m.entries
@@ -63,35 +63,35 @@
 // A single datagram can neither lock a customer out for long nor raise its balance above its
 // plan. A customer evicted here is not charged for all that a peer has ever admitted.
 func TestPeerLevelsAndReportsAreBounded(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	s.admit(1, Submit{Customer: 5, LimiterCount: 2})
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d.admit(1, Submit{Customer: 5, LimiterCount: 2})
 	send := func(e peerEntry, seq uint64, flags byte) {
 		m := peerMessage{incarnation: 7, seq: seq, flags: flags, entries: []peerEntry{e}}
 		data, _ := m.encode()
-		s.do(PeerMessage{From: 1, Data: data})
+		d.do(PeerMessage{From: 1, Data: data})
 	}
 	send(peerEntry{customer: 5, limiterCount: 2, spent: 1 << 40, newlySpent: 1 << 40}, 1, 0)
-	s.now += 6500 // the refill of three bursts of 20 at 10 units/s, and a little more
-	if got := s.admit(1, Submit{Customer: 5, LimiterCount: 2}); got != 1 {
+	d.now += 6500 // the refill of three bursts of 20 at 10 units/s, and a little more
+	if got := d.admit(1, Submit{Customer: 5, LimiterCount: 2}); got != 1 {
 		t.Error("locked out for longer than the refill of the limiters' bursts takes")
 	}
 	send(peerEntry{customer: 5, level: 1 << 40, margin: 1 << 40}, 2, flagLevelUpdate)
-	if c := s.l.customers[5]; c.balance > 20 || c.margin > 20 {
+	if c := d.l.customers[5]; c.balance > 20 || c.margin > 20 {
 		t.Errorf("balance %g, margin %g with a burst of 20", c.balance, c.margin)
 	}
 	send(peerEntry{customer: 5, level: -1 << 40}, 3, flagLevelUpdate)
-	if c := s.l.customers[5]; c.balance < -41 { // two bursts and the last request
+	if c := d.l.customers[5]; c.balance < -41 { // two bursts and the last request
 		t.Errorf("balance %g", c.balance)
 	}
 	for range 5 {
-		s.now += idleCustomerMs
-		s.do(TimerFired{Name: "tick"})
+		d.now += idleCustomerMs
+		d.do(TimerFired{Name: "tick"})
 	}
-	if len(s.l.customers) != 0 {
+	if len(d.l.customers) != 0 {
 		t.Error("the customer has not been evicted")
 	}
 	send(peerEntry{customer: 5, limiterCount: 2, spent: 1000 * unitScale, newlySpent: 2 * unitScale}, 4, 0)
-	if c := s.l.customers[5]; c == nil || c.balance != 18 {
+	if c := d.l.customers[5]; c == nil || c.balance != 18 {
 		t.Errorf("a report after the eviction: got %+v, want a balance of 18", c)
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -58,13 +58,13 @@
 	return s
 }
 
-func (s *limiterDriver) do(e Event) []Action { return append([]Action(nil), s.l.Handle(s.now, e)...) }
+func (d *limiterDriver) do(e Event) []Action { return append([]Action(nil), d.l.Handle(d.now, e)...) }
 
 // submit submits a request and returns its id and the response. Zero fields of e get default
 // values.
-func (s *limiterDriver) submit(e Submit) (string, Action) {
-	s.n++
-	e.ID = fmt.Sprint("r", s.n)
+func (d *limiterDriver) submit(e Submit) (string, Action) {
+	d.n++
+	e.ID = fmt.Sprint("r", d.n)
 	if e.TimeoutMs == 0 {
 		e.TimeoutMs = 1500
 	}
@@ -74,17 +74,17 @@
 	if e.Units == 0 {
 		e.Units = 1
 	}
-	return e.ID, s.response(s.do(e))
+	return e.ID, d.response(d.do(e))
 }
 
 // response returns the one action that concerns a request, or nil if there is none.
-func (s *limiterDriver) response(acts []Action) (got Action) {
-	s.t.Helper()
+func (d *limiterDriver) response(acts []Action) (got Action) {
+	d.t.Helper()
 	for _, a := range acts {
 		switch a.(type) {
 		case StartAttempt, Reject, Fail:
 			if got != nil {
-				s.t.Fatalf("two responses: %v and %v", got, a)
+				d.t.Fatalf("two responses: %v and %v", got, a)
 			}
 			got = a
 		}
@@ -92,30 +92,30 @@
 	return got
 }
 
-func (s *limiterDriver) outcome(id string, attempt int, server uint64, r Result) Action {
-	s.t.Helper()
-	return s.response(s.do(Outcome{ID: id, Attempt: attempt, Server: server, Result: r, LatencyMs: 20,
+func (d *limiterDriver) outcome(id string, attempt int, server uint64, r Result) Action {
+	d.t.Helper()
+	return d.response(d.do(Outcome{ID: id, Attempt: attempt, Server: server, Result: r, LatencyMs: 20,
 		Final: r == Success,
 		Load:  Load{Busy: -1, Pending: -1, ServiceMs: -1}}))
 }
 
 // succeed ends the attempt of a request, which must have been forwarded, with success.
-func (s *limiterDriver) succeed(id string, a Action) {
-	s.t.Helper()
+func (d *limiterDriver) succeed(id string, a Action) {
+	d.t.Helper()
 	p, ok := a.(StartAttempt)
 	if !ok {
-		s.t.Fatalf("%s: got %#v, want StartAttempt", id, a)
+		d.t.Fatalf("%s: got %#v, want StartAttempt", id, a)
 	}
-	s.outcome(id, 0, p.Server, Success)
+	d.outcome(id, 0, p.Server, Success)
 }
 
 // admit submits n requests, each served at once, and returns how many were admitted.
-func (s *limiterDriver) admit(n int, e Submit) (admitted int) {
+func (d *limiterDriver) admit(n int, e Submit) (admitted int) {
 	for range n {
-		if id, a := s.submit(e); a != nil {
+		if id, a := d.submit(e); a != nil {
 			if _, ok := a.(StartAttempt); ok {
 				admitted++
-				s.succeed(id, a)
+				d.succeed(id, a)
 			}
 		}
 	}
@@ -154,7 +154,7 @@
 
 func newTestFleet(t testing.TB, cfg Settings, n int, servers []ServerInfo) *testFleet {
 	t.Helper()
-	c := &testFleet{t: t, now: 1e6, sent: map[uint64]int{}, lose: func(int, int) bool { return false }}
+	fleet := &testFleet{t: t, now: 1e6, sent: map[uint64]int{}, lose: func(int, int) bool { return false }}
 	cfg.Balancers = n
 	for i := range n {
 		cfg.Position = i
@@ -162,42 +162,42 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.limiters = append(c.limiters, l)
-		c.event(i, Endpoints{Scope: Persisted, Servers: servers})
+		fleet.limiters = append(fleet.limiters, l)
+		fleet.event(i, Endpoints{Scope: Persisted, Servers: servers})
 	}
-	return c
+	return fleet
 }
 
 // event passes an event to a limiter, serves forwarded requests and delivers messages at once,
 // and reports whether a request was forwarded.
-func (c *testFleet) event(i int, e Event) (forwarded bool) {
-	for _, a := range append([]Action(nil), c.limiters[i].Handle(c.now, e)...) {
+func (fleet *testFleet) event(i int, e Event) (forwarded bool) {
+	for _, a := range append([]Action(nil), fleet.limiters[i].Handle(fleet.now, e)...) {
 		switch a := a.(type) {
 		case StartAttempt:
 			forwarded = true
-			c.sent[a.Server]++
-			c.event(i, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
+			fleet.sent[a.Server]++
+			fleet.event(i, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
 		case SendPeer:
-			if !c.lose(i, a.To) {
-				c.event(a.To, PeerMessage{From: i, Data: a.Data})
+			if !fleet.lose(i, a.To) {
+				fleet.event(a.To, PeerMessage{From: i, Data: a.Data})
 			}
 		}
 	}
 	return forwarded
 }
 
-func (c *testFleet) submit(i int, e Submit) bool {
-	c.ids++
-	e.ID, e.TimeoutMs = fmt.Sprint("c", c.ids), 1500
+func (fleet *testFleet) submit(i int, e Submit) bool {
+	fleet.ids++
+	e.ID, e.TimeoutMs = fmt.Sprint("c", fleet.ids), 1500
 	e.Units = max(1, e.Units)
-	return c.event(i, e)
+	return fleet.event(i, e)
 }
 
-func (c *testFleet) ticks(ms float64) {
-	for end := c.now + ms; c.now < end; {
-		c.now += tickIntervalMs
-		for i := range c.limiters {
-			c.event(i, TimerFired{Name: "tick"})
+func (fleet *testFleet) ticks(ms float64) {
+	for end := fleet.now + ms; fleet.now < end; {
+		fleet.now += tickIntervalMs
+		for i := range fleet.limiters {
+			fleet.event(i, TimerFired{Name: "tick"})
 		}
 	}
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -8,9 +8,9 @@
 // A server that fails fast looks idle, but is ejected. After the ejection it is tried again
 // with a few requests.
 func TestFailingServerIsEjected(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	serve := func() (bad int) {
-		id, a := s.submit(Submit{Plan: 3})
+		id, a := d.submit(Submit{Plan: 3})
 		for attempt := 0; ; attempt++ {
 			p, ok := a.(StartAttempt)
 			if !ok {
@@ -20,7 +20,7 @@
 			if p.Server == 1 {
 				r, bad = ServerError, bad+1
 			}
-			a = s.outcome(id, attempt, p.Server, r)
+			a = d.outcome(id, attempt, p.Server, r)
 		}
 	}
 	for range 200 {
@@ -33,7 +33,7 @@
 	if bad != 0 {
 		t.Errorf("an ejected server got %d of 200 requests", bad)
 	}
-	s.now += 20000
+	d.now += 20000
 	for range 200 {
 		bad += serve()
 	}
@@ -43,20 +43,20 @@
 }
 
 func TestUnresponsiveServerIsProbedAndMarkedDown(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(2)...)
+	d := newLimiterDriver(t, testSettings(), testServers(2)...)
 	ids := map[string]uint64{}
 	for range 4 {
-		id, a := s.submit(Submit{Plan: 3})
+		id, a := d.submit(Submit{Plan: 3})
 		ids[id] = a.(StartAttempt).Server
 	}
 	for id, server := range ids {
 		if server == 2 {
-			s.outcome(id, 0, 2, Success)
+			d.outcome(id, 0, 2, Success)
 		}
 	}
-	s.now += 600
+	d.now += 600
 	probed := false
-	for _, a := range s.do(TimerFired{Name: "tick"}) {
+	for _, a := range d.do(TimerFired{Name: "tick"}) {
 		if p, ok := a.(ProbeServer); ok && p.Server == 1 {
 			probed = true
 		}
@@ -65,7 +65,7 @@
 		t.Fatal("a server that had not responded for long was not probed")
 	}
 	canceled := 0
-	for _, a := range s.do(ProbeResult{Server: 1, Result: TimedOut}) {
+	for _, a := range d.do(ProbeResult{Server: 1, Result: TimedOut}) {
 		if _, ok := a.(CancelAttempt); ok {
 			canceled++
 		}
@@ -74,45 +74,45 @@
 		t.Error("no attempt was canceled at a server marked down")
 	}
 	for range 20 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
+		if id, a := d.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
 			t.Fatal("request sent to a server that is down")
 		} else {
-			s.succeed(id, a)
+			d.succeed(id, a)
 		}
 	}
-	s.do(ProbeResult{Server: 1, Result: Success})
-	if s.l.servers[1].down {
+	d.do(ProbeResult{Server: 1, Result: Success})
+	if d.l.servers[1].down {
 		t.Error("a server whose probe succeeded is still marked down")
 	}
 }
 
 // A server that fails only one class is ejected for that class, and the peers are sent hints.
 func TestServerIsEjectedForOneClass(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	hints := 0
 	for range 40 {
-		s.now += 100
-		id, a := s.submit(Submit{Plan: 3})
+		d.now += 100
+		id, a := d.submit(Submit{Plan: 3})
 		p, ok := a.(StartAttempt)
 		if !ok {
 			continue
 		}
 		if p.Server != 1 {
-			s.outcome(id, 0, p.Server, Success)
+			d.outcome(id, 0, p.Server, Success)
 			continue
 		}
-		for _, b := range s.do(Outcome{ID: id, Server: 1, Result: TimedOut, LatencyMs: 900}) {
+		for _, b := range d.do(Outcome{ID: id, Server: 1, Result: TimedOut, LatencyMs: 900}) {
 			if message, ok := b.(SendPeer); ok {
 				if m, ok := decodePeerMessage(message.Data); ok && m.flags&flagFailureHint != 0 {
 					hints++
 				}
 			} else if q, ok := b.(StartAttempt); ok {
-				s.outcome(id, 1, q.Server, Success)
+				d.outcome(id, 1, q.Server, Success)
 			}
 		}
 	}
-	if srv := s.l.servers[1]; srv.ejections[0].until <= s.now || srv.ejections[1].until > s.now {
-		t.Errorf("class 0 fails at server 1: ejections %v at %v", srv.ejections, s.now)
+	if srv := d.l.servers[1]; srv.ejections[0].until <= d.now || srv.ejections[1].until > d.now {
+		t.Errorf("class 0 fails at server 1: ejections %v at %v", srv.ejections, d.now)
 	}
 	if hints == 0 {
 		t.Error("the peer was sent no hint")
@@ -162,28 +162,28 @@
 
 // Hints of unknown servers or classes are ignored; two valid hints eject a server.
 func TestFailureHintsEjectAServer(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	hint := func(server, class uint64) {
 		m := peerMessage{flags: flagLevelUpdate | flagFailureHint,
 			entries: []peerEntry{{customer: server, plan: class}}}
 		data, _ := m.encode()
-		s.do(PeerMessage{From: 1, Data: data})
+		d.do(PeerMessage{From: 1, Data: data})
 	}
 	for range 2 {
 		hint(99, 0)
 		hint(2, 99)
 	}
-	if len(s.l.servers) != 4 || s.l.servers[2].ejections[0].failures != 0 {
+	if len(d.l.servers) != 4 || d.l.servers[2].ejections[0].failures != 0 {
 		t.Error("an invalid hint was counted")
 	}
 	for range 2 {
 		hint(2, 0)
 	}
 	for range 40 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server == 2 {
+		if id, a := d.submit(Submit{Plan: 3}); a.(StartAttempt).Server == 2 {
 			t.Fatal("request sent to a server that hints had ejected")
 		} else {
-			s.succeed(id, a)
+			d.succeed(id, a)
 		}
 	}
 }
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -27,16 +27,16 @@
 }
 
 func TestEventsOfEndedRequestsAreIgnored(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(2)...)
-	id, a := s.submit(Submit{})
-	s.succeed(id, a)
+	d := newLimiterDriver(t, testSettings(), testServers(2)...)
+	id, a := d.submit(Submit{})
+	d.succeed(id, a)
 	for _, e := range []Event{
 		Outcome{ID: id, Server: 1}, Outcome{ID: "no", Server: 1,
 			Attempt: 3}, ClientDisconnected{ID: id}, ClientDisconnected{ID: "no"},
 		FirstByte{ID: "no"}, TimerFired{Name: "no"}, ProbeResult{Server: 99}, Submit{ID: "x", Class: 99}, nil,
 		PeerMessage{From: -1}, PeerMessage{From: 0},
 	} {
-		for _, act := range s.do(e) {
+		for _, act := range d.do(e) {
 			if _, ok := act.(StartAttempt); ok {
 				t.Errorf("%#v led to %#v", e, act)
 			}
@@ -47,59 +47,59 @@
 // No state is left behind by customers that appear once, in requests or in reports of peers, or
 // by servers that are replaced.
 func TestNoStateIsLeftBehind(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for i := range 4000 {
-		s.now += 20
-		s.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), LimiterCount: 2})
-		m := peerMessage{incarnation: 7, seq: uint64(i + 1), ageMs: uint64(s.now), entries: []peerEntry{
+		d.now += 20
+		d.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), LimiterCount: 2})
+		m := peerMessage{incarnation: 7, seq: uint64(i + 1), ageMs: uint64(d.now), entries: []peerEntry{
 			{customer: uint64(100000 + i), plan: uint64(i % 3), limiterCount: 2, spent: 8, newlySpent: 8}}}
 		data, _ := m.encode()
-		s.do(PeerMessage{From: 1, Data: data})
+		d.do(PeerMessage{From: 1, Data: data})
 		if i%10 == 0 { // one server is removed, another added
-			s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: uint64(100 + i), Weight: 1},
+			d.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: uint64(100 + i), Weight: 1},
 				{ID: uint64(90 + i), Phase: Removed}}})
-			s.do(TimerFired{Name: "tick"})
+			d.do(TimerFired{Name: "tick"})
 		}
 	}
-	if n := len(s.l.customers); n > 3000 {
+	if n := len(d.l.customers); n > 3000 {
 		t.Errorf("%d customers held after 80 s of new ones, want those of the last 15 s", n)
 	}
 	for range 3 {
-		s.now += 2 * idleCustomerMs
-		s.do(TimerFired{Name: "tick"})
+		d.now += 2 * idleCustomerMs
+		d.do(TimerFired{Name: "tick"})
 	}
-	if len(s.l.customers)+len(s.l.customerList)+len(s.l.aggregated)+len(s.l.unreported)+len(s.l.requests) != 0 ||
-		s.l.inFlight != 0 {
+	if len(d.l.customers)+len(d.l.customerList)+len(d.l.aggregated)+len(d.l.unreported)+len(d.l.requests) != 0 ||
+		d.l.inFlight != 0 {
 		t.Errorf("still held: %d customers, %d in the list, %d aggregated, %d unreported, %d requests, %d in flight",
-			len(s.l.customers), len(s.l.customerList), len(s.l.aggregated), len(s.l.unreported), len(s.l.requests),
-			s.l.inFlight)
+			len(d.l.customers), len(d.l.customerList), len(d.l.aggregated), len(d.l.unreported), len(d.l.requests),
+			d.l.inFlight)
 	}
-	if len(s.l.servers) != 5 || len(s.l.serverList) != 5 {
-		t.Errorf("%d servers, %d in the list, want 5", len(s.l.servers), len(s.l.serverList))
+	if len(d.l.servers) != 5 || len(d.l.serverList) != 5 {
+		t.Errorf("%d servers, %d in the list, want 5", len(d.l.servers), len(d.l.serverList))
 	}
 }
 
 // A limiter that was paused does not count timeouts of attempts in flight meanwhile against
 // servers.
 func TestPausedLimiterBlamesNoServer(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(2)...)
+	d := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 30 {
-		id, a := s.submit(Submit{Plan: 3})
-		s.succeed(id, a)
-		s.now += 20
+		id, a := d.submit(Submit{Plan: 3})
+		d.succeed(id, a)
+		d.now += 20
 	}
 	var ids []string
 	var to []uint64
 	for range 6 {
-		id, a := s.submit(Submit{Plan: 3})
+		id, a := d.submit(Submit{Plan: 3})
 		ids, to = append(ids, id), append(to, a.(StartAttempt).Server)
 	}
-	typical := s.l.typicalMs[0]
-	s.now += 1600
+	typical := d.l.typicalMs[0]
+	d.now += 1600
 	for k, id := range ids {
-		s.do(Outcome{ID: id, Server: to[k], Result: TimedOut, LatencyMs: 1600})
+		d.do(Outcome{ID: id, Server: to[k], Result: TimedOut, LatencyMs: 1600})
 	}
-	if s.l.typicalMs[0] != typical || s.l.servers[1].ejections[0].failures+s.l.servers[2].ejections[0].failures > 0 {
+	if d.l.typicalMs[0] != typical || d.l.servers[1].ejections[0].failures+d.l.servers[2].ejections[0].failures > 0 {
 		t.Error("the limiter's own pause was counted against servers")
 	}
 }
@@ -109,24 +109,24 @@
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			cfg := testSettings()
 			cfg.Balancers = randomLimiters
-			c := &randomFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
+			fleet := &randomFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
 				limiters: make([]*Limiter, randomLimiters), listed: make([]map[uint64]ServerInfo, randomLimiters),
 				requests: make([]map[string]*randomRequest, randomLimiters), servers: map[uint64]ServerInfo{},
 				hardBalances: make([]float64, 64), sentTimes: make([]map[uint64][]float64, randomLimiters)}
-			for k := range c.hardBalances {
-				c.hardBalances[k] = cfg.Plans[1].HardBurst
+			for k := range fleet.hardBalances {
+				fleet.hardBalances[k] = cfg.Plans[1].HardBurst
 			}
 			for id := uint64(1); id <= 8; id++ {
-				c.servers[id] = ServerInfo{ID: id, Cell: int(id % 2), Zone: int(id % 2)}
+				fleet.servers[id] = ServerInfo{ID: id, Cell: int(id % 2), Zone: int(id % 2)}
 			}
-			for i := range c.limiters {
-				c.start(i)
+			for i := range fleet.limiters {
+				fleet.start(i)
 			}
 			for range 6000 {
-				c.step()
+				fleet.step()
 			}
-			if c.finishedRequests < 3000 {
-				t.Errorf("only %d requests got a final response", c.finishedRequests)
+			if fleet.finishedRequests < 3000 {
+				t.Errorf("only %d requests got a final response", fleet.finishedRequests)
 			}
 		})
 	}
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -5,25 +5,25 @@
 // A limiter that rejected requests for lack of servers uses the servers again once they are
 // idle.
 func TestServersAreUsedAfterOverloadEnds(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(2)...)
+	d := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 50 {
-		id, a := s.submit(Submit{Plan: 3})
-		s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
-		s.now += 20
+		id, a := d.submit(Submit{Plan: 3})
+		d.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
+		d.now += 20
 	}
-	s.submit(Submit{Plan: 3})
-	s.submit(Submit{Plan: 3})
-	if _, c := s.submit(Submit{Plan: 3}); c != nil {
+	d.submit(Submit{Plan: 3})
+	d.submit(Submit{Plan: 3})
+	if _, c := d.submit(Submit{Plan: 3}); c != nil {
 		if _, ok := c.(Reject); !ok {
 			t.Fatalf("400 ms per response, target 500 ms, one request in flight per server: got %#v, want Reject", c)
 		}
 	}
-	for id := range s.l.requests {
-		r := s.l.requests[id]
-		s.outcome(id, 0, r.attempts[0].server.info.ID, Success)
+	for id := range d.l.requests {
+		r := d.l.requests[id]
+		d.outcome(id, 0, r.attempts[0].server.info.ID, Success)
 		break
 	}
-	if _, a := s.submit(Submit{Plan: 3}); a != nil {
+	if _, a := d.submit(Submit{Plan: 3}); a != nil {
 		if _, ok := a.(StartAttempt); !ok {
 			t.Errorf("a server is idle: got %#v, want StartAttempt", a)
 		}
@@ -36,14 +36,14 @@
 	for balancers, want := range map[int]int{2: 8, 16: 3} {
 		cfg := testSettings()
 		cfg.Balancers = balancers
-		s := newLimiterDriver(t, cfg, testServers(8)...)
+		d := newLimiterDriver(t, cfg, testServers(8)...)
 		for range 50 {
-			id, a := s.submit(Submit{Plan: 3})
-			s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
+			id, a := d.submit(Submit{Plan: 3})
+			d.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
 		}
 		inFlight := 0
 		for range 40 {
-			if _, a := s.submit(Submit{Plan: 3}); a != nil {
+			if _, a := d.submit(Submit{Plan: 3}); a != nil {
 				if _, ok := a.(StartAttempt); ok {
 					inFlight++
 				}
@@ -58,19 +58,19 @@
 // A request whose remaining time shows that it misses the latency target is rejected without a
 // charge. One with more time than usual, and time to spare, is admitted.
 func TestLateRequestIsRejected(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for range 5 {
-		id, a := s.submit(Submit{TimeoutMs: 1000})
-		s.succeed(id, a)
+		id, a := d.submit(Submit{TimeoutMs: 1000})
+		d.succeed(id, a)
 	}
-	before := s.l.customers[0].balance
-	if _, a := s.submit(Submit{TimeoutMs: 1400}); a != (Reject{ID: "r6", RetryAfterMs: 1000}) {
+	before := d.l.customers[0].balance
+	if _, a := d.submit(Submit{TimeoutMs: 1400}); a != (Reject{ID: "r6", RetryAfterMs: 1000}) {
 		t.Errorf("600 ms after the client began, target 500 ms: got %#v, want Reject", a)
 	}
-	if s.l.customers[0].balance != before {
+	if d.l.customers[0].balance != before {
 		t.Error("a rejected request was charged")
 	}
-	if _, a := s.submit(Submit{TimeoutMs: 1800}); a != nil {
+	if _, a := d.submit(Submit{TimeoutMs: 1800}); a != nil {
 		if _, ok := a.(StartAttempt); !ok {
 			t.Errorf("200 ms after the client began: got %#v, want StartAttempt", a)
 		}
@@ -81,12 +81,12 @@
 func TestValueDecidesUnderOverload(t *testing.T) {
 	cfg := testSettings()
 	cfg.Plans[0].Price, cfg.Plans[3].Price = 5, 0.2
-	s := newLimiterDriver(t, cfg, testServers(2)...)
+	d := newLimiterDriver(t, cfg, testServers(2)...)
 	for range 60 {
 		for _, plan := range []int{0, 3} {
-			id, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)})
+			id, a := d.submit(Submit{Plan: plan, Customer: uint64(d.n)})
 			if p, ok := a.(StartAttempt); ok {
-				s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
+				d.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
 					Load: Load{Busy: -1}})
 			}
 		}
@@ -94,7 +94,7 @@
 	admitted := map[int]int{}
 	for i := range 200 {
 		plan := []int{0, 3}[i%2]
-		if _, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)}); a != nil {
+		if _, a := d.submit(Submit{Plan: plan, Customer: uint64(d.n)}); a != nil {
 			if _, ok := a.(StartAttempt); ok {
 				admitted[plan]++
 			}
@@ -108,15 +108,15 @@
 // Where clients mark their retries, a first request with a short timeout has only just begun
 // and is served. A retry with the same timeout has little of its deadline left.
 func TestFirstRequestsWithShortTimeoutAreServed(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	serve := func(e Submit) bool {
 		t.Helper()
-		id, a := s.submit(e)
+		id, a := d.submit(e)
 		p, ok := a.(StartAttempt)
 		if ok {
-			s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 20, Final: true, Load: Load{Busy: -1}})
+			d.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 20, Final: true, Load: Load{Busy: -1}})
 		}
-		s.now += 200
+		d.now += 200
 		return ok
 	}
 	for range 20 {
--- a/balancer/peerupdates.go
+++ b/balancer/peerupdates.go
@@ -150,7 +150,7 @@
 		c.balance = bucket.Draw(c.balance, units, l.minLevel(c))
 		c.decayRecentUnits(now)
 		c.recentUnits += min(units, l.cfg.Plans[c.plan].Burst)
-		c.seenAt = now
+		c.lastActiveAt = now
 		l.recordEscrowSpending(c, v.peer, units)
 	}
 	v.receivedSpent = spent
--- a/balancer/randomfleet_test.go
+++ b/balancer/randomfleet_test.go
@@ -56,148 +56,148 @@
 
 const randomLimiters = 3
 
-func (c *randomFleet) start(i int) {
-	cfg := c.cfg
+func (fleet *randomFleet) start(i int) {
+	cfg := fleet.cfg
 	cfg.Position = i
-	l, err := New(cfg, c.rng.Uint64())
+	l, err := New(cfg, fleet.rng.Uint64())
 	if err != nil {
-		c.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
-	c.limiters[i], c.requests[i], c.listed[i] = l, map[string]*randomRequest{}, map[uint64]ServerInfo{}
-	c.sentTimes[i] = map[uint64][]float64{}
-	c.sendList(i, Persisted)
+	fleet.limiters[i], fleet.requests[i], fleet.listed[i] = l, map[string]*randomRequest{}, map[uint64]ServerInfo{}
+	fleet.sentTimes[i] = map[uint64][]float64{}
+	fleet.sendList(i, Persisted)
 }
 
-func (c *randomFleet) list() (s []ServerInfo) {
-	for _, info := range c.servers {
+func (fleet *randomFleet) list() (s []ServerInfo) {
+	for _, info := range fleet.servers {
 		s = append(s, info)
 	}
 	slices.SortFunc(s, func(a, b ServerInfo) int { return int(a.ID) - int(b.ID) })
 	return s
 }
 
-func (c *randomFleet) sendList(i int, scope Scope) {
+func (fleet *randomFleet) sendList(i int, scope Scope) {
 	if scope != Partial {
-		c.listed[i] = map[uint64]ServerInfo{}
+		fleet.listed[i] = map[uint64]ServerInfo{}
 	}
-	for _, s := range c.list() {
-		c.listed[i][s.ID] = s
+	for _, s := range fleet.list() {
+		fleet.listed[i][s.ID] = s
 	}
-	c.event(i, Endpoints{Scope: scope, Servers: c.list()})
+	fleet.event(i, Endpoints{Scope: scope, Servers: fleet.list()})
 }
 
-func (c *randomFleet) event(i int, e Event) {
-	for _, a := range c.limiters[i].Handle(c.now, e) {
-		c.action(i, a)
+func (fleet *randomFleet) event(i int, e Event) {
+	for _, a := range fleet.limiters[i].Handle(fleet.now, e) {
+		fleet.action(i, a)
 	}
 }
 
 // action checks an action of a limiter and executes it.
-func (c *randomFleet) action(i int, a Action) {
+func (fleet *randomFleet) action(i int, a Action) {
 	switch a := a.(type) {
 	case StartAttempt:
-		c.startAttempt(i, a)
+		fleet.startAttempt(i, a)
 	case Reject:
-		c.reject(i, a)
+		fleet.reject(i, a)
 	case Fail:
-		if r := c.requests[i][a.ID]; r != nil && !r.finished {
-			c.finish(r)
+		if r := fleet.requests[i][a.ID]; r != nil && !r.finished {
+			fleet.finish(r)
 		}
 	case CancelAttempt:
-		if r := c.requests[i][a.ID]; r != nil && a.Attempt >= len(r.sent) {
-			c.t.Fatal("canceled an attempt that was never started")
+		if r := fleet.requests[i][a.ID]; r != nil && a.Attempt >= len(r.sent) {
+			fleet.t.Fatal("canceled an attempt that was never started")
 		}
 	case SetTimer:
-		c.timers = append(c.timers, randomTimer{a.At, i, a.Name, c.limiters[i]})
+		fleet.timers = append(fleet.timers, randomTimer{a.At, i, a.Name, fleet.limiters[i]})
 	case SendPeer:
 		if len(a.Data) > maxPeerBytes || a.To == i {
-			c.t.Fatalf("invalid message of %d bytes to limiter %d", len(a.Data), a.To)
+			fleet.t.Fatalf("invalid message of %d bytes to limiter %d", len(a.Data), a.To)
 		}
-		if c.rng.Float64() < 0.9 {
+		if fleet.rng.Float64() < 0.9 {
 			message := PeerMessage{From: i, Data: a.Data}
-			c.messages = append(c.messages, randomMessage{a.To, c.now + 40*c.rng.Float64(), message})
+			fleet.messages = append(fleet.messages, randomMessage{a.To, fleet.now + 40*fleet.rng.Float64(), message})
 		}
 	}
 }
 
 // startAttempt checks that an attempt may be started: the request is unfinished, the server is
 // up, and the limits of attempts and the rules on repeated execution are kept.
-func (c *randomFleet) startAttempt(i int, a StartAttempt) {
-	r := c.requests[i][a.ID]
+func (fleet *randomFleet) startAttempt(i int, a StartAttempt) {
+	r := fleet.requests[i][a.ID]
 	if r == nil || r.finished {
-		c.t.Fatalf("forwarded %s, which is finished", a.ID)
+		fleet.t.Fatalf("forwarded %s, which is finished", a.ID)
 	}
-	info, ok := c.listed[i][a.Server]
+	info, ok := fleet.listed[i][a.Server]
 	if !ok || info.Phase != Up {
-		c.t.Fatalf("forwarded to server %d, which is draining, removed or was never listed", a.Server)
+		fleet.t.Fatalf("forwarded to server %d, which is draining, removed or was never listed", a.Server)
 	}
-	if len(r.inFlight) > 0 && !c.cfg.Caps.Hedging {
-		c.t.Fatal("two attempts of a request in flight at once")
+	if len(r.inFlight) > 0 && !fleet.cfg.Caps.Hedging {
+		fleet.t.Fatal("two attempts of a request in flight at once")
 	}
-	if len(r.sent) >= c.cfg.Caps.MaxAttempts {
-		c.t.Fatal("more attempts than Caps.MaxAttempts")
+	if len(r.sent) >= fleet.cfg.Caps.MaxAttempts {
+		fleet.t.Fatal("more attempts than Caps.MaxAttempts")
 	}
 	for _, k := range r.maybeExecuted {
-		c.checkRepeat(i, r, k, info)
+		fleet.checkRepeat(i, r, k, info)
 	}
 	if len(r.sent) == 0 {
-		c.spendHardLimit(r.submit)
+		fleet.spendHardLimit(r.submit)
 	}
-	c.sentTimes[i][a.Server] = append(c.sentTimes[i][a.Server], c.now)
-	c.checkSlowStart(i, info)
+	fleet.sentTimes[i][a.Server] = append(fleet.sentTimes[i][a.Server], fleet.now)
+	fleet.checkSlowStart(i, info)
 	r.inFlight[len(r.sent)] = a
 	r.sent = append(r.sent, a)
-	r.sentAt = append(r.sentAt, c.now)
+	r.sentAt = append(r.sentAt, fleet.now)
 }
 
 // checkRepeat checks that a request whose attempt k may have been executed may be forwarded to
 // another server.
-func (c *randomFleet) checkRepeat(i int, r *randomRequest, k int, info ServerInfo) {
-	class := c.cfg.Classes[r.submit.Class]
-	before := c.listed[i][r.sent[k].Server]
+func (fleet *randomFleet) checkRepeat(i int, r *randomRequest, k int, info ServerInfo) {
+	class := fleet.cfg.Classes[r.submit.Class]
+	before := fleet.listed[i][r.sent[k].Server]
 	switch {
 	case class.Idempotency == Unsafe:
-		c.t.Fatal("an unsafe request that may have been executed was retried")
+		fleet.t.Fatal("an unsafe request that may have been executed was retried")
 	case class.Idempotency == Keyed && class.DedupScope == DedupCell && before.Cell != info.Cell:
-		c.t.Fatal("a keyed request was retried in another cell")
-	case class.Idempotency == Keyed && c.now >= r.sentAt[k]+class.DedupWindowMs:
-		c.t.Fatal("a keyed request was retried after its deduplication window")
+		fleet.t.Fatal("a keyed request was retried in another cell")
+	case class.Idempotency == Keyed && fleet.now >= r.sentAt[k]+class.DedupWindowMs:
+		fleet.t.Fatal("a keyed request was retried after its deduplication window")
 	}
 }
 
 // reject checks that a rejected request can be retried by its client.
-func (c *randomFleet) reject(i int, a Reject) {
-	r := c.requests[i][a.ID]
+func (fleet *randomFleet) reject(i int, a Reject) {
+	r := fleet.requests[i][a.ID]
 	if r == nil || r.finished {
 		return
 	}
-	class := c.cfg.Classes[r.submit.Class]
+	class := fleet.cfg.Classes[r.submit.Class]
 	harmless := class.Idempotency == Safe || class.Idempotency == Keyed && class.DedupScope == DedupAll
 	if !harmless && (len(r.maybeExecuted) > 0 || len(r.inFlight) > 0) {
-		c.t.Fatalf("rejected a request of class %d that may have been executed", r.submit.Class)
+		fleet.t.Fatalf("rejected a request of class %d that may have been executed", r.submit.Class)
 	}
-	c.finish(r)
+	fleet.finish(r)
 }
 
 // slowStartShare is the share of its capacity that a server has by its age.
-func (c *randomFleet) slowStartShare(info ServerInfo) float64 {
+func (fleet *randomFleet) slowStartShare(info ServerInfo) float64 {
 	if info.ReadyAt <= 0 {
 		return 1
 	}
-	r := c.cfg.ServerLimits
-	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*(c.now-info.ReadyAt)/r.SlowStartMs)
+	r := fleet.cfg.ServerLimits
+	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*(fleet.now-info.ReadyAt)/r.SlowStartMs)
 }
 
 // checkSlowStart checks that a limiter keeps to its part of a server in slow start: what it
 // sends to the busiest warm server in the same window, times the share of capacity and the
 // overload factor, plus a few requests for random variation and for differences in work.
-func (c *randomFleet) checkSlowStart(i int, info ServerInfo) {
-	share := c.slowStartShare(info)
+func (fleet *randomFleet) checkSlowStart(i int, info ServerInfo) {
+	share := fleet.slowStartShare(info)
 	if share >= 1 {
 		return
 	}
 	since := func(id uint64, from float64) (n float64) {
-		for _, at := range c.sentTimes[i][id] {
+		for _, at := range fleet.sentTimes[i][id] {
 			if at > from {
 				n++
 			}
@@ -205,176 +205,177 @@
 		return n
 	}
 	busiest := 0.0 // what was sent to a server while it was warm still counts
-	for id := range c.listed[i] {
+	for id := range fleet.listed[i] {
 		if id != info.ID {
-			busiest = max(busiest, since(id, c.now-3*c.cfg.ServerLimits.OverloadMs))
+			busiest = max(busiest, since(id, fleet.now-3*fleet.cfg.ServerLimits.OverloadMs))
 		}
 	}
-	n := since(info.ID, max(info.ReadyAt, c.now-c.cfg.ServerLimits.OverloadMs))
-	if n > 3+c.cfg.ServerLimits.OverloadFactor*share*busiest {
-		c.t.Fatalf("server %d, at %.2f of its capacity in slow start, got %g requests per window, the busiest %g",
+	n := since(info.ID, max(info.ReadyAt, fleet.now-fleet.cfg.ServerLimits.OverloadMs))
+	if n > 3+fleet.cfg.ServerLimits.OverloadFactor*share*busiest {
+		fleet.t.Fatalf("server %d, at %.2f of its capacity in slow start, got %g requests per window, the busiest %g",
 			info.ID, share, n, busiest)
 	}
 }
 
-func (c *randomFleet) finish(r *randomRequest) {
+func (fleet *randomFleet) finish(r *randomRequest) {
 	r.finished = true
-	c.finishedRequests++
-	if c.now > r.deadline+8 {
-		c.t.Fatalf("the final response to %s was %g ms late", r.id, c.now-r.deadline)
+	fleet.finishedRequests++
+	if fleet.now > r.deadline+8 {
+		fleet.t.Fatalf("the final response to %s was %g ms late", r.id, fleet.now-r.deadline)
 	}
 }
 
-func (c *randomFleet) spendHardLimit(s Submit) {
-	if c.cfg.Plans[s.Plan].HardRate == 0 {
+func (fleet *randomFleet) spendHardLimit(s Submit) {
+	if fleet.cfg.Plans[s.Plan].HardRate == 0 {
 		return
 	}
-	left := &c.hardBalances[s.Customer]
+	left := &fleet.hardBalances[s.Customer]
 	if *left -= s.Units; *left < -1e-6 {
-		c.t.Fatalf("the hard limit of customer %d is exceeded by %g", s.Customer, -*left)
+		fleet.t.Fatalf("the hard limit of customer %d is exceeded by %g", s.Customer, -*left)
 	}
 }
 
 // endAttempt ends an attempt in flight with a given result, or a random one if forced is
 // negative.
-func (c *randomFleet) endAttempt(i int, r *randomRequest, attempt int, forced Result) {
+func (fleet *randomFleet) endAttempt(i int, r *randomRequest, attempt int, forced Result) {
 	delete(r.inFlight, attempt)
 	result := forced
 	if result < 0 {
-		result = Result(c.rng.IntN(8))
+		result = Result(fleet.rng.IntN(8))
 	}
 	if !provesNotExecuted(result) {
 		r.maybeExecuted = append(r.maybeExecuted, attempt)
 	}
 	final := r.finished
 	if result == Success && !r.finished {
-		c.finish(r)
+		fleet.finish(r)
 		final = true
 	}
-	c.event(i, Outcome{ID: r.id, Attempt: attempt, Server: r.sent[attempt].Server, Result: result,
-		LatencyMs: c.now - r.sentAt[attempt], Final: final, Load: Load{Busy: float64(c.rng.IntN(9) - 1)}})
+	fleet.event(i, Outcome{ID: r.id, Attempt: attempt, Server: r.sent[attempt].Server, Result: result,
+		LatencyMs: fleet.now - r.sentAt[attempt], Final: final, Load: Load{Busy: float64(fleet.rng.IntN(9) - 1)}})
 }
 
 // step advances the time and makes one random event.
-func (c *randomFleet) step() {
-	dt := min(4, c.rng.ExpFloat64()*3)
-	c.now += dt
-	for k := range c.hardBalances {
-		p := c.cfg.Plans[1]
-		c.hardBalances[k] = min(p.HardBurst, c.hardBalances[k]+dt*p.HardRate/1000)
-	}
-	c.fireTimers()
-	c.deliverMessages()
-	for i := range c.requests {
-		c.endAttempts(i)
-	}
-	i := c.rng.IntN(randomLimiters)
-	switch u := c.rng.Float64(); {
+func (fleet *randomFleet) step() {
+	dt := min(4, fleet.rng.ExpFloat64()*3)
+	fleet.now += dt
+	for k := range fleet.hardBalances {
+		p := fleet.cfg.Plans[1]
+		fleet.hardBalances[k] = min(p.HardBurst, fleet.hardBalances[k]+dt*p.HardRate/1000)
+	}
+	fleet.fireTimers()
+	fleet.deliverMessages()
+	for i := range fleet.requests {
+		fleet.endAttempts(i)
+	}
+	i := fleet.rng.IntN(randomLimiters)
+	switch u := fleet.rng.Float64(); {
 	case u < 0.8:
-		c.submit(i)
+		fleet.submit(i)
 	case u < 0.81:
-		c.clientDisconnects(i)
+		fleet.clientDisconnects(i)
 	case u < 0.815: // the limiter restarts with its last list
-		c.start(i)
+		fleet.start(i)
 	case u < 0.83:
-		c.changeServer()
+		fleet.changeServer()
 	case u < 0.85:
-		c.event(i, ProbeResult{Server: uint64(1 + c.rng.IntN(9)), Result: Result(c.rng.IntN(8))})
+		fleet.event(i, ProbeResult{Server: uint64(1 + fleet.rng.IntN(9)), Result: Result(fleet.rng.IntN(8))})
 	case u < 0.86:
-		from := c.rng.IntN(4)
-		data := []byte{peerMagic, peerVersion, byte(c.rng.IntN(9)), 1, 2, 3, 4, 5, 6, 7}
-		c.event(i, PeerMessage{From: from, Data: data})
+		from := fleet.rng.IntN(4)
+		data := []byte{peerMagic, peerVersion, byte(fleet.rng.IntN(9)), 1, 2, 3, 4, 5, 6, 7}
+		fleet.event(i, PeerMessage{From: from, Data: data})
 	}
 }
 
 // fireTimers fires the timers that are due, except those set by limiters that have restarted.
-func (c *randomFleet) fireTimers() {
-	for k := 0; k < len(c.timers); k++ {
-		if tm := c.timers[k]; tm.at <= c.now {
-			c.timers = slices.Delete(c.timers, k, k+1)
+func (fleet *randomFleet) fireTimers() {
+	for k := 0; k < len(fleet.timers); k++ {
+		if tm := fleet.timers[k]; tm.at <= fleet.now {
+			fleet.timers = slices.Delete(fleet.timers, k, k+1)
 			k--
-			if c.limiters[tm.limiter] == tm.setBy {
-				c.event(tm.limiter, TimerFired{Name: tm.name})
+			if fleet.limiters[tm.limiter] == tm.setBy {
+				fleet.event(tm.limiter, TimerFired{Name: tm.name})
 			}
 		}
 	}
 }
 
 // deliverMessages delivers the messages that are due.
-func (c *randomFleet) deliverMessages() {
-	for k := 0; k < len(c.messages); k++ {
-		if m := c.messages[k]; m.at <= c.now {
-			c.messages = slices.Delete(c.messages, k, k+1)
+func (fleet *randomFleet) deliverMessages() {
+	for k := 0; k < len(fleet.messages); k++ {
+		if m := fleet.messages[k]; m.at <= fleet.now {
+			fleet.messages = slices.Delete(fleet.messages, k, k+1)
 			k--
-			c.event(m.to, m.message)
+			fleet.event(m.to, m.message)
 		}
 	}
 }
 
 // endAttempts ends a limiter's attempts at their deadline, and others at random. A request
 // without attempts in flight must have its final response.
-func (c *randomFleet) endAttempts(i int) {
-	ids := make([]string, 0, len(c.requests[i]))
-	for id := range c.requests[i] {
+func (fleet *randomFleet) endAttempts(i int) {
+	ids := make([]string, 0, len(fleet.requests[i]))
+	for id := range fleet.requests[i] {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		r := c.requests[i][id]
+		r := fleet.requests[i][id]
 		for k := range r.sent {
-			if _, inFlight := r.inFlight[k]; inFlight && c.now >= r.deadline {
-				c.endAttempt(i, r, k, TimedOut)
-			} else if inFlight && c.rng.Float64() < 0.05 {
-				c.endAttempt(i, r, k, -1)
+			if _, inFlight := r.inFlight[k]; inFlight && fleet.now >= r.deadline {
+				fleet.endAttempt(i, r, k, TimedOut)
+			} else if inFlight && fleet.rng.Float64() < 0.05 {
+				fleet.endAttempt(i, r, k, -1)
 			}
 		}
 		if len(r.inFlight) > 0 {
 			continue
 		}
 		if !r.finished {
-			c.t.Fatalf("%s has neither a final response nor an attempt in flight", id)
+			fleet.t.Fatalf("%s has neither a final response nor an attempt in flight", id)
 		}
-		delete(c.requests[i], id)
+		delete(fleet.requests[i], id)
 	}
 }
 
 // submit submits a random request, which must get an attempt or a final response at once.
-func (c *randomFleet) submit(i int) {
-	c.ids++
-	plan := c.rng.IntN(len(c.cfg.Plans))
-	s := Submit{ID: fmt.Sprint("q", c.ids), TimeoutMs: 50 + 1950*c.rng.Float64(), Units: float64(1 + c.rng.IntN(4)),
-		Class: c.rng.IntN(len(c.cfg.Classes)), Plan: plan, Customer: uint64(plan + len(c.cfg.Plans)*c.rng.IntN(4)),
+func (fleet *randomFleet) submit(i int) {
+	fleet.ids++
+	plan := fleet.rng.IntN(len(fleet.cfg.Plans))
+	s := Submit{ID: fmt.Sprint("q", fleet.ids), TimeoutMs: 50 + 1950*fleet.rng.Float64(),
+		Units: float64(1 + fleet.rng.IntN(4)), Class: fleet.rng.IntN(len(fleet.cfg.Classes)), Plan: plan,
+		Customer:     uint64(plan + len(fleet.cfg.Plans)*fleet.rng.IntN(4)),
 		LimiterCount: randomLimiters}
-	r := &randomRequest{id: s.ID, submit: s, deadline: c.now + s.TimeoutMs, inFlight: map[int]StartAttempt{}}
-	c.requests[i][s.ID] = r
-	c.event(i, s)
+	r := &randomRequest{id: s.ID, submit: s, deadline: fleet.now + s.TimeoutMs, inFlight: map[int]StartAttempt{}}
+	fleet.requests[i][s.ID] = r
+	fleet.event(i, s)
 	if len(r.sent) == 0 && !r.finished {
-		c.t.Fatalf("%s got no response", s.ID)
+		fleet.t.Fatalf("%s got no response", s.ID)
 	}
 }
 
 // clientDisconnects lets the client of a limiter's first request disconnect.
-func (c *randomFleet) clientDisconnects(i int) {
-	for _, id := range firstID(c.requests[i]) {
-		if r := c.requests[i][id]; !r.finished {
+func (fleet *randomFleet) clientDisconnects(i int) {
+	for _, id := range firstID(fleet.requests[i]) {
+		if r := fleet.requests[i][id]; !r.finished {
 			r.finished = true
-			c.event(i, ClientDisconnected{ID: id})
+			fleet.event(i, ClientDisconnected{ID: id})
 		}
 	}
 }
 
 // changeServer lets a random server drain, be removed, restart or be added, and sends all
 // limiters a complete or partial list.
-func (c *randomFleet) changeServer() {
-	id := uint64(1 + c.rng.IntN(8))
-	info := c.servers[id]
-	info.Phase = Phase(c.rng.IntN(3))
-	if c.rng.Float64() < 0.5 {
-		info.Phase, info.ReadyAt = Up, c.now
-	}
-	c.servers[id] = info
-	for k := range c.limiters {
-		c.sendList(k, Scope(c.rng.IntN(2)))
+func (fleet *randomFleet) changeServer() {
+	id := uint64(1 + fleet.rng.IntN(8))
+	info := fleet.servers[id]
+	info.Phase = Phase(fleet.rng.IntN(3))
+	if fleet.rng.Float64() < 0.5 {
+		info.Phase, info.ReadyAt = Up, fleet.now
+	}
+	fleet.servers[id] = info
+	for k := range fleet.limiters {
+		fleet.sendList(k, Scope(fleet.rng.IntN(2)))
 	}
 }
 
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -6,29 +6,29 @@
 )
 
 func TestDrainingServersGetNoRequests(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(2)...)
-	s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 1, Phase: Draining}}})
+	d := newLimiterDriver(t, testSettings(), testServers(2)...)
+	d.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 1, Phase: Draining}}})
 	for range 10 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
+		if id, a := d.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
 			t.Fatal("request sent to a draining server")
 		} else {
-			s.succeed(id, a)
+			d.succeed(id, a)
 		}
 	}
-	s.do(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 3}}})
+	d.do(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 3}}})
 	for range 10 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
+		if id, a := d.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
 			t.Fatal("request sent to a server missing from the complete list")
 		} else {
-			s.succeed(id, a)
+			d.succeed(id, a)
 		}
 	}
-	s.do(Endpoints{Scope: Failed})
-	if _, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
+	d.do(Endpoints{Scope: Failed})
+	if _, a := d.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
 		t.Error("a failed request for the list changed the list")
 	}
-	s.do(Endpoints{Scope: Complete})
-	if _, a := s.submit(Submit{Plan: 3}); a != (Reject{ID: "r22", RetryAfterMs: rejectedPauseMs}) {
+	d.do(Endpoints{Scope: Complete})
+	if _, a := d.submit(Submit{Plan: 3}); a != (Reject{ID: "r22", RetryAfterMs: rejectedPauseMs}) {
 		t.Errorf("without servers: got %#v, want Reject", a)
 	}
 }
@@ -37,18 +37,18 @@
 // believed the reports used only one server in ten, and without the reports they served a
 // twentieth more.
 func TestLoadReportsExcludeNoServer(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	used := map[uint64]int{}
 	for range 100 {
-		id, a := s.submit(Submit{Plan: 3})
+		id, a := d.submit(Submit{Plan: 3})
 		p, ok := a.(StartAttempt)
 		if !ok {
 			t.Fatalf("with idle servers: got %#v, want StartAttempt", a)
 		}
 		used[p.Server]++
-		s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
+		d.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
 			Load: Load{Busy: 200 * float64(p.Server)}})
-		s.now += 20
+		d.now += 20
 	}
 	for id := uint64(1); id <= 4; id++ {
 		if used[id] < 10 {
@@ -58,9 +58,9 @@
 }
 
 // subsetPairs returns the pairs of a limiter and a server of its subset.
-func (c *testFleet) subsetPairs() map[[2]uint64]bool {
+func (fleet *testFleet) subsetPairs() map[[2]uint64]bool {
 	pairs := map[[2]uint64]bool{}
-	for i, l := range c.limiters {
+	for i, l := range fleet.limiters {
 		for id, s := range l.servers {
 			if s.inSubset {
 				pairs[[2]uint64{uint64(i), id}] = true
@@ -75,8 +75,8 @@
 func TestSubsetsAreBalanced(t *testing.T) {
 	const n, servers = 80, 60
 	f := testServers(servers)
-	c := newTestFleet(t, testSettings(), n, f)
-	before := c.subsetPairs()
+	fleet := newTestFleet(t, testSettings(), n, f)
+	before := fleet.subsetPairs()
 	at := map[uint64]int{}
 	for p := range before {
 		at[p[1]]++
@@ -86,15 +86,15 @@
 			t.Errorf("server %d has %d limiters of %d", s.ID, at[s.ID], n)
 		}
 	}
-	if used := c.usedConnections(4000); used == 0 || used > n*servers/4 {
+	if used := fleet.usedConnections(4000); used == 0 || used > n*servers/4 {
 		t.Errorf("%d limiters use %d connections to %d servers", n, used, servers)
 	}
 	removed := f[7]
 	removed.Phase = Removed
 	for i := range n {
-		c.event(i, Endpoints{Scope: Partial, Servers: []ServerInfo{removed}})
+		fleet.event(i, Endpoints{Scope: Partial, Servers: []ServerInfo{removed}})
 	}
-	after, moved := c.subsetPairs(), 0
+	after, moved := fleet.subsetPairs(), 0
 	for p := range after {
 		if !before[p] {
 			moved++
@@ -104,29 +104,29 @@
 		t.Errorf("%d of %d pairs are new after one server was removed", moved, len(after))
 	}
 	// A limiter whose subset is down uses the other servers.
-	for _, s := range c.limiters[0].servers {
+	for _, s := range fleet.limiters[0].servers {
 		s.down = s.inSubset
 	}
-	if !c.submit(0, Submit{Plan: 3, Customer: 1, LimiterCount: n}) {
+	if !fleet.submit(0, Submit{Plan: 3, Customer: 1, LimiterCount: n}) {
 		t.Error("a limiter whose subset is down rejected a request")
 	}
 }
 
 // usedConnections submits requests to the limiters in turn and returns the number of pairs of a
 // limiter and a server that were used.
-func (c *testFleet) usedConnections(requests int) int {
-	n := len(c.limiters)
+func (fleet *testFleet) usedConnections(requests int) int {
+	n := len(fleet.limiters)
 	used := map[[2]int]bool{}
 	for k := range requests {
-		l := c.limiters[k%n]
+		l := fleet.limiters[k%n]
 		submit := Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Customer: 1, LimiterCount: n, Units: 1}
-		for _, a := range append([]Action(nil), l.Handle(c.now, submit)...) {
+		for _, a := range append([]Action(nil), l.Handle(fleet.now, submit)...) {
 			if a, ok := a.(StartAttempt); ok {
 				used[[2]int{k % n, int(a.Server)}] = true
-				l.Handle(c.now, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
+				l.Handle(fleet.now, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
 			}
 		}
-		c.now += 2.5
+		fleet.now += 2.5
 	}
 	return len(used)
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -10,13 +10,13 @@
 func TestSlowStartLimitsAServer(t *testing.T) {
 	f := testServers(4)
 	f[0].ReadyAt = 999
-	s := newLimiterDriver(t, testSettings(), f...)
+	d := newLimiterDriver(t, testSettings(), f...)
 	sent := map[uint64]int{}
 	for range 50 {
-		s.now += 20
+		d.now += 20
 		out := map[string]Action{}
 		for range 12 {
-			if id, a := s.submit(Submit{Plan: 3}); a != nil {
+			if id, a := d.submit(Submit{Plan: 3}); a != nil {
 				if p, ok := a.(StartAttempt); ok {
 					out[id] = a
 					sent[p.Server]++
@@ -24,15 +24,15 @@
 			}
 		}
 		for id, a := range out {
-			s.succeed(id, a)
+			d.succeed(id, a)
 		}
 	}
 	if sent[1] == 0 || sent[1] > sent[2]/3 {
 		t.Errorf("the server in slow start got %d requests, the warm ones %d, %d and %d",
 			sent[1], sent[2], sent[3], sent[4])
 	}
-	s = newLimiterDriver(t, testSettings(), f[0])
-	if n := s.admit(200, Submit{Plan: 3}); n > 2 {
+	d = newLimiterDriver(t, testSettings(), f[0])
+	if n := d.admit(200, Submit{Plan: 3}); n > 2 {
 		t.Errorf("the only server is in slow start and got %d requests at once", n)
 	}
 }
@@ -46,26 +46,26 @@
 		cfg.Caps.Peers = false
 		f := testServers(10)
 		f[0].ReadyAt = 1e6
-		c := newTestFleet(t, cfg, n, f)
+		fleet := newTestFleet(t, cfg, n, f)
 		rng := rand.New(rand.NewPCG(2, 2))
 		for range 2000 { // 10 s at 200 requests/s over all limiters
 			i := rng.IntN(n)
-			c.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), LimiterCount: n})
-			l := c.limiters[i] // it uses its whole part, as if no other server were better
-			for s := l.servers[1]; l.hasSlowStartCredit(c.now, s); s.slowStartCredit-- {
-				c.sent[1]++
+			fleet.submit(i, Submit{Plan: 3, Customer: rng.Uint64N(99), LimiterCount: n})
+			l := fleet.limiters[i] // it uses its whole part, as if no other server were better
+			for s := l.servers[1]; l.hasSlowStartCredit(fleet.now, s); s.slowStartCredit-- {
+				fleet.sent[1]++
 			}
-			c.now += 5
+			fleet.now += 5
 		}
 		warm := 0
-		for id, k := range c.sent {
+		for id, k := range fleet.sent {
 			if id != 1 {
 				warm += k
 			}
 		}
 		// The mean share of capacity over the 10 s is 0.6; the rule allows twice that.
-		if mean := float64(warm) / 9; float64(c.sent[1]) > 0.7*mean+3 {
-			t.Errorf("%d limiters: the server in slow start got %d requests, a warm one %.0f", n, c.sent[1], mean)
+		if mean := float64(warm) / 9; float64(fleet.sent[1]) > 0.7*mean+3 {
+			t.Errorf("%d limiters: the server in slow start got %d requests, a warm one %.0f", n, fleet.sent[1], mean)
 		}
 	}
 }
@@ -76,13 +76,13 @@
 	for _, n := range []int{3, 300} {
 		cfg := testSettings()
 		cfg.Caps.Peers = false
-		c := newTestFleet(t, cfg, n, []ServerInfo{{ID: 1, ReadyAt: 1e6}})
+		fleet := newTestFleet(t, cfg, n, []ServerInfo{{ID: 1, ReadyAt: 1e6}})
 		for k := range 2000 {
-			c.submit(k%n, Submit{Plan: 3, Customer: uint64(k), LimiterCount: n})
-			c.now += 0.5
+			fleet.submit(k%n, Submit{Plan: 3, Customer: uint64(k), LimiterCount: n})
+			fleet.now += 0.5
 		}
-		if c.sent[1] == 0 || c.sent[1] > 40 {
-			t.Errorf("%d limiters: a server in slow start got %d requests in its first second", n, c.sent[1])
+		if fleet.sent[1] == 0 || fleet.sent[1] > 40 {
+			t.Errorf("%d limiters: a server in slow start got %d requests in its first second", n, fleet.sent[1])
 		}
 	}
 }
@@ -96,28 +96,28 @@
 	cfg.Caps.Peers = false
 	cfg.ServerLimits.SlowStartShare, cfg.ServerLimits.SlowStartMs = 0.3, 16000
 	f := testServers(servers)
-	c := newTestFleet(t, cfg, n, f)
+	fleet := newTestFleet(t, cfg, n, f)
 	rng := rand.New(rand.NewPCG(3, 3))
 	run := func(requests int) { // 400 requests/s over all limiters
-		clear(c.sent)
+		clear(fleet.sent)
 		for range requests {
-			c.submit(rng.IntN(n), Submit{Plan: 3, Customer: rng.Uint64N(99), LimiterCount: n})
-			c.now += 2.5
+			fleet.submit(rng.IntN(n), Submit{Plan: 3, Customer: rng.Uint64N(99), LimiterCount: n})
+			fleet.now += 2.5
 		}
 	}
 	run(4000)
 	for i := range starting {
-		f[i].ReadyAt = c.now
+		f[i].ReadyAt = fleet.now
 	}
 	for i := range n {
-		c.event(i, Endpoints{Scope: Complete, Servers: f})
+		fleet.event(i, Endpoints{Scope: Complete, Servers: f})
 	}
 	const requests = 2000 // 5 s; the mean share of capacity is 0.41
 	run(requests)
 	got := 0
 	for i := range starting {
-		got += c.sent[f[i].ID]
-		if part := float64(c.sent[f[i].ID]); part > 2*0.41*requests/servers {
+		got += fleet.sent[f[i].ID]
+		if part := float64(fleet.sent[f[i].ID]); part > 2*0.41*requests/servers {
 			t.Errorf("server %d, in slow start, got %g requests", i, part)
 		}
 	}
@@ -126,8 +126,8 @@
 		t.Errorf("%d of %d requests went to the servers in slow start, which can take %.0f", got, requests, fair)
 	}
 	for i := starting; i < servers; i++ {
-		if mean := float64(requests-got) / (servers - starting); float64(c.sent[f[i].ID]) > 1.6*mean {
-			t.Errorf("warm server %d got %d requests, the mean of the warm ones is %.0f", i, c.sent[f[i].ID], mean)
+		if mean := float64(requests-got) / (servers - starting); float64(fleet.sent[f[i].ID]) > 1.6*mean {
+			t.Errorf("warm server %d got %d requests, the mean of the warm ones is %.0f", i, fleet.sent[f[i].ID], mean)
 		}
 	}
 }
