--- a/balancer/escrow_test.go
+++ b/balancer/escrow_test.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// In a fleet that has just started, the escrows are full as soon as the limiters have heard
-// from each other. A limiter that starts among older ones has an empty escrow, and so has one
-// whose peers do not respond. Fails if every limiter starts with an empty escrow.
+// In a fleet that has just started, the escrows are full as soon as the limiters have received
+// messages from each other. A limiter that starts among older ones has an empty escrow, and so
+// has one whose peers do not respond. Fails if every limiter starts with an empty escrow.
 func TestNewFleetStartsWithFullEscrow(t *testing.T) {
 	const n = 20
 	cfg := testSettings()
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -13,13 +13,12 @@
 const (
 	// levelsRequestMs is how long after its start a limiter requests levels, in ms.
 	levelsRequestMs = 2000.0
-	// gossipShare is the share of the messages that a limiter can receive which its peers use
-	// together; the rest is a reserve for jitter.
+	// gossipShare is the share of the messages receivable by a limiter that its peers together
+	// send it; the rest is a reserve for jitter.
 	gossipShare = 0.9
-	// The interval between two levels of a customer is the time in which a limiter can receive
-	// levelIntervalMessages messages. It rises with exp(levelIntervalSteepness * excess), where
-	// excess is the number of levels received above half of the fair number, relative to that
-	// number.
+	// The interval between two levels of a customer starts at the time in which a limiter can
+	// receive levelIntervalMessages messages. It grows exponentially, with the coefficient
+	// levelIntervalSteepness, in the levels received beyond half of the fair number.
 	levelIntervalMessages  = 10.0
 	levelIntervalSteepness = 4.0
 )
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -20,8 +20,7 @@
 	// busyServerWeight is added to the cost factor of a server with requests in flight, in a
 	// very large fleet.
 	busyServerWeight = 15.0
-	// crossZoneWeight is the increase of the cost factor per price of an attempt in another
-	// zone.
+	// crossZoneWeight is the increase of the cost factor per unit of Settings.CrossZonePrice.
 	crossZoneWeight = 10.0
 	// rejectedPauseMs is how long a server gets no request after it rejected one, in ms.
 	rejectedPauseMs = 50.0
