--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,60 +6,60 @@
 )
 
 func TestTokenBucketAdmitsBurstAndRate(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	if got := s.admit(40, Submit{}); got != 20 {
-		t.Errorf("a full bucket of 20 let %d through", got)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	if got := d.admit(40, Submit{}); got != 20 {
+		t.Errorf("a full bucket of 20 units admitted %d", got)
 	}
-	_, a := s.submit(Submit{})
+	_, a := d.submit(Submit{})
 	if r, ok := a.(Reject); !ok || math.Abs(r.RetryAfterMs-100) > 1 {
-		t.Errorf("short of one unit at 10/s: got %#v, want a refusal for 100 ms", a)
+		t.Errorf("one unit short at 10 units/s: got %#v, want Reject with a retry after 100 ms", a)
 	}
-	s.now += 1000
-	if got := s.admit(40, Submit{}); got != 10 {
-		t.Errorf("after a second at 10/s %d passed", got)
+	d.now += 1000
+	if got := d.admit(40, Submit{}); got != 10 {
+		t.Errorf("1 s of refill at 10 units/s admitted %d, want 10", got)
 	}
-	s.now += 60000
-	if got := s.admit(40, Submit{}); got != 20 {
-		t.Errorf("the store holds 20, %d passed", got)
+	d.now += 60000
+	if got := d.admit(40, Submit{}); got != 20 {
+		t.Errorf("60 s of refill admitted %d, want the burst of 20", got)
 	}
-	if got := s.admit(100, Submit{Plan: 3, Customer: 9}); got != 100 {
-		t.Errorf("a plan without a quota let %d of 100 through", got)
+	if got := d.admit(100, Submit{Plan: 3, Customer: 9}); got != 100 {
+		t.Errorf("a plan without a quota admitted %d of 100", got)
 	}
 }
 
-// An unseen customer starts with the burst split over its limiters; the rest
-// is released when the peers have answered, and only what they have not
-// reported. Found as a loss of the cheap plans: the held part never came back.
+// A new customer starts with the burst divided by the number of its limiters. The rest is
+// released when the peers have responded, less what they reported. Guards against a withheld
+// part that is never released, which costs customers of cheap plans requests.
 func TestNewCustomerStartsWithItsPartOfTheBurst(t *testing.T) {
-	both := Submit{Spread: 2}
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	if got := s.admit(40, both); got != 10 {
-		t.Errorf("split of 20 over two let %d through", got)
+	both := Submit{LimiterCount: 2}
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	if got := d.admit(40, both); got != 10 {
+		t.Errorf("a burst of 20 divided by two limiters admitted %d, want 10", got)
 	}
-	s.do(peerLevels(1)) // a response without levels
-	if got := s.admit(40, both); got != 10 {
-		t.Errorf("after the peer's answer %d more passed, want 10", got)
+	d.do(peerLevels(1)) // a response without levels
+	if got := d.admit(40, both); got != 10 {
+		t.Errorf("%d more admitted after the peer responded, want 10", got)
 	}
-	s = newLimiterDriver(t, testSettings(), testServers(4)...)
-	s.do(peerLevels(90000, 3)) // an older peer knows the level
-	if got := s.admit(40, both); got != 3 {
-		t.Errorf("sent a level of 3, %d passed", got)
+	d = newLimiterDriver(t, testSettings(), testServers(4)...)
+	d.do(peerLevels(90000, 3)) // an older peer knows the level
+	if got := d.admit(40, both); got != 3 {
+		t.Errorf("%d admitted after a level of 3 from an older peer", got)
 	}
 }
 
 func TestAttemptsInFlightAreLimited(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	id, a := s.submit(Submit{Plan: 2})
-	s.submit(Submit{Plan: 2})
-	if _, c := s.submit(Submit{Plan: 2}); c == nil {
-		t.Fatal("no answer")
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	id, a := d.submit(Submit{Plan: 2})
+	d.submit(Submit{Plan: 2})
+	if _, c := d.submit(Submit{Plan: 2}); c == nil {
+		t.Fatal("the request got no response")
 	} else if _, ok := c.(Reject); !ok {
-		t.Errorf("a third attempt out where two are allowed: %#v", c)
+		t.Errorf("third attempt in flight with MaxInFlight 2: got %#v, want Reject", c)
 	}
-	s.pass(id, a)
-	if _, c := s.submit(Submit{Plan: 2}); c != nil {
+	d.succeed(id, a)
+	if _, c := d.submit(Submit{Plan: 2}); c != nil {
 		if _, ok := c.(StartAttempt); !ok {
-			t.Errorf("one came back, the next is refused: %#v", c)
+			t.Errorf("after one of two attempts has ended: got %#v, want StartAttempt", c)
 		}
 	}
 }
@@ -67,40 +67,40 @@
 func TestActualUnitsCorrectTheBalance(t *testing.T) {
 	cfg := testSettings()
 	cfg.TrueUp = true
-	s := newLimiterDriver(t, cfg, testServers(4)...)
-	id, a := s.submit(Submit{})
-	s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true,
+	d := newLimiterDriver(t, cfg, testServers(4)...)
+	id, a := d.submit(Submit{})
+	d.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 10, Final: true,
 		ActualUnits: 25})
-	if got := s.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
-		t.Errorf("balance %g after true units of 25 of 20, want -5", got)
+	if got := d.l.customers[0].balance; math.Abs(got+5) > 1e-9 {
+		t.Errorf("balance %g after 25 actual units with a burst of 20, want -5", got)
 	}
 }
 
-// Idle customers are forgotten, and come back with a full bucket they earned.
+// Idle customers are evicted and return with a full bucket.
 func TestIdleCustomersAreEvicted(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for c := range 500 {
-		s.admit(1, Submit{Customer: uint64(c)})
+		d.admit(1, Submit{Customer: uint64(c)})
 	}
-	s.now += 2 * idleCustomerMs
-	s.do(TimerFired{Name: "tick"})
-	if len(s.l.customers) != 0 || len(s.l.customerList) != 0 || len(s.l.requests) != 0 {
-		t.Errorf("%d customers, %d listed, %d requests are still held", len(s.l.customers), len(s.l.customerList),
-			len(s.l.requests))
+	d.now += 2 * idleCustomerMs
+	d.do(TimerFired{Name: "tick"})
+	if len(d.l.customers) != 0 || len(d.l.customerList) != 0 || len(d.l.requests) != 0 {
+		t.Errorf("still held: %d customers, %d in the list, %d requests", len(d.l.customers), len(d.l.customerList),
+			len(d.l.requests))
 	}
-	if got := s.admit(40, Submit{Customer: 3}); got != 20 {
-		t.Errorf("a forgotten customer got %d, want its burst of 20", got)
+	if got := d.admit(40, Submit{Customer: 3}); got != 20 {
+		t.Errorf("%d admitted for an evicted customer, want its burst of 20", got)
 	}
 }
 
-// What a customer costs does not grow with limiters that never touched it.
+// The state of a customer does not grow with limiters that have never reported on it.
 func TestCustomerCostIsIndependentOfFleetSize(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 470
-	s := newLimiterDriver(t, cfg, testServers(4)...)
-	s.submit(Submit{Customer: 5, Spread: 200})
-	s.do(TimerFired{Name: "tick"})
-	if n := len(s.l.customers[5].peerViews); n > aggregatorCount {
-		t.Errorf("a customer of 200 limiters has %d records of peers, want %d", n, aggregatorCount)
+	d := newLimiterDriver(t, cfg, testServers(4)...)
+	d.submit(Submit{Customer: 5, LimiterCount: 200})
+	d.do(TimerFired{Name: "tick"})
+	if n := len(d.l.customers[5].peerViews); n > aggregatorCount {
+		t.Errorf("a customer of 200 limiters has %d peer views, want at most %d", n, aggregatorCount)
 	}
 }
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -13,7 +13,7 @@
 		"position":        func(s *Settings) { s.Position = 2 },
 		"request_classes": func(s *Settings) { s.Classes = nil },
 		"packages":        func(s *Settings) { s.Plans = nil },
-		"cold_share":      func(s *Settings) { s.Rules.SlowStartShare = 2 },
+		"cold_share":      func(s *Settings) { s.ServerLimits.SlowStartShare = 2 },
 		"promise_ms":      func(s *Settings) { s.Classes[0].LatencyTargetMs = 0 },
 		"burst":           func(s *Settings) { s.Plans[0].Burst = 0 },
 		"packages.1":      func(s *Settings) { s.Plans[1].HardRate = -1 },
@@ -21,22 +21,22 @@
 		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: error %v does not name it", name, err)
+			t.Errorf("setting %s is not named in the error: %v", name, err)
 		}
 	}
 }
 
 func TestEventsOfEndedRequestsAreIgnored(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(2)...)
-	id, a := s.submit(Submit{})
-	s.pass(id, a)
+	d := newLimiterDriver(t, testSettings(), testServers(2)...)
+	id, a := d.submit(Submit{})
+	d.succeed(id, a)
 	for _, e := range []Event{
 		Outcome{ID: id, Server: 1}, Outcome{ID: "no", Server: 1,
 			Attempt: 3}, ClientDisconnected{ID: id}, ClientDisconnected{ID: "no"},
 		FirstByte{ID: "no"}, TimerFired{Name: "no"}, ProbeResult{Server: 99}, Submit{ID: "x", Class: 99}, nil,
 		PeerMessage{From: -1}, PeerMessage{From: 0},
 	} {
-		for _, act := range s.do(e) {
+		for _, act := range d.do(e) {
 			if _, ok := act.(StartAttempt); ok {
 				t.Errorf("%#v led to %#v", e, act)
 			}
@@ -44,62 +44,63 @@
 	}
 }
 
-// Customers that come once, here or by a peer's word, and servers that are replaced
-// leave nothing behind.
-func TestInFlightCountsReturnToZero(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+// No state is left behind by customers that appear once, in requests or in reports of peers, or
+// by servers that are replaced.
+func TestNoStateIsLeftBehind(t *testing.T) {
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for i := range 4000 {
-		s.now += 20
-		s.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), Spread: 2})
-		m := peerMessage{incarnation: 7, seq: uint64(i + 1), ageMs: uint64(s.now), entries: []peerEntry{
-			{customer: uint64(100000 + i), plan: uint64(i % 3), spread: 2, spent: 8, newlySpent: 8}}}
+		d.now += 20
+		d.admit(1, Submit{Plan: i % 3, Customer: uint64(1000 + i), LimiterCount: 2})
+		m := peerMessage{incarnation: 7, seq: uint64(i + 1), ageMs: uint64(d.now), entries: []peerEntry{
+			{customer: uint64(100000 + i), plan: uint64(i % 3), limiterCount: 2, spent: 8, newlySpent: 8}}}
 		data, _ := m.encode()
-		s.do(PeerMessage{From: 1, Data: data})
-		if i%10 == 0 { // a server goes, another comes
-			s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: uint64(100 + i), Weight: 1},
+		d.do(PeerMessage{From: 1, Data: data})
+		if i%10 == 0 { // one server is removed, another added
+			d.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: uint64(100 + i), Weight: 1},
 				{ID: uint64(90 + i), Phase: Removed}}})
-			s.do(TimerFired{Name: "tick"})
+			d.do(TimerFired{Name: "tick"})
 		}
 	}
-	if n := len(s.l.customers); n > 3000 {
-		t.Errorf("%d customers are known 15 s after 80 s of new ones", n)
+	if n := len(d.l.customers); n > 3000 {
+		t.Errorf("%d customers held after 80 s of new ones, want those of the last 15 s", n)
 	}
 	for range 3 {
-		s.now += 2 * idleCustomerMs
-		s.do(TimerFired{Name: "tick"})
+		d.now += 2 * idleCustomerMs
+		d.do(TimerFired{Name: "tick"})
 	}
-	if len(s.l.customers)+len(s.l.customerList)+len(s.l.aggregated)+len(s.l.unreported)+len(s.l.requests) != 0 ||
-		s.l.inFlight != 0 {
-		t.Errorf("%d customers, %d listed, %d kept, %d dirty, %d requests, %d out", len(s.l.customers),
-			len(s.l.customerList),
-			len(s.l.aggregated), len(s.l.unreported), len(s.l.requests), s.l.inFlight)
+	if len(d.l.customers)+len(d.l.customerList)+len(d.l.aggregated)+len(d.l.unreported)+len(d.l.requests) != 0 ||
+		d.l.inFlight != 0 {
+		t.Errorf("still held: %d customers, %d in the list, %d aggregated, %d unreported, %d requests, %d in flight",
+			len(d.l.customers), len(d.l.customerList), len(d.l.aggregated), len(d.l.unreported), len(d.l.requests),
+			d.l.inFlight)
 	}
-	if len(s.l.servers) != 5 || len(s.l.serverList) != 5 {
-		t.Errorf("%d servers, %d in order, want 5", len(s.l.servers), len(s.l.serverList))
+	if len(d.l.servers) != 5 || len(d.l.serverList) != 5 {
+		t.Errorf("%d servers, %d in the list, want 5", len(d.l.servers), len(d.l.serverList))
 	}
 }
 
-// A limiter that stood still learns nothing against servers from what was out.
+// A limiter that was paused does not count timeouts of attempts in flight meanwhile against
+// servers.
 func TestPausedLimiterBlamesNoServer(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(2)...)
+	d := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 30 {
-		id, a := s.submit(Submit{Plan: 3})
-		s.pass(id, a)
-		s.now += 20
+		id, a := d.submit(Submit{Plan: 3})
+		d.succeed(id, a)
+		d.now += 20
 	}
 	var ids []string
 	var to []uint64
 	for range 6 {
-		id, a := s.submit(Submit{Plan: 3})
+		id, a := d.submit(Submit{Plan: 3})
 		ids, to = append(ids, id), append(to, a.(StartAttempt).Server)
 	}
-	work := s.l.typicalMs[0]
-	s.now += 1600
+	typical := d.l.typicalMs[0]
+	d.now += 1600
 	for k, id := range ids {
-		s.do(Outcome{ID: id, Server: to[k], Result: TimedOut, LatencyMs: 1600})
+		d.do(Outcome{ID: id, Server: to[k], Result: TimedOut, LatencyMs: 1600})
 	}
-	if s.l.typicalMs[0] != work || s.l.servers[1].ejections[0].failures+s.l.servers[2].ejections[0].failures > 0 {
-		t.Error("the limiter's own pause counted against servers")
+	if d.l.typicalMs[0] != typical || d.l.servers[1].ejections[0].failures+d.l.servers[2].ejections[0].failures > 0 {
+		t.Error("the limiter's own pause was counted against servers")
 	}
 }
 
@@ -108,30 +109,30 @@
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			cfg := testSettings()
 			cfg.Balancers = randomLimiters
-			c := &randomFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
+			fleet := &randomFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6 * float64(seed), cfg: cfg,
 				limiters: make([]*Limiter, randomLimiters), listed: make([]map[uint64]ServerInfo, randomLimiters),
-				open: make([]map[string]*randomRequest, randomLimiters), servers: map[uint64]ServerInfo{},
-				store: make([]float64, 64), sends: make([]map[uint64][]float64, randomLimiters)}
-			for k := range c.store {
-				c.store[k] = cfg.Plans[1].HardBurst
+				requests: make([]map[string]*randomRequest, randomLimiters), servers: map[uint64]ServerInfo{},
+				hardBalances: make([]float64, 64), sentTimes: make([]map[uint64][]float64, randomLimiters)}
+			for k := range fleet.hardBalances {
+				fleet.hardBalances[k] = cfg.Plans[1].HardBurst
 			}
 			for id := uint64(1); id <= 8; id++ {
-				c.servers[id] = ServerInfo{ID: id, Cell: int(id % 2), Zone: int(id % 2)}
+				fleet.servers[id] = ServerInfo{ID: id, Cell: int(id % 2), Zone: int(id % 2)}
 			}
-			for i := range c.limiters {
-				c.start(i)
+			for i := range fleet.limiters {
+				fleet.start(i)
 			}
 			for range 6000 {
-				c.step()
+				fleet.step()
 			}
-			if c.done < 3000 {
-				t.Errorf("only %d requests were answered", c.done)
+			if fleet.finishedRequests < 3000 {
+				t.Errorf("only %d requests got a final response", fleet.finishedRequests)
 			}
 		})
 	}
 }
 
-// Equal seeds and equal events give equal actions.
+// Equal seeds and events yield equal actions.
 func TestEqualSeedsGiveEqualActions(t *testing.T) {
 	run := func() string {
 		l, err := New(testSettings(), 3)
@@ -143,7 +144,7 @@
 		for n := range 3000 {
 			now := float64(n * 3)
 			out += fmt.Sprint(l.Handle(now, Submit{ID: fmt.Sprint(n), TimeoutMs: 900, Units: 1, Plan: rng.IntN(4),
-				Class: rng.IntN(4), Customer: uint64(rng.IntN(30)), Spread: 2}))
+				Class: rng.IntN(4), Customer: uint64(rng.IntN(30)), LimiterCount: 2}))
 			out += fmt.Sprint(l.Handle(now, Outcome{ID: fmt.Sprint(rng.IntN(n + 1)), Result: Result(rng.IntN(8)),
 				LatencyMs: 30}))
 			out += fmt.Sprint(l.Handle(now, TimerFired{Name: "tick"}),
@@ -153,11 +154,11 @@
 	}
 	first, second := run(), run()
 	if first != second {
-		t.Error("two runs differ")
+		t.Error("two runs with equal seeds differ")
 	}
 }
 
-// FuzzEvents reads bytes as a script of events; nothing may panic.
+// FuzzEvents interprets bytes as a sequence of events; no event may cause a panic.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("a script of any bytes whatever, long enough for a few events"))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -176,7 +177,7 @@
 			case 0, 1:
 				l.Handle(now, Submit{ID: id, TimeoutMs: float64(x * 10), Units: float64(x), Class: y % 5,
 					Plan:     int(z) % 5,
-					Customer: uint64(y), Spread: x, First: x})
+					Customer: uint64(y), LimiterCount: x, FirstLimiter: x})
 			case 2, 3:
 				l.Handle(now, Outcome{ID: id, Attempt: x % 4, Server: uint64(y), Result: Result(z % 9),
 					LatencyMs: float64(x), Final: y%2 == 0})
@@ -196,7 +197,7 @@
 	})
 }
 
-// BenchmarkHandle serves requests at a limiter of 470 with 90 servers.
+// BenchmarkHandle measures a request and a tick at one of 470 limiters with 90 servers.
 func BenchmarkHandle(b *testing.B) {
 	cfg := testSettings()
 	cfg.Balancers, cfg.PeerMessagesPerSecond = 470, 40
@@ -209,7 +210,7 @@
 		now := 10000 + float64(k)*300
 		id := fmt.Sprint(k)
 		for _, a := range l.Handle(now, Submit{ID: id, TimeoutMs: 900, Units: 1, Customer: uint64(k % 300),
-			Spread: 100}) {
+			LimiterCount: 100}) {
 			if p, ok := a.(StartAttempt); ok {
 				l.Handle(now+20, Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 20, Final: true})
 				break
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -2,132 +2,133 @@
 
 import "testing"
 
-// A limiter that has been refusing for lack of servers tries them again.
+// A limiter that rejected requests for lack of servers uses the servers again once they are
+// idle.
 func TestServersAreUsedAfterOverloadEnds(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(2)...)
+	d := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 50 {
-		id, a := s.submit(Submit{Plan: 3})
-		s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
-		s.now += 20
+		id, a := d.submit(Submit{Plan: 3})
+		d.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
+		d.now += 20
 	}
-	s.submit(Submit{Plan: 3})
-	s.submit(Submit{Plan: 3})
-	if _, c := s.submit(Submit{Plan: 3}); c != nil {
+	d.submit(Submit{Plan: 3})
+	d.submit(Submit{Plan: 3})
+	if _, c := d.submit(Submit{Plan: 3}); c != nil {
 		if _, ok := c.(Reject); !ok {
-			t.Fatalf("400 ms an answer, aim 500, one in hand at each server: %#v, want Refuse", c)
+			t.Fatalf("400 ms per response, target 500 ms, one request in flight per server: got %#v, want Reject", c)
 		}
 	}
-	for id := range s.l.requests {
-		r := s.l.requests[id]
-		s.outcome(id, 0, r.attempts[0].server.info.ID, Success)
+	for id := range d.l.requests {
+		r := d.l.requests[id]
+		d.outcome(id, 0, r.attempts[0].server.info.ID, Success)
 		break
 	}
-	if _, a := s.submit(Submit{Plan: 3}); a != nil {
+	if _, a := d.submit(Submit{Plan: 3}); a != nil {
 		if _, ok := a.(StartAttempt); !ok {
-			t.Errorf("a server has nothing in hand: %#v, want PassOn", a)
+			t.Errorf("a server is idle: got %#v, want StartAttempt", a)
 		}
 	}
 }
 
-// Where many limiters stand before few servers, one request of each at every
-// idle server is too much: servers that were overdriven never recovered.
+// With many limiters and few servers, a request from each limiter to every idle server is too
+// much: overloaded servers never recovered.
 func TestLargeFleetUsesIdleServersLess(t *testing.T) {
 	for balancers, want := range map[int]int{2: 8, 16: 3} {
 		cfg := testSettings()
 		cfg.Balancers = balancers
-		s := newLimiterDriver(t, cfg, testServers(8)...)
+		d := newLimiterDriver(t, cfg, testServers(8)...)
 		for range 50 {
-			id, a := s.submit(Submit{Plan: 3})
-			s.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
+			id, a := d.submit(Submit{Plan: 3})
+			d.do(Outcome{ID: id, Server: a.(StartAttempt).Server, Result: Success, LatencyMs: 400, Final: true})
 		}
-		out := 0
+		inFlight := 0
 		for range 40 {
-			if _, a := s.submit(Submit{Plan: 3}); a != nil {
+			if _, a := d.submit(Submit{Plan: 3}); a != nil {
 				if _, ok := a.(StartAttempt); ok {
-					out++
+					inFlight++
 				}
 			}
 		}
-		if out != want {
-			t.Errorf("%d limiters, 8 slow servers: %d out, want %d", balancers, out, want)
+		if inFlight != want {
+			t.Errorf("%d limiters, 8 slow servers: %d requests in flight, want %d", balancers, inFlight, want)
 		}
 	}
 }
 
-// Tries whose remaining time shows that their latency target is missed are refused and
-// spend nothing; a last try with more time than usual and time to spare passes.
+// A request whose remaining time shows that it misses the latency target is rejected without a
+// charge. One with more time than usual, and time to spare, is admitted.
 func TestLateRequestIsRejected(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for range 5 {
-		id, a := s.submit(Submit{TimeoutMs: 1000})
-		s.pass(id, a)
+		id, a := d.submit(Submit{TimeoutMs: 1000})
+		d.succeed(id, a)
 	}
-	before := s.l.customers[0].balance
-	if _, a := s.submit(Submit{TimeoutMs: 1400}); a != (Reject{ID: "r6", RetryAfterMs: 1000}) {
-		t.Errorf("600 ms after the client began, aim 500: %#v", a)
+	before := d.l.customers[0].balance
+	if _, a := d.submit(Submit{TimeoutMs: 1400}); a != (Reject{ID: "r6", RetryAfterMs: 1000}) {
+		t.Errorf("600 ms after the client began, target 500 ms: got %#v, want Reject", a)
 	}
-	if s.l.customers[0].balance != before {
-		t.Error("a refused try spent units")
+	if d.l.customers[0].balance != before {
+		t.Error("a rejected request was charged")
 	}
-	if _, a := s.submit(Submit{TimeoutMs: 1800}); a != nil {
+	if _, a := d.submit(Submit{TimeoutMs: 1800}); a != nil {
 		if _, ok := a.(StartAttempt); !ok {
-			t.Errorf("200 ms after the client began: %#v", a)
+			t.Errorf("200 ms after the client began: got %#v, want StartAttempt", a)
 		}
 	}
 }
 
-// Under overload the request of least value for its work is rejected first.
+// Under overload, requests of the least value per work are rejected first.
 func TestValueDecidesUnderOverload(t *testing.T) {
 	cfg := testSettings()
 	cfg.Plans[0].Price, cfg.Plans[3].Price = 5, 0.2
-	s := newLimiterDriver(t, cfg, testServers(2)...)
+	d := newLimiterDriver(t, cfg, testServers(2)...)
 	for range 60 {
 		for _, plan := range []int{0, 3} {
-			id, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)})
+			id, a := d.submit(Submit{Plan: plan, Customer: uint64(d.n)})
 			if p, ok := a.(StartAttempt); ok {
-				s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
+				d.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
 					Load: Load{Busy: -1}})
 			}
 		}
 	}
-	passed := map[int]int{}
+	admitted := map[int]int{}
 	for i := range 200 {
 		plan := []int{0, 3}[i%2]
-		if _, a := s.submit(Submit{Plan: plan, Customer: uint64(s.n)}); a != nil {
+		if _, a := d.submit(Submit{Plan: plan, Customer: uint64(d.n)}); a != nil {
 			if _, ok := a.(StartAttempt); ok {
-				passed[plan]++
+				admitted[plan]++
 			}
 		}
 	}
-	if passed[0] <= passed[3] {
-		t.Errorf("dear plan %d, cheap plan %d of 100 each", passed[0], passed[3])
+	if admitted[0] <= admitted[3] {
+		t.Errorf("admitted %d of 100 of the expensive plan, %d of the cheap one", admitted[0], admitted[3])
 	}
 }
 
-// Where clients mark their retries, a first try with a short time of its own has only
-// just begun and is served; a retry with it is what is left of a time mostly over.
+// Where clients mark their retries, a first request with a short timeout has only just begun
+// and is served. A retry with the same timeout has little of its deadline left.
 func TestFirstRequestsWithShortTimeoutAreServed(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
-	pass := func(e Submit) bool {
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
+	serve := func(e Submit) bool {
 		t.Helper()
-		id, a := s.submit(e)
+		id, a := d.submit(e)
 		p, ok := a.(StartAttempt)
 		if ok {
-			s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 20, Final: true, Load: Load{Busy: -1}})
+			d.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 20, Final: true, Load: Load{Busy: -1}})
 		}
-		s.now += 200
+		d.now += 200
 		return ok
 	}
 	for range 20 {
-		pass(Submit{Plan: 3, TimeoutMs: 1000})
+		serve(Submit{Plan: 3, TimeoutMs: 1000})
 	}
-	if pass(Submit{Plan: 3, TimeoutMs: 200}) {
-		t.Error("with no retry marked so far a short time is taken for what is left")
+	if serve(Submit{Plan: 3, TimeoutMs: 200}) {
+		t.Error("without marked retries, a short timeout was not taken for the rest of a deadline")
 	}
-	if pass(Submit{Plan: 3, TimeoutMs: 200, Retry: true}) {
-		t.Error("a late retry was sent on")
+	if serve(Submit{Plan: 3, TimeoutMs: 200, Retry: true}) {
+		t.Error("a late retry was forwarded")
 	}
-	if !pass(Submit{Plan: 3, TimeoutMs: 200}) {
-		t.Error("a first try in a hurry was refused")
+	if !serve(Submit{Plan: 3, TimeoutMs: 200}) {
+		t.Error("a first request with a short timeout was rejected")
 	}
 }
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -6,61 +6,61 @@
 )
 
 func TestDrainingServersGetNoRequests(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(2)...)
-	s.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 1, Phase: Draining}}})
+	d := newLimiterDriver(t, testSettings(), testServers(2)...)
+	d.do(Endpoints{Scope: Partial, Servers: []ServerInfo{{ID: 1, Phase: Draining}}})
 	for range 10 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
-			t.Fatal("sent to a draining server")
+		if id, a := d.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 2 {
+			t.Fatal("request sent to a draining server")
 		} else {
-			s.pass(id, a)
+			d.succeed(id, a)
 		}
 	}
-	s.do(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 3}}})
+	d.do(Endpoints{Scope: Complete, Servers: []ServerInfo{{ID: 3}}})
 	for range 10 {
-		if id, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
-			t.Fatal("sent to a server missing from the whole list")
+		if id, a := d.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
+			t.Fatal("request sent to a server missing from the complete list")
 		} else {
-			s.pass(id, a)
+			d.succeed(id, a)
 		}
 	}
-	s.do(Endpoints{Scope: Failed})
-	if _, a := s.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
-		t.Error("a failed list call changed the list")
+	d.do(Endpoints{Scope: Failed})
+	if _, a := d.submit(Submit{Plan: 3}); a.(StartAttempt).Server != 3 {
+		t.Error("a failed request for the list changed the list")
 	}
-	s.do(Endpoints{Scope: Complete})
-	if _, a := s.submit(Submit{Plan: 3}); a != (Reject{ID: "r22", RetryAfterMs: rejectedPauseMs}) {
-		t.Errorf("with no server: %#v", a)
+	d.do(Endpoints{Scope: Complete})
+	if _, a := d.submit(Submit{Plan: 3}); a != (Reject{ID: "r22", RetryAfterMs: rejectedPauseMs}) {
+		t.Errorf("without servers: got %#v, want Reject", a)
 	}
 }
 
-// A report of a server's load, however high, keeps no server out of use. Found
-// on an overloaded day, when reports that were believed left one server in ten
-// in use, and again when leaving them out served a twentieth more.
+// A load report, however high, keeps no server out of use. Under overload, limiters that
+// believed the reports used only one server in ten, and without the reports they served a
+// twentieth more.
 func TestLoadReportsExcludeNoServer(t *testing.T) {
-	s := newLimiterDriver(t, testSettings(), testServers(4)...)
+	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	used := map[uint64]int{}
 	for range 100 {
-		id, a := s.submit(Submit{Plan: 3})
+		id, a := d.submit(Submit{Plan: 3})
 		p, ok := a.(StartAttempt)
 		if !ok {
-			t.Fatalf("refused beside idle servers: %#v", a)
+			t.Fatalf("with idle servers: got %#v, want StartAttempt", a)
 		}
 		used[p.Server]++
-		s.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
+		d.do(Outcome{ID: id, Server: p.Server, Result: Success, LatencyMs: 60, Final: true,
 			Load: Load{Busy: 200 * float64(p.Server)}})
-		s.now += 20
+		d.now += 20
 	}
 	for id := uint64(1); id <= 4; id++ {
 		if used[id] < 10 {
-			t.Errorf("server %d got %d of 100", id, used[id])
+			t.Errorf("server %d got %d of 100 requests", id, used[id])
 		}
 	}
 }
 
-// subsetPairs lists the pairs of a limiter and a server of its subset.
-func (c *testFleet) subsetPairs() map[[2]uint64]bool {
+// subsetPairs returns the pairs of a limiter and a server of its subset.
+func (fleet *testFleet) subsetPairs() map[[2]uint64]bool {
 	pairs := map[[2]uint64]bool{}
-	for i, l := range c.limiters {
+	for i, l := range fleet.limiters {
 		for id, s := range l.servers {
 			if s.inSubset {
 				pairs[[2]uint64{uint64(i), id}] = true
@@ -70,13 +70,13 @@
 	return pairs
 }
 
-// One of many limiters uses few servers, every server has equally many limiters, and a change
-// of the list moves little. Fails where each chooses among all.
+// Each of many limiters uses few servers, every server is used by equally many limiters, and a
+// change of the list changes few assignments. Fails if each limiter chooses among all servers.
 func TestSubsetsAreBalanced(t *testing.T) {
 	const n, servers = 80, 60
 	f := testServers(servers)
-	c := newTestFleet(t, testSettings(), n, f)
-	before := c.subsetPairs()
+	fleet := newTestFleet(t, testSettings(), n, f)
+	before := fleet.subsetPairs()
 	at := map[uint64]int{}
 	for p := range before {
 		at[p[1]]++
@@ -86,58 +86,58 @@
 			t.Errorf("server %d has %d limiters of %d", s.ID, at[s.ID], n)
 		}
 	}
-	if used := c.usedConnections(4000); used == 0 || used > n*servers/4 {
+	if used := fleet.usedConnections(4000); used == 0 || used > n*servers/4 {
 		t.Errorf("%d limiters use %d connections to %d servers", n, used, servers)
 	}
 	removed := f[7]
 	removed.Phase = Removed
 	for i := range n {
-		c.event(i, Endpoints{Scope: Partial, Servers: []ServerInfo{removed}})
+		fleet.event(i, Endpoints{Scope: Partial, Servers: []ServerInfo{removed}})
 	}
-	after, moved := c.subsetPairs(), 0
+	after, moved := fleet.subsetPairs(), 0
 	for p := range after {
 		if !before[p] {
 			moved++
 		}
 	}
-	if moved > 2*n { // the one that was removed, and a place at each edge
-		t.Errorf("%d of %d pairs are new after one server went", moved, len(after))
+	if moved > 2*n { // the removed one, and a shift by one at each boundary
+		t.Errorf("%d of %d pairs are new after one server was removed", moved, len(after))
 	}
-	// With its subset out of reach a limiter goes on with the others.
-	for _, s := range c.limiters[0].servers {
+	// A limiter whose subset is down uses the other servers.
+	for _, s := range fleet.limiters[0].servers {
 		s.down = s.inSubset
 	}
-	if !c.submit(0, Submit{Plan: 3, Customer: 1, Spread: n}) {
+	if !fleet.submit(0, Submit{Plan: 3, Customer: 1, LimiterCount: n}) {
 		t.Error("a limiter whose subset is down rejected a request")
 	}
 }
 
-// usedConnections makes requests at the limiters in turn and counts the pairs of a limiter and
-// a server that they use.
-func (c *testFleet) usedConnections(requests int) int {
-	n := len(c.limiters)
+// usedConnections submits requests to the limiters in turn and returns the number of pairs of a
+// limiter and a server that were used.
+func (fleet *testFleet) usedConnections(requests int) int {
+	n := len(fleet.limiters)
 	used := map[[2]int]bool{}
 	for k := range requests {
-		l := c.limiters[k%n]
-		submit := Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Customer: 1, Spread: n, Units: 1}
-		for _, a := range append([]Action(nil), l.Handle(c.now, submit)...) {
+		l := fleet.limiters[k%n]
+		submit := Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Customer: 1, LimiterCount: n, Units: 1}
+		for _, a := range append([]Action(nil), l.Handle(fleet.now, submit)...) {
 			if a, ok := a.(StartAttempt); ok {
 				used[[2]int{k % n, int(a.Server)}] = true
-				l.Handle(c.now, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
+				l.Handle(fleet.now, Outcome{ID: a.ID, Server: a.Server, Result: Success, LatencyMs: 20, Final: true})
 			}
 		}
-		c.now += 2.5
+		fleet.now += 2.5
 	}
 	return len(used)
 }
 
-// One of many limiters spreads what it has out at once over different servers: a
-// further request at a busy one waits there, and needs a connection of its own.
-// Fails where chance alone decides.
+// In a large fleet, a limiter spreads its concurrent requests over different servers: a further
+// request to a busy server would wait there, and needs a connection of its own. Fails if the
+// choice is purely random.
 func TestBusyServersComeLast(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers = 80
-	twice := 0
+	busy := 0
 	for seed := range uint64(50) {
 		l, err := New(cfg, seed)
 		if err != nil {
@@ -146,10 +146,11 @@
 		l.Handle(1000, Endpoints{Scope: Persisted, Servers: testServers(12)})
 		used := map[uint64]bool{}
 		for k := range 6 {
-			for _, a := range l.Handle(1000, Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, Spread: 1, Units: 1}) {
+			for _, a := range l.Handle(1000,
+				Submit{ID: fmt.Sprint(k), TimeoutMs: 1500, Plan: 3, LimiterCount: 1, Units: 1}) {
 				if a, ok := a.(StartAttempt); ok {
 					if used[a.Server] {
-						twice++
+						busy++
 					}
 					used[a.Server] = true
 				}
@@ -159,7 +160,7 @@
 			t.Errorf("seed %d: only %d servers were used", seed, len(used))
 		}
 	}
-	if twice > 50*6/15 {
-		t.Errorf("%d of %d requests went to a server in use, with six idle ones left", twice, 50*6)
+	if busy > 50*6/15 {
+		t.Errorf("%d of %d requests were sent to a busy server, with six idle ones left", busy, 50*6)
 	}
 }
