--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -207,7 +207,7 @@
 }
 
 // names maps the names of a list of settings to their places.
-func names(p *wire.Pairs, list string) (map[string]int, error) {
+func names(p *wire.SettingsParser, list string) (map[string]int, error) {
 	m := map[string]int{}
 	for i := range p.Count(list) {
 		name := p.Text(fmt.Sprintf("%s.%d.name", list, i))
--- a/balancer/wire/settings.go
+++ b/balancer/wire/settings.go
@@ -9,18 +9,18 @@
 	"example.org/elmspan/balancer"
 )
 
-// Pairs are settings by their path, as on a BEGIN line. They keep the first
+// SettingsParser are settings by their path, as on a BEGIN line. They keep the first
 // error of all that is read from them.
-type Pairs struct {
+type SettingsParser struct {
 	values map[string]string
 	err    error
 }
 
 // NewPairs returns the Pairs of these values.
-func NewPairs(values map[string]string) *Pairs { return &Pairs{values: values} }
+func NewPairs(values map[string]string) *SettingsParser { return &SettingsParser{values: values} }
 
 // Err is the first error of what was read so far.
-func (p *Pairs) Err() error { return p.err }
+func (p *SettingsParser) Err() error { return p.err }
 
 var repeats = map[string]balancer.Idempotency{
 	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed, "non_idempotent": balancer.Unsafe,
@@ -44,7 +44,7 @@
 }
 
 // Settings reads the settings that the module knows and skips the others.
-func (p *Pairs) Settings() (balancer.Settings, error) {
+func (p *SettingsParser) Settings() (balancer.Settings, error) {
 	s := balancer.Settings{
 		Position: p.Integer("position"), Balancers: p.Integer("balancers"), Zone: p.Integer("az"),
 		PollMembership:        p.values["membership_mode"] == "ask",
@@ -91,17 +91,17 @@
 	return s, p.err
 }
 
-func (p *Pairs) check(ok bool, name string) {
+func (p *SettingsParser) check(ok bool, name string) {
 	if !ok && p.err == nil {
 		p.err = fmt.Errorf("setting %s: bad value %q", name, p.values[name])
 	}
 }
 
 // Text returns a value as it stands; an absent one is empty.
-func (p *Pairs) Text(name string) string { return p.values[name] }
+func (p *SettingsParser) Text(name string) string { return p.values[name] }
 
 // Number returns a number; an absent one is 0.
-func (p *Pairs) Number(name string) float64 {
+func (p *SettingsParser) Number(name string) float64 {
 	w, ok := p.values[name]
 	if !ok || w == "-" || w == "" {
 		return 0
@@ -112,14 +112,14 @@
 }
 
 // Integer returns a whole number; an absent one is 0.
-func (p *Pairs) Integer(name string) int {
+func (p *SettingsParser) Integer(name string) int {
 	v := p.Number(name)
 	p.check(v == math.Trunc(v) && math.Abs(v) < 1<<31, name)
 	return int(v)
 }
 
 // Count reads the length of a list, which is bounded by the text itself.
-func (p *Pairs) Count(name string) int {
+func (p *SettingsParser) Count(name string) int {
 	n := p.Integer(name + ".count")
 	p.check(n >= 0 && n <= len(p.values), name+".count")
 	if p.err != nil {
@@ -128,7 +128,7 @@
 	return n
 }
 
-func (p *Pairs) flag(name string) bool {
+func (p *SettingsParser) flag(name string) bool {
 	w := p.values[name]
 	p.check(w == "" || w == "-" || w == "true" || w == "false" || w == "1" || w == "0", name)
 	return w == "true" || w == "1"
