--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -185,7 +185,7 @@
 	}
 	values := map[string]string{}
 	flatten("", object, values)
-	p := wire.NewPairs(values)
+	p := wire.NewSettingsParser(values)
 	if s.Module, err = p.Settings(); err != nil {
 		return s, err
 	}
--- a/balancer/wire/settings.go
+++ b/balancer/wire/settings.go
@@ -16,8 +16,8 @@
 	err    error
 }
 
-// NewPairs returns the Pairs of these values.
-func NewPairs(values map[string]string) *SettingsParser { return &SettingsParser{values: values} }
+// NewSettingsParser returns the Pairs of these values.
+func NewSettingsParser(values map[string]string) *SettingsParser { return &SettingsParser{values: values} }
 
 // Err is the first error of what was read so far.
 func (p *SettingsParser) Err() error { return p.err }
@@ -40,7 +40,7 @@
 		}
 		values[name] = value
 	}
-	return NewPairs(values).Settings()
+	return NewSettingsParser(values).Settings()
 }
 
 // Settings reads the settings that the module knows and skips the others.
