--- a/balancer/wire/wire.go
+++ b/balancer/wire/wire.go
@@ -31,8 +31,8 @@
 	Retire             // an instance is gone
 )
 
-// Item is one line of a batch that concerns an instance.
-type Item struct {
+// Message is one line of a batch that concerns an instance.
+type Message struct {
 	Kind     Kind
 	Instance int
 	Event    balancer.Event // nil for what the library has no use for
@@ -184,7 +184,7 @@
 
 // Batch reads the next batch. At the end of the input it returns io.EOF; any
 // other error names the line.
-func (r *Reader) Batch() (now float64, items []Item, err error) {
+func (r *Reader) Batch() (now float64, items []Message, err error) {
 	f, name, err := r.next()
 	if err != nil {
 		return 0, nil, err
@@ -266,8 +266,8 @@
 }
 
 // item reads one line that concerns an instance.
-func (r *Reader) item(name string, f *fields) (Item, error) {
-	it := Item{Instance: f.integer()}
+func (r *Reader) item(name string, f *fields) (Message, error) {
+	it := Message{Instance: f.integer()}
 	switch name {
 	case "BEGIN":
 		it.Kind, it.Seed = Begin, f.seed()
--- a/balancer/wire/wire_test.go
+++ b/balancer/wire/wire_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func checkSettings(t *testing.T, begin Item) {
+func checkSettings(t *testing.T, begin Message) {
 	t.Helper()
 	s := begin.Settings
 	if begin.Err != nil || s.Position != 1 || s.Zone != 1 || !s.Caps.Cancel || s.Plans[0].Burst != 9 ||
--- a/cmd/elmspan-balancer-sim/main.go
+++ b/cmd/elmspan-balancer-sim/main.go
@@ -43,7 +43,7 @@
 }
 
 // handle gives one item to its instance; a panic of the module is an error.
-func handle(limiters map[int]*balancer.Limiter, w *wire.Writer, now float64, it wire.Item) (err error) {
+func handle(limiters map[int]*balancer.Limiter, w *wire.Writer, now float64, it wire.Message) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
