--- a/balancer/wire/wire.go
+++ b/balancer/wire/wire.go
@@ -21,19 +21,19 @@
 // maxSheets is the number of server lists that the protocol can hold at once.
 const maxLists = 16
 
-// Kind is what an Item asks of the host.
-type Kind int
+// MessageKind is what an Item asks of the host.
+type MessageKind int
 
 // The kinds of item.
 const (
-	Event  Kind = iota // an event for a running instance
+	Event  MessageKind = iota // an event for a running instance
 	Begin              // an instance starts
 	Retire             // an instance is gone
 )
 
 // Message is one line of a batch that concerns an instance.
 type Message struct {
-	Kind     Kind
+	Kind     MessageKind
 	Instance int
 	Event    balancer.Event // nil for what the library has no use for
 	Seed     uint64
