--- a/dataplane/balance/set.go
+++ b/dataplane/balance/set.go
@@ -228,8 +228,8 @@
 	return ""
 }
 
-// TypicalMs is the typical time of an answer of a service, 0 where there was none.
-func (s *Set) TypicalMs(service string) float64 {
+// TypicalLatencyMs is the typical time of an answer of a service, 0 where there was none.
+func (s *Set) TypicalLatencyMs(service string) float64 {
 	if v := s.services[service]; v != nil {
 		return v.typicalMs
 	}
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -166,7 +166,7 @@
 // hedgeMs is the time after which a request with a latency target (0: none) is sent to a
 // second server too; false: it is not.
 func (l *Limiter) hedgeMs(service string, targetMs float64) (float64, bool) {
-	typical := l.balance.TypicalMs(service)
+	typical := l.balance.TypicalLatencyMs(service)
 	wait := hedgeFactor * typical
 	return wait, typical > 0 && (targetMs == 0 || wait+hedgeReserve*typical < targetMs)
 }
--- a/dataplane/limiter/request.go
+++ b/dataplane/limiter/request.go
@@ -108,7 +108,7 @@
 // OverdueAfterMs is the time after which a missing response counts against its server; false:
 // it never does.
 func (s *RequestState) OverdueAfterMs(now float64, m *balance.Member) (float64, bool) {
-	typical := s.limiter.balance.TypicalMs(s.request.Service)
+	typical := s.limiter.balance.TypicalLatencyMs(s.request.Service)
 	// A download may be waiting for the link.
 	return overdueFactor * typical * m.Slowness(now), typical > 0 && !s.request.Bulk
 }
