--- a/balancer/wire/golden_test.go
+++ b/balancer/wire/golden_test.go
@@ -9,8 +9,8 @@
 	"example.org/elmspan/balancer"
 )
 
-// TestGoldenReply holds the lines of the simulator's protocol that a reply may have, as
-// written by f96d826.
+// TestGoldenReply compares each kind of reply line with the output recorded at commit f96d826,
+// as the simulator depends on its exact format.
 func TestGoldenReply(t *testing.T) {
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", "reply.txt"))
 	if err != nil {
--- a/balancer/wire/settings.go
+++ b/balancer/wire/settings.go
@@ -9,28 +9,30 @@
 	"example.org/elmspan/balancer"
 )
 
-// SettingsParser are settings by their path, as on a BEGIN line. They keep the first
-// error of all that is read from them.
+// SettingsParser converts settings from text, by their paths as on a BEGIN line. It keeps the
+// first error.
 type SettingsParser struct {
-	values map[string]string
+	values map[string]string // by path
 	err    error
 }
 
-// NewSettingsParser returns the Pairs of these values.
-func NewSettingsParser(values map[string]string) *SettingsParser { return &SettingsParser{values: values} }
+// NewSettingsParser returns a parser of values, which maps paths to texts.
+func NewSettingsParser(values map[string]string) *SettingsParser {
+	return &SettingsParser{values: values}
+}
 
-// Err is the first error of what was read so far.
+// Err returns the first error so far.
 func (p *SettingsParser) Err() error { return p.err }
 
-var repeats = map[string]balancer.Idempotency{
+var idempotencyNames = map[string]balancer.Idempotency{
 	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed, "non_idempotent": balancer.Unsafe,
 }
 
-var groups = map[string]balancer.DedupScope{
+var dedupScopeNames = map[string]balancer.DedupScope{
 	"all": balancer.DedupAll, "zone": balancer.DedupZone, "cell": balancer.DedupCell,
 }
 
-// parseSettings reads the settings on a BEGIN line.
+// parseSettings parses the name=value pairs of a BEGIN line.
 func parseSettings(text string) (s balancer.Settings, err error) {
 	values := map[string]string{}
 	for _, pair := range strings.Fields(text) {
@@ -43,7 +45,7 @@
 	return NewSettingsParser(values).Settings()
 }
 
-// Settings reads the settings that the module knows and skips the others.
+// Settings returns the settings of package balancer. Unknown settings are ignored.
 func (p *SettingsParser) Settings() (balancer.Settings, error) {
 	s := balancer.Settings{
 		Position: p.Integer("position"), Balancers: p.Integer("balancers"), Zone: p.Integer("az"),
@@ -62,45 +64,47 @@
 		},
 	}
 	for i := range p.Count("request_classes") {
-		at := fmt.Sprintf("request_classes.%d.", i)
+		prefix := fmt.Sprintf("request_classes.%d.", i)
 		c := balancer.Class{
-			LatencyTargetMs: p.Number(at + "promise_ms"), DeadlineMs: p.Number(at + "deadline_ms"),
-			DedupWindowMs: p.Number(at + "window_ms"), Value: p.Number(at + "importance"),
-			LateValueShare: p.Number(at + "late_share"),
+			LatencyTargetMs: p.Number(prefix + "promise_ms"), DeadlineMs: p.Number(prefix + "deadline_ms"),
+			DedupWindowMs: p.Number(prefix + "window_ms"), Value: p.Number(prefix + "importance"),
+			LateValueShare: p.Number(prefix + "late_share"),
 			Idempotency:    balancer.Unsafe,
 		}
-		if w, ok := p.values[at+"idempotency"]; ok {
-			c.Idempotency, ok = repeats[w]
-			p.check(ok, at+"idempotency")
+		if w, ok := p.values[prefix+"idempotency"]; ok {
+			c.Idempotency, ok = idempotencyNames[w]
+			p.check(ok, prefix+"idempotency")
 		}
-		if w, ok := p.values[at+"group"]; ok && c.Idempotency == balancer.Keyed {
-			c.DedupScope, ok = groups[w]
-			p.check(ok, at+"group")
+		if w, ok := p.values[prefix+"group"]; ok && c.Idempotency == balancer.Keyed {
+			c.DedupScope, ok = dedupScopeNames[w]
+			p.check(ok, prefix+"group")
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range p.Count("packages") {
-		at := fmt.Sprintf("packages.%d.", i)
+		prefix := fmt.Sprintf("packages.%d.", i)
 		s.Plans = append(s.Plans, balancer.Plan{
-			Rate: p.Number(at + "per_second"), Burst: p.Number(at + "burst"), MaxInFlight: p.Integer(at + "at_once"),
-			HardRate: p.Number(at + "cap_rate"), HardBurst: p.Number(at + "cap_depth"),
-			Price: p.Number(at + "price"), ExcessValueShare: p.Number(at + "beyond_earns"),
-			ExcessPenalty: p.Number(at + "overrun_cost"),
+			Rate: p.Number(prefix + "per_second"), Burst: p.Number(prefix + "burst"),
+			MaxInFlight: p.Integer(prefix + "at_once"),
+			HardRate:    p.Number(prefix + "cap_rate"), HardBurst: p.Number(prefix + "cap_depth"),
+			Price: p.Number(prefix + "price"), ExcessValueShare: p.Number(prefix + "beyond_earns"),
+			ExcessPenalty: p.Number(prefix + "overrun_cost"),
 		})
 	}
 	return s, p.err
 }
 
+// check records an error about a setting, unless ok.
 func (p *SettingsParser) check(ok bool, name string) {
 	if !ok && p.err == nil {
-		p.err = fmt.Errorf("setting %s: bad value %q", name, p.values[name])
+		p.err = fmt.Errorf("setting %s: invalid value %q", name, p.values[name])
 	}
 }
 
-// Text returns a value as it stands; an absent one is empty.
+// Text returns a value unchanged, or an empty string if it is absent.
 func (p *SettingsParser) Text(name string) string { return p.values[name] }
 
-// Number returns a number; an absent one is 0.
+// Number returns a finite number, or 0 if it is absent or "-".
 func (p *SettingsParser) Number(name string) float64 {
 	w, ok := p.values[name]
 	if !ok || w == "-" || w == "" {
@@ -111,14 +115,15 @@
 	return v
 }
 
-// Integer returns a whole number; an absent one is 0.
+// Integer returns an integer with a magnitude below 1<<31, or 0 if it is absent or "-".
 func (p *SettingsParser) Integer(name string) int {
 	v := p.Number(name)
 	p.check(v == math.Trunc(v) && math.Abs(v) < 1<<31, name)
 	return int(v)
 }
 
-// Count reads the length of a list, which is bounded by the text itself.
+// Count returns the length of a list. A length that exceeds the number of settings is an
+// error: it bounds what an invalid length can allocate.
 func (p *SettingsParser) Count(name string) int {
 	n := p.Integer(name + ".count")
 	p.check(n >= 0 && n <= len(p.values), name+".count")
@@ -128,6 +133,7 @@
 	return n
 }
 
+// flag returns a Boolean, or false if it is absent or "-".
 func (p *SettingsParser) flag(name string) bool {
 	w := p.values[name]
 	p.check(w == "" || w == "-" || w == "true" || w == "false" || w == "1" || w == "0", name)
--- a/balancer/wire/wire.go
+++ b/balancer/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the simulator's line protocol. It translates between lines of
-// text and the types of package balancer, and decides nothing.
+// Package wire encodes and decodes the simulator's line protocol. It translates between lines
+// of text and the types of package balancer; all decisions are made there.
 package wire
 
 import (
@@ -15,57 +15,57 @@
 	"example.org/elmspan/balancer"
 )
 
-// maxLine bounds one line of input, in bytes.
-const maxLine = 64 << 20
+// maxLineBytes bounds the length of an input line.
+const maxLineBytes = 64 << 20
 
-// maxSheets is the number of server lists that the protocol can hold at once.
+// maxLists is the number of server lists that the protocol can address.
 const maxLists = 16
 
-// MessageKind is what an Item asks of the host.
+// MessageKind tells the host how to handle a [Message].
 type MessageKind int
 
-// The kinds of item.
+// The kinds of message.
 const (
-	Event  MessageKind = iota // an event for a running instance
-	Begin              // an instance starts
-	Retire             // an instance is gone
+	Event  MessageKind = iota // an event for an existing instance
+	Begin                     // creates an instance
+	Retire                    // deletes an instance
 )
 
-// Message is one line of a batch that concerns an instance.
+// Message is one line of a batch that is addressed to an instance.
 type Message struct {
 	Kind     MessageKind
 	Instance int
-	Event    balancer.Event // nil for what the library has no use for
+	Event    balancer.Event // nil if the limiter ignores the message
 	Seed     uint64
 	Settings balancer.Settings
-	Err      error // settings that could not be read
+	Err      error // invalid settings
 }
 
-// Reader reads batches.
+// Reader decodes batches of messages.
 type Reader struct {
 	in    *bufio.Scanner
-	line  int
-	lists [maxLists][]balancer.ServerInfo
+	line  int                             // number of the current line, from 1
+	lists [maxLists][]balancer.ServerInfo // by list number; ENDPOINTS messages refer to them
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 1<<16), maxLine)
+	s.Buffer(make([]byte, 1<<16), maxLineBytes)
 	return &Reader{in: s}
 }
 
-// fields reads the values of one line in turn and keeps the first error.
+// fields parses the space-separated values of one line in order and keeps the first error.
 type fields struct {
 	rest string
 	err  error
 }
 
-var errShort = errors.New("too few values")
+var errTooFewValues = errors.New("too few values")
 
 func (f *fields) token() string {
 	if f.rest == "" {
-		f.fail(errShort)
+		f.fail(errTooFewValues)
 		return ""
 	}
 	w, rest, _ := strings.Cut(f.rest, " ")
@@ -129,19 +129,21 @@
 	return false
 }
 
-// choose reads a word that must be one of the names.
-func choose[T any](f *fields, names map[string]T) (v T) {
+// parseEnum reads a value that must be one of the names.
+func parseEnum[T any](f *fields, names map[string]T) (v T) {
 	w := f.token()
 	if f.err != nil {
 		return v
 	}
 	v, ok := names[w]
 	if !ok {
-		f.fail(fmt.Errorf("unknown word %q", w))
+		f.fail(fmt.Errorf("unknown value %q", w))
 	}
 	return v
 }
 
+// load parses a load report: name:value pairs separated by commas, or "-". Unknown names are
+// skipped.
 func (f *fields) load() balancer.Load {
 	l := balancer.Load{Busy: -1, Pending: -1, ServiceMs: -1}
 	w := f.token()
@@ -152,7 +154,7 @@
 		name, text, ok := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
 		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			f.fail(fmt.Errorf("bad load report %q", pair))
+			f.fail(fmt.Errorf("malformed load report entry %q", pair))
 			return l
 		}
 		switch name {
@@ -182,44 +184,45 @@
 	"up": balancer.Up, "draining": balancer.Draining, "removed": balancer.Removed,
 }
 
-// Batch reads the next batch. At the end of the input it returns io.EOF; any
-// other error names the line.
-func (r *Reader) Batch() (now float64, items []Message, err error) {
+// Batch reads the next batch, from SYNC to COMMIT. It returns io.EOF at the end of the input;
+// any other error contains the line number.
+func (r *Reader) Batch() (now float64, messages []Message, err error) {
 	f, name, err := r.next()
 	if err != nil {
 		return 0, nil, err
 	}
 	if name != "SYNC" {
-		return 0, nil, r.wrong(fmt.Errorf("%q where SYNC was expected", name))
+		return 0, nil, r.lineError(fmt.Errorf("got %q, expected SYNC", name))
 	}
 	if now = f.number(); f.err != nil {
-		return 0, nil, r.wrong(f.err)
+		return 0, nil, r.lineError(f.err)
 	}
 	for {
 		f, name, err = r.next()
 		if errors.Is(err, io.EOF) {
-			return 0, nil, r.wrong(errors.New("input ends inside a batch"))
+			return 0, nil, r.lineError(errors.New("unexpected end of input inside a batch"))
 		}
 		if err != nil {
 			return 0, nil, err
 		}
 		switch name {
 		case "COMMIT":
-			return now, items, nil
+			return now, messages, nil
 		case "LIST":
 			if err := r.list(f); err != nil {
 				return 0, nil, err
 			}
 		default:
-			it, err := r.item(name, f)
+			m, err := r.message(name, f)
 			if err != nil {
-				return 0, nil, r.wrong(fmt.Errorf("%s: %w", name, err))
+				return 0, nil, r.lineError(fmt.Errorf("%s: %w", name, err))
 			}
-			items = append(items, it)
+			messages = append(messages, m)
 		}
 	}
 }
 
+// next reads a line and returns its first word and the values after it.
 func (r *Reader) next() (*fields, string, error) {
 	if !r.in.Scan() {
 		if err := r.in.Err(); err != nil {
@@ -234,59 +237,61 @@
 	return f, name, nil
 }
 
-func (r *Reader) wrong(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
+// lineError adds the line number to an error.
+func (r *Reader) lineError(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
 
+// list reads a server list: the LIST line, whose fields are passed, and the ROW lines after it.
 func (r *Reader) list(f *fields) error {
-	sheet, n := f.integer(), f.integer()
-	if f.err == nil && (sheet < 0 || sheet >= maxLists || n < 0) {
-		f.fail(errors.New("number out of range"))
+	index, n := f.integer(), f.integer()
+	if f.err == nil && (index < 0 || index >= maxLists || n < 0) {
+		f.fail(errors.New("list number or row count out of range"))
 	}
 	if f.err != nil {
-		return r.wrong(fmt.Errorf("LIST: %w", f.err))
+		return r.lineError(fmt.Errorf("LIST: %w", f.err))
 	}
 	var rows []balancer.ServerInfo
 	for range n {
 		f, name, err := r.next()
 		if errors.Is(err, io.EOF) || (err == nil && name != "ROW") {
-			return r.wrong(fmt.Errorf("LIST: %d rows where %d were announced", len(rows), n))
+			return r.lineError(fmt.Errorf("LIST: got %d of %d rows", len(rows), n))
 		}
 		if err != nil {
 			return err
 		}
 		s := balancer.ServerInfo{Kind: f.integer(), ReadyAt: f.number(), Zone: f.integer()}
-		s.Phase, s.ID = choose(f, phases), f.id()
+		s.Phase, s.ID = parseEnum(f, phases), f.id()
 		s.Cell, s.Weight = f.integer(), f.number()
 		if f.err != nil {
-			return r.wrong(fmt.Errorf("ROW: %w", f.err))
+			return r.lineError(fmt.Errorf("ROW: %w", f.err))
 		}
 		rows = append(rows, s)
 	}
-	r.lists[sheet] = rows
+	r.lists[index] = rows
 	return nil
 }
 
-// item reads one line that concerns an instance.
-func (r *Reader) item(name string, f *fields) (Message, error) {
-	it := Message{Instance: f.integer()}
+// message decodes a line that is addressed to an instance.
+func (r *Reader) message(name string, f *fields) (Message, error) {
+	m := Message{Instance: f.integer()}
 	switch name {
 	case "BEGIN":
-		it.Kind, it.Seed = Begin, f.seed()
+		m.Kind, m.Seed = Begin, f.seed()
 		if f.err == nil {
-			it.Settings, it.Err = parseSettings(f.rest)
+			m.Settings, m.Err = parseSettings(f.rest)
 		}
 	case "RETIRE":
-		it.Kind = Retire
-	case "ADDED": // the library never calls the counter
+		m.Kind = Retire
+	case "ADDED": // result of a shared counter, which the limiter does not use
 	default:
 		var err error
-		if it.Event, err = r.event(name, f); err != nil {
-			return it, err
+		if m.Event, err = r.event(name, f); err != nil {
+			return m, err
 		}
 	}
-	return it, f.err
+	return m, f.err
 }
 
-// event reads the values of an event.
+// event decodes the values of an event.
 func (r *Reader) event(name string, f *fields) (balancer.Event, error) {
 	switch name {
 	case "ENDPOINTS":
@@ -302,23 +307,23 @@
 	case "ALARM":
 		return balancer.TimerFired{Name: f.token()}, nil
 	case "HEALTH_RESULT":
-		e := balancer.ProbeResult{LatencyMs: f.number(), Server: f.id(), Result: choose(f, results)}
+		e := balancer.ProbeResult{LatencyMs: f.number(), Server: f.id(), Result: parseEnum(f, results)}
 		e.Load = f.load()
 		return e, nil
 	case "FROM_PEER":
 		return f.peerMessage()
 	}
-	return nil, errors.New("unknown message")
+	return nil, errors.New("unknown message type")
 }
 
 func (r *Reader) endpoints(f *fields) (balancer.Event, error) {
-	e := balancer.Endpoints{Scope: choose(f, scopes)}
-	f.token() // the revision: events come in order and leave nothing out
-	if sheet := f.integer(); f.err == nil && e.Scope != balancer.Failed {
-		if sheet < 0 || sheet >= maxLists {
-			return nil, errors.New("sheet out of range")
+	e := balancer.Endpoints{Scope: parseEnum(f, scopes)}
+	f.token() // the revision: not needed, as events arrive in order and without gaps
+	if index := f.integer(); f.err == nil && e.Scope != balancer.Failed {
+		if index < 0 || index >= maxLists {
+			return nil, errors.New("list number out of range")
 		}
-		e.Servers = r.lists[sheet]
+		e.Servers = r.lists[index]
 	}
 	return e, nil
 }
@@ -326,15 +331,15 @@
 func (f *fields) submit() balancer.Submit {
 	e := balancer.Submit{ID: f.token(), TimeoutMs: f.number(), Units: f.number(), Class: f.integer(), Retry: f.flag()}
 	e.Plan = f.integer()
-	f.flag() // write: the class says what matters here
+	f.flag() // write: not needed, as the class has the idempotency
 	e.Spread, e.First, e.Customer = int(f.number()), int(f.number()), f.id()
 	return e
 }
 
 func (f *fields) outcome() balancer.Outcome {
-	e := balancer.Outcome{ID: f.token(), Attempt: f.integer(), Server: f.id(), Result: choose(f, results)}
+	e := balancer.Outcome{ID: f.token(), Attempt: f.integer(), Server: f.id(), Result: parseEnum(f, results)}
 	e.LatencyMs, e.Final = f.number(), f.flag()
-	f.number() // quota_use: the limiter relies on its peers, not on a meter
+	f.number() // quota_use: not needed, as the limiters account quota among themselves
 	e.ActualUnits, e.Load = f.number(), f.load()
 	return e
 }
@@ -347,13 +352,13 @@
 	}
 	data, err := hex.DecodeString(w)
 	if err != nil {
-		return nil, fmt.Errorf("bad bytes: %w", err)
+		return nil, fmt.Errorf("malformed hex data: %w", err)
 	}
 	e.Data = data
 	return e, nil
 }
 
-// seed reads any 64-bit number, signed or not.
+// seed parses a 64-bit integer, signed or unsigned.
 func (f *fields) seed() uint64 {
 	w := f.token()
 	if v, err := strconv.ParseUint(w, 10, 64); err == nil {
@@ -361,60 +366,60 @@
 	}
 	v, err := strconv.ParseInt(w, 10, 64)
 	if err != nil {
-		f.fail(fmt.Errorf("%q is not a seed", w))
+		f.fail(fmt.Errorf("%q is not a 64-bit integer", w))
 	}
 	return uint64(v)
 }
 
-// Writer writes replies.
+// Writer encodes replies.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a Writer to w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{bufio.NewWriterSize(w, 1<<16)} }
 
-// Yield ends a reply and writes it. It returns the first error of the reply.
+// Yield ends a reply and flushes it. It returns the first error from writing the reply.
 func (w *Writer) Yield() error {
 	w.write("YIELD\n")
 	return w.out.Flush()
 }
 
-// Fault reports that an instance has failed.
-func (w *Writer) Fault(who int, text string) { w.line("FAULT", who, oneLine(text)) }
+// Fault reports that an instance failed.
+func (w *Writer) Fault(instance int, text string) { w.line("FAULT", instance, oneLine(text)) }
 
-// Action writes one action of an instance.
-func (w *Writer) Action(who int, a balancer.Action) {
+// Action encodes an action of an instance.
+func (w *Writer) Action(instance int, a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.StartAttempt:
-		w.line("PASS_ON", who, a.ID, num(a.TimeoutMs), strconv.FormatUint(a.Server, 10))
+		w.line("PASS_ON", instance, a.ID, formatNumber(a.TimeoutMs), strconv.FormatUint(a.Server, 10))
 	case balancer.Reject:
-		w.line("OVERLOAD_REPLY", who, a.ID, num(a.RetryAfterMs))
+		w.line("OVERLOAD_REPLY", instance, a.ID, formatNumber(a.RetryAfterMs))
 	case balancer.Fail:
-		w.line("ERROR", who, a.ID)
+		w.line("ERROR", instance, a.ID)
 	case balancer.CancelAttempt:
-		w.line("ABORT_ATTEMPT", who, a.ID, strconv.Itoa(a.Attempt))
+		w.line("ABORT_ATTEMPT", instance, a.ID, strconv.Itoa(a.Attempt))
 	case balancer.SetTimer:
-		w.line("TIMER", who, num(a.At), a.Name)
+		w.line("TIMER", instance, formatNumber(a.At), a.Name)
 	case balancer.ProbeServer:
-		w.line("INSPECT", who, strconv.FormatUint(a.Server, 10))
+		w.line("INSPECT", instance, strconv.FormatUint(a.Server, 10))
 	case balancer.SendPeer:
 		bytes := "-"
 		if len(a.Data) > 0 {
 			bytes = hex.EncodeToString(a.Data)
 		}
-		w.line("SHARE", who, strconv.Itoa(a.To), bytes)
+		w.line("SHARE", instance, strconv.Itoa(a.To), bytes)
 	case balancer.Log:
-		w.line("DEBUG", who, oneLine(a.Line))
+		w.line("DEBUG", instance, oneLine(a.Line))
 	case balancer.WatchEndpoints:
-		w.line("LISTEN", who, "1")
+		w.line("LISTEN", instance, "1")
 	case balancer.FetchEndpoints:
-		w.line("QUERY_ALL", who)
+		w.line("QUERY_ALL", instance)
 	}
 }
 
-func (w *Writer) line(name string, who int, values ...string) {
+func (w *Writer) line(name string, instance int, values ...string) {
 	w.write(name)
 	w.write(" ")
-	w.write(strconv.Itoa(who))
+	w.write(strconv.Itoa(instance))
 	for _, v := range values {
 		w.write(" ")
 		w.write(v)
@@ -422,9 +427,9 @@
 	w.write("\n")
 }
 
-// write buffers a text. The buffer keeps the first error, which Yield returns.
+// write buffers text. The buffer keeps the first error, which Yield returns.
 func (w *Writer) write(text string) { _, _ = w.out.WriteString(text) }
 
-func num(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
 
 func oneLine(s string) string { return strings.NewReplacer("\n", " ", "\r", " ").Replace(s) }
--- a/balancer/wire/wire_test.go
+++ b/balancer/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"example.org/elmspan/balancer"
 )
 
-const good = `SYNC 8412.25
+const validBatch = `SYNC 8412.25
 ` +
 	"BEGIN 3 5138197539985895 az=1 balancers=2 position=1 membership_mode=push new.key=7 " +
 	"caps.cancel=true family_info.peer_in_per_s=40.0 request_classes.count=1 " +
@@ -33,28 +33,28 @@
 `
 
 func TestReadBatch(t *testing.T) {
-	r := NewReader(strings.NewReader(good))
-	now, items, err := r.Batch()
-	if err != nil || now != 8412.25 || len(items) != 9 {
-		t.Fatalf("now %g, %d items, %v", now, len(items), err)
+	r := NewReader(strings.NewReader(validBatch))
+	now, messages, err := r.Batch()
+	if err != nil || now != 8412.25 || len(messages) != 9 {
+		t.Fatalf("now %g, %d messages, error %v", now, len(messages), err)
 	}
-	checkSettings(t, items[0])
-	list := items[1].Event.(balancer.Endpoints)
+	checkSettings(t, messages[0])
+	list := messages[1].Event.(balancer.Endpoints)
 	draining := balancer.ServerInfo{ID: 747639282, ReadyAt: 6100, Phase: balancer.Draining, Cell: 2, Weight: 1.5}
 	if len(list.Servers) != 2 || list.Servers[1] != draining {
-		t.Errorf("list %+v", list)
+		t.Errorf("endpoints: got %+v", list)
 	}
 	want := balancer.Submit{ID: "rq_a", TimeoutMs: 240, Units: 2, Spread: 3, First: 1, Customer: 4569004829}
-	if got := items[2].Event.(balancer.Submit); got != want {
-		t.Errorf("submit %+v", got)
+	if got := messages[2].Event.(balancer.Submit); got != want {
+		t.Errorf("submit: got %+v", got)
 	}
-	out := items[3].Event.(balancer.Outcome)
+	out := messages[3].Event.(balancer.Outcome)
 	load := balancer.Load{Busy: 7, Pending: -1, ServiceMs: 14.5}
 	if out.LatencyMs != 18.5 || !out.Final || out.ActualUnits != 3 || out.Load != load {
-		t.Errorf("outcome %+v", out)
+		t.Errorf("outcome: got %+v", out)
 	}
 	if _, _, err := r.Batch(); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("at the end of the input: got error %v, want io.EOF", err)
 	}
 }
 
@@ -63,7 +63,7 @@
 	s := begin.Settings
 	if begin.Err != nil || s.Position != 1 || s.Zone != 1 || !s.Caps.Cancel || s.Plans[0].Burst != 9 ||
 		s.Classes[0].Idempotency != balancer.Keyed || s.Classes[0].DedupScope != balancer.DedupZone {
-		t.Errorf("settings %+v, %v", s, begin.Err)
+		t.Errorf("settings %+v, error %v", s, begin.Err)
 	}
 }
 
@@ -83,7 +83,7 @@
 	} {
 		_, _, err := NewReader(strings.NewReader(in)).Batch()
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: error %v does not name %s", in, err, want)
+			t.Errorf("%q: error %v does not contain %q", in, err, want)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 		"request_classes.count=1 request_classes.0.idempotency=often", "packages.count=-1"} {
 		name := text[strings.LastIndex(text, " ")+1 : strings.LastIndex(text, "=")]
 		if _, err := parseSettings(text); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: error %v", text, err)
+			t.Errorf("%s: error %v does not contain the name", text, err)
 		}
 	}
 }
@@ -124,13 +124,13 @@
 }
 
 func FuzzBatch(f *testing.F) {
-	f.Add(good)
+	f.Add(validBatch)
 	f.Fuzz(func(t *testing.T, in string) {
 		r := NewReader(strings.NewReader(in))
 		for {
 			if _, _, err := r.Batch(); err != nil {
 				if !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "line ") {
-					t.Errorf("error %v names no line", err)
+					t.Errorf("error %v has no line number", err)
 				}
 				return
 			}
--- a/cmd/elmspan-balancer-sim/main_test.go
+++ b/cmd/elmspan-balancer-sim/main_test.go
@@ -47,7 +47,8 @@
 func TestPanicIsAnError(t *testing.T) {
 	var out bytes.Buffer
 	limiters := map[int]*balancer.Limiter{1: {}} // one never made by New
-	err := handle(limiters, wire.NewWriter(&out), 1, wire.Message{Instance: 1, Event: balancer.TimerFired{Name: "tick"}})
+	err := handle(limiters, wire.NewWriter(&out), 1,
+		wire.Message{Instance: 1, Event: balancer.TimerFired{Name: "tick"}})
 	if err == nil || !strings.Contains(err.Error(), "panic") {
 		t.Errorf("got %v", err)
 	}
