--- a/dataplane/balance/set.go
+++ b/dataplane/balance/set.go
@@ -43,7 +43,7 @@
 
 const (
 	ownServer     affinity = iota // in this limiter's subset
-	peerServer                    // in the subset of another limiter of the zone; in a large fleet, of a neighbor
+	peerServer                    // in a small fleet, all others; in a large one, in the subset of a neighbor
 	distantServer                 // in a large fleet, all others; their loads are not known
 )
 
