--- a/balancer/node/attempts.go
+++ b/balancer/node/attempts.go
@@ -37,7 +37,7 @@
 		}
 	}
 	at.host = n.pool.Host(a.Server)
-	maxAttempts := n.cfg.Settings.Module.Caps.MaxAttempts
+	maxAttempts := n.cfg.Settings.Limiter.Caps.MaxAttempts
 	switch {
 	case r.final != nil, !at.sentAt.Before(r.stopAt), maxAttempts > 0 && at.number >= maxAttempts:
 		n.queueOutcome(at, a.Server, balancer.NotSent)
--- a/balancer/node/bench_test.go
+++ b/balancer/node/bench_test.go
@@ -37,7 +37,7 @@
 		}
 	}()
 	cfg := testConfig(b, "127.0.0.1:1", server("s-1", ln.Addr().String()))
-	cfg.Settings.Module.Plans[1].Rate, cfg.Settings.Module.Plans[1].Burst = 1e9, 1e9
+	cfg.Settings.Limiter.Plans[1].Rate, cfg.Settings.Limiter.Plans[1].Burst = 1e9, 1e9
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -47,7 +47,7 @@
 
 // Settings are those of the deployment: the module's, and what the sockets need.
 type Settings struct {
-	Module          balancer.Settings
+	Limiter         balancer.Settings
 	ClassNames      map[string]int
 	PlanNames       map[string]int
 	Zones           []string
@@ -132,7 +132,7 @@
 	if c.Settings, err = parseSettings(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	caps := &c.Settings.Module.Caps
+	caps := &c.Settings.Limiter.Caps
 	caps.Peers = caps.Peers && f.PeerListen != ""
 	if caps.Peers {
 		err = f.peerConfig(c)
@@ -150,8 +150,8 @@
 
 // peerConfig checks the addresses of the peers and sets them in c.
 func (f *file) peerConfig(c *Config) error {
-	if len(f.Peers) != c.Settings.Module.Balancers {
-		return fmt.Errorf("peers: %d addresses for %d limiters", len(f.Peers), c.Settings.Module.Balancers)
+	if len(f.Peers) != c.Settings.Limiter.Balancers {
+		return fmt.Errorf("peers: %d addresses for %d limiters", len(f.Peers), c.Settings.Limiter.Balancers)
 	}
 	if _, err := netip.ParseAddrPort(f.PeerListen); err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
@@ -186,7 +186,7 @@
 	values := map[string]string{}
 	flatten("", object, values)
 	p := wire.NewPairs(values)
-	if s.Module, err = p.Settings(); err != nil {
+	if s.Limiter, err = p.Settings(); err != nil {
 		return s, err
 	}
 	if s.ClassNames, err = names(p, "request_classes"); err != nil {
@@ -197,10 +197,10 @@
 	}
 	s.Zones = strings.Split(p.Text("failure_domains"), ",")
 	s.ConnIdle = cmp.Or(millis(p.Number("caps.conn_idle_ms")), defaultConnIdle)
-	s.ConnTimeout = cmp.Or(millis(s.Module.Caps.ConnectTimeoutMs), defaultConnTimeout)
+	s.ConnTimeout = cmp.Or(millis(s.Limiter.Caps.ConnectTimeoutMs), defaultConnTimeout)
 	s.MaxInFlight = p.Integer("caps.max_open")
 	s.MaxUnits = cmp.Or(p.Number("family_info.units_top"), math.MaxFloat64)
-	for _, c := range s.Module.Classes {
+	for _, c := range s.Limiter.Classes {
 		s.LongestDeadline = max(s.LongestDeadline, millis(c.DeadlineMs))
 	}
 	return s, p.Err()
--- a/balancer/node/config_test.go
+++ b/balancer/node/config_test.go
@@ -17,8 +17,8 @@
 		c.KnownServers.Seq != 1 {
 		t.Errorf("config %+v", c)
 	}
-	if s.Module.Classes[1].Idempotency != balancer.Keyed || s.Module.Classes[1].DedupScope != balancer.DedupCell ||
-		s.Module.Plans[1].Rate != 1000 || s.ClassNames["send-bulk-paid"] != 2 || s.PlanNames["enterprise"] != 1 ||
+	if s.Limiter.Classes[1].Idempotency != balancer.Keyed || s.Limiter.Classes[1].DedupScope != balancer.DedupCell ||
+		s.Limiter.Plans[1].Rate != 1000 || s.ClassNames["send-bulk-paid"] != 2 || s.PlanNames["enterprise"] != 1 ||
 		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.ConnIdle != 30*time.Second ||
 		s.LongestDeadline != 15*time.Minute {
 		t.Errorf("settings %+v", s)
@@ -55,7 +55,7 @@
 		data, _ := json.Marshal(c)
 		cfg, err := load(t, data)
 		if err == nil {
-			_, err = balancer.New(cfg.Settings.Module, 1)
+			_, err = balancer.New(cfg.Settings.Limiter, 1)
 		}
 		if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", name, err)
--- a/balancer/node/discovery.go
+++ b/balancer/node/discovery.go
@@ -158,13 +158,13 @@
 // many are a load.
 func newDiscoveryPacing(cfg *Config) *discoveryPacing {
 	rng := rand.New(rand.NewPCG(cfg.Seed, 0xd15c))
-	limiters := time.Duration(cfg.Settings.Module.Balancers)
+	limiters := time.Duration(cfg.Settings.Limiter.Balancers)
 	p := &discoveryPacing{
 		failed: backoff.New(minRetryPause, maxRetryPause, rng),
 		overloaded: backoff.New(max(minRetryPause, limiters*callEvery/2),
 			max(maxRetryPause, limiters*overloadedEvery), rng),
 	}
-	if cfg.Settings.Module.PollMembership {
+	if cfg.Settings.Limiter.PollMembership {
 		p.spread = backoff.Jitter(limiters*callEvery, rng)
 	}
 	return p
--- a/balancer/node/discovery_test.go
+++ b/balancer/node/discovery_test.go
@@ -127,7 +127,7 @@
 	t.Parallel()
 	const limiters, work, patience, line = 80, time.Second / 15, 2 * time.Second, 40
 	cfg := &Config{}
-	cfg.Settings.Module.Balancers, cfg.Settings.Module.PollMembership = limiters, true
+	cfg.Settings.Limiter.Balancers, cfg.Settings.Limiter.PollMembership = limiters, true
 	var pace []*discoveryPacing
 	next := make([]time.Duration, limiters) // the next call of each; below 0 with its list
 	for i := range limiters {
@@ -171,7 +171,7 @@
 func TestFewCallAtOnce(t *testing.T) {
 	t.Parallel()
 	cfg := &Config{Seed: 1}
-	cfg.Settings.Module.Balancers, cfg.Settings.Module.PollMembership = 3, true
+	cfg.Settings.Limiter.Balancers, cfg.Settings.Limiter.PollMembership = 3, true
 	p := newDiscoveryPacing(cfg)
 	if p.spread > 250*time.Millisecond {
 		t.Errorf("the first call comes after %v", p.spread)
--- a/balancer/node/node.go
+++ b/balancer/node/node.go
@@ -58,7 +58,7 @@
 
 // New returns a Node that listens but does not serve yet.
 func New(cfg *Config, logger *slog.Logger) (*Node, error) {
-	limiter, err := balancer.New(cfg.Settings.Module, cfg.Seed)
+	limiter, err := balancer.New(cfg.Settings.Limiter, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 	if n.listener, err = listen.Listen(context.Background(), "tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listening to clients: %w", err)
 	}
-	if cfg.Settings.Module.Caps.Peers {
+	if cfg.Settings.Limiter.Caps.Peers {
 		if n.peers, err = newPeerLink(cfg); err != nil {
 			_ = n.listener.Close() // nothing was served yet
 			return nil, err
--- a/balancer/node/parserequest.go
+++ b/balancer/node/parserequest.go
@@ -66,13 +66,13 @@
 	if err != nil {
 		return nil, ev, err
 	}
-	timeout = min(timeout, millis(settings.Module.Classes[class].DeadlineMs))
+	timeout = min(timeout, millis(settings.Limiter.Classes[class].DeadlineMs))
 	key := h.Get("Idempotency-Key")
-	if err := checkMethod(settings.Module.Classes[class].Idempotency, hr, key); err != nil {
+	if err := checkMethod(settings.Limiter.Classes[class].Idempotency, hr, key); err != nil {
 		return nil, ev, err
 	}
 	ev = balancer.Submit{ID: id, Class: class, Plan: plan, Retry: h.Get("X-Retried") == "1", Customer: customer}
-	if err := parseQuotaInfo(h.Get("Quota-Info"), settings.Module.Balancers, settings.MaxUnits, &ev); err != nil {
+	if err := parseQuotaInfo(h.Get("Quota-Info"), settings.Limiter.Balancers, settings.MaxUnits, &ev); err != nil {
 		return nil, ev, err
 	}
 	target, err := requestTarget(hr)
--- a/balancer/node/peers.go
+++ b/balancer/node/peers.go
@@ -41,7 +41,7 @@
 	p := &peerLink{conn: conn, addrs: cfg.Peers, all: cfg.BroadcastPeer, from: map[netip.AddrPort]int{},
 		queue: make(chan datagram, sendQueueLength)}
 	for i, a := range cfg.Peers {
-		if i != cfg.Settings.Module.Position {
+		if i != cfg.Settings.Limiter.Position {
 			p.from[a] = i
 		}
 	}
--- a/balancer/node/peers_test.go
+++ b/balancer/node/peers_test.go
@@ -31,7 +31,7 @@
 	for i := range rigs {
 		_ = socks[i].Close()
 		rigs[i] = startWith(t, func(c *Config) {
-			m := &c.Settings.Module
+			m := &c.Settings.Limiter
 			m.Balancers, m.Position, m.Caps.Peers = 2, i, true
 			m.Plans[0].Burst = 8
 			c.PeerListen, c.Peers = addrs[i].String(), addrs
