--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -51,7 +51,7 @@
 	ClassNames      map[string]int
 	PlanNames       map[string]int
 	Zones           []string
-	ConnIdle        time.Duration // a server closes a connection that is idle this long
+	IdleTimeout     time.Duration // a server closes a connection that is idle this long
 	ConnTimeout     time.Duration
 	MaxInFlight     int           // requests in hand; 0: no limit
 	MaxUnits        float64       // units that one request takes
@@ -196,7 +196,7 @@
 		return s, err
 	}
 	s.Zones = strings.Split(p.Text("failure_domains"), ",")
-	s.ConnIdle = cmp.Or(millis(p.Number("caps.conn_idle_ms")), defaultConnIdle)
+	s.IdleTimeout = cmp.Or(millis(p.Number("caps.conn_idle_ms")), defaultConnIdle)
 	s.ConnTimeout = cmp.Or(millis(s.Limiter.Caps.ConnectTimeoutMs), defaultConnTimeout)
 	s.MaxInFlight = p.Integer("caps.max_open")
 	s.MaxUnits = cmp.Or(p.Number("family_info.units_top"), math.MaxFloat64)
--- a/balancer/node/servers_test.go
+++ b/balancer/node/servers_test.go
@@ -631,7 +631,7 @@
 func TestIdleTimeIsBelowTheServers(t *testing.T) {
 	t.Parallel()
 	r := start(t, server("s-1", echo(t)))
-	if idle, limit := r.node.pool.IdleTimeout, r.node.cfg.Settings.ConnIdle; idle < limit*3/4 || idle > limit*19/20 {
+	if idle, limit := r.node.pool.IdleTimeout, r.node.cfg.Settings.IdleTimeout; idle < limit*3/4 || idle > limit*19/20 {
 		t.Errorf("idle connections are kept for %v, servers keep them for %v", idle, limit)
 	}
 }
