--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -52,7 +52,7 @@
 	PlanNames       map[string]int
 	Zones           []string
 	IdleTimeout     time.Duration // a server closes a connection that is idle this long
-	ConnTimeout     time.Duration
+	ConnectTimeout  time.Duration
 	MaxInFlight     int           // requests in hand; 0: no limit
 	MaxUnits        float64       // units that one request takes
 	LongestDeadline time.Duration // the longest deadline of a class
@@ -197,7 +197,7 @@
 	}
 	s.Zones = strings.Split(p.Text("failure_domains"), ",")
 	s.IdleTimeout = cmp.Or(millis(p.Number("caps.conn_idle_ms")), defaultConnIdle)
-	s.ConnTimeout = cmp.Or(millis(s.Limiter.Caps.ConnectTimeoutMs), defaultConnTimeout)
+	s.ConnectTimeout = cmp.Or(millis(s.Limiter.Caps.ConnectTimeoutMs), defaultConnTimeout)
 	s.MaxInFlight = p.Integer("caps.max_open")
 	s.MaxUnits = cmp.Or(p.Number("family_info.units_top"), math.MaxFloat64)
 	for _, c := range s.Limiter.Classes {
--- a/balancer/node/node.go
+++ b/balancer/node/node.go
@@ -70,7 +70,7 @@
 		reloadRequests: make(chan struct{}, 1), discoveryAddress: make(chan string),
 	}
 	upstream, clients := socketBudget(cfg.Limits.Sockets)
-	n.pool = connpool.New[uint64](upstream, cfg.Settings.ConnTimeout, cfg.Settings.IdleTimeout*9/10)
+	n.pool = connpool.New[uint64](upstream, cfg.Settings.ConnectTimeout, cfg.Settings.IdleTimeout*9/10)
 	n.clients = newClientConns(clients)
 	listen := net.ListenConfig{Control: boundBuffer}
 	if n.listener, err = listen.Listen(context.Background(), "tcp", cfg.Listen); err != nil {
