--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -48,7 +48,7 @@
 // Settings are those of the deployment: the module's, and what the sockets need.
 type Settings struct {
 	Limiter         balancer.Settings
-	ClassNames      map[string]int
+	ClassIndex      map[string]int
 	PlanNames       map[string]int
 	Zones           []string
 	IdleTimeout     time.Duration // a server closes a connection that is idle this long
@@ -189,7 +189,7 @@
 	if s.Limiter, err = p.Settings(); err != nil {
 		return s, err
 	}
-	if s.ClassNames, err = names(p, "request_classes"); err != nil {
+	if s.ClassIndex, err = names(p, "request_classes"); err != nil {
 		return s, err
 	}
 	if s.PlanNames, err = names(p, "packages"); err != nil {
--- a/balancer/node/parserequest.go
+++ b/balancer/node/parserequest.go
@@ -50,7 +50,7 @@
 		return nil, ev, err
 	}
 	settings := &n.cfg.Settings
-	class, ok := settings.ClassNames[h.Get("X-Priority-Class")]
+	class, ok := settings.ClassIndex[h.Get("X-Priority-Class")]
 	if !ok {
 		return nil, ev, badRequestf("unknown X-Priority-Class %q", h.Get("X-Priority-Class"))
 	}
