--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -49,7 +49,7 @@
 type Settings struct {
 	Limiter         balancer.Settings
 	ClassIndex      map[string]int
-	PlanNames       map[string]int
+	PlanIndex       map[string]int
 	Zones           []string
 	IdleTimeout     time.Duration // a server closes a connection that is idle this long
 	ConnectTimeout  time.Duration
@@ -192,7 +192,7 @@
 	if s.ClassIndex, err = names(p, "request_classes"); err != nil {
 		return s, err
 	}
-	if s.PlanNames, err = names(p, "packages"); err != nil {
+	if s.PlanIndex, err = names(p, "packages"); err != nil {
 		return s, err
 	}
 	s.Zones = strings.Split(p.Text("failure_domains"), ",")
--- a/balancer/node/config_test.go
+++ b/balancer/node/config_test.go
@@ -18,7 +18,7 @@
 		t.Errorf("config %+v", c)
 	}
 	if s.Limiter.Classes[1].Idempotency != balancer.Keyed || s.Limiter.Classes[1].DedupScope != balancer.DedupCell ||
-		s.Limiter.Plans[1].Rate != 1000 || s.ClassIndex["send-bulk-paid"] != 2 || s.PlanNames["enterprise"] != 1 ||
+		s.Limiter.Plans[1].Rate != 1000 || s.ClassIndex["send-bulk-paid"] != 2 || s.PlanIndex["enterprise"] != 1 ||
 		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.IdleTimeout != 30*time.Second ||
 		s.LongestDeadline != 15*time.Minute {
 		t.Errorf("settings %+v", s)
--- a/balancer/node/parserequest.go
+++ b/balancer/node/parserequest.go
@@ -54,7 +54,7 @@
 	if !ok {
 		return nil, ev, badRequestf("unknown X-Priority-Class %q", h.Get("X-Priority-Class"))
 	}
-	plan, ok := settings.PlanNames[h.Get("Plan")]
+	plan, ok := settings.PlanIndex[h.Get("Plan")]
 	if !ok {
 		return nil, ev, badRequestf("unknown Plan %q", h.Get("Plan"))
 	}
