--- a/balancer/node/bench_test.go
+++ b/balancer/node/bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// BenchmarkRequest measures a request through a limiter on kept-alive
-// connections; the client and the server on them do as little as they can.
+// BenchmarkRequest measures a request through a limiter on persistent connections, with a minimal
+// client and server.
 func BenchmarkRequest(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/balancer/node/clients_test.go
+++ b/balancer/node/clients_test.go
@@ -17,14 +17,14 @@
 	"example.org/elmspan/balancer"
 )
 
-// echo runs a server that answers every request with its id.
+// echo runs a server that responds to every request with its ID.
 func echo(t *testing.T) string {
 	return serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.Header.Get("X-Request-ID"))
 	})
 }
 
-// Malformed requests get a 4xx at once and never reach the module.
+// Malformed requests get a 4xx response at once and never reach the limiter.
 func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, server("s-1", echo(t)))
@@ -33,31 +33,31 @@
 	}
 	query := func(q string) func(*http.Request) { return func(req *http.Request) { req.URL.RawQuery = q } }
 	for name, change := range map[string]func(*http.Request){
-		"no id":           header("X-Request-ID", ""),
-		"id with a space": header("X-Request-ID", "a b"),
-		"long id":         header("X-Request-ID", strings.Repeat("x", 200)),
-		"class":           header("X-Priority-Class", "nonsense"),
-		"plan":            header("Plan", "free"),
-		"no time":         header("X-Timeout", ""),
-		"bare time":       header("X-Timeout", "480"),
-		"time below 0":    header("X-Timeout", "-4m"),
-		"NaN time":        header("X-Timeout", "NaNm"),
-		"endless time":    header("X-Timeout", "1e300m"),
-		"no quota info":   header("Quota-Info", ""),
-		"units":           header("Quota-Info", "units=x,spread=1,first=0"),
-		"units of 0":      header("Quota-Info", "units=0,spread=1,first=0"),
-		"endless units":   header("Quota-Info", "units=Inf,spread=1,first=0"),
-		"spread":          header("Quota-Info", "units=1,spread=9,first=0"),
-		"first":           header("Quota-Info", "units=1,spread=1,first=-1"),
-		"half a first":    header("Quota-Info", "units=1,spread=1,first=0.5"),
-		"two units":       header("Quota-Info", "units=1,units=1,first=0"),
-		"no key":          query(""),
-		"short key":       query("key=12"),
-		"large key":       query("key=0000000200000000"),
-		"no hex key":      query("key=zz000000b4d65521"),
-		"two keys":        query("key=00000000b4d65521&key=00000000b4d65521"),
-		"method":          func(req *http.Request) { req.Method = "PUT" },
-		"no idempotency":  header("Idempotency-Key", ""),
+		"no id":                header("X-Request-ID", ""),
+		"id with a space":      header("X-Request-ID", "a b"),
+		"long id":              header("X-Request-ID", strings.Repeat("x", 200)),
+		"class":                header("X-Priority-Class", "nonsense"),
+		"plan":                 header("Plan", "free"),
+		"no timeout":           header("X-Timeout", ""),
+		"timeout without unit": header("X-Timeout", "480"),
+		"negative timeout":     header("X-Timeout", "-4m"),
+		"NaN timeout":          header("X-Timeout", "NaNm"),
+		"huge timeout":         header("X-Timeout", "1e300m"),
+		"no quota info":        header("Quota-Info", ""),
+		"units":                header("Quota-Info", "units=x,spread=1,first=0"),
+		"units of 0":           header("Quota-Info", "units=0,spread=1,first=0"),
+		"infinite units":       header("Quota-Info", "units=Inf,spread=1,first=0"),
+		"spread":               header("Quota-Info", "units=1,spread=9,first=0"),
+		"first":                header("Quota-Info", "units=1,spread=1,first=-1"),
+		"fractional first":     header("Quota-Info", "units=1,spread=1,first=0.5"),
+		"two units":            header("Quota-Info", "units=1,units=1,first=0"),
+		"no key":               query(""),
+		"short key":            query("key=12"),
+		"large key":            query("key=0000000200000000"),
+		"non-hex key":          query("key=zz000000b4d65521"),
+		"two keys":             query("key=00000000b4d65521&key=00000000b4d65521"),
+		"method":               func(req *http.Request) { req.Method = "PUT" },
+		"no idempotency key":   header("Idempotency-Key", ""),
 	} {
 		req := r.newRequest("send-reminder", "enterprise", "body")
 		change(req)
@@ -66,7 +66,7 @@
 		}
 	}
 	if status, _, _ := r.do(r.newRequest("send-reminder", "enterprise", "")); status != 200 {
-		t.Errorf("a sound request got %d", status)
+		t.Errorf("a valid request got %d", status)
 	}
 	if n := strings.Count(r.log.String(), "malformed"); n == 0 || n > logBurst {
 		t.Errorf("%d lines in the log", n)
@@ -81,7 +81,7 @@
 	}
 }
 
-// isTimeout reports whether a read or a write ended by its deadline.
+// isTimeout reports whether a read or a write failed at its deadline.
 func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
@@ -103,12 +103,12 @@
 		_ = c.Close()
 	}
 	if status, _, _ := r.do(r.newRequest("status-check", "enterprise", "")); status != 200 {
-		t.Errorf("a sound request got %d", status)
+		t.Errorf("a valid request got %d", status)
 	}
 }
 
-// An id that is in hand may not come in again: the module would leave the
-// second request without an answer.
+// A request with the ID of a request in flight must be rejected: the limiter would ignore it, and
+// it would get no response.
 func TestSameIDTwice(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -118,34 +118,34 @@
 	c := srv.accept()
 	c.request()
 	if status, _, _ := r.do(req.Clone(req.Context())); status != http.StatusConflict {
-		t.Errorf("the second one got %d", status)
+		t.Errorf("the second request got %d", status)
 	}
 	c.respond("200 OK", "once")
 	if res := r.await(out); res.status != 200 || res.body != "once" {
-		t.Errorf("the first one got %d %q", res.status, res.body)
+		t.Errorf("the first request got %d %q", res.status, res.body)
 	}
 }
 
-// A customer beyond its quota is rejected at once, with the time of a retry.
-func TestRefusedAtOnceWithAdvice(t *testing.T) {
+// A request beyond the customer's quota is rejected at once, with a Retry-After.
+func TestQuotaRejectionHasRetryAfter(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, server("s-1", echo(t)))
-	refused := 0
+	rejected := 0
 	for range 4 {
 		status, _, header := r.do(r.newRequest("status-check", "starter", ""))
 		if status == 429 {
-			refused++
-			if header.Get("Retry-After") != "0.500" { // what clients heed at most
+			rejected++
+			if header.Get("Retry-After") != "0.500" { // the longest that clients respect
 				t.Errorf("Retry-After %q", header.Get("Retry-After"))
 			}
 		}
 	}
-	if refused != 2 {
-		t.Errorf("%d of 4 refused with a burst of 2", refused)
+	if rejected != 2 {
+		t.Errorf("%d of 4 rejected with a burst of 2", rejected)
 	}
 }
 
-func TestTooManyInHand(t *testing.T) {
+func TestMaxInFlight(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
 	r := startNodeWith(t, func(c *Config) { c.Settings.MaxInFlight = 1 }, server("s-1", srv.addr))
@@ -158,12 +158,12 @@
 	}
 	c.respond("200 OK", "")
 	if res := r.await(out); res.status != 200 {
-		t.Errorf("the first one got %d", res.status)
+		t.Errorf("the first request got %d", res.status)
 	}
 }
 
-// Clients' connections past their budget make the one unused longest close;
-// new ones are accepted all the same.
+// When clients' connections exceed their budget, the one that was unused for longest is closed.
+// New connections are still accepted.
 func TestConnectionBudget(t *testing.T) {
 	t.Parallel()
 	r := startNodeWith(t, func(c *Config) { c.Limits.Sockets = minSockets }, server("s-1", echo(t)))
@@ -174,7 +174,7 @@
 		conns = append(conns, c)
 	}
 	if _, err := conns[0].Read(make([]byte, 1)); err == nil {
-		t.Error("a byte came")
+		t.Error("got a byte on the oldest connection")
 	} else if isTimeout(err) {
 		t.Error("the oldest connection stayed open")
 	}
@@ -183,8 +183,9 @@
 	}
 }
 
-// Usual clients hold a third of the descriptors at most with requests, each of
-// which needs one to a server: with fewer of them sound requests ended as NoRoom.
+// Well-behaved clients have requests in flight on at most a third of the descriptors, and each
+// request needs a connection to a server: with fewer connections to servers, valid requests are
+// rejected for lack of capacity.
 func TestSocketBudget(t *testing.T) {
 	t.Parallel()
 	for _, sockets := range []int{0, minSockets, 256, 1024} {
@@ -194,27 +195,27 @@
 			limit = defaultSockets
 		}
 		if 3*upstream < limit || upstream+clients+reservedSockets > limit || clients < 1 {
-			t.Errorf("%d sockets: %d to servers, %d from clients", sockets, upstream, clients)
+			t.Errorf("%d sockets: %d for servers, %d for clients", sockets, upstream, clients)
 		}
 	}
 }
 
-// Silent clients by the hundred are closed in time and only drive out each other:
-// a client that keeps its connection goes on being served on it.
+// The connections of hundreds of clients that send nothing are closed in time and evict only each
+// other: a client with a persistent connection is still served on it.
 func TestIdleConnectionsCloseOnlyEachOther(t *testing.T) {
 	t.Parallel()
 	r := startNodeWith(t, func(c *Config) { c.Limits.Sockets = 96 }, server("s-1", echo(t)))
-	kept, in := r.dial()
+	persistent, in := r.dial()
 	serve := func() {
 		t.Helper()
 		req := r.newRequest("status-check", "enterprise", "")
-		writeRequest(t, kept, req)
+		writeRequest(t, persistent, req)
 		resp, err := http.ReadResponse(in, req)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != req.Header.Get("X-Request-ID") {
-			t.Errorf("answer %d %q", resp.StatusCode, body)
+			t.Errorf("response %d %q", resp.StatusCode, body)
 		}
 	}
 	serve()
@@ -228,29 +229,29 @@
 	}
 	serve()
 	_, budget := socketBudget(96)
-	for _, c := range unused { // the last ones by the time-out, the others at once
+	for _, c := range unused { // the last ones time out, the others were evicted
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("a byte came")
+			t.Error("got a byte on an idle connection")
 		} else if isTimeout(err) {
 			t.Fatal("an idle connection stayed open")
 		}
 	}
-	eventually(t, "the connections are forgotten", func() bool {
+	eventually(t, "the connections are removed", func() bool {
 		r.node.clients.mu.Lock()
 		defer r.node.clients.mu.Unlock()
 		c := r.node.clients
 		return len(c.open) <= 1 && c.neverUsed.Len() == 0 && c.idle.Len() == len(c.open) && budget > 0
 	})
-	_ = kept.Close()
-	eventually(t, "the last one is forgotten", func() bool {
+	_ = persistent.Close()
+	eventually(t, "the last one is removed", func() bool {
 		r.node.clients.mu.Lock()
 		defer r.node.clients.mu.Unlock()
 		return len(r.node.clients.open) == 0 && r.node.clients.idle.Len() == 0
 	})
 }
 
-// Where many clients ask once and stay, a new client's connection is not closed to
-// make room before its request has come, however many come at a time.
+// Where many clients keep their connection after one request, the connection of a new client is
+// not evicted before its first request arrives, even if many clients connect at once.
 func TestNewConnectionIsNotClosedBeforeItsRequest(t *testing.T) {
 	t.Parallel()
 	r := startNodeWith(t, func(c *Config) { c.Limits.Sockets = 128 }, server("s-1", echo(t)))
@@ -264,27 +265,27 @@
 		req := r.newRequest("status-check", "enterprise", "")
 		writeRequest(t, c, req)
 		if resp, err := http.ReadResponse(c.in, req); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("a new client got no answer: %v", err)
+			t.Fatalf("a new client got no response: %v", err)
 		}
 	}
 	for range 2 * budget {
 		c, in := r.dial()
 		request(client{c, in})
 	}
-	for range 5 { // several connect, and ask only then
-		var some []client
+	for range 5 { // several clients connect before any of them sends its request
+		var connected []client
 		for range budget / 4 {
 			c, in := r.dial()
-			some = append(some, client{c, in})
+			connected = append(connected, client{c, in})
 		}
-		for _, c := range some {
+		for _, c := range connected {
 			request(c)
 		}
 	}
 }
 
-// What may be read otherwise by another is turned away, its connection closes, and
-// nothing that follows on it goes on.
+// A request whose length other HTTP implementations may interpret differently is rejected, and its
+// connection is closed: a request that is hidden in its body or follows it must not be forwarded.
 func TestFraming(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -298,65 +299,65 @@
 	}
 	hidden := text(r.newRequest("send-bulk-paid", "enterprise", ""), "1.1")
 	chunk := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
-	sound := func() *http.Request { return r.newRequest("send-bulk-paid", "enterprise", "") }
+	valid := func() *http.Request { return r.newRequest("send-bulk-paid", "enterprise", "") }
 	for name, bytes := range map[string]string{
-		"both":          text(sound(), "1.1", "Content-Length: 4", "Transfer-Encoding: chunked") + "0\r\n\r\n" + hidden,
-		"both reversed": text(sound(), "1.1", "Transfer-Encoding: chunked", "Content-Length: 4") + "0\r\n\r\n" + hidden,
-		"both in 1.0": text(sound(), "1.0", "Connection: keep-alive", "Content-Length: 5",
+		"both":          text(valid(), "1.1", "Content-Length: 4", "Transfer-Encoding: chunked") + "0\r\n\r\n" + hidden,
+		"both reversed": text(valid(), "1.1", "Transfer-Encoding: chunked", "Content-Length: 4") + "0\r\n\r\n" + hidden,
+		"both in 1.0": text(valid(), "1.0", "Connection: keep-alive", "Content-Length: 5",
 			"Transfer-Encoding: chunked") +
 			"0\r\n\r\n" + hidden,
 		"on healthz": "GET /healthz HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n" +
 			"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-		"chunks": text(sound(), "1.1", "Transfer-Encoding: chunked") + chunk + hidden,
-		"two lengths": text(sound(), "1.1", "Content-Length: 0", fmt.Sprintf("Content-Length: %d", len(hidden))) +
+		"chunks": text(valid(), "1.1", "Transfer-Encoding: chunked") + chunk + hidden,
+		"two lengths": text(valid(), "1.1", "Content-Length: 0", fmt.Sprintf("Content-Length: %d", len(hidden))) +
 			hidden,
-		"two ids":         text(sound(), "1.1", "X-Request-ID: another") + hidden,
-		"two sets":        text(sound(), "1.1", "Quota-Info: units=1,spread=1,first=0") + hidden,
-		"key for unsafe":  text(sound(), "1.1", "Idempotency-Key: k") + hidden,
-		"malformed, then": text(sound(), "1.1", "Plan: none") + hidden,
-		"long body":       text(sound(), "1.1", "Content-Length: 62914560") + hidden,
-		"negative":        text(sound(), "1.1", "Content-Length: -1") + hidden,
-		"huge":            text(sound(), "1.1", "Content-Length: 99999999999999999999") + hidden,
-		"body for a check": text(r.newRequest("status-check", "enterprise", ""), "1.1",
+		"two ids":             text(valid(), "1.1", "X-Request-ID: another") + hidden,
+		"two quota infos":     text(valid(), "1.1", "Quota-Info: units=1,spread=1,first=0") + hidden,
+		"key for unsafe":      text(valid(), "1.1", "Idempotency-Key: k") + hidden,
+		"after malformed one": text(valid(), "1.1", "Plan: none") + hidden,
+		"long body":           text(valid(), "1.1", "Content-Length: 62914560") + hidden,
+		"negative":            text(valid(), "1.1", "Content-Length: -1") + hidden,
+		"huge":                text(valid(), "1.1", "Content-Length: 99999999999999999999") + hidden,
+		"body for safe class": text(r.newRequest("status-check", "enterprise", ""), "1.1",
 			fmt.Sprintf("Content-Length: %d", len(hidden))) + hidden,
 	} {
 		c, in := r.dial()
 		go func() { _, _ = io.WriteString(c, bytes) }()
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Errorf("%s: no answer: %v", name, err)
+			t.Errorf("%s: no response: %v", name, err)
 			continue
 		}
 		if resp.StatusCode < 400 || resp.StatusCode == 429 || resp.StatusCode == 503 || !resp.Close {
-			t.Errorf("%s: status %d, closes %v", name, resp.StatusCode, resp.Close)
+			t.Errorf("%s: status %d, Connection: close %v", name, resp.StatusCode, resp.Close)
 		}
-		_, _ = io.Copy(io.Discard, resp.Body) // up to the end of the connection
+		_, _ = io.Copy(io.Discard, resp.Body) // until the connection is closed
 		_ = c.Close()
 	}
-	// Had anything gone on, the server would have seen it before this one.
-	req := sound()
+	// A request that had been forwarded would reach the server before this one.
+	req := valid()
 	out := r.send(req)
 	c := srv.accept()
 	if id := c.request().Header.Get("X-Request-ID"); id != req.Header.Get("X-Request-ID") {
-		t.Errorf("%q went on", id)
+		t.Errorf("request %q was forwarded", id)
 	}
 	c.respond("200 OK", "")
 	r.await(out)
 }
 
-// What does not come whole is given up long before the request's own time is over.
+// A request that does not arrive completely is abandoned long before its own time-out.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, server("s-1", echo(t)))
 	req := r.newRequest("send-bulk-paid", "enterprise", "")
 	req.Body, req.ContentLength = nil, 0
-	var sound bytes.Buffer
-	_ = req.Write(&sound)
-	whole := strings.Replace(sound.String(), "Content-Length: 0\r\n", "", 1)
+	var valid bytes.Buffer
+	_ = req.Write(&valid)
+	complete := strings.Replace(valid.String(), "Content-Length: 0\r\n", "", 1)
 	for name, text := range map[string]string{
 		"nothing":   "",
-		"half head": whole[:len(whole)/2],
-		"no body":   strings.TrimSuffix(whole, "\r\n") + "Content-Length: 9\r\n\r\nhalf",
+		"half head": complete[:len(complete)/2],
+		"no body":   strings.TrimSuffix(complete, "\r\n") + "Content-Length: 9\r\n\r\nhalf",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -368,14 +369,14 @@
 				t.Errorf("status %d", resp.StatusCode)
 			}
 			if took := time.Since(begun); took > requestTime/2 {
-				t.Errorf("owed an answer or a close for %v", took)
+				t.Errorf("neither a response nor a close for %v", took)
 			}
 		})
 	}
 }
 
-// Figures out of range in a customer's name change nothing in its record.
-func TestFiguresOutOfRange(t *testing.T) {
+// Quota-Info values out of range are rejected and don't change the customer's quota.
+func TestQuotaInfoOutOfRange(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, server("s-1", echo(t)))
 	for _, info := range []string{"units=7,spread=1,first=0", "units=1e9,spread=1,first=0", "units=-1,spread=1,first=0",
@@ -407,7 +408,7 @@
 	if status := get(r); status != 200 {
 		t.Errorf("status %d", status)
 	}
-	r = startNode(t) // knows no server
+	r = startNode(t) // without servers
 	if status := get(r); status != 503 {
 		t.Errorf("status %d without servers", status)
 	}
@@ -415,14 +416,14 @@
 	eventually(t, "ready", func() bool { return get(r) == 200 })
 }
 
-// After SIGTERM what is in hand is answered, connections are still accepted
-// for a while, and answers say that the connection closes.
-func TestStopLosesNothing(t *testing.T) {
+// After SIGTERM, requests in flight get their responses, connections are still accepted for a
+// while, and responses carry Connection: close.
+func TestDrainLosesNoRequests(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
 	r := startNode(t, server("s-1", srv.addr))
-	// A kept-alive connection of a client.
-	kept, in := r.dial()
+	// A client's persistent connection.
+	persistent, in := r.dial()
 	exchange := func(c *rawConn, body string) *http.Response {
 		c.request()
 		c.respond("200 OK", body)
@@ -435,26 +436,26 @@
 		}
 		return resp
 	}
-	writeRequest(t, kept, r.newRequest("send-bulk-paid", "enterprise", ""))
+	writeRequest(t, persistent, r.newRequest("send-bulk-paid", "enterprise", ""))
 	c1 := srv.accept()
 	if exchange(c1, "kept").Close {
-		t.Error("the connection closes before the stop")
+		t.Error("a response before the stop has Connection: close")
 	}
-	out := r.send(r.newRequest("send-bulk-paid", "enterprise", "")) // in hand at the stop
+	out := r.send(r.newRequest("send-bulk-paid", "enterprise", "")) // in flight at the stop
 	c1.request()
 	r.stop()
 	eventually(t, "stopping", func() bool { return strings.Contains(r.log.String(), "stopping") })
 	late := r.send(r.newRequest("send-bulk-paid", "enterprise", "")) // on a new connection
 	c2 := srv.accept()
 	c2.request()
-	writeRequest(t, kept, r.newRequest("send-bulk-paid", "enterprise", "")) // on the kept one
+	writeRequest(t, persistent, r.newRequest("send-bulk-paid", "enterprise", "")) // on the persistent one
 	if !exchange(srv.accept(), "still").Close {
-		t.Error("the answer does not say that the connection closes")
+		t.Error("a response after the stop has no Connection: close")
 	}
-	c1.respond("200 OK", "in hand")
+	c1.respond("200 OK", "in flight")
 	c2.respond("200 OK", "late")
-	if res := r.await(out); res.body != "in hand" {
-		t.Errorf("in hand: %d %q", res.status, res.body)
+	if res := r.await(out); res.body != "in flight" {
+		t.Errorf("in flight: %d %q", res.status, res.body)
 	}
 	if res := r.await(late); res.body != "late" {
 		t.Errorf("late: %d %q", res.status, res.body)
@@ -462,22 +463,22 @@
 	r.awaitExit()
 }
 
-// The answer to what was in hand at the stop says that its connection closes.
-// A request that comes in on a connection while that is closed as unused must
-// not go on: its client sends it once more.
+// The response to a request in flight at SIGTERM carries Connection: close. A request that arrives
+// on a connection while the node closes it as unused must not be forwarded, as its client sends it
+// again.
 func TestRequestOnDroppedConnection(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
 	r := startNode(t, server("s-1", srv.addr))
-	kept, in := r.dial()
-	writeRequest(t, kept, r.newRequest("send-bulk-paid", "enterprise", ""))
+	persistent, in := r.dial()
+	writeRequest(t, persistent, r.newRequest("send-bulk-paid", "enterprise", ""))
 	c := srv.accept()
 	c.request()
 	r.stop()
 	eventually(t, "stopping", r.node.stopping.Load)
 	c.respond("200 OK", "")
 	if resp, err := http.ReadResponse(in, nil); err != nil || !resp.Close {
-		t.Errorf("the answer keeps the connection: %v", err)
+		t.Errorf("no response, or one without Connection: close: %v", err)
 	}
 
 	conn, other := net.Pipe()
@@ -492,17 +493,18 @@
 		return nil
 	}()
 	if err, ok := aborted.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
-		t.Errorf("the request went on: %v", aborted)
+		t.Errorf("the request was not aborted: %v", aborted)
 	}
 	r.node.clients.stateChanged(conn, http.StateClosed)
 	if r.node.clients.wasClosed(conn) {
-		t.Error("the connection is remembered for ever")
+		t.Error("the connection was not removed after it closed")
 	}
 }
 
-// A stop with a server that does not respond still answers before the platform kills: what is
-// in hand ends early. A connection without any request must not hold the stop up.
-func TestStopEndsWhatHangs(t *testing.T) {
+// If a server does not respond while the node drains, the requests in flight end early, so that
+// they get a response before the platform sends SIGKILL. A connection without any request must not
+// delay the drain.
+func TestDrainEndsHangingRequests(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
 	r := startNode(t, server("s-1", srv.addr))
@@ -512,7 +514,7 @@
 	c.request()
 	r.stop()
 	if res := r.await(out); res.status != http.StatusGatewayTimeout {
-		t.Errorf("answer %d %q", res.status, res.body)
+		t.Errorf("response %d %q", res.status, res.body)
 	}
 	r.awaitExit()
 }
--- a/balancer/node/config_test.go
+++ b/balancer/node/config_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A bad configuration ends the start with an error that says what is wrong.
+// Loading an invalid configuration fails with an error that names the invalid setting.
 func TestBadConfig(t *testing.T) {
 	t.Parallel()
 	good := func() map[string]any {
@@ -62,9 +62,9 @@
 		}
 	}
 	if _, err := loadConfig(t, []byte("{")); err == nil {
-		t.Error("half a file was taken")
+		t.Error("a truncated file was accepted")
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
-		t.Error("no NODE_CONFIG was taken")
+		t.Error("an unset NODE_CONFIG was accepted")
 	}
 }
--- a/balancer/node/discovery_test.go
+++ b/balancer/node/discovery_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A change of the list takes effect through the watch.
+// A change of the server list takes effect through the watch.
 func TestWatchFollowsChanges(t *testing.T) {
 	t.Parallel()
 	a := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "a") })
@@ -28,13 +28,12 @@
 	})
 	for range 5 {
 		if _, body, _ := r.do(r.newRequest("status-check", "enterprise", "")); body != "b" {
-			t.Errorf("served by %q after the drain was listed", body)
+			t.Errorf("served by %q after the list had it as draining", body)
 		}
 	}
 }
 
-// While discovery fails, what is known stays in use, and calls are made at a
-// bounded rate.
+// While discovery fails, the last known list stays in use, and calls are made at a bounded rate.
 func TestDiscoveryDown(t *testing.T) {
 	t.Parallel()
 	const n = 8
@@ -53,22 +52,23 @@
 		case 2:
 			panic(http.ErrAbortHandler)
 		default:
-			_, _ = io.WriteString(w, `{"seq":1,"whole":false,"hosts":[]}`) // nothing new, at once
+			_, _ = io.WriteString(w, `{"seq":1,"whole":false,"hosts":[]}`) // unchanged, without a wait
 		}
 	})
 	r := startNodeWith(t, func(c *Config) { c.Discovery = bad }, server("s-1", echo(t)))
 	eventually(t, "several calls", func() bool { return eighth.Load() > 0 })
-	// Each is followed by a pause of idlePause or retryFirst at the least. The first came
-	// after the beginning: on a slow machine long before the start has returned.
+	// Each call is followed by a pause of at least unchangedPause or minRetryPause. The time counts
+	// from before the node was started, as on a slow machine its first calls may come long before
+	// startNodeWith returns.
 	if took := time.Duration(eighth.Load()); took < (n-2)*min(unchangedPause, minRetryPause) {
-		t.Errorf("%d calls in %v", n, took)
+		t.Errorf("%d calls within %v", n, took)
 	}
 	if status, _, _ := r.do(r.newRequest("status-check", "enterprise", "")); status != 200 {
 		t.Errorf("status %d", status)
 	}
 }
 
-// Bad entries are dropped alone, and the log stays bounded.
+// Invalid entries of a list are dropped without affecting the valid ones, and the log is bounded.
 func TestBadEntries(t *testing.T) {
 	t.Parallel()
 	good := server("s-1", echo(t))
@@ -93,7 +93,7 @@
 	}
 	r := startNode(t)
 	r.discovery.set(l.Hosts...)
-	eventually(t, "the good entry serves", func() bool {
+	eventually(t, "the valid entry serves", func() bool {
 		status, _, _ := r.do(r.newRequest("status-check", "enterprise", ""))
 		return status == 200
 	})
@@ -112,30 +112,30 @@
 		}
 		for _, h := range l.Hosts {
 			if info, err := h.serverInfo([]string{"a"}); err == nil && (info.ReadyAt < 0 || h.Host == "") {
-				t.Errorf("%+v was taken", h)
+				t.Errorf("%+v was accepted", h)
 			}
 		}
 	})
 }
 
-// Eighty limiters start at once and call a discovery that works off 15 calls a second
-// in turn, turns a call away once it has waited 2 s or when its line is full, and also
-// works on those that nobody waits for. All get their list. Fails where each retries
-// as if it were alone: the line is then full of calls that come too late for good.
-// The clock is the test's own.
-func TestCrowdGetsItsList(t *testing.T) {
+// Eighty limiters start at once and call a discovery service that processes 15 calls per second
+// from a queue. It rejects calls when the queue is full or after they have waited 2 s, and also
+// processes calls whose callers have timed out. Every limiter must get the list. Guards against
+// retries that ignore the number of limiters: the queue then stays full of calls that are
+// answered too late. The test simulates the clock.
+func TestManyLimitersGetServerListUnderOverload(t *testing.T) {
 	t.Parallel()
-	const limiters, work, patience, line = 80, time.Second / 15, 2 * time.Second, 40
+	const limiters, serviceTime, callTimeout, queueLength = 80, time.Second / 15, 2 * time.Second, 40
 	cfg := &Config{}
 	cfg.Settings.Limiter.Balancers, cfg.Settings.Limiter.PollMembership = limiters, true
 	var pace []*discoveryPacing
-	next := make([]time.Duration, limiters) // the next call of each; below 0 with its list
+	next := make([]time.Duration, limiters) // time of each limiter's next call; negative once it has the list
 	for i := range limiters {
 		cfg.Seed = uint64(i)
 		pace = append(pace, newDiscoveryPacing(cfg))
 		next[i] = pace[i].initialDelay
 	}
-	var free time.Duration // when the service has worked off its line
+	var free time.Duration // when the queue of the service will be empty
 	calls, last := 0, time.Duration(0)
 	for left := limiters; left > 0; calls++ {
 		i := -1
@@ -146,17 +146,17 @@
 		}
 		now := next[i]
 		if now > 20*time.Second {
-			t.Fatalf("after %v and %d calls %d have no list", now, calls, left)
+			t.Fatalf("after %v and %d calls, %d limiters have no list", now, calls, left)
 		}
 		wait := max(0, free-now)
 		switch {
-		case wait > line*work: // turned away at once
+		case wait > queueLength*serviceTime: // rejected at once
 			next[i] = now + pace[i].pauseAfter(errOverloaded)
-		case wait > patience: // its turn comes too late
-			free = now + wait + work
-			next[i] = now + patience + pace[i].pauseAfter(errOverloaded)
+		case wait > callTimeout: // processed after its caller has timed out
+			free = now + wait + serviceTime
+			next[i] = now + callTimeout + pace[i].pauseAfter(errOverloaded)
 		default:
-			free = now + wait + work
+			free = now + wait + serviceTime
 			next[i], last = -1, max(last, free)
 			left--
 		}
@@ -167,16 +167,16 @@
 	t.Logf("%d calls, the last list at %v", calls, last)
 }
 
-// A limiter with few others calls at once, and again soon after it was turned away.
-func TestFewCallAtOnce(t *testing.T) {
+// With few limiters, each calls discovery almost at once, and soon again after a rejection.
+func TestFewLimitersCallDiscoverySoon(t *testing.T) {
 	t.Parallel()
 	cfg := &Config{Seed: 1}
 	cfg.Settings.Limiter.Balancers, cfg.Settings.Limiter.PollMembership = 3, true
 	p := newDiscoveryPacing(cfg)
 	if p.initialDelay > 250*time.Millisecond {
-		t.Errorf("the first call comes after %v", p.initialDelay)
+		t.Errorf("the first call is made after %v", p.initialDelay)
 	}
 	if pause := p.pauseAfter(errOverloaded); pause > 250*time.Millisecond {
-		t.Errorf("a pause of %v", pause)
+		t.Errorf("the call after a rejection is made after %v", pause)
 	}
 }
--- a/balancer/node/node.go
+++ b/balancer/node/node.go
@@ -144,7 +144,7 @@
 	defer cancel()
 	n.clients.closeUnused()
 	if err := n.httpServer.Shutdown(ctx); err != nil {
-		n.log.Warn("drain timed out with client connections still open", "error", err)
+		n.log.Warn("stopped with connections open", "error", err)
 	}
 	n.log.Info("stopped", "after", time.Since(begun).Round(time.Millisecond).String())
 	return nil
--- a/balancer/node/node_test.go
+++ b/balancer/node/node_test.go
@@ -20,10 +20,10 @@
 	"time"
 )
 
-// testTimeout bounds each wait in the tests; none of them depends on its length.
+// testTimeout bounds each wait in the tests. No result depends on its length.
 const testTimeout = 2 * time.Minute
 
-// harness is a limiter with a discovery and a server on loopback sockets.
+// harness runs a node and its discovery service on loopback sockets.
 type harness struct {
 	t         *testing.T
 	node      *Node
@@ -51,7 +51,7 @@
 	return s.b.String()
 }
 
-// fakeDiscovery serves a list and a watch that answers when the list changes.
+// fakeDiscovery serves a server list, and watches of it that respond when the list changes.
 type fakeDiscovery struct {
 	t           *testing.T
 	addr        string
@@ -59,8 +59,8 @@
 	list        serverList
 	changed     chan struct{}
 	calls       int
-	firstURI    string       // the first call
-	openWatches atomic.Int64 // watches that wait
+	firstURI    string       // of the first call
+	openWatches atomic.Int64 // watches that wait for a change
 }
 
 func (d *fakeDiscovery) callCount() int {
@@ -80,13 +80,13 @@
 	if d.calls++; d.firstURI == "" {
 		d.firstURI = r.RequestURI
 	}
-	list, news := d.list, d.changed
+	list, changed := d.list, d.changed
 	d.mu.Unlock()
 	if r.FormValue("index") == strconv.FormatInt(list.Seq, 10) {
 		d.openWatches.Add(1)
 		defer d.openWatches.Add(-1)
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
@@ -106,7 +106,7 @@
 	d.changed = make(chan struct{})
 }
 
-// serveHTTP runs a handler on a port of the system's until the test ends.
+// serveHTTP runs a handler on a free port until the test ends, and returns its address.
 func serveHTTP(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,7 +123,7 @@
 	return serverItem{Host: name, Address: dial, Zone: "room-a", Cell: 1, State: "ready", Weight: 1}
 }
 
-// testSettings are the settings as the configuration file has them.
+// testSettings is the settings object of the configuration file.
 const testSettings = `{"az":0,"balancers":1,"position":0,"membership_mode":"push","failure_domains":["room-a","room-b"],
  "caps":{"attempts_cap":3,"cancel":true,"conn_idle_ms":30000.0,"connect_timeout_ms":60000.0,"max_open":1000,
   "max_retry_after_ms":500.0,"peer_messages":false,"probes":true,"retry_after":true,"second_copies":false},
@@ -148,7 +148,7 @@
 		"settings": json.RawMessage(testSettings),
 	})
 	if err != nil {
-		panic(err) // the text above is broken
+		panic(err) // testSettings is invalid JSON
 	}
 	return data
 }
@@ -176,7 +176,7 @@
 	})
 }
 
-// startNodeWith runs a limiter with these servers known; change may alter its configuration.
+// startNodeWith runs a node that knows these servers; change may modify its configuration.
 func startNodeWith(t *testing.T, change func(*Config), items ...serverItem) *harness {
 	t.Helper()
 	d := newDiscovery(t, items...)
@@ -201,7 +201,7 @@
 		select {
 		case <-done:
 		case <-time.After(testTimeout):
-			t.Error("the limiter did not end")
+			t.Error("the node did not stop")
 		}
 	})
 	eventually(t, "the list is known", func() bool {
@@ -217,20 +217,20 @@
 	return startNodeWith(t, nil, items...)
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// requestTime is what a request has: more than a slow machine takes.
+// requestTime is the time-out of a request, more than it takes on a slow machine.
 const requestTime = 10 * time.Minute
 
-// newRequest is a sound request of a class.
+// newRequest returns a valid request of a class.
 func (r *harness) newRequest(class, plan, body string) *http.Request {
 	r.t.Helper()
 	id := fmt.Sprintf("id-%d", r.ids.Add(1))
@@ -254,7 +254,7 @@
 	return req
 }
 
-// do makes a request and waits for its answer.
+// do makes a request and waits for its response.
 func (r *harness) do(req *http.Request) (int, string, http.Header) {
 	r.t.Helper()
 	res := r.await(r.send(req))
@@ -264,7 +264,7 @@
 	return res.status, res.body, res.header
 }
 
-// rawServer is a server that a test drives by hand, a connection at a time.
+// rawServer is a server whose connections the test accepts and serves itself.
 type rawServer struct {
 	t    *testing.T
 	ln   net.Listener
@@ -325,13 +325,13 @@
 func (c *rawConn) expectClosed() {
 	c.t.Helper()
 	if b, err := c.in.ReadByte(); err == nil {
-		c.t.Errorf("byte %q came where the connection should have been closed", b)
+		c.t.Errorf("got byte %q where the connection should have been closed", b)
 	} else if isTimeout(err) {
 		c.t.Error("the connection was not closed")
 	}
 }
 
-// dial opens a client's connection that is kept alive.
+// dial opens a client connection.
 func (r *harness) dial() (net.Conn, *bufio.Reader) {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.node.Addr().String())
@@ -343,7 +343,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// awaitExit waits for the limiter to end well.
+// awaitExit waits for the node to stop without an error.
 func (r *harness) awaitExit() {
 	r.t.Helper()
 	select {
@@ -352,11 +352,11 @@
 			r.t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		r.t.Error("the limiter did not end")
+		r.t.Error("the node did not stop")
 	}
 }
 
-// result is what a client got.
+// result is the response that a client got. If it got none, status is 0 and body is the error.
 type result struct {
 	status int
 	body   string
@@ -386,7 +386,7 @@
 	case res := <-c:
 		return res
 	case <-time.After(testTimeout):
-		r.t.Fatal("no answer")
+		r.t.Fatal("no response")
 		return result{}
 	}
 }
--- a/balancer/node/parserequest.go
+++ b/balancer/node/parserequest.go
@@ -226,11 +226,11 @@
 	// A body that does not arrive must not occupy the connection. The deadline is removed after
 	// the body: when it expired, net/http would assume that the client has disconnected.
 	ctl := http.NewResponseController(w)
-	deadline := arrived.Add(bodyTimeout)
-	if r.deadline.Before(deadline) {
-		deadline = r.deadline
+	bodyDeadline := arrived.Add(bodyTimeout)
+	if r.deadline.Before(bodyDeadline) {
+		bodyDeadline = r.deadline
 	}
-	if err := ctl.SetReadDeadline(deadline); err != nil {
+	if err := ctl.SetReadDeadline(bodyDeadline); err != nil {
 		return fmt.Errorf("setting the read deadline: %w", err)
 	}
 	r.body = make([]byte, hr.ContentLength) // checkFraming limits it to maxBody
--- a/balancer/node/reload.go
+++ b/balancer/node/reload.go
@@ -37,7 +37,7 @@
 		retry = nil
 		cfg, err := n.cfg.reread()
 		if err != nil {
-			failures.warn("configuration reload failed; keeping the current configuration", "error", err)
+			failures.warn("configuration reload failed, the old one stays in force", "error", err)
 			retry = time.After(pause)
 			pause = min(2*pause, maxReloadPause)
 			continue
--- a/balancer/node/reload_test.go
+++ b/balancer/node/reload_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// awaitServedBy waits until the answers come from a server.
+// awaitServedBy waits until requests are served by the server with this name.
 func (r *harness) awaitServedBy(by string) {
 	r.t.Helper()
 	eventually(r.t, "served by "+by, func() bool {
@@ -24,14 +24,14 @@
 	})
 }
 
-// serveName runs a server that answers with a name.
+// serveName runs a server that responds with its name.
 func serveName(t *testing.T, name string) string {
 	return serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(name)) })
 }
 
-// A new configuration moves the watch: the old one ends at once, the new address
-// is asked for the whole list, and what is in hand goes on.
-func TestReloadMovesTheWatch(t *testing.T) {
+// A new discovery address takes effect on a reload: the old watch ends at once, the complete list
+// is requested from the new address, and requests in flight continue.
+func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
 	r := startNode(t, server("s-a", srv.addr))
@@ -41,11 +41,11 @@
 	eventually(t, "a watch is open", func() bool { return r.discovery.openWatches.Load() == 1 })
 
 	next := newDiscovery(t, server("s-b", serveName(t, "b")))
-	next.list.Seq = 1 // counts on its own, and below the first one's
+	next.list.Seq = 1 // lower than the index at the old address
 	r.writeConfig(configText(next.addr))
 	r.node.Reload()
 	eventually(t, "the old watch ends", func() bool { return r.discovery.openWatches.Load() == 0 })
-	// Until the new list is taken, a request still goes to the old server, which answers none.
+	// Until the new list is applied, requests would go to the old server, which does not respond.
 	eventually(t, "the new list is watched", func() bool { return next.openWatches.Load() == 1 })
 	r.awaitServedBy("b")
 	next.mu.Lock()
@@ -59,14 +59,14 @@
 	if n := r.discovery.callCount(); n != calls {
 		t.Errorf("%d more calls to the old address", n-calls)
 	}
-	c.respond("200 OK", "in hand")
-	if res := r.await(out); res.status != 200 || res.body != "in hand" {
-		t.Errorf("what was in hand got %d %q", res.status, res.body)
+	c.respond("200 OK", "in flight")
+	if res := r.await(out); res.status != 200 || res.body != "in flight" {
+		t.Errorf("the request in flight got %d %q", res.status, res.body)
 	}
 }
 
-// A file that can't be used changes nothing. It may be half written: it is read
-// again soon, without another signal.
+// An invalid file changes nothing. As it may be only partly written, loading it is retried soon,
+// without another signal.
 func TestReloadOfABadFile(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, server("s-a", serveName(t, "a")))
@@ -77,7 +77,7 @@
 		r.writeConfig([]byte(text))
 		lines := strings.Count(r.log.String(), "configuration reload failed")
 		r.node.Reload()
-		eventually(t, "the bad file is noticed", func() bool {
+		eventually(t, "the invalid file is reported", func() bool {
 			return strings.Count(r.log.String(), "configuration reload failed") > lines
 		})
 		if _, body, _ := r.do(r.newRequest("status-check", "enterprise", "")); body != "a" {
@@ -85,15 +85,15 @@
 		}
 	}
 	if next.callCount() > 0 {
-		t.Error("a bad file moved the watch")
+		t.Error("an invalid file changed the discovery address")
 	}
 	r.writeConfig(good)
 	r.awaitServedBy("b")
 }
 
-// The environment goes before the file at the start, but can't change: a file that
-// names another address than before moves the watch, and the same file does not.
-func TestReloadAgainstTheEnvironment(t *testing.T) {
+// The environment overrides the file at startup, but can't change later. On a reload, an address
+// that is new in the file takes effect, while an unchanged file keeps the address in use.
+func TestReloadOverridesEnvironment(t *testing.T) {
 	t.Parallel()
 	old, next := newDiscovery(t, server("s-a", serveName(t, "a"))), newDiscovery(t, server("s-b", serveName(t, "b")))
 	r := startNodeWith(t, func(c *Config) {
@@ -104,7 +104,7 @@
 	}, server("s-x", serveName(t, "x")))
 	r.awaitServedBy("a")
 	calls := r.discovery.callCount()
-	r.node.Reload() // the file as it was, with an address that was never used
+	r.node.Reload() // the unchanged file, whose address is not in use
 	eventually(t, "the file is read", func() bool {
 		return strings.Contains(r.log.String(), "configuration reloaded")
 	})
@@ -112,6 +112,6 @@
 	r.node.Reload()
 	r.awaitServedBy("b")
 	if n := r.discovery.callCount(); n != calls {
-		t.Errorf("%d calls to an address that the unchanged file names", n-calls)
+		t.Errorf("%d calls to the address in the unchanged file", n-calls)
 	}
 }
--- a/balancer/node/servers.go
+++ b/balancer/node/servers.go
@@ -121,7 +121,7 @@
 		n.pool.CloseIdle(at.host)
 	}
 	if res.result == balancer.InvalidResponse {
-		n.inputLog.warn("invalid response from server", "server", at.host.ID, "error", res.err)
+		n.inputLog.warn("server response not usable", "server", at.host.ID, "error", res.err)
 	}
 	return res, state != neverWritten || ended
 }
--- a/balancer/node/servers_test.go
+++ b/balancer/node/servers_test.go
@@ -16,7 +16,7 @@
 	"example.org/elmspan/internal/connpool"
 )
 
-func TestRequestGoesOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
 	r := startNode(t, server("s-1", srv.addr))
@@ -34,17 +34,17 @@
 	}
 	left, err := parseTimeout(got.Header.Get("X-Timeout"))
 	if err != nil || left > requestTime {
-		t.Errorf("X-Timeout %q tells more time than is left (%v)", got.Header.Get("X-Timeout"), err)
+		t.Errorf("X-Timeout %q is more than the time left (%v)", got.Header.Get("X-Timeout"), err)
 	}
 	c.respond("200 OK\r\nX-Server-Load: inflight=7,queue=2", "sent \x00 \xff")
 	if res := r.await(out); res.status != 200 || res.body != "sent \x00 \xff" {
-		t.Errorf("answer %d %q", res.status, res.body)
+		t.Errorf("response %d %q", res.status, res.body)
 	}
 }
 
-// An unsafe request on a kept-alive connection that breaks must not go out a
-// second time: it may have run.
-func TestNoSecondCopyOnBrokenConnection(t *testing.T) {
+// An unsafe request on a persistent connection that breaks must not be sent again: it may have
+// been executed.
+func TestNoResendOnBrokenConnection(t *testing.T) {
 	t.Parallel()
 	for _, class := range []string{"send-bulk-paid", "status-check"} {
 		t.Run(class, func(t *testing.T) {
@@ -55,20 +55,20 @@
 			c.request()
 			c.respond("200 OK", "one")
 			if res := r.await(out); res.status != 200 {
-				t.Fatalf("first answer %d", res.status)
+				t.Fatalf("first response %d", res.status)
 			}
 			out = r.send(r.newRequest(class, "enterprise", ""))
 			c.request() // on the same connection
 			_ = c.Close()
 			if res := r.await(out); res.status == 200 || class == "send-bulk-paid" &&
 				(res.status == 429 || res.status == 503) {
-				t.Errorf("answer %d where the request may have run", res.status)
+				t.Errorf("response %d where the request may have been executed", res.status)
 			}
-			// Only this server is known and it was tried: nothing more may come.
+			// No other server is known, so the request must not be sent again.
 			out = r.send(r.newRequest(class, "enterprise", ""))
 			next := srv.accept()
 			if next.request().Header.Get("X-Request-ID") == "" {
-				t.Error("no id")
+				t.Error("no X-Request-ID")
 			}
 			next.respond("200 OK", "two")
 			if res := r.await(out); res.status != 200 || res.body != "two" {
@@ -78,8 +78,8 @@
 	}
 }
 
-// A connection that the server has closed while it was idle is not used again:
-// the Cut that would follow can't be repeated for an unsafe request.
+// A connection that the server has closed while it was idle is not used again: it would fail with
+// ConnectionLost, after which an unsafe request can't be retried.
 func TestConnectionClosedByServerIsNotReused(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -96,7 +96,7 @@
 	c.request()
 	c.respond("200 OK", "two")
 	if res := r.await(out); res.status != 200 || res.body != "two" {
-		t.Errorf("answer %d %q", res.status, res.body)
+		t.Errorf("response %d %q", res.status, res.body)
 	}
 }
 
@@ -104,15 +104,15 @@
 	return n.pool.IdleConns(serverID(host))
 }
 
-// What proves that nothing ran goes to another server, also for an unsafe
-// request; an error, after which it may have run, does not.
-func TestResults(t *testing.T) {
+// A response that proves that nothing was executed allows a retry on another server, also of an
+// unsafe request; any other error does not.
+func TestResponseClassification(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		head   string
 		status int
 	}{
-		{"503 Service Unavailable\r\nX-Not-Processed: 1", 429}, // no other server: refused
+		{"503 Service Unavailable\r\nX-Not-Processed: 1", 429}, // rejected, as there is no other server
 		{"504 Gateway Timeout\r\nX-Not-Processed: 1", 429},
 		{"503 Service Unavailable", 502},
 		{"429 Too Many Requests", 502},
@@ -131,14 +131,14 @@
 				t.Fatal(err)
 			}
 			if res := r.await(out); res.status != c.status {
-				t.Errorf("answer %d, want %d", res.status, c.status)
+				t.Errorf("response %d, want %d", res.status, c.status)
 			}
 		})
 	}
 }
 
-// A server that answers more than a body may hold, or only a part of it, has
-// not served; the client must not get a part as the whole.
+// A response whose body is too long or incomplete is a failure: the client must not get a
+// truncated body as a complete one.
 func TestBodyTooLongOrShort(t *testing.T) {
 	t.Parallel()
 	for name, text := range map[string]string{
@@ -159,14 +159,14 @@
 				_ = c.Close()
 			}()
 			if res := r.await(out); res.status != 502 {
-				t.Errorf("answer %d %q", res.status, res.body)
+				t.Errorf("response %d %q", res.status, res.body)
 			}
 		})
 	}
 }
 
-// A connect that fails proves that nothing ran: another server is tried.
-func TestRefusedConnectGoesToAnother(t *testing.T) {
+// A failed connect proves that nothing was executed, so another server is tried.
+func TestRefusedConnectIsRetriedElsewhere(t *testing.T) {
 	t.Parallel()
 	dead := newRawServer(t)
 	_ = dead.ln.Close()
@@ -194,12 +194,13 @@
 	for range 10 {
 		if status, body, _ := r.do(r.newRequest("send-bulk-paid", "enterprise", "")); status != 200 ||
 			body != "served" {
-			t.Fatalf("answer %d %q", status, body)
+			t.Fatalf("response %d %q", status, body)
 		}
 	}
 }
 
-// The last byte of the request decides between NoRoute and Cut.
+// A failure before the last byte of the request was written gives ConnectFailed, a later one
+// ConnectionLost.
 func TestExchangeKnowsWhetherTheLastByteWasWritten(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -217,7 +218,7 @@
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
 	if res, state := exchange(c, call, time.Now().Add(testTimeout)); res.result != balancer.ConnectFailed ||
 		state != broken {
-		t.Errorf("a write that failed gave %v", res.result)
+		t.Errorf("a failed write gave %v", res.result)
 	}
 	c = connect()
 	srv.accept() // the first one
@@ -233,9 +234,9 @@
 	c = connect()
 	if res, state := exchange(c, call, time.Now().Add(-time.Second)); res.result != balancer.ConnectFailed ||
 		state == reusable {
-		t.Errorf("with no time left the request was written: %v", res.result)
+		t.Errorf("the request was written after its deadline: %v", res.result)
 	}
-	// a missing response: in fake time the request is written before its time is up
+	// A missing response. With a fake clock, the request is always written before its deadline.
 	synctest.Test(t, func(t *testing.T) {
 		p := connpool.New[uint64](8, testTimeout, testTimeout)
 		p.Dial = func(context.Context, string, string) (net.Conn, error) {
@@ -252,14 +253,14 @@
 		begun := time.Now()
 		if res, state := exchange(c, call, begun.Add(left)); res.result != balancer.TimedOut || state != notReusable ||
 			time.Since(begun) != left {
-			t.Errorf("silence gave %v after %v", res.result, time.Since(begun))
+			t.Errorf("no response gave %v after %v", res.result, time.Since(begun))
 		}
 	})
 }
 
-// An attempt that the module gives up closes its connection, has one Outcome,
-// and the next attempt goes out at once to another server.
-func TestGivenUpAttemptGoesOnElsewhere(t *testing.T) {
+// The connection of a canceled attempt is closed, the attempt has exactly one Outcome, and the
+// request is retried on another server at once.
+func TestCanceledAttemptIsRetriedElsewhere(t *testing.T) {
 	t.Parallel()
 	a, b := newRawServer(t), newRawServer(t)
 	r := startNode(t, server("s-a", a.addr))
@@ -269,11 +270,11 @@
 	first.request()
 	r.discovery.set(server("s-a", a.addr), server("s-b", b.addr))
 	eventually(t, "the second server is known", func() bool { return r.node.pool.Host(serverID("s-b")) != nil })
-	// Known to the pool is known to the module once the mutex is free.
+	// With the mutex held, the limiter knows the same servers as the pool.
 	r.node.mu.Lock()
 	r.node.perform(balancer.CancelAttempt{ID: req.Header.Get("X-Request-ID"), Attempt: 0})
 	r.node.handleQueue()
-	r.node.perform(balancer.CancelAttempt{ID: req.Header.Get("X-Request-ID"), Attempt: 0}) // again: no second Outcome
+	r.node.perform(balancer.CancelAttempt{ID: req.Header.Get("X-Request-ID"), Attempt: 0}) // no second Outcome
 	if len(r.node.queue) != 0 {
 		t.Errorf("queued %+v", r.node.queue)
 	}
@@ -281,16 +282,16 @@
 	first.expectClosed()
 	second := b.accept()
 	if id := second.request().Header.Get("X-Request-ID"); id != req.Header.Get("X-Request-ID") {
-		t.Errorf("id %q", id)
+		t.Errorf("X-Request-ID %q", id)
 	}
 	second.respond("200 OK", "second")
 	if res := r.await(out); res.status != 200 || res.body != "second" {
-		t.Errorf("answer %d %q", res.status, res.body)
+		t.Errorf("response %d %q", res.status, res.body)
 	}
 }
 
-// A drain that is listed while a connect is slow: nothing is written on the
-// connection once it is there.
+// If a server starts to drain while a slow connect to it is in progress, nothing is written on
+// the new connection.
 func TestDrainDuringSlowConnect(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -309,8 +310,8 @@
 	srv.accept().expectClosed()
 }
 
-// Idle connections to servers that drain, are gone, have restarted or moved
-// are closed.
+// Idle connections to a server are closed when it drains, is removed or restarted, or has a new
+// address.
 func TestChangedServerDropsConnections(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*serverItem){
@@ -335,7 +336,7 @@
 	}
 }
 
-// A client that goes away ends its attempt: the connection is closed.
+// When a client disconnects, the connection of its attempt is closed.
 func TestClientDisconnects(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -346,20 +347,20 @@
 	c.request()
 	cancel()
 	c.expectClosed()
-	eventually(t, "the request is forgotten", func() bool {
+	eventually(t, "the request is removed", func() bool {
 		r.node.mu.Lock()
 		defer r.node.mu.Unlock()
 		return len(r.node.requests) == 0
 	})
 }
 
-// A server that does not respond: the final answer is out before the client gives up, and the
-// attempt's connection is closed.
-func TestAnswerBeforeTheClientGivesUp(t *testing.T) {
+// If a server does not respond, the client gets the final response before its own deadline, and
+// the attempt's connection is closed.
+func TestTimeoutResponseBeforeClientDeadline(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
 	r := startNode(t, server("s-1", srv.addr))
-	come := make(chan *rawConn, 32)
+	accepted := make(chan *rawConn, 32)
 	go func() {
 		for {
 			c, err := srv.ln.Accept()
@@ -367,32 +368,32 @@
 				return
 			}
 			_ = c.SetDeadline(time.Now().Add(testTimeout))
-			come <- &rawConn{t, c, bufio.NewReader(c)}
+			accepted <- &rawConn{t, c, bufio.NewReader(c)}
 		}
 	}()
-	// On a slow machine the time may be up before an attempt is under way: then with more.
+	// On a slow machine the request may time out before its attempt is sent: retry with more time.
 	for left := 300 * time.Millisecond; left < requestTime; left *= 2 {
 		req := r.newRequest("send-bulk-paid", "enterprise", "")
 		req.Header.Set("X-Timeout", fmt.Sprintf("%dm", left.Milliseconds()))
 		res := r.await(r.send(req))
 		select {
-		case c := <-come:
+		case c := <-accepted:
 			defer func() { _ = c.Close() }()
 			if _, err := http.ReadRequest(c.in); err != nil {
 				continue
 			}
 			if res.status != http.StatusGatewayTimeout {
-				t.Errorf("answer %d", res.status)
+				t.Errorf("response %d", res.status)
 			}
 			c.expectClosed()
 			return
 		default:
 		}
 	}
-	t.Error("no attempt came")
+	t.Error("no attempt reached the server")
 }
 
-// Probes report the health of a server to the module.
+// A probe requests the health path without a request ID.
 func TestProbe(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -423,9 +424,9 @@
 	}
 }
 
-// An answer that can't be used is a failed attempt that may have run. It says
-// nothing about its server: what is kept open to it stays, it is not kept off, and a
-// request that may be repeated goes on at once, long before its time is over.
+// An attempt with an invalid response has failed but may have been executed. This is no sign of an
+// unhealthy server: idle connections to the server stay open, the server stays in use, and a safe
+// request is retried at once, long before its time-out.
 func TestUnusableResponsesAreRetried(t *testing.T) {
 	t.Parallel()
 	endless := func(head, more string) func(*rawConn) {
@@ -436,7 +437,7 @@
 		}
 	}
 	text := func(s string) func(*rawConn) { return func(c *rawConn) { _, _ = io.WriteString(c, s) } }
-	for name, spoil := range map[string]func(*rawConn){
+	for name, respondInvalid := range map[string]func(*rawConn){
 		"noise":        text("\x00\x8f\xff\r\n\r\n\x01\x02\x03\r\n"),
 		"head":         text("HTTP/1.1 200 OK\r\nno colon here\r\n\r\n"),
 		"half a head":  text("HTTP/1.1 200 OK\r\nContent-Le"),
@@ -451,20 +452,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			checkUnusableResponse(t, spoil)
+			checkUnusableResponse(t, respondInvalid)
 		})
 	}
 }
 
-// firstAttempt is an attempt that came to one of two servers.
-type firstAttempt struct {
+// receivedAttempt is an attempt that one of two servers has received.
+type receivedAttempt struct {
 	conn   *rawConn
 	server *rawServer
 }
 
-// checkUnusableResponse has the server of a request's first attempt spoil its response: the
+// checkUnusableResponse lets the server of a request's first attempt send an invalid response: the
 // other server must get the next attempt at once.
-func checkUnusableResponse(t *testing.T, spoil func(*rawConn)) {
+func checkUnusableResponse(t *testing.T, respondInvalid func(*rawConn)) {
 	t.Helper()
 	a, b := newRawServer(t), newRawServer(t)
 	r := startNode(t, server("s-a", a.addr))
@@ -475,39 +476,40 @@
 	attempts := acceptAttempts(t, a, conns, b)
 	out := r.send(r.newRequest("status-check", "enterprise", ""))
 	begun := time.Now()
-	next := func() firstAttempt {
+	next := func() receivedAttempt {
 		t.Helper()
 		select {
 		case attempt := <-attempts:
 			return attempt
 		case res := <-out:
-			t.Fatalf("answer %d %q where an attempt was due\n%s", res.status, res.body, r.log)
+			t.Fatalf("response %d %q before the expected attempt\n%s", res.status, res.body, r.log)
 		case <-time.After(testTimeout):
-			t.Fatal("no attempt came")
+			t.Fatal("no attempt reached a server")
 		}
-		return firstAttempt{}
+		return receivedAttempt{}
 	}
 	first := next()
 	first.conn.request()
-	go spoil(first.conn)
+	go respondInvalid(first.conn)
 	other := next()
 	if took := time.Since(begun); took > requestTime/2 {
-		t.Errorf("the next attempt came after %v", took)
+		t.Errorf("the next attempt was made after %v", took)
 	}
 	if other.server == first.server {
-		t.Fatal("the same server had both attempts")
+		t.Fatal("the same server got both attempts")
 	}
 	other.conn.request()
 	other.conn.respond("200 OK", "good")
 	if res := r.await(out); res.status != 200 || res.body != "good" {
-		t.Errorf("answer %d %q", res.status, res.body)
+		t.Errorf("response %d %q", res.status, res.body)
 	}
 	if first.server == a {
-		eventually(t, "the other connection stays", func() bool { return idleConns(r.node, "s-a") == 1 })
+		eventually(t, "the other connection stays open", func() bool { return idleConns(r.node, "s-a") == 1 })
 	}
 }
 
-// openIdlePair makes two connections to a server by two requests at once, and returns them idle.
+// openIdlePair opens two connections to a server with two concurrent requests, and returns them
+// once they are idle.
 func openIdlePair(t *testing.T, r *harness, a *rawServer) []*rawConn {
 	t.Helper()
 	outs := []<-chan result{r.send(r.newRequest("send-bulk-paid", "enterprise", "")),
@@ -523,32 +525,33 @@
 	return conns
 }
 
-// acceptAttempts returns the attempts that come on idle connections to a or on a new one to b.
-func acceptAttempts(t *testing.T, a *rawServer, conns []*rawConn, b *rawServer) <-chan firstAttempt {
-	attempts := make(chan firstAttempt, 3)
+// acceptAttempts returns the attempts that arrive on idle connections to a or on a new one to b.
+func acceptAttempts(t *testing.T, a *rawServer, conns []*rawConn, b *rawServer) <-chan receivedAttempt {
+	attempts := make(chan receivedAttempt, 3)
 	for _, c := range conns {
 		go func() {
 			if _, err := c.in.Peek(1); err == nil {
-				attempts <- firstAttempt{c, a}
+				attempts <- receivedAttempt{c, a}
 			}
 		}()
 	}
 	go func() {
 		if c, err := b.ln.Accept(); err == nil {
-			attempts <- firstAttempt{&rawConn{t, c, bufio.NewReader(c)}, b}
+			attempts <- receivedAttempt{&rawConn{t, c, bufio.NewReader(c)}, b}
 		}
 	}()
 	return attempts
 }
 
-// awaitLimiter waits until the module knows what the pool knows: both change under the mutex.
+// awaitLimiter waits until the limiter knows the same servers as the pool: both are updated with
+// the mutex held.
 func (r *harness) awaitLimiter() {
 	r.node.mu.Lock()
 	defer r.node.mu.Unlock()
 }
 
-// Of an unsafe request that had a spoilt answer nothing more goes out, and the
-// client gets no answer that says that a retry does no harm.
+// An unsafe request that got an invalid response is not sent again, and the client's response does
+// not suggest that a retry is harmless.
 func TestUnusableResponseOfUnsafeRequestIsNotRetried(t *testing.T) {
 	t.Parallel()
 	a, b := newRawServer(t), newRawServer(t)
@@ -560,14 +563,14 @@
 	eventually(t, "the second server is known", func() bool { return r.node.pool.Host(serverID("s-b")) != nil })
 	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n")
 	if res := r.await(out); res.status != 502 {
-		t.Errorf("answer %d", res.status)
+		t.Errorf("response %d", res.status)
 	}
 	c.expectClosed()
 }
 
-// What comes behind a good answer, with it or later, is never taken for the next
-// answer: the connection is not used again.
-func TestMoreBehindAnAnswer(t *testing.T) {
+// Data that follows a valid response, at once or later, must not be taken for the next response:
+// the connection is not used again.
+func TestExtraDataAfterResponse(t *testing.T) {
 	t.Parallel()
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 	for name, later := range map[string]bool{"at once": false, "later": true} {
@@ -585,22 +588,22 @@
 				_, _ = io.WriteString(c, good+good)
 			}
 			if res := r.await(out); res.status != 200 || res.body != "good" {
-				t.Errorf("answer %d %q", res.status, res.body)
+				t.Errorf("response %d %q", res.status, res.body)
 			}
 			out = r.send(r.newRequest("send-bulk-paid", "enterprise", ""))
 			c = srv.accept()
 			c.request()
 			c.respond("200 OK", "next")
 			if res := r.await(out); res.status != 200 || res.body != "next" {
-				t.Errorf("answer %d %q", res.status, res.body)
+				t.Errorf("response %d %q", res.status, res.body)
 			}
 		})
 	}
 }
 
-// A new server at the address of an old one, which the list still names: nothing of
-// the old one's is used for it.
-func TestAddressTakenOver(t *testing.T) {
+// A new server may have the address of an old one that is still listed. No connection that was
+// opened to the old server is used for the new one.
+func TestAddressReusedByAnotherServer(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
 	r := startNode(t, server("s-old", srv.addr))
@@ -614,20 +617,20 @@
 	eventually(t, "the new server is known", func() bool { return r.node.pool.Host(serverID("s-new")) != nil })
 	c.expectClosed()
 	if r.node.pool.Available(old) {
-		t.Error("the old server is still sent something")
+		t.Error("the old server is still in use")
 	}
 	out = r.send(r.newRequest("send-bulk-paid", "enterprise", ""))
 	c = srv.accept()
 	c.request()
 	c.respond("200 OK", "new")
 	if res := r.await(out); res.body != "new" {
-		t.Errorf("answer %d %q", res.status, res.body)
+		t.Errorf("response %d %q", res.status, res.body)
 	}
 }
 
-// An idle connection is kept for most of the time for which servers keep it, and
-// closed before they do: a limiter of many meets a server once in some seconds, and
-// each new connection costs a handshake. Fails at half of the time.
+// An idle connection is kept for most of the time for which servers keep it, and closed before they
+// close it: one of many limiters sends a server a request only every few seconds, and each new
+// connection costs a handshake. Fails if idle connections are kept for half of that time.
 func TestIdleTimeIsBelowTheServers(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, server("s-1", echo(t)))
@@ -636,8 +639,8 @@
 	}
 }
 
-// Over sockets: a server that ends kept connections at the next request, when they
-// were idle for some time, gets requests on new ones.
+// Over sockets: if a server drops connections that have been idle for some time at their next
+// request, such connections are no longer used.
 func TestStaleConnections(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -647,7 +650,7 @@
 	call := &call{method: "GET", target: "/api", host: "x", requestID: "r"}
 	for i := 0; ; i++ {
 		if i > 20 {
-			t.Fatal("old connections are used for ever")
+			t.Fatal("old connections are still used")
 		}
 		c, err := p.Connect(context.Background(), h)
 		if err != nil {
@@ -666,7 +669,7 @@
 		c.IdleSince = time.Now().Add(-300 * time.Millisecond)
 		if p.Get(h) == nil {
 			if i < 2 {
-				t.Errorf("given up after %d breaks", i)
+				t.Errorf("not used any more after %d broken connections", i)
 			}
 			return
 		}
