--- a/balancer/node/clients.go
+++ b/balancer/node/clients.go
@@ -52,7 +52,7 @@
 type connKey struct{}
 
 // newServer returns the HTTP server for clients.
-func (n *Node) newServer(errors *log.Logger) *http.Server {
+func (n *Node) newServer(errorLog *log.Logger) *http.Server {
 	// No ServeMux: it would redirect requests whose path is not in canonical form.
 	return &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
@@ -68,7 +68,7 @@
 		WriteTimeout:      n.cfg.Settings.LongestDeadline + headerTimeout + writeSlack,
 		IdleTimeout:       clientIdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          errors,
+		ErrorLog:          errorLog,
 		ConnState:         n.clients.stateChanged,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
@@ -158,20 +158,20 @@
 }
 
 // writeResponse writes a final response.
-func (n *Node) writeResponse(w http.ResponseWriter, a *response) {
+func (n *Node) writeResponse(w http.ResponseWriter, resp *response) {
 	h := w.Header()
 	if n.stopping.Load() {
 		h.Set("Connection", "close")
 	}
-	if a.contentType != "" {
-		h["Content-Type"] = []string{a.contentType}
+	if resp.contentType != "" {
+		h["Content-Type"] = []string{resp.contentType}
 	} else {
 		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
-	h["Content-Length"] = []string{strconv.Itoa(len(a.body))}
-	if a.retryAfterMs > 0 {
-		h["Retry-After"] = []string{strconv.FormatFloat(a.retryAfterMs/1000, 'f', 3, 64)}
+	h["Content-Length"] = []string{strconv.Itoa(len(resp.body))}
+	if resp.retryAfterMs > 0 {
+		h["Retry-After"] = []string{strconv.FormatFloat(resp.retryAfterMs/1000, 'f', 3, 64)}
 	}
-	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body) // the client may have disconnected
+	w.WriteHeader(resp.status)
+	_, _ = w.Write(resp.body) // the client may have disconnected
 }
--- a/balancer/node/discovery.go
+++ b/balancer/node/discovery.go
@@ -156,7 +156,7 @@
 }
 
 // newDiscoveryPacing returns the pacing of a limiter. The delays grow with the number of limiters:
-// a few can call at once and often, only many can overload discovery.
+// a few may call at once and often, as only many can overload discovery.
 func newDiscoveryPacing(cfg *Config) *discoveryPacing {
 	rng := rand.New(rand.NewPCG(cfg.Seed, 0xd15c))
 	limiters := time.Duration(cfg.Settings.Limiter.Balancers)
--- a/balancer/node/node.go
+++ b/balancer/node/node.go
@@ -53,7 +53,7 @@
 	limiter       *balancer.Limiter
 	queue         []balancer.Event
 	requests      map[string]*request
-	hasServers    bool      // at least one server is known
+	hasServers    bool      // a list with at least one server was applied
 	drainDeadline time.Time // zero until SIGTERM; all requests in flight end by then
 	closed        bool
 }
--- a/balancer/node/peers.go
+++ b/balancer/node/peers.go
@@ -30,11 +30,11 @@
 }
 
 func newPeerLink(cfg *Config) (*peerLink, error) {
-	at, err := netip.ParseAddrPort(cfg.PeerListen)
+	listenAddr, err := netip.ParseAddrPort(cfg.PeerListen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAddr))
 	if err != nil {
 		return nil, fmt.Errorf("listening for peers: %w", err)
 	}
--- a/balancer/node/peers_test.go
+++ b/balancer/node/peers_test.go
@@ -10,7 +10,7 @@
 )
 
 // Limiters report admitted requests to each other, so that the quota applies to both together.
-// Datagrams that are no messages or come from unknown senders are dropped.
+// Invalid datagrams and those from unknown senders are dropped.
 func TestQuotaOverTwoLimiters(t *testing.T) {
 	t.Parallel()
 	addr := echo(t)
--- a/balancer/node/reload.go
+++ b/balancer/node/reload.go
@@ -65,20 +65,20 @@
 // cancels the watch at the old one at once: the watch could otherwise last for all of watchWait
 // and deliver a list that no longer applies.
 func (n *Node) followDiscovery(ctx context.Context) {
-	at, index := n.cfg.Discovery, listIndex{n.cfg.KnownServers.Seq, len(n.cfg.KnownServers.Hosts) > 0}
+	addr, index := n.cfg.Discovery, listIndex{n.cfg.KnownServers.Seq, len(n.cfg.KnownServers.Hosts) > 0}
 	for ctx.Err() == nil {
-		watching, end := context.WithCancel(ctx)
-		ended := make(chan struct{})
+		watchCtx, cancel := context.WithCancel(ctx)
+		done := make(chan struct{})
 		go func() {
-			n.watchDiscovery(watching, at, index)
-			close(ended)
+			n.watchDiscovery(watchCtx, addr, index)
+			close(done)
 		}()
 		select {
 		case <-ctx.Done():
-		case at = <-n.discoveryAddress:
+		case addr = <-n.discoveryAddress:
 			index = listIndex{} // indexes are per service: request the complete list
 		}
-		end()
-		<-ended // no list from the old address is applied after this
+		cancel()
+		<-done // no list from the old address is applied after this
 	}
 }
--- a/balancer/node/requests.go
+++ b/balancer/node/requests.go
@@ -41,15 +41,15 @@
 var noResponse = &response{}
 
 // setFinal sets the final response of a request, unless it already has one.
-func (n *Node) setFinal(id string, a *response) {
+func (n *Node) setFinal(id string, resp *response) {
 	r := n.requests[id]
 	if r == nil || r.final != nil {
 		return
 	}
-	if a.status == http.StatusBadGateway && r.lastResult == balancer.TimedOut {
-		a.status = http.StatusGatewayTimeout
+	if resp.status == http.StatusBadGateway && r.lastResult == balancer.TimedOut {
+		resp.status = http.StatusGatewayTimeout
 	}
-	r.final = a
+	r.final = resp
 	if r.current != nil {
 		n.cancelAttempt(r.current)
 	}
