--- a/balancer/node/bench_test.go
+++ b/balancer/node/bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// BenchmarkRequest measures a request through a limiter on kept-alive
-// connections; the client and the server on them do as little as they can.
+// BenchmarkRequest measures a request through a limiter on persistent connections, with a minimal
+// client and server.
 func BenchmarkRequest(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,7 @@
 		}
 	}()
 	cfg := testConfig(b, "127.0.0.1:1", server("s-1", ln.Addr().String()))
-	cfg.Settings.Module.Plans[1].Rate, cfg.Settings.Module.Plans[1].Burst = 1e9, 1e9
+	cfg.Settings.Limiter.Plans[1].Rate, cfg.Settings.Limiter.Plans[1].Burst = 1e9, 1e9
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
--- a/balancer/node/config_test.go
+++ b/balancer/node/config_test.go
@@ -17,15 +17,15 @@
 		c.KnownServers.Seq != 1 {
 		t.Errorf("config %+v", c)
 	}
-	if s.Module.Classes[1].Idempotency != balancer.Keyed || s.Module.Classes[1].DedupScope != balancer.DedupCell ||
-		s.Module.Plans[1].Rate != 1000 || s.ClassNames["send-bulk-paid"] != 2 || s.PlanNames["enterprise"] != 1 ||
-		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.ConnIdle != 30*time.Second ||
+	if s.Limiter.Classes[1].Idempotency != balancer.Keyed || s.Limiter.Classes[1].DedupScope != balancer.DedupCell ||
+		s.Limiter.Plans[1].Rate != 1000 || s.ClassIndex["send-bulk-paid"] != 2 || s.PlanIndex["enterprise"] != 1 ||
+		len(s.Zones) != 2 || s.Zones[1] != "room-b" || s.IdleTimeout != 30*time.Second ||
 		s.LongestDeadline != 15*time.Minute {
 		t.Errorf("settings %+v", s)
 	}
 }
 
-// A bad configuration ends the start with an error that says what is wrong.
+// Loading an invalid configuration fails with an error that names the invalid setting.
 func TestBadConfig(t *testing.T) {
 	t.Parallel()
 	good := func() map[string]any {
@@ -53,18 +53,18 @@
 		c := good()
 		change(c, c["settings"].(map[string]any))
 		data, _ := json.Marshal(c)
-		cfg, err := load(t, data)
+		cfg, err := loadConfig(t, data)
 		if err == nil {
-			_, err = balancer.New(cfg.Settings.Module, 1)
+			_, err = balancer.New(cfg.Settings.Limiter, 1)
 		}
 		if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
-	if _, err := load(t, []byte("{")); err == nil {
-		t.Error("half a file was taken")
+	if _, err := loadConfig(t, []byte("{")); err == nil {
+		t.Error("a truncated file was accepted")
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
-		t.Error("no NODE_CONFIG was taken")
+		t.Error("an unset NODE_CONFIG was accepted")
 	}
 }
--- a/balancer/node/node_test.go
+++ b/balancer/node/node_test.go
@@ -20,11 +20,11 @@
 	"time"
 )
 
-// testTimeout bounds each wait in the tests; none of them depends on its length.
+// testTimeout bounds each wait in the tests. No result depends on its length.
 const testTimeout = 2 * time.Minute
 
-// rig is a limiter with a discovery and a server on loopback sockets.
-type rig struct {
+// harness runs a node and its discovery service on loopback sockets.
+type harness struct {
 	t         *testing.T
 	node      *Node
 	discovery *fakeDiscovery
@@ -51,42 +51,42 @@
 	return s.b.String()
 }
 
-// fakeDiscovery serves a list and a watch that answers when the list changes.
+// fakeDiscovery serves a server list, and watches of it that respond when the list changes.
 type fakeDiscovery struct {
-	t     *testing.T
-	addr  string
-	mu    sync.Mutex
-	list  serverList
-	news  chan struct{}
-	calls int
-	first string       // the first call
-	open  atomic.Int64 // watches that wait
+	t           *testing.T
+	addr        string
+	mu          sync.Mutex
+	list        serverList
+	changed     chan struct{}
+	calls       int
+	firstURI    string       // of the first call
+	openWatches atomic.Int64 // watches that wait for a change
 }
 
-func (d *fakeDiscovery) asked() int {
+func (d *fakeDiscovery) callCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
 func newDiscovery(t *testing.T, items ...serverItem) *fakeDiscovery {
-	d := &fakeDiscovery{t: t, list: serverList{Seq: 2, Whole: true, Hosts: items}, news: make(chan struct{})}
+	d := &fakeDiscovery{t: t, list: serverList{Seq: 2, Whole: true, Hosts: items}, changed: make(chan struct{})}
 	d.addr = serveHTTP(t, d.ServeHTTP)
 	return d
 }
 
 func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	if d.calls++; d.first == "" {
-		d.first = r.RequestURI
+	if d.calls++; d.firstURI == "" {
+		d.firstURI = r.RequestURI
 	}
-	list, news := d.list, d.news
+	list, changed := d.list, d.changed
 	d.mu.Unlock()
 	if r.FormValue("index") == strconv.FormatInt(list.Seq, 10) {
-		d.open.Add(1)
-		defer d.open.Add(-1)
+		d.openWatches.Add(1)
+		defer d.openWatches.Add(-1)
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
@@ -102,11 +102,11 @@
 	defer d.mu.Unlock()
 	d.list.Seq++
 	d.list.Hosts = items
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// serveHTTP runs a handler on a port of the system's until the test ends.
+// serveHTTP runs a handler on a free port until the test ends, and returns its address.
 func serveHTTP(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,7 +123,7 @@
 	return serverItem{Host: name, Address: dial, Zone: "room-a", Cell: 1, State: "ready", Weight: 1}
 }
 
-// testSettings are the settings as the configuration file has them.
+// testSettings is the settings object of the configuration file.
 const testSettings = `{"az":0,"balancers":1,"position":0,"membership_mode":"push","failure_domains":["room-a","room-b"],
  "caps":{"attempts_cap":3,"cancel":true,"conn_idle_ms":30000.0,"connect_timeout_ms":60000.0,"max_open":1000,
   "max_retry_after_ms":500.0,"peer_messages":false,"probes":true,"retry_after":true,"second_copies":false},
@@ -148,21 +148,21 @@
 		"settings": json.RawMessage(testSettings),
 	})
 	if err != nil {
-		panic(err) // the text above is broken
+		panic(err) // testSettings is invalid JSON
 	}
 	return data
 }
 
 func testConfig(t testing.TB, discovery string, known ...serverItem) *Config {
 	t.Helper()
-	cfg, err := load(t, configText(discovery, known...))
+	cfg, err := loadConfig(t, configText(discovery, known...))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return cfg
 }
 
-func load(t testing.TB, data []byte) (*Config, error) {
+func loadConfig(t testing.TB, data []byte) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, data, 0o600); err != nil {
@@ -176,15 +176,15 @@
 	})
 }
 
-// startWith runs a limiter with these servers known; change may alter its configuration.
-func startWith(t *testing.T, change func(*Config), items ...serverItem) *rig {
+// startNodeWith runs a node that knows these servers; change may modify its configuration.
+func startNodeWith(t *testing.T, change func(*Config), items ...serverItem) *harness {
 	t.Helper()
 	d := newDiscovery(t, items...)
 	cfg := testConfig(t, d.addr, items...)
 	if change != nil {
 		change(cfg)
 	}
-	r := &rig{t: t, discovery: d, ended: make(chan error, 1), log: &syncBuffer{}}
+	r := &harness{t: t, discovery: d, ended: make(chan error, 1), log: &syncBuffer{}}
 	var err error
 	if r.node, err = New(cfg, slog.New(slog.NewTextHandler(r.log, nil))); err != nil {
 		t.Fatal(err)
@@ -201,10 +201,10 @@
 		select {
 		case <-done:
 		case <-time.After(testTimeout):
-			t.Error("the limiter did not end")
+			t.Error("the node did not stop")
 		}
 	})
-	until(t, "the list is known", func() bool {
+	eventually(t, "the list is known", func() bool {
 		r.node.mu.Lock()
 		defer r.node.mu.Unlock()
 		return r.node.hasServers || len(items) == 0
@@ -212,23 +212,26 @@
 	return r
 }
 
-func start(t *testing.T, items ...serverItem) *rig { t.Helper(); return startWith(t, nil, items...) }
+func startNode(t *testing.T, items ...serverItem) *harness {
+	t.Helper()
+	return startNodeWith(t, nil, items...)
+}
 
-// until waits for a condition.
-func until(t *testing.T, what string, ok func() bool) {
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// requestTime is what a request has: more than a slow machine takes.
+// requestTime is the time-out of a request, more than it takes on a slow machine.
 const requestTime = 10 * time.Minute
 
-// newRequest is a sound request of a class.
-func (r *rig) newRequest(class, plan, body string) *http.Request {
+// newRequest returns a valid request of a class.
+func (r *harness) newRequest(class, plan, body string) *http.Request {
 	r.t.Helper()
 	id := fmt.Sprintf("id-%d", r.ids.Add(1))
 	method := http.MethodPost
@@ -251,17 +254,17 @@
 	return req
 }
 
-// do makes a request and waits for its answer.
-func (r *rig) do(req *http.Request) (int, string, http.Header) {
+// do makes a request and waits for its response.
+func (r *harness) do(req *http.Request) (int, string, http.Header) {
 	r.t.Helper()
-	res := r.got(r.send(req))
+	res := r.await(r.send(req))
 	if res.status == 0 {
 		r.t.Fatal(res.body)
 	}
 	return res.status, res.body, res.header
 }
 
-// rawServer is a server that a test drives by hand, a connection at a time.
+// rawServer is a server whose connections the test accepts and serves itself.
 type rawServer struct {
 	t    *testing.T
 	ln   net.Listener
@@ -311,25 +314,25 @@
 	return req
 }
 
-func (c *rawConn) answer(head, body string) {
+func (c *rawConn) respond(head, body string) {
 	c.t.Helper()
 	if _, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// closed waits for the limiter to close the connection.
-func (c *rawConn) closed() {
+// expectClosed waits for the limiter to close the connection.
+func (c *rawConn) expectClosed() {
 	c.t.Helper()
 	if b, err := c.in.ReadByte(); err == nil {
-		c.t.Errorf("byte %q came where the connection should have been closed", b)
+		c.t.Errorf("got byte %q where the connection should have been closed", b)
 	} else if isTimeout(err) {
 		c.t.Error("the connection was not closed")
 	}
 }
 
-// dial opens a client's connection that is kept alive.
-func (r *rig) dial() (net.Conn, *bufio.Reader) {
+// dial opens a client connection.
+func (r *harness) dial() (net.Conn, *bufio.Reader) {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.node.Addr().String())
 	if err != nil {
@@ -340,8 +343,8 @@
 	return c, bufio.NewReader(c)
 }
 
-// waitEnd waits for the limiter to end well.
-func (r *rig) waitEnd() {
+// awaitExit waits for the node to stop without an error.
+func (r *harness) awaitExit() {
 	r.t.Helper()
 	select {
 	case err := <-r.ended:
@@ -349,11 +352,11 @@
 			r.t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		r.t.Error("the limiter did not end")
+		r.t.Error("the node did not stop")
 	}
 }
 
-// result is what a client got.
+// result is the response that a client got. If it got none, status is 0 and body is the error.
 type result struct {
 	status int
 	body   string
@@ -361,7 +364,7 @@
 }
 
 // send makes a request in the background.
-func (r *rig) send(req *http.Request) <-chan result {
+func (r *harness) send(req *http.Request) <-chan result {
 	out := make(chan result, 1)
 	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	go func() {
@@ -377,13 +380,13 @@
 	return out
 }
 
-func (r *rig) got(c <-chan result) result {
+func (r *harness) await(c <-chan result) result {
 	r.t.Helper()
 	select {
 	case res := <-c:
 		return res
 	case <-time.After(testTimeout):
-		r.t.Fatal("no answer")
+		r.t.Fatal("no response")
 		return result{}
 	}
 }
