--- a/balancer/wire/settings.go
+++ b/balancer/wire/settings.go
@@ -9,8 +9,8 @@
 	"example.org/elmspan/balancer"
 )
 
-// SettingsParser converts settings from text, by their paths as on a BEGIN line. It keeps the
-// first error.
+// SettingsParser parses the values of settings, which it finds by the paths used on a BEGIN
+// line. It keeps the first error.
 type SettingsParser struct {
 	values map[string]string // by path
 	err    error
@@ -122,8 +122,8 @@
 	return int(v)
 }
 
-// Count returns the length of a list. A length that exceeds the number of settings is an
-// error: it bounds what an invalid length can allocate.
+// Count returns the length of a list. A length above the number of settings is an error, so
+// that an invalid length can't make the parser allocate much memory.
 func (p *SettingsParser) Count(name string) int {
 	n := p.Integer(name + ".count")
 	p.check(n >= 0 && n <= len(p.values), name+".count")
--- a/balancer/wire/wire.go
+++ b/balancer/wire/wire.go
@@ -1,5 +1,9 @@
 // Package wire encodes and decodes the simulator's line protocol. It translates between lines
 // of text and the types of package balancer; all decisions are made there.
+//
+// The simulator sends batches of messages to numbered instances, each of which is a Limiter. A
+// batch begins with SYNC and the time and ends with COMMIT. The reply to a batch consists of
+// the actions of the instances and ends with YIELD.
 package wire
 
 import (
@@ -38,7 +42,7 @@
 	Event    balancer.Event // nil if the limiter ignores the message
 	Seed     uint64
 	Settings balancer.Settings
-	Err      error // invalid settings
+	Err      error // why the settings are invalid, or nil
 }
 
 // Reader decodes batches of messages.
