--- a/balancer/aggregation.go
+++ b/balancer/aggregation.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Aggregation of a customer's spending in a large set of limiters. Two aggregators receive
-// every admission and send the level of the bucket to the set when it is low.
+// Aggregation of a customer's spending in a large set of limiters. Two aggregators receive the
+// reports of all limiters and send the level of the bucket to the set when it is low.
 
 import (
 	"math"
@@ -40,12 +40,12 @@
 
 // assignLimiterSet records which limiters receive a customer's requests, and which of them are
 // sent reports on what is admitted here. In a small set it is all of them. In a large set two
-// aggregators, which all limiters derive from the customer's id, receive every admission and
-// send the level to the set when it is low. An admission is thus known everywhere after two
-// messages, and none counts twice, as a level replaces what was known.
+// aggregators, which all limiters derive from the customer's id, receive the reports of all
+// limiters and send the level to the set when it is low. An admission is thus known everywhere
+// after two messages, and none counts twice, as a level replaces what was known.
 func (l *Limiter) assignLimiterSet(now float64, c *customer, limiterCount, first int) {
 	n, p := l.cfg.Balancers, l.cfg.Plans[c.plan]
-	l.refill(now, c) // must precede the escrow, which already covers the time until now
+	l.refill(now, c) // before the escrow is created, as its first balance includes the refill until now
 	c.limiterCount, c.firstLimiter = max(1, min(limiterCount, n)), ((first%n)+n)%n
 	c.initialHardBurst = p.HardBurst
 	if !l.newFleet {
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -2,19 +2,21 @@
 // requests are admitted and to which server each of them is forwarded. All gateways together
 // enforce one quota per customer.
 //
-// A [Limiter] is a state machine without I/O, clock or goroutines: the host passes each event
-// and the current time to [Limiter.Handle] and executes the actions that it returns. Equal
-// settings, seeds and events yield equal actions. Times are in milliseconds on a monotonic
-// clock of the host.
+// A [Limiter] is a state machine without I/O, clock or goroutines: the program that embeds it,
+// the host, passes each event and the current time to [Limiter.Handle] and executes the actions
+// that it returns. Equal settings, seeds and events yield equal actions. Times are in
+// milliseconds on a monotonic clock of the host.
 package balancer
 
 // Settings describes the deployment to one Limiter. Balancers, Classes and Plans are required.
-// The zero value of any other limit or facility means that the deployment has none.
+// The zero value of any other limit or capability means that the deployment has none. No
+// decision uses PollWithinMs, Class.LateValueShare, Plan.ExcessValueShare, Plan.ExcessPenalty,
+// Caps.Hedging or ServerLimits.OverloadFactor.
 type Settings struct {
 	Position              int  // index of this limiter, from 0
 	Balancers             int  // number of limiters
 	Zone                  int  // zone of this limiter
-	PollMembership        bool // the limiter must request the list of servers
+	PollMembership        bool // the list of servers is sent only to limiters that request it
 	Classes               []Class
 	Plans                 []Plan
 	Caps                  Caps
@@ -173,7 +175,7 @@
 	Failed                 // the request for the list failed; the previous list stays in use
 )
 
-// ServerInfo is one entry of the list of servers.
+// ServerInfo is one entry of the list of servers. No decision uses Kind or Weight.
 type ServerInfo struct {
 	ID      uint64
 	Kind    int
@@ -264,7 +266,7 @@
 // Log is a log line for operators.
 type Log struct{ Line string }
 
-// WatchEndpoints subscribes to changes to the list of servers.
+// WatchEndpoints requests the list of servers and all changes to it.
 type WatchEndpoints struct{}
 
 // FetchEndpoints requests the complete list of servers once.
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -20,7 +20,7 @@
 	customer   *customer
 	targetAt   float64 // until then a response meets the latency target
 	deadlineAt float64 // the client gives up at this time
-	waitFactor float64 // factor on its spare time, see setWaitFactor
+	waitFactor float64 // factor on its spare time, see timeBudget
 	attempts   []attempt
 	inFlight   int  // attempts without an outcome
 	streaming  bool // the response has begun
@@ -35,7 +35,7 @@
 type attempt struct {
 	server *server
 	sentAt float64
-	load   float64 // requests in flight at the server, including this one
+	load   float64 // requests of this limiter in flight at the server, including this one
 	ended  bool
 }
 
@@ -91,7 +91,7 @@
 }
 
 // mayRetry reports whether another attempt is permitted: it can't execute the request twice,
-// and neither the deadline nor the number of attempts is reached.
+// and neither the deadline nor the maximum number of attempts is reached.
 func (l *Limiter) mayRetry(now float64, r *request) bool {
 	if now >= r.deadlineAt || len(r.attempts) >= max(1, l.cfg.Caps.MaxAttempts) {
 		return false
--- a/balancer/customer.go
+++ b/balancer/customer.go
@@ -49,7 +49,8 @@
 	unreported   bool  // is in Limiter.unreported
 	peerViews    []peerView
 
-	// The escrow of the hard rate limit: one part for each aggregator, which grants it.
+	// The escrow of the hard rate limit: one part for each aggregator, which sends the grants
+	// for it.
 	escrow           [aggregatorCount]float64
 	initialHardBurst float64 // part of HardBurst assumed to be unspent at first
 
@@ -58,10 +59,10 @@
 	aggregatorRank     int     // 0, or 1 for the standby
 	recentUnits        float64 // units reported in the last second or so
 	recentUnitsAt      float64
-	sentLevel          float64 // last level sent to the set
+	sentLevel          float64 // last level sent to the set, by either aggregator
 	sentLevelAt        float64
 	overestimatedTicks int     // ticks for which the set has assumed too high a level
-	escrowDeficit      float64 // reported deficit of the part of the hard limit that this aggregator grants
+	escrowDeficit      float64 // reported deficit of the part of the hard limit that this aggregator manages
 	grantedAt          float64 // last call of grantEscrow
 }
 
@@ -70,7 +71,7 @@
 	peer                int
 	incarnation         uint32 // of the peer's last report; 0 before the first
 	seq                 uint64 // of the peer's last report
-	receivedSpent       uint64 // steps spent, as reported by the peer
+	receivedSpent       uint64 // steps (see unitScale) spent, as reported by the peer
 	inFlight            int    // attempts in flight, as reported by the peer
 	sentSpent           uint64 // steps spent here, as last reported to the peer
 	previouslySentSpent uint64 // steps spent here, as in the report before that
--- a/balancer/escrow.go
+++ b/balancer/escrow.go
@@ -2,8 +2,10 @@
 
 // A customer's hard rate limit is enforced by escrow. Each limiter of the customer's set owns
 // an equal part of the limit's burst and rate, so that the parts never add up to more than the
-// limit, even if messages are lost or late. In large sets the aggregators grant a limiter what
-// it has spent before its own part has refilled.
+// limit, even if messages are lost or late. In large sets the aggregators grant units to
+// limiters that have spent theirs, so that these need not wait until their own part has
+// refilled. The deficit of an escrow, or of the limit itself, is what it lacks to be full, in
+// units.
 
 import (
 	"math"
@@ -26,7 +28,7 @@
 	return sum
 }
 
-// grantEscrow grants the limiters of a large set escrow that they have spent, as far as the
+// grantEscrow grants units to the limiters of a large set that have spent theirs, as far as the
 // limit itself has refilled. With equal parts alone, a limiter that receives most of a
 // customer's requests would run out while the refill of the others is lost. Each aggregator
 // manages one half of the limit. It compares the reported deficit of that half with the sum of
--- a/balancer/escrow_test.go
+++ b/balancer/escrow_test.go
@@ -63,8 +63,8 @@
 }
 
 // Most requests of a customer of eleven limiters arrive at one of them, which needs more than
-// an equal part of the hard limit. Fails without grants. Whatever messages are lost, and with
-// limiters restarting, all together never exceed the hard limit.
+// an equal part of the hard limit. Fails without grants. All limiters together never exceed the
+// hard limit, whatever messages are lost and also if limiters restart.
 func TestEscrowGrantsFollowDemand(t *testing.T) {
 	const n = 11
 	cfg := testSettings()
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// levelsRequestMs is how long after its start a limiter requests levels, in ms.
+	// levelsRequestMs is the time from its start during which a limiter requests levels, in ms.
 	levelsRequestMs = 2000.0
 	// gossipShare is the share of the messages receivable by a limiter that its peers together
 	// send it; the rest is a reserve for jitter.
 	gossipShare = 0.9
 	// The interval between two levels of a customer starts at the time in which a limiter can
 	// receive levelIntervalMessages messages. It grows exponentially, with the coefficient
-	// levelIntervalSteepness, in the levels received beyond half of the fair number.
+	// levelIntervalSteepness, in the rate of levels received beyond half of the fair rate, which
+	// is gossipShare of what a limiter can receive.
 	levelIntervalMessages  = 10.0
 	levelIntervalSteepness = 4.0
 )
@@ -37,7 +38,7 @@
 // exchangeWithPeers sends what is due: levels first, then grants, then reports to the peers in
 // turn while there is credit.
 func (l *Limiter) exchangeWithPeers(now float64) {
-	fair := gossipShare * l.cfg.PeerMessagesPerSecond * tickIntervalMs / 1000 // messages per tick
+	fair := gossipShare * l.cfg.PeerMessagesPerSecond * tickIntervalMs / 1000 // fair rate, in messages per tick
 	l.sendCredit = min(max(1, float64(len(l.peers)-1)), l.sendCredit+fair)
 	l.paceLevels(fair)
 	l.sendAggregatedLevels(now)
@@ -189,8 +190,8 @@
 	return min(max(d, -d), l.cfg.Balancers-max(d, -d))
 }
 
-// sendLevelsResponse sends a limiter that has just started all levels below the burst, in as
-// many messages as needed.
+// sendLevelsResponse sends a limiter that has just started the levels that it needs, in as many
+// messages as necessary.
 func (l *Limiter) sendLevelsResponse(now float64, to int) {
 	m := peerMessage{flags: flagLevelUpdate | flagLevelsResponse, ageMs: uint64(now - l.startedAt)}
 	for _, c := range l.customerList {
@@ -208,8 +209,9 @@
 	}
 }
 
-// sendsLevelOf reports whether a starting limiter is sent a customer's level. In large sets
-// only its neighbors on the ring send it low levels, as they have mostly the same customers.
+// sendsLevelOf reports whether a starting limiter is sent a customer's level. In small sets it
+// is sent every level below the burst. In large or unknown sets only its neighbors on the ring
+// send it levels, and only low ones, as they have mostly the same customers.
 func (l *Limiter) sendsLevelOf(c *customer, to int) bool {
 	burst := l.cfg.Plans[c.plan].Burst
 	below := burst - c.balance - c.withheldBurst
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -88,7 +88,7 @@
 // One of many limiters sends each server too few requests to judge it alone. When an ejection
 // ends, all limiters use the server again, and its first failures eject it anew. A fault that
 // affects all servers must not be attributed to some: at most half of the servers are ejected,
-// and as many failures as the failure share of the whole fleet makes likely are ignored.
+// and as many failures are ignored as the failure share over all servers makes likely.
 func (l *Limiter) recordFailure(now float64, s *server, class int) {
 	e := &s.ejections[class]
 	if now-e.lastFailureAt > ejectionMs/2 {
@@ -156,8 +156,8 @@
 	}
 }
 
-// handleProbeResult brings a server that responds back into use, and marks one down that does
-// not.
+// handleProbeResult brings a server that responds back into use. One that does not respond is
+// marked down if it is still unresponsive to requests.
 func (l *Limiter) handleProbeResult(now float64, e ProbeResult) {
 	s := l.servers[e.Server]
 	if s == nil || s.info.Phase != Up {
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -67,7 +67,7 @@
 	serverList    []*server // by id
 	unseenShare   float64   // share of a server's load that this limiter does not see
 	warmCapacity  float64   // capacity of the subset, in warm servers
-	upServers     float64   // number of servers in the subset
+	upServers     float64   // number of servers of the subset that are up
 	typicalMs     []float64 // by class: typical response time
 	responseCount []float64 // by class: number of responses in typicalMs
 	loadModel     loadModel
@@ -83,10 +83,10 @@
 	newFleet          bool        // all limiters have just started
 	nextPeer          int         // first peer to be sent its report in the next tick
 	sendCredit        float64     // messages that may be sent now
-	levelsReceived    float64     // level updates since the last tick
-	receiveRate       float64     // level updates received, relative to the fair number
+	levelsReceived    float64     // messages with levels received since the last tick
+	receiveRate       float64     // messages with levels received, relative to the fair rate of paceLevels
 	planPacing        []float64   // by plan: factor on levelInterval
-	levelInterval     float64     // least time between two levels of a customer, in ms
+	levelInterval     float64     // least time between two levels of a customer, in ms, before planPacing
 }
 
 // New returns a Limiter, or an error that names the invalid setting. Limiters with equal
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// A limiter that was paused does not count timeouts of attempts in flight meanwhile against
-// servers.
+// A limiter that was paused does not count the timeouts of attempts that were in flight during
+// the pause against their servers.
 func TestPausedLimiterBlamesNoServer(t *testing.T) {
 	d := newLimiterDriver(t, testSettings(), testServers(2)...)
 	for range 30 {
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -55,9 +55,10 @@
 	return min(left, e.TimeoutMs)
 }
 
-// setWaitFactor sets how much of its spare time a request may be expected to wait. The more
-// requests within their quotas are rejected for lack of servers, the more the factor depends on
-// the request's value per work.
+// setWaitFactor sets how much of its spare time a request may be expected to wait, see
+// timeBudget. The more requests within their quotas are rejected for lack of servers, the more
+// the factor depends on the request's value per work, which is its value divided by the typical
+// response time of its class.
 func (l *Limiter) setWaitFactor(r *request) {
 	value := l.cfg.Classes[r.class].Value * l.cfg.Plans[r.customer.plan].Price * r.units / l.typicalTime(r.class)
 	l.meanValue += (value - l.meanValue) * max(averagingWeight, 1/(l.valuedRequests+1))
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -56,7 +56,8 @@
 }
 
 // A request whose remaining time shows that it misses the latency target is rejected without a
-// charge. One with more time than usual, and time to spare, is admitted.
+// charge. One that can still meet the target is admitted, although its client also began
+// earlier.
 func TestLateRequestIsRejected(t *testing.T) {
 	d := newLimiterDriver(t, testSettings(), testServers(4)...)
 	for range 5 {
--- a/balancer/peerupdates.go
+++ b/balancer/peerupdates.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// olderPeerMs is how much earlier a peer must have started to count as older, in ms.
+	// olderPeerMs is how much earlier than this limiter a peer must have started to show that
+	// the fleet is not new, in ms.
 	olderPeerMs = 1000.0
 	// minNewFleetResponses is the number of responses, none of them from an older peer, from
 	// which a limiter concludes that the whole fleet is new.
@@ -40,13 +41,13 @@
 
 // validMessage reports whether the plans, classes and limiters named in a message exist.
 func (l *Limiter) validMessage(m *peerMessage) bool {
-	kinds := len(l.cfg.Plans)
+	count := len(l.cfg.Plans)
 	if m.flags&flagFailureHint != 0 {
-		kinds = len(l.cfg.Classes)
+		count = len(l.cfg.Classes)
 	}
 	limiters := uint64(len(l.peers))
 	for _, e := range m.entries {
-		if e.plan >= uint64(kinds) {
+		if e.plan >= uint64(count) {
 			return false
 		}
 		isReport := m.flags&flagLevelUpdate == 0
@@ -128,10 +129,11 @@
 	}
 }
 
-// reset starts the view of a peer over, at the first report of an incarnation. If the peer was
-// known before or is younger than this limiter, all that it has spent counts here. Of an older
-// peer only what is new with its first report counts (newOnly). The same holds once customers
-// have been evicted here, as the peer may have reported its earlier spending before.
+// reset starts the view of a peer over, at the first report of an incarnation. If an earlier
+// incarnation has reported on the customer, or if the peer is younger than this limiter, all
+// that it has spent counts here. Of an older peer only what is new with its first report counts
+// (newOnly). The same holds once customers have been evicted here, as the peer may have
+// reported its earlier spending before.
 func (v *peerView) reset(incarnation uint32, en peerEntry, newOnly bool) {
 	first := v.incarnation == 0
 	v.receivedSpent, v.incarnation, v.seq = 0, incarnation, 0
--- a/balancer/randomfleet_test.go
+++ b/balancer/randomfleet_test.go
@@ -184,8 +184,8 @@
 	if info.ReadyAt <= 0 {
 		return 1
 	}
-	r := fleet.cfg.ServerLimits
-	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*(fleet.now-info.ReadyAt)/r.SlowStartMs)
+	limits := fleet.cfg.ServerLimits
+	return min(1, limits.SlowStartShare+(1-limits.SlowStartShare)*(fleet.now-info.ReadyAt)/limits.SlowStartMs)
 }
 
 // checkSlowStart checks that a limiter keeps to its part of a server in slow start: what it
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -1,7 +1,7 @@
 package balancer
 
-// The choice of the server of an attempt: the usable server with the least expected time. In
-// large fleets the choice is weighted random.
+// The choice of the server of an attempt: the usable server of least cost. In large fleets of
+// limiters the choice is weighted random.
 
 import (
 	"math"
@@ -17,10 +17,11 @@
 	// smallFleet is the largest number of limiters at which each one sees enough of the load to
 	// tell which server is best.
 	smallFleet = 8
-	// busyServerWeight is added to the cost factor of a server with requests in flight, in a
-	// very large fleet.
+	// busyServerWeight is the surcharge on the cost of a server with requests in flight, as a
+	// multiple of the cost, in a very large fleet.
 	busyServerWeight = 15.0
-	// crossZoneWeight is the increase of the cost factor per unit of Settings.CrossZonePrice.
+	// crossZoneWeight is the surcharge on the cost of a server in another zone, as a multiple
+	// of the cost, per unit of Settings.CrossZonePrice.
 	crossZoneWeight = 10.0
 	// rejectedPauseMs is how long a server gets no request after it rejected one, in ms.
 	rejectedPauseMs = 50.0
@@ -37,8 +38,9 @@
 	serverTiers                    // number of tiers
 )
 
-// chooseServer returns the server with the least expected time, or nil and the time in ms after
-// which a retry may succeed.
+// chooseServer returns the usable server of least cost. If there is none, or if the response is
+// expected to take longer than the request's time budget, it returns nil and the time in ms
+// after which a retry may succeed. Idle servers are an exception, see mayUseIdle.
 func (l *Limiter) chooseServer(now float64, r *request) (s *server, wait float64) {
 	l.updateWarmCapacity(now)
 	best := l.cheapestServer(now, r)
@@ -51,7 +53,8 @@
 	return best, 0
 }
 
-// updateWarmCapacity recomputes the present capacity of the servers of the subset.
+// updateWarmCapacity recomputes the present capacity and the number of the servers of the
+// subset.
 func (l *Limiter) updateWarmCapacity(now float64) {
 	l.warmCapacity, l.upServers = 0, 0
 	for _, s := range l.serverList {
@@ -94,6 +97,8 @@
 
 // timeBudget is the time in ms that a request may be expected to take at a server: a part of
 // the time to its latency target, or all of the time to its deadline once the target is missed.
+// In the former, the spare time beyond the response time of an idle server is multiplied by the
+// request's wait factor.
 func (l *Limiter) timeBudget(now float64, r *request, s *server) float64 {
 	if now > r.targetAt {
 		return r.deadlineAt - now
@@ -130,15 +135,16 @@
 	if s.info.Phase != Up || s.down || !l.hasSlowStartCredit(now, s) {
 		return false
 	}
-	if r.hasAttemptAt(s) || !l.deduplicates(s, r) {
+	if r.hasAttemptAt(s) || !l.inDedupScope(s, r) {
 		return false
 	}
 	return degraded || now >= s.ejections[r.class].until && now >= s.rejectingUntil && !l.unresponsive(now, s)
 }
 
-// deduplicates reports whether a server would drop a request with an idempotency key that was
-// executed already: the scope of keys may be limited to the servers of a zone or cell.
-func (l *Limiter) deduplicates(s *server, r *request) bool {
+// inDedupScope reports whether a keyed request that may have been executed can be repeated at a
+// server: only the servers of the class's DedupScope, which may be a zone or cell, drop the
+// repeat. It is true of every other request.
+func (l *Limiter) inDedupScope(s *server, r *request) bool {
 	class := l.cfg.Classes[r.class]
 	if r.executedOn == nil || class.Idempotency != Keyed {
 		return true
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -74,14 +74,14 @@
 // change of the list changes few assignments. Fails if each limiter chooses among all servers.
 func TestSubsetsAreBalanced(t *testing.T) {
 	const n, servers = 80, 60
-	f := testServers(servers)
-	fleet := newTestFleet(t, testSettings(), n, f)
+	list := testServers(servers)
+	fleet := newTestFleet(t, testSettings(), n, list)
 	before := fleet.subsetPairs()
 	at := map[uint64]int{}
 	for p := range before {
 		at[p[1]]++
 	}
-	for _, s := range f {
+	for _, s := range list {
 		if at[s.ID] < n/4-4 || at[s.ID] > n/4+4 {
 			t.Errorf("server %d has %d limiters of %d", s.ID, at[s.ID], n)
 		}
@@ -89,7 +89,7 @@
 	if used := fleet.usedConnections(4000); used == 0 || used > n*servers/4 {
 		t.Errorf("%d limiters use %d connections to %d servers", n, used, servers)
 	}
-	removed := f[7]
+	removed := list[7]
 	removed.Phase = Removed
 	for i := range n {
 		fleet.event(i, Endpoints{Scope: Partial, Servers: []ServerInfo{removed}})
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -28,27 +28,28 @@
 // slowStartShare is the least share of its capacity that a server can have by now: it rises
 // linearly from ServerLimits.SlowStartShare at the start to 1 after ServerLimits.SlowStartMs.
 func (l *Limiter) slowStartShare(now float64, s *server) float64 {
-	r := l.cfg.ServerLimits
-	if s.info.ReadyAt <= 0 || r.SlowStartMs <= 0 || r.SlowStartShare <= 0 {
+	limits := l.cfg.ServerLimits
+	if s.info.ReadyAt <= 0 || limits.SlowStartMs <= 0 || limits.SlowStartShare <= 0 {
 		return 1
 	}
-	return min(1, r.SlowStartShare+(1-r.SlowStartShare)*max(0, now-s.info.ReadyAt)/r.SlowStartMs)
+	return min(1, limits.SlowStartShare+(1-limits.SlowStartShare)*max(0, now-s.info.ReadyAt)/limits.SlowStartMs)
 }
 
 // hasSlowStartCredit reports whether a server may get a request now. A server in slow start
-// gets credit from this limiter, for one request at a time and from a random start. The credit
-// grows at the rate at which the limiter sends requests per warm server, times the server's
-// share of its capacity. So the parts of any number of limiters add up to that share of what a
-// warm server gets, without messages between them; where there is hardly any load, they add up
-// to minSlowStartRequests per window. Where most servers are in slow start, a part increases by
-// at most maxSlowStartRise, as the present load may be all that the servers could do when warm.
+// gets credit from this limiter, for one request at a time and beginning at a random value. The
+// credit grows at the rate at which the limiter sends requests per warm server, times the
+// server's share of its capacity. So the parts of any number of limiters add up to that share
+// of what a warm server gets, without messages between them; where there is hardly any load,
+// they add up to minSlowStartRequests per window. Where most servers are in slow start, a part
+// increases by at most maxSlowStartRise, as the present load may be all that the servers could
+// do when warm.
 func (l *Limiter) hasSlowStartCredit(now float64, s *server) bool {
 	share := l.slowStartShare(now, s)
 	if share >= 1 {
 		return true
 	}
-	use := slowStartUtilization + slowStartExtraUtilization*l.unseenShare
-	rate := max(use*share*l.decayedAttempts(now)/max(l.warmCapacity, l.upServers/maxSlowStartRise)*2/ejectionMs,
+	utilization := slowStartUtilization + slowStartExtraUtilization*l.unseenShare
+	rate := max(utilization*share*l.decayedAttempts(now)/max(l.warmCapacity, l.upServers/maxSlowStartRise)*2/ejectionMs,
 		minSlowStartRequests/float64(l.cfg.Balancers)/max(1, l.cfg.ServerLimits.OverloadMs))
 	s.slowStartCredit, s.slowStartCreditAt = min(1, max(0, s.slowStartCredit)+rate*(now-s.slowStartCreditAt)), now
 	return s.slowStartCredit >= 1
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,11 +6,11 @@
 )
 
 // A server in slow start gets no more than its share of capacity times what a warm server gets,
-// and one request per window if there is no warm server.
+// and at most two requests at once if there is no warm server.
 func TestSlowStartLimitsAServer(t *testing.T) {
-	f := testServers(4)
-	f[0].ReadyAt = 999
-	d := newLimiterDriver(t, testSettings(), f...)
+	list := testServers(4)
+	list[0].ReadyAt = 999
+	d := newLimiterDriver(t, testSettings(), list...)
 	sent := map[uint64]int{}
 	for range 50 {
 		d.now += 20
@@ -31,22 +31,22 @@
 		t.Errorf("the server in slow start got %d requests, the warm ones %d, %d and %d",
 			sent[1], sent[2], sent[3], sent[4])
 	}
-	d = newLimiterDriver(t, testSettings(), f[0])
+	d = newLimiterDriver(t, testSettings(), list[0])
 	if n := d.admit(200, Submit{Plan: 3}); n > 2 {
 		t.Errorf("the only server is in slow start and got %d requests at once", n)
 	}
 }
 
 // The parts that any number of independent limiters use of a server in slow start add up to
-// less than the rule allows. One request per window from each limiter would be almost nothing
+// less than ServerLimits permit. One request per window from each limiter would be almost nothing
 // for three limiters and far too much for hundreds.
 func TestSlowStartPartsAddUp(t *testing.T) {
 	for _, n := range []int{1, 3, 40, 300} {
 		cfg := testSettings()
 		cfg.Caps.Peers = false
-		f := testServers(10)
-		f[0].ReadyAt = 1e6
-		fleet := newTestFleet(t, cfg, n, f)
+		list := testServers(10)
+		list[0].ReadyAt = 1e6
+		fleet := newTestFleet(t, cfg, n, list)
 		rng := rand.New(rand.NewPCG(2, 2))
 		for range 2000 { // 10 s at 200 requests/s over all limiters
 			i := rng.IntN(n)
@@ -63,7 +63,7 @@
 				warm += k
 			}
 		}
-		// The mean share of capacity over the 10 s is 0.6; the rule allows twice that.
+		// The mean share of capacity over the 10 s is 0.6; OverloadFactor permits twice that.
 		if mean := float64(warm) / 9; float64(fleet.sent[1]) > 0.7*mean+3 {
 			t.Errorf("%d limiters: the server in slow start got %d requests, a warm one %.0f", n, fleet.sent[1], mean)
 		}
@@ -95,8 +95,8 @@
 	cfg := testSettings()
 	cfg.Caps.Peers = false
 	cfg.ServerLimits.SlowStartShare, cfg.ServerLimits.SlowStartMs = 0.3, 16000
-	f := testServers(servers)
-	fleet := newTestFleet(t, cfg, n, f)
+	list := testServers(servers)
+	fleet := newTestFleet(t, cfg, n, list)
 	rng := rand.New(rand.NewPCG(3, 3))
 	run := func(requests int) { // 400 requests/s over all limiters
 		clear(fleet.sent)
@@ -107,17 +107,17 @@
 	}
 	run(4000)
 	for i := range starting {
-		f[i].ReadyAt = fleet.now
+		list[i].ReadyAt = fleet.now
 	}
 	for i := range n {
-		fleet.event(i, Endpoints{Scope: Complete, Servers: f})
+		fleet.event(i, Endpoints{Scope: Complete, Servers: list})
 	}
 	const requests = 2000 // 5 s; the mean share of capacity is 0.41
 	run(requests)
 	got := 0
 	for i := range starting {
-		got += fleet.sent[f[i].ID]
-		if part := float64(fleet.sent[f[i].ID]); part > 2*0.41*requests/servers {
+		got += fleet.sent[list[i].ID]
+		if part := float64(fleet.sent[list[i].ID]); part > 2*0.41*requests/servers {
 			t.Errorf("server %d, in slow start, got %g requests", i, part)
 		}
 	}
@@ -126,8 +126,9 @@
 		t.Errorf("%d of %d requests went to the servers in slow start, which can take %.0f", got, requests, fair)
 	}
 	for i := starting; i < servers; i++ {
-		if mean := float64(requests-got) / (servers - starting); float64(fleet.sent[f[i].ID]) > 1.6*mean {
-			t.Errorf("warm server %d got %d requests, the mean of the warm ones is %.0f", i, fleet.sent[f[i].ID], mean)
+		if mean := float64(requests-got) / (servers - starting); float64(fleet.sent[list[i].ID]) > 1.6*mean {
+			t.Errorf("warm server %d got %d requests, the mean of the warm ones is %.0f", i, fleet.sent[list[i].ID],
+				mean)
 		}
 	}
 }
