--- a/dataplane/quota/digest.go
+++ b/dataplane/quota/digest.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// Digest is the summary of a group that its reporters send to limiters of other groups.
+// Digest summarizes the usage and the live sets of a group. The group's reporters send it to
+// limiters of other groups.
 type Digest struct {
 	Level     GroupingLevel  // grouping level of the sender; 0: no digest
-	Primary   bool           // the sender is the receiver's primary reporter, which is used while it is live
+	Primary   bool           // the sender is the receiver's primary reporter, preferred to the backup
 	LiveCount int            // limiters of the group that the sender receives from, including itself
 	LiveSet   uint32         // XOR of the fingerprints of these limiters
 	Classes   []SharingClass // of the group, largest first, at most maxReportedClasses
@@ -20,11 +21,11 @@
 	s := &e.sharing
 	d := Digest{Level: e.level, LiveCount: s.liveCount, LiveSet: s.groupLiveSet, Classes: s.classes, Consumed: out}
 	for id, t := range e.groupUnreported {
-		if !t.group.due() && !e.repeatsLow(now, t, &t.group) {
+		if !t.groupAdmitted.due() && !e.repeatsLow(now, t, &t.groupAdmitted) {
 			delete(e.groupUnreported, id)
 			continue
 		}
-		d.Consumed = e.appendDue(now, d.Consumed, id, t, &t.group, groupRelaxedIntervalMs)
+		d.Consumed = e.appendDue(now, d.Consumed, id, t, &t.groupAdmitted, groupRelaxedIntervalMs)
 	}
 	return d
 }
@@ -39,8 +40,9 @@
 	}
 	r := g.reporterFor(now, from, incarnation, ageMs)
 	if now-r.lastReceived > e.livenessTimeout() {
-		// What the reporter sent to others while nothing was received from it here was charged
-		// through the digests of the other reporter, or came out of its group's own shares.
+		// Forget the reporter's totals: the units that it counted while nothing was received from
+		// it were drawn from the digests of the other reporter, or were admitted out of the shares
+		// of its own group.
 		r.usage.clear()
 		clear(r.undrawn)
 	}
@@ -76,13 +78,13 @@
 		lastReceived: now,
 		undrawn:      map[uint64]uint64{},
 		// If the active reporter has just restarted, all its units are new.
-		countsFromStart: r != nil && g.activeReporter == from && ageMs <= newPeerMs,
+		firstTotalIsNew: r != nil && g.activeReporter == from && ageMs <= newPeerMs,
 	}
 	return g.reporters[from]
 }
 
 // recordDigest adds the new units of a digest to the undrawn units of its reporter. The first total
-// received from a reporter is only a baseline, unless the reporter counts from its start.
+// of a tenant is only a baseline, unless firstTotalIsNew is set.
 func (e *Enforcer) recordDigest(now float64, r *reporter, ageMs float64, consumed []Usage) {
 	for _, u := range consumed {
 		t := e.tenants[u.Tenant]
@@ -90,7 +92,7 @@
 			continue
 		}
 		e.inherit(now, t, ageMs, u.FillLevel)
-		if units, known := r.usage.update(t.row, u.Units); (known || r.countsFromStart) && units > 0 {
+		if units, known := r.usage.update(t.row, u.Units); (known || r.firstTotalIsNew) && units > 0 {
 			r.undrawn[u.Tenant] += units
 		}
 	}
@@ -127,7 +129,7 @@
 	if !wasLive || g.liveSet != d.LiveSet || !slices.Equal(g.classes, d.Classes) {
 		e.sharing.invalidate()
 	}
-	if !wasLive {
+	if !wasLive { // all its limiters count as sharing for liveSetGraceMs
 		g.sharers, g.sharersAt = d.LiveCount, now
 	}
 	g.activeReporter, g.primary, g.receivedAt, g.liveCount, g.liveSet = from, d.Primary, now, d.LiveCount, d.LiveSet
@@ -135,8 +137,8 @@
 	e.currentShare(now)
 }
 
-// drawDigest draws the undrawn units of the active reporter. Both reporters count the same units,
-// so those of the other one are discarded as well.
+// drawDigest draws the undrawn units of the active reporter. All reporters count the same units, so
+// the undrawn units of the others are discarded.
 func (e *Enforcer) drawDigest(now float64, g *group, r *reporter) {
 	if g.sharers == 0 {
 		clear(r.undrawn) // no limiter of the group shares with this one
--- a/dataplane/quota/groups.go
+++ b/dataplane/quota/groups.go
@@ -54,7 +54,7 @@
 
 // group is the state of another group.
 type group struct {
-	size      int // members in this limiter's member list
+	size      int // limiters of the group, including removed ones whose shares are still reserved
 	reporters map[uint64]*reporter
 	// From the last digest of the active reporter:
 	activeReporter uint64 // ID of the reporter whose digests are used
@@ -73,9 +73,9 @@
 	incarnation  uint64
 	lastReceived float64
 	usage        usageTable // the group's totals since the reporter's start
-	// countsFromStart: a tenant's first total consists of new units. Otherwise it is only the
+	// firstTotalIsNew: a tenant's first total consists of new units. Otherwise it is only the
 	// baseline, because other reporters have reported its units.
-	countsFromStart bool
+	firstTotalIsNew bool
 	// undrawn holds the units by tenant that this reporter has reported since the last digest of
 	// the active reporter. They are drawn if this reporter becomes the active one.
 	undrawn map[uint64]uint64
--- a/dataplane/quota/groups_test.go
+++ b/dataplane/quota/groups_test.go
@@ -36,10 +36,10 @@
 	report := func(now float64, from uint64, units uint64) {
 		s.ReceiveDigest(now, from, from, now, digest(units))
 	}
-	start, between := s.Balance(0, tenantID), 0.0
+	start, maxDrawnTwice := s.Balance(0, tenantID), 0.0
 	requireDrawn := func(now float64, want float64, what string) {
 		t.Helper()
-		if got := start - s.Balance(now, tenantID); got < want-0.1 || got > want+between+0.1 {
+		if got := start - s.Balance(now, tenantID); got < want-0.1 || got > want+maxDrawnTwice+0.1 {
 			t.Errorf("%s: %v units drawn, want %v", what, got, want)
 		}
 	}
@@ -50,10 +50,10 @@
 		report(now+5, b, uint64(now))
 	}
 	requireDrawn(106, 100, "both report")
-	report(115, b, 130) // a reports no longer; 30 more units were admitted
+	report(115, b, 130) // a has stopped reporting; 30 more units were admitted
 	requireDrawn(116, 100, "before the active reporter has timed out")
 	report(110+GroupedLivenessTimeoutMs, b, 150)
-	between = 10
+	maxDrawnTwice = 10
 	requireDrawn(111+GroupedLivenessTimeoutMs, 150, "the other reporter is active")
 	report(120+GroupedLivenessTimeoutMs, a, 160) // a reports again, but is no longer active
 	requireDrawn(121+GroupedLivenessTimeoutMs, 150, "the first reporter is back")
@@ -65,8 +65,8 @@
 	requireDrawn(141+GroupedLivenessTimeoutMs, 170, "digests of another grouping level")
 	// The reporters of a group change with every limiter that joins or leaves. A reporter that
 	// resumes after others reported in its place, and a new reporter, report units that were drawn
-	// long before. Drawing them again during a rolling restart left buckets of tenants far below
-	// their quotas 120 units below zero.
+	// long before. When these were drawn again during a rolling restart, the buckets of tenants that
+	// used far less than their quotas fell to 120 units below zero.
 	for now := 2000.0; now <= 4000; now += 100 {
 		report(now, b, 170+uint64(now-2000))
 	}
--- a/dataplane/quota/inherit.go
+++ b/dataplane/quota/inherit.go
@@ -52,8 +52,9 @@
 }
 
 // inherit takes over the fill level reported by a peer that has run for at least SeniorityMs longer
-// than this limiter. The balance of a bucket that is reported as empty may be far below zero, so
-// the bucket is assumed to be empty until peers report a positive fill level.
+// than this limiter. A lower balance applies immediately, a higher one from startInheriting on. The
+// balance of a bucket that is reported as empty may be far below zero, so the bucket is assumed to
+// be empty until peers report a positive fill level.
 func (e *Enforcer) inherit(now float64, t *tenant, ageMs float64, fillLevel uint8) {
 	if !t.inherited.acceptsReport(now, e.startedAt) || ageMs < now-e.startedAt+SeniorityMs {
 		return
--- a/dataplane/quota/inherit_test.go
+++ b/dataplane/quota/inherit_test.go
@@ -38,7 +38,7 @@
 
 // A bucket is refilled as usual once no peer reports any longer that it is empty. Reports of
 // limiters that started at the same time do not count.
-func TestStartedLimiterGoesOnAlone(t *testing.T) {
+func TestStartedLimiterRefillsWithoutEmptyReports(t *testing.T) {
 	p := Plan{Rate: 100, Burst: 100}
 	e, report := newLimiterWithPeer(10_000, p)
 	report(10_100, 50, 0)
@@ -53,7 +53,7 @@
 }
 
 // The report of a low bucket is repeated even if there are no new units, so that a limiter that has
-// just started receives it. The report of a well-filled bucket is not.
+// just started receives it. The report of a bucket that is not low is not repeated.
 func TestLowBucketIsReportedRepeatedly(t *testing.T) {
 	for _, c := range []struct {
 		units  int
--- a/dataplane/quota/lateness.go
+++ b/dataplane/quota/lateness.go
@@ -28,13 +28,13 @@
 	return l.ms
 }
 
-// LatenessMs returns the highest lateness among the last messages of all live peers. Lateness is
-// the delay beyond that of the peer's fastest message.
-func (e *Enforcer) LatenessMs(now float64) (latest float64) {
+// LatenessMs returns the highest lateness among the last messages of the live peers in this
+// limiter's group. Lateness is the delay beyond that of the peer's fastest message.
+func (e *Enforcer) LatenessMs(now float64) (highest float64) {
 	for _, p := range e.peers {
 		if now-p.lastReceived <= e.livenessTimeout() {
-			latest = max(latest, p.lateness.ms)
+			highest = max(highest, p.lateness.ms)
 		}
 	}
-	return latest
+	return highest
 }
--- a/dataplane/quota/lateness_test.go
+++ b/dataplane/quota/lateness_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// The lateness of a fleet is the highest lateness among its live peers.
+// The lateness that a limiter returns is the highest one among its live peers.
 func TestLatenessOfLivePeers(t *testing.T) {
 	f := newFleet(3, Plan{Rate: 10, Burst: 10})
 	e := f.limiters[0]
@@ -45,7 +45,8 @@
 	}
 }
 
-// The counters distinguish the reasons for rejections, and drawn from forgiven units.
+// The counters distinguish the reasons for rejections, and units that were drawn from units that
+// were forgiven.
 func TestCountersOfDecisions(t *testing.T) {
 	f := newFleet(2, Plan{Rate: 10, Burst: 10})
 	e := f.limiters[0]
--- a/dataplane/quota/pacing.go
+++ b/dataplane/quota/pacing.go
@@ -10,27 +10,28 @@
 
 // Pacing after a bucket was exhausted.
 //
-// A limiter learns what others admit only after a message or two, and later where messages are
-// queued behind downloads on a saturated link. An exhausted bucket becomes positive at all limiters
-// at about the same time. If each of them then admitted every request until it receives the usage
-// of the others, together they would spend the refill several times over, pay it back with negative
-// balances, and begin again: an oscillation whose peaks exceed the quota. A limiter whose bucket
-// was exhausted therefore admits no more than its fraction of the refill, computed from the usage
-// that it knows of. The fractions of all limiters add up to one. The more the bucket holds, the
-// more a limiter may admit, and once the bucket is well filled pacing ends: usage may move to other
-// limiters, and a tenant that stays below its quota must not be held back (docs/incidents/0019).
+// A limiter learns what others admit only by gossip, over one hop or, in a fleet with groups, two,
+// and later where messages are queued behind downloads on a saturated link. An exhausted bucket
+// becomes positive at all limiters at about the same time. If each of them then admitted every
+// request until it receives the usage of the others, together they would spend the refill several
+// times over, pay it back with negative balances, and begin again: an oscillation whose peaks
+// exceed the quota. A limiter whose bucket was exhausted therefore admits no more than its fraction
+// of the refill, computed from the usage that it knows of. The fractions of all limiters add up to
+// one. The more the bucket holds, the more a limiter may admit, and once the bucket is well filled
+// pacing ends: usage may move to other limiters, and a tenant that stays below its quota must not
+// be held back (docs/incidents/0019).
 //
 // When pacing ends, all limiters admit every request until they receive the usage of the others. If
 // that overdraws the bucket by much, because gossip is late, a second end of pacing in the same
 // window of the quota rule would exceed the quota. Pacing then ends one window later
 // (docs/incidents/0025).
 const (
-	// pacingEndLevel is the fraction of the burst from which on a bucket counts as filled again.
+	// pacingEndLevel is the fraction of the burst at which a bucket counts as well filled, so that
+	// pacing ends.
 	pacingEndLevel = 0.25
-	// pacingDebt is the overdraft as a fraction of the burst, in addition to pacingDebtUnits, from
-	// which on pacing lasts for a window of the quota rule after the bucket was last exhausted.
-	// Larger: usage of a tenant can move to other limiters sooner. Smaller: the quota holds with a
-	// longer gossip delay.
+	// An overdraft of more than pacingDebt x burst + pacingDebtUnits extends pacing until one
+	// window of the quota rule after the bucket was last exhausted. Larger: usage of a tenant can
+	// move to other limiters sooner. Smaller: the quota holds with a longer gossip delay.
 	pacingDebt      = 0.5
 	pacingDebtUnits = slackUnits / 2 // half of what the quota rule tolerates for any plan; the other half is a margin
 	// pacingGain is the relative increase of the pacing rate with a full bucket over the limiter's
@@ -52,7 +53,7 @@
 	tokens        float64 // units that may be admitted, as of updatedAt
 	updatedAt     float64
 	exhaustedAt   float64       // when the bucket was last found exhausted
-	inDebt        bool          // the overdraft has reached pacingDebt since pacing started
+	inDebt        bool          // the overdraft has exceeded the limit of pacingDebt since pacing started
 	own           decayingCount // units recently admitted here
 	others        decayingCount // units recently drawn for other limiters
 }
@@ -83,8 +84,8 @@
 	p.updatedAt, p.exhaustedAt = now, now
 }
 
-// updateDebt records whether the balance has reached pacingDebt after units of other limiters were
-// drawn.
+// updateDebt sets inDebt if the overdraft exceeds the limit of pacingDebt after units of other
+// limiters were drawn.
 func (p *pacing) updateDebt(balance, burst float64) {
 	p.inDebt = p.inDebt || balance < -pacingDebt*burst-pacingDebtUnits
 }
--- a/dataplane/quota/pacing_test.go
+++ b/dataplane/quota/pacing_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// runOn sends requests at a rate to the limiters from first to before last only, and returns how
-// many were sent and admitted.
+// runOn sends requests at a rate to the limiters with indices from first to last-1 only, and
+// returns how many were sent and admitted.
 func (f *fleet) runOn(first, last int, fromMs, toMs, perS float64) (requested, admitted int) {
 	for now := fromMs; now < toMs; now += 10 {
 		for i, l := range f.limiters {
@@ -24,7 +24,7 @@
 	return requested, admitted
 }
 
-// Once its bucket was exhausted, a limiter admits no more than its fraction of the refill, also
+// Once its bucket was exhausted, a limiter admits little more than its fraction of the refill, also
 // while it receives no usage from the others.
 func TestLimiterTakesItsPartOfTheRefill(t *testing.T) {
 	p := Plan{Rate: 100, Burst: 100}
--- a/dataplane/quota/peers.go
+++ b/dataplane/quota/peers.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	// LivenessTimeoutMs is how long a peer counts as live after a message from it. When limiters
-	// are suddenly partitioned, the units that they admit beyond their shares in this time bound
-	// the overshoot of the quota.
+	// LivenessTimeoutMs is how long a peer counts as live after a message from it. Limiters that
+	// are suddenly partitioned admit units beyond their shares until then: a longer timeout means a
+	// larger overshoot of the quota.
 	LivenessTimeoutMs = 450.0
 	// GroupedLivenessTimeoutMs is the liveness timeout in a fleet with groups, where messages are
 	// less frequent.
@@ -33,7 +33,7 @@
 	firstReceived float64 // time of the first message of this incarnation
 	lastReceived  float64
 	liveSet       uint32     // of the peer: the limiters that it receives from
-	sameLiveSetAt float64    // when it last equalled this limiter's live set
+	sameLiveSetAt float64    // when it last equalled this limiter's live set; at first, firstReceived
 	removedAt     float64    // when it was removed; 0: it is a member
 	usage         usageTable // reported by the peer
 	lateness      lateness   // of the messages of this incarnation
@@ -83,9 +83,9 @@
 	return LivenessTimeoutMs
 }
 
-// effectiveSendTime returns the time as of which a message that is received now shows that its
-// sender is live. After a process was suspended, its socket holds messages older than the liveness
-// timeout, which do not show that their senders are still live.
+// effectiveSendTime returns the time at which the sender of a message that is received now is known
+// to have been live. After a process was suspended, its socket holds messages older than the
+// liveness timeout, which do not show that their senders are still live.
 func (e *Enforcer) effectiveSendTime(now, latenessMs float64) float64 {
 	if latenessMs <= e.livenessTimeout() {
 		return now
@@ -132,7 +132,7 @@
 	if units == 0 {
 		return
 	}
-	t.group.total += units
+	t.groupAdmitted.total += units
 	e.groupUnreported[u.Tenant] = t
 	if p.sharesWithSelf(now) {
 		e.draw(now, t, units)
--- a/dataplane/quota/quota.go
+++ b/dataplane/quota/quota.go
@@ -60,15 +60,15 @@
 
 // tenant is the bucket and the usage of a tenant at this limiter.
 type tenant struct {
-	plan      Plan
-	row       int32 // in the usage tables
-	balance   float64
-	updatedAt float64      // the balance includes the refill up to this time
-	admitted  usageCounter // units admitted by this limiter, reported to its group
-	inherited inheritance
-	pacing    pacing
-	surge     surge
-	group     usageCounter // known units admitted by this limiter's group, reported to other groups
+	plan          Plan
+	row           int32 // in the usage tables
+	balance       float64
+	updatedAt     float64      // the balance includes the refill up to this time
+	admitted      usageCounter // units admitted by this limiter, reported to its group
+	inherited     inheritance
+	pacing        pacing
+	surge         surge
+	groupAdmitted usageCounter // known units admitted by this limiter's group, reported to other groups
 }
 
 // New returns the enforcer of a limiter that starts now.
@@ -96,7 +96,7 @@
 
 // floor returns the balance below which nothing is drawn from a bucket. It bounds how long an
 // incorrect report can block a tenant. The debt to pay back covers a whole window of the quota
-// rule: units forgiven earlier than that would be admitted once more within the window.
+// rule: if it were smaller, units that were forgiven could be admitted again within the window.
 func (e *Enforcer) floor(p Plan) float64 { return -p.Burst - p.Rate*e.windowMs/millisPerSecond }
 
 // SetPlans replaces the plans of all tenants, by [TenantID].
@@ -140,13 +140,13 @@
 // plan has refilled since this limiter's start.
 func (e *Enforcer) newTenant(now float64, id uint64, plan Plan) *tenant {
 	limiters := float64(len(e.peers) + 1)
-	row, started := e.rows.allocate(), now-e.startedAt
+	row, ageMs := e.rows.allocate(), now-e.startedAt
 	t := &tenant{
 		plan:      plan,
 		row:       row,
 		pacing:    pacing{initialTokens: e.initialPacingTokens(id)},
-		inherited: inheritance{pending: started <= inheritWindowMs},
-		balance:   min(plan.Burst, plan.Burst/limiters+plan.Rate*started/millisPerSecond),
+		inherited: inheritance{pending: ageMs <= inheritWindowMs},
+		balance:   min(plan.Burst, plan.Burst/limiters+plan.Rate*ageMs/millisPerSecond),
 		updatedAt: now,
 	}
 	// The bucket may be exhausted. Limiters that start together would otherwise each spend what is
@@ -182,7 +182,7 @@
 	t.pacing.recordAdmitted(now)
 	t.surge.recordAdmitted(now, e.gossipDelayMs())
 	t.admitted.total++
-	t.group.total++
+	t.groupAdmitted.total++
 	e.unreported[id], e.groupUnreported[id] = t, t
 	return 0, true
 }
--- a/dataplane/quota/quota_test.go
+++ b/dataplane/quota/quota_test.go
@@ -92,7 +92,7 @@
 		"each alone":           func(_, _ int) bool { return true },
 		"two halves":           func(i, j int) bool { return i%2 != j%2 },
 		"one receives nothing": func(_, j int) bool { return j == 0 },
-		// As on a day of pshpta-gw-control: one limiter is partitioned from three others, and both
+		// As in the scenario pshpta-gw-control: one limiter is partitioned from three others, and both
 		// sides receive from the rest (docs/incidents/0005).
 		"one and three, the rest receives from both": func(i, j int) bool {
 			return i == 0 && j >= 1 && j <= 3 || j == 0 && i >= 1 && i <= 3
@@ -165,9 +165,8 @@
 }
 
 // A limiter that joins a fleet takes over the balances of its peers and no more: the total stays
-// within the quota while limiters are restarted one after the other. Without the balances, limiters
-// that had just started rejected 314 requests of tenants far below their quotas during a rolling
-// restart.
+// within the quota while a limiter is restarted repeatedly. Without the balances, limiters that had
+// just started rejected 314 requests of tenants far below their quotas during a rolling restart.
 func TestNewLimiterInheritsPeerBalances(t *testing.T) {
 	p := Plan{Rate: 100, Burst: 100}
 	f := newFleet(10, p)
--- a/dataplane/quota/report.go
+++ b/dataplane/quota/report.go
@@ -26,18 +26,20 @@
 // delayed by that much more than those of a large tenant, half of it at each of the two hops: the
 // limiter, and the reporter of its group (docs/decisions/0017).
 const (
-	// VeryLargeFleetPeers is the number of peers from which on the report interval depends on a
-	// tenant's rate.
+	// VeryLargeFleetPeers is the minimum number of peers in a very large fleet, where the report
+	// interval of urgent tenants depends on their rates.
 	VeryLargeFleetPeers = 96
 	slackUnits          = 20.0  // quota_slack of the quota rule
 	surgeFactor         = 10.0  // highest expected request rate, as a multiple of the tenant's rate
-	maxExtraWaitMs      = 240.0 // upper bound of the additional delay at each hop
-	extraWaitStepMs     = 20.0  // tick of a large fleet, where a delay between two ticks ends at the later one
+	maxExtraDelayMs     = 240.0 // upper bound of the additional delay at each hop
+	// extraDelayStepMs is the tick of a large fleet. The additional delay is rounded down to whole
+	// ticks, because a delay that ends between two ticks lasts until the later one.
+	extraDelayStepMs = 20.0
 )
 
 // Limits of the usage that is reported to a limiter that has just started.
 const (
-	maxSnapshotTenants = 96       // fill two messages
+	maxSnapshotTenants = 96       // as many as fit into two messages
 	snapshotMaxAgeMs   = 10_000.0 // since a tenant's last report: the window of the quota rule plus a margin
 )
 
@@ -61,11 +63,11 @@
 	lowRepeat  bool // a report is due because the bucket is low; it is not urgent
 }
 
-func (c *usageCounter) due() bool { return c.urgent() || c.lowRepeat }
+func (c *usageCounter) due() bool { return c.unitsDue() || c.lowRepeat }
 
-// urgent reports whether a report is due because of admitted units, and not only because the bucket
-// is low.
-func (c *usageCounter) urgent() bool { return c.total != c.reported || c.repeat }
+// unitsDue reports whether a report is due because of admitted units, and not only because the
+// bucket is low.
+func (c *usageCounter) unitsDue() bool { return c.total != c.reported || c.repeat }
 
 func (c *usageCounter) unreported() uint64 { return c.total - c.reported }
 
@@ -98,7 +100,7 @@
 	for id, t := range e.tenants {
 		c := &t.admitted
 		if ofGroup {
-			c = &t.group
+			c = &t.groupAdmitted
 		}
 		if len(out) >= maxSnapshotTenants {
 			break
@@ -133,7 +135,7 @@
 		return out
 	}
 	interval, urgent := e.reportInterval(now, t, c.unreported(), relaxedIntervalMs)
-	urgent = urgent && c.urgent()
+	urgent = urgent && c.unitsDue()
 	if !c.due() || now-c.reportedAt < interval {
 		return out
 	}
@@ -163,8 +165,8 @@
 	if !e.veryLargeFleet() {
 		return urgentIntervalMs, true
 	}
-	extraMs := min(maxExtraWaitMs, millisPerSecond*slackUnits/(2*surgeFactor*t.plan.Rate))
-	return urgentIntervalMs + extraWaitStepMs*math.Floor(extraMs/extraWaitStepMs), true
+	extraMs := min(maxExtraDelayMs, millisPerSecond*slackUnits/(2*surgeFactor*t.plan.Rate))
+	return urgentIntervalMs + extraDelayStepMs*math.Floor(extraMs/extraDelayStepMs), true
 }
 
 func (e *Enforcer) veryLargeFleet() bool { return len(e.peers) >= VeryLargeFleetPeers }
--- a/dataplane/quota/share.go
+++ b/dataplane/quota/share.go
@@ -34,20 +34,20 @@
 //
 //	for all i, j: if P(i) and P(j) overlap, i draws the units of j, and j those of i   (1)
 //
-// P(i) consists of the limiters with the same live set as i. A live set is the set of limiters that
-// a limiter receives from, directly or through digests of other groups, including itself. It is
-// sent as the 32-bit XOR of the limiters' fingerprints. Limiters with equal live sets all receive
-// from each other, so they draw the units of each other and of nobody else. Each limiter has one
-// live set, so the classes of limiters with equal live sets are disjoint in any partition, also in
-// an asymmetric one, and (1) holds. It follows from (1) that for each tenant and each window of T
-// seconds
+// P(i) consists of the limiters with the same live set as i: these share with i. A live set is the
+// set of limiters that a limiter receives from, directly or through digests of other groups,
+// including itself. It is sent as the 32-bit XOR of the limiters' fingerprints. Limiters with equal
+// live sets all receive from each other, so they draw the units of each other and of nobody else.
+// Each limiter has one live set, so the classes of limiters with equal live sets are disjoint in
+// any partition, also in an asymmetric one, and (1) holds. It follows from (1) that for each tenant
+// and each window of T seconds
 //
 //	units admitted by all limiters <= rate x T + burst + late                          (2)
 //
-// where late is the number of units that limiters admit before they detect a change: units in
-// transit between limiters and, after a partition or a membership change, the units admitted until
-// the live sets have changed (the liveness timeout, liveSetGraceMs, and the messages about the
-// change: about 1.5 s). The quota rule allows a tenth of the plan and 20 units for it.
+// where late is the number of units that limiters admit on outdated information: while reports of
+// units are in transit and, after a partition or a membership change, until the live sets have
+// changed (the liveness timeout, liveSetGraceMs, and the messages about the change: about 1.5 s).
+// The quota rule allows a tenth of the plan and 20 units for it.
 // docs/decisions/0008 has the proof and the rejected alternatives. The allowance is known to be
 // exceeded with a message delay of 200 ms (docs/incidents/0019). Quotas are known to be left unused
 // when messages are lost in bursts (docs/incidents/0018).
--- a/dataplane/quota/surge.go
+++ b/dataplane/quota/surge.go
@@ -15,8 +15,8 @@
 // can use its whole burst there.
 const (
 	// longTermDecayMs is the time constant of the usage from which a limiter's fraction is
-	// computed. Larger: a surge after a pause is detected. Smaller: a tenant whose requests move to
-	// other limiters can use its burst there sooner.
+	// computed. Larger: a surge after a longer pause is still detected. Smaller: a tenant whose
+	// requests move to other limiters can use its burst there sooner.
 	longTermDecayMs = 60_000.0
 	// baseGossipDelayMs is the gossip delay while messages are not late, and
 	// baseGroupedGossipDelayMs the same in a fleet with groups. Larger: surges are paced sooner.
--- a/dataplane/quota/usagetable.go
+++ b/dataplane/quota/usagetable.go
@@ -4,7 +4,7 @@
 
 // The usage counters that peers have reported are the largest table of a limiter: at the design
 // size, 68 peers with 14,000 tenants each. With a map for each peer they took 30 MB; these tables
-// take a third of that. A counter is kept as long as its tenant exists: if the previous total of a
+// take less than 6 MB. A counter is kept as long as its tenant exists: if the previous total of a
 // tenant is unknown, its units cannot be drawn from the bucket.
 
 // rowsPerBlock is how many rows of a usageTable are allocated together, when the first of them is
@@ -24,7 +24,7 @@
 // update records the new total of a monotonic counter. It returns the increase, and whether an
 // earlier total was known: if not, the increase is the whole total. A total lower than the recorded
 // one is ignored.
-func (t *usageTable) update(row int32, units uint64) (grown uint64, known bool) {
+func (t *usageTable) update(row int32, units uint64) (increase uint64, known bool) {
 	i, bit := int(row)/rowsPerBlock, uint64(1)<<(row%rowsPerBlock)
 	for len(t.blocks) <= i {
 		t.blocks = append(t.blocks, nil)
--- a/dataplane/quota/usagetable_test.go
+++ b/dataplane/quota/usagetable_test.go
@@ -27,10 +27,10 @@
 		if wasKnown {
 			want = max(units, before) - before
 		}
-		grown, known := table.update(row, units)
-		if grown != want || known != wasKnown {
+		increase, known := table.update(row, units)
+		if increase != want || known != wasKnown {
 			t.Fatalf("row %d from %d (known %v) to %d: increase %d, known %v",
-				row, before, wasKnown, units, grown, known)
+				row, before, wasKnown, units, increase, known)
 		}
 		if wantUnits[row] = max(before, units); table.len() != len(wantUnits) {
 			t.Fatalf("%d rows known, want %d", table.len(), len(wantUnits))
