--- a/dataplane/attempt/attempt.go
+++ b/dataplane/attempt/attempt.go
@@ -1,6 +1,6 @@
 // Package attempt classifies the outcome of an attempt to send a request to a server, without I/O,
 // clock or goroutines. From what was written and what was received, [Classify] determines whether
-// the server may have executed the request, what the client can be answered, and what the outcome
+// the server may have executed the request, which response the client can get, and what the outcome
 // means for the server's health. [Evidence.Reusable] determines whether the connection may carry
 // another request. A [Tracker] follows the attempts at one request and decides whether the request
 // may be sent to another server, or which status ends it.
@@ -91,12 +91,12 @@
 	NotExecuted    bool // the server states that it did not execute the request
 	Sealed         bool // the response has Server-Seal, no content encoding, and a detectable end
 	Closes         bool // the connection is closed after the response
-	HeadRequest    bool // the method is HEAD: the body of a stray response would go undetected
+	HeadRequest    bool // the method is HEAD, so a later stray response could not be skipped
 	StrayResponses int  // responses to other requests that were received before
 	TrailingBytes  int  // bytes that were received after the response
 }
 
-// ClientResponse is what a client can be answered after an attempt.
+// ClientResponse is the response that a client can get after an attempt.
 type ClientResponse int
 
 // The responses to a client.
@@ -176,8 +176,8 @@
 }
 
 // Reusable reports whether the connection may carry another request after the response is
-// [Complete]. A server that has sent a stray response may send another one. Skipping a stray
-// response to a HEAD request would require knowing that it has no body.
+// [Complete]. A server that has sent a stray response may send another one. A repeated response to
+// a HEAD request could not be skipped: its header may announce a body, but none follows.
 func (e Evidence) Reusable() bool {
 	clean := !e.HeadRequest && e.StrayResponses == 0 && e.TrailingBytes == 0
 	return e.Written == FullyWritten && e.Response == Complete && !e.Closes && clean
--- a/dataplane/attempt/attempt_test.go
+++ b/dataplane/attempt/attempt_test.go
@@ -10,9 +10,9 @@
 
 // Whatever servers do in up to three attempts, in any order: a non-idempotent request that may have
 // been executed is not sent again; statuses 408, 421, 429 and 503 are returned only if the request
-// was not executed and cannot be any more; a request that was not executed is not given up; and a
-// response is forwarded only if the server sent it and it is complete or its truncation is
-// detectable.
+// was not executed and can no longer be; a request that was not executed and whose body is still
+// available is not given up; and a response is forwarded only if it is complete or its truncation
+// is detectable, and a success only if the server sealed it.
 func TestRulesHoldInEveryOrderOfEvents(t *testing.T) {
 	fault, states, steps := checkRules(DefaultRules())
 	if fault != "" {
@@ -24,8 +24,8 @@
 	t.Logf("%d states, %d steps", states, steps)
 }
 
-// Only responses to other requests of known length are skipped, and no more than MaxStrayResponses
-// of them.
+// Only responses to other requests are skipped, if their length is known and small enough, and no
+// more than MaxStrayResponses of them.
 func TestOnlyBoundedAnswersToOthersAreSkipped(t *testing.T) {
 	for _, owner := range []ResponseOwner{OwnerUnknown, OtherRequest} {
 		for count := 1; count <= MaxStrayResponses+1; count++ {
--- a/dataplane/attempt/explorer_test.go
+++ b/dataplane/attempt/explorer_test.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// keep returns the state with the attempt's response kept as the last failure, if it has one.
+// keep returns the state with the response to the client, if the attempt has one, kept as the last
+// failure.
 func (s state) keep(e Evidence, c Classification) state {
 	if c.Response != NoClientResponse {
 		s.keptStatus = clientStatus(e, c)
@@ -148,7 +149,7 @@
 	x.end(s, e)
 }
 
-// end responds to the client when no attempt is left, both before and after the deadline.
+// end responds to the client when no further attempt is made, both before and after the deadline.
 func (x *explorer) end(s state, e Evidence) {
 	x.add(s)
 	for _, timedOut := range []bool{false, true} {
@@ -165,7 +166,7 @@
 }
 
 // checkForwarded checks that a forwarded response is complete or its truncation is detectable, and
-// that a success was sent by the server.
+// that a success was sealed by the server.
 func (x *explorer) checkForwarded(e Evidence, c Classification) {
 	switch {
 	case c.Response == ServerResponse && e.Response != Complete && e.Response != Streaming:
--- a/dataplane/balance/choose.go
+++ b/dataplane/balance/choose.go
@@ -15,7 +15,7 @@
 //	+ affinity x (0: own, 1: of a peer, 2: distant)
 //	+ sharing x fraction of the server in other limiters' subsets
 //	+ suspicionCost x suspicion of the health detector
-//	- explorationBonus, if the server is own, idle and has had no request from this limiter yet
+//	- explorationBonus, if the server is this limiter's own, idle, and has had no request from it yet
 //	+ a random tie-break
 //
 // All terms are in units of the service's typical latency. The weights are explained in
@@ -96,9 +96,9 @@
 	load    float64 // requests in flight
 }
 
-// Choose returns the server with the lowest cost. If no server is expected to respond in the
-// remaining time it returns nil and the time to a retry: queueing a request that will be late
-// would make others late too (load shedding).
+// Choose returns the server with the lowest cost. It returns nil and the time to a retry if there
+// is no candidate, or if the response of that server would be late because of its queue: queueing a
+// request that will be late would make others late too (load shedding).
 //
 // In a large fleet the nearby servers are considered first, then a random sample. If that gives
 // no candidate, and in a small fleet, all servers are considered; as a last resort those that
--- a/dataplane/balance/outcome.go
+++ b/dataplane/balance/outcome.go
@@ -11,7 +11,7 @@
 	Rejected                         // the server responded that it did not run the request
 	Failure                          // no response, or an unusable one
 	NotSent                          // nothing reached the server: the connection failed
-	Cancelled                        // cancelled by this limiter: says nothing about the server
+	Cancelled                        // cancelled, or the deadline passed: says nothing about the server
 	Replaced                         // another server responded at the address
 	HedgeLost                        // cancelled when another attempt responded first; its time is a lower bound
 	ServerError                      // the server ran the request and responded with an error of its own
@@ -33,8 +33,8 @@
 // The weights of uncertain failures. A failure that this limiter has observed has weight 1
 // (docs/decisions/0009).
 const (
-	// peerFailureWeight is for a failure that another limiter reports: it does not report how
-	// many responses it had.
+	// peerFailureWeight is for a failure that another limiter reports, without the number of
+	// responses that it received.
 	peerFailureWeight = 0.25
 	// rejectedWeight is for a rejection by a server that has free slots as far as is known.
 	rejectedWeight = 0.4
--- a/dataplane/balance/set.go
+++ b/dataplane/balance/set.go
@@ -29,7 +29,7 @@
 
 	health         health.Detector
 	lastSuccessAt  float64 // 0: none yet
-	lastFailureAt  float64 // it could not be reached or did not respond
+	lastFailureAt  float64 // of the last failure that counted against its zone; 0: none yet
 	replacedUntil  float64 // not chosen until then, as another server responded at its address
 	rejectingUntil float64 // not chosen until then, as it rejected a request
 
--- a/dataplane/balance/set_test.go
+++ b/dataplane/balance/set_test.go
@@ -137,9 +137,9 @@
 }
 
 // TestServerThatFailsInPartIsEjected guards against a server that stays in use although it
-// responds to a part of its requests with errors. It did when a 500 did not count as a failure
-// and one success cancelled out two failures: on days with such servers 184 of 13,837 filing
-// requests failed.
+// responds to a part of its requests with errors. When a 500 did not count as a failure and one
+// success cancelled out two failures, 184 of 13,837 non-idempotent requests failed in scenarios
+// with such servers.
 func TestServerThatFailsInPartIsEjected(t *testing.T) {
 	s := newSet("z1", "z1", "z1")
 	a := s.byID["a"]
--- a/dataplane/balance/zoneoutage.go
+++ b/dataplane/balance/zoneoutage.go
@@ -22,8 +22,8 @@
 	outageMinFailed = 3
 	// outageMinRatio is the minimum ratio of failed servers to those that responded.
 	outageMinRatio = 2
-	// recentFailureMs is the time for which a failure counts for this. A success counts for half
-	// as long.
+	// recentFailureMs is the time for which a failure counts in the detection of an outage. A
+	// success counts for half as long.
 	recentFailureMs = 3000.0
 	// zoneFailureWeight is the weight of a server's failure against its zone. With a weight of 1
 	// a few failing servers eject a zone, and traffic between zones increases.
@@ -36,7 +36,7 @@
 	return z != nil && z.Ejected(now)
 }
 
-// recordZoneFailure counts a missing response of a server against its zone.
+// recordZoneFailure counts a failure of a server against its zone.
 func (s *Set) recordZoneFailure(now float64, m *Member, weight float64) {
 	if m.health.Ejected(now) {
 		return
--- a/dataplane/balance/zoneoutage_test.go
+++ b/dataplane/balance/zoneoutage_test.go
@@ -32,12 +32,12 @@
 		t.Fatal("a zone is ejected because of one broken server")
 	}
 	now := 20_000.0
-	for range 300 { // failures are rare
+	for range 300 { // lowers the baseline failure rate of the service
 		finishAll(s, now, Success, 100, "e")
 	}
 	finishAll(s, now, NotSent, 300, "a", "b", "c", "a", "b", "c")
 	if n := chosenInOwnZone(s, now+1); n > 0 || len(s.UnreachableZones(now+1)) != 1 {
-		t.Errorf("%d of 30 requests go to an ejected zone; ejected: %v", n, s.UnreachableZones(now+1))
+		t.Errorf("%d of 30 requests stay in the zone; ejected zones: %v, want that zone", n, s.UnreachableZones(now+1))
 	}
 	now += 1500
 	if chosenInOwnZone(s, now) == 0 {
