--- a/balancer/node/clientconns.go
+++ b/balancer/node/clientconns.go
@@ -99,7 +99,8 @@
 	}
 }
 
-// wasClosed reports whether a request's connection was closed before its header was read.
+// wasClosed reports whether closeConn closed a connection, which can happen while a request arrives
+// on it.
 func (c *clientConns) wasClosed(nc net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/balancer/node/clients.go
+++ b/balancer/node/clients.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	defaultSockets  = 1024
-	reservedSockets = 32 // for the listener, discovery, peers and files
+	defaultSockets  = 1024 // if Limits.Sockets is 0
+	reservedSockets = 32   // for the listener, discovery, peers and files
 	minSockets      = 2 * reservedSockets
 
-	// Whatever a client sends, it must get a response or a closed connection within 3 s of
-	// connecting: headerTimeout and bodyTimeout bound the time to read a request.
+	// A client that sends no complete request must get a response or a closed connection within
+	// 3 s of connecting: headerTimeout and bodyTimeout bound the time to read a request.
 	headerTimeout     = 2 * time.Second        // from the connect or the request's first byte
 	bodyTimeout       = 800 * time.Millisecond // from the end of the header
 	clientIdleTimeout = 2 * time.Second        // of a connection between requests
 	writeSlack        = 5 * time.Second        // to write a response after the longest deadline
 	maxHeaderBytes    = 16 << 10
-	maxIDLength       = 128
+	maxIDLength       = 128 // bytes of an X-Request-ID or an Idempotency-Key
 	// clientReceiveBuffer is the kernel's receive buffer of a client's connection, in bytes.
 	clientReceiveBuffer = 128 << 10
 
@@ -32,8 +32,8 @@
 	responseMargin        = 10 * time.Millisecond
 	responseMarginDivisor = 4
 
-	healthPath           = "/healthz"
-	capacityRetryAfterMs = 50.0 // Retry-After of a limiter at capacity, in ms
+	healthPath          = "/healthz" // of limiters and servers
+	defaultRetryAfterMs = 50.0       // Retry-After at capacity, or if the limiter gives none
 )
 
 // socketBudget divides the file descriptors between connections to servers and to clients, so
@@ -89,8 +89,9 @@
 	_, _ = io.WriteString(w, "ok\n") // the client may have disconnected
 }
 
-// rejectMalformed responds to a malformed request and closes its connection: its body has not
-// been read, and further data on the connection can't be trusted.
+// rejectMalformed rejects a request that is malformed or has the ID of a request in flight, and
+// closes its connection: its body may not have been read, and further data on the connection
+// can't be trusted.
 func (n *Node) rejectMalformed(w http.ResponseWriter, hr *http.Request, err error) {
 	status := http.StatusBadRequest
 	var b *badRequestError
@@ -117,7 +118,7 @@
 	}
 	if err == nil && n.atCapacity() {
 		w.Header().Set("Connection", "close")
-		n.writeResponse(w, &response{status: http.StatusServiceUnavailable, retryAfterMs: capacityRetryAfterMs})
+		n.writeResponse(w, &response{status: http.StatusServiceUnavailable, retryAfterMs: defaultRetryAfterMs})
 		return
 	}
 	if err == nil && !n.submit(r, ev) {
@@ -144,9 +145,9 @@
 	}
 }
 
-// atCapacity reports whether the requests in flight have reached MaxInFlight or the number of
-// connections to servers. Connections without a request don't count: clients that send nothing
-// must not cause rejections of others.
+// atCapacity reports whether the requests in flight have reached MaxInFlight or the maximum
+// number of connections to servers. Connections without a request don't count: clients that send
+// nothing must not cause rejections of others.
 func (n *Node) atCapacity() bool {
 	limit := n.pool.MaxConns
 	if m := n.cfg.Settings.MaxInFlight; m > 0 {
--- a/balancer/node/clients_test.go
+++ b/balancer/node/clients_test.go
@@ -231,9 +231,9 @@
 	_, budget := socketBudget(96)
 	for _, c := range unused { // the last ones time out, the others were evicted
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("got a byte on an idle connection")
+			t.Error("got a byte on an unused connection")
 		} else if isTimeout(err) {
-			t.Fatal("an idle connection stayed open")
+			t.Fatal("an unused connection stayed open")
 		}
 	}
 	eventually(t, "the connections are removed", func() bool {
@@ -334,7 +334,7 @@
 		_, _ = io.Copy(io.Discard, resp.Body) // until the connection is closed
 		_ = c.Close()
 	}
-	// A request that had been forwarded would reach the server before this one.
+	// If one of the requests above had been forwarded, the server would receive it before this one.
 	req := valid()
 	out := r.send(req)
 	c := srv.accept()
@@ -368,7 +368,7 @@
 			if err == nil && (resp.StatusCode < 400 || resp.StatusCode > 499) {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			if took := time.Since(begun); took > requestTime/2 {
+			if took := time.Since(begun); took > requestTimeout/2 {
 				t.Errorf("neither a response nor a close for %v", took)
 			}
 		})
@@ -382,7 +382,7 @@
 	for _, info := range []string{"units=7,spread=1,first=0", "units=1e9,spread=1,first=0", "units=-1,spread=1,first=0",
 		"units=1,spread=2,first=0", "units=1,spread=0,first=0", "units=1,spread=1,first=1",
 		"units=1,spread=1,first=1e400"} {
-		for range 3 { // the burst holds two units
+		for range 3 { // more than the burst of 2 units
 			req := r.newRequest("status-check", "starter", "")
 			req.Header.Set("Quota-Info", info)
 			if status, _, _ := r.do(req); status != 400 {
@@ -509,7 +509,7 @@
 	srv := newRawServer(t)
 	r := startNode(t, server("s-1", srv.addr))
 	r.dial()                                                        // a connection without any request
-	out := r.send(r.newRequest("send-bulk-paid", "enterprise", "")) // waits up to requestTime
+	out := r.send(r.newRequest("send-bulk-paid", "enterprise", "")) // waits up to requestTimeout
 	c := srv.accept()
 	c.request()
 	r.stop()
--- a/balancer/node/config.go
+++ b/balancer/node/config.go
@@ -20,7 +20,7 @@
 	"example.org/elmspan/balancer/wire"
 )
 
-// Config is the configuration of a limiter.
+// Config is the configuration of a [Node].
 type Config struct {
 	Name          string
 	Listen        string // address for clients
@@ -38,7 +38,8 @@
 	discoveryInFile string // discovery address in the file; NODE_DISCOVERY may override it
 }
 
-// Limits are the resource limits of the process; 0 means no limit.
+// Limits are the resource limits of the process. 0 means the default: one core, no memory limit,
+// defaultSockets.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
@@ -54,8 +55,8 @@
 	Zones           []string
 	IdleTimeout     time.Duration // servers close connections that have been idle this long
 	ConnectTimeout  time.Duration
-	MaxInFlight     int           // requests in flight; 0: no limit
-	MaxUnits        float64       // quota units of one request
+	MaxInFlight     int           // maximum number of requests in flight; 0: no limit
+	MaxUnits        float64       // maximum quota units of one request
 	LongestDeadline time.Duration // longest deadline of all classes
 }
 
--- a/balancer/node/discovery.go
+++ b/balancer/node/discovery.go
@@ -28,8 +28,8 @@
 	unchangedPause = 50 * time.Millisecond
 
 	// If the list must be polled, all limiters together make their first calls at a rate of one
-	// per callInterval. Calls that are rejected for overload are retried at a common rate of one
-	// per callInterval/2, which falls to one per overloadedCallInterval if they fail again:
+	// per callInterval. Calls that are rejected for overload are retried at a total rate of one
+	// per callInterval/2, which falls to one per overloadedCallInterval while they keep failing:
 	// discovery also processes calls whose callers have timed out, so above its capacity it
 	// answers none in time until most callers back off.
 	callInterval           = 60 * time.Millisecond
@@ -191,7 +191,7 @@
 		IdleConnTimeout: time.Minute}}
 	defer client.CloseIdleConnections()
 	pace := newDiscoveryPacing(n.cfg)
-	if index.valid { // without a list, nothing can be served: call at once
+	if index.valid { // otherwise there is no list to serve requests with: call at once
 		backoff.Sleep(ctx, pace.initialDelay)
 	}
 	for ctx.Err() == nil {
--- a/balancer/node/dispatch.go
+++ b/balancer/node/dispatch.go
@@ -48,7 +48,7 @@
 	case balancer.Reject:
 		// Without a Retry-After, a client would retry at once.
 		n.setFinal(a.ID, &response{status: http.StatusTooManyRequests,
-			retryAfterMs: cmp.Or(a.RetryAfterMs, capacityRetryAfterMs)})
+			retryAfterMs: cmp.Or(a.RetryAfterMs, defaultRetryAfterMs)})
 	case balancer.Fail:
 		n.setFinal(a.ID, &response{status: http.StatusBadGateway})
 	case balancer.CancelAttempt:
--- a/balancer/node/node.go
+++ b/balancer/node/node.go
@@ -20,11 +20,11 @@
 	// acceptAfterStop is how long new connections are accepted after SIGTERM: clients open new
 	// ones for up to 0.4 s.
 	acceptAfterStop = 500 * time.Millisecond
-	// The platform's grace period covers request deadlines of up to maxDrainWait. Requests that
-	// are still in flight stopSlack after that are ended, so that their clients get a response
-	// before SIGKILL.
+	// After SIGTERM, requests in flight may run for the longest deadline of all classes, but at
+	// most for maxDrainWait, which the platform's grace period covers. Those that are still in
+	// flight drainSlack later are ended, so that their clients get a response before SIGKILL.
 	maxDrainWait = 3 * time.Second
-	stopSlack    = 450 * time.Millisecond
+	drainSlack   = 450 * time.Millisecond
 )
 
 // Node runs one limiter on network sockets. It is the only caller of its [balancer.Limiter].
@@ -32,8 +32,8 @@
 type Node struct {
 	cfg          *Config
 	log          *slog.Logger
-	inputLog     *rateLimitedLog
-	discoveryLog *rateLimitedLog
+	inputLog     *rateLimitedLog // warnings about clients, servers, peers and entries of server lists
+	discoveryLog *rateLimitedLog // failed calls to discovery
 	pool         *pool
 	clients      *clientConns
 	peers        *peerLink // nil if peer messages are disabled
@@ -45,17 +45,17 @@
 	reloadRequests   chan struct{} // requests to reload the configuration
 	discoveryAddress chan string   // new addresses of the discovery service
 
-	stopping atomic.Bool // responses carry Connection: close
+	stopping atomic.Bool // set at SIGTERM: responses carry Connection: close
 
 	// mu is held while the limiter handles an event and its actions are performed. It guards the
 	// fields below and those of requests and attempts that are marked so.
 	mu            sync.Mutex
 	limiter       *balancer.Limiter
-	queue         []balancer.Event
+	queue         []balancer.Event // waiting for handleQueue
 	requests      map[string]*request
 	hasServers    bool      // a list with at least one server was applied
 	drainDeadline time.Time // zero until SIGTERM; all requests in flight end by then
-	closed        bool
+	closed        bool      // set when Run ends: events are ignored
 }
 
 // New returns a Node that listens for clients but does not serve them yet.
@@ -120,7 +120,7 @@
 		_ = n.peers.conn.Close() // ends receiveFromPeers
 		close(n.peers.queue)     // nothing is queued any more, as closed is set
 	}
-	_ = n.httpServer.Close() // drain has logged that connections are still open
+	_ = n.httpServer.Close() // if connections are still open, drain has logged it
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving clients: %w", err)
 	}
@@ -131,13 +131,13 @@
 // listener at once, which resets connections that clients are opening.
 func (n *Node) drain() error {
 	begun := time.Now()
-	deadline := begun.Add(min(n.cfg.Settings.LongestDeadline, maxDrainWait) + stopSlack)
+	deadline := begun.Add(min(n.cfg.Settings.LongestDeadline, maxDrainWait) + drainSlack)
 	n.mu.Lock()
 	n.drainDeadline = deadline
 	n.mu.Unlock()
 	n.stopping.Store(true)
 	n.log.Info("stopping")
-	time.Sleep(acceptAfterStop) // responses carry Connection: close from here on
+	time.Sleep(acceptAfterStop) // meanwhile, responses carry Connection: close
 	expire := time.AfterFunc(time.Until(deadline), n.expireRequests)
 	defer expire.Stop()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(100*time.Millisecond))
--- a/balancer/node/node_test.go
+++ b/balancer/node/node_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// requestTime is the time-out of a request, more than it takes on a slow machine.
-const requestTime = 10 * time.Minute
+// requestTimeout is the time-out of a request, more than it takes on a slow machine.
+const requestTimeout = 10 * time.Minute
 
 // newRequest returns a valid request of a class.
 func (r *harness) newRequest(class, plan, body string) *http.Request {
@@ -246,7 +246,7 @@
 	req.Header.Set("X-Request-ID", id)
 	req.Header.Set("X-Priority-Class", class)
 	req.Header.Set("Plan", plan)
-	req.Header.Set("X-Timeout", fmt.Sprintf("%dm", requestTime.Milliseconds()))
+	req.Header.Set("X-Timeout", fmt.Sprintf("%dm", requestTimeout.Milliseconds()))
 	req.Header.Set("Quota-Info", "units=1,spread=1,first=0")
 	if class == "send-reminder" {
 		req.Header.Set("Idempotency-Key", "key-"+id)
--- a/balancer/node/parserequest.go
+++ b/balancer/node/parserequest.go
@@ -123,8 +123,8 @@
 	return customer, nil
 }
 
-// requestTarget returns the path and query to forward. It fails if they contain bytes that a
-// server might not parse.
+// requestTarget returns the path and query to forward, also for a target in absolute form. It fails
+// if they contain bytes that a server might not parse.
 func requestTarget(hr *http.Request) (string, error) {
 	target := hr.RequestURI
 	if !strings.HasPrefix(target, "/") || strings.HasPrefix(target, "//") {
@@ -181,8 +181,9 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// parseQuotaInfo parses units, spread and first into ev and ignores other names. Values out of
-// range must not reach the limiter: they would corrupt the quota state of the customer.
+// parseQuotaInfo parses units, spread and first into ev and ignores numbers under other names.
+// Values out of range must not reach the limiter: they would corrupt the quota state of the
+// customer.
 func parseQuotaInfo(text string, limiters int, maxUnits float64, ev *balancer.Submit) error {
 	var hasUnits, hasSpread, hasFirst bool
 	for pair := range strings.SplitSeq(text, ",") {
--- a/balancer/node/servers.go
+++ b/balancer/node/servers.go
@@ -24,7 +24,7 @@
 	// framing included.
 	maxResponse = maxHeaderBytes + 2*maxBody
 	// A response that has begun must be complete within responseTimeout, which allows for the
-	// retransmission of a lost packet, or within 1/responseTimeDivisor of the time left.
+	// retransmission of a lost packet, and within 1/responseTimeDivisor of the time left.
 	responseTimeout     = 250 * time.Millisecond
 	responseTimeDivisor = 4
 	// maxLoad is above any load that a server can have; a higher reported value is ignored.
@@ -98,7 +98,8 @@
 }
 
 // executeOn executes an attempt on a connection, which it returns to the pool or closes. done is
-// false if the connection turned out to be unusable before anything was written on it.
+// false if the connection turned out to be unusable before anything was written on it and the
+// attempt has not been canceled.
 func (n *Node) executeOn(at *attempt, c *conn) (res attemptResult, done bool) {
 	deadline, ok := n.attachConn(at, c)
 	if !ok {
@@ -144,8 +145,8 @@
 	return deadline, true
 }
 
-// connState is the state of a connection after an exchange.
-// Only a reusable connection may go back to the pool.
+// connState is the state of a connection after an exchange. Only a reusable connection may go back
+// to the pool.
 type connState int
 
 const (
--- a/balancer/node/servers_test.go
+++ b/balancer/node/servers_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("got %s %s %v %q", got.Method, got.RequestURI, got.Header, body)
 	}
 	left, err := parseTimeout(got.Header.Get("X-Timeout"))
-	if err != nil || left > requestTime {
+	if err != nil || left > requestTimeout {
 		t.Errorf("X-Timeout %q is more than the time left (%v)", got.Header.Get("X-Timeout"), err)
 	}
 	c.respond("200 OK\r\nX-Server-Load: inflight=7,queue=2", "sent \x00 \xff")
@@ -64,7 +64,8 @@
 				(res.status == 429 || res.status == 503) {
 				t.Errorf("response %d where the request may have been executed", res.status)
 			}
-			// No other server is known, so the request must not be sent again.
+			// No other server is known, so the failed request must not be sent again, even if it is
+			// safe: the next connection carries the next request.
 			out = r.send(r.newRequest(class, "enterprise", ""))
 			next := srv.accept()
 			if next.request().Header.Get("X-Request-ID") == "" {
@@ -291,7 +292,8 @@
 }
 
 // If a server starts to drain while a slow connect to it is in progress, nothing is written on
-// the new connection.
+// the new connection. In the test, the drain comes after the start of the attempt and before its
+// connect.
 func TestDrainDuringSlowConnect(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
@@ -372,7 +374,7 @@
 		}
 	}()
 	// On a slow machine the request may time out before its attempt is sent: retry with more time.
-	for left := 300 * time.Millisecond; left < requestTime; left *= 2 {
+	for left := 300 * time.Millisecond; left < requestTimeout; left *= 2 {
 		req := r.newRequest("send-bulk-paid", "enterprise", "")
 		req.Header.Set("X-Timeout", fmt.Sprintf("%dm", left.Milliseconds()))
 		res := r.await(r.send(req))
@@ -492,7 +494,7 @@
 	first.conn.request()
 	go respondInvalid(first.conn)
 	other := next()
-	if took := time.Since(begun); took > requestTime/2 {
+	if took := time.Since(begun); took > requestTimeout/2 {
 		t.Errorf("the next attempt was made after %v", took)
 	}
 	if other.server == first.server {
@@ -639,8 +641,9 @@
 	}
 }
 
-// Over sockets: if a server drops connections that have been idle for some time at their next
-// request, such connections are no longer used.
+// Some servers drop a connection that has been idle for some time only when the next request
+// arrives on it. Connections that have been idle that long are then no longer used. The exchanges
+// use real sockets.
 func TestStaleConnections(t *testing.T) {
 	t.Parallel()
 	srv := newRawServer(t)
