--- a/dataplane/gossip/budget.go
+++ b/dataplane/gossip/budget.go
@@ -42,7 +42,7 @@
 type Budget struct{ BytesPerS, MessagesPerS float64 }
 
 // limited reports whether the budget limits a fleet.
-func (b Budget) limited(f FleetRegime) bool {
+func (b Budget) limited(f FleetSize) bool {
 	return f >= LargeFleet && b.BytesPerS > 0 && b.MessagesPerS > 0
 }
 
--- a/dataplane/gossip/disseminator.go
+++ b/dataplane/gossip/disseminator.go
@@ -18,7 +18,7 @@
 	budget      Budget
 
 	// Set by [Disseminator.SetPeers].
-	regime     FleetRegime
+	regime     FleetSize
 	recipients []*recipient // ordered by id
 	greeting   greeting
 
--- a/dataplane/gossip/regime.go
+++ b/dataplane/gossip/regime.go
@@ -2,14 +2,14 @@
 
 import "example.org/elmspan/dataplane/quota"
 
-// FleetRegime says by the size of the fleet how updates spread. What each limiter sends and
+// FleetSize says by the size of the fleet how updates spread. What each limiter sends and
 // receives must not grow with the fleet, so a larger one sends less often.
-type FleetRegime uint8
+type FleetSize uint8
 
 const (
 	// SmallFleet is a fleet where all limiters exchange loads and usage with each other, at once within a
 	// zone. There is no budget.
-	SmallFleet FleetRegime = iota
+	SmallFleet FleetSize = iota
 	// LargeFleet is a fleet with replica groups ([quota.MaxUngroupedLimiters] is the same size). Loads
 	// go to the neighbors in the zone only, and messages go out within the [Budget], those
 	// first that are due longest: there is more to send than a small link should carry.
@@ -33,7 +33,7 @@
 )
 
 // RegimeOf returns the regime of a fleet where a limiter has so many peers.
-func RegimeOf(peers int) FleetRegime {
+func RegimeOf(peers int) FleetSize {
 	switch {
 	case peers >= veryLargeFleetPeers:
 		return VeryLargeFleet
