--- a/dataplane/gossip/regime.go
+++ b/dataplane/gossip/regime.go
@@ -32,8 +32,8 @@
 	veryLargeFleetPeers = quota.VeryLargeFleetPeers
 )
 
-// RegimeOf returns the regime of a fleet where a limiter has so many peers.
-func RegimeOf(peers int) FleetSize {
+// FleetSizeOf returns the regime of a fleet where a limiter has so many peers.
+func FleetSizeOf(peers int) FleetSize {
 	switch {
 	case peers >= veryLargeFleetPeers:
 		return VeryLargeFleet
--- a/dataplane/gossip/topology.go
+++ b/dataplane/gossip/topology.go
@@ -27,7 +27,7 @@
 // the zone.
 func (d *Disseminator) SetPeers(peers []quota.Member, level quota.GroupingLevel) {
 	peers = slices.SortedFunc(slices.Values(peers), func(a, b quota.Member) int { return cmp.Compare(a.ID, b.ID) })
-	d.regime = RegimeOf(len(peers))
+	d.regime = FleetSizeOf(len(peers))
 	reports := d.reports(peers, level)
 	d.greetReporters(peers, level)
 	neighbors := d.neighbors(peers)
