--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -116,10 +116,10 @@
 // gossipCapacity is what the machine has, and the part of it that gossip may use.
 func gossipCapacity(cfg *settings.Node, o Options) gossip.Capacity {
 	return gossip.Capacity{
-		LinkMbps: cfg.Limits.LinkMbps,
-		LinkPart: o.Link.Gossip,
-		CPUShare: cfg.Limits.CPUShare,
-		CPUPart:  o.Link.GossipCPU,
+		LinkMbps:     cfg.Limits.LinkMbps,
+		LinkFraction: o.Link.Gossip,
+		CPUShare:     cfg.Limits.CPUShare,
+		CPUPart:      o.Link.GossipCPU,
 	}
 }
 
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -59,10 +59,10 @@
 	f := n.fleet
 	tuning := settings.DefaultTuning().Link
 	capacity := gossip.Capacity{
-		LinkMbps: f.day.Network.LinkMbps,
-		LinkPart: tuning.Gossip,
-		CPUShare: f.day.Network.CPUShare,
-		CPUPart:  tuning.GossipCPU,
+		LinkMbps:     f.day.Network.LinkMbps,
+		LinkFraction: tuning.Gossip,
+		CPUShare:     f.day.Network.CPUShare,
+		CPUPart:      tuning.GossipCPU,
 	}
 	return limiter.Config{
 		Self:         n.id,
