--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -119,7 +119,7 @@
 		LinkMbps:     cfg.Limits.LinkMbps,
 		LinkFraction: o.Link.Gossip,
 		CPUShare:     cfg.Limits.CPUShare,
-		CPUPart:      o.Link.GossipCPU,
+		CPUFraction:  o.Link.GossipCPU,
 	}
 }
 
--- a/dataplane/gossip/budget.go
+++ b/dataplane/gossip/budget.go
@@ -24,14 +24,14 @@
 	LinkMbps     float64 // of its link, in 10^6 bits a second; 0: not known, there is no bound
 	LinkFraction float64 // from 0 to 1
 	CPUShare     float64 // of its processor, in cores; 0: not known, there is no bound
-	CPUPart      float64 // from 0 to 1
+	CPUFraction  float64 // from 0 to 1
 }
 
 // Budget is what gossip may use of the machine.
 func (c Capacity) Budget() Budget {
 	return Budget{
 		BytesPerS:    c.LinkMbps * bytesPerMbit * c.LinkFraction,
-		MessagesPerS: c.CPUShare * msPerSecond / messageMs * c.CPUPart,
+		MessagesPerS: c.CPUShare * msPerSecond / messageMs * c.CPUFraction,
 	}
 }
 
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -62,7 +62,7 @@
 		LinkMbps:     f.day.Network.LinkMbps,
 		LinkFraction: tuning.Gossip,
 		CPUShare:     f.day.Network.CPUShare,
-		CPUPart:      tuning.GossipCPU,
+		CPUFraction:  tuning.GossipCPU,
 	}
 	return limiter.Config{
 		Self:         n.id,
