--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -118,7 +118,7 @@
 	return gossip.Capacity{
 		LinkMbps:     cfg.Limits.LinkMbps,
 		LinkFraction: o.Link.Gossip,
-		CPUShare:     cfg.Limits.CPUShare,
+		CPUCores:     cfg.Limits.CPUShare,
 		CPUFraction:  o.Link.GossipCPU,
 	}
 }
--- a/dataplane/gossip/budget.go
+++ b/dataplane/gossip/budget.go
@@ -23,7 +23,7 @@
 type Capacity struct {
 	LinkMbps     float64 // of its link, in 10^6 bits a second; 0: not known, there is no bound
 	LinkFraction float64 // from 0 to 1
-	CPUShare     float64 // of its processor, in cores; 0: not known, there is no bound
+	CPUCores     float64 // of its processor, in cores; 0: not known, there is no bound
 	CPUFraction  float64 // from 0 to 1
 }
 
@@ -31,7 +31,7 @@
 func (c Capacity) Budget() Budget {
 	return Budget{
 		BytesPerS:    c.LinkMbps * bytesPerMbit * c.LinkFraction,
-		MessagesPerS: c.CPUShare * msPerSecond / messageMs * c.CPUFraction,
+		MessagesPerS: c.CPUCores * msPerSecond / messageMs * c.CPUFraction,
 	}
 }
 
--- a/lab/controlbench/hollow/quota.go
+++ b/lab/controlbench/hollow/quota.go
@@ -40,7 +40,7 @@
 	fleet := make([]*limiter.Limiter, n)
 	now := 0.0
 	tuning := settings.DefaultTuning().Link
-	capacity := gossip.Capacity{LinkMbps: 1000, LinkFraction: tuning.Gossip, CPUShare: 0.32, CPUFraction: tuning.GossipCPU}
+	capacity := gossip.Capacity{LinkMbps: 1000, LinkFraction: tuning.Gossip, CPUCores: 0.32, CPUFraction: tuning.GossipCPU}
 	budget := capacity.Budget()
 	add := func(name string, do func(i int) error) error {
 		got, err := step(name, n, 0, do)
--- a/lab/simulation/node.go
+++ b/lab/simulation/node.go
@@ -61,7 +61,7 @@
 	capacity := gossip.Capacity{
 		LinkMbps:     f.day.Network.LinkMbps,
 		LinkFraction: tuning.Gossip,
-		CPUShare:     f.day.Network.CPUShare,
+		CPUCores:     f.day.Network.CPUShare,
 		CPUFraction:  tuning.GossipCPU,
 	}
 	return limiter.Config{
