--- a/dataplane/gossip/greeting.go
+++ b/dataplane/gossip/greeting.go
@@ -21,9 +21,9 @@
 	sentAt     float64
 }
 
-// NoteStart notes the age of a limiter of which a first message has come since its start: whether this limiter or the
+// RecordPeerStart notes the age of a limiter of which a first message has come since its start: whether this limiter or the
 // other one has to be introduced. Neither has where a fleet starts as a whole: there are no sums to report.
-func (d *Disseminator) NoteStart(now float64, from uint64, ageMs float64) {
+func (d *Disseminator) RecordPeerStart(now float64, from uint64, ageMs float64) {
 	own := now - d.startedAt
 	d.greeting.wanted = d.greeting.wanted || ageMs > own+quota.SeniorityMs
 	if own > ageMs+quota.SeniorityMs {
--- a/dataplane/gossip/greeting_test.go
+++ b/dataplane/gossip/greeting_test.go
@@ -15,7 +15,7 @@
 	l := &testLimiter{Disseminator: NewDisseminator(start, self, 1, Budget{}), quotas: quota.New(start, self)}
 	l.quotas.SetMembers(start, peers)
 	l.SetPeers(peers, l.quotas.Level())
-	l.NoteStart(start, peers[0].ID, peerAgeMs)
+	l.RecordPeerStart(start, peers[0].ID, peerAgeMs)
 	count = map[uint64]int{}
 	for now := start; now < start+1000; now += l.TickMs() {
 		l.greet(now, func(to uint64, m *Message) {
--- a/dataplane/limiter/limiter.go
+++ b/dataplane/limiter/limiter.go
@@ -187,7 +187,7 @@
 	}
 	if l.started[m.From] != m.Incarnation {
 		l.started[m.From] = m.Incarnation
-		l.gossip.NoteStart(now, m.From, m.AgeMs)
+		l.gossip.RecordPeerStart(now, m.From, m.AgeMs)
 	}
 	if m.GroupDigest.Level > 0 {
 		l.quota.ReceiveDigest(now, m.From, m.Incarnation, m.AgeMs, m.GroupDigest)
