--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -49,7 +49,7 @@
 	everyMs := gossip.TickMs
 	t := time.NewTicker(millis(everyMs))
 	defer t.Stop()
-	out := &gossipSender{host: h, plain: make([]byte, 0, gossip.MaxSize), sealer: h.newSealer()}
+	out := &gossipSender{host: h, plain: make([]byte, 0, gossip.MaxMessageSize), sealer: h.newSealer()}
 	h.socketMu.Lock()
 	h.receiver = newGossipReceiver(h)
 	h.socketMu.Unlock()
@@ -144,7 +144,7 @@
 
 func newGossipReceiver(h *gossipHost) *gossipReceiver {
 	return &gossipReceiver{
-		host: h, raw: make([]byte, gossip.MaxSize+keys.SealOverhead+1), sealer: h.newSealer(),
+		host: h, raw: make([]byte, gossip.MaxMessageSize+keys.SealOverhead+1), sealer: h.newSealer(),
 	}
 }
 
--- a/dataplane/gossip/codec.go
+++ b/dataplane/gossip/codec.go
@@ -125,7 +125,7 @@
 // [ErrMalformed] where the datagram is not one whole message; the message's content is
 // undefined then.
 func (m *Message) Decode(b []byte) error {
-	r := reader{unread: b, ok: len(b) <= MaxSize}
+	r := reader{unread: b, ok: len(b) <= MaxMessageSize}
 	if string(r.take(len(magic))) != magic {
 		return ErrMalformed
 	}
--- a/dataplane/gossip/codec_test.go
+++ b/dataplane/gossip/codec_test.go
@@ -22,7 +22,7 @@
 	}
 	b := m.Append(nil)
 	var decoded Message
-	if err := decoded.Decode(b); err != nil || len(b) > MaxSize {
+	if err := decoded.Decode(b); err != nil || len(b) > MaxMessageSize {
 		t.Fatalf("%d bytes, %v", len(b), err)
 	}
 	decoded.Consumed = m.Consumed // none in both
--- a/dataplane/gossip/disseminator.go
+++ b/dataplane/gossip/disseminator.go
@@ -9,7 +9,7 @@
 // start of a limiter; its host calls it from one goroutine at a time or under one lock.
 //
 // What it sends in a second doesn't grow with the fleet: the number of recipients is
-// bounded ([Disseminator.SetPeers]), so is the size of a message ([MaxSize]), and in a large
+// bounded ([Disseminator.SetPeers]), so is the size of a message ([MaxMessageSize]), and in a large
 // fleet the [Budget] holds.
 type Disseminator struct {
 	self        quota.Member
--- a/dataplane/gossip/message.go
+++ b/dataplane/gossip/message.go
@@ -18,13 +18,13 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// MaxSize is the size of the largest message in bytes. Larger datagrams are refused. With
+// MaxMessageSize is the size of the largest message in bytes. Larger datagrams are refused. With
 // the overhead of IP and UDP and the seal it fits an Ethernet frame, so that none is
 // fragmented.
-const MaxSize = 1200
+const MaxMessageSize = 1200
 
 // How many entries a sender puts into one message. What has no room waits for the next.
-// The largest such message is smaller than [MaxSize].
+// The largest such message is smaller than [MaxMessageSize].
 const (
 	maxTenants = 48
 	maxHints   = 64
