--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -189,8 +189,8 @@
 	g.mu.Lock()
 	known = g.limiter.Receive(g.clock.nowMs(), m)
 	g.mu.Unlock()
-	if known && m.StaleAge != 0 {
-		r.host.pool.RecordStale(int(m.StaleAge), m.From)
+	if known && m.StaleIdleGroup != 0 {
+		r.host.pool.RecordStale(int(m.StaleIdleGroup), m.From)
 	}
 	return known
 }
--- a/dataplane/gossip/codec.go
+++ b/dataplane/gossip/codec.go
@@ -60,7 +60,7 @@
 	b = appendConsumed(b, m.Consumed)
 	b = appendHints(b, m.Hints)
 	b = appendDemand(b, m.Demand)
-	b = append(b, m.StaleAge)
+	b = append(b, m.StaleIdleGroup)
 	if m.GroupDigest.Level == 0 {
 		return binary.BigEndian.AppendUint32(append(b, 0), m.LiveSet)
 	}
@@ -133,7 +133,7 @@
 	m.Consumed = r.consumed(m.Consumed[:0])
 	m.Hints = r.hints(m.Hints[:0])
 	m.Demand = r.demand(m.Demand[:0])
-	m.StaleAge = r.staleAge()
+	m.StaleIdleGroup = r.staleAge()
 	m.LiveSet = 0
 	m.GroupDigest = quota.Digest{Consumed: m.GroupDigest.Consumed[:0], Classes: m.GroupDigest.Classes[:0]}
 	if level := r.uint8(); level == 0 {
--- a/dataplane/gossip/disseminator.go
+++ b/dataplane/gossip/disseminator.go
@@ -114,8 +114,8 @@
 		d.staleAge = 0
 	}
 	m := &d.message
-	changed = liveSet != m.LiveSet || d.staleAge != 0 && m.StaleAge == 0
-	m.LiveSet, m.StaleAge = liveSet, d.staleAge
+	changed = liveSet != m.LiveSet || d.staleAge != 0 && m.StaleIdleGroup == 0
+	m.LiveSet, m.StaleIdleGroup = liveSet, d.staleAge
 	return changed
 }
 
--- a/dataplane/gossip/disseminator_test.go
+++ b/dataplane/gossip/disseminator_test.go
@@ -62,7 +62,7 @@
 	l := newTestLimiter(1, peers, Budget{})
 	reports := func(now float64) (n int) {
 		l.tick(now, func(_ uint64, m *Message) {
-			if mustDecode(t, m).StaleAge == 4 {
+			if mustDecode(t, m).StaleIdleGroup == 4 {
 				n++
 			}
 		})
--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -27,7 +27,7 @@
 	}
 	demand := []balance.Demand{{Service: 0, Level: 1}, {Service: 0xbeef, Level: 200}}
 	classes := []quota.SharingClass{{LiveSet: 0xcafef00d, Count: 41}, {LiveSet: 7, Count: 300}}
-	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, StaleAge: 16}
+	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, StaleIdleGroup: 16}
 	for i := range 64 {
 		hint := balance.Hint{Server: uint32(i) << 20, InFlight: uint8(i), Latency: uint8(255 - i)}
 		full.Hints = append(full.Hints, hint)
@@ -57,9 +57,9 @@
 		"spent":     with(1, func(m *Message) { m.Consumed, m.LiveSet = consumed, 1 }),
 		"hints":     with(128, func(m *Message) { m.Hints, m.LiveSet = hints, 2 }),
 		"demand":    with(300, func(m *Message) { m.Demand, m.LiveSet = demand, 3 }),
-		"forgotten": with(16384, func(m *Message) { m.StaleAge, m.LiveSet = 5, 4 }),
+		"forgotten": with(16384, func(m *Message) { m.StaleIdleGroup, m.LiveSet = 5, 4 }),
 		"all-but-digest": with(1<<40, func(m *Message) {
-			m.Consumed, m.Hints, m.Demand, m.StaleAge, m.LiveSet = consumed, hints, demand, 16, 5
+			m.Consumed, m.Hints, m.Demand, m.StaleIdleGroup, m.LiveSet = consumed, hints, demand, 16, 5
 		}),
 		"digest-first": with(9, func(m *Message) { m.GroupDigest = digest(1, true, 1, 6) }),
 		"digest-second": with(10, func(m *Message) {
@@ -67,7 +67,7 @@
 			m.GroupDigest.Classes, m.GroupDigest.Consumed = classes, consumed
 		}),
 		"digest-and-hints": with(11, func(m *Message) {
-			m.Hints, m.Demand, m.StaleAge = hints, demand, 1
+			m.Hints, m.Demand, m.StaleIdleGroup = hints, demand, 1
 			m.GroupDigest = digest(3, true, 9, 8)
 			m.GroupDigest.Classes, m.GroupDigest.Consumed = classes[:1], consumed[:1]
 		}),
--- a/dataplane/gossip/message.go
+++ b/dataplane/gossip/message.go
@@ -56,9 +56,9 @@
 	Hints []balance.Hint
 	// Demand has the requests to services, for the subsets of servers.
 	Demand []balance.Demand
-	// StaleAge is the lowest age of connections that servers had closed without a word, in
+	// StaleIdleGroup is the lowest age of connections that servers had closed without a word, in
 	// the unit of connpool.Pool.RecordStale; 0: there were none of late.
-	StaleAge uint8
+	StaleIdleGroup uint8
 	// LiveSet is a hash over the limiters that the sender receives from
 	// ([quota.Enforcer.LiveSet]). It is sent only without a group digest.
 	LiveSet uint32
