--- a/dataplane/gossip/codec.go
+++ b/dataplane/gossip/codec.go
@@ -7,56 +7,54 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// A datagram has these sections, in this order and without anything between or behind
-// them. Numbers are big endian; uN is an unsigned number of N bits, uvarint one of
-// encoding/binary's varints.
+// Datagram format. The sections follow each other in this order, without padding. Integers
+// are big endian; uN is an unsigned integer of N bits, uvarint a varint of encoding/binary.
 //
 //	section    field                   encoding
 //	---------  ----------------------  -----------------------------------------------------
-//	head       magic                   "E5"
+//	header     magic                   "E5"
 //	           sender                  u64, hash of its name
 //	           incarnation             u64
-//	           age in ms               uvarint
+//	           sender's uptime in ms   uvarint
 //	consumed   number of tenants       uvarint
-//	           for each: tenant        u40
-//	                     units         uvarint, since the sender's start
-//	                     level         u8, what is left in the bucket: 255ths of the burst
+//	           for each: tenant        u40, quota.TenantID
+//	                     units         uvarint, admitted since the sender's start
+//	                     fill level    u8, bucket balance in 255ths of the burst
 //	hints      number of servers       uvarint
 //	           for each: server        u32, hash of its id
-//	                     in flight     u8, balance.InFlightUnknown: not sent
-//	                     latency       u8, sixteenths of the typical one; 0: none,
-//	                                   balance.LatencyFailed: a failure
+//	                     in flight     u8; balance.InFlightUnknown: not reported
+//	                     latency       u8, sixteenths of the typical latency; 0: none,
+//	                                   balance.LatencyFailed: the request failed
 //	demand     number of services      uvarint
 //	           for each: service       u16, hash of its name
 //	                     demand        u8
-//	stale      stale connection age    u8, 0 to maxStaleAge; 0: none of late
-//	group      digest or not           u8: 0 without a digest. With one: its level, 1 to
-//	                                   maxLevel, with digestFlag, and with firstFlag from
-//	                                   the reporter whose figures count while it sends
+//	stale      stale idle group        u8, 0 to maxStaleIdleGroup; 0: none seen recently
+//	group      digest flags and level  u8; 0: no digest. With a digest: its level, 1 to
+//	                                   maxLevel, combined with digestFlag, and with
+//	                                   firstFlag if sent by the group's first reporter
 //
 //	group, without a digest:
 //	           live set                u32, hash of the limiters that the sender receives from
 //
 //	group, with a digest:
-//	           live count              uvarint, members of the group that the sender receives
-//	                                   from, itself among them
-//	           live set                u32, hash of those
-//	           number of classes       uvarint, maxClasses at most
+//	           live count              uvarint, group members that the sender receives from,
+//	                                   itself included
+//	           live set                u32, hash of those members
+//	           number of classes       uvarint, at most maxClasses
 //	           for each: live set      u32, hash of the limiters that its members receive from
 //	                     members       uvarint
-//	           consumed                as the section of that name, summed over the group
+//	           consumed                encoded as the consumed section, summed over the group
 //
-// A datagram of more than MaxSize bytes, one that ends early and one that goes on after the
-// last section are malformed.
+// Datagrams that exceed MaxMessageSize, are truncated, or have trailing bytes are malformed.
 const (
 	magic      = "E5"
-	digestFlag = 0x80 // beside the level: a group digest follows
-	firstFlag  = 0x40
+	digestFlag = 0x80 // set in the level byte: a group digest follows
+	firstFlag  = 0x40 // set in the level byte: sent by the group's first reporter
 )
 
 // Append appends the encoded message to b.
 func (m *Message) Append(b []byte) []byte {
-	b = m.appendHead(b)
+	b = m.appendHeader(b)
 	b = appendConsumed(b, m.Consumed)
 	b = appendHints(b, m.Hints)
 	b = appendDemand(b, m.Demand)
@@ -67,7 +65,7 @@
 	return appendDigest(b, &m.GroupDigest)
 }
 
-func (m *Message) appendHead(b []byte) []byte {
+func (m *Message) appendHeader(b []byte) []byte {
 	b = append(b, magic...)
 	b = binary.BigEndian.AppendUint64(b, m.From)
 	b = binary.BigEndian.AppendUint64(b, m.Incarnation)
@@ -76,11 +74,11 @@
 
 func appendConsumed(b []byte, consumed []quota.Usage) []byte {
 	b = binary.AppendUvarint(b, uint64(len(consumed)))
-	for _, e := range consumed {
-		b = append(b, byte(e.Tenant>>32))
-		b = binary.BigEndian.AppendUint32(b, uint32(e.Tenant))
-		b = binary.AppendUvarint(b, e.Units)
-		b = append(b, e.FillLevel)
+	for _, u := range consumed {
+		b = append(b, byte(u.Tenant>>32))
+		b = binary.BigEndian.AppendUint32(b, uint32(u.Tenant))
+		b = binary.AppendUvarint(b, u.Units)
+		b = append(b, u.FillLevel)
 	}
 	return b
 }
@@ -103,7 +101,7 @@
 	return b
 }
 
-// appendDigest appends the group section of a message with a digest.
+// appendDigest appends the group section of a message that carries a digest.
 func appendDigest(b []byte, d *quota.Digest) []byte {
 	level := byte(d.Level) | digestFlag
 	if d.First {
@@ -120,10 +118,9 @@
 	return appendConsumed(b, d.Consumed)
 }
 
-// Decode decodes a datagram into the message. It writes over what was there and takes over
-// its slices, so that a receiver that keeps one message allocates little. The error is
-// [ErrMalformed] where the datagram is not one whole message; the message's content is
-// undefined then.
+// Decode decodes a datagram into m. It overwrites m and reuses its slices, so that a receiver
+// that reuses one message allocates little. It returns [ErrMalformed] if the datagram is not
+// exactly one message; the contents of m are then undefined.
 func (m *Message) Decode(b []byte) error {
 	r := reader{unread: b, ok: len(b) <= MaxMessageSize}
 	if string(r.take(len(magic))) != magic {
@@ -133,7 +130,7 @@
 	m.Consumed = r.consumed(m.Consumed[:0])
 	m.Hints = r.hints(m.Hints[:0])
 	m.Demand = r.demand(m.Demand[:0])
-	m.StaleIdleGroup = r.staleAge()
+	m.StaleIdleGroup = r.staleIdleGroup()
 	m.LiveSet = 0
 	m.GroupDigest = quota.Digest{Consumed: m.GroupDigest.Consumed[:0], Classes: m.GroupDigest.Classes[:0]}
 	if level := r.uint8(); level == 0 {
@@ -147,14 +144,14 @@
 	return nil
 }
 
-// reader reads a datagram from its start. After the first thing that can't be read, ok is
-// false and all that is read is 0.
+// reader decodes a datagram sequentially. After the first error, ok is false and all reads
+// return zero.
 type reader struct {
 	unread []byte
 	ok     bool
 }
 
-// take returns the next n bytes, nil where there are not so many.
+// take consumes the next n bytes. It returns nil if fewer are left.
 func (r *reader) take(n int) []byte {
 	if !r.ok || len(r.unread) < n {
 		r.ok = false
@@ -196,26 +193,26 @@
 	return v
 }
 
-// peers reads a number of limiters.
-func (r *reader) peers() int { return int(min(r.uvarint(), maxPeers)) }
+// limiterCount reads a number of limiters, capped at maxLimiterCount.
+func (r *reader) limiterCount() int { return int(min(r.uvarint(), maxLimiterCount)) }
 
-// consumed reads the usage of tenants and appends it to out.
+// consumed reads a consumed section and appends it to out.
 func (r *reader) consumed(out []quota.Usage) []quota.Usage {
 	for n := r.uvarint(); n > 0 && r.ok; n-- {
-		var e quota.Usage
+		var u quota.Usage
 		if id := r.take(5); id != nil {
-			e.Tenant = uint64(id[0])<<32 | uint64(binary.BigEndian.Uint32(id[1:]))
+			u.Tenant = uint64(id[0])<<32 | uint64(binary.BigEndian.Uint32(id[1:]))
 		}
-		e.Units = r.uvarint()
-		e.FillLevel = r.uint8()
+		u.Units = r.uvarint()
+		u.FillLevel = r.uint8()
 		if r.ok {
-			out = append(out, e)
+			out = append(out, u)
 		}
 	}
 	return out
 }
 
-// hints reads the loads of servers and appends them to out.
+// hints reads the hints section and appends it to out.
 func (r *reader) hints(out []balance.Hint) []balance.Hint {
 	for n := r.uvarint(); n > 0 && r.ok; n-- {
 		if h := r.take(6); h != nil {
@@ -225,7 +222,7 @@
 	return out
 }
 
-// demand reads the demand for services and appends it to out.
+// demand reads the demand section and appends it to out.
 func (r *reader) demand(out []balance.Demand) []balance.Demand {
 	for n := r.uvarint(); n > 0 && r.ok; n-- {
 		if d := r.take(3); d != nil {
@@ -235,15 +232,15 @@
 	return out
 }
 
-func (r *reader) staleAge() uint8 {
-	age := r.uint8()
-	if age > maxStaleAge {
+func (r *reader) staleIdleGroup() uint8 {
+	group := r.uint8()
+	if group > maxStaleIdleGroup {
 		r.ok = false
 	}
-	return age
+	return group
 }
 
-// digest reads the group section after its first byte, which says that there is a digest.
+// digest reads a group section with a digest, after its first byte, which is passed as level.
 func (r *reader) digest(level uint8, d *quota.Digest) {
 	d.Level = quota.GroupingLevel(level &^ (digestFlag | firstFlag))
 	d.First = level&firstFlag != 0
@@ -251,15 +248,15 @@
 		r.ok = false
 		return
 	}
-	d.LiveCount = r.peers()
+	d.LiveCount = r.limiterCount()
 	d.LiveSet = r.uint32()
-	n := r.peers()
+	n := r.limiterCount()
 	if n > maxClasses {
 		r.ok = false
 		return
 	}
 	for range n {
-		d.Classes = append(d.Classes, quota.SharingClass{LiveSet: r.uint32(), Count: r.peers()})
+		d.Classes = append(d.Classes, quota.SharingClass{LiveSet: r.uint32(), Count: r.limiterCount()})
 	}
 	d.Consumed = r.consumed(d.Consumed)
 }
--- a/dataplane/gossip/codec_test.go
+++ b/dataplane/gossip/codec_test.go
@@ -9,7 +9,8 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// The largest message fits a datagram, and is decoded as it was encoded.
+// A message with the maximum number of entries is within MaxMessageSize and survives an
+// encoding round trip.
 func TestLargestMessageFits(t *testing.T) {
 	t.Parallel()
 	m := Message{From: 1 << 63, Incarnation: 1 << 62, AgeMs: 1 << 40}
@@ -23,15 +24,16 @@
 	b := m.Append(nil)
 	var decoded Message
 	if err := decoded.Decode(b); err != nil || len(b) > MaxMessageSize {
-		t.Fatalf("%d bytes, %v", len(b), err)
+		t.Fatalf("encoded size %d bytes, decoding error: %v", len(b), err)
 	}
-	decoded.Consumed = m.Consumed // none in both
+	decoded.Consumed = m.Consumed // both are empty, but only one is nil
 	if !reflect.DeepEqual(decoded, m) {
-		t.Errorf("decoded as %+v", decoded)
+		t.Errorf("decoded message differs: %+v", decoded)
 	}
 }
 
-// What is decoded is encoded to something that is decoded to the same.
+// Re-encoding a decoded message is idempotent: the result decodes again and encodes to the
+// same bytes.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte("E1aaaaaaaabbbbbbbb\x05\x01cccccccc\x07\x01dddd\x01\x10\x00abcd"))
 	f.Add([]byte("E1aaaaaaaabbbbbbbb\x05\x00\x00\x04\x11\x01cccccccc\x07"))
@@ -45,10 +47,10 @@
 		}
 		once := first.Append(nil)
 		if err := second.Decode(once); err != nil {
-			t.Fatalf("%x is encoded again as %x, which can't be decoded", b, once)
+			t.Fatalf("%x re-encoded as %x, which does not decode", b, once)
 		}
 		if twice := second.Append(nil); !bytes.Equal(once, twice) {
-			t.Fatalf("%x, then %x", once, twice)
+			t.Fatalf("first re-encoding %x, second %x", once, twice)
 		}
 	})
 }
--- a/dataplane/gossip/disseminator.go
+++ b/dataplane/gossip/disseminator.go
@@ -5,95 +5,96 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// Disseminator decides who is sent a message, when, and what is in it. One belongs to one
-// start of a limiter; its host calls it from one goroutine at a time or under one lock.
+// Disseminator decides which peers are sent a message, when, and with what content. It belongs
+// to one incarnation of a limiter. It is not safe for concurrent use.
 //
-// What it sends in a second doesn't grow with the fleet: the number of recipients is
-// bounded ([Disseminator.SetPeers]), so is the size of a message ([MaxMessageSize]), and in a large
-// fleet the [Budget] holds.
+// Its send rate does not grow with the fleet: the number of recipients
+// ([Disseminator.SetPeers]) and the size of a message ([MaxMessageSize]) are bounded, and in a
+// large fleet the [Budget] applies.
 type Disseminator struct {
 	self        quota.Member
 	incarnation uint64
 	startedAt   float64
 	budget      Budget
 
-	// Set by [Disseminator.SetPeers].
-	regime     FleetSize
-	recipients []*recipient // ordered by id
-	greeting   greeting
+	// Set by SetPeers.
+	fleetSize    FleetSize
+	recipients   []*recipient // ordered by id
+	announcement startAnnouncement
 
-	// Connections that servers had closed without a word.
-	staleAge   uint8   // the lowest age of late; 0: none
-	staleUntil float64 // reported until then
+	// Stale connections: idle ones that servers closed without notice.
+	staleIdleGroup uint8   // the lowest recent idle group; 0: none
+	staleUntil     float64 // time until which it is reported
 
-	// Of the budget.
-	tickedAt float64 // time of the last tick
-	savedMs  float64 // what is saved up, in its time; below 0: owed
+	// Budget accounting.
+	lastTickAt float64
+	creditMs   float64 // unused budget, in milliseconds of sending; negative: overdrawn
 
-	// Of the present tick. The slices are kept for the next one, so that a tick at rest
-	// allocates nothing.
-	usage      []quota.Usage    // this limiter's
+	// State of the current tick. The slices are reused, so that an idle tick does not allocate.
+	ownUsage   []quota.Usage    // this limiter's
 	groupUsage []quota.Usage    // its group's
 	hints      []balance.Hint   // of all servers with an update
 	demand     []balance.Demand // for all services
 	due        []*recipient
-	sentUsage  []quota.Usage // backs the message's usage
-	message    Message       // also says what was last sent in its head
+	sentUsage  []quota.Usage // backing array of the message's usage
+	message    Message       // its header fields are those that were sent last
 }
 
-// SendFunc sends a message to a limiter, by the hash of its name. The message is valid until
-// it returns.
+// SendFunc sends a message to the limiter whose name has this hash. The message is only valid
+// during the call.
 type SendFunc func(to uint64, m *Message)
 
-// NewDisseminator returns the disseminator of a limiter that starts now, which has no peers yet.
+// NewDisseminator returns the disseminator of a limiter that starts now. It has no peers until
+// [Disseminator.SetPeers] is called.
 func NewDisseminator(now float64, self quota.Member, incarnation uint64, b Budget) *Disseminator {
 	return &Disseminator{self: self, incarnation: incarnation, startedAt: now, budget: b}
 }
 
-// Recipients is the number of limiters that messages are sent to.
+// Recipients returns the number of limiters that messages are sent to.
 func (d *Disseminator) Recipients() int { return len(d.recipients) }
 
-// ReportStaleConnection has others notified that a server had closed a connection without a
-// word. The age is in the unit of [Message.StaleAge]; the lowest one of late is sent.
-func (d *Disseminator) ReportStaleConnection(now float64, age int) {
-	if d.staleAge == 0 || now > d.staleUntil || uint8(age) < d.staleAge {
-		d.staleAge = uint8(age)
+// ReportStaleConnection makes the messages of the next staleReportMs report that a server had
+// closed an idle connection without notice. Of several reports, the lowest idle group is sent
+// (see [Message.StaleIdleGroup]).
+func (d *Disseminator) ReportStaleConnection(now float64, idleGroup int) {
+	if d.staleIdleGroup == 0 || now > d.staleUntil || uint8(idleGroup) < d.staleIdleGroup {
+		d.staleIdleGroup = uint8(idleGroup)
 	}
 	d.staleUntil = now + staleReportMs
 }
 
-// introduce has a limiter that has just started be sent the usage of all tenants that are in use, with the next
-// message.
-func (d *Disseminator) introduce(id uint64) {
+// requestFullUsage marks a recipient that has just started, so that its next message carries the usage of all active
+// tenants.
+func (d *Disseminator) requestFullUsage(id uint64) {
 	for _, r := range d.recipients {
 		if r.ID == id {
-			r.introduce = true
+			r.needsFullUsage = true
 		}
 	}
 }
 
-// Tick collects the updates of quotas and servers and hands the messages that are
-// due to send.
+// Tick collects updates from the quotas and servers and passes the messages that are due to
+// send.
 func (d *Disseminator) Tick(now float64, quotas *quota.Enforcer, servers *balance.Set, send SendFunc) {
 	digest := d.collect(now, quotas, servers)
-	changed := d.updateHead(now, quotas)
+	headerChanged := d.updateHeader(now, quotas)
 	for _, r := range d.recipients {
 		d.addHints(r, servers)
-		if r.introduce && (r.groupMember || r.reportedTo) {
+		if r.needsFullUsage && (r.groupMember || r.receivesDigest) {
 			r.addUsage(quotas.Introduction(now, !r.groupMember, nil))
 		}
-		r.introduce = false
-		r.addTickUsage(d.usage, digest.Consumed)
-		d.schedule(now, r, changed)
+		r.needsFullUsage = false
+		r.addTickUsage(d.ownUsage, digest.Consumed)
+		d.schedule(now, r, headerChanged)
 	}
-	d.greet(now, send)
+	d.sendAnnouncements(now, send)
 	d.sendDue(now, digest, send)
 }
 
-// collect takes what has changed since the last tick. It returns the digest of this
-// limiter's group; level 0: there are no groups.
+// collect gathers the changes since the last tick. It returns the digest of this limiter's
+// group; its level is 0 if the fleet has no groups.
 func (d *Disseminator) collect(now float64, quotas *quota.Enforcer, servers *balance.Set) quota.Digest {
-	d.usage = quotas.ReportUsage(now, d.usage[:0])
+	d.ownUsage = quotas.ReportUsage(now, d.ownUsage[:0])
 	d.hints = servers.DrainHints(d.hints[:0])
 	servers.UpdateSubsets(now)
 	d.demand = servers.Demands(now, d.demand[:0])
@@ -105,25 +106,25 @@
 	return digest
 }
 
-// updateHead sets what all messages have in common. It returns whether all must be sent at
-// once: the shares of the quotas depend on who receives from whom, and until others know
-// that servers close connections a request each may be lost.
-func (d *Disseminator) updateHead(now float64, quotas *quota.Enforcer) (changed bool) {
+// updateHeader sets the fields that all messages have in common. It reports whether they have
+// changed so that peers must be notified immediately: quota shares depend on the live sets, and
+// until peers know that servers close idle connections, each of them may lose a request.
+func (d *Disseminator) updateHeader(now float64, quotas *quota.Enforcer) (changed bool) {
 	liveSet := quotas.LiveSet(now)
 	if now > d.staleUntil {
-		d.staleAge = 0
+		d.staleIdleGroup = 0
 	}
 	m := &d.message
-	changed = liveSet != m.LiveSet || d.staleAge != 0 && m.StaleIdleGroup == 0
-	m.LiveSet, m.StaleIdleGroup = liveSet, d.staleAge
+	changed = liveSet != m.LiveSet || d.staleIdleGroup != 0 && m.StaleIdleGroup == 0
+	m.LiveSet, m.StaleIdleGroup = liveSet, d.staleIdleGroup
 	return changed
 }
 
-// addHints adds the tick's hints for a recipient: all of them where it is sent loads, the
-// significant ones for members of the group in a large fleet.
+// addHints queues the tick's hints for a recipient: all hints if it receives loads, only the
+// significant ones if it is a group member of the same zone in a large fleet.
 func (d *Disseminator) addHints(r *recipient, servers *balance.Set) {
-	significantOnly := !r.hinted
-	receivesSignificant := d.regime >= LargeFleet && r.sameZone && r.groupMember
+	significantOnly := !r.receivesLoads
+	receivesSignificant := d.fleetSize >= LargeFleet && r.sameZone && r.groupMember
 	if significantOnly && !receivesSignificant {
 		return
 	}
@@ -135,38 +136,38 @@
 			}
 		}
 		r.addHint(h)
-		r.hintsOfItsZone = r.hintsOfItsZone || servers.ZoneOf(h.Server) == r.Zone
+		r.hasLocalHints = r.hasLocalHints || servers.ZoneOf(h.Server) == r.Zone
 	}
 }
 
-// addTickUsage adds the tick's usage: this limiter's for members of its group, the group's
-// for those that it reports to. The second reporter's usage is never urgent.
+// addTickUsage queues the tick's usage: this limiter's own usage for members of its group, the
+// group's usage for limiters of other groups. The second reporter's usage is never urgent.
 func (r *recipient) addTickUsage(own, group []quota.Usage) {
 	switch {
 	case r.groupMember:
 		r.addUsage(own)
-	case r.reportedTo:
+	case r.receivesDigest:
 		r.addUsage(group)
 		if r.secondReporter {
-			r.urgentMs = 0
+			r.usageDueWithinMs = 0
 		}
 	}
 }
 
-// fill puts a recipient's pending updates into the message; what has no room waits for the
-// next one.
+// fill moves a recipient's pending updates into the message. Updates that do not fit stay
+// queued for the next message.
 func (d *Disseminator) fill(now float64, r *recipient, digest quota.Digest) *Message {
-	r.sentAt, r.hintsOfItsZone, r.urgentMs, r.failureHint = now, false, 0, false
+	r.sentAt, r.hasLocalHints, r.usageDueWithinMs, r.hasFailureHints = now, false, 0, false
 	m := &d.message
 	m.From, m.Incarnation, m.AgeMs = d.self.ID, d.incarnation, now-d.startedAt
 	m.Hints = r.takeHints(m.Hints[:0])
 	m.Demand = m.Demand[:0]
-	if r.sameZone && (d.regime < VeryLargeFleet || now-r.demandSentAt >= veryLargeDemandMs) {
+	if r.sameZone && (d.fleetSize < VeryLargeFleet || now-r.demandSentAt >= veryLargeDemandMs) {
 		m.Demand = append(m.Demand, d.demand...)
 		r.demandSentAt = now
 	}
 	d.sentUsage = r.takeUsage(now, d.sentUsage[:0])
-	if !r.reportedTo {
+	if !r.receivesDigest {
 		m.Consumed, m.GroupDigest = d.sentUsage, quota.Digest{}
 		return m
 	}
--- a/dataplane/gossip/disseminator_test.go
+++ b/dataplane/gossip/disseminator_test.go
@@ -6,8 +6,8 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// More tenants than one message holds are all sent: the rest goes with the next
-// one. Fails where what did not fit is taken for sent.
+// The usage of more tenants than fit into one message is sent in the following messages. Fails
+// if usage that did not fit is treated as sent.
 func TestAllTenantsAreSent(t *testing.T) {
 	t.Parallel()
 	d := NewDisseminator(0, quota.Member{ID: 1, Zone: "z"}, 1, Budget{})
@@ -19,7 +19,7 @@
 	sent := map[uint64]uint64{}
 	for messages := 0; len(r.usage) > 0; messages++ {
 		if messages > n/maxTenants {
-			t.Fatalf("%d tenants are left after %d messages", len(r.usage), messages)
+			t.Fatalf("%d tenants still pending after %d messages", len(r.usage), messages)
 		}
 		for _, e := range mustDecode(t, d.fill(0, r, quota.Digest{})).Consumed {
 			sent[e.Tenant] = e.Units
@@ -27,14 +27,14 @@
 	}
 	for id := range uint64(n) {
 		if sent[id] != id+1 {
-			t.Errorf("of tenant %d was sent %d", id, sent[id])
+			t.Errorf("tenant %d: sent %d units", id, sent[id])
 		}
 	}
 }
 
-// With more tenants that always have updates than one message holds, each is sent in
-// its turn. (Found on dala-cdr-grown quiet-1: those whose ids come last waited
-// without end, and were then drawn all at once: 417 refusals on a quiet day.)
+// If more tenants have constant updates than fit into one message, all of them are sent in
+// turn. In a simulation (dala-cdr-grown quiet-1), the tenants with the highest ids starved; when
+// their usage was finally sent, peers charged all of it at once: 417 rejections under low load.
 func TestNoTenantWaitsBehindOthers(t *testing.T) {
 	r, sent := &recipient{}, map[uint64]int{}
 	d := NewDisseminator(0, quota.Member{ID: 1, Zone: "z"}, 1, Budget{})
@@ -51,16 +51,16 @@
 	}
 	for id := range uint64(tenants) {
 		if n := sent[id]; n < rounds/4-1 {
-			t.Errorf("tenant %d was sent %d times in %d messages", id, n, rounds)
+			t.Errorf("tenant %d: sent %d times in %d messages", id, n, rounds)
 		}
 	}
 }
 
-// That servers drop connections is sent to all at once, for a second, and then not.
+// A stale connection is reported to all peers immediately, for staleReportMs, and not after that.
 func TestStaleConnectionIsSent(t *testing.T) {
 	peers := []quota.Member{{ID: 2, Zone: "a"}, {ID: 3, Zone: "b"}}
 	l := newTestLimiter(1, peers, Budget{})
-	reports := func(now float64) (n int) {
+	countReports := func(now float64) (n int) {
 		l.tick(now, func(_ uint64, m *Message) {
 			if mustDecode(t, m).StaleIdleGroup == 4 {
 				n++
@@ -68,19 +68,19 @@
 		})
 		return n
 	}
-	reports(0)
-	if n := reports(6); n != 0 {
-		t.Errorf("%d messages say so without a reason", n)
+	countReports(0)
+	if n := countReports(6); n != 0 {
+		t.Errorf("%d messages report a stale connection before there is one", n)
 	}
 	l.ReportStaleConnection(7, 5)
 	l.ReportStaleConnection(8, 4)
-	if n := reports(12); n != len(peers) {
-		t.Errorf("%d of %d were sent it at once", n, len(peers))
+	if n := countReports(12); n != len(peers) {
+		t.Errorf("immediate reports sent to %d of %d peers", n, len(peers))
 	}
-	if n := reports(12 + aliveMs); n != len(peers) {
-		t.Errorf("%d of %d were sent it again", n, len(peers))
+	if n := countReports(12 + heartbeatMs); n != len(peers) {
+		t.Errorf("reports after a heartbeat sent to %d of %d peers", n, len(peers))
 	}
-	if n := reports(8 + staleReportMs + 2*aliveMs); n != 0 {
-		t.Errorf("%d messages say so long after", n)
+	if n := countReports(8 + staleReportMs + 2*heartbeatMs); n != 0 {
+		t.Errorf("%d messages report the stale connection after its expiry", n)
 	}
 }
--- a/dataplane/gossip/fixtures_test.go
+++ b/dataplane/gossip/fixtures_test.go
@@ -9,14 +9,14 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// testLimiter is a disseminator with the quotas and servers that it takes updates from.
+// testLimiter is a disseminator with the quotas and servers that its updates come from.
 type testLimiter struct {
 	*Disseminator
 	quotas  *quota.Enforcer
 	servers *balance.Set
 }
 
-// newTestLimiter returns a limiter of zone a with some peers.
+// newTestLimiter returns a limiter in zone a with the given peers.
 func newTestLimiter(id uint64, peers []quota.Member, b Budget) *testLimiter {
 	self := quota.Member{ID: id, Zone: "a"}
 	l := &testLimiter{
@@ -29,7 +29,7 @@
 	return l
 }
 
-// addServers gives it servers of one service in its zone.
+// addServers adds n servers of one service in the limiter's zone.
 func (l *testLimiter) addServers(n int) {
 	var list []api.Server
 	for i := range n {
@@ -40,7 +40,7 @@
 	l.servers.SetServers(0, list)
 }
 
-// respond has each server answer a request.
+// respond records one finished request at each server.
 func (l *testLimiter) respond(now float64, result balance.Result, latencyMs float64) {
 	for _, server := range l.servers.Members() {
 		l.servers.StartAttempt(server)
@@ -48,12 +48,12 @@
 	}
 }
 
-// tick hands out what is due.
+// tick passes the messages that are due to send.
 func (l *testLimiter) tick(now float64, send func(to uint64, m *Message)) {
 	l.Tick(now, l.quotas, l.servers, send)
 }
 
-// peersInZones returns limiters in five zones, a to e in turn.
+// peersInZones returns n limiters, distributed over the zones a to e.
 func peersInZones(n int) (peers []quota.Member) {
 	for i := range uint64(n) {
 		peers = append(peers, quota.Member{ID: (i + 2) << 40, Zone: string(rune('a' + i%5))})
@@ -61,7 +61,7 @@
 	return peers
 }
 
-// mustDecode encodes a message and decodes it.
+// mustDecode returns a message after an encoding round trip.
 func mustDecode(t *testing.T, m *Message) Message {
 	t.Helper()
 	var decoded Message
--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -11,8 +11,8 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// goldenMessages are messages that together have each section of a datagram empty, with
-// one entry, with several, and with as many as a sender puts into one.
+// goldenMessages returns messages that together cover each section of a datagram with no entry,
+// one entry, several entries, and the maximum that a sender puts into one message.
 func goldenMessages() map[string]Message {
 	const from, start = 0x0123456789abcdef, 0x7edcba9876543210
 	consumed := []quota.Usage{
@@ -75,13 +75,13 @@
 	}
 }
 
-// Datagrams of an earlier version (f96d826) are decoded to the same messages and encoded
-// to the same bytes: limiters of two builds understand each other during an upgrade.
+// The datagrams of an earlier version (f96d826) decode to the same messages and encode to the
+// same bytes, so that limiters of both versions interoperate during an upgrade.
 func TestGoldenDatagrams(t *testing.T) {
 	messages := goldenMessages()
 	files, err := filepath.Glob(filepath.Join("testdata", "golden", "*.bin"))
 	if err != nil || len(files) != len(messages) {
-		t.Fatalf("%d files for %d messages (%v)", len(files), len(messages), err)
+		t.Fatalf("%d golden files for %d messages (error: %v)", len(files), len(messages), err)
 	}
 	for name, message := range messages {
 		want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".bin"))
@@ -89,7 +89,7 @@
 			t.Fatal(err)
 		}
 		if got := message.Append(nil); !bytes.Equal(got, want) {
-			t.Errorf("%s is encoded as %x, want %x", name, got, want)
+			t.Errorf("%s: encoded as %x, want %x", name, got, want)
 		}
 		var decoded Message
 		if err := decoded.Decode(want); err != nil {
@@ -97,23 +97,23 @@
 			continue
 		}
 		if got := decoded.Append(nil); !bytes.Equal(got, want) {
-			t.Errorf("%s decoded and encoded again: %x, want %x", name, got, want)
+			t.Errorf("%s: re-encoded as %x, want %x", name, got, want)
 		}
 		if !reflect.DeepEqual(withoutEmptySlices(decoded), withoutEmptySlices(message)) {
-			t.Errorf("%s is decoded as %+v, want %+v", name, decoded, message)
+			t.Errorf("%s: decoded as %+v, want %+v", name, decoded, message)
 		}
 		for n := range want {
 			if decoded.Decode(want[:n]) == nil {
-				t.Errorf("%s: its first %d bytes are accepted", name, n)
+				t.Errorf("%s: truncated to %d bytes, Decode returned no error", name, n)
 			}
 		}
 		if decoded.Decode(append(want[:len(want):len(want)], 0)) == nil {
-			t.Errorf("%s with a byte more is accepted", name)
+			t.Errorf("%s: with a trailing byte, Decode returned no error", name)
 		}
 	}
 }
 
-// withoutEmptySlices has nil in place of empty slices: a decoded message may have either.
+// withoutEmptySlices replaces empty slices by nil, because a decoded message may have either.
 func withoutEmptySlices(m Message) Message {
 	if len(m.Consumed) == 0 {
 		m.Consumed = nil
--- a/dataplane/gossip/greeting.go
+++ b/dataplane/gossip/greeting.go
@@ -2,63 +2,67 @@
 
 import "example.org/elmspan/dataplane/quota"
 
-// A limiter that has just started is reported to by limiters of other groups that it sends nothing itself. They learn
-// of its start by a greeting, and report where their sums begin: without that it would take the first sum that it
-// receives for the beginning, and leave out the units that came with it.
+// Start announcements. A limiter that has just started receives digests from reporters of other groups to which it
+// sends no messages itself. It announces its start to them, so that they send it the current sums of all active
+// tenants. Without these, it would take the first sum that it receives for a tenant as the starting point and not count
+// the units that this sum adds.
 const (
-	// greetingMs is how long after its start a limiter greets those that report to it, as it learns of them.
-	greetingMs = 1500.0
-	// greetingPauseMs is the time between the first greeting and the second one, against loss.
-	greetingPauseMs = 100.0
-	greetings       = 2
+	// announceWindowMs is the time after its start in which a limiter sends announcements, as it learns of its
+	// reporters.
+	announceWindowMs = 1500.0
+	// announceIntervalMs is the time between two announcements. They are repeated because datagrams may be lost.
+	announceIntervalMs = 100.0
+	announcementCount  = 2
 )
 
-// greeting is what is left of greeting the limiters that report to this one.
-type greeting struct {
+// startAnnouncement is the state of the announcements to the limiters that report to this one.
+type startAnnouncement struct {
 	recipients []uint64
-	wanted     bool // others have run for longer than this limiter
-	left       int  // greetings
+	needed     bool // a peer has been running for longer than this limiter
+	remaining  int  // announcements that are left to send to each recipient
 	sentAt     float64
 }
 
-// RecordPeerStart notes the age of a limiter of which a first message has come since its start: whether this limiter or the
-// other one has to be introduced. Neither has where a fleet starts as a whole: there are no sums to report.
-func (d *Disseminator) RecordPeerStart(now float64, from uint64, ageMs float64) {
-	own := now - d.startedAt
-	d.greeting.wanted = d.greeting.wanted || ageMs > own+quota.SeniorityMs
-	if own > ageMs+quota.SeniorityMs {
-		d.introduce(from)
+// RecordPeerStart records the age of a peer when the first message of its current incarnation arrives. The age decides
+// which of the two needs full usage: a much older peer makes this limiter announce its start, a much younger one is
+// sent the full usage. If both started at about the same time, as when the whole fleet starts, neither is needed, as
+// there are no sums to report.
+func (d *Disseminator) RecordPeerStart(now float64, from uint64, peerAgeMs float64) {
+	ownAgeMs := now - d.startedAt
+	d.announcement.needed = d.announcement.needed || peerAgeMs > ownAgeMs+quota.SeniorityMs
+	if ownAgeMs > peerAgeMs+quota.SeniorityMs {
+		d.requestFullUsage(from)
 	}
 }
 
-// greetReporters has the limiters of other groups that report to this one be greeted.
-func (d *Disseminator) greetReporters(peers []quota.Member, level quota.GroupingLevel) {
+// scheduleAnnouncements makes the limiters of other groups that report to this one the recipients of announcements.
+func (d *Disseminator) scheduleAnnouncements(peers []quota.Member, level quota.GroupingLevel) {
 	byGroup := map[quota.Group][]uint64{}
 	for _, p := range peers {
 		group := level.Group(p)
 		byGroup[group] = append(byGroup[group], p.ID)
 	}
-	own := level.Group(d.self)
-	d.greeting.recipients = d.greeting.recipients[:0]
+	ownGroup := level.Group(d.self)
+	d.announcement.recipients = d.announcement.recipients[:0]
 	for _, p := range peers {
 		group := level.Group(p)
-		if group != own && reporterPlace(p.ID, byGroup[group], d.self.ID) <= reportersPerGroup {
-			d.greeting.recipients = append(d.greeting.recipients, p.ID)
+		if group != ownGroup && reporterRank(p.ID, byGroup[group], d.self.ID) <= reportersPerGroup {
+			d.announcement.recipients = append(d.announcement.recipients, p.ID)
 		}
 	}
-	d.greeting.left = greetings
+	d.announcement.remaining = announcementCount
 }
 
-// greet sends the greetings that are due.
-func (d *Disseminator) greet(now float64, send SendFunc) {
-	g := &d.greeting
-	if !g.wanted || g.left == 0 || now-g.sentAt < greetingPauseMs || now-d.startedAt > greetingMs {
+// sendAnnouncements sends the announcements that are due.
+func (d *Disseminator) sendAnnouncements(now float64, send SendFunc) {
+	a := &d.announcement
+	if !a.needed || a.remaining == 0 || now-a.sentAt < announceIntervalMs || now-d.startedAt > announceWindowMs {
 		return
 	}
-	g.left--
-	g.sentAt = now
+	a.remaining--
+	a.sentAt = now
 	m := Message{From: d.self.ID, Incarnation: d.incarnation, AgeMs: now - d.startedAt, LiveSet: d.message.LiveSet}
-	for _, id := range g.recipients {
+	for _, id := range a.recipients {
 		send(id, &m)
 	}
 }
--- a/dataplane/gossip/greeting_test.go
+++ b/dataplane/gossip/greeting_test.go
@@ -7,9 +7,10 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// greeted returns how often each limiter was sent a message without a digest in the first second, by one of 90 that
-// starts at a time and receives at once a message of a peer of an age.
-func greeted(start, peerAgeMs float64) (d *Disseminator, count map[uint64]int) {
+// countAnnouncements simulates the first second of a limiter in a fleet of 90, which starts at the given time and
+// immediately receives a message from a peer of the given age. It returns the number of announcements sent to each
+// limiter.
+func countAnnouncements(start, peerAgeMs float64) (d *Disseminator, count map[uint64]int) {
 	peers := peersInZones(89)
 	self := quota.Member{ID: 1 << 40, Zone: "a"}
 	l := &testLimiter{Disseminator: NewDisseminator(start, self, 1, Budget{}), quotas: quota.New(start, self)}
@@ -18,7 +19,7 @@
 	l.RecordPeerStart(start, peers[0].ID, peerAgeMs)
 	count = map[uint64]int{}
 	for now := start; now < start+1000; now += l.TickMs() {
-		l.greet(now, func(to uint64, m *Message) {
+		l.sendAnnouncements(now, func(to uint64, m *Message) {
 			if m.From == self.ID && m.AgeMs == now-start && len(m.Consumed) == 0 {
 				count[to]++
 			}
@@ -27,49 +28,49 @@
 	return l.Disseminator, count
 }
 
-// A limiter that starts beside a fleet that runs greets those that report to it, twice: the same that take it for one
-// that they report to.
-func TestStartedLimiterGreetsItsReporters(t *testing.T) {
-	self, count := greeted(50_000, 50_000)
+// A limiter that joins a running fleet sends its announcements to exactly those limiters that regard it as a recipient
+// of their digests.
+func TestStartedLimiterAnnouncesItselfToReporters(t *testing.T) {
+	d, count := countAnnouncements(50_000, 50_000)
 	peers := peersInZones(89)
 	level := quota.GroupingLevelFor(90, 3)
 	var reporters []uint64
 	for _, p := range peers {
-		others := []quota.Member{self.self}
+		others := []quota.Member{d.self}
 		for _, o := range peers {
 			if o.ID != p.ID {
 				others = append(others, o)
 			}
 		}
-		d := NewDisseminator(0, p, 1, Budget{})
-		if d.reports(others, level)[self.self.ID] > 0 {
+		peer := NewDisseminator(0, p, 1, Budget{})
+		if peer.digestRecipients(others, level)[d.self.ID] > 0 {
 			reporters = append(reporters, p.ID)
 		}
 	}
 	if len(reporters) < 2*reportersPerGroup {
-		t.Fatalf("only %d report to it", len(reporters))
+		t.Fatalf("only %d limiters report to the new one", len(reporters))
 	}
 	for _, id := range reporters {
-		if count[id] != greetings {
-			t.Errorf("%x, which reports to it, was greeted %d times", id, count[id])
+		if count[id] != announcementCount {
+			t.Errorf("%d announcements sent to reporter %x", count[id], id)
 		}
 	}
 	for id := range count {
 		if !slices.Contains(reporters, id) {
-			t.Errorf("%x, which doesn't report to it, was greeted", id)
+			t.Errorf("announcement sent to %x, which is not a reporter", id)
 		}
 	}
 }
 
-// A fleet that starts as a whole has nothing to report: nobody is greeted.
-func TestFleetThatStartsTogetherGreetsNobody(t *testing.T) {
-	if _, count := greeted(0, 300); len(count) != 0 {
-		t.Errorf("%d were greeted", len(count))
+// If the whole fleet starts at once, there is no usage to report and no announcement is sent.
+func TestFleetThatStartsTogetherSendsNoAnnouncements(t *testing.T) {
+	if _, count := countAnnouncements(0, 300); len(count) != 0 {
+		t.Errorf("announcements sent to %d limiters", len(count))
 	}
 }
 
-// A limiter whose peer has started again sends it, with the next message, the usage of all tenants in use, also
-// what it had reported before.
+// A limiter whose peer has restarted sends it the usage of all active tenants with the next message, including usage
+// that it had already reported.
 func TestStartedPeerReceivesAllUsage(t *testing.T) {
 	const tenant = 7
 	l := newTestLimiter(1<<40, peersInZones(89), Budget{})
@@ -86,19 +87,19 @@
 	}
 	member := slices.IndexFunc(l.recipients, func(r *recipient) bool { return r.groupMember })
 	id := l.recipients[member].ID
-	l.introduce(id)
-	informed := false
+	l.requestFullUsage(id)
+	received := false
 	for now := 4000.0; now < 4100; now += l.TickMs() {
 		l.tick(now, func(to uint64, m *Message) {
 			for _, u := range m.Consumed {
 				if to != id {
-					t.Errorf("%x was sent usage", to)
+					t.Errorf("usage sent to %x, which did not restart", to)
 				}
-				informed = informed || u.Tenant == tenant && u.Units == units
+				received = received || u.Tenant == tenant && u.Units == units
 			}
 		})
 	}
-	if units == 0 || !informed {
-		t.Error("the peer that started again was not sent the usage within 0.1 s")
+	if units == 0 || !received {
+		t.Error("usage not sent to the restarted peer within 0.1 s")
 	}
 }
--- a/dataplane/gossip/message.go
+++ b/dataplane/gossip/message.go
@@ -1,14 +1,14 @@
-// Package gossip is the exchange of load and quota usage between limiters by UDP
-// datagrams: the message, its encoding, and who is sent a message and when.
+// Package gossip implements the exchange of server loads and quota usage between limiters in
+// UDP datagrams: the message, its encoding, and the choice of recipients and send times.
 //
-// A [Disseminator] decides what goes out. Its host calls [Disseminator.Tick] every
-// [Disseminator.TickMs] milliseconds and sends what it is handed with [Message.Append]; it
-// decodes what it receives with [Message.Decode]. The package does no I/O, reads no clock
-// and starts no goroutine. Nothing in it is safe for concurrent use. All times are in
-// milliseconds of the host's steady clock.
+// A [Disseminator] decides what is sent. Its host calls [Disseminator.Tick] every
+// [Disseminator.TickMs] milliseconds, encodes the messages that it is passed with
+// [Message.Append], and decodes received datagrams with [Message.Decode]. The package does no
+// I/O, reads no clock and starts no goroutines. Nothing in it is safe for concurrent use. All
+// times are in milliseconds on the host's monotonic clock.
 //
-// A datagram may be lost, repeated or late: usage counters are cumulative and loads are
-// levels, so that the next message makes up for a lost one.
+// Datagrams may be lost, duplicated or delayed. Usage counters are cumulative and loads are
+// absolute values, so the next message makes up for a lost one.
 package gossip
 
 import (
@@ -18,59 +18,59 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// MaxMessageSize is the size of the largest message in bytes. Larger datagrams are refused. With
-// the overhead of IP and UDP and the seal it fits an Ethernet frame, so that none is
-// fragmented.
+// MaxMessageSize is the maximum size of an encoded message in bytes. Larger datagrams are
+// rejected. With the overhead of IP, UDP and encryption a message still fits into an Ethernet
+// frame and is not fragmented.
 const MaxMessageSize = 1200
 
-// How many entries a sender puts into one message. What has no room waits for the next.
-// The largest such message is smaller than [MaxMessageSize].
+// Limits on the entries that a sender puts into one message. The rest is sent in the next one.
+// A message with the maximum number of entries is smaller than [MaxMessageSize].
 const (
 	maxTenants = 48
 	maxHints   = 64
 )
 
-// What a receiver accepts.
+// Limits on the values that a receiver accepts.
 const (
-	maxLevel    = 16      // of groups
-	maxPeers    = 1 << 20 // larger numbers of limiters are read as this one
-	maxClasses  = 8       // of a group digest
-	maxStaleAge = 16
+	maxLevel          = 16      // grouping level
+	maxLimiterCount   = 1 << 20 // larger counts are clamped to this one
+	maxClasses        = 8       // sharing classes in a group digest
+	maxStaleIdleGroup = 16
 )
 
-// ErrMalformed is the error of a datagram that is not one whole message.
-var ErrMalformed = errors.New("gossip: a datagram can't be decoded")
+// ErrMalformed is returned for a datagram that is not exactly one message.
+var ErrMalformed = errors.New("gossip: malformed datagram")
 
-// Message is what one limiter sends another at a time.
+// Message is the content of one datagram from a limiter to a peer.
 type Message struct {
 	// From is the hash of the sender's name.
 	From uint64
-	// Incarnation differs between two starts of the sender.
+	// Incarnation identifies the sender's process run; it differs for each start.
 	Incarnation uint64
-	// AgeMs is the time since the sender's start. Whole milliseconds are sent.
+	// AgeMs is the time since the sender's start, sent in whole milliseconds.
 	AgeMs float64
-	// Consumed has the units that the sender has admitted since its start, by tenant. It is
+	// Consumed holds the units that the sender has admitted since its start, by tenant. It is
 	// sent to limiters of the sender's own replica group.
 	Consumed []quota.Usage
-	// Hints are loads and latencies of servers.
+	// Hints are the loads and latencies of servers.
 	Hints []balance.Hint
-	// Demand has the requests to services, for the subsets of servers.
+	// Demand is the demand for each service, from which the subsets of servers are computed.
 	Demand []balance.Demand
-	// StaleIdleGroup is the lowest age of connections that servers had closed without a word, in
-	// the unit of connpool.Pool.RecordStale; 0: there were none of late.
+	// StaleIdleGroup is the lowest idle group (connpool.Conn.IdleGroup) of the connections that
+	// servers were recently found to have closed without notice; 0: none.
 	StaleIdleGroup uint8
 	// LiveSet is a hash over the limiters that the sender receives from
 	// ([quota.Enforcer.LiveSet]). It is sent only without a group digest.
 	LiveSet uint32
-	// GroupDigest is the sum over the sender's replica group, for limiters of other groups.
-	// Level 0: there is none.
+	// GroupDigest is the aggregate of the sender's replica group, for limiters of other groups.
+	// Level 0: none.
 	GroupDigest quota.Digest
 }
 
-// EstimatedSize is about how many bytes the message has when encoded, for the budget of a
-// link. Varints count with a typical length, the classes of a group digest not at all.
+// EstimatedSize estimates the encoded size in bytes, for the send budget. It counts varints
+// with a typical length and ignores the classes of a group digest.
 func (m *Message) EstimatedSize() int {
-	const head, perHint, perDemand, perTenant = 36, 6, 3, 9
+	const header, perHint, perDemand, perTenant = 36, 6, 3, 9
 	tenants := len(m.Consumed) + len(m.GroupDigest.Consumed)
-	return head + perHint*len(m.Hints) + perDemand*len(m.Demand) + perTenant*tenants
+	return header + perHint*len(m.Hints) + perDemand*len(m.Demand) + perTenant*tenants
 }
--- a/dataplane/gossip/recipient.go
+++ b/dataplane/gossip/recipient.go
@@ -8,45 +8,45 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// recipient is a limiter that messages are sent to, with the updates that it was not sent yet.
+// recipient is a limiter that messages are sent to, with the updates that are pending for it.
 type recipient struct {
 	quota.Member
 
-	// Set once, by [Disseminator.SetPeers].
+	// Set by [Disseminator.SetPeers].
 	sameZone       bool
-	groupMember    bool // of this limiter's replica group: is sent this limiter's usage
-	reportedTo     bool // of another group: is sent the usage of this limiter's group
-	secondReporter bool // another limiter of the group reports first, so this one reports seldom
-	hinted         bool // is sent loads of servers
+	groupMember    bool // in this limiter's replica group: is sent this limiter's usage
+	receivesDigest bool // in another group: is sent the usage of this limiter's group
+	secondReporter bool // this limiter is the second reporter to it, and reports less often
+	receivesLoads  bool // is sent the loads of servers
 
 	// Pending updates.
-	introduce      bool           // it has just started and needs to know all usage
-	hints          []balance.Hint // ordered by server, the newest of each
-	usage          []quota.Usage  // the newest of each tenant, that first which waits longest
-	hintsOfItsZone bool           // some hints are about servers of its zone
-	failureHint    bool           // some hints are failures
-	urgentMs       float64        // usage of tenants that have little left must be sent so soon; 0: none
+	needsFullUsage   bool           // it has just started and must be sent the usage of all active tenants
+	hints            []balance.Hint // the newest hint of each server, ordered by server
+	usage            []quota.Usage  // the newest usage of each tenant, the longest pending first
+	hasLocalHints    bool           // some hints are about servers of the recipient's zone
+	hasFailureHints  bool           // some hints are failures
+	usageDueWithinMs float64        // time within which the usage of nearly exhausted tenants is due; 0: none
 
 	// Times of the last messages.
-	sentAt       float64 // any
-	reportedAt   float64 // with usage, by a second reporter
-	demandSentAt float64 // with demand
-	mandatory    bool    // at this tick: is sent a message whatever the budget
+	sentAt       float64 // any message
+	reportedAt   float64 // message with usage, by a second reporter
+	demandSentAt float64 // message with demand
+	mandatory    bool    // a message is sent at this tick even if the budget is exhausted
 }
 
-// inherit takes over the state of the same limiter before a change of peers.
-func (r *recipient) inherit(previous *recipient) {
+// copyState carries over the state that the same limiter had before a change of peers.
+func (r *recipient) copyState(previous *recipient) {
 	r.sentAt, r.reportedAt, r.demandSentAt = previous.sentAt, previous.reportedAt, previous.demandSentAt
-	r.introduce = previous.introduce
-	if previous.groupMember == r.groupMember { // pending usage is of the same kind
+	r.needsFullUsage = previous.needsFullUsage
+	if previous.groupMember == r.groupMember { // else pending usage is of the other kind, own or group
 		r.usage, r.hints = previous.usage, previous.hints
 	}
 }
 
-// addHint adds the load of a server. The newest load stands for all before; the last
-// latency or failure stays until there is another.
+// addHint queues a hint. It replaces the pending hint of the same server, except that the
+// pending latency or failure is kept if the new hint has none.
 func (r *recipient) addHint(h balance.Hint) {
-	r.failureHint = r.failureHint || h.Latency == balance.LatencyFailed
+	r.hasFailureHints = r.hasFailureHints || h.Latency == balance.LatencyFailed
 	i, found := slices.BinarySearchFunc(r.hints, h, func(a, b balance.Hint) int {
 		return cmp.Compare(a.Server, b.Server)
 	})
@@ -60,24 +60,24 @@
 	r.hints[i] = h
 }
 
-// addUsage adds the usage of tenants. It is cumulative, so the newest figure stands for all
-// before. A tenant keeps its place: what waits longest is sent first, so that none waits
-// without end behind others that always have updates.
+// addUsage queues the usage of tenants. Usage is cumulative, so it replaces the pending usage
+// of the same tenant. A tenant keeps its position in the queue, so that tenants with constant
+// updates do not starve the others.
 func (r *recipient) addUsage(usage []quota.Usage) {
-	for _, e := range usage {
-		if e.DueWithinMs > 0 && (r.urgentMs == 0 || e.DueWithinMs < r.urgentMs) {
-			r.urgentMs = e.DueWithinMs
+	for _, u := range usage {
+		if u.DueWithinMs > 0 && (r.usageDueWithinMs == 0 || u.DueWithinMs < r.usageDueWithinMs) {
+			r.usageDueWithinMs = u.DueWithinMs
 		}
-		sameTenant := func(waiting quota.Usage) bool { return waiting.Tenant == e.Tenant }
+		sameTenant := func(pending quota.Usage) bool { return pending.Tenant == u.Tenant }
 		if i := slices.IndexFunc(r.usage, sameTenant); i >= 0 {
-			r.usage[i] = e
+			r.usage[i] = u
 		} else {
-			r.usage = append(r.usage, e)
+			r.usage = append(r.usage, u)
 		}
 	}
 }
 
-// takeHints moves the hints that one message has room for to out.
+// takeHints moves as many hints to out as fit into one message.
 func (r *recipient) takeHints(out []balance.Hint) []balance.Hint {
 	n := min(len(r.hints), maxHints)
 	out = append(out, r.hints[:n]...)
@@ -85,8 +85,8 @@
 	return out
 }
 
-// takeUsage moves the usage that one message has room for to out. A second reporter takes
-// none until secondReporterMs after the last time.
+// takeUsage moves as much usage to out as fits into one message. A second reporter takes none
+// until secondReporterMs after its last report.
 func (r *recipient) takeUsage(now float64, out []quota.Usage) []quota.Usage {
 	if r.secondReporter {
 		if now-r.reportedAt < secondReporterMs {
--- a/dataplane/gossip/schedule.go
+++ b/dataplane/gossip/schedule.go
@@ -2,128 +2,132 @@
 
 import "example.org/elmspan/dataplane/balance"
 
-// Intervals in milliseconds. Shorter ones cost messages; longer ones leave quotas and
-// choices of servers with older information.
+// Intervals in milliseconds. Shorter intervals cost messages; with longer ones, quotas and the
+// choice of servers work on older information.
 
-// In a small fleet.
+// Intervals in a small fleet.
 const (
-	// TickMs is the time between two ticks, and so between two messages to a limiter of
-	// the same zone.
+	// TickMs is the time between two ticks, and thus between two messages to a limiter of the
+	// same zone.
 	TickMs = 6.0
-	// otherZoneMs is the time between messages to a limiter of another zone, about servers
-	// of its zone or about usage.
-	otherZoneMs = 30.0
+	// crossZoneMs is the time between messages to a limiter of another zone about usage or
+	// about servers of that zone.
+	crossZoneMs = 30.0
 	// thirdZoneMs is the time between messages to a limiter of another zone about servers
-	// that are not in its zone.
+	// that are not in that zone.
 	thirdZoneMs = 150.0
-	// aliveMs is the longest time between messages that show that this limiter is alive: a
-	// third of quota.LivenessTimeoutMs, so that two in a row may be lost.
-	aliveMs = 150.0
+	// heartbeatMs is the maximum time between messages to a recipient: a third of
+	// quota.LivenessTimeoutMs, so that two messages in a row may be lost.
+	heartbeatMs = 150.0
 )
 
-// In a large and a very large fleet.
+// Intervals in a large and a very large fleet.
 const (
 	largeTickMs = 20.0
-	// soonMs is the time between messages with failures of servers, and with the usage of
-	// tenants that have little left.
-	soonMs = 50.0
-	// neighborHintMs is the time between messages with loads to a neighbor, in a large fleet.
+	// urgentIntervalMs is the minimum time between messages with server failures or with the
+	// usage of nearly exhausted tenants.
+	urgentIntervalMs = 50.0
+	// neighborHintMs is the minimum time between messages with loads to a neighbor in a large
+	// fleet.
 	neighborHintMs = 35.0
-	// veryLargeHintMs is the same in a very large fleet.
+	// veryLargeHintMs is the minimum time between messages with loads to a neighbor in a very
+	// large fleet.
 	veryLargeHintMs = 150.0
-	// largeAliveMs is the longest time between messages that show that this limiter is
-	// alive: a third of quota.GroupedLivenessTimeoutMs.
-	largeAliveMs = 230.0
-	// secondReporterMs is the time between group digests with usage from the second
-	// reporter of a group, which counts only while the first one sends nothing.
+	// largeHeartbeatMs is the maximum time between messages to a recipient that depends on
+	// them for the liveness of this limiter: a third of quota.GroupedLivenessTimeoutMs.
+	largeHeartbeatMs = 230.0
+	// secondReporterMs is the time between digests with usage from the second reporter of a
+	// group, which are only used while the first reporter is silent.
 	secondReporterMs = 900.0
-	// veryLargeDemandMs is the time between messages with demand in a very large fleet.
-	// Subsets of servers are computed as seldom.
+	// veryLargeDemandMs is the time between messages with demand in a very large fleet, where
+	// subsets of servers are recomputed at the same interval.
 	veryLargeDemandMs = 500.0
 )
 
-// staleReportMs is how long a stale connection is reported after it was seen.
+// staleReportMs is the time for which a stale connection is reported after its detection.
 const staleReportMs = 1000.0
 
-// significantLatency is the least latency that is sent in a large fleet, in sixteenths of
-// the typical one; failures are above it. Loads are not sent there: a load that arrives
-// late is worse than none, as all who receive that a server is idle choose it
-// (docs/decisions/0005).
+// significantLatency is the lowest latency that is sent to group members other than neighbors
+// in a large fleet, in sixteenths of the typical latency. Failures are above it. Loads are not
+// sent to them: an outdated load is worse than none, because all limiters that receive that a
+// server is idle choose it (docs/decisions/0005).
 const significantLatency = 20
 
-// TickMs is how often the host is to call [Disseminator.Tick], in milliseconds.
+// TickMs returns the interval in milliseconds at which the host must call [Disseminator.Tick].
 func (d *Disseminator) TickMs() float64 {
-	if d.regime >= LargeFleet {
+	if d.fleetSize >= LargeFleet {
 		return largeTickMs
 	}
 	return TickMs
 }
 
-// aliveMs is the longest time between two messages to a limiter that counts on this one.
-func (d *Disseminator) aliveMs() float64 {
-	if d.regime >= LargeFleet {
-		return largeAliveMs
+// heartbeatInterval returns the maximum time between two messages to a group member or a
+// recipient of digests.
+func (d *Disseminator) heartbeatInterval() float64 {
+	if d.fleetSize >= LargeFleet {
+		return largeHeartbeatMs
 	}
-	return aliveMs
+	return heartbeatMs
 }
 
-// schedule adds a recipient to those that are due, if it is. changed says that every
-// message is to go out at once.
-func (d *Disseminator) schedule(now float64, r *recipient, changed bool) {
+// schedule adds a recipient to d.due if a message to it is due. headerChanged makes a message
+// to each group member and each recipient of digests due immediately.
+func (d *Disseminator) schedule(now float64, r *recipient, headerChanged bool) {
 	since := now - r.sentAt
-	urgent := r.urgentMs > 0 && since >= max(r.urgentMs, largeAliveMs)
-	r.mandatory = (r.groupMember || r.reportedTo) && (since >= d.aliveMs() || changed || urgent)
+	urgent := r.usageDueWithinMs > 0 && since >= max(r.usageDueWithinMs, largeHeartbeatMs)
+	r.mandatory = (r.groupMember || r.receivesDigest) && (since >= d.heartbeatInterval() || headerChanged || urgent)
 	hasUpdates := len(r.hints)+len(r.usage) > 0
-	if r.mandatory || hasUpdates && since >= d.pause(r) {
+	if r.mandatory || hasUpdates && since >= d.minInterval(r) {
 		d.due = append(d.due, r)
 	}
 }
 
-// pause is the least time between two messages to a recipient for which there are updates.
-func (d *Disseminator) pause(r *recipient) float64 {
-	switch d.regime {
+// minInterval returns the minimum time between two messages to a recipient with pending
+// updates.
+func (d *Disseminator) minInterval(r *recipient) float64 {
+	switch d.fleetSize {
 	case VeryLargeFleet:
-		return r.veryLargePause()
+		return r.veryLargeMinInterval()
 	case LargeFleet:
-		return r.largePause()
+		return r.largeMinInterval()
 	}
 	switch {
 	case r.sameZone && (len(r.hints) > 0 || r.groupMember):
 		return 0
-	case r.hintsOfItsZone, len(r.usage) > 0:
-		return otherZoneMs
+	case r.hasLocalHints, len(r.usage) > 0:
+		return crossZoneMs
 	}
 	return thirdZoneMs
 }
 
-func (r *recipient) largePause() float64 {
+func (r *recipient) largeMinInterval() float64 {
 	switch {
-	case r.hinted && len(r.hints) > 0:
+	case r.receivesLoads && len(r.hints) > 0:
 		return neighborHintMs
-	case r.failureHint || r.urgentMs > 0:
-		return soonMs
+	case r.hasFailureHints || r.usageDueWithinMs > 0:
+		return urgentIntervalMs
 	}
-	return largeAliveMs
+	return largeHeartbeatMs
 }
 
-// veryLargePause is the shortest pause that any of the updates asks for: what a quota needs
-// must not wait for loads (docs/incidents/0019).
-func (r *recipient) veryLargePause() float64 {
-	pause := largeAliveMs
-	if r.hinted && len(r.hints) > 0 {
-		pause = veryLargeHintMs
+// veryLargeMinInterval returns the shortest interval that any of the pending updates requires:
+// usage that a quota depends on must not wait for the interval of loads (docs/incidents/0019).
+func (r *recipient) veryLargeMinInterval() float64 {
+	interval := largeHeartbeatMs
+	if r.receivesLoads && len(r.hints) > 0 {
+		interval = veryLargeHintMs
 	}
-	if r.failureHint {
-		pause = min(pause, soonMs)
+	if r.hasFailureHints {
+		interval = min(interval, urgentIntervalMs)
 	}
-	if r.urgentMs > 0 {
-		pause = min(pause, r.urgentMs)
+	if r.usageDueWithinMs > 0 {
+		interval = min(interval, r.usageDueWithinMs)
 	}
-	return pause
+	return interval
 }
 
-// significant returns the part of a hint that goes to group members in a large fleet that
-// are no neighbors, false for none.
+// significant returns the part of a hint that is sent to group members other than neighbors in
+// a large fleet. It returns false if there is none.
 func significant(h balance.Hint) (balance.Hint, bool) {
 	if h.Latency < significantLatency {
 		return h, false
--- a/dataplane/gossip/schedule_test.go
+++ b/dataplane/gossip/schedule_test.go
@@ -7,8 +7,8 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// Usage of a tenant that has little left goes out at once in a very large fleet too,
-// whatever else there is to send of servers.
+// In a very large fleet, the usage of a nearly exhausted tenant is sent within its due time even
+// if there are constant updates about servers, which are sent less often.
 func TestUrgentUsageDoesNotWaitForLoads(t *testing.T) {
 	const tenant, rate, urgentMs = 7, 1000.0, 50.0
 	l := newTestLimiter(1<<40, peersInZones(quota.VeryLargeFleetPeers+20), Budget{})
@@ -19,12 +19,12 @@
 		for range int(4 * rate * l.TickMs() / 1000) {
 			l.quotas.Admit(now, tenant)
 		}
-		l.respond(now, balance.Success, 100*float64(1+int(now)%7)) // slow responses, which are hints
+		l.respond(now, balance.Success, 100*float64(1+int(now)%7)) // slow enough to cause hints
 		l.tick(now, func(to uint64, m *Message) {
 			if len(m.Consumed) == 0 {
 				return
 			}
-			if now > 2000 { // the burst is used up
+			if now > 2000 { // the burst is spent
 				longest[to] = max(longest[to], now-last[to])
 				messages++
 			}
@@ -32,7 +32,7 @@
 		})
 	}
 	if messages < 40*10 {
-		t.Fatalf("only %d messages had usage", messages)
+		t.Fatalf("only %d messages with usage", messages)
 	}
 	groupMembers := 0
 	for _, r := range l.recipients {
@@ -41,10 +41,10 @@
 		}
 		groupMembers++
 		if gap := longest[r.ID]; gap == 0 || gap > urgentMs+2*l.TickMs() {
-			t.Errorf("%x was sent usage %.0f ms apart", r.ID, gap)
+			t.Errorf("longest time between messages with usage to %x: %.0f ms", r.ID, gap)
 		}
 	}
 	if groupMembers == 0 {
-		t.Error("there are no group members")
+		t.Error("no recipient is a group member")
 	}
 }
--- a/dataplane/gossip/topology_test.go
+++ b/dataplane/gossip/topology_test.go
@@ -7,20 +7,20 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// In a fleet of any size each limiter has a bounded number of recipients.
+// The number of recipients of each limiter stays bounded as the fleet grows.
 func TestRecipientsStayFew(t *testing.T) {
 	t.Parallel()
 	for n, maxRecipients := range map[int]int{11: 10, 24: 23, 100: 60, 300: 90, 1000: 160} {
 		all := limitersInThreeZones(n)
 		for i := range all {
 			if got := disseminatorOf(all, i).Recipients(); got > maxRecipients {
-				t.Errorf("%d limiters: one has %d recipients", n, got)
+				t.Errorf("fleet of %d: a limiter has %d recipients", n, got)
 			}
 		}
 	}
 }
 
-// Each limiter of another group is sent a group's usage by two of it.
+// Each limiter is sent the usage of each other group by two reporters of that group.
 func TestTwoReportEachGroup(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{11, 24, 100, 300, 1000} {
@@ -33,14 +33,14 @@
 		for _, p := range all {
 			for _, o := range all {
 				if g := level.Group(o); g != level.Group(p) && reporters[p.ID][g] != reportersPerGroup {
-					t.Fatalf("%d limiters: to %x %d report group %v", n, p.ID, reporters[p.ID][g], g)
+					t.Fatalf("fleet of %d: limiter %x has %d reporters of group %v", n, p.ID, reporters[p.ID][g], g)
 				}
 			}
 		}
 	}
 }
 
-// countReporters counts by recipient and group who sends it usage.
+// countReporters returns the number of limiters that send usage, by recipient and sender's group.
 func countReporters(all []quota.Member, level quota.GroupingLevel) map[uint64]map[quota.Group]int {
 	out := map[uint64]map[quota.Group]int{}
 	for i, p := range all {
@@ -48,7 +48,7 @@
 			if out[r.ID] == nil {
 				out[r.ID] = map[quota.Group]int{}
 			}
-			if r.groupMember || r.reportedTo {
+			if r.groupMember || r.receivesDigest {
 				out[r.ID][level.Group(p)]++
 			}
 		}
@@ -63,7 +63,7 @@
 	return all
 }
 
-// disseminatorOf returns one limiter's, with all others for peers.
+// disseminatorOf returns the disseminator of limiter i, with all others as peers.
 func disseminatorOf(all []quota.Member, i int) *Disseminator {
 	d := NewDisseminator(0, all[i], 1, Budget{})
 	d.SetPeers(slices.Delete(slices.Clone(all), i, i+1), quota.GroupingLevelFor(len(all), 3))
