--- a/dataplane/limiter/partition_test.go
+++ b/dataplane/limiter/partition_test.go
@@ -167,8 +167,8 @@
 			p := quota.Plan{Rate: 400, Burst: 100}
 			f := newFleet(n, p)
 			f.runTraffic(0, 3000, 600, f.ids)
-			calm := f.runTraffic(3000, 8000, 600, f.ids)
-			if got := len(calm); float64(got) < 0.97*5*p.Rate || float64(got) > 1.02*5*p.Rate {
+			steady := f.runTraffic(3000, 8000, 600, f.ids)
+			if got := len(steady); float64(got) < 0.97*5*p.Rate || float64(got) > 1.02*5*p.Rate {
 				t.Errorf("%d limiters: %d requests admitted in 5 s, want %.0f", n, got, 5*p.Rate)
 			}
 			if n > 92 {
--- a/dataplane/limiter/verylargefleet_test.go
+++ b/dataplane/limiter/verylargefleet_test.go
@@ -39,11 +39,11 @@
 			f.updatePeers(0)
 			f.lost = func(_, _ uint64) bool { return f.rng.Float64() < 0.01 }
 			at := f.runTraffic(0, 4000, 0.6*c.rate, f.ids)
-			calm := float64(len(at))
+			beforeSurge := float64(len(at))
 			surge := f.runTraffic(4000, 12_000, c.times*c.rate, f.ids)
 			n := maxInWindow(append(at, surge...))
 			t.Logf("admitted: %.0f of %.0f before the surge, %d of %.0f during it; %d in 5 s, at most %d allowed",
-				calm, 0.6*4*c.rate, len(surge), 9*c.rate, n, bound(p))
+				beforeSurge, 0.6*4*c.rate, len(surge), 9*c.rate, n, bound(p))
 			if n > bound(p) {
 				t.Errorf("%d requests admitted in 5 s, want at most %d", n, bound(p))
 			}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -5,49 +5,50 @@
 	"testing"
 )
 
-// play sends a server so many requests a second for some time, of which a share fails. It
-// returns when the server was first ejected, 0 for never, and for which part of the time it was.
-func play(
-	r *Detector, u *Baseline, seed uint64, from, forMs, perS, share float64,
-) (first, off float64) {
+// simulate sends perS requests per second to a server for forMs, of which failureShare fail. It
+// returns the time from the start to the first ejection (0: none), and the fraction of the time
+// for which the server was ejected.
+func simulate(
+	d *Detector, b *Baseline, seed uint64, from, forMs, perS, failureShare float64,
+) (firstEjection, ejectedShare float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for now := from; now < from+forMs; now += 1000 / perS {
-		if r.Ejected(now) {
-			off += 1000 / perS / forMs
+		if d.Ejected(now) {
+			ejectedShare += 1000 / perS / forMs
 			continue
 		}
-		if rng.Float64() >= share {
-			r.ObserveSuccess(now, u)
-		} else if r.ObserveFailure(now, 1, u, true) && first == 0 {
-			first = now - from
+		if rng.Float64() >= failureShare {
+			d.ObserveSuccess(now, b)
+		} else if d.ObserveFailure(now, 1, b, true) && firstEjection == 0 {
+			firstEjection = now - from
 		}
 	}
-	return first, off
+	return firstEjection, ejectedShare
 }
 
-// A server that fails a part of its requests is ejected within a second at seven
-// requests a second, whatever it did before, and most of the time from then on.
+// A server that starts to fail a part of its requests, at seven requests per second, is ejected
+// within 2.5 s in nine of ten runs, and is in use at most half of the time from then on.
 func TestPartiallyFailingServerIsEjected(t *testing.T) {
 	for _, share := range []float64{0.4, 0.6, 1} {
-		late, used := 0, 0.0
+		notEjected, inUse := 0, 0.0
 		for seed := range uint64(100) {
-			var r Detector
-			u := &Baseline{rate: 0.03}
-			play(&r, u, seed, 0, 20_000, 7, 0.005)
-			first, off := play(&r, u, seed+1000, 20_000, 7000, 7, share)
+			var d Detector
+			b := &Baseline{rate: 0.03}
+			simulate(&d, b, seed, 0, 20_000, 7, 0.005)
+			first, ejectedShare := simulate(&d, b, seed+1000, 20_000, 7000, 7, share)
 			if first == 0 || first > 2500 {
-				late++
+				notEjected++
 			}
-			used += (1 - off) / 100
+			inUse += (1 - ejectedShare) / 100
 		}
-		if late > 10 || used > 0.5 {
-			t.Errorf("failing %.0f %%: %d of 100 not ejected within 2.5 s, %.2f of the time in use",
-				100*share, late, used)
+		if notEjected > 10 || inUse > 0.5 {
+			t.Errorf("failing %.0f %%: in %d of 100 runs not ejected within 2.5 s, in use %.2f of the time",
+				100*share, notEjected, inUse)
 		}
 	}
 }
 
-// A server that fails as others do, now and then, is used.
+// A server that fails as often as the others of its service is rarely ejected.
 func TestServerThatFailsAsOthersDoIsNotEjected(t *testing.T) {
 	for _, c := range []struct{ share, baseline, maxEjected float64 }{
 		{0.01, 0.01, 0.02},
@@ -56,60 +57,60 @@
 	} {
 		mean := 0.0
 		for seed := range uint64(50) {
-			var r Detector
-			_, off := play(&r, &Baseline{rate: c.baseline}, seed, 0, 30_000, 7, c.share)
-			mean += off / 50
+			var d Detector
+			_, ejectedShare := simulate(&d, &Baseline{rate: c.baseline}, seed, 0, 30_000, 7, c.share)
+			mean += ejectedShare / 50
 		}
 		if mean > c.maxEjected {
-			t.Errorf("failing %.0f %% as all do: ejected %.3f of the time", 100*c.share, mean)
+			t.Errorf("failing %.0f %%, as all servers: ejected %.3f of the time", 100*c.share, mean)
 		}
 	}
 }
 
-// A server that returns is on probation: one failure ejects it for twice as long.
-// After a long time without a failure the count of ejections begins again.
+// A server that returns from ejection is on probation: one failure ejects it for twice as long.
+// After ejectionResetMs without a failure, the next ejection counts as the first one again.
 func TestServerOnProbationIsEjectedForTwiceAsLong(t *testing.T) {
-	var r Detector
-	u := &Baseline{}
-	r.ObserveFailure(0, ConclusiveWeight, u, true)
-	if !r.ObserveFailure(1, ConclusiveWeight, u, true) || !r.Ejected(baseEjectionMs) || r.Ejected(baseEjectionMs+2) {
-		t.Fatal("two failed connects eject a server for a while")
+	var d Detector
+	b := &Baseline{}
+	d.ObserveFailure(0, ConclusiveWeight, b, true)
+	if !d.ObserveFailure(1, ConclusiveWeight, b, true) || !d.Ejected(baseEjectionMs) || d.Ejected(baseEjectionMs+2) {
+		t.Fatal("not ejected for baseEjectionMs after two conclusive failures")
 	}
-	back := baseEjectionMs + 2
-	end := back + 2*baseEjectionMs
-	if !r.ObserveFailure(back, 1, u, true) || !r.Ejected(end-1) || r.Ejected(end) {
-		t.Error("a failure on probation ejects it for twice as long")
+	returnsAt := baseEjectionMs + 2
+	ejectedUntil := returnsAt + 2*baseEjectionMs
+	if !d.ObserveFailure(returnsAt, 1, b, true) || !d.Ejected(ejectedUntil-1) || d.Ejected(ejectedUntil) {
+		t.Error("not ejected for twice as long after a failure on probation")
 	}
 	now := 3*baseEjectionMs + 2
-	for ; now < 3*baseEjectionMs+forgiveAfterMs+10; now += 100 {
-		r.ObserveSuccess(now, u)
+	for ; now < 3*baseEjectionMs+ejectionResetMs+10; now += 100 {
+		d.ObserveSuccess(now, b)
 	}
-	r.ObserveFailure(now, ConclusiveWeight, u, true)
-	if !r.ObserveFailure(now+1, ConclusiveWeight, u, true) || r.Ejected(now+1+baseEjectionMs) {
-		t.Error("after a long time the count begins again")
+	d.ObserveFailure(now, ConclusiveWeight, b, true)
+	if !d.ObserveFailure(now+1, ConclusiveWeight, b, true) || d.Ejected(now+1+baseEjectionMs) {
+		t.Error("ejections not reset after a long time without a failure")
 	}
 }
 
-// A server that its service can't do without is used however it fails; failures that
-// peers report weigh less.
+// A server that its service cannot do without is never ejected. Failures that peers report have a
+// lower weight.
 func TestIrreplaceableServerIsNotEjected(t *testing.T) {
-	var r Detector
-	u := &Baseline{}
+	var d Detector
+	b := &Baseline{}
 	for now := range 50 {
-		if r.ObserveFailure(float64(now), 1, u, false) || r.Ejected(float64(now)) {
-			t.Fatal("an irreplaceable server is ejected")
+		if d.ObserveFailure(float64(now), 1, b, false) || d.Ejected(float64(now)) {
+			t.Fatal("irreplaceable server ejected")
 		}
 	}
-	if r.Suspicion(50) < 0.9 {
-		t.Errorf("a suspicion of %v", r.Suspicion(50))
+	if d.Suspicion(50) < 0.9 {
+		t.Errorf("suspicion of an always failing server: %v, want at least 0.9", d.Suspicion(50))
 	}
 	var reported Detector
 	for now := range 3 {
-		if reported.ObserveFailure(float64(now), 0.3, u, true) {
-			t.Fatal("three reported failures are enough")
+		if reported.ObserveFailure(float64(now), 0.3, b, true) {
+			t.Fatal("ejected after three failures reported by peers")
 		}
 	}
-	if d := reported.Suspicion(3); d < 0.3 || d > 0.9 {
-		t.Errorf("a suspicion of %v", d)
+	if suspicion := reported.Suspicion(3); suspicion < 0.3 || suspicion > 0.9 {
+		t.Errorf("suspicion after three failures reported by peers: %v, want 0.3 to 0.9", suspicion)
 	}
 }
