--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -11,8 +11,8 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// goldenMessages are messages that together have each section of a datagram empty, with
-// one entry, with several, and with as many as a sender puts into one.
+// goldenMessages returns messages that together cover each section of a datagram with no entry,
+// one entry, several entries, and the maximum that a sender puts into one message.
 func goldenMessages() map[string]Message {
 	const from, start = 0x0123456789abcdef, 0x7edcba9876543210
 	consumed := []quota.Usage{
@@ -27,7 +27,7 @@
 	}
 	demand := []balance.Demand{{Service: 0, Level: 1}, {Service: 0xbeef, Level: 200}}
 	classes := []quota.SharingClass{{LiveSet: 0xcafef00d, Count: 41}, {LiveSet: 7, Count: 300}}
-	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, StaleAge: 16}
+	full := Message{From: 1<<64 - 1, Incarnation: 1<<64 - 1, AgeMs: 1 << 50, StaleIdleGroup: 16}
 	for i := range 64 {
 		hint := balance.Hint{Server: uint32(i) << 20, InFlight: uint8(i), Latency: uint8(255 - i)}
 		full.Hints = append(full.Hints, hint)
@@ -57,9 +57,9 @@
 		"spent":     with(1, func(m *Message) { m.Consumed, m.LiveSet = consumed, 1 }),
 		"hints":     with(128, func(m *Message) { m.Hints, m.LiveSet = hints, 2 }),
 		"demand":    with(300, func(m *Message) { m.Demand, m.LiveSet = demand, 3 }),
-		"forgotten": with(16384, func(m *Message) { m.StaleAge, m.LiveSet = 5, 4 }),
+		"forgotten": with(16384, func(m *Message) { m.StaleIdleGroup, m.LiveSet = 5, 4 }),
 		"all-but-digest": with(1<<40, func(m *Message) {
-			m.Consumed, m.Hints, m.Demand, m.StaleAge, m.LiveSet = consumed, hints, demand, 16, 5
+			m.Consumed, m.Hints, m.Demand, m.StaleIdleGroup, m.LiveSet = consumed, hints, demand, 16, 5
 		}),
 		"digest-first": with(9, func(m *Message) { m.GroupDigest = digest(1, true, 1, 6) }),
 		"digest-second": with(10, func(m *Message) {
@@ -67,7 +67,7 @@
 			m.GroupDigest.Classes, m.GroupDigest.Consumed = classes, consumed
 		}),
 		"digest-and-hints": with(11, func(m *Message) {
-			m.Hints, m.Demand, m.StaleAge = hints, demand, 1
+			m.Hints, m.Demand, m.StaleIdleGroup = hints, demand, 1
 			m.GroupDigest = digest(3, true, 9, 8)
 			m.GroupDigest.Classes, m.GroupDigest.Consumed = classes[:1], consumed[:1]
 		}),
@@ -75,13 +75,13 @@
 	}
 }
 
-// Datagrams of an earlier version (f96d826) are decoded to the same messages and encoded
-// to the same bytes: limiters of two builds understand each other during an upgrade.
+// The datagrams of an earlier version (f96d826) decode to the same messages and encode to the
+// same bytes, so that limiters of both versions interoperate during an upgrade.
 func TestGoldenDatagrams(t *testing.T) {
 	messages := goldenMessages()
 	files, err := filepath.Glob(filepath.Join("testdata", "golden", "*.bin"))
 	if err != nil || len(files) != len(messages) {
-		t.Fatalf("%d files for %d messages (%v)", len(files), len(messages), err)
+		t.Fatalf("%d golden files for %d messages (error: %v)", len(files), len(messages), err)
 	}
 	for name, message := range messages {
 		want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".bin"))
@@ -89,7 +89,7 @@
 			t.Fatal(err)
 		}
 		if got := message.Append(nil); !bytes.Equal(got, want) {
-			t.Errorf("%s is encoded as %x, want %x", name, got, want)
+			t.Errorf("%s: encoded as %x, want %x", name, got, want)
 		}
 		var decoded Message
 		if err := decoded.Decode(want); err != nil {
@@ -97,23 +97,23 @@
 			continue
 		}
 		if got := decoded.Append(nil); !bytes.Equal(got, want) {
-			t.Errorf("%s decoded and encoded again: %x, want %x", name, got, want)
+			t.Errorf("%s: re-encoded as %x, want %x", name, got, want)
 		}
 		if !reflect.DeepEqual(withoutEmptySlices(decoded), withoutEmptySlices(message)) {
-			t.Errorf("%s is decoded as %+v, want %+v", name, decoded, message)
+			t.Errorf("%s: decoded as %+v, want %+v", name, decoded, message)
 		}
 		for n := range want {
 			if decoded.Decode(want[:n]) == nil {
-				t.Errorf("%s: its first %d bytes are accepted", name, n)
+				t.Errorf("%s: truncated to %d bytes, Decode returned no error", name, n)
 			}
 		}
 		if decoded.Decode(append(want[:len(want):len(want)], 0)) == nil {
-			t.Errorf("%s with a byte more is accepted", name)
+			t.Errorf("%s: with a trailing byte, Decode returned no error", name)
 		}
 	}
 }
 
-// withoutEmptySlices has nil in place of empty slices: a decoded message may have either.
+// withoutEmptySlices replaces empty slices by nil, because a decoded message may have either.
 func withoutEmptySlices(m Message) Message {
 	if len(m.Consumed) == 0 {
 		m.Consumed = nil
