--- a/raft/storage/batch.go
+++ b/raft/storage/batch.go
@@ -9,18 +9,18 @@
 	"example.org/elmspan/raft"
 )
 
-// writeBatch collects changes that are written together or not at all. The first error
-// stays in err and is returned by Store.write.
+// writeBatch collects changes that are written atomically. err holds the first error,
+// which Store.write returns.
 type writeBatch struct {
 	records leveldb.Batch
-	after   contents // what is stored once the batch is written
+	after   contents // of the store once the batch is written
 	err     error
 }
 
-// newBatch starts a batch on top of what is stored.
+// newBatch returns an empty batch that follows the current contents of the store.
 func (s *Store) newBatch() *writeBatch {
 	b := &writeBatch{after: s.contents}
-	b.after.entries = slices.Clip(s.contents.entries) // an append must not change those of the store
+	b.after.entries = slices.Clip(s.contents.entries) // so that append copies the slice of the store
 	b.after.sequence++
 	return b
 }
@@ -48,13 +48,13 @@
 	b.after.hardState = b.put(keyHardState, state)
 }
 
-// putSnapshot replaces the snapshot. The entries that are left must follow it.
+// putSnapshot replaces the snapshot. The remaining entries must follow it without a gap.
 func (b *writeBatch) putSnapshot(snapshot raft.Snapshot) {
 	b.after.snapshot = b.put(keySnapshot, snapshot)
 	b.after.snapshotIndex = snapshot.Index
 }
 
-// compactTo deletes the entries up to and including an index.
+// compactTo deletes the entries up to and including index.
 func (b *writeBatch) compactTo(index uint64) {
 	compacted := index - min(index, b.after.snapshotIndex)
 	compacted = min(compacted, uint64(len(b.after.entries)))
@@ -64,7 +64,7 @@
 	b.after.snapshotIndex, b.after.entries = index, b.after.entries[compacted:]
 }
 
-// truncateFrom deletes the entries from an index on.
+// truncateFrom deletes the entries at and after index.
 func (b *writeBatch) truncateFrom(index uint64) {
 	for i := index; i <= b.after.lastIndex(); i++ {
 		b.records.Delete(entryKey(i))
@@ -73,8 +73,8 @@
 	b.after.entries = b.after.entries[:kept]
 }
 
-// putEntries replaces the end of the log, from the index of the first of the given
-// entries on. Those that the snapshot stands for are left out.
+// putEntries replaces the end of the log, starting at the index of the first given entry.
+// Entries that the snapshot covers are skipped.
 func (b *writeBatch) putEntries(entries []raft.Entry) {
 	for len(entries) > 0 && entries[0].Index <= b.after.snapshotIndex {
 		entries = entries[1:]
@@ -86,7 +86,7 @@
 	b.after.entries = slices.Clip(b.after.entries)
 	for _, entry := range entries {
 		if next := b.after.lastIndex() + 1; entry.Index != next {
-			b.fail(fmt.Errorf("storage: entry %d in place of %d", entry.Index, next))
+			b.fail(fmt.Errorf("storage: entries are not consecutive: got %d, want %d", entry.Index, next))
 		}
 		b.after.entries = append(b.after.entries, b.put(entryKey(entry.Index), entry))
 	}
--- a/raft/storage/bench_test.go
+++ b/raft/storage/bench_test.go
@@ -8,7 +8,7 @@
 	"example.org/elmspan/raft"
 )
 
-// syncCountingFS counts the syncs of the disk of the machine.
+// syncCountingFS counts file and directory syncs on the local file system.
 type syncCountingFS struct {
 	osFileSystem
 	files, dirs *atomic.Int64
@@ -42,8 +42,8 @@
 	return c.osFileSystem.SyncDir(dir)
 }
 
-// The cost of a Save on this machine's disk, with the syncs of files and folders
-// for each, those of goleveldb's compaction among them.
+// Measures Save on the local disk, and reports the file and directory syncs per Save,
+// including those of goleveldb's compactions.
 func BenchmarkSave(b *testing.B) {
 	for _, size := range []int{200, 41 << 10} {
 		b.Run(fmt.Sprintf("%dB", size), func(b *testing.B) {
@@ -66,7 +66,7 @@
 				if err := s.Save(raft.Ready{Entries: []raft.Entry{{Index: i, Term: 1, Data: data}}}); err != nil {
 					b.Fatal(err)
 				}
-				if i%64 == 0 { // as a member does
+				if i%64 == 0 { // the default snapshot interval of raft.Config
 					if err := s.Compact(raft.Snapshot{Index: i, Term: 1, Data: data}); err != nil {
 						b.Fatal(err)
 					}
--- a/raft/storage/contents.go
+++ b/raft/storage/contents.go
@@ -6,29 +6,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// contents is a summary of everything that is stored: a hash of each record. Its digest
-// is stored with each batch, so that what is read can be compared with what was written,
-// end to end and whatever the database did in between: a batch missing from the middle,
-// an old table that has come back, a key that is gone.
+// contents summarizes everything that is stored, with a hash of each record. Its digest
+// is stored with each batch and checked when the store is read. This end-to-end check
+// detects any damage within the database, such as a missing batch, a stale table that
+// reappeared, or a missing key.
 type contents struct {
-	sequence  uint64 // the number of the last batch; 0 for a store that has none
-	identity  uint64 // the hash of its record, 0 for none; the same for the next two
+	sequence uint64 // number of the last batch, 0 if none was written
+
+	// Record hashes, 0 if there is no such record.
+	identity  uint64
 	hardState uint64
 	snapshot  uint64
 
-	snapshotIndex uint64   // the log index up to which the snapshot stands for the log
-	entries       []uint64 // the hashes of the entries from snapshotIndex+1 on
+	snapshotIndex uint64   // index of the last log entry that the snapshot covers
+	entries       []uint64 // hashes of the entries, starting at snapshotIndex+1
 }
 
-// lastIndex is the index of the last log entry.
+// lastIndex returns the index of the last log entry.
 func (c *contents) lastIndex() uint64 { return c.snapshotIndex + uint64(len(c.entries)) }
 
-// empty reports whether nothing at all is stored.
+// empty reports whether the store holds no records.
 func (c *contents) empty() bool {
 	return c.identity == 0 && c.hardState == 0 && c.snapshot == 0 && len(c.entries) == 0
 }
 
-// batchID is the identity of the batch that led to these contents. It is zero where
+// batchID returns the ID of the batch that produced these contents, or the zero value if
 // nothing was ever stored.
 func (c *contents) batchID() batchID {
 	if c.sequence == 0 && c.empty() {
@@ -45,9 +47,9 @@
 	return batchID{c.sequence, xxhash.Sum64(summary)}
 }
 
-// batchID identifies a batch by its sequence number and by the digest of everything that
-// is stored after it. It is stored in the database with the batch, and in the seal.
+// batchID identifies a batch by its sequence number and by the digest of the contents of
+// the store after it. It is stored in the database with the batch, and in the seal file.
 type batchID struct {
-	Sequence uint64 `cbor:"Sequence"` // counted from 1
+	Sequence uint64 `cbor:"Sequence"` // starts at 1
 	Digest   uint64 `cbor:"Digest"`   // see contents.batchID
 }
--- a/raft/storage/damage_test.go
+++ b/raft/storage/damage_test.go
@@ -11,9 +11,9 @@
 	"example.org/elmspan/raft"
 )
 
-// usedStore makes a disk with a store on it that was in use for a while, and returns the
-// disk as it is now and as it was at some earlier time.
-func usedStore(r *rand.Rand) (m *testMember, now, older *faultDisk, err error) {
+// newUsedStore returns a member, a disk with the store that it used for a while, and a copy
+// of the disk from an earlier time.
+func newUsedStore(r *rand.Rand) (m *testMember, now, older *faultDisk, err error) {
 	m = &testMember{rand: r, id: raft.ID(r.Uint64() | 1), largeEntries: r.IntN(3) > 0}
 	now = newFaultDisk()
 	older = now
@@ -35,7 +35,7 @@
 	return m, now, older, nil
 }
 
-// damageCounts counts by kind of file how the damage ended.
+// damageCounts counts the damaged stores found corrupt and intact, by kind of file.
 type damageCounts struct {
 	mu              sync.Mutex
 	corrupt, intact map[string]int
@@ -51,14 +51,14 @@
 	}
 }
 
-// Whatever is done to one file of a store at rest: the member has everything that was
-// acknowledged, or it gets ErrCorrupt, now and the next time, and starts again under
-// another identity. It never ends in another error, and never with less.
+// Damages one file of a closed store. The store must either open with everything that was
+// acknowledged, or fail with ErrCorrupt each time, after which a new member can replace it.
+// It must not fail with another error, or open with less than was acknowledged.
 func TestDamagedStoreIsIntactOrCorrupt(t *testing.T) {
 	counts := damageCounts{corrupt: map[string]int{}, intact: map[string]int{}}
 	checkSeeds(t, *diskSeeds, func(seed uint64) error {
 		r := rand.New(rand.NewPCG(seed, 2))
-		used, disk, older, err := usedStore(r)
+		used, disk, older, err := newUsedStore(r)
 		if err != nil {
 			return err
 		}
@@ -75,21 +75,20 @@
 		return nil
 	})
 	for _, kind := range fileKinds {
-		t.Logf("%-8s damaged: %d were intact, %d were corrupt", kind, counts.intact[kind], counts.corrupt[kind])
-		if counts.corrupt[kind] == 0 && slowdown == 1 {
-			t.Errorf("%s: no damage was found", kind)
+		t.Logf("%-8s damaged: %d intact, %d corrupt", kind, counts.intact[kind], counts.corrupt[kind])
+		if counts.corrupt[kind] == 0 && seedDivisor == 1 {
+			t.Errorf("%s: no damage was detected", kind)
 		}
 	}
 }
 
-// runAfterDamage opens a store that was damaged, and reports whether it is corrupt. Either
-// way the member must be able to go on: with everything that was acknowledged, or as a new
-// member.
+// runAfterDamage opens a damaged store, and reports whether it is corrupt. In both cases the
+// member must be able to continue, with everything that was acknowledged or as a new member.
 func (m *testMember) runAfterDamage(d *faultDisk) (corrupt bool, err error) {
 	before := d.listing()
 	s, err := m.start(d)
 	before += " opened: " + d.listing()
-	if err == nil { // what was not read so far must not fail later
+	if err == nil { // data that was not read when the store was opened must not fail later
 		err = m.run(d, s, 10, false)
 		closeStore(s)
 	} else {
@@ -109,10 +108,10 @@
 	return corrupt, nil
 }
 
-// replaceCorrupt runs a new member in place of one whose store is corrupt.
+// replaceCorrupt runs a new member in the directory of a corrupt store.
 func (m *testMember) replaceCorrupt(d *faultDisk) error {
 	if _, err := openStore(d, storeDir); !errors.Is(err, ErrCorrupt) {
-		return fmt.Errorf("it was corrupt and is now: %w", err)
+		return fmt.Errorf("corrupt store opened again: got %w, want ErrCorrupt", err)
 	}
 	s, err := resetStore(d, storeDir)
 	if err != nil {
@@ -123,13 +122,13 @@
 	return m.run(d, s, 5, false)
 }
 
-// Without the seal the test above would find members that go on with less than they
-// acknowledged: here the seal is made to agree with what the database says, whose
-// write-ahead log has lost something.
+// Checks that the test above depends on the seal: here the write-ahead log is damaged, and
+// the seal is replaced by one that matches what is left of the database. Some members must
+// then start with less than they acknowledged.
 func TestDamageIsFoundByTheSeal(t *testing.T) {
 	lost := runSeeds(80, func(seed uint64) error {
 		r := rand.New(rand.NewPCG(seed, 3))
-		m, d, older, err := usedStore(r)
+		m, d, older, err := newUsedStore(r)
 		if err != nil {
 			return nil
 		}
@@ -138,7 +137,7 @@
 		found, err := unsealed.readDatabase(true)
 		unsealed.closeFiles()
 		if err != nil {
-			return nil // goleveldb, or the digest, has found it
+			return nil // detected by goleveldb or the digest
 		}
 		if err := createSeal(d, storeDir, filepath.Join(storeDir, sealName), found.batchID()); err != nil {
 			return err
@@ -147,17 +146,17 @@
 		return m.startAndStop(d)
 	})
 	if len(lost) == 0 {
-		t.Error("nothing acknowledged was lost without a seal")
+		t.Error("no acknowledged data was lost without the seal")
 	}
-	t.Logf("%d of %d seeds lost something acknowledged", len(lost), 80/slowdown)
+	t.Logf("%d of %d seeds lost acknowledged data", len(lost), 80/seedDivisor)
 }
 
-// A process that starts a new member and is interrupted while it removes the old state is
-// never taken for one that has none, nor for the member that it was.
+// If a power loss interrupts Reset, the store must be corrupt or that of the new member, but
+// neither empty nor that of the old member.
 func TestInterruptedResetIsNeverAnEmptyStore(t *testing.T) {
 	checkSeeds(t, *diskSeeds, func(seed uint64) error {
 		r := rand.New(rand.NewPCG(seed, 4))
-		old, d, _, err := usedStore(r)
+		old, d, _, err := newUsedStore(r)
 		if err != nil {
 			return err
 		}
@@ -175,18 +174,18 @@
 				return replacement.checkReplaced(d, s, old.id)
 			}
 			if replacement.acknowledged.ID != 0 {
-				return fmt.Errorf("it was initialized: %w", err)
+				return fmt.Errorf("opening the store of the initialized new member: %w", err)
 			}
 		}
 		return nil
 	})
 }
 
-// resetUntilPowerLoss starts the member in place of a corrupt store, and returns the disk
-// as it comes back after a loss of power at any step.
+// resetUntilPowerLoss resets a corrupt store and runs the member in it. It returns the disk
+// after a power loss at a random step.
 func (m *testMember) resetUntilPowerLoss(d *faultDisk) (after *faultDisk, err error) {
 	if _, err := openStore(d, storeDir); !errors.Is(err, ErrCorrupt) {
-		return nil, fmt.Errorf("a store that is half removed opens: %w", err)
+		return nil, fmt.Errorf("partly removed store: got %w, want ErrCorrupt", err)
 	}
 	d.powerLossAt = d.steps + 1 + m.rand.IntN(40)
 	s, err := resetStore(d, storeDir)
@@ -204,8 +203,8 @@
 	return after, nil
 }
 
-// checkReplaced checks that an open store is the one of the member, which stands in place
-// of another.
+// checkReplaced checks that an open store belongs to the new member, and not to the
+// replaced one.
 func (m *testMember) checkReplaced(d *faultDisk, s *Store, replaced raft.ID) error {
 	id, err := s.Identity()
 	closeStore(s)
@@ -213,7 +212,7 @@
 		return err
 	}
 	if id != m.id {
-		return fmt.Errorf("member %d came back as %d, %d was initialized", replaced, id, m.id)
+		return fmt.Errorf("member %d was replaced: got identity %d, want %d", replaced, id, m.id)
 	}
 	return m.startAndStop(d)
 }
--- a/raft/storage/dbfiles.go
+++ b/raft/storage/dbfiles.go
@@ -10,103 +10,105 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// dbFiles gives goleveldb the files of a store. It implements goleveldb's
-// storage.Storage. goleveldb's own implementation loses acknowledged writes with the
-// power, so this one differs from it:
+// dbFiles gives goleveldb access to the files of a store. It implements goleveldb's
+// storage.Storage. goleveldb's own implementation loses acknowledged writes on a power
+// loss, so this one differs from it:
 //
-//   - The first sync of a file syncs its folder too. Without that, a new write-ahead log
-//     is a file of synced bytes that may have no name.
-//   - A manifest and its name are synced before it becomes the current one, see
+//   - The first sync of a file also syncs its directory. Otherwise the bytes of a new
+//     write-ahead log could be durable while its directory entry is not.
+//   - A manifest and its directory entry are synced before it becomes current, see
 //     manifest.go.
-//   - After the first write, sync or new file that failed, nothing is changed on the disk
-//     any more. goleveldb would try again on the same file, and a second fsync says
-//     nothing of pages that the first one gave up. goleveldb gets no error, so that its
-//     compaction neither retries for seconds nor fails while a writer waits for it. The
-//     store asks writeError after each write, acknowledges nothing, opens the database
-//     anew, and reads what is there.
+//   - After the first failure to write, sync or create a file, nothing is written to the
+//     disk any more. goleveldb would retry on the same file, but an fsync that succeeds
+//     after a failed one doesn't cover the pages that the failed one dropped. The error is
+//     hidden from goleveldb, whose compaction would otherwise retry for seconds or fail
+//     while a writer waits for it. The store checks writeError after each write; on an
+//     error it doesn't acknowledge the write, and reopens the database to read back what
+//     is on disk.
 //
-// Removals are not synced: what is removed is no longer named by the manifest, which is on
-// disk by then, and a file that comes back is ignored.
+// Removals are not synced: a removed file is no longer listed in the manifest, which is
+// durable by then, so a file that reappears after a power loss is ignored.
 type dbFiles struct {
 	fs  fileSystem
 	dir string
 
-	mu          sync.Mutex         // guards all that follows
-	failedWrite error              // the first failure to write; nothing is written after it
-	failedRead  error              // the first failure to read that is no damage
-	manifestSet bool               // goleveldb has made a manifest the current one
-	created     []storage.FileDesc // files that no manifest names yet
-	shut        bool               // shutDown was called
-	// partial has the tables that are not on disk in whole, since the first failed write.
-	partial map[storage.FileDesc]*dbWriter
+	mu            sync.Mutex         // guards the fields below
+	firstWriteErr error              // first write error; nothing is written after it
+	firstReadErr  error              // first read error other than damage, see isDamage
+	manifestSet   bool               // goleveldb has set a current manifest
+	created       []storage.FileDesc // files created before manifestSet
+	closed        bool               // shutDown was called
+	// partialTables holds the tables that are only partly on disk, or not at all, because
+	// of the first write error.
+	partialTables map[storage.FileDesc]*dbWriter
 }
 
 var _ storage.Storage = (*dbFiles)(nil)
 
 func (f *dbFiles) path(fd storage.FileDesc) string { return filepath.Join(f.dir, fd.String()) }
 
-// noteWriteError keeps the first failure to write.
-func (f *dbFiles) noteWriteError(err error) {
+// recordWriteError stores the first write error.
+func (f *dbFiles) recordWriteError(err error) {
 	if err == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failedWrite == nil {
-		f.failedWrite = err
+	if f.firstWriteErr == nil {
+		f.firstWriteErr = err
 	}
 }
 
-// noteReadError keeps the first failure to read that says nothing about what is on disk.
-func (f *dbFiles) noteReadError(err error) {
+// recordReadError stores the first read error that is not damage, see isDamage.
+func (f *dbFiles) recordReadError(err error) {
 	if err == nil || isDamage(err) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failedRead == nil {
-		f.failedRead = err
+	if f.firstReadErr == nil {
+		f.firstReadErr = err
 	}
 }
 
-// diskError is the failure of the disk that is behind a failure of the database; nil if
-// there is none, which leaves damage as the cause.
+// diskError returns the I/O error behind an error of the database, or nil if there was
+// none, which means that the stored data is damaged.
 func (f *dbFiles) diskError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failedWrite != nil {
-		return f.failedWrite
+	if f.firstWriteErr != nil {
+		return f.firstWriteErr
 	}
-	return f.failedRead
+	return f.firstReadErr
 }
 
-// writeError is the reason why nothing is written any more, nil while writes go on.
+// writeError returns the reason why writes are disabled, or nil if they are not.
 func (f *dbFiles) writeError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.shut {
+	if f.closed {
 		return errClosed
 	}
-	return f.failedWrite
+	return f.firstWriteErr
 }
 
-// shutDown ends all writes, and removes the files that no manifest names, so that attempts
-// on a full disk don't fill it further.
+// shutDown disables writes. If no manifest was set, it removes the files that were
+// created, so that repeated attempts to open the database don't use up a full disk.
 func (f *dbFiles) shutDown() {
 	f.mu.Lock()
-	f.shut = true
+	f.closed = true
 	created, manifestSet := f.created, f.manifestSet
 	f.mu.Unlock()
 	if manifestSet {
 		return
 	}
 	for _, fd := range created {
-		_ = f.fs.Remove(f.path(fd)) // one that stays is named by no manifest, and ignored
+		_ = f.fs.Remove(f.path(fd)) // a remaining file is ignored, as no manifest lists it
 	}
 }
 
-// noteCreated remembers a new file until a manifest names it.
-func (f *dbFiles) noteCreated(fd storage.FileDesc) {
+// trackCreated records a new file until goleveldb sets a current manifest.
+func (f *dbFiles) trackCreated(fd storage.FileDesc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.manifestSet {
@@ -114,26 +116,26 @@
 	}
 }
 
-// Lock implements storage.Storage. The store itself holds the lock.
+// Lock implements storage.Storage. It does nothing: the store holds the lock.
 func (f *dbFiles) Lock() (storage.Locker, error) { return noLocker{}, nil }
 
-// Log implements storage.Storage. goleveldb's own log is dropped.
+// Log implements storage.Storage. It discards goleveldb's log messages.
 func (f *dbFiles) Log(string) {}
 
-// Close implements storage.Storage. The store calls shutDown.
+// Close implements storage.Storage. It does nothing: the store calls shutDown.
 func (f *dbFiles) Close() error { return nil }
 
-// noLocker is a lock that locks nothing.
+// noLocker is a storage.Locker that does nothing.
 type noLocker struct{}
 
 // Unlock implements storage.Locker.
 func (noLocker) Unlock() {}
 
-// List implements storage.Storage: it lists the files of some types.
+// List implements storage.Storage: it lists the files of the given types.
 func (f *dbFiles) List(types storage.FileType) (files []storage.FileDesc, err error) {
 	names, err := f.fs.Names(f.dir)
 	if err != nil {
-		f.noteReadError(err)
+		f.recordReadError(err)
 		return nil, err
 	}
 	for _, name := range names {
@@ -146,15 +148,15 @@
 
 const manifestPrefix = "MANIFEST-"
 
-// fileTypes has the types of the files that are named NNNNNN.extension.
+// fileTypes maps the extension of a file named NNNNNN.extension to its type.
 var fileTypes = map[string]storage.FileType{
 	"log": storage.TypeJournal,
 	"ldb": storage.TypeTable,
 	"tmp": storage.TypeTemp,
 }
 
-// parseFileName reads the name of a file of goleveldb: NNNNNN.log, NNNNNN.ldb, NNNNNN.tmp
-// or MANIFEST-NNNNNN.
+// parseFileName parses the name of a goleveldb file: NNNNNN.log, NNNNNN.ldb, NNNNNN.tmp or
+// MANIFEST-NNNNNN.
 func parseFileName(name string) (fd storage.FileDesc, ok bool) {
 	number, extension, _ := strings.Cut(name, ".")
 	fd.Type = fileTypes[extension]
@@ -168,8 +170,8 @@
 	return fd, fd.String() == name
 }
 
-// Create implements storage.Storage: it makes a file, or empties it. It never fails, see
-// dbFiles.
+// Create implements storage.Storage: it creates or truncates a file. It never returns an
+// error, see dbFiles.
 func (f *dbFiles) Create(fd storage.FileDesc) (storage.Writer, error) {
 	w := &dbWriter{files: f, fd: fd}
 	if f.writeError() != nil {
@@ -177,11 +179,11 @@
 	}
 	created, err := f.fs.Create(f.path(fd))
 	if err != nil {
-		f.noteWriteError(err)
+		f.recordWriteError(err)
 		return w, nil
 	}
 	w.file = created
-	f.noteCreated(fd)
+	f.trackCreated(fd)
 	return w, nil
 }
 
@@ -193,34 +195,34 @@
 	return f.fs.Remove(f.path(fd))
 }
 
-// Rename implements storage.Storage. goleveldb renames only in its own recovery, which is
-// not used here.
+// Rename implements storage.Storage. It is not supported: goleveldb renames files only in
+// its own recovery, which is not used here.
 func (f *dbFiles) Rename(_, _ storage.FileDesc) error { return errors.ErrUnsupported }
 
 // Open implements storage.Storage: it opens a file for reading.
 func (f *dbFiles) Open(fd storage.FileDesc) (storage.Reader, error) {
 	f.mu.Lock()
-	partial := f.partial[fd]
+	partial := f.partialTables[fd]
 	f.mu.Unlock()
 	if partial != nil {
 		return partial.reader()
 	}
 	opened, err := f.fs.Open(f.path(fd))
 	if err != nil {
-		f.noteReadError(err)
+		f.recordReadError(err)
 		return nil, err
 	}
 	if fd.Type == storage.TypeTable {
 		if err := checkTableFooter(opened); err != nil {
-			closeUnwritten(opened)
-			f.noteReadError(err)
+			closeQuietly(opened)
+			f.recordReadError(err)
 			return nil, &storage.ErrCorrupted{Fd: fd, Err: err}
 		}
 	}
 	return dbReader{opened, f}, nil
 }
 
-// dbReader is a file that is open for reading. It implements storage.Reader.
+// dbReader is a file opened for reading. It implements storage.Reader.
 type dbReader struct {
 	file
 	files *dbFiles
@@ -229,13 +231,13 @@
 // Read implements io.Reader.
 func (r dbReader) Read(p []byte) (int, error) {
 	n, err := r.file.Read(p)
-	r.files.noteReadError(err)
+	r.files.recordReadError(err)
 	return n, err
 }
 
 // ReadAt implements io.ReaderAt.
 func (r dbReader) ReadAt(p []byte, offset int64) (int, error) {
 	n, err := r.file.ReadAt(p, offset)
-	r.files.noteReadError(err)
+	r.files.recordReadError(err)
 	return n, err
 }
--- a/raft/storage/dbwriter.go
+++ b/raft/storage/dbwriter.go
@@ -6,23 +6,23 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// dbWriter is a file that is open for writing. It implements storage.Writer. It is used by
-// one goroutine at a time, except for written and tail, which a reader of the same table
-// looks at once all was written.
+// dbWriter is a file opened for writing. It implements storage.Writer. It is used by one
+// goroutine at a time, except that a reader of the same table accesses written and tail
+// after the last write.
 type dbWriter struct {
 	files      *dbFiles
 	fd         storage.FileDesc
-	file       file // nil if it could not be made
-	nameSynced bool // the name of the file is durable
+	file       file // nil if it could not be created
+	nameSynced bool // the directory entry of the file is durable
 
-	written int // bytes that are in the file
-	// tail is the rest of a table, written after the first failed write of the store:
-	// compaction reads the tables that it has written. They are few, as the next Save opens
-	// the store again. Guarded by dbFiles.mu.
+	written int // bytes written to the file
+	// tail holds the bytes of a table that were written after the first write error of the
+	// store, because compaction reads back the tables that it has written. There are few of
+	// them, as the next Save reopens the store. Guarded by dbFiles.mu.
 	tail []byte
 }
 
-// Write implements io.Writer. It never fails, see dbFiles.
+// Write implements io.Writer. It never returns an error, see dbFiles.
 func (w *dbWriter) Write(p []byte) (int, error) {
 	if w.files.writeError() == nil {
 		_, err := w.file.Write(p)
@@ -30,27 +30,27 @@
 			w.written += len(p)
 			return len(p), nil
 		}
-		w.files.noteWriteError(err)
+		w.files.recordWriteError(err)
 	}
 	if w.fd.Type == storage.TypeTable {
-		w.keep(p)
+		w.bufferTail(p)
 	}
 	return len(p), nil
 }
 
-// keep holds in memory what is not written to disk.
-func (w *dbWriter) keep(p []byte) {
+// bufferTail keeps in memory the bytes of a table that can't be written to disk.
+func (w *dbWriter) bufferTail(p []byte) {
 	w.files.mu.Lock()
 	defer w.files.mu.Unlock()
 	w.tail = append(w.tail, p...)
-	if w.files.partial == nil {
-		w.files.partial = map[storage.FileDesc]*dbWriter{}
+	if w.files.partialTables == nil {
+		w.files.partialTables = map[storage.FileDesc]*dbWriter{}
 	}
-	w.files.partial[w.fd] = w
+	w.files.partialTables[w.fd] = w
 }
 
-// Sync implements storage.Syncer: it makes what was written durable and, the first time,
-// the name of the file. It never fails, see dbFiles.
+// Sync implements storage.Syncer: it syncs the file and, the first time, its directory. It
+// never returns an error, see dbFiles.
 func (w *dbWriter) Sync() error {
 	if w.files.writeError() != nil {
 		return nil
@@ -60,19 +60,19 @@
 		err = w.files.fs.SyncDir(w.files.dir)
 		w.nameSynced = err == nil
 	}
-	w.files.noteWriteError(err)
+	w.files.recordWriteError(err)
 	return nil
 }
 
-// Close implements io.Closer. What has to be durable was synced.
+// Close implements io.Closer. It does not sync: goleveldb calls Sync where needed.
 func (w *dbWriter) Close() error {
 	if w.file != nil {
-		closeUnwritten(w.file)
+		closeQuietly(w.file)
 	}
 	return nil
 }
 
-// reader reads a table that is on disk in part, or not at all.
+// reader opens a table that is only partly on disk, or not at all.
 func (w *dbWriter) reader() (storage.Reader, error) {
 	table := partialTable{writer: w}
 	if w.written > 0 {
@@ -88,10 +88,10 @@
 	}{io.NewSectionReader(table, 0, int64(w.written+len(w.tail))), table}, nil
 }
 
-// partialTable is a table whose beginning is on disk and whose end is in memory.
+// partialTable reads a table whose beginning is on disk and whose end is in memory.
 type partialTable struct {
 	writer *dbWriter
-	onDisk file // nil for nothing
+	onDisk file // nil if nothing is on disk
 }
 
 // ReadAt implements io.ReaderAt.
--- a/raft/storage/doc.go
+++ b/raft/storage/doc.go
@@ -1,39 +1,40 @@
-// Package storage keeps the Raft state of a member (identity, term, vote, log and
-// snapshot) on disk, in goleveldb.
+// Package storage persists the Raft state of a member (identity, term, vote, log and
+// snapshot) in goleveldb.
 //
-// # Contract
+// # Durability
 //
-// What [Store.Initialize], [Store.Save] and [Store.Compact] have returned from without
-// an error survives a loss of power. A member may send a vote, an acknowledgement or
-// its own identity only after that. A store that has lost any of it knows so and fails
-// with [ErrCorrupt]: the member must come back under a new identity, see [Reset].
+// Data is durable, and survives a power loss, once [Store.Initialize], [Store.Save] or
+// [Store.Compact] has returned without an error. Only then may the member send a vote, an
+// acknowledgement or its identity that depends on it. If any durable data is lost, the
+// store detects this and fails with [ErrCorrupt]; the member must then rejoin under a new
+// identity, see [Reset].
 //
-// # How a loss is noticed
+// # Detection of lost data
 //
-// Each write batch has a sequence number and carries a digest of everything that is
-// stored after it. The last acknowledged number and its digest are also kept in a small
-// file beside the database, the seal. The order of a write is:
+// Each write batch has a sequence number and carries a digest of the contents of the store
+// after the batch. The sequence number and digest of the last acknowledged batch are also
+// stored in the seal, a small file next to the database. A write has three steps:
 //
-//  1. the batch is appended to goleveldb's write-ahead log and synced;
-//  2. the seal is advanced to the number of the batch and synced;
-//  3. the call returns, and the caller may acknowledge.
+//  1. The batch is appended to goleveldb's write-ahead log and synced.
+//  2. The seal is advanced to the batch and synced.
+//  3. The call returns, and the caller may acknowledge the data.
 //
-// So after a restart the database is at the number of the seal, or one further (written
-// but never acknowledged). Any other number, or contents that do not have the digest,
-// means that acknowledged data was lost.
+// After a restart the database is therefore at the batch recorded in the seal, or one
+// batch ahead, which was written but never acknowledged. Any other sequence number, or
+// contents that don't match the digest, means that acknowledged data was lost.
 //
 // # Files
 //
-// The folder of a store holds:
+// The directory of a store holds:
 //
 //	LOCK             locked by the process that has the store open
-//	FORMAT.n         the format of the stored data, see format.go
+//	FORMAT.n         the format version of the stored data, see format.go
 //	SEAL             the last acknowledged batch, see seal.go
-//	CURRENT.n        names the current manifest of goleveldb, see manifest.go
+//	CURRENT.n        the name of goleveldb's current manifest, see manifest.go
 //	MANIFEST-nnnnnn  goleveldb's list of tables
 //	nnnnnn.log       goleveldb's write-ahead logs
 //	nnnnnn.ldb       goleveldb's tables
 //
-// Beside the folder, NAME.lost marks a store that was found corrupt and that no new
-// member has replaced yet.
+// Next to the directory, a file NAME.lost marks a store that was found corrupt and has not
+// yet been replaced by that of a new member.
 package storage
--- a/raft/storage/faultdisk_damage_test.go
+++ b/raft/storage/faultdisk_damage_test.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// fileKinds are the kinds of files that are damaged.
+// fileKinds lists the kinds of files that the tests damage.
 var fileKinds = []string{"CURRENT", "MANIFEST", "journal", "table", "seal"}
 
-// The ways in which a file is damaged. The first ones need a file that is not empty.
+// Kinds of damage to a file. Those before removeFile need a file that is not empty.
 const (
 	flipBit = iota
 	overwriteBlock
@@ -19,13 +19,13 @@
 	removeFile
 	zeroToEnd
 	restoreOlder
-	damageWays
+	damageModeCount
 )
 
 const damagedBlockSize = 512 // bytes
 
-// damage spoils one file of a kind in a folder in one way, and says which. older is the
-// same disk as it was at an earlier time.
+// damage damages a random file of the given kind in a directory in a random way, and
+// describes the damage. older is a copy of the disk from an earlier time.
 func (d *faultDisk) damage(r *rand.Rand, dir string, older *faultDisk, ofKind string) string {
 	f := d.dirs[dir]
 	var names []string
@@ -38,23 +38,23 @@
 		return "no " + ofKind
 	}
 	name := names[r.IntN(len(names))]
-	way := r.IntN(damageWays)
+	mode := r.IntN(damageModeCount)
 	data := slices.Clone(f.visible[name].visible)
-	if len(data) == 0 && way < removeFile {
-		way = removeFile
+	if len(data) == 0 && mode < removeFile {
+		mode = removeFile
 	}
-	if way == restoreOlder {
+	if mode == restoreOlder {
 		if old := older.dirs[dir]; old != nil && old.visible[name] != nil {
 			f.visible[name] = newDurableFile(slices.Clone(old.visible[name].visible))
-			return name + ": replaced by an older copy of itself"
+			return name + ": replaced by an older copy"
 		}
-		way = removeFile
+		mode = removeFile
 	}
-	if way == removeFile {
+	if mode == removeFile {
 		delete(f.visible, name)
 		return name + ": removed"
 	}
-	data, what := damageBytes(r, way, data)
+	data, what := damageBytes(r, mode, data)
 	f.visible[name] = newDurableFile(data)
 	return name + ": " + what
 }
@@ -63,26 +63,26 @@
 	return &diskFile{visible: data, durable: slices.Clone(data)}
 }
 
-// damageBytes changes the bytes of a file in one way, and says which.
-func damageBytes(r *rand.Rand, way int, data []byte) (damaged []byte, what string) {
+// damageBytes damages the contents of a file, and describes the damage.
+func damageBytes(r *rand.Rand, mode int, data []byte) (damaged []byte, what string) {
 	size := len(data)
-	switch way {
+	switch mode {
 	case flipBit:
 		at := r.IntN(size)
 		data[at] ^= 1 << r.IntN(8)
-		return data, fmt.Sprintf("a bit of byte %d of %d flipped", at, size)
+		return data, fmt.Sprintf("bit flipped in byte %d of %d", at, size)
 	case overwriteBlock:
 		at := r.IntN(size)
 		for i := at; i < min(size, at+damagedBlockSize); i++ {
 			data[i] = byte(r.Uint32())
 		}
-		return data, fmt.Sprintf("%d bytes at %d of %d overwritten", damagedBlockSize, at, size)
+		return data, fmt.Sprintf("%d bytes overwritten at offset %d of %d", damagedBlockSize, at, size)
 	case truncateFile:
 		kept := r.IntN(size)
-		return data[:kept:kept], fmt.Sprintf("cut to %d of %d", kept, size)
+		return data[:kept:kept], fmt.Sprintf("truncated to %d of %d bytes", kept, size)
 	case zeroToEnd:
 		clear(data[r.IntN(size+1):])
-		return data, "zeros to its end"
+		return data, "zeroed up to the end"
 	default:
 		return nil, "emptied"
 	}
--- a/raft/storage/faultdisk_file_test.go
+++ b/raft/storage/faultdisk_file_test.go
@@ -11,7 +11,7 @@
 type diskHandle struct {
 	disk   *faultDisk
 	file   *diskFile
-	offset int // of the next Read or Write
+	offset int // position of the next Read or Write
 	kind   string
 }
 
@@ -47,9 +47,9 @@
 	}
 	err := h.disk.step()
 	if err == nil && h.disk.full {
-		err, p = syscall.ENOSPC, p[:len(p)/2] // there was still space for a part of it
+		err, p = syscall.ENOSPC, p[:len(p)/2] // only a part of the data fits
 	}
-	w := pendingWrite{int(offset), slices.Clone(p)} // also of a write that the loss of power has ended
+	w := pendingWrite{int(offset), slices.Clone(p)} // even if this write lost power
 	h.file.pending = append(h.file.pending, w)
 	h.file.visible = overwrite(h.file.visible, w)
 	if err != nil {
@@ -62,7 +62,7 @@
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	if err := h.disk.sync(); err != nil {
-		if errors.Is(err, syscall.EIO) { // the pages now count as clean, and are never written
+		if errors.Is(err, syscall.EIO) { // the kernel marks the pages clean, and never writes them
 			h.file.pending = nil
 		}
 		return err
--- a/raft/storage/faultdisk_test.go
+++ b/raft/storage/faultdisk_test.go
@@ -14,37 +14,37 @@
 	"syscall"
 )
 
-// faultDisk is a simulated disk in memory, with the faults of real ones. What was written
-// and not synced may be there after a loss of power, in part or not at all, write by
-// write. Each name that was made or removed without a sync of its folder is kept or lost
-// by itself, whatever is in the file. The disk can lose power at any step, fill up, fail
-// to sync, and have its files damaged.
+// faultDisk simulates a disk in memory, with the faults of real ones. After a power loss,
+// each write that was not synced may be present, torn or lost. Each directory entry that
+// was added or removed since the last sync of the directory is kept or lost independently
+// of the others and of the contents of the file. The disk can lose power at any step, fill
+// up, fail to sync, and have its files damaged.
 type faultDisk struct {
 	mu    sync.Mutex
-	dirs  map[string]*diskFolder
-	steps int // changes asked for so far
-	syncs int // syncs asked for so far
+	dirs  map[string]*diskDir
+	steps int // number of changes requested so far
+	syncs int // number of syncs requested so far
 
 	// Faults.
-	powerLossAt    int  // the step at which the power is lost, 0 for never
-	powerLost      bool // no change is made any more
+	powerLossAt    int  // step at which power is lost, 0 for never
+	powerLost      bool // all changes fail
 	full           bool // no space is left
-	failSyncs      int  // so many syncs from now on fail, and what was to be synced is never written
-	failSyncNumber int  // the same for the sync with this number
+	failSyncs      int  // number of next syncs that fail; the data is never written
+	failSyncNumber int  // the sync with this number fails likewise
 
-	// Planted faults of the program: folders, or files of a kind, are not synced.
+	// Simulated bugs of the store: directories, or files of one kind, are not synced.
 	skipDirSync  bool
 	skipSyncKind string
 }
 
-// diskFolder has the names of a folder as a process sees them, and those that survive a
-// loss of power.
-type diskFolder struct{ visible, durable map[string]*diskFile }
+// diskDir holds the entries of a directory: those that a process sees, and those that
+// survive a power loss.
+type diskDir struct{ visible, durable map[string]*diskFile }
 
-// diskFile has the bytes of a file, likewise.
+// diskFile holds the contents of a file, likewise.
 type diskFile struct {
 	visible, durable []byte
-	pending          []pendingWrite // what was written since the last sync
+	pending          []pendingWrite // writes since the last sync
 }
 
 type pendingWrite struct {
@@ -52,16 +52,16 @@
 	data   []byte
 }
 
-var errPowerLost = errors.New("the power was lost")
+var errPowerLost = errors.New("simulated power loss")
 
 func newFaultDisk() *faultDisk {
-	return &faultDisk{dirs: map[string]*diskFolder{"/": newDiskFolder(), "/data": newDiskFolder()}}
+	return &faultDisk{dirs: map[string]*diskDir{"/": newDiskDir(), "/data": newDiskDir()}}
 }
 
-func newDiskFolder() *diskFolder { return &diskFolder{map[string]*diskFile{}, map[string]*diskFile{}} }
+func newDiskDir() *diskDir { return &diskDir{map[string]*diskFile{}, map[string]*diskFile{}} }
 
-// step is one change. It fails where the disk does. Reads go on without power: no process
-// is left that could act on them.
+// step counts a change, and fails if power is or gets lost. Reads still work without power,
+// which is harmless, as nothing can be written or acknowledged based on them.
 func (d *faultDisk) step() error {
 	if d.powerLost {
 		return errPowerLost
@@ -73,17 +73,17 @@
 	return nil
 }
 
-// losePower ends the power and returns the disk as it comes back.
+// losePower cuts the power, and returns the disk with what survived.
 func (d *faultDisk) losePower(r *rand.Rand) *faultDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.powerLost = true
-	out := &faultDisk{dirs: map[string]*diskFolder{}, skipDirSync: d.skipDirSync, skipSyncKind: d.skipSyncKind}
+	out := &faultDisk{dirs: map[string]*diskDir{}, skipDirSync: d.skipDirSync, skipSyncKind: d.skipSyncKind}
 	kept := map[*diskFile]*diskFile{}
 	for _, dir := range slices.Sorted(maps.Keys(d.dirs)) {
 		out.dirs[dir] = d.dirs[dir].afterPowerLoss(r, kept)
 	}
-	// A folder whose name is lost is lost with everything in it.
+	// A directory whose entry is lost is lost with all its files.
 	for _, dir := range slices.Sorted(maps.Keys(out.dirs)) {
 		if dir == "/" || dir == "/data" {
 			continue
@@ -95,10 +95,10 @@
 	return out
 }
 
-// afterPowerLoss is what a folder holds after a loss of power. kept has the files that
-// came back so far, under whatever name.
-func (f *diskFolder) afterPowerLoss(r *rand.Rand, kept map[*diskFile]*diskFile) *diskFolder {
-	out := newDiskFolder()
+// afterPowerLoss returns the directory as it is after a power loss. kept maps the files
+// that survived so far, under any name, to their copies.
+func (f *diskDir) afterPowerLoss(r *rand.Rand, kept map[*diskFile]*diskFile) *diskDir {
+	out := newDiskDir()
 	names := maps.Clone(f.visible)
 	maps.Copy(names, f.durable)
 	for _, name := range slices.Sorted(maps.Keys(names)) {
@@ -118,7 +118,7 @@
 	return out
 }
 
-// afterPowerLoss is what a file holds after a loss of power.
+// afterPowerLoss returns the contents of the file after a power loss.
 func (n *diskFile) afterPowerLoss(r *rand.Rand) []byte {
 	data := slices.Clone(n.durable)
 	for _, w := range n.pending {
@@ -141,8 +141,8 @@
 	return data
 }
 
-// lookUp returns the folder of a path, and its name in there.
-func (d *faultDisk) lookUp(path string) (*diskFolder, string, error) {
+// lookUp returns the parent directory of a path, and the name in it.
+func (d *faultDisk) lookUp(path string) (*diskDir, string, error) {
 	f := d.dirs[filepath.Dir(path)]
 	if f == nil {
 		return nil, "", os.ErrNotExist
@@ -163,7 +163,7 @@
 	if d.full {
 		return nil, syscall.ENOSPC
 	}
-	// Emptied or new, it is another file: the old bytes may come back with the old name.
+	// Truncation also creates a new diskFile, so that a power loss may restore the old one.
 	n := &diskFile{}
 	f.visible[name] = n
 	return &diskHandle{disk: d, file: n, kind: fileKind(name)}, nil
@@ -217,7 +217,7 @@
 	if err != nil {
 		return err
 	}
-	d.dirs[dir], f.visible[name] = newDiskFolder(), &diskFile{}
+	d.dirs[dir], f.visible[name] = newDiskDir(), &diskFile{}
 	return nil
 }
 
@@ -250,19 +250,19 @@
 
 func (d *faultDisk) Lock(path string) (io.Closer, error) {
 	f, err := d.Create(path)
-	if errors.Is(err, syscall.ENOSPC) { // the file exists already, or takes no space
+	if errors.Is(err, syscall.ENOSPC) { // a lock file that exists or is empty needs no space
 		return &diskHandle{disk: d, file: &diskFile{}}, nil
 	}
 	return f, err
 }
 
-// clone copies a disk as a process sees it, with everything durable.
+// clone returns a copy of the disk as a process sees it, with everything durable.
 func (d *faultDisk) clone() *faultDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := &faultDisk{dirs: map[string]*diskFolder{}, skipDirSync: d.skipDirSync, skipSyncKind: d.skipSyncKind}
+	out := &faultDisk{dirs: map[string]*diskDir{}, skipDirSync: d.skipDirSync, skipSyncKind: d.skipSyncKind}
 	for dir, f := range d.dirs {
-		to := newDiskFolder()
+		to := newDiskDir()
 		for name, n := range f.visible {
 			c := &diskFile{visible: slices.Clone(n.visible), durable: slices.Clone(n.visible)}
 			to.visible[name], to.durable[name] = c, c
@@ -272,7 +272,7 @@
 	return out
 }
 
-// fileKind is the kind of a file by its name.
+// fileKind returns the kind of a file, based on its name.
 func fileKind(name string) string {
 	switch {
 	case strings.HasPrefix(name, currentName):
@@ -289,7 +289,7 @@
 	return "other"
 }
 
-// listing is the content of the store folder, for messages.
+// listing returns the names and sizes of the files in the store directory, for messages.
 func (d *faultDisk) listing() (out string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -301,14 +301,14 @@
 	return out
 }
 
-// write puts a durable file on the disk.
+// write durably writes a file.
 func (d *faultDisk) write(path, content string) {
 	f, name, _ := d.lookUp(path)
 	f.visible[name] = &diskFile{visible: []byte(content), durable: []byte(content)}
 	f.durable[name] = f.visible[name]
 }
 
-// contents returns the files of the store folder by name.
+// contents returns the contents of the files in the store directory by name.
 func (d *faultDisk) contents() map[string]string {
 	out := map[string]string{}
 	for name, n := range d.dirs[storeDir].visible {
@@ -317,7 +317,7 @@
 	return out
 }
 
-// clearFaults ends the faults that last for a while.
+// clearFaults ends the temporary faults.
 func (d *faultDisk) clearFaults() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/raft/storage/filesystem.go
+++ b/raft/storage/filesystem.go
@@ -11,25 +11,25 @@
 	"example.org/elmspan/internal/atomicfile"
 )
 
-// fileSystem is everything that a store needs of a disk. Tests put a simulated disk in
-// its place that loses power, fills up and damages files. Errors are those of package os:
-// a missing file is os.ErrNotExist.
+// fileSystem is the part of a file system that a store uses. Tests replace it with a
+// simulated disk that loses power, fills up and damages files. Errors are those of package
+// os, such as os.ErrNotExist for a missing file.
 type fileSystem interface {
-	// Create opens a file for writing, made or emptied.
+	// Create opens a file for writing, and creates or truncates it.
 	Create(path string) (file, error)
 	// Open opens a file for reading.
 	Open(path string) (file, error)
 	// OpenInPlace opens an existing file for reading and writing.
 	OpenInPlace(path string) (file, error)
-	// Remove removes a file. The removal is durable after SyncDir only.
+	// Remove removes a file. The removal is durable only after SyncDir.
 	Remove(path string) error
-	// Names lists the names in a folder, in no order.
+	// Names lists the names in a directory, in no particular order.
 	Names(dir string) ([]string, error)
-	// Mkdir makes a folder.
+	// Mkdir creates a directory.
 	Mkdir(dir string) error
-	// SyncDir makes the names in a folder durable: those made and those removed.
+	// SyncDir makes the entries of a directory durable, both added and removed ones.
 	SyncDir(dir string) error
-	// Lock keeps every other process out until it is closed.
+	// Lock takes an exclusive lock, which is held until the result is closed.
 	Lock(path string) (io.Closer, error)
 }
 
@@ -41,7 +41,7 @@
 	io.WriterAt
 	io.Seeker
 	io.Closer
-	// Sync makes the bytes and the length durable, but not the name of the file.
+	// Sync makes the contents and the size durable, but not the directory entry.
 	Sync() error
 }
 
@@ -50,10 +50,10 @@
 	dirMode  = 0o755
 )
 
-// osFileSystem is the disk of the machine.
+// osFileSystem is the file system of the operating system.
 type osFileSystem struct{}
 
-// osFile is a file on it.
+// osFile is a file of an osFileSystem.
 type osFile struct{ *os.File }
 
 // Sync implements file.
@@ -93,25 +93,25 @@
 	if err != nil {
 		return nil, err
 	}
-	defer closeUnwritten(f)
+	defer closeQuietly(f)
 	return f.Readdirnames(0)
 }
 
-// Lock implements fileSystem, by flock(2): the lock ends with the process.
+// Lock implements fileSystem. It uses flock(2), so the lock ends with the process.
 func (osFileSystem) Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		closeUnwritten(f)
-		return nil, fmt.Errorf("%s: another process has it open: %w", path, err)
+		closeQuietly(f)
+		return nil, fmt.Errorf("%s is locked by another process: %w", path, err)
 	}
 	return f, nil
 }
 
-// makeDirAll makes a folder and its missing parents, durable: the name of each is synced
-// in the folder above it before anything is put into it.
+// makeDirAll durably creates a directory and its missing parents: the entry of each is
+// synced in its parent directory before anything is created in it.
 func makeDirAll(fs fileSystem, dir string) error {
 	if _, err := fs.Names(dir); err == nil {
 		return nil
--- a/raft/storage/format.go
+++ b/raft/storage/format.go
@@ -13,40 +13,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// formatVersion is the format of a store and the programs that may use it. It covers all
-// that a member stores: the files of this package, and what other packages (raft and
-// controlplane) encode into entries and snapshots.
+// formatVersion is the format of a store and the oldest reader that may use it. It covers
+// everything that a member stores: the files of this package, and what other packages
+// (raft and controlplane) encode into entries and snapshots.
 //
-// It is kept in a file of its own, FORMAT.n, whose form never changes, and which is
-// durable before anything of that format is written. A file is never renamed, nor written
-// over with other bytes: the one with the highest number that can be read is in force. A
-// torn one is ignored, as nothing in its format was written yet.
+// It is stored in a separate file, FORMAT.n, whose layout never changes, and which is
+// durable before any data of that format is written. A format file is never renamed or
+// overwritten with different bytes; the valid file with the highest number applies. A torn
+// file is ignored, as no data of its format was written yet.
 //
-// To change the format, raise Format, and raise MinReader as well if earlier programs
-// can't read what is written. Release a version that reads a format before the one that
-// writes it, so that a cluster can be rolled back by one version.
+// To change the format, increment Format, and raise MinReader too if older versions can't
+// read the new data. Release a version that reads a format before the one that writes it,
+// so that a cluster can be rolled back by one version.
 type formatVersion struct {
-	Format    int // the newest format that may be on the disk
-	MinReader int // the lowest format that a program must know to use the store
+	Format    int // the newest format that may be on disk
+	MinReader int // the lowest format that a reader must support to use the store
 }
 
-// currentFormat is what this program writes.
+// currentFormat is the format that this version writes.
 var currentFormat = formatVersion{Format: 1, MinReader: 1}
 
 const (
-	formatPrefix  = "FORMAT."
-	formatContent = "elmspan member, format %d, reader %d, sum %016x\n"
-	// maxFormatFileSize bounds what is read of a format file, in bytes.
-	maxFormatFileSize = 256
+	formatPrefix      = "FORMAT."
+	formatContent     = "elmspan member, format %d, reader %d, sum %016x\n"
+	maxFormatFileSize = 256 // bytes; the rest of a larger file is not read
 )
 
-// content is what the file of a version holds.
+// content returns the contents of the format file.
 func (v formatVersion) content() string {
 	sum := xxhash.Sum64String(fmt.Sprint(v.Format, v.MinReader))
 	return fmt.Sprintf(formatContent, v.Format, v.MinReader, sum)
 }
 
-// parseFormat reads the content of a format file.
+// parseFormat parses the contents of a format file.
 func parseFormat(content string) (v formatVersion, ok bool) {
 	var sum uint64
 	if _, err := fmt.Sscanf(content, formatContent, &v.Format, &v.MinReader, &sum); err != nil {
@@ -55,9 +54,9 @@
 	return v, v.content() == content
 }
 
-// readFormat returns the version in force in a folder, and the names of all format files.
-// The version is zero if no file can be read: the store is then judged by its contents
-// alone, as stores from before the format file are.
+// readFormat returns the format version of the store in dir, and the names of all format
+// files. The version is zero if there is no valid format file: the store is then checked
+// by its contents alone, like stores that predate the format file.
 func readFormat(fs fileSystem, dir string) (v formatVersion, files []string, err error) {
 	names, err := fs.Names(dir)
 	if err != nil {
@@ -80,8 +79,8 @@
 	return v, files, nil
 }
 
-// readFormatFile reads a format file. One that is gone, or that the medium can't read, is
-// empty.
+// readFormatFile reads a format file. It returns an empty string if the file is missing or
+// the device can't read it.
 func readFormatFile(fs fileSystem, path string) (string, error) {
 	f, err := fs.Open(path)
 	if err != nil {
@@ -90,7 +89,7 @@
 		}
 		return "", err
 	}
-	defer closeUnwritten(f)
+	defer closeQuietly(f)
 	content, err := io.ReadAll(io.LimitReader(f, maxFormatFileSize))
 	if errors.Is(err, syscall.EIO) {
 		return "", nil
@@ -98,23 +97,24 @@
 	return string(content), err
 }
 
-// checkFormat fails with [ErrNewerFormat] if this program can't use the store.
+// checkFormat fails with [ErrNewerFormat] if this version can't read the store.
 func (s *Store) checkFormat() error {
 	v, _, err := readFormat(s.fs, s.dir)
 	if err != nil {
 		return err
 	}
 	if v.MinReader > currentFormat.Format {
-		return fmt.Errorf("%w: its format is %d and needs a program that reads %d, this one reads up to %d",
+		return fmt.Errorf("%w: format %d requires a reader of format %d, this version reads up to format %d",
 			ErrNewerFormat, v.Format, v.MinReader, currentFormat.Format)
 	}
 	return nil
 }
 
-// writeFormat makes our version durable before anything is written in it. The version of a
-// newer program, whose store this one may use, stays. Ours is written and synced at each
-// opening: an earlier process may have ended before it was durable. To write the same
-// bytes over it can't spoil it.
+// writeFormat makes the current format version durable before any data is written in it.
+// If the store has a newer format that this version may use, the format file is left as it
+// is. Otherwise the file is written and synced each time the store is opened, as an earlier
+// process may have ended before the file was durable. Overwriting it with the same bytes
+// can't damage it.
 func (s *Store) writeFormat() error {
 	v, files, err := readFormat(s.fs, s.dir)
 	if err != nil || v.Format > currentFormat.Format {
@@ -138,7 +138,7 @@
 	}
 	for _, old := range files {
 		if old != name {
-			_ = s.fs.Remove(s.path(old)) // one that stays has a lower number, or can't be read
+			_ = s.fs.Remove(s.path(old)) // a remaining file has a lower number or is invalid
 		}
 	}
 	return nil
--- a/raft/storage/format_test.go
+++ b/raft/storage/format_test.go
@@ -12,52 +12,53 @@
 	"example.org/elmspan/raft"
 )
 
-// A store that a newer program has written is not corrupt, whatever else is wrong with it
-// as far as this program can see: nothing on the disk changes, and the newer program finds
-// all of it. One that says that this program may use it is used, and goes on saying so.
+// A store of a newer format must fail with ErrNewerFormat, and not with ErrCorrupt, however
+// damaged it looks to this version. Nothing on disk may change, so that the newer version
+// can still use it. A store of a newer format that this version may use must open and keep
+// its format file.
 func TestStoreOfANewerFormatIsNotChanged(t *testing.T) {
 	checkSeeds(t, *diskSeeds, func(seed uint64) error {
 		r := rand.New(rand.NewPCG(seed, 5))
-		m, d, older, err := usedStore(r)
+		m, d, older, err := newUsedStore(r)
 		if err != nil {
 			return err
 		}
 		usable := d.clone()
 		usable.write(filepath.Join(storeDir, "FORMAT.2"), formatVersion{Format: 2, MinReader: 1}.content())
 		if err := m.startAndStop(usable); err != nil {
-			return fmt.Errorf("one that we may use: %w", err)
+			return fmt.Errorf("usable store of a newer format: %w", err)
 		}
 		if v, _, err := readFormat(usable, storeDir); err != nil || v.Format != 2 {
-			return fmt.Errorf("one that we may use says %+v afterwards, %w", v, err)
+			return fmt.Errorf("usable store of a newer format: the format file now has %+v, %w", v, err)
 		}
-		d.damage(r, storeDir, older, fileKinds[r.IntN(len(fileKinds))]) // a form that this program doesn't know
+		d.damage(r, storeDir, older, fileKinds[r.IntN(len(fileKinds))]) // simulates an unknown file format
 		d.write(filepath.Join(storeDir, "FORMAT.2"), formatVersion{Format: 2, MinReader: 2}.content())
 		before := d.contents()
 		for range 2 {
 			if _, err := openStore(d, storeDir); !errors.Is(err, ErrNewerFormat) || errors.Is(err, ErrCorrupt) {
-				return fmt.Errorf("a newer one: %w", err)
+				return fmt.Errorf("store of a newer format: got %w, want ErrNewerFormat", err)
 			}
 		}
 		if after := d.contents(); !maps.Equal(after, before) {
-			return fmt.Errorf("of the files %v some were changed, there are %v",
+			return fmt.Errorf("files changed: before %v, after %v",
 				slices.Sorted(maps.Keys(before)), slices.Sorted(maps.Keys(after)))
 		}
 		return nil
 	})
 }
 
-// Damage to the format file takes nothing from a store of ours, and never makes one of
-// ours a newer one. The next opening repairs it.
+// A damaged format file must not make a store of the current format unreadable or look like
+// one of a newer format. Opening the store must repair it.
 func TestDamagedFormatFileIsRepaired(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 5))
-	m, disk, _, err := usedStore(r)
+	m, disk, _, err := newUsedStore(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(storeDir, "FORMAT.1")
 	intact := disk.contents()["FORMAT.1"]
 	if intact != currentFormat.content() {
-		t.Fatalf("it says %q", intact)
+		t.Fatalf("unexpected format file %q", intact)
 	}
 	damaged := []string{
 		"",
@@ -78,13 +79,13 @@
 			t.Fatalf("%q: %v", content, err)
 		}
 		if v, _, err := readFormat(d, storeDir); err != nil || v != currentFormat {
-			t.Errorf("%q: %+v afterwards, %v", content, v, err)
+			t.Errorf("%q: got format %+v after opening, %v", content, v, err)
 		}
 	}
 }
 
-// The format is durable before anything that is written in it: wherever in a first start
-// the power is lost, there is no seal and no database without it.
+// The format file must be durable before any data is written: after a power loss at any
+// step of the first start, there is no seal or database file without it.
 func TestFormatIsDurableBeforeAnyData(t *testing.T) {
 	for step := 1; ; step++ {
 		completed := false
@@ -98,7 +99,7 @@
 				closeStore(s)
 			}
 			if !completed && err == nil {
-				t.Fatal("no power, and no error")
+				t.Fatal("no error after the power loss")
 			}
 			after := d.losePower(rand.New(rand.NewPCG(seed, uint64(step))))
 			if after.dirs[storeDir] == nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// checkFormatBeforeData fails if the store folder has data and no format.
+// checkFormatBeforeData fails if the store directory has data but no valid format file.
 func checkFormatBeforeData(d *faultDisk) error {
 	v, _, err := readFormat(d, storeDir)
 	if err != nil {
@@ -122,25 +123,25 @@
 	}
 	for name := range d.contents() {
 		if (isDatabaseFile(name) || fileKind(name) == "seal") && v != currentFormat {
-			return fmt.Errorf("%s is there, and the format is %+v", name, v)
+			return fmt.Errorf("%s exists, but the format is %+v", name, v)
 		}
 	}
 	return nil
 }
 
-// An opening that could not make the format durable is followed by one that does: here the
-// page cache has the format file and the disk has not.
+// Opening a store must sync a format file that exists only in the page cache, as an earlier
+// process may have ended before it synced the file.
 func TestFormatInThePageCacheIsMadeDurable(t *testing.T) {
 	d := newFaultDisk()
 	if err := makeDirAll(d, storeDir); err != nil {
 		t.Fatal(err)
 	}
 	d.write(filepath.Join(storeDir, "FORMAT.1"), currentFormat.content())
-	folder := d.dirs[storeDir]
-	delete(folder.durable, "FORMAT.1")
-	folder.visible["FORMAT.1"].durable = nil
+	dir := d.dirs[storeDir]
+	delete(dir.durable, "FORMAT.1")
+	dir.visible["FORMAT.1"].durable = nil
 	openSimulated(t, d)
-	if f := folder.durable["FORMAT.1"]; f == nil || string(f.durable) != currentFormat.content() {
-		t.Error("an opening trusts the page cache")
+	if f := dir.durable["FORMAT.1"]; f == nil || string(f.durable) != currentFormat.content() {
+		t.Error("the format file is not durable after opening the store")
 	}
 }
--- a/raft/storage/fuzz_test.go
+++ b/raft/storage/fuzz_test.go
@@ -9,15 +9,15 @@
 	"example.org/elmspan/raft"
 )
 
-// A record on disk is read as it was written, or known to be corrupt: one byte that
-// differs is never taken for another value.
+// A record must decode to the value that was written, or fail with ErrCorrupt if any of its
+// bytes was changed.
 func FuzzRecordIsReadAsWrittenOrCorrupt(f *testing.F) {
 	f.Add([]byte("a configuration"), uint64(7), uint16(9), byte(1))
 	f.Add([]byte{}, uint64(1<<63), uint16(0), byte(0x80))
 	f.Fuzz(func(t *testing.T, data []byte, index uint64, at uint16, flip byte) {
 		var arbitrary raft.Entry
 		if err := decodeRecord(data, &arbitrary); err != nil && !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("%v is no ErrCorrupt", err)
+			t.Fatalf("got error %v, want ErrCorrupt", err)
 		}
 		var b leveldb.Batch
 		record, err := encodeRecord([]byte("k"), raft.Entry{Index: index, Data: data})
@@ -31,7 +31,7 @@
 		}
 		var e raft.Entry
 		if err := decodeRecord(stored, &e); err != nil || e.Index != index || string(e.Data) != string(data) {
-			t.Fatalf("read %+v, %v", e, err)
+			t.Fatalf("decoded %+v, %v", e, err)
 		}
 		if flip == 0 {
 			return
@@ -39,12 +39,12 @@
 		flipped := int(at) % len(stored)
 		stored[flipped] ^= flip
 		if err := decodeRecord(stored, &e); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("byte %d changed by %x: %v", flipped, flip, err)
+			t.Fatalf("byte %d XORed with %x: got error %v, want ErrCorrupt", flipped, flip, err)
 		}
 	})
 }
 
-// batchValue takes the one value of a batch. It implements leveldb.BatchReplay.
+// batchValue receives the only value of a batch. It implements leveldb.BatchReplay.
 type batchValue []byte
 
 func (v *batchValue) Put(_, data []byte) { *v = append([]byte(nil), data...) }
--- a/raft/storage/golden_test.go
+++ b/raft/storage/golden_test.go
@@ -10,11 +10,11 @@
 	"example.org/elmspan/raft"
 )
 
-// The files in testdata/golden were written by the program at commit f96d826. They are
-// never written again: a store on a machine in service holds such bytes.
+// The files in testdata/golden were written by the version at commit f96d826. They must not
+// be regenerated, because existing stores hold data in this format.
 const goldenDir = "testdata/golden"
 
-// patternBytes makes n bytes that are the same each time.
+// patternBytes returns n bytes in a fixed pattern.
 func patternBytes(n int) []byte {
 	data := make([]byte, n)
 	for i := range data {
@@ -23,7 +23,7 @@
 	return data
 }
 
-// goldenMembers are a voter, a learner, and one on its way out of a joint change.
+// goldenMembers are a voter, a learner, and a member leaving in a joint consensus.
 func goldenMembers() []raft.Member {
 	return []raft.Member{
 		{ID: 7, Addr: "127.0.0.1:7001", Voter: true, SupportsJoint: true},
@@ -32,12 +32,12 @@
 	}
 }
 
-// goldenRecord is a stored record: its file, its key, and its decoded value.
+// goldenRecord is a stored record, with its file, key and decoded value.
 type goldenRecord struct {
-	file  string
-	key   []byte
-	value any // what is encoded
-	into  any // a pointer to a zero value of the same type
+	file   string
+	key    []byte
+	value  any // the expected decoded value
+	target any // pointer to a zero value of the same type, to decode into
 }
 
 func goldenRecords() []goldenRecord {
@@ -70,10 +70,10 @@
 	for _, c := range goldenRecords() {
 		t.Run(c.file, func(t *testing.T) {
 			want := readGolden(t, c.file)
-			if err := decodeRecord(want, c.into); err != nil {
+			if err := decodeRecord(want, c.target); err != nil {
 				t.Fatal(err)
 			}
-			got := reflect.ValueOf(c.into).Elem().Interface()
+			got := reflect.ValueOf(c.target).Elem().Interface()
 			if !reflect.DeepEqual(got, c.value) {
 				t.Errorf("decoded %+v, want %+v", got, c.value)
 			}
@@ -88,8 +88,8 @@
 	}
 }
 
-// goldenSeals are the seal files after so many batches: the first, and those that
-// were written over it.
+// goldenSeals maps the name of each seal file to the batches that were written to it: the
+// one it was created with, and those it was then advanced to.
 func goldenSeals() map[string][]batchID {
 	return map[string][]batchID{
 		"seal-empty": {{}},
@@ -100,7 +100,7 @@
 	}
 }
 
-// writeSeal writes a seal file that was advanced to each of the batches in turn.
+// writeSeal creates a seal file for the first batch and advances it to the others in turn.
 func writeSeal(t *testing.T, batches []batchID) (path string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -112,9 +112,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeUnwritten(s.file)
-	for _, m := range batches[1:] {
-		if err := s.advance(m); err != nil {
+	defer closeQuietly(s.file)
+	for _, batch := range batches[1:] {
+		if err := s.advance(batch); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -133,7 +133,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer closeUnwritten(s.file)
+			defer closeQuietly(s.file)
 			if last := batches[len(batches)-1]; s.batch != last {
 				t.Errorf("decoded %+v, want %+v", s.batch, last)
 			}
@@ -142,7 +142,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(encoded, want) {
-				t.Errorf("encoded to %d other bytes than the %d of the file", len(encoded), len(want))
+				t.Errorf("the encoded %d bytes differ from the %d bytes of the file", len(encoded), len(want))
 			}
 		})
 	}
@@ -156,14 +156,14 @@
 	}
 	v, names, err := readFormat(osFileSystem{}, dir)
 	if err != nil || v != (formatVersion{Format: 1, MinReader: 1}) || len(names) != 1 {
-		t.Errorf("decoded %+v of %v, %v", v, names, err)
+		t.Errorf("decoded %+v from %v, %v", v, names, err)
 	}
 	if encoded := v.content(); encoded != string(want) {
 		t.Errorf("encoded to %q, want %q", encoded, want)
 	}
 }
 
-// goldenStore is what the store folder testdata/golden/store holds.
+// goldenStore returns the state stored in testdata/golden/store.
 func goldenStore() raft.PersistentState {
 	return raft.PersistentState{
 		HardState: raft.HardState{Term: 3, Vote: 9},
@@ -178,8 +178,8 @@
 
 const goldenIdentity = raft.ID(0x0123456789abcdef)
 
-// fillGoldenStore makes the calls that wrote testdata/golden/store, in two runs of the
-// process, so that the folder has tables as well as a write-ahead log.
+// fillGoldenStore makes the calls that wrote testdata/golden/store. It closes and reopens
+// the store once, so that the directory has tables as well as a write-ahead log.
 func fillGoldenStore(t *testing.T, dir string) {
 	t.Helper()
 	want := goldenStore()
@@ -218,19 +218,19 @@
 		t.Fatal(err)
 	}
 	checkGoldenStore(t, dir, batchID{Sequence: 4, Digest: goldenStoreDigest})
-	// Once more, as the first opening has written the write-ahead log into new files.
+	// Once more, as opening the store copied the write-ahead log to new files.
 	checkGoldenStore(t, dir, batchID{Sequence: 4, Digest: goldenStoreDigest})
 }
 
-// The same calls lead to the same number of batches and the same digest, so that a
-// program from before the renames can open what this one writes.
+// The same calls must lead to the same number of batches and the same digest, so that older
+// versions can open what this version writes.
 func TestGoldenStoreCallsLeadToTheSameDigest(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	fillGoldenStore(t, dir)
 	checkGoldenStore(t, dir, batchID{Sequence: 4, Digest: goldenStoreDigest})
 }
 
-// goldenStoreDigest is the digest that the seal in testdata/golden/store has.
+// goldenStoreDigest is the digest in the seal of testdata/golden/store.
 const goldenStoreDigest = 2216389306393829205
 
 func checkGoldenStore(t *testing.T, dir string, sealed batchID) {
@@ -238,7 +238,7 @@
 	s := open(t, dir)
 	defer closeStore(s)
 	if s.seal.batch != sealed || s.acknowledged != sealed {
-		t.Errorf("sealed %+v, acknowledged %+v, want %+v", s.seal.batch, s.acknowledged, sealed)
+		t.Errorf("got batch %+v in the seal, %+v acknowledged, want %+v", s.seal.batch, s.acknowledged, sealed)
 	}
 	id, err := s.Identity()
 	if err != nil || id != goldenIdentity {
--- a/raft/storage/manifest.go
+++ b/raft/storage/manifest.go
@@ -13,19 +13,18 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// A small file names the current manifest. goleveldb renames a new CURRENT
-// over the old one; here each manifest gets a file of its own, CURRENT.n, and the highest
-// of them that can be read is in force (goleveldb reads the same names). So there is no
-// moment at which a lost rename leaves no pointer at all.
+// A small pointer file names the current manifest. goleveldb's own storage renames a new
+// CURRENT over the old one. Here each manifest gets its own pointer file, CURRENT.n, and
+// the readable one with the highest number applies (goleveldb reads the same names). This
+// way, a rename lost in a power loss can't leave the store without any pointer file.
 const (
-	currentName = "CURRENT"
-	// maxCurrentSize bounds what is read of such a file, in bytes.
-	maxCurrentSize = 64
-	// anyManifest stands for the number in the name CURRENT, which has none.
-	anyManifest = -1
+	currentName    = "CURRENT"
+	maxCurrentSize = 64 // bytes; the rest of a larger pointer file is not read
+	// unnumberedPointer is the number of the pointer file CURRENT, whose name has none.
+	unnumberedPointer = -1
 )
 
-// SetMeta implements storage.Storage: it makes a manifest the current one.
+// SetMeta implements storage.Storage: it sets the current manifest.
 func (f *dbFiles) SetMeta(manifest storage.FileDesc) error {
 	if err := f.writeError(); err != nil {
 		return err
@@ -34,13 +33,14 @@
 	f.manifestSet = true
 	f.mu.Unlock()
 	err := f.setCurrent(manifest)
-	f.noteWriteError(err)
+	f.recordWriteError(err)
 	return err
 }
 
-// setCurrent writes the pointer to a manifest. The manifest and its name are made durable
-// first: a pointer that outlives its manifest would, after the next start, name a new
-// manifest of the same number that is only half written.
+// setCurrent writes the pointer file of a manifest. The manifest and its directory entry
+// are made durable first. Otherwise the pointer file could survive a power loss that the
+// manifest does not, and refer, after the next start, to a partly written new manifest of
+// the same number.
 func (f *dbFiles) setCurrent(manifest storage.FileDesc) error {
 	if err := f.syncManifest(manifest); err != nil {
 		return err
@@ -57,11 +57,11 @@
 	if err := f.fs.SyncDir(f.dir); err != nil {
 		return err
 	}
-	return f.removePointersBut(name)
+	return f.removeOtherPointers(name)
 }
 
-// syncManifest makes a manifest and its name durable: goleveldb flushes its manifest, and
-// does not sync it.
+// syncManifest makes a manifest and its directory entry durable. goleveldb only flushes a
+// new manifest and doesn't sync it.
 func (f *dbFiles) syncManifest(manifest storage.FileDesc) error {
 	m, err := f.fs.OpenInPlace(f.path(manifest))
 	if err != nil {
@@ -70,36 +70,37 @@
 	return errors.Join(m.Sync(), m.Close(), f.fs.SyncDir(f.dir))
 }
 
-func (f *dbFiles) removePointersBut(name string) error {
+// removeOtherPointers removes all pointer files except the named one.
+func (f *dbFiles) removeOtherPointers(name string) error {
 	pointers, err := f.manifestPointers()
 	if err != nil {
 		return err
 	}
 	for _, p := range pointers {
 		if p.name != name {
-			_ = f.fs.Remove(filepath.Join(f.dir, p.name)) // one that stays has a lower number
+			_ = f.fs.Remove(filepath.Join(f.dir, p.name)) // a remaining file has a lower number
 		}
 	}
 	return nil
 }
 
-// manifestPointer is a file that names a manifest.
+// manifestPointer is a pointer file, which names a manifest.
 type manifestPointer struct {
-	name     string
-	manifest int64 // the number of the manifest; anyManifest: what is in the file decides
+	name   string
+	number int64 // of the manifest, or unnumberedPointer: the file name has no number to check
 }
 
-// manifestPointers lists the files that may name the current manifest, the newest first.
+// manifestPointers lists the pointer files, newest first.
 func (f *dbFiles) manifestPointers() ([]manifestPointer, error) {
 	names, err := f.fs.Names(f.dir)
 	if err != nil {
-		f.noteReadError(err)
+		f.recordReadError(err)
 		return nil, err
 	}
 	var pointers []manifestPointer
 	for _, name := range names {
 		if name == currentName {
-			pointers = append(pointers, manifestPointer{name, anyManifest})
+			pointers = append(pointers, manifestPointer{name, unnumberedPointer})
 			continue
 		}
 		number, err := strconv.ParseInt(strings.TrimPrefix(name, currentName+"."), 10, 64)
@@ -107,13 +108,13 @@
 			pointers = append(pointers, manifestPointer{name, number})
 		}
 	}
-	slices.SortFunc(pointers, func(a, b manifestPointer) int { return cmp.Compare(b.manifest, a.manifest) })
+	slices.SortFunc(pointers, func(a, b manifestPointer) int { return cmp.Compare(b.number, a.number) })
 	return pointers, nil
 }
 
-// GetMeta implements storage.Storage. It returns the current manifest: of those that are
-// named and can be opened, the newest. What the manifest leads to is checked against the
-// seal.
+// GetMeta implements storage.Storage. It returns the current manifest: the newest one that
+// a pointer file names and that can be opened. The contents of the database that the
+// manifest describes are checked against the seal later.
 func (f *dbFiles) GetMeta() (current storage.FileDesc, err error) {
 	pointers, err := f.manifestPointers()
 	if err != nil {
@@ -129,37 +130,37 @@
 		return current, nil
 	}
 	if len(pointers) > 0 {
-		return current, &storage.ErrCorrupted{Err: errors.New("no file names the current manifest")}
+		return current, &storage.ErrCorrupted{Err: errors.New("no CURRENT file names a manifest that can be opened")}
 	}
 	return current, os.ErrNotExist // there is no database yet
 }
 
-// readPointer returns the manifest that a pointer names. It is not ok if the file can't be
-// read, or does not agree with its own name.
+// readPointer returns the manifest that a pointer file names. ok is false if the file can't
+// be read, or if its contents don't match the number in its name.
 func (f *dbFiles) readPointer(p manifestPointer) (manifest storage.FileDesc, ok bool) {
 	opened, err := f.fs.Open(filepath.Join(f.dir, p.name))
 	if err != nil {
-		f.noteReadError(err)
+		f.recordReadError(err)
 		return manifest, false
 	}
-	defer closeUnwritten(opened)
+	defer closeQuietly(opened)
 	content, err := io.ReadAll(io.LimitReader(opened, maxCurrentSize))
 	if err != nil {
-		f.noteReadError(err)
+		f.recordReadError(err)
 		return manifest, false
 	}
 	manifest, ok = parseFileName(strings.TrimSuffix(string(content), "\n"))
 	ok = ok && manifest.Type == storage.TypeManifest
-	return manifest, ok && (p.manifest <= anyManifest || p.manifest == manifest.Num)
+	return manifest, ok && (p.number <= unnumberedPointer || p.number == manifest.Num)
 }
 
-// canOpen reports whether a file is there and can be opened.
+// canOpen reports whether a file exists and can be opened.
 func (f *dbFiles) canOpen(fd storage.FileDesc) bool {
 	opened, err := f.fs.Open(f.path(fd))
 	if err != nil {
-		f.noteReadError(err)
+		f.recordReadError(err)
 		return false
 	}
-	closeUnwritten(opened)
+	closeQuietly(opened)
 	return true
 }
--- a/raft/storage/manifest_test.go
+++ b/raft/storage/manifest_test.go
@@ -8,10 +8,9 @@
 	"testing"
 )
 
-// A pointer is never there without its manifest: one that outlived the power while its
-// manifest did not would, after the next start, name a new manifest of the same number
-// that is only half written. (Found by TestAcknowledgedDataSurvivesPowerLoss, once in
-// 10,000 seeds.)
+// After a power loss, no pointer file may exist without its manifest. Otherwise it would
+// refer, after the next start, to a partly written new manifest of the same number.
+// TestAcknowledgedDataSurvivesPowerLoss detects this in only 1 of 10,000 seeds.
 func TestManifestPointerNeverOutlivesItsManifest(t *testing.T) {
 	checkSeeds(t, 400, func(seed uint64) error {
 		r := rand.New(rand.NewPCG(seed, 7))
@@ -40,7 +39,7 @@
 			}
 		}
 		if names[fmt.Sprintf("MANIFEST-%06d", highest)] == nil {
-			return fmt.Errorf("CURRENT.%d is there and its manifest isn't: %s", highest, d.listing())
+			return fmt.Errorf("CURRENT.%d exists without its manifest: %s", highest, d.listing())
 		}
 		return nil
 	})
--- a/raft/storage/member_test.go
+++ b/raft/storage/member_test.go
@@ -10,10 +10,10 @@
 	"example.org/elmspan/raft"
 )
 
-// storeDir is the folder of the store on a faultDisk.
+// storeDir is the directory of the store on a faultDisk.
 const storeDir = "/data/log"
 
-// memberState is what a store has acknowledged to a member.
+// memberState is the state that a store holds for a member.
 type memberState struct {
 	ID raft.ID
 	raft.PersistentState
@@ -47,20 +47,20 @@
 
 func (s memberState) lastIndex() uint64 { return s.Snapshot.Index + uint64(len(s.Entries)) }
 
-// testMember uses a store as a member does: one call after the other, each one again until
-// it succeeds.
+// testMember uses a store like a Raft member: it makes one call at a time, and repeats each
+// call until it succeeds.
 type testMember struct {
 	rand         *rand.Rand
 	id           raft.ID
-	acknowledged memberState // by the store
-	pending      memberState // the same with the call that is under way
-	largeEntries bool        // entries as long as configurations
+	acknowledged memberState // after the last successful call
+	pending      memberState // after the call in progress
+	largeEntries bool        // entries have the size of real configurations
 }
 
 // storeCall is a call that changes a store.
 type storeCall func(*Store) error
 
-// nextCall draws a call.
+// nextCall returns a random call, and sets pending to the state after it.
 func (m *testMember) nextCall() storeCall {
 	m.pending = m.acknowledged
 	m.pending.Entries = slices.Clone(m.acknowledged.Entries)
@@ -80,7 +80,7 @@
 	return func(s *Store) error { return s.Initialize(m.pending.ID, m.pending.Snapshot) }
 }
 
-// installSnapshot takes a snapshot from the leader.
+// installSnapshot returns the call for a snapshot received from the leader.
 func (m *testMember) installSnapshot() storeCall {
 	snapshot := raft.Snapshot{
 		Index: m.acknowledged.lastIndex() + 3,
@@ -115,7 +115,7 @@
 }
 
 func (m *testMember) appendEntries() []raft.Entry {
-	if n := len(m.acknowledged.Entries); n > 0 && m.rand.IntN(4) == 0 { // another leader's in place of some
+	if n := len(m.acknowledged.Entries); n > 0 && m.rand.IntN(4) == 0 { // a new leader overwrites some
 		m.pending.Entries = m.pending.Entries[:m.rand.IntN(n)]
 	}
 	kept := len(m.pending.Entries)
@@ -143,8 +143,8 @@
 	return data
 }
 
-// start opens the store on a disk, as a process that starts. What is there must be
-// everything that was acknowledged, with or without the call that was under way.
+// start opens the store on a disk, like a process at its start. The stored state must be
+// the acknowledged one, with or without the call that was in progress.
 func (m *testMember) start(d *faultDisk) (*Store, error) {
 	s, err := openStore(d, storeDir)
 	if err != nil {
@@ -153,7 +153,7 @@
 	s.reopenInterval = 0
 	found, err := readState(s)
 	if err == nil && !found.equal(m.acknowledged) && !found.equal(m.pending) {
-		err = fmt.Errorf("LOST: there is %v; acknowledged was %v", found, m.acknowledged)
+		err = fmt.Errorf("acknowledged state lost: got %v, want %v", found, m.acknowledged)
 	}
 	if err != nil {
 		return nil, errors.Join(err, s.Close())
@@ -162,7 +162,7 @@
 	return s, nil
 }
 
-// startAndStop is start, and the store is closed again.
+// startAndStop calls start and closes the store.
 func (m *testMember) startAndStop(d *faultDisk) error {
 	s, err := m.start(d)
 	if err != nil {
@@ -171,20 +171,20 @@
 	return s.Close()
 }
 
-// run makes so many calls, or fewer if the power is lost. With faults the disk is now and
-// then full, or fails to sync, for a while.
+// run makes the given number of calls, or fewer if power is lost. With faults, the disk is
+// sometimes temporarily full or unable to sync.
 func (m *testMember) run(d *faultDisk, s *Store, calls int, faults bool) error {
 	for range calls {
 		call := m.nextCall()
 		faultyAttempts := 0
 		if faults && m.rand.IntN(4) == 0 {
-			faultyAttempts = m.plantFault(d)
+			faultyAttempts = m.injectFault(d)
 		}
 		succeeded, err := m.callUntilDone(d, s, call, faultyAttempts)
 		if err != nil {
 			return err
 		}
-		if !succeeded { // the power is lost
+		if !succeeded { // power is lost
 			return nil
 		}
 		m.acknowledged = m.pending
@@ -192,8 +192,9 @@
 	return nil
 }
 
-// plantFault makes a disk full or unable to sync, and returns for how many attempts.
-func (m *testMember) plantFault(d *faultDisk) (attempts int) {
+// injectFault makes the disk full or unable to sync, and returns for how many attempts of a
+// call.
+func (m *testMember) injectFault(d *faultDisk) (attempts int) {
 	attempts = 1 + m.rand.IntN(4)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -203,12 +204,14 @@
 	return attempts
 }
 
-// callUntilDone makes a call until it succeeds or the power is lost. The faults end
-// after so many attempts, and the store must then work again.
-func (m *testMember) callUntilDone(d *faultDisk, s *Store, call storeCall, faulty int) (succeeded bool, err error) {
+// callUntilDone repeats a call until it succeeds or power is lost. The faults end after the
+// given number of attempts, and the store must then work again.
+func (m *testMember) callUntilDone(
+	d *faultDisk, s *Store, call storeCall, faultyAttempts int,
+) (succeeded bool, err error) {
 	for attempt := 0; ; attempt++ {
 		err := call(s)
-		if attempt >= faulty {
+		if attempt >= faultyAttempts {
 			d.clearFaults()
 		}
 		switch {
@@ -217,13 +220,13 @@
 		case !d.hasPower():
 			return false, nil
 		case errors.Is(err, ErrCorrupt):
-			return false, fmt.Errorf("LOST: %w", err)
-		case attempt > faulty+1:
-			return false, fmt.Errorf("the disk works again and the store doesn't: %w", err)
+			return false, fmt.Errorf("acknowledged state lost: %w", err)
+		case attempt > faultyAttempts+1:
+			return false, fmt.Errorf("the store still fails after the disk faults ended: %w", err)
 		}
 	}
 }
 
-// closeStore closes a store whose process ends. Whether that succeeds doesn't matter: the
-// store must survive a process that never closes it.
+// closeStore closes a store and ignores the error: a store must also survive a process that
+// ends without closing it.
 func closeStore(s *Store) { _ = s.Close() }
--- a/raft/storage/norace_test.go
+++ b/raft/storage/norace_test.go
@@ -2,5 +2,5 @@
 
 package storage
 
-// slowdown divides the numbers of seeds under the race detector.
-const slowdown = 1
+// seedDivisor reduces the number of seeds under the race detector.
+const seedDivisor = 1
--- a/raft/storage/powerloss_test.go
+++ b/raft/storage/powerloss_test.go
@@ -9,13 +9,13 @@
 	"example.org/elmspan/raft"
 )
 
-// runWithPowerLosses runs a member whose power is lost a few times, at any step of
-// anything. plant may plant a fault into the disk.
-func runWithPowerLosses(seed uint64, faults bool, plant func(*faultDisk)) error {
+// runWithPowerLosses runs a member and loses power several times, each at a random step.
+// inject may inject a fault into the disk.
+func runWithPowerLosses(seed uint64, faults bool, inject func(*faultDisk)) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	m := &testMember{rand: r, id: raft.ID(r.Uint64() | 1), largeEntries: r.IntN(3) > 0}
 	d := newFaultDisk()
-	plant(d)
+	inject(d)
 	for run := range 4 {
 		d.powerLossAt = 1 + r.IntN([]int{30, 100, 400}[r.IntN(3)])
 		after, err := runUntilPowerLoss(m, d, faults)
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// runUntilPowerLoss runs a process until the power of the disk is lost, and returns the
-// disk as it comes back.
+// runUntilPowerLoss runs a process until power is lost, and returns the disk with what
+// survived.
 func runUntilPowerLoss(m *testMember, d *faultDisk, faults bool) (after *faultDisk, err error) {
 	r := m.rand
 	s, err := m.start(d)
@@ -42,10 +42,10 @@
 		return d.losePower(r), err
 	}
 	err = m.run(d, s, 1+r.IntN(30), faults)
-	if r.IntN(2) == 0 { // the process ends before the power is lost, or with it
+	if r.IntN(2) == 0 { // the process ends before the power loss, or at the same time
 		closeStore(s)
 	}
-	d.losePower(r) // whatever goleveldb still does meets a disk without power
+	d.losePower(r) // so that background work of goleveldb can't change the disk any more
 	if r.IntN(2) == 1 {
 		closeStore(s)
 	}
@@ -56,33 +56,33 @@
 
 func noFault(*faultDisk) {}
 
-// Whatever step the power is lost at, and whichever of the names that were not synced are
-// lost with it: everything that was acknowledged is there when the power comes back, and
-// the store is never taken for a corrupt one.
+// After a power loss at any step, which loses any part of the data and directory entries
+// that were not synced, all acknowledged data must be present, and the store must not be
+// reported as corrupt.
 func TestAcknowledgedDataSurvivesPowerLoss(t *testing.T) {
 	checkSeeds(t, *diskSeeds, func(seed uint64) error { return runWithPowerLosses(seed, false, noFault) })
 }
 
-// The same with a disk that is full for a while, or fails to sync what it then forgets:
-// the member comes back by itself, and nothing acknowledged is lost.
+// Like the test above, on a disk that is temporarily full or fails syncs and drops the data.
+// The store must recover by itself, without losing acknowledged data.
 func TestAcknowledgedDataSurvivesPowerLossOnAFaultyDisk(t *testing.T) {
 	checkSeeds(t, *diskSeeds, func(seed uint64) error { return runWithPowerLosses(seed, true, noFault) })
 }
 
-// The tests above find what they are there for: where a sync is left out, acknowledged
-// data is lost.
+// Checks that the tests above detect a missing sync: without any one kind of sync, some
+// seeds must lose acknowledged data.
 func TestPowerLossFindsMissingSyncs(t *testing.T) {
-	for name, plant := range map[string]func(*faultDisk){
-		"folders not synced":   func(d *faultDisk) { d.skipDirSync = true },
-		"journals not synced":  func(d *faultDisk) { d.skipSyncKind = "journal" },
-		"manifests not synced": func(d *faultDisk) { d.skipSyncKind = "MANIFEST" },
-		"tables not synced":    func(d *faultDisk) { d.skipSyncKind = "table" },
-		"the seal not synced":  func(d *faultDisk) { d.skipSyncKind = "seal" },
+	for name, inject := range map[string]func(*faultDisk){
+		"directories not synced": func(d *faultDisk) { d.skipDirSync = true },
+		"journals not synced":    func(d *faultDisk) { d.skipSyncKind = "journal" },
+		"manifests not synced":   func(d *faultDisk) { d.skipSyncKind = "MANIFEST" },
+		"tables not synced":      func(d *faultDisk) { d.skipSyncKind = "table" },
+		"seal not synced":        func(d *faultDisk) { d.skipSyncKind = "seal" },
 	} {
-		failed := runSeeds(40, func(seed uint64) error { return runWithPowerLosses(seed, false, plant) })
+		failed := runSeeds(40, func(seed uint64) error { return runWithPowerLosses(seed, false, inject) })
 		if len(failed) == 0 {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: not detected", name)
 		}
-		t.Logf("%s: found by %d seeds of %d", name, len(failed), 40/slowdown)
+		t.Logf("%s: detected by %d of %d seeds", name, len(failed), 40/seedDivisor)
 	}
 }
--- a/raft/storage/race_test.go
+++ b/raft/storage/race_test.go
@@ -2,5 +2,5 @@
 
 package storage
 
-// slowdown divides the numbers of seeds under the race detector.
-const slowdown = 5
+// seedDivisor reduces the number of seeds under the race detector.
+const seedDivisor = 5
--- a/raft/storage/record.go
+++ b/raft/storage/record.go
@@ -9,14 +9,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A record is a value in the database: one byte with the encoding, the CRC-32 (IEEE) of
-// the body in four bytes, big-endian, and the body, which is the value in CBOR.
+// A record is a value in the database. It consists of one byte for the encoding, the CRC-32
+// (IEEE) of the body as four bytes in big-endian order, and the body, a value in CBOR.
 const (
 	recordEncoding   = 1
 	recordHeaderSize = 5 // bytes
 )
 
-// The keys of the records. Each log entry has its own key, see [entryKey].
+// Record keys. Each log entry has its own key, see [entryKey].
 var (
 	keyIdentity  = []byte("identity")
 	keyHardState = []byte("hard")
@@ -24,8 +24,8 @@
 	keyBatch     = []byte("commit") // the batchID of the last batch
 )
 
-// The key of a log entry: the prefix, and the index in eight bytes, big-endian, so that
-// the entries are in the order of the log.
+// The key of a log entry is the prefix and the index as eight bytes in big-endian order, so
+// that entries are sorted by index.
 const (
 	entryPrefix  = "e"
 	entryKeySize = len(entryPrefix) + 8
@@ -33,7 +33,7 @@
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte(entryPrefix), index) }
 
-// entryIndex returns the index of a log entry's key, and false for any other key.
+// entryIndex returns the index in the key of a log entry. ok is false for any other key.
 func entryIndex(key []byte) (index uint64, ok bool) {
 	if len(key) != entryKeySize || string(key[:len(entryPrefix)]) != entryPrefix {
 		return 0, false
@@ -41,12 +41,12 @@
 	return binary.BigEndian.Uint64(key[len(entryPrefix):]), true
 }
 
-// recordHash is the hash of a key and its record. It is never 0, which stands for no
-// record.
+// recordHash returns the hash of a key and its record. It is never 0, which means that
+// there is no record.
 func recordHash(key, record []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.Write(key) // a hash takes every write
+	_, _ = d.Write(key) // never returns an error
 	_, _ = d.Write(record)
 	return max(1, d.Sum64())
 }
@@ -62,7 +62,7 @@
 	return append(record, body...), nil
 }
 
-// decodeRecord reads a record into a value. It fails with [ErrCorrupt].
+// decodeRecord decodes a record into value. All its errors are [ErrCorrupt].
 func decodeRecord(record []byte, value any) error {
 	body, err := recordBody(record)
 	if err != nil {
@@ -71,18 +71,18 @@
 	return decodeBody(body, value)
 }
 
-// recordBody returns the body of a record whose checksum is right.
+// recordBody checks the encoding and the checksum of a record and returns its body.
 func recordBody(record []byte) ([]byte, error) {
 	if len(record) < recordHeaderSize || record[0] != recordEncoding ||
 		binary.BigEndian.Uint32(record[1:]) != crc32.ChecksumIEEE(record[recordHeaderSize:]) {
-		return nil, fmt.Errorf("%w: a record has an unknown encoding or a wrong checksum", ErrCorrupt)
+		return nil, fmt.Errorf("%w: record with an unknown encoding or a wrong checksum", ErrCorrupt)
 	}
 	return record[recordHeaderSize:], nil
 }
 
 func decodeBody(body []byte, value any) error {
 	if err := cbor.Unmarshal(body, value); err != nil {
-		return fmt.Errorf("%w: decoding a record: %w", ErrCorrupt, err)
+		return fmt.Errorf("%w: decoding record: %w", ErrCorrupt, err)
 	}
 	return nil
 }
--- a/raft/storage/recovery.go
+++ b/raft/storage/recovery.go
@@ -12,7 +12,7 @@
 	"github.com/syndtr/goleveldb/leveldb/opt"
 )
 
-// The state is a few configurations: the buffers are small, as memory is scarce.
+// The buffers are small to save memory: a member stores only a few configurations.
 const (
 	writeBufferBytes = 128 << 10
 	blockCacheBytes  = 64 << 10
@@ -31,24 +31,25 @@
 		DisableBufferPool:      true,
 		BlockSize:              blockBytes,
 		ReadOnly:               readOnly,
-		// Every write goes through the write-ahead log, a long one as well: a
-		// transaction would be retried for seconds on a disk that is full.
+		// All writes go through the write-ahead log, even large ones: goleveldb would
+		// retry a transaction for seconds on a full disk.
 		DisableLargeBatchTransaction: true,
 	}
 }
 
-// openStore is [Open] on any disk.
+// openStore is [Open] on a given file system.
 func openStore(fs fileSystem, dir string) (*Store, error) {
 	if err := checkLostMarker(fs, dir); err != nil {
 		return nil, err
 	}
-	return enterStore(fs, dir, false)
+	return lockAndRecover(fs, dir, false)
 }
 
-// enterStore locks a folder, which is made if it is missing, and recovers the store in it.
-func enterStore(fs fileSystem, dir string, lostMarker bool) (*Store, error) {
+// lockAndRecover locks a directory, which it creates if missing, and recovers the store in
+// it.
+func lockAndRecover(fs fileSystem, dir string, lostMarker bool) (*Store, error) {
 	if err := makeDirAll(fs, dir); err != nil {
-		return nil, fmt.Errorf("storage: making %s: %w", dir, err)
+		return nil, fmt.Errorf("storage: creating directory %s: %w", dir, err)
 	}
 	lock, err := fs.Lock(filepath.Join(dir, lockName))
 	if err != nil {
@@ -56,27 +57,27 @@
 	}
 	s := &Store{fs: fs, dir: dir, lock: lock, lostMarker: lostMarker, reopenInterval: reopenInterval}
 	if err := s.recoverDatabase(); err != nil {
-		_ = s.Close() // the first error is returned
+		_ = s.Close() // the earlier error is returned
 		return nil, fmt.Errorf("storage: opening %s: %w", dir, err)
 	}
 	return s, nil
 }
 
-// recoverDatabase opens the database, for the first time or again. What is on disk is read
-// first, without a write, and compared with the seal. Only then it is opened for writing,
-// which makes goleveldb write all of the write-ahead log into new files and sync them: so
-// what a failed fsync left in the page cache alone is on disk as well before anything is
-// built on it.
+// recoverDatabase opens or reopens the database. It first reads the database without
+// writing, and compares the contents with the seal. Only then does it open the database
+// for writing, which makes goleveldb copy the whole write-ahead log to new files and sync
+// them. Data that a failed fsync left only in the page cache is thus on disk before
+// anything depends on it.
 //
-// Where the disk takes no writes, it returns nil and leaves the store readable, with
-// writeErr set.
+// If the disk can't be written, it returns nil and leaves the store readable, with writeErr
+// set.
 func (s *Store) recoverDatabase() error {
 	s.closeFiles()
 	s.writeErr = nil
 	if err := s.checkFormat(); err != nil {
 		return err
 	}
-	found, exists, err := s.readAll()
+	found, exists, err := s.readDatabaseAndSeal()
 	if err != nil {
 		return err
 	}
@@ -89,18 +90,17 @@
 	if err == nil || errors.Is(err, ErrCorrupt) {
 		return err
 	}
-	// The disk takes no writes. The store can be read if everything that was acknowledged
-	// is there and nothing more: a batch that was not acknowledged may be in the page
-	// cache alone.
+	// The disk can't be written. The store can be read only if it is exactly at the last
+	// acknowledged batch: a later batch may exist only in the page cache.
 	if sealBefore == nil || found.batchID() != sealBefore.batch || found.empty() {
 		return err
 	}
 	return s.openForReading(&found, err)
 }
 
-// readAll reads the database and the seal, without a write. exists reports whether there is
-// a database to go on with.
-func (s *Store) readAll() (found contents, exists bool, err error) {
+// readDatabaseAndSeal reads the database and the seal without writing. exists reports
+// whether there is a usable database.
+func (s *Store) readDatabaseAndSeal() (found contents, exists bool, err error) {
 	exists, err = s.databaseExists()
 	if err != nil {
 		return found, false, err
@@ -114,53 +114,53 @@
 		damage = err
 	}
 	s.seal, err = openSeal(s.fs, s.path(sealName))
-	if err != nil && !isNoSeal(err) {
+	if err != nil && !isSealUnusable(err) {
 		return found, false, err
 	}
 	if damage == nil {
 		return found, exists, nil
 	}
 	if s.seal != nil && s.seal.batch == (batchID{}) {
-		// It was torn while it was first made: nothing was acknowledged.
+		// A crash interrupted the creation of the database: nothing was acknowledged.
 		return contents{}, false, nil
 	}
 	return found, false, damage
 }
 
-// checkAcknowledged fails with [ErrCorrupt] unless everything acknowledged is there. One
-// batch more than the last acknowledged one may be there: it was written, and the power
-// went before it was acknowledged.
+// checkAcknowledged fails with [ErrCorrupt] unless all acknowledged batches are present.
+// The database may be one batch ahead, if a crash or an error came between the write of the
+// batch and its acknowledgement.
 func (s *Store) checkAcknowledged(found *contents) error {
 	id := found.batchID()
-	// A process that opens the store again knows what it has acknowledged itself.
-	if last := s.acknowledged; last != (batchID{}) && !continues(id, last) {
-		return fmt.Errorf("%w: it is at batch %d, and %d was acknowledged", ErrCorrupt, id.Sequence, last.Sequence)
+	// When the store is reopened, the last batch that this process acknowledged is known.
+	if last := s.acknowledged; last != (batchID{}) && !isSameOrNext(id, last) {
+		return fmt.Errorf("%w: database is at batch %d, %d was acknowledged", ErrCorrupt, id.Sequence, last.Sequence)
 	}
 	if s.seal == nil && found.sequence > 0 {
-		return fmt.Errorf("%w: the seal is missing", ErrCorrupt)
+		return fmt.Errorf("%w: the seal file is missing or invalid", ErrCorrupt)
 	}
-	if s.seal != nil && !continues(id, s.seal.batch) {
-		return fmt.Errorf("%w: it is at batch %d, and %d is sealed", ErrCorrupt, id.Sequence, s.seal.batch.Sequence)
+	if s.seal != nil && !isSameOrNext(id, s.seal.batch) {
+		return fmt.Errorf("%w: database is at batch %d, seal at %d", ErrCorrupt, id.Sequence, s.seal.batch.Sequence)
 	}
-	// The check of a store from before the seal, which has no batch number.
+	// Stores that predate the seal have no batch number, and only this check.
 	if !found.empty() && (found.identity == 0 || found.snapshot == 0) {
 		return fmt.Errorf("%w: the identity is missing", ErrCorrupt)
 	}
 	return nil
 }
 
-// continues reports whether a batch is the given one or the next one.
-func continues(id, last batchID) bool { return id == last || id.Sequence == last.Sequence+1 }
+// isSameOrNext reports whether id is the batch last or the one after it.
+func isSameOrNext(id, last batchID) bool { return id == last || id.Sequence == last.Sequence+1 }
 
-// openForWriting opens the database for writing, after it was read and closed. Each step
-// makes durable what the next one builds on.
+// openForWriting closes the database, which was opened for reading, and opens it for
+// writing. Each step makes durable what the next step depends on.
 func (s *Store) openForWriting(exists bool) error {
 	want := s.contents.batchID()
 	s.closeDatabase()
 	if err := s.writeFormat(); err != nil {
 		return err
 	}
-	if err := s.renewSeal(want); err != nil {
+	if err := s.ensureSealDurable(want); err != nil {
 		return err
 	}
 	if !exists {
@@ -173,7 +173,7 @@
 		return err
 	}
 	if found.batchID() != want {
-		return fmt.Errorf("%w: it reads differently when opened for writing", ErrCorrupt)
+		return fmt.Errorf("%w: the contents changed when the database was opened for writing", ErrCorrupt)
 	}
 	if s.seal.batch != want {
 		if err := s.seal.advance(want); err != nil {
@@ -182,13 +182,14 @@
 	}
 	s.acknowledged = want
 	if found.sequence == 0 && !found.empty() {
-		return s.write(s.newBatch()) // a store from before the seal gets its first batch number
+		return s.write(s.newBatch()) // gives a store that predates the seal its first batch number
 	}
 	return nil
 }
 
-// renewSeal makes the seal durable, as it is or, where there is none, for a batch.
-func (s *Store) renewSeal(first batchID) error {
+// ensureSealDurable makes the seal durable. If there is none, it creates one for the batch
+// first.
+func (s *Store) ensureSealDurable(first batchID) error {
 	if s.seal != nil {
 		return s.seal.rewrite()
 	}
@@ -201,8 +202,8 @@
 	return err
 }
 
-// openForReading opens the database for reading only, after it could not be opened for
-// writing. What it holds must still be what was found before.
+// openForReading opens the database read-only after openForWriting failed with writeErr.
+// The contents must still be those found before.
 func (s *Store) openForReading(found *contents, writeErr error) error {
 	s.writeErr = writeErr
 	s.closeFiles()
@@ -211,23 +212,23 @@
 		return err
 	}
 	if reread.batchID() != found.batchID() {
-		return writeErr // a batch that openForWriting wrote has reached the disk after all
+		return writeErr // a batch that openForWriting wrote has reached the disk
 	}
 	return nil
 }
 
-// syncParents makes the name of the folder durable, and that of its parent: an earlier
-// process may have made them and ended before it had synced them.
+// syncParents makes the directory entries of the store directory and of its parent
+// durable: an earlier process may have created them and ended before it synced them.
 func (s *Store) syncParents() error {
 	parent := filepath.Dir(s.dir)
 	err := s.fs.SyncDir(filepath.Dir(parent))
-	if err != nil && !errors.Is(err, os.ErrPermission) { // that folder need not be ours
+	if err != nil && !errors.Is(err, os.ErrPermission) { // the grandparent may belong to another user
 		return err
 	}
 	return s.fs.SyncDir(parent)
 }
 
-// databaseExists reports whether the folder has any file of a database.
+// databaseExists reports whether the directory has any database files.
 func (s *Store) databaseExists() (bool, error) {
 	names, err := s.fs.Names(s.dir)
 	if err != nil {
@@ -241,7 +242,7 @@
 	return ok || strings.HasPrefix(name, currentName)
 }
 
-// removeDatabase removes what a crash has left of a database that was never used.
+// removeDatabase removes the files of a database whose creation a crash interrupted.
 func (s *Store) removeDatabase() error {
 	names, err := s.fs.Names(s.dir)
 	if err != nil {
@@ -258,7 +259,7 @@
 	return nil
 }
 
-// readDatabase opens the database and reads all of it.
+// readDatabase opens the database and summarizes its contents.
 func (s *Store) readDatabase(readOnly bool) (found contents, err error) {
 	s.files = &dbFiles{fs: s.fs, dir: s.dir}
 	defer func() {
--- a/raft/storage/reset.go
+++ b/raft/storage/reset.go
@@ -7,11 +7,12 @@
 	"path/filepath"
 )
 
-// lostSuffix names the marker file beside the folder of a store: the store was found
-// corrupt and is being removed, and no new member has been initialized in its place.
+// lostSuffix is the suffix of the marker file next to the directory of a store. The marker
+// means that the store was found corrupt, that it is being or was removed, and that no new
+// member has been initialized in its place.
 const lostSuffix = ".lost"
 
-// checkLostMarker fails with [ErrCorrupt] if the marker of a lost store is there.
+// checkLostMarker fails with [ErrCorrupt] if the marker of a lost store exists.
 func checkLostMarker(fs fileSystem, dir string) error {
 	f, err := fs.Open(dir + lostSuffix)
 	if errors.Is(err, os.ErrNotExist) {
@@ -20,26 +21,26 @@
 	if err != nil {
 		return fmt.Errorf("storage: opening %s: %w", dir, err)
 	}
-	closeUnwritten(f)
-	return fmt.Errorf("%w: %s reports that it was found so before, and no new member was initialized since",
+	closeQuietly(f)
+	return fmt.Errorf("%w: marked as corrupt by %s, and no new member has been initialized since",
 		ErrCorrupt, dir+lostSuffix)
 }
 
-// removeLostMarker removes the marker, durably.
+// removeLostMarker durably removes the marker.
 func removeLostMarker(fs fileSystem, dir string) error {
 	return errors.Join(fs.Remove(dir+lostSuffix), fs.SyncDir(filepath.Dir(dir)))
 }
 
-// resetStore is [Reset] on any disk.
+// resetStore is [Reset] on a given file system.
 func resetStore(fs fileSystem, dir string) (*Store, error) {
 	if err := discardStore(fs, dir); err != nil {
 		return nil, fmt.Errorf("storage: removing %s: %w", dir, err)
 	}
-	return enterStore(fs, dir, true)
+	return lockAndRecover(fs, dir, true)
 }
 
-// discardStore removes everything in a folder. The marker of a lost store is made durable
-// first: whatever a crash leaves of the folder then counts as corrupt.
+// discardStore removes everything in the directory. It makes the marker of a lost store
+// durable first, so that the store counts as corrupt if a crash interrupts the removal.
 func discardStore(fs fileSystem, dir string) error {
 	parent := filepath.Dir(dir)
 	if err := makeDirAll(fs, parent); err != nil {
--- a/raft/storage/scan.go
+++ b/raft/storage/scan.go
@@ -7,8 +7,8 @@
 	"github.com/syndtr/goleveldb/leveldb"
 )
 
-// scanDatabase summarizes everything that is stored, and checks it against the digest that
-// the last batch carried.
+// scanDatabase summarizes the contents of the database and checks them against the digest
+// of the last batch.
 func scanDatabase(db *leveldb.DB) (contents, error) {
 	var s scan
 	it := db.NewIterator(nil, nil)
@@ -24,16 +24,16 @@
 	return s.finish()
 }
 
-// scan collects records. They come in the order of their keys: the batch, the entries, the
-// hard state, the identity, the snapshot.
+// scan summarizes the records of a database. They are added in key order: the batch, the
+// entries, the hard state, the identity, the snapshot.
 type scan struct {
 	found contents
-	batch *batchID // the one that is stored, nil for none
+	batch *batchID // the stored batch, nil if there is none
 
-	// Of the last run of entries without a gap: the index of the first, and the index
-	// before it that is missing, 0 for none.
-	firstEntry   uint64
-	missingEntry uint64
+	// The last run of consecutive entries: the index of its first entry, and the index at
+	// which the gap before it begins, 0 if there is no gap.
+	firstIndex   uint64
+	missingIndex uint64
 }
 
 func (s *scan) add(key, record []byte) error {
@@ -58,12 +58,12 @@
 		s.found.snapshot = hash
 		return s.readSnapshotIndex(body)
 	default:
-		return fmt.Errorf("%w: a record with the unknown key %q", ErrCorrupt, key)
+		return fmt.Errorf("%w: record with unknown key %q", ErrCorrupt, key)
 	}
 	return nil
 }
 
-// readSnapshotIndex reads the index of a snapshot without its data.
+// readSnapshotIndex decodes only the index of a snapshot.
 func (s *scan) readSnapshotIndex(body []byte) error {
 	var snapshot struct {
 		Index uint64 `cbor:"1,keyasint"` // as in raft.Snapshot
@@ -74,39 +74,39 @@
 }
 
 func (s *scan) addEntry(index, hash uint64) {
-	next := s.firstEntry + uint64(len(s.found.entries))
-	if index != next { // the first of all, or the first after a gap
-		s.firstEntry, s.missingEntry, s.found.entries = index, next, nil
+	next := s.firstIndex + uint64(len(s.found.entries))
+	if index != next { // the first entry, or the first after a gap
+		s.firstIndex, s.missingIndex, s.found.entries = index, next, nil
 	}
 	s.found.entries = append(s.found.entries, hash)
 }
 
 func (s *scan) finish() (contents, error) {
-	if err := s.joinEntries(); err != nil {
+	if err := s.keepEntriesAfterSnapshot(); err != nil {
 		return s.found, err
 	}
-	if s.batch == nil { // a store from before the seal, or an empty one
+	if s.batch == nil { // the store predates the seal or is empty
 		return s.found, nil
 	}
 	s.found.sequence = s.batch.Sequence
 	if s.found.sequence == 0 || s.found.batchID() != *s.batch {
-		return s.found, fmt.Errorf("%w: the contents are not those of batch %d", ErrCorrupt, s.found.sequence)
+		return s.found, fmt.Errorf("%w: the contents don't match the digest of batch %d", ErrCorrupt, s.found.sequence)
 	}
 	return s.found, nil
 }
 
-// joinEntries keeps the entries after the snapshot, which must follow it without a gap.
-// Entries that the snapshot stands for may be left over, where damage took the batch that
-// deleted them: nothing reads them.
-func (s *scan) joinEntries() error {
+// keepEntriesAfterSnapshot drops the entries that the snapshot covers. The others must
+// follow it without a gap. Covered entries are present if the batch that deleted them was
+// damaged; they are never read.
+func (s *scan) keepEntriesAfterSnapshot() error {
 	count := uint64(len(s.found.entries))
 	if count == 0 {
 		return nil
 	}
 	next := s.found.snapshotIndex + 1
-	if s.firstEntry > next || s.missingEntry > next {
-		return fmt.Errorf("%w: entry %d is missing", ErrCorrupt, max(s.missingEntry, next))
+	if s.firstIndex > next || s.missingIndex > next {
+		return fmt.Errorf("%w: entry %d is missing", ErrCorrupt, max(s.missingIndex, next))
 	}
-	s.found.entries = s.found.entries[min(count, next-s.firstEntry):]
+	s.found.entries = s.found.entries[min(count, next-s.firstIndex):]
 	return nil
 }
--- a/raft/storage/seal.go
+++ b/raft/storage/seal.go
@@ -10,20 +10,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// seal is a small file beside the database that holds the last acknowledged batch.
-// Without it, a database that has lost the end of its log looks like one that never got
-// there.
+// seal is a small file next to the database that holds the last acknowledged batch.
+// Without it, a database that lost the end of its write-ahead log could not be told from
+// one in which those batches were never written.
 //
-// The file has two slots that are written in turn, in place. It neither grows nor is it
-// renamed, so one fdatasync makes a slot durable, and a torn write spoils only the slot
-// that is not in force yet. The valid slot with the higher number is in force.
+// The file has two slots, which are overwritten alternately in place. The valid slot with
+// the higher sequence number is current. The file is never extended or renamed, so one
+// fdatasync makes a slot durable, and a torn write damages only the slot that is not yet
+// current.
 //
-// A slot has four fields of eight bytes, big-endian: a magic number, the sequence number
-// and the digest of the batch, and the xxhash64 of these three.
+// A slot has four fields of eight bytes in big-endian order: a magic number, the sequence
+// number and the digest of the batch, and the xxhash64 of these three fields.
 type seal struct {
 	file    file
-	current int     // the slot in force
-	batch   batchID // what it holds
+	current int     // index of the current slot
+	batch   batchID // in the current slot
 }
 
 const (
@@ -32,21 +33,21 @@
 
 	sealSlots       = 2
 	sealSlotSize    = 32   // bytes
-	sealSlotSpacing = 4096 // bytes: no sector and no page holds both slots
+	sealSlotSpacing = 4096 // bytes; the slots are in different sectors and pages
 
-	// The offsets of the fields in a slot.
+	// Offsets of the fields in a slot, in bytes.
 	sealSequenceAt = 8
 	sealDigestAt   = 16
 	sealChecksumAt = 24
 )
 
-// createSeal makes the seal file of a store, durable, over an old one if there is one.
+// createSeal durably creates the seal file of a store, or replaces an existing one.
 func createSeal(fs fileSystem, dir, path string, first batchID) error {
 	f, err := fs.Create(path)
 	if err != nil {
 		return err
 	}
-	var content [sealSlots * sealSlotSpacing]byte // the full size from the start
+	var content [sealSlots * sealSlotSpacing]byte // the final size, as the file must not grow later
 	copy(content[:], encodeSealSlot(first))
 	_, err = f.Write(content[:])
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
@@ -55,8 +56,8 @@
 	return fs.SyncDir(dir)
 }
 
-// openSeal opens a seal file. It fails with errNoSeal if neither slot can be read, and
-// with os.ErrNotExist if there is no file, see [isNoSeal].
+// openSeal opens a seal file. It fails with errNoValidSealSlot if neither slot is valid, and
+// with os.ErrNotExist if there is no file, see [isSealUnusable].
 func openSeal(fs fileSystem, path string) (*seal, error) {
 	f, err := fs.OpenInPlace(path)
 	if err != nil {
@@ -66,7 +67,7 @@
 	for slot := range sealSlots {
 		batch, ok, err := readSealSlot(f, slot)
 		if err != nil {
-			closeUnwritten(f)
+			closeQuietly(f)
 			return nil, err
 		}
 		if ok && (s.current < 0 || batch.Sequence > s.batch.Sequence) {
@@ -74,14 +75,14 @@
 		}
 	}
 	if s.current < 0 {
-		closeUnwritten(f)
-		return nil, errNoSeal
+		closeQuietly(f)
+		return nil, errNoValidSealSlot
 	}
 	return s, nil
 }
 
-// readSealSlot reads a slot. It is not ok if the slot is torn, cut off, or on a block that
-// the medium can't read.
+// readSealSlot reads a slot. ok is false if the slot is torn, truncated, or in a block that
+// the device can't read.
 func readSealSlot(f file, slot int) (batch batchID, ok bool, err error) {
 	var content [sealSlotSize]byte
 	n, err := f.ReadAt(content[:], int64(slot*sealSlotSpacing))
@@ -95,11 +96,12 @@
 	return batch, false, err
 }
 
-// rewrite writes the slot in force again as it is. After a failed sync it may be in the
-// page cache only, and must be durable before the other slot is written over.
+// rewrite writes and syncs the current slot again, unchanged. After a failed sync the slot
+// may exist only in the page cache, and must be durable before the other slot is
+// overwritten.
 func (s *seal) rewrite() error { return s.writeSlot(s.current, s.batch) }
 
-// advance writes a newer batch into the slot that is not in force, which then is.
+// advance writes a newer batch to the other slot, which then becomes the current one.
 func (s *seal) advance(batch batchID) error {
 	other := 1 - s.current
 	if err := s.writeSlot(other, batch); err != nil {
@@ -135,5 +137,8 @@
 	}, true
 }
 
-// isNoSeal reports whether a seal is missing or unreadable, as opposed to a failure to look at it.
-func isNoSeal(err error) bool { return errors.Is(err, errNoSeal) || errors.Is(err, os.ErrNotExist) }
+// isSealUnusable reports whether an error of openSeal means that the seal file is missing or
+// invalid. Other errors say nothing about its contents.
+func isSealUnusable(err error) bool {
+	return errors.Is(err, errNoValidSealSlot) || errors.Is(err, os.ErrNotExist)
+}
--- a/raft/storage/seal_test.go
+++ b/raft/storage/seal_test.go
@@ -8,10 +8,10 @@
 	"example.org/elmspan/raft"
 )
 
-// A batch that was written and not sealed counts only if the contents are those of its
-// digest: here the seal is one batch behind, and a record is gone.
+// A batch that the seal does not record yet must be accepted only if the contents match its
+// digest. Here the seal is one batch behind, and a record is missing.
 func TestUnsealedBatchIsCheckedAgainstItsDigest(t *testing.T) {
-	for _, gone := range [][]byte{keyHardState, entryKey(1), entryKey(2), keyBatch, nil} {
+	for _, deleted := range [][]byte{keyHardState, entryKey(1), entryKey(2), keyBatch, nil} {
 		d := newFaultDisk()
 		s, err := openStore(d, storeDir)
 		if err != nil {
@@ -28,8 +28,8 @@
 		if err := s.Save(raft.Ready{HardState: &raft.HardState{Term: 2}}); err != nil {
 			t.Fatal(err)
 		}
-		if gone != nil {
-			if err := s.db.Delete(gone, nil); err != nil {
+		if deleted != nil {
+			if err := s.db.Delete(deleted, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -38,8 +38,8 @@
 			t.Fatal(err)
 		}
 		s, err = openStore(d, storeDir)
-		if corrupt := errors.Is(err, ErrCorrupt); corrupt != (gone != nil) || err != nil && !corrupt {
-			t.Errorf("%q gone: %v", gone, err)
+		if corrupt := errors.Is(err, ErrCorrupt); corrupt != (deleted != nil) || err != nil && !corrupt {
+			t.Errorf("%q deleted: got error %v", deleted, err)
 		}
 		if err == nil {
 			closeStore(s)
@@ -47,8 +47,8 @@
 	}
 }
 
-// A failed sync of the seal leaves a slot that only the page cache has: it is written
-// again before the other slot, which is the one on disk, is written over.
+// A failed sync of the seal leaves a slot that exists only in the page cache. It must be
+// written again before the other slot, the only one on disk, is overwritten.
 func TestSealSlotInThePageCacheIsRewrittenFirst(t *testing.T) {
 	checkSeeds(t, 200, func(seed uint64) error {
 		r := rand.New(rand.NewPCG(seed, 6))
@@ -63,9 +63,9 @@
 			return err
 		}
 		call := m.nextCall()
-		d.failSyncNumber = d.syncs + 2 // the journal's, then the seal's
+		d.failSyncNumber = d.syncs + 2 // the first is that of the write-ahead log, the second that of the seal
 		if err := call(s); err == nil {
-			return errors.New("the sync did not fail")
+			return errors.New("the call succeeded in spite of the failed sync")
 		}
 		d.powerLossAt = d.steps + 1 + r.IntN(40)
 		if err := call(s); err == nil {
--- a/raft/storage/seeds_test.go
+++ b/raft/storage/seeds_test.go
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-var diskSeeds = flag.Int("disk.seeds", 40, "seeds of each test on the simulated disk; 10000 for a long run")
+var diskSeeds = flag.Int("disk.seeds", 40, "number of seeds per test on the simulated disk; 10000 for a long run")
 
-// runSeeds runs the seeds 1 to n concurrently and returns the failure of each.
+// runSeeds calls run concurrently with the seeds 1 to n, or fewer under the race detector,
+// and returns the errors by seed.
 func runSeeds(n int, run func(seed uint64) error) map[uint64]error {
-	n = max(1, n/slowdown)
+	n = max(1, n/seedDivisor)
 	var mu sync.Mutex
 	var tasks sync.WaitGroup
 	failures := map[uint64]error{}
@@ -35,7 +36,7 @@
 	return failures
 }
 
-// checkSeeds runs seeds, none of which may fail.
+// checkSeeds calls run like runSeeds, and fails the test for each error.
 func checkSeeds(t *testing.T, n int, run func(seed uint64) error) {
 	t.Helper()
 	for seed, err := range runSeeds(n, run) {
--- a/raft/storage/store.go
+++ b/raft/storage/store.go
@@ -18,51 +18,53 @@
 
 const (
 	lockName = "LOCK"
-	// reopenInterval is the least time between two attempts to open a store again whose
-	// disk takes no writes.
+	// reopenInterval is the minimum time between two attempts to reopen a store whose disk
+	// can't be written.
 	reopenInterval = 200 * time.Millisecond
 )
 
-// Store is an open store. Its methods may be called concurrently: each waits for the one
-// before it, and for the disk. A Store is made by [Open] or [Reset].
+// Store persists the Raft state of a member in a directory. Its methods may be called
+// concurrently; they run one at a time and block on disk I/O. A Store is created by [Open]
+// or [Reset].
 type Store struct {
-	// Set once, when the store is made.
+	// Set when the store is created, then constant.
 	fs             fileSystem
 	dir            string
 	reopenInterval time.Duration
 
-	mu sync.Mutex // guards all that follows, and is held while the disk is waited for
+	mu sync.Mutex // guards the fields below, and is held during disk I/O
 
-	lock io.Closer // the lock on the folder; nil once the store is closed
-	// lostMarker reports that the marker file of a lost store is beside the folder. It is
-	// removed once the new member is initialized.
+	lock io.Closer // the lock on the directory; nil once the store is closed
+	// lostMarker reports whether the marker file of a lost store exists. It is removed once
+	// the new member is initialized.
 	lostMarker bool
 
-	db    *leveldb.DB // nil where it could not be opened
+	db    *leveldb.DB // nil if it could not be opened
 	files *dbFiles    // the files of db
-	seal  *seal       // nil where there is none
+	seal  *seal       // nil if it is missing or invalid
 
-	contents contents // what was read, or written since
-	// acknowledged is the last batch that this process has acknowledged, or has found
-	// sealed; zero before that.
+	contents contents // of the database, as read and changed by later writes
+	// acknowledged is the last batch that this process has acknowledged, or that the seal
+	// held once the store was opened for writing; zero before that.
 	acknowledged batchID
 
-	// writeErr gives the reason why nothing can be written until the store was opened again; nil
-	// while all is well. ErrCorrupt and errClosed are final.
+	// writeErr is the reason why writes fail until the store is reopened, or nil. It is
+	// permanent if it is ErrCorrupt or errClosed.
 	writeErr   error
-	lastReopen time.Time // when it was last tried to open the store again
+	lastReopen time.Time // time of the last attempt to reopen the store
 }
 
-// Open opens the store in a folder, which is made if it is missing. It fails with
-// [ErrCorrupt] if something acknowledged is missing, and with [ErrNewerFormat] if a newer
-// program wrote what this one can't read. A disk that can be read but takes no writes is
-// no error: the store can be read, and Save fails until the disk takes writes again. Any
-// other error says nothing about what is on the disk.
+// Open opens the store in a directory, which it creates if missing. It fails with
+// [ErrCorrupt] if acknowledged data is damaged or missing, and with [ErrNewerFormat] if a
+// newer version of the program wrote a format that this version can't read. If the disk
+// can be read but not written, Open succeeds and the store can be read, but writes fail
+// until the disk can be written again. Any other error says nothing about the data on
+// disk.
 func Open(dir string) (*Store, error) { return openStore(osFileSystem{}, dir) }
 
-// Reset removes what is in a folder and opens it empty, for a new member under another
-// identity. Until [Store.Initialize] has returned, the folder counts as corrupt, whatever
-// a crash leaves in it: it is never taken for one that was never used.
+// Reset deletes the contents of a directory and opens an empty store in it, for a new
+// member under another identity. Until [Store.Initialize] has succeeded, [Open] fails there
+// with [ErrCorrupt], so that a crash never leaves a partly removed store that looks unused.
 func Reset(dir string) (*Store, error) { return resetStore(osFileSystem{}, dir) }
 
 // Close closes the store. It does nothing on a closed store.
@@ -82,30 +84,30 @@
 func (s *Store) closeFiles() {
 	s.closeDatabase()
 	if s.seal != nil {
-		closeUnwritten(s.seal.file) // each write to it was synced, or has failed
+		closeQuietly(s.seal.file) // its writes were synced or failed before
 		s.seal = nil
 	}
 }
 
-// closeDatabase closes the database. Nothing is written to its files from then on.
+// closeDatabase closes the database. Its files are not written after that.
 func (s *Store) closeDatabase() {
 	if s.files != nil {
 		s.files.shutDown()
 	}
 	if s.db != nil {
-		closeUnwritten(s.db) // each write to it was synced, or has failed
+		closeQuietly(s.db) // its writes were synced or failed before
 	}
 	s.db, s.files = nil, nil
 }
 
-// Identity returns the identity of the member, 0 if the disk has none yet.
+// Identity returns the identity of the member, or 0 if none is stored yet.
 func (s *Store) Identity() (id raft.ID, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return id, s.readRecord(keyIdentity, s.contents.identity, &id)
 }
 
-// Initialize writes the identity and the first snapshot of a new member.
+// Initialize stores the identity and the first snapshot of a new member.
 func (s *Store) Initialize(id raft.ID, first raft.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,17 +121,17 @@
 	if err := s.write(b); err != nil || !s.lostMarker {
 		return err
 	}
-	// Only now: while the marker is there, a half-removed store can't be taken for one
-	// that was never used.
+	// The marker is removed only now, as until this point it keeps a partly removed store
+	// from being taken for an unused one.
 	if err := removeLostMarker(s.fs, s.dir); err != nil {
-		return fmt.Errorf("storage: removing the marker of the lost store: %w", err)
+		return fmt.Errorf("storage: removing the marker file of the lost store: %w", err)
 	}
 	s.lostMarker = false
 	return nil
 }
 
-// Load reads everything that is stored. It fails with [ErrCorrupt] if it is not as it was
-// written.
+// Load reads the hard state, the snapshot and the log. It fails with [ErrCorrupt] if they
+// differ from what was written.
 func (s *Store) Load() (stored raft.PersistentState, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,11 +151,12 @@
 		return nil, nil
 	}
 	first := s.contents.snapshotIndex + 1
-	// One pass: a look-up of each entry would read the block of the snapshot each time.
+	// An iterator, because a lookup of each entry would read the block of the snapshot each
+	// time.
 	it := s.db.NewIterator(&util.Range{Start: entryKey(first), Limit: entryKey(s.contents.lastIndex() + 1)}, nil)
 	defer it.Release()
 	for it.Next() {
-		entry, err := s.checkEntry(first+uint64(len(entries)), it.Key(), it.Value())
+		entry, err := s.decodeEntry(first+uint64(len(entries)), it.Key(), it.Value())
 		if err != nil {
 			return entries, err
 		}
@@ -168,29 +171,30 @@
 	return entries, nil
 }
 
-// checkEntry decodes the record that was found where the entry of an index should be.
-func (s *Store) checkEntry(index uint64, key, record []byte) (entry raft.Entry, err error) {
+// decodeEntry checks and decodes the record found at the position of the entry with the
+// given index.
+func (s *Store) decodeEntry(index uint64, key, record []byte) (entry raft.Entry, err error) {
 	found, ok := entryIndex(key)
 	if !ok || found != index || index > s.contents.lastIndex() ||
 		recordHash(key, record) != s.contents.entries[index-s.contents.snapshotIndex-1] {
-		return entry, fmt.Errorf("%w: entry %d is not as it was written", ErrCorrupt, index)
+		return entry, fmt.Errorf("%w: entry %d differs from what was written", ErrCorrupt, index)
 	}
 	if err := decodeRecord(record, &entry); err != nil {
 		return entry, err
 	}
 	if entry.Index != index {
-		return entry, fmt.Errorf("%w: entry %d in place of %d", ErrCorrupt, entry.Index, index)
+		return entry, fmt.Errorf("%w: found entry %d instead of %d", ErrCorrupt, entry.Index, index)
 	}
 	return entry, nil
 }
 
-// Save writes the hard state, snapshot and entries of a [raft.Ready], and waits until
-// they are on disk. The rest of the Ready is not looked at.
+// Save writes the hard state, snapshot and entries of a [raft.Ready], and returns when they
+// are durable. It ignores the other fields of the Ready.
 //
-// After an error neither the old nor the new state may be believed: the next call opens
-// the store again and goes on from what it reads there. So a member whose disk was full
-// comes back by itself once the disk takes writes. [ErrCorrupt] is final: acknowledged
-// data is gone from the disk, and nothing is acknowledged any more.
+// After an error it is unknown whether the old or the new state is on disk. The next write
+// reopens the store and continues from the state found there, so a member whose disk was
+// full recovers by itself once the disk can be written again. [ErrCorrupt] is permanent:
+// acknowledged data is lost, and all later writes fail.
 func (s *Store) Save(ready raft.Ready) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,8 +213,8 @@
 	return s.write(b)
 }
 
-// Compact writes a snapshot and deletes the entries that it stands for. It does nothing
-// if the stored snapshot is newer. Errors are those of [Store.Save].
+// Compact writes a snapshot and deletes the entries that it covers. It does nothing if the
+// stored snapshot is newer. It returns the same errors as [Store.Save].
 func (s *Store) Compact(snapshot raft.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,8 +230,8 @@
 	return s.write(b)
 }
 
-// ensureWritable opens the store again if a write has failed, in a call of the store or in
-// a compaction that goleveldb does by itself.
+// ensureWritable reopens the store if a write has failed, either in an earlier call or in a
+// background compaction of goleveldb.
 func (s *Store) ensureWritable() error {
 	if s.writeErr == nil && s.files != nil {
 		s.writeErr = s.files.writeError()
@@ -243,15 +247,15 @@
 		s.writeErr = err
 	}
 	if s.writeErr != nil {
-		return fmt.Errorf("storage: opening %s again: %w", s.dir, s.writeErr)
+		return fmt.Errorf("storage: reopening %s: %w", s.dir, s.writeErr)
 	}
 	return nil
 }
 
-// write writes a batch to disk. The order matters: the batch is synced to the write-ahead
-// log first, the seal is advanced and synced second, and only then may the batch be
-// acknowledged. A seal ahead of the database would look like a loss; an acknowledgement
-// ahead of the seal could be lost without a trace.
+// write writes a batch to disk. The order matters: first the batch is synced to the
+// write-ahead log, then the seal is advanced and synced, and only then may the batch be
+// acknowledged. If the seal were ahead of the database, the store would seem corrupt; if a
+// batch were acknowledged before the seal is advanced, its loss could go undetected.
 func (s *Store) write(b *writeBatch) error {
 	id := b.after.batchID()
 	b.put(keyBatch, id)
@@ -260,7 +264,7 @@
 	}
 	err := s.db.Write(&b.records, &opt.WriteOptions{Sync: true})
 	if err == nil {
-		err = s.files.writeError() // failed writes are hidden from goleveldb, see dbFiles
+		err = s.files.writeError() // dbFiles hides write errors from goleveldb
 	}
 	if err == nil {
 		err = s.seal.advance(id)
@@ -273,7 +277,8 @@
 	return nil
 }
 
-// readRecord reads a record that has a known hash; 0: there is none.
+// readRecord reads a record into value and checks it against its hash. If the hash is 0,
+// there is no record, and value stays unchanged.
 func (s *Store) readRecord(key []byte, hash uint64, value any) error {
 	if s.db == nil {
 		return fmt.Errorf("storage: reading %s: %w", key, cmp.Or(s.writeErr, errClosed))
@@ -286,12 +291,12 @@
 		return fmt.Errorf("storage: reading %s: %w", key, s.classify(err))
 	}
 	if recordHash(key, record) != hash {
-		return fmt.Errorf("%w: the record %q is not as it was written", ErrCorrupt, key)
+		return fmt.Errorf("%w: record %q differs from what was written", ErrCorrupt, key)
 	}
 	return decodeRecord(record, value)
 }
 
-// classify makes a failure of the database [ErrCorrupt], unless the disk itself has failed.
+// classify wraps an error of the database in [ErrCorrupt], unless an I/O error caused it.
 func (s *Store) classify(err error) error {
 	if err == nil || errors.Is(err, ErrCorrupt) {
 		return err
--- a/raft/storage/store_test.go
+++ b/raft/storage/store_test.go
@@ -14,7 +14,7 @@
 	"example.org/elmspan/raft"
 )
 
-// open opens a store on the machine's disk, until the test ends.
+// open opens a store on the local disk, and closes it at the end of the test.
 func open(t *testing.T, dir string) *Store {
 	t.Helper()
 	s, err := Open(dir)
@@ -25,7 +25,7 @@
 	return s
 }
 
-// openSimulated opens a store on a simulated disk, until the test ends.
+// openSimulated opens a store on a simulated disk, and closes it at the end of the test.
 func openSimulated(t *testing.T, d *faultDisk) *Store {
 	t.Helper()
 	s, err := openStore(d, storeDir)
@@ -40,8 +40,8 @@
 	return raft.Entry{Index: index, Term: term, Data: []byte(data)}
 }
 
-// What Save has stored is there after the process ends, with later entries in place of
-// those that they overwrite.
+// Saved state must be loaded after a restart, with later entries in place of those that
+// they overwrite.
 func TestSavedStateIsLoadedAfterARestart(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
@@ -62,23 +62,23 @@
 	s = open(t, dir)
 	id, err := s.Identity()
 	if id != 7 || err != nil {
-		t.Errorf("identity %v, %v", id, err)
+		t.Errorf("identity %v, %v, want 7", id, err)
 	}
 	want := []raft.Entry{entry(1, 1, "a"), entry(2, 2, "d")}
 	stored, err := s.Load()
 	if err != nil || stored.HardState != hardState || !reflect.DeepEqual(stored.Entries, want) {
-		t.Errorf("%+v, %v", stored, err)
+		t.Errorf("loaded %+v, %v", stored, err)
 	}
 	if err := s.Compact(raft.Snapshot{Index: 1, Term: 1}); err != nil {
 		t.Fatal(err)
 	}
 	if stored, err = s.Load(); err != nil || stored.Snapshot.Index != 1 || len(stored.Entries) != 1 {
-		t.Errorf("%+v, %v", stored, err)
+		t.Errorf("loaded %+v after the compaction, %v", stored, err)
 	}
 }
 
-// The member must not vote with a record that is damaged, or with a log that lacks an
-// entry in the middle.
+// Load must fail with ErrCorrupt if a record is damaged or an entry in the middle of the log
+// is missing, so that the member doesn't vote based on the rest.
 func TestDamagedOrMissingEntryIsCorrupt(t *testing.T) {
 	s := open(t, t.TempDir())
 	if err := s.Initialize(7, raft.Snapshot{}); err != nil {
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Load(); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("a gap: %v", err)
+		t.Errorf("missing entry: got error %v, want ErrCorrupt", err)
 	}
 	var b leveldb.Batch
 	b.Put(entryKey(2), []byte("nonsense"))
@@ -100,12 +100,12 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Load(); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("nonsense: %v", err)
+		t.Errorf("invalid record: got error %v, want ErrCorrupt", err)
 	}
 }
 
-// The end of the write-ahead log that a loss of power has left torn is ignored; what was
-// synced before stays.
+// If a power loss tore the end of the write-ahead log, the torn part must be ignored, and
+// the data synced before must be kept.
 func TestTornEndOfTheLogIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
@@ -118,7 +118,7 @@
 	closeStore(s)
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(logs) != 1 {
-		t.Fatalf("%v, %v", logs, err)
+		t.Fatalf("write-ahead logs %v, %v, want one", logs, err)
 	}
 	f, err := os.OpenFile(logs[0], os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -129,29 +129,29 @@
 		t.Fatal(err)
 	}
 	if stored, err := open(t, dir).Load(); err != nil || len(stored.Entries) != 1 {
-		t.Errorf("%+v, %v", stored, err)
+		t.Errorf("loaded %+v, %v, want one entry", stored, err)
 	}
 }
 
-// Two processes never have one store open, and the second one's failure is no damage: it
-// must not start a new member over the first.
+// A store must not be open twice, and the error of the second Open must not be ErrCorrupt,
+// which would make a second process replace the member of the first.
 func TestStoreIsOpenInOneProcessAtATime(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "log")
 	s := open(t, dir)
 	if _, err := Open(dir); err == nil || errors.Is(err, ErrCorrupt) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second Open: got error %v, want one other than ErrCorrupt", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
 	if err := s.Save(raft.Ready{HardState: &raft.HardState{Term: 1}}); err == nil {
-		t.Error("saved in a store that is closed")
+		t.Error("Save succeeded on a closed store")
 	}
 	open(t, dir)
 }
 
-// A member starts on a full disk with everything that it acknowledged, acknowledges
-// nothing, and goes on once there is space.
+// A store must open on a full disk with everything that was acknowledged, fail writes, and
+// accept them again once there is space.
 func TestMemberStartsOnAFullDisk(t *testing.T) {
 	d := newFaultDisk()
 	s := openSimulated(t, d)
@@ -164,12 +164,12 @@
 	s = openSimulated(t, d)
 	s.reopenInterval = 0
 	if found, err := readState(s); err != nil || found.ID != 7 || found.HardState != hardState {
-		t.Errorf("%v, %v", found, err)
+		t.Errorf("read %v on a full disk, %v", found, err)
 	}
 	next := raft.HardState{Term: 3, Vote: 8}
 	for range 5 {
 		if err := s.Save(raft.Ready{HardState: &next}); !errors.Is(err, syscall.ENOSPC) {
-			t.Fatalf("%v", err)
+			t.Fatalf("Save on a full disk: got error %v, want ENOSPC", err)
 		}
 	}
 	files := len(d.dirs[storeDir].visible)
@@ -178,15 +178,15 @@
 		t.Fatal(err)
 	}
 	if found, err := readState(s); err != nil || found.HardState != next {
-		t.Errorf("%v, %v", found, err)
+		t.Errorf("read %v after the last Save, %v", found, err)
 	}
 	if files > 8 {
-		t.Errorf("%d files after attempts on a full disk", files)
+		t.Errorf("%d files after failed writes on a full disk, want at most 8", files)
 	}
 }
 
-// What a failed sync has left in the page cache is neither read as stored, where it can't
-// be written again, nor taken for damage.
+// Data that a failed sync left only in the page cache must not be read as stored while it
+// can't be written again, and must not be reported as corrupt.
 func TestPageCacheIsNotTrustedAfterAFailedSync(t *testing.T) {
 	d := newFaultDisk()
 	s := openSimulated(t, d)
@@ -195,13 +195,13 @@
 	}
 	d.failSyncs = 1
 	if err := s.Save(raft.Ready{HardState: &raft.HardState{Term: 9, Vote: 9}}); !errors.Is(err, syscall.EIO) {
-		t.Fatalf("%v", err)
+		t.Fatalf("Save with a failing sync: got error %v, want EIO", err)
 	}
-	closeStore(s) // the process ends; the machine goes on
+	closeStore(s) // the process ends, the machine keeps its page cache
 	d.full = true
 	if s, err := openStore(d, storeDir); err == nil || errors.Is(err, ErrCorrupt) {
 		found, _ := readState(s)
-		t.Errorf("%v, %v", found, err)
+		t.Errorf("opened on a full disk: read %v, %v", found, err)
 	}
 	d.full = false
 	s = openSimulated(t, d)
@@ -211,6 +211,6 @@
 	}
 	afterPowerLoss := openSimulated(t, d.losePower(rand.New(rand.NewPCG(1, 1))))
 	if reread, err := readState(afterPowerLoss); err != nil || !reread.equal(found) {
-		t.Errorf("read as %v, and as %v after the power was lost, %v", found, reread, err)
+		t.Errorf("read %v before a power loss and %v after it, %v", found, reread, err)
 	}
 }
--- a/raft/storage/tablefooter_test.go
+++ b/raft/storage/tablefooter_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// goleveldb takes as much memory as the handles at the end of a table say.
+// Block handles that point outside the table must be rejected, because goleveldb allocates
+// as much memory as they say.
 func TestTableFooterHandlesLieWithinTheTable(t *testing.T) {
 	for _, c := range []struct {
-		handles []uint64 // nil: varints without an end
+		handles []uint64 // nil for unterminated varints
 		ok      bool
 	}{
 		{[]uint64{0, 10, 15, 20}, true},
@@ -30,7 +31,7 @@
 		}
 		table := &diskHandle{disk: newFaultDisk(), file: &diskFile{visible: data}}
 		if err := checkTableFooter(table); (err == nil) != c.ok {
-			t.Errorf("%v: %v", c.handles, err)
+			t.Errorf("handles %v: got error %v", c.handles, err)
 		}
 	}
 }
--- a/raft/storage/upgrade_test.go
+++ b/raft/storage/upgrade_test.go
@@ -11,7 +11,7 @@
 	"example.org/elmspan/raft"
 )
 
-// writeUnsealedStore writes a store in the format from before the seal.
+// writeUnsealedStore writes a store in the old format without a seal.
 func writeUnsealedStore(d *faultDisk, state memberState) error {
 	if err := makeDirAll(d, storeDir); err != nil {
 		return err
@@ -31,8 +31,8 @@
 	return errors.Join(err, db.Close())
 }
 
-// A store from before the seal is taken over as it is, at whatever step the power is lost;
-// from then on its seal counts.
+// A store that predates the seal must be upgraded with all its data, even if power is lost
+// at any step. Once upgraded, it must be corrupt without its seal.
 func TestStoreFromBeforeTheSealIsUpgraded(t *testing.T) {
 	checkSeeds(t, *diskSeeds, func(seed uint64) error {
 		r := rand.New(rand.NewPCG(seed, 5))
@@ -65,13 +65,13 @@
 		}
 		delete(d.dirs[storeDir].visible, sealName)
 		if _, err := m.start(d); !errors.Is(err, ErrCorrupt) {
-			return fmt.Errorf("the seal was removed: %w", err)
+			return fmt.Errorf("after removing the seal: got %w, want ErrCorrupt", err)
 		}
 		return nil
 	})
 }
 
-// A store from before the seal that has no identity is corrupt, not empty.
+// A store that predates the seal and has no identity must be corrupt, and not empty.
 func TestStoreFromBeforeTheSealWithoutIdentityIsCorrupt(t *testing.T) {
 	d := newFaultDisk()
 	if err := writeUnsealedStore(d, memberState{ID: 7}); err != nil {
@@ -88,6 +88,6 @@
 		t.Fatal(err)
 	}
 	if _, err := openStore(d, storeDir); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrCorrupt", err)
 	}
 }
