--- a/raft/storage/faultdisk_damage_test.go
+++ b/raft/storage/faultdisk_damage_test.go
@@ -27,9 +27,9 @@
 // damage damages a random file of the given kind in a directory in a random way, and
 // describes the damage. older is a copy of the disk from an earlier time.
 func (d *faultDisk) damage(r *rand.Rand, dir string, older *faultDisk, ofKind string) string {
-	f := d.dirs[dir]
+	directory := d.dirs[dir]
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(f.visible)) {
+	for _, name := range slices.Sorted(maps.Keys(directory.visible)) {
 		if fileKind(name) == ofKind {
 			names = append(names, name)
 		}
@@ -39,23 +39,23 @@
 	}
 	name := names[r.IntN(len(names))]
 	mode := r.IntN(damageModeCount)
-	data := slices.Clone(f.visible[name].visible)
+	data := slices.Clone(directory.visible[name].visible)
 	if len(data) == 0 && mode < removeFile {
 		mode = removeFile
 	}
 	if mode == restoreOlder {
 		if old := older.dirs[dir]; old != nil && old.visible[name] != nil {
-			f.visible[name] = newDurableFile(slices.Clone(old.visible[name].visible))
+			directory.visible[name] = newDurableFile(slices.Clone(old.visible[name].visible))
 			return name + ": replaced by an older copy"
 		}
 		mode = removeFile
 	}
 	if mode == removeFile {
-		delete(f.visible, name)
+		delete(directory.visible, name)
 		return name + ": removed"
 	}
 	data, what := damageBytes(r, mode, data)
-	f.visible[name] = newDurableFile(data)
+	directory.visible[name] = newDurableFile(data)
 	return name + ": " + what
 }
 
--- a/raft/storage/faultdisk_test.go
+++ b/raft/storage/faultdisk_test.go
@@ -97,31 +97,31 @@
 
 // afterPowerLoss returns the directory as it is after a power loss. kept maps the files
 // that survived so far, under any name, to their copies.
-func (f *diskDir) afterPowerLoss(r *rand.Rand, kept map[*diskFile]*diskFile) *diskDir {
+func (d *diskDir) afterPowerLoss(r *rand.Rand, kept map[*diskFile]*diskFile) *diskDir {
 	out := newDiskDir()
-	names := maps.Clone(f.visible)
-	maps.Copy(names, f.durable)
+	names := maps.Clone(d.visible)
+	maps.Copy(names, d.durable)
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		n := f.visible[name]
-		if old := f.durable[name]; old != n && r.IntN(2) == 0 {
-			n = old
+		f := d.visible[name]
+		if old := d.durable[name]; old != f && r.IntN(2) == 0 {
+			f = old
 		}
-		if n == nil {
+		if f == nil {
 			continue
 		}
-		if kept[n] == nil {
-			data := n.afterPowerLoss(r)
-			kept[n] = &diskFile{visible: data, durable: slices.Clone(data)}
+		if kept[f] == nil {
+			data := f.afterPowerLoss(r)
+			kept[f] = &diskFile{visible: data, durable: slices.Clone(data)}
 		}
-		out.visible[name], out.durable[name] = kept[n], kept[n]
+		out.visible[name], out.durable[name] = kept[f], kept[f]
 	}
 	return out
 }
 
 // afterPowerLoss returns the contents of the file after a power loss.
-func (n *diskFile) afterPowerLoss(r *rand.Rand) []byte {
-	data := slices.Clone(n.durable)
-	for _, w := range n.pending {
+func (f *diskFile) afterPowerLoss(r *rand.Rand) []byte {
+	data := slices.Clone(f.durable)
+	for _, w := range f.pending {
 		switch r.IntN(3) {
 		case 0: // lost
 			continue
@@ -143,11 +143,11 @@
 
 // lookUp returns the parent directory of a path, and the name in it.
 func (d *faultDisk) lookUp(path string) (*diskDir, string, error) {
-	f := d.dirs[filepath.Dir(path)]
-	if f == nil {
+	parent := d.dirs[filepath.Dir(path)]
+	if parent == nil {
 		return nil, "", os.ErrNotExist
 	}
-	return f, filepath.Base(path), nil
+	return parent, filepath.Base(path), nil
 }
 
 func (d *faultDisk) Create(path string) (file, error) {
@@ -156,7 +156,7 @@
 	if err := d.step(); err != nil {
 		return nil, err
 	}
-	f, name, err := d.lookUp(path)
+	parent, name, err := d.lookUp(path)
 	if err != nil {
 		return nil, err
 	}
@@ -164,20 +164,20 @@
 		return nil, syscall.ENOSPC
 	}
 	// Truncation also creates a new diskFile, so that a power loss may restore the old one.
-	n := &diskFile{}
-	f.visible[name] = n
-	return &diskHandle{disk: d, file: n, kind: fileKind(name)}, nil
+	f := &diskFile{}
+	parent.visible[name] = f
+	return &diskHandle{disk: d, file: f, kind: fileKind(name)}, nil
 }
 
 func (d *faultDisk) Open(path string) (file, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f, name, err := d.lookUp(path)
+	parent, name, err := d.lookUp(path)
 	if err != nil {
 		return nil, err
 	}
-	if n := f.visible[name]; n != nil {
-		return &diskHandle{disk: d, file: n, kind: fileKind(name)}, nil
+	if f := parent.visible[name]; f != nil {
+		return &diskHandle{disk: d, file: f, kind: fileKind(name)}, nil
 	}
 	return nil, os.ErrNotExist
 }
@@ -190,19 +190,19 @@
 	if err := d.step(); err != nil {
 		return err
 	}
-	f, name, err := d.lookUp(path)
-	if err != nil || f.visible[name] == nil {
+	parent, name, err := d.lookUp(path)
+	if err != nil || parent.visible[name] == nil {
 		return os.ErrNotExist
 	}
-	delete(f.visible, name)
+	delete(parent.visible, name)
 	return nil
 }
 
 func (d *faultDisk) Names(dir string) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if f := d.dirs[dir]; f != nil {
-		return slices.Sorted(maps.Keys(f.visible)), nil
+	if directory := d.dirs[dir]; directory != nil {
+		return slices.Sorted(maps.Keys(directory.visible)), nil
 	}
 	return nil, os.ErrNotExist
 }
@@ -213,11 +213,11 @@
 	if err := d.step(); err != nil {
 		return err
 	}
-	f, name, err := d.lookUp(dir)
+	parent, name, err := d.lookUp(dir)
 	if err != nil {
 		return err
 	}
-	d.dirs[dir], f.visible[name] = newDiskDir(), &diskFile{}
+	d.dirs[dir], parent.visible[name] = newDiskDir(), &diskFile{}
 	return nil
 }
 
@@ -227,8 +227,8 @@
 	if err := d.sync(); err != nil {
 		return err
 	}
-	if f := d.dirs[dir]; f != nil && !d.skipDirSync {
-		f.durable = maps.Clone(f.visible)
+	if directory := d.dirs[dir]; directory != nil && !d.skipDirSync {
+		directory.durable = maps.Clone(directory.visible)
 	}
 	return nil
 }
@@ -261,11 +261,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := &faultDisk{dirs: map[string]*diskDir{}, skipDirSync: d.skipDirSync, skipSyncKind: d.skipSyncKind}
-	for dir, f := range d.dirs {
+	for dir, directory := range d.dirs {
 		to := newDiskDir()
-		for name, n := range f.visible {
-			c := &diskFile{visible: slices.Clone(n.visible), durable: slices.Clone(n.visible)}
-			to.visible[name], to.durable[name] = c, c
+		for name, f := range directory.visible {
+			copied := &diskFile{visible: slices.Clone(f.visible), durable: slices.Clone(f.visible)}
+			to.visible[name], to.durable[name] = copied, copied
 		}
 		out.dirs[dir] = to
 	}
@@ -293,9 +293,9 @@
 func (d *faultDisk) listing() (out string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if f := d.dirs[storeDir]; f != nil {
-		for _, name := range slices.Sorted(maps.Keys(f.visible)) {
-			out += fmt.Sprintf(" %s(%d)", name, len(f.visible[name].visible))
+	if directory := d.dirs[storeDir]; directory != nil {
+		for _, name := range slices.Sorted(maps.Keys(directory.visible)) {
+			out += fmt.Sprintf(" %s(%d)", name, len(directory.visible[name].visible))
 		}
 	}
 	return out
@@ -303,16 +303,16 @@
 
 // write durably writes a file.
 func (d *faultDisk) write(path, content string) {
-	f, name, _ := d.lookUp(path)
-	f.visible[name] = &diskFile{visible: []byte(content), durable: []byte(content)}
-	f.durable[name] = f.visible[name]
+	parent, name, _ := d.lookUp(path)
+	parent.visible[name] = &diskFile{visible: []byte(content), durable: []byte(content)}
+	parent.durable[name] = parent.visible[name]
 }
 
 // contents returns the contents of the files in the store directory by name.
 func (d *faultDisk) contents() map[string]string {
 	out := map[string]string{}
-	for name, n := range d.dirs[storeDir].visible {
-		out[name] = string(n.visible)
+	for name, f := range d.dirs[storeDir].visible {
+		out[name] = string(f.visible)
 	}
 	return out
 }
