--- a/raft/storage/faultdisk_test.go
+++ b/raft/storage/faultdisk_test.go
@@ -14,37 +14,37 @@
 	"syscall"
 )
 
-// faultDisk is a simulated disk in memory, with the faults of real ones. What was written
-// and not synced may be there after a loss of power, in part or not at all, write by
-// write. Each name that was made or removed without a sync of its folder is kept or lost
-// by itself, whatever is in the file. The disk can lose power at any step, fill up, fail
-// to sync, and have its files damaged.
+// faultDisk simulates a disk in memory, with the faults of real ones. After a power loss,
+// each write that was not synced may be present, torn or lost. Each directory entry that
+// was added or removed since the last sync of the directory is kept or lost independently
+// of the others and of the contents of the file. The disk can lose power at any step, fill
+// up, fail to sync, and have its files damaged.
 type faultDisk struct {
 	mu    sync.Mutex
-	dirs  map[string]*diskFolder
-	steps int // changes asked for so far
-	syncs int // syncs asked for so far
+	dirs  map[string]*diskDir
+	steps int // number of changes requested so far
+	syncs int // number of syncs requested so far
 
 	// Faults.
-	powerLossAt    int  // the step at which the power is lost, 0 for never
-	powerLost      bool // no change is made any more
+	powerLossAt    int  // step at which power is lost, 0 for never
+	powerLost      bool // all changes fail
 	full           bool // no space is left
-	failSyncs      int  // so many syncs from now on fail, and what was to be synced is never written
-	failSyncNumber int  // the same for the sync with this number
+	failSyncs      int  // number of next syncs that fail; the data is never written
+	failSyncNumber int  // the sync with this number fails likewise
 
-	// Planted faults of the program: folders, or files of a kind, are not synced.
+	// Simulated bugs of the store: directories, or files of one kind, are not synced.
 	skipDirSync  bool
 	skipSyncKind string
 }
 
-// diskFolder has the names of a folder as a process sees them, and those that survive a
-// loss of power.
-type diskFolder struct{ visible, durable map[string]*diskFile }
+// diskDir holds the entries of a directory: those that a process sees, and those that
+// survive a power loss.
+type diskDir struct{ visible, durable map[string]*diskFile }
 
-// diskFile has the bytes of a file, likewise.
+// diskFile holds the contents of a file, likewise.
 type diskFile struct {
 	visible, durable []byte
-	pending          []pendingWrite // what was written since the last sync
+	pending          []pendingWrite // writes since the last sync
 }
 
 type pendingWrite struct {
@@ -52,16 +52,16 @@
 	data   []byte
 }
 
-var errPowerLost = errors.New("the power was lost")
+var errPowerLost = errors.New("simulated power loss")
 
 func newFaultDisk() *faultDisk {
-	return &faultDisk{dirs: map[string]*diskFolder{"/": newDiskFolder(), "/data": newDiskFolder()}}
+	return &faultDisk{dirs: map[string]*diskDir{"/": newDiskDir(), "/data": newDiskDir()}}
 }
 
-func newDiskFolder() *diskFolder { return &diskFolder{map[string]*diskFile{}, map[string]*diskFile{}} }
+func newDiskDir() *diskDir { return &diskDir{map[string]*diskFile{}, map[string]*diskFile{}} }
 
-// step is one change. It fails where the disk does. Reads go on without power: no process
-// is left that could act on them.
+// step counts a change, and fails if power is or gets lost. Reads still work without power,
+// which is harmless, as nothing can be written or acknowledged based on them.
 func (d *faultDisk) step() error {
 	if d.powerLost {
 		return errPowerLost
@@ -73,17 +73,17 @@
 	return nil
 }
 
-// losePower ends the power and returns the disk as it comes back.
+// losePower cuts the power, and returns the disk with what survived.
 func (d *faultDisk) losePower(r *rand.Rand) *faultDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.powerLost = true
-	out := &faultDisk{dirs: map[string]*diskFolder{}, skipDirSync: d.skipDirSync, skipSyncKind: d.skipSyncKind}
+	out := &faultDisk{dirs: map[string]*diskDir{}, skipDirSync: d.skipDirSync, skipSyncKind: d.skipSyncKind}
 	kept := map[*diskFile]*diskFile{}
 	for _, dir := range slices.Sorted(maps.Keys(d.dirs)) {
 		out.dirs[dir] = d.dirs[dir].afterPowerLoss(r, kept)
 	}
-	// A folder whose name is lost is lost with everything in it.
+	// A directory whose entry is lost is lost with all its files.
 	for _, dir := range slices.Sorted(maps.Keys(out.dirs)) {
 		if dir == "/" || dir == "/data" {
 			continue
@@ -95,33 +95,33 @@
 	return out
 }
 
-// afterPowerLoss is what a folder holds after a loss of power. kept has the files that
-// came back so far, under whatever name.
-func (f *diskFolder) afterPowerLoss(r *rand.Rand, kept map[*diskFile]*diskFile) *diskFolder {
-	out := newDiskFolder()
-	names := maps.Clone(f.visible)
-	maps.Copy(names, f.durable)
+// afterPowerLoss returns the directory as it is after a power loss. kept maps the files
+// that survived so far, under any name, to their copies.
+func (d *diskDir) afterPowerLoss(r *rand.Rand, kept map[*diskFile]*diskFile) *diskDir {
+	out := newDiskDir()
+	names := maps.Clone(d.visible)
+	maps.Copy(names, d.durable)
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		n := f.visible[name]
-		if old := f.durable[name]; old != n && r.IntN(2) == 0 {
-			n = old
+		f := d.visible[name]
+		if old := d.durable[name]; old != f && r.IntN(2) == 0 {
+			f = old
 		}
-		if n == nil {
+		if f == nil {
 			continue
 		}
-		if kept[n] == nil {
-			data := n.afterPowerLoss(r)
-			kept[n] = &diskFile{visible: data, durable: slices.Clone(data)}
+		if kept[f] == nil {
+			data := f.afterPowerLoss(r)
+			kept[f] = &diskFile{visible: data, durable: slices.Clone(data)}
 		}
-		out.visible[name], out.durable[name] = kept[n], kept[n]
+		out.visible[name], out.durable[name] = kept[f], kept[f]
 	}
 	return out
 }
 
-// afterPowerLoss is what a file holds after a loss of power.
-func (n *diskFile) afterPowerLoss(r *rand.Rand) []byte {
-	data := slices.Clone(n.durable)
-	for _, w := range n.pending {
+// afterPowerLoss returns the contents of the file after a power loss.
+func (f *diskFile) afterPowerLoss(r *rand.Rand) []byte {
+	data := slices.Clone(f.durable)
+	for _, w := range f.pending {
 		switch r.IntN(3) {
 		case 0: // lost
 			continue
@@ -141,13 +141,13 @@
 	return data
 }
 
-// lookUp returns the folder of a path, and its name in there.
-func (d *faultDisk) lookUp(path string) (*diskFolder, string, error) {
-	f := d.dirs[filepath.Dir(path)]
-	if f == nil {
+// lookUp returns the parent directory of a path, and the name in it.
+func (d *faultDisk) lookUp(path string) (*diskDir, string, error) {
+	parent := d.dirs[filepath.Dir(path)]
+	if parent == nil {
 		return nil, "", os.ErrNotExist
 	}
-	return f, filepath.Base(path), nil
+	return parent, filepath.Base(path), nil
 }
 
 func (d *faultDisk) Create(path string) (file, error) {
@@ -156,28 +156,28 @@
 	if err := d.step(); err != nil {
 		return nil, err
 	}
-	f, name, err := d.lookUp(path)
+	parent, name, err := d.lookUp(path)
 	if err != nil {
 		return nil, err
 	}
 	if d.full {
 		return nil, syscall.ENOSPC
 	}
-	// Emptied or new, it is another file: the old bytes may come back with the old name.
-	n := &diskFile{}
-	f.visible[name] = n
-	return &diskHandle{disk: d, file: n, kind: fileKind(name)}, nil
+	// Truncation also creates a new diskFile, so that a power loss may restore the old one.
+	f := &diskFile{}
+	parent.visible[name] = f
+	return &diskHandle{disk: d, file: f, kind: fileKind(name)}, nil
 }
 
 func (d *faultDisk) Open(path string) (file, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f, name, err := d.lookUp(path)
+	parent, name, err := d.lookUp(path)
 	if err != nil {
 		return nil, err
 	}
-	if n := f.visible[name]; n != nil {
-		return &diskHandle{disk: d, file: n, kind: fileKind(name)}, nil
+	if f := parent.visible[name]; f != nil {
+		return &diskHandle{disk: d, file: f, kind: fileKind(name)}, nil
 	}
 	return nil, os.ErrNotExist
 }
@@ -190,19 +190,19 @@
 	if err := d.step(); err != nil {
 		return err
 	}
-	f, name, err := d.lookUp(path)
-	if err != nil || f.visible[name] == nil {
+	parent, name, err := d.lookUp(path)
+	if err != nil || parent.visible[name] == nil {
 		return os.ErrNotExist
 	}
-	delete(f.visible, name)
+	delete(parent.visible, name)
 	return nil
 }
 
 func (d *faultDisk) Names(dir string) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if f := d.dirs[dir]; f != nil {
-		return slices.Sorted(maps.Keys(f.visible)), nil
+	if directory := d.dirs[dir]; directory != nil {
+		return slices.Sorted(maps.Keys(directory.visible)), nil
 	}
 	return nil, os.ErrNotExist
 }
@@ -213,11 +213,11 @@
 	if err := d.step(); err != nil {
 		return err
 	}
-	f, name, err := d.lookUp(dir)
+	parent, name, err := d.lookUp(dir)
 	if err != nil {
 		return err
 	}
-	d.dirs[dir], f.visible[name] = newDiskFolder(), &diskFile{}
+	d.dirs[dir], parent.visible[name] = newDiskDir(), &diskFile{}
 	return nil
 }
 
@@ -227,8 +227,8 @@
 	if err := d.sync(); err != nil {
 		return err
 	}
-	if f := d.dirs[dir]; f != nil && !d.skipDirSync {
-		f.durable = maps.Clone(f.visible)
+	if directory := d.dirs[dir]; directory != nil && !d.skipDirSync {
+		directory.durable = maps.Clone(directory.visible)
 	}
 	return nil
 }
@@ -250,29 +250,29 @@
 
 func (d *faultDisk) Lock(path string) (io.Closer, error) {
 	f, err := d.Create(path)
-	if errors.Is(err, syscall.ENOSPC) { // the file exists already, or takes no space
+	if errors.Is(err, syscall.ENOSPC) { // a lock file that exists or is empty needs no space
 		return &diskHandle{disk: d, file: &diskFile{}}, nil
 	}
 	return f, err
 }
 
-// clone copies a disk as a process sees it, with everything durable.
+// clone returns a copy of the disk as a process sees it, with everything durable.
 func (d *faultDisk) clone() *faultDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := &faultDisk{dirs: map[string]*diskFolder{}, skipDirSync: d.skipDirSync, skipSyncKind: d.skipSyncKind}
-	for dir, f := range d.dirs {
-		to := newDiskFolder()
-		for name, n := range f.visible {
-			c := &diskFile{visible: slices.Clone(n.visible), durable: slices.Clone(n.visible)}
-			to.visible[name], to.durable[name] = c, c
+	out := &faultDisk{dirs: map[string]*diskDir{}, skipDirSync: d.skipDirSync, skipSyncKind: d.skipSyncKind}
+	for dir, directory := range d.dirs {
+		to := newDiskDir()
+		for name, f := range directory.visible {
+			copied := &diskFile{visible: slices.Clone(f.visible), durable: slices.Clone(f.visible)}
+			to.visible[name], to.durable[name] = copied, copied
 		}
 		out.dirs[dir] = to
 	}
 	return out
 }
 
-// fileKind is the kind of a file by its name.
+// fileKind returns the kind of a file, based on its name.
 func fileKind(name string) string {
 	switch {
 	case strings.HasPrefix(name, currentName):
@@ -289,35 +289,35 @@
 	return "other"
 }
 
-// listing is the content of the store folder, for messages.
+// listing returns the names and sizes of the files in the store directory, for messages.
 func (d *faultDisk) listing() (out string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if f := d.dirs[storeDir]; f != nil {
-		for _, name := range slices.Sorted(maps.Keys(f.visible)) {
-			out += fmt.Sprintf(" %s(%d)", name, len(f.visible[name].visible))
+	if directory := d.dirs[storeDir]; directory != nil {
+		for _, name := range slices.Sorted(maps.Keys(directory.visible)) {
+			out += fmt.Sprintf(" %s(%d)", name, len(directory.visible[name].visible))
 		}
 	}
 	return out
 }
 
-// write puts a durable file on the disk.
+// write durably writes a file.
 func (d *faultDisk) write(path, content string) {
-	f, name, _ := d.lookUp(path)
-	f.visible[name] = &diskFile{visible: []byte(content), durable: []byte(content)}
-	f.durable[name] = f.visible[name]
+	parent, name, _ := d.lookUp(path)
+	parent.visible[name] = &diskFile{visible: []byte(content), durable: []byte(content)}
+	parent.durable[name] = parent.visible[name]
 }
 
-// contents returns the files of the store folder by name.
+// contents returns the contents of the files in the store directory by name.
 func (d *faultDisk) contents() map[string]string {
 	out := map[string]string{}
-	for name, n := range d.dirs[storeDir].visible {
-		out[name] = string(n.visible)
+	for name, f := range d.dirs[storeDir].visible {
+		out[name] = string(f.visible)
 	}
 	return out
 }
 
-// clearFaults ends the faults that last for a while.
+// clearFaults ends the temporary faults.
 func (d *faultDisk) clearFaults() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
