--- a/health/health.go
+++ b/health/health.go
@@ -19,10 +19,10 @@
 import "math"
 
 const (
-	// unhealthyFailureRate is the minimum failure rate that an unhealthy server is assumed to have.
+	// minUnhealthyRate is the minimum failure rate that an unhealthy server is assumed to have.
 	// With a lower one, partial failures are detected sooner, but more healthy servers are ejected
 	// by chance.
-	unhealthyFailureRate = 0.35
+	minUnhealthyRate = 0.35
 	// minBaseline and maxBaseline bound the failure rate that a healthy server is assumed to have,
 	// which is otherwise that of its service.
 	minBaseline = 0.02
@@ -41,7 +41,7 @@
 	// probationScore is the score of a server that returns from ejection: one failure ejects it
 	// again.
 	probationScore = 4.5
-	// decayMs is the time constant with which the score decays without new requests.
+	// decayMs is the time constant with which the score decays between observations.
 	decayMs = 3000.0
 	// baseEjectionMs is the duration of the first ejection. It doubles with each further ejection,
 	// up to maxEjectionMs.
@@ -75,7 +75,7 @@
 // response; the latter is negative.
 func (b *Baseline) logLikelihoodRatios() (failure, success float64) {
 	healthy := min(max(minBaseline, b.rate), maxBaseline)
-	unhealthy := max(unhealthyFailureRate, min(maxUnhealthyRate, unhealthyBaselineFactor*healthy))
+	unhealthy := max(minUnhealthyRate, min(maxUnhealthyRate, unhealthyBaselineFactor*healthy))
 	return math.Log(unhealthy / healthy), math.Log((1 - unhealthy) / (1 - healthy))
 }
 
@@ -84,7 +84,7 @@
 	score         float64 // at scoredAt; it decays from then on
 	scoredAt      float64
 	ejectedUntil  float64
-	ejections     int // consecutive ejections, each within ejectionResetMs of a failure
+	ejections     int // since the last ejectionResetMs without a failure
 	lastFailureAt float64
 }
 
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// simulate sends perS requests per second to a server for forMs, of which failureShare fail. It
-// returns the time from the start to the first ejection (0: none), and the fraction of the time
-// for which the server was ejected.
+// simulate sends perS requests per second to a server for forMs milliseconds; the fraction
+// failureShare of them fails. It returns the time from the start to the first ejection (0: none),
+// and the fraction of the time for which the server was ejected.
 func simulate(
 	d *Detector, b *Baseline, seed uint64, from, forMs, perS, failureShare float64,
 ) (firstEjection, ejectedShare float64) {
