--- a/dataplane/gossip/budget.go
+++ b/dataplane/gossip/budget.go
@@ -46,7 +46,7 @@
 	return f >= LargeFleet && b.BytesPerS > 0 && b.MessagesPerS > 0
 }
 
-// costMs returns the cost of a message: the time in which the budget allows to send it.
+// costMs returns the cost of a message: the time in which the budget for it accumulates.
 func (b Budget) costMs(m *Message) float64 {
 	return msPerSecond * max(1/b.MessagesPerS, float64(m.EstimatedSize()+DatagramOverhead)/b.BytesPerS)
 }
--- a/dataplane/gossip/codec.go
+++ b/dataplane/gossip/codec.go
@@ -31,7 +31,7 @@
 //	stale      stale idle group        u8, 0 to maxStaleIdleGroup; 0: none seen recently
 //	group      digest flags and level  u8; 0: no digest. With a digest: its level, 1 to
 //	                                   maxLevel, combined with digestFlag, and with
-//	                                   firstFlag if sent by the group's first reporter
+//	                                   primaryFlag if sent by the primary reporter
 //
 //	group, without a digest:
 //	           live set                u32, hash of the limiters that the sender receives from
@@ -40,16 +40,16 @@
 //	           live count              uvarint, group members that the sender receives from,
 //	                                   itself included
 //	           live set                u32, hash of those members
-//	           number of classes       uvarint, at most maxClasses
+//	           sharing classes         uvarint, number of them, at most maxClasses
 //	           for each: live set      u32, hash of the limiters that its members receive from
 //	                     members       uvarint
 //	           consumed                encoded as the consumed section, summed over the group
 //
 // Datagrams that exceed MaxMessageSize, are truncated, or have trailing bytes are malformed.
 const (
-	magic      = "E5"
-	digestFlag = 0x80 // set in the level byte: a group digest follows
-	firstFlag  = 0x40 // set in the level byte: sent by the group's first reporter
+	magic       = "E5"
+	digestFlag  = 0x80 // set in the level byte: a group digest follows
+	primaryFlag = 0x40 // set in the level byte: sent by the receiver's primary reporter
 )
 
 // Append appends the encoded message to b.
@@ -105,7 +105,7 @@
 func appendDigest(b []byte, d *quota.Digest) []byte {
 	level := byte(d.Level) | digestFlag
 	if d.Primary {
-		level |= firstFlag
+		level |= primaryFlag
 	}
 	b = append(b, level)
 	b = binary.AppendUvarint(b, uint64(d.LiveCount))
@@ -193,8 +193,8 @@
 	return v
 }
 
-// limiterCount reads a number of limiters, capped at maxLimiterCount.
-func (r *reader) limiterCount() int { return int(min(r.uvarint(), maxLimiterCount)) }
+// count reads a number of limiters or of sharing classes, capped at maxCount.
+func (r *reader) count() int { return int(min(r.uvarint(), maxCount)) }
 
 // consumed reads a consumed section and appends it to out.
 func (r *reader) consumed(out []quota.Usage) []quota.Usage {
@@ -240,23 +240,23 @@
 	return group
 }
 
-// digest reads a group section with a digest, after its first byte, which is passed as level.
+// digest reads the rest of a group section with a digest. Its first byte is passed as level.
 func (r *reader) digest(level uint8, d *quota.Digest) {
-	d.Level = quota.GroupingLevel(level &^ (digestFlag | firstFlag))
-	d.Primary = level&firstFlag != 0
+	d.Level = quota.GroupingLevel(level &^ (digestFlag | primaryFlag))
+	d.Primary = level&primaryFlag != 0
 	if level&digestFlag == 0 || d.Level == 0 || d.Level > maxLevel {
 		r.ok = false
 		return
 	}
-	d.LiveCount = r.limiterCount()
+	d.LiveCount = r.count()
 	d.LiveSet = r.uint32()
-	n := r.limiterCount()
+	n := r.count()
 	if n > maxClasses {
 		r.ok = false
 		return
 	}
 	for range n {
-		d.Classes = append(d.Classes, quota.SharingClass{LiveSet: r.uint32(), Count: r.limiterCount()})
+		d.Classes = append(d.Classes, quota.SharingClass{LiveSet: r.uint32(), Count: r.count()})
 	}
 	d.Consumed = r.consumed(d.Consumed)
 }
--- a/dataplane/gossip/disseminator.go
+++ b/dataplane/gossip/disseminator.go
@@ -24,7 +24,7 @@
 
 	// Stale connections: idle ones that servers closed without notice.
 	staleIdleGroup uint8   // the lowest recent idle group; 0: none
-	staleUntil     float64 // time until which it is reported
+	staleUntil     float64 // time until which staleIdleGroup is reported
 
 	// Budget accounting.
 	lastTickAt float64
@@ -63,9 +63,9 @@
 	d.staleUntil = now + staleReportMs
 }
 
-// requestFullUsage marks a recipient that has just started, so that its next message carries the usage of all active
-// tenants.
-func (d *Disseminator) requestFullUsage(id uint64) {
+// scheduleFullUsage marks a recipient that has just started, so that the next message to it carries the usage of all
+// active tenants.
+func (d *Disseminator) scheduleFullUsage(id uint64) {
 	for _, r := range d.recipients {
 		if r.ID == id {
 			r.needsFullUsage = true
@@ -73,8 +73,8 @@
 	}
 }
 
-// Tick collects updates from the quotas and servers and passes the messages that are due to
-// send.
+// Tick collects updates from the quotas and servers, and calls send for each message that is
+// due.
 func (d *Disseminator) Tick(now float64, quotas *quota.Enforcer, servers *balance.Set, send SendFunc) {
 	digest := d.collect(now, quotas, servers)
 	headerChanged := d.updateHeader(now, quotas)
@@ -106,8 +106,8 @@
 	return digest
 }
 
-// updateHeader sets the fields that all messages have in common. It reports whether they have
-// changed so that peers must be notified immediately: quota shares depend on the live sets, and
+// updateHeader sets the fields that all messages have in common. It reports whether peers must
+// be notified of a change of them immediately: quota shares depend on the live sets, and
 // until peers know that servers close idle connections, each of them may lose a request.
 func (d *Disseminator) updateHeader(now float64, quotas *quota.Enforcer) (changed bool) {
 	liveSet := quotas.LiveSet(now)
@@ -141,14 +141,14 @@
 }
 
 // addTickUsage queues the tick's usage: this limiter's own usage for members of its group, the
-// group's usage for limiters of other groups. The second reporter's usage is never urgent.
+// group's usage for limiters of other groups. Usage from the backup reporter is never urgent.
 func (r *recipient) addTickUsage(own, group []quota.Usage) {
 	switch {
 	case r.groupMember:
 		r.addUsage(own)
 	case r.receivesDigest:
 		r.addUsage(group)
-		if r.secondReporter {
+		if r.backupReporter {
 			r.usageDueWithinMs = 0
 		}
 	}
@@ -172,6 +172,6 @@
 		return m
 	}
 	m.Consumed, m.GroupDigest = nil, digest
-	m.GroupDigest.Primary, m.GroupDigest.Consumed = !r.secondReporter, d.sentUsage
+	m.GroupDigest.Primary, m.GroupDigest.Consumed = !r.backupReporter, d.sentUsage
 	return m
 }
--- a/dataplane/gossip/fixtures_test.go
+++ b/dataplane/gossip/fixtures_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// tick passes the messages that are due to send.
+// tick calls send for each message that is due.
 func (l *testLimiter) tick(now float64, send func(to uint64, m *Message)) {
 	l.Tick(now, l.quotas, l.servers, send)
 }
--- a/dataplane/gossip/golden_test.go
+++ b/dataplane/gossip/golden_test.go
@@ -11,10 +11,11 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// goldenMessages returns messages that together cover each section of a datagram with no entry,
-// one entry, several entries, and the maximum that a sender puts into one message.
+// goldenMessages returns messages by the name of their golden file. Together they cover each
+// section of a datagram with no entry, one entry, several entries, and the maximum that a sender
+// puts into one message.
 func goldenMessages() map[string]Message {
-	const from, start = 0x0123456789abcdef, 0x7edcba9876543210
+	const from, incarnation = 0x0123456789abcdef, 0x7edcba9876543210
 	consumed := []quota.Usage{
 		{Tenant: 0xabcdef0123, Units: 0, FillLevel: 0},
 		{Tenant: 1, Units: 127, FillLevel: 7},
@@ -41,15 +42,15 @@
 		usage := quota.Usage{Tenant: uint64(i) << 32, Units: 1 << i, FillLevel: uint8(i)}
 		full.GroupDigest.Consumed = append(full.GroupDigest.Consumed, usage)
 	}
-	head := Message{From: from, Incarnation: start}
+	head := Message{From: from, Incarnation: incarnation}
 	with := func(ageMs float64, change func(m *Message)) Message {
 		m := head
 		m.AgeMs = ageMs
 		change(&m)
 		return m
 	}
-	digest := func(level quota.GroupingLevel, first bool, received int, set uint32) quota.Digest {
-		return quota.Digest{Level: level, Primary: first, LiveCount: received, LiveSet: set}
+	digest := func(level quota.GroupingLevel, primary bool, liveCount int, liveSet uint32) quota.Digest {
+		return quota.Digest{Level: level, Primary: primary, LiveCount: liveCount, LiveSet: liveSet}
 	}
 	return map[string]Message{
 		"empty":     {},
--- a/dataplane/gossip/greeting.go
+++ b/dataplane/gossip/greeting.go
@@ -3,22 +3,22 @@
 import "example.org/elmspan/dataplane/quota"
 
 // Start announcements. A limiter that has just started receives digests from reporters of other groups to which it
-// sends no messages itself. It announces its start to them, so that they send it the current sums of all active
-// tenants. Without these, it would take the first sum that it receives for a tenant as the starting point and not count
-// the units that this sum adds.
+// sends no messages itself. It announces its start to them, so that they send it the current totals of all active
+// tenants. Without these, it would take the first total that it receives for a tenant as its baseline and not count the
+// new units in it.
 const (
-	// announceWindowMs is the time after its start in which a limiter sends announcements, as it learns of its
-	// reporters.
+	// announceWindowMs is the time after its start during which a limiter sends announcements. Until then it may learn
+	// of further reporters.
 	announceWindowMs = 1500.0
 	// announceIntervalMs is the time between two announcements. They are repeated because datagrams may be lost.
 	announceIntervalMs = 100.0
-	announcementCount  = 2
+	announcementCount  = 2 // to each reporter after a change of the peers
 )
 
 // startAnnouncement is the state of the announcements to the limiters that report to this one.
 type startAnnouncement struct {
 	recipients []uint64
-	needed     bool // a peer has been running for longer than this limiter
+	needed     bool // a peer has been running for more than quota.SeniorityMs longer than this limiter
 	remaining  int  // announcements that are left to send to each recipient
 	sentAt     float64
 }
@@ -26,12 +26,12 @@
 // RecordPeerStart records the age of a peer when the first message of its current incarnation arrives. The age decides
 // which of the two needs full usage: a much older peer makes this limiter announce its start, a much younger one is
 // sent the full usage. If both started at about the same time, as when the whole fleet starts, neither is needed, as
-// there are no sums to report.
+// there are no totals to report.
 func (d *Disseminator) RecordPeerStart(now float64, from uint64, peerAgeMs float64) {
 	ownAgeMs := now - d.startedAt
 	d.announcement.needed = d.announcement.needed || peerAgeMs > ownAgeMs+quota.SeniorityMs
 	if ownAgeMs > peerAgeMs+quota.SeniorityMs {
-		d.requestFullUsage(from)
+		d.scheduleFullUsage(from)
 	}
 }
 
--- a/dataplane/gossip/greeting_test.go
+++ b/dataplane/gossip/greeting_test.go
@@ -87,7 +87,7 @@
 	}
 	member := slices.IndexFunc(l.recipients, func(r *recipient) bool { return r.groupMember })
 	id := l.recipients[member].ID
-	l.requestFullUsage(id)
+	l.scheduleFullUsage(id)
 	received := false
 	for now := 4000.0; now < 4100; now += l.TickMs() {
 		l.tick(now, func(to uint64, m *Message) {
--- a/dataplane/gossip/message.go
+++ b/dataplane/gossip/message.go
@@ -2,10 +2,10 @@
 // UDP datagrams: the message, its encoding, and the choice of recipients and send times.
 //
 // A [Disseminator] decides what is sent. Its host calls [Disseminator.Tick] every
-// [Disseminator.TickMs] milliseconds, encodes the messages that it is passed with
-// [Message.Append], and decodes received datagrams with [Message.Decode]. The package does no
-// I/O, reads no clock and starts no goroutines. Nothing in it is safe for concurrent use. All
-// times are in milliseconds on the host's monotonic clock.
+// [Disseminator.TickMs] milliseconds, encodes each message to send with [Message.Append], and
+// decodes received datagrams with [Message.Decode]. The package does no I/O, reads no clock and
+// starts no goroutines. Nothing in it is safe for concurrent use. All times are in milliseconds on
+// the host's monotonic clock.
 //
 // Datagrams may be lost, duplicated or delayed. Usage counters are cumulative and loads are
 // absolute values, so the next message makes up for a lost one.
@@ -33,7 +33,7 @@
 // Limits on the values that a receiver accepts.
 const (
 	maxLevel          = 16      // grouping level
-	maxLimiterCount   = 1 << 20 // larger counts are clamped to this one
+	maxCount          = 1 << 20 // larger counts are clamped to this one
 	maxClasses        = 8       // sharing classes in a group digest
 	maxStaleIdleGroup = 16
 )
@@ -50,7 +50,7 @@
 	// AgeMs is the time since the sender's start, sent in whole milliseconds.
 	AgeMs float64
 	// Consumed holds the units that the sender has admitted since its start, by tenant. It is
-	// sent to limiters of the sender's own replica group.
+	// sent to limiters of the sender's own group ([quota.Group]).
 	Consumed []quota.Usage
 	// Hints are the loads and latencies of servers.
 	Hints []balance.Hint
@@ -62,7 +62,7 @@
 	// LiveSet is a hash over the limiters that the sender receives from
 	// ([quota.Enforcer.LiveSet]). It is sent only without a group digest.
 	LiveSet uint32
-	// GroupDigest is the aggregate of the sender's replica group, for limiters of other groups.
+	// GroupDigest is the aggregate of the sender's group, for limiters of other groups.
 	// Level 0: none.
 	GroupDigest quota.Digest
 }
--- a/dataplane/gossip/recipient.go
+++ b/dataplane/gossip/recipient.go
@@ -14,9 +14,9 @@
 
 	// Set by [Disseminator.SetPeers].
 	sameZone       bool
-	groupMember    bool // in this limiter's replica group: is sent this limiter's usage
+	groupMember    bool // in this limiter's group ([quota.Group]): is sent this limiter's usage
 	receivesDigest bool // in another group: is sent the usage of this limiter's group
-	secondReporter bool // this limiter is the second reporter to it, and reports less often
+	backupReporter bool // this limiter is the backup reporter to it, and reports less often
 	receivesLoads  bool // is sent the loads of servers
 
 	// Pending updates.
@@ -25,13 +25,15 @@
 	usage            []quota.Usage  // the newest usage of each tenant, the longest pending first
 	hasLocalHints    bool           // some hints are about servers of the recipient's zone
 	hasFailureHints  bool           // some hints are failures
-	usageDueWithinMs float64        // time within which the usage of nearly exhausted tenants is due; 0: none
+	usageDueWithinMs float64        // time within which the usage of urgent tenants is due (quota.Usage); 0: none
 
 	// Times of the last messages.
 	sentAt       float64 // any message
-	reportedAt   float64 // message with usage, by a second reporter
+	reportedAt   float64 // message with usage, by a backup reporter
 	demandSentAt float64 // message with demand
-	mandatory    bool    // a message is sent at this tick even if the budget is exhausted
+
+	// Set by schedule.
+	mandatory bool // a message is sent at this tick even if the budget is exhausted
 }
 
 // copyState carries over the state that the same limiter had before a change of peers.
@@ -85,11 +87,11 @@
 	return out
 }
 
-// takeUsage moves as much usage to out as fits into one message. A second reporter takes none
-// until secondReporterMs after its last report.
+// takeUsage moves as much usage to out as fits into one message. A backup reporter takes none
+// until backupReportIntervalMs after its last report.
 func (r *recipient) takeUsage(now float64, out []quota.Usage) []quota.Usage {
-	if r.secondReporter {
-		if now-r.reportedAt < secondReporterMs {
+	if r.backupReporter {
+		if now-r.reportedAt < backupReportIntervalMs {
 			return out
 		}
 		r.reportedAt = now
--- a/dataplane/gossip/regime.go
+++ b/dataplane/gossip/regime.go
@@ -11,8 +11,8 @@
 	// SmallFleet is a fleet in which all limiters exchange loads and usage with each other,
 	// without delay within a zone. There is no budget.
 	SmallFleet FleetSize = iota
-	// LargeFleet is a fleet with replica groups (its threshold equals
-	// [quota.MaxUngroupedLimiters]). Loads are sent to the neighbors in the zone only, and
+	// LargeFleet is a fleet with groups ([quota.Group]), of more than
+	// [quota.MaxUngroupedLimiters] limiters. Loads are sent to the neighbors in the zone only, and
 	// messages are limited by the [Budget], the longest overdue first, because there is more to
 	// send than a small link should carry. Loads and latencies are absolute values and may be
 	// sent less often; messages that the quotas depend on are never delayed.
--- a/dataplane/gossip/schedule.go
+++ b/dataplane/gossip/schedule.go
@@ -25,7 +25,7 @@
 const (
 	largeTickMs = 20.0
 	// urgentIntervalMs is the minimum time between messages with server failures or with the
-	// usage of nearly exhausted tenants.
+	// usage of urgent tenants (quota.Usage.DueWithinMs).
 	urgentIntervalMs = 50.0
 	// neighborHintMs is the minimum time between messages with loads to a neighbor in a large
 	// fleet.
@@ -36,9 +36,9 @@
 	// largeHeartbeatMs is the maximum time between messages to a recipient that depends on
 	// them for the liveness of this limiter: a third of quota.GroupedLivenessTimeoutMs.
 	largeHeartbeatMs = 230.0
-	// secondReporterMs is the time between digests with usage from the second reporter of a
-	// group, which are only used while the first reporter is silent.
-	secondReporterMs = 900.0
+	// backupReportIntervalMs is the time between digests with usage from the backup reporter,
+	// which are not used as long as those of the primary reporter are.
+	backupReportIntervalMs = 900.0
 	// veryLargeDemandMs is the time between messages with demand in a very large fleet, where
 	// subsets of servers are recomputed at the same interval.
 	veryLargeDemandMs = 500.0
@@ -48,9 +48,9 @@
 const staleReportMs = 1000.0
 
 // significantLatency is the lowest latency that is sent to group members other than neighbors
-// in a large fleet, in sixteenths of the typical latency. Failures are above it. Loads are not
-// sent to them: an outdated load is worse than none, because all limiters that receive that a
-// server is idle choose it (docs/decisions/0005).
+// in a large fleet, in sixteenths of the typical latency. A failure ([balance.LatencyFailed])
+// is above it. Loads are not sent to these members: an outdated load is worse than none, because
+// all limiters that are told that a server is idle choose it (docs/decisions/0005).
 const significantLatency = 20
 
 // TickMs returns the interval in milliseconds at which the host must call [Disseminator.Tick].
--- a/dataplane/gossip/schedule_test.go
+++ b/dataplane/gossip/schedule_test.go
@@ -7,8 +7,8 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// In a very large fleet, the usage of a nearly exhausted tenant is sent within its due time even
-// if there are constant updates about servers, which are sent less often.
+// In a very large fleet, the usage of an urgent tenant is sent within its due time even if
+// there are constant updates about servers, which are sent less often.
 func TestUrgentUsageDoesNotWaitForLoads(t *testing.T) {
 	const tenant, rate, urgentMs = 7, 1000.0, 50.0
 	l := newTestLimiter(1<<40, peersInZones(quota.VeryLargeFleetPeers+20), Budget{})
@@ -24,7 +24,7 @@
 			if len(m.Consumed) == 0 {
 				return
 			}
-			if now > 2000 { // the burst is spent
+			if now > 2000 { // the burst is used up
 				longest[to] = max(longest[to], now-last[to])
 				messages++
 			}
--- a/dataplane/gossip/topology.go
+++ b/dataplane/gossip/topology.go
@@ -11,8 +11,9 @@
 	"example.org/elmspan/dataplane/quota"
 )
 
-// reportersPerGroup is the number of limiters of a replica group that report its usage to each
-// limiter of another group. The reports of the second one are used while the first is silent.
+// reportersPerGroup is the number of limiters of a group that report its usage to each limiter of
+// another group: the primary and the backup reporter. The receiver uses the reports of one of
+// them (see [quota.Enforcer.ReceiveDigest]).
 const reportersPerGroup = 2
 
 // neighborsPerSide is the number of neighbors in its zone, on each side of it on the ring of
@@ -20,7 +21,7 @@
 const neighborsPerSide = balance.NeighborReach
 
 // SetPeers replaces the list of the other limiters and sets the level at which the fleet forms
-// replica groups ([quota.Enforcer.Level]). Pending updates for limiters that stay are kept.
+// groups ([quota.Enforcer.Level]). Pending updates for limiters that stay are kept.
 //
 // Messages are sent to the limiters of the same group, to the limiters of other groups that
 // this one reports to, and to those that receive loads: all limiters in a small fleet, else the
@@ -43,7 +44,7 @@
 			sameZone:       p.Zone == d.self.Zone,
 			groupMember:    level.Group(p) == ownGroup,
 			receivesDigest: reporterRanks[p.ID] > 0,
-			secondReporter: reporterRanks[p.ID] > 1,
+			backupReporter: reporterRanks[p.ID] > 1,
 		}
 		r.receivesLoads = d.fleetSize == SmallFleet || r.sameZone && neighbors[p.ID]
 		if !r.groupMember && !r.receivesDigest && !r.receivesLoads {
@@ -57,8 +58,8 @@
 }
 
 // digestRecipients returns the limiters of other groups that this one reports its group's usage
-// to, each with this limiter's rank among the reporters: 1 for the first reporter, whose
-// reports are used as long as it sends them, or 2. The reporters to a recipient are chosen from
+// to, each with this limiter's rank among the reporters: 1 for the primary reporter, whose
+// reports are preferred, or 2 for the backup. The reporters to a recipient are chosen from
 // the group by rendezvous hashing of their ids, so that a limiter that joins or leaves changes
 // the reporters of few recipients.
 func (d *Disseminator) digestRecipients(peers []quota.Member, level quota.GroupingLevel) map[uint64]int {
@@ -97,7 +98,7 @@
 }
 
 // reporterScore returns the rendezvous hash of a reporter and a recipient. The limiter with the
-// highest score is the first reporter.
+// highest score is the primary reporter.
 func reporterScore(reporter, recipient uint64) uint64 {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:], reporter)
