--- a/controlplane/service.go
+++ b/controlplane/service.go
@@ -70,8 +70,8 @@
 	return c.host.leads()
 }
 
-// TookPart reports whether this member has taken part: it knows of a term, or of an entry.
-func (c *Core) TookPart() bool {
+// HasParticipated reports whether this member has taken part: it knows of a term, or of an entry.
+func (c *Core) HasParticipated() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.host.node.Term() > 0 || c.host.node.LastIndex() > 0
--- a/process/bootstrap_seeds.go
+++ b/process/bootstrap_seeds.go
@@ -125,7 +125,7 @@
 		return &api.HistoryResponse{}, nil
 	}
 	if core := h.core(); core != nil {
-		return &api.HistoryResponse{MayHaveParticipated: core.TookPart()}, nil
+		return &api.HistoryResponse{MayHaveParticipated: core.HasParticipated()}, nil
 	}
 	return &api.HistoryResponse{MayHaveParticipated: !h.bootstrapping.Load()}, nil
 }
