--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -119,7 +119,7 @@
 // announceLeaving hands leadership on, or notifies the leader that this member leaves. done:
 // nothing more is to be waited for.
 func (m *memberManager) announceLeaving(ctx context.Context) (done bool) {
-	m.HandOver()
+	m.TransferLeadership()
 	m.mu.Lock()
 	leader, needed, alone := m.host.leaderAddr(), m.host.node.NeededForQuorum(), m.leadsAlone()
 	m.mu.Unlock()
@@ -150,8 +150,8 @@
 	return true
 }
 
-// HandOver transfers leadership, where this member leads, as its process is about to end.
-func (m *memberManager) HandOver() {
+// TransferLeadership transfers leadership, where this member leads, as its process is about to end.
+func (m *memberManager) TransferLeadership() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.host.node.TransferLeadership()
--- a/controlplane/service.go
+++ b/controlplane/service.go
@@ -49,8 +49,8 @@
 	return c.members.Join(ctx, q)
 }
 
-// HandOver transfers leadership, where this member leads, as its process is about to end.
-func (c *Core) HandOver() { c.members.HandOver() }
+// TransferLeadership transfers leadership, where this member leads, as its process is about to end.
+func (c *Core) TransferLeadership() { c.members.TransferLeadership() }
 
 // Leave hands on what others count on before this process ends: its leadership, and its vote
 // where there is a standby. The member goes on taking part meanwhile, until Run's context
