--- a/controlplane/apply.go
+++ b/controlplane/apply.go
@@ -102,7 +102,7 @@
 	if decision.Outcome != OutcomeAcceptable {
 		return decision
 	}
-	s.keepNewest()
+	s.archiveNewest()
 	s.AppliedFrom = s.oldestRemembered()
 	s.Revision = command.Revision
 	s.Uncompressed, s.Compressed = command.Uncompressed, command.Compressed
--- a/controlplane/client.go
+++ b/controlplane/client.go
@@ -18,8 +18,8 @@
 const (
 	// callTimeout bounds one call to one member.
 	callTimeout = 600 * time.Millisecond
-	// callPause is how long a client waits before it calls again.
-	callPause = 40 * time.Millisecond
+	// callRetryDelay is how long a client waits before it calls again.
+	callRetryDelay = 40 * time.Millisecond
 )
 
 // Client calls the members of the control plane from any process: the leader for operators,
@@ -42,12 +42,12 @@
 // SetMembers says which members there are and which of them leads. leader is empty where none
 // is known; an empty list of members leaves those that are known.
 func (c *Client) SetMembers(leader string, members []string) {
-	c.selector.setMembers(leader, c.inOrder(members))
+	c.selector.setMembers(leader, c.watchOrder(members))
 }
 
-// inOrder sorts members in the order in which this process watches them: by a hash of its
+// watchOrder sorts members in the order in which this process watches them: by a hash of its
 // name and their addresses, so that the processes spread over the members.
-func (c *Client) inOrder(members []string) []string {
+func (c *Client) watchOrder(members []string) []string {
 	rank := func(addr string) uint64 {
 		return xxhash.Sum64String(c.Name + "/" + addr)
 	}
@@ -146,7 +146,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(callPause):
+		case <-time.After(callRetryDelay):
 		}
 	}
 	return api.ControlResponse{
--- a/controlplane/configstore.go
+++ b/controlplane/configstore.go
@@ -63,8 +63,8 @@
 	case q.Revision != 0:
 		r.Config, err = state.ConfigAt(q.Revision)
 		if errors.Is(err, ErrRevisionNotKept) {
-			why := fmt.Sprintf("revision %d is not remembered; there are %v", q.Revision, state.Revisions())
-			return &api.ControlResponse{Status: http.StatusNotFound, Reason: why}, nil
+			reason := fmt.Sprintf("revision %d is not remembered; there are %v", q.Revision, state.Revisions())
+			return &api.ControlResponse{Status: http.StatusNotFound, Reason: reason}, nil
 		}
 	default:
 		r.Config, err = state.Config()
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	tickInterval   = 50 * time.Millisecond
-	electionTicks  = 10 // 0.5 to 1 s without a leader
-	heartbeatTicks = 2
-	joinTicks      = 8 // between two requests of an isolated member to be added
+	tickInterval      = 50 * time.Millisecond
+	electionTicks     = 10 // 0.5 to 1 s without a leader
+	heartbeatTicks    = 2
+	joinIntervalTicks = 8 // between two requests of an isolated member to be added
 )
 
 // CoreConfig is what a member needs to begin.
@@ -138,7 +138,7 @@
 	c.notify = newNotifier()
 	c.host = raftHost{
 		cfg: &c.cfg, mu: &c.mu, lifecycle: &c.lifecycle, notify: &c.notify,
-		transport: &c.transport, machine: &c.store, roleChanged: c.roleChangedTo,
+		transport: &c.transport, stateMachine: &c.store, roleChanged: c.roleChangedTo,
 	}
 	c.store = configStore{
 		cfg: &c.cfg, mu: &c.mu, host: &c.host, reads: &c.reads, watches: &c.watches, notify: &c.notify,
@@ -215,7 +215,7 @@
 	if c.host.lostDurability != nil {
 		return c.host.lostDurability
 	}
-	if c.host.isolated() && !c.host.suspended && c.members.policy.ticks%joinTicks == 0 {
+	if c.host.isolated() && !c.host.suspended && c.members.policy.ticks%joinIntervalTicks == 0 {
 		c.joiner.begin()
 	}
 	return nil
--- a/controlplane/endpointlist.go
+++ b/controlplane/endpointlist.go
@@ -41,8 +41,8 @@
 
 // merge merges the platform's answer into the list, in a term of this leader. changed: watchers are to be notified;
 // uncertain: another answer is wanted soon.
-func (l *endpointList) merge(term uint64, answer []api.Server) (changed, uncertain bool, err error) {
-	changed, uncertain = l.endpoints.Merge(l.clockMs(), answer)
+func (l *endpointList) merge(term uint64, servers []api.Server) (changed, uncertain bool, err error) {
+	changed, uncertain = l.endpoints.Merge(l.clockMs(), servers)
 	if !changed && l.table.Version() != 0 {
 		return false, uncertain, nil
 	}
--- a/controlplane/endpoints.go
+++ b/controlplane/endpoints.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	endpointWatchTime  = 1500 * time.Millisecond // of one watch of a follower at the leader
-	endpointRetryPause = 60 * time.Millisecond
+	endpointWatchWait  = 1500 * time.Millisecond // of one watch of a follower at the leader
+	endpointRetryDelay = 60 * time.Millisecond
 )
 
 // endpointManager keeps the list of servers at one member: the leader's is made of the
@@ -30,13 +30,13 @@
 
 // SetServers merges the platform's answer into the list, where this member leads. changed: it changed the
 // list; uncertain: another answer is wanted soon.
-func (m *endpointManager) SetServers(answer []api.Server) (changed, uncertain bool) {
+func (m *endpointManager) SetServers(servers []api.Server) (changed, uncertain bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.host.leads() {
 		return false, false
 	}
-	changed, uncertain, err := m.servers.merge(m.host.node.Term(), answer)
+	changed, uncertain, err := m.servers.merge(m.host.node.Term(), servers)
 	if err != nil {
 		m.cfg.Log.Error("server list encoding failed", "error", err)
 	}
@@ -56,7 +56,7 @@
 		}
 		m.mu.Unlock()
 		if addr == "" || !m.followOnce(ctx, addr, version) {
-			backoff.Sleep(ctx, endpointRetryPause)
+			backoff.Sleep(ctx, endpointRetryDelay)
 		}
 	}
 }
@@ -67,13 +67,13 @@
 	if err != nil {
 		return false
 	}
-	call, cancel := context.WithTimeout(ctx, endpointWatchTime+readIndexTimeout)
+	call, cancel := context.WithTimeout(ctx, endpointWatchWait+readIndexTimeout)
 	defer cancel()
 	r, err := api.CallWatch(call, conn, &api.WatchRequest{
 		Name:           "core",
 		Revision:       math.MaxUint64, // its own log brings it the configurations
 		ServersVersion: version,
-		WaitMs:         endpointWatchTime.Milliseconds(),
+		WaitMs:         endpointWatchWait.Milliseconds(),
 	})
 	if err != nil || !r.Lease {
 		return false
--- a/controlplane/host.go
+++ b/controlplane/host.go
@@ -25,12 +25,12 @@
 // must be stored, then sends, then applies. All fields are guarded by Core.mu, which is given
 // up while the disk writes, so that heartbeats, watches and leases don't wait for it.
 type raftHost struct {
-	cfg       *CoreConfig
-	mu        *sync.Mutex // Core.mu
-	lifecycle *lifecycle
-	notify    *notifier
-	transport *transport
-	machine   stateMachine
+	cfg          *CoreConfig
+	mu           *sync.Mutex // Core.mu
+	lifecycle    *lifecycle
+	notify       *notifier
+	transport    *transport
+	stateMachine stateMachine
 	// roleChanged is called when the role or the leader changes.
 	roleChanged func(raft.Role)
 
@@ -99,7 +99,7 @@
 		h.publishProgress()
 		h.notify.notifyWatchers()
 	}
-	if !h.suspended && (!h.disk.waiting || h.node.Role() == raft.Leader) {
+	if !h.suspended && (!h.disk.writing || h.node.Role() == raft.Leader) {
 		h.node.Tick()
 	}
 }
@@ -209,7 +209,7 @@
 	}
 	h.transport.enqueueAll(due)
 	if ready.Snapshot != nil {
-		if err := h.machine.installSnapshot(ready.Snapshot); err != nil {
+		if err := h.stateMachine.installSnapshot(ready.Snapshot); err != nil {
 			h.failStop("committed snapshot is unreadable", err)
 			return false
 		}
@@ -219,7 +219,7 @@
 	if len(ready.CommittedEntries) == 0 {
 		return true
 	}
-	if err := h.machine.applyEntries(ready.CommittedEntries); err != nil {
+	if err := h.stateMachine.applyEntries(ready.CommittedEntries); err != nil {
 		h.failStop("committed configuration is unreadable", err)
 		return false
 	}
@@ -259,7 +259,7 @@
 // compact cuts the log behind a snapshot, and reports whether one could be made.
 func (h *raftHost) compact() bool {
 	index := h.node.AppliedIndex()
-	data, err := h.machine.encodeSnapshot()
+	data, err := h.stateMachine.encodeSnapshot()
 	if err != nil {
 		h.cfg.Log.Error("snapshot encoding failed", "error", err)
 		return false
--- a/controlplane/joiner.go
+++ b/controlplane/joiner.go
@@ -34,17 +34,17 @@
 	j.busy = true
 	candidates := newJoinCandidates(j.cfg.Addr, j.cfg.Seeds, j.host.memberAddrs())
 	j.lifecycle.tasks.Go(func() {
-		j.round(j.lifecycle.ctx, candidates)
+		j.runRound(j.lifecycle.ctx, candidates)
 		j.mu.Lock()
 		defer j.mu.Unlock()
 		j.busy = false
 	})
 }
 
-// round asks all that are known to add this member, then those that the answers name, until one
+// runRound asks all that are known to add this member, then those that the answers name, until one
 // has done it or there is nobody left to ask. The calls of a wave are made side by side: a
 // machine that does not answer costs the others no time.
-func (j *joiner) round(ctx context.Context, candidates *joinCandidates) {
+func (j *joiner) runRound(ctx context.Context, candidates *joinCandidates) {
 	if j.cfg.KnownMembers != nil {
 		candidates.add(j.cfg.KnownMembers()...) // without the mutex, as it takes locks of its own
 	}
@@ -66,8 +66,8 @@
 }
 
 // callAll asks several processes at once, and returns their answers in the same order.
-func (j *joiner) callAll(ctx context.Context, addrs []string) []joinAnswer {
-	answers := make([]joinAnswer, len(addrs))
+func (j *joiner) callAll(ctx context.Context, addrs []string) []joinResult {
+	answers := make([]joinResult, len(addrs))
 	var calls sync.WaitGroup
 	for i, addr := range addrs {
 		calls.Go(func() { answers[i] = j.call(ctx, addr) })
@@ -77,16 +77,16 @@
 }
 
 // call asks one process to add this member.
-func (j *joiner) call(ctx context.Context, addr string) joinAnswer {
+func (j *joiner) call(ctx context.Context, addr string) joinResult {
 	conn, err := j.cfg.Conns.Conn(addr)
 	if err != nil {
-		return joinAnswer{err: err}
+		return joinResult{err: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 	defer cancel()
 	request := &api.JoinRequest{ID: j.host.id, Addr: j.cfg.Addr, Joint: true}
 	response, err := api.CallJoin(ctx, conn, request)
-	return joinAnswer{response: response, err: err}
+	return joinResult{response: response, err: err}
 }
 
 // isMember reports whether this process has been added, as far as it knows.
@@ -96,16 +96,16 @@
 	return j.host.isMember()
 }
 
-// joinAnswer is what a process answered to a join request.
-type joinAnswer struct {
+// joinResult is what a process answered to a join request.
+type joinResult struct {
 	response *api.ControlResponse // nil after an error
 	err      error
 }
 
-func (a joinAnswer) accepted() bool { return a.err == nil && a.response.Status == http.StatusOK }
+func (a joinResult) accepted() bool { return a.err == nil && a.response.Status == http.StatusOK }
 
 // String says in one line why this member was not added.
-func (a joinAnswer) String() string {
+func (a joinResult) String() string {
 	switch {
 	case a.err != nil:
 		return a.err.Error()
@@ -120,9 +120,9 @@
 // joinCandidates decides, in one round of join requests, who is asked next: each address once,
 // and never this process's own. It does no I/O.
 type joinCandidates struct {
-	self  string
-	known []string // in the order in which they became known
-	asked int      // the first so many of known were asked
+	self      string
+	known     []string // in the order in which they became known
+	numCalled int      // the first so many of known were asked
 }
 
 func newJoinCandidates(self string, sources ...[]string) *joinCandidates {
@@ -144,7 +144,7 @@
 
 // next returns those that were not asked yet, and counts them as asked.
 func (c *joinCandidates) next() []string {
-	wave := c.known[c.asked:]
-	c.asked = len(c.known)
+	wave := c.known[c.numCalled:]
+	c.numCalled = len(c.known)
 	return wave
 }
--- a/controlplane/memberpolicy.go
+++ b/controlplane/memberpolicy.go
@@ -80,8 +80,8 @@
 	return keepsVote
 }
 
-// memberSurvey is what the policy sees of the members. Indexes are into them, -1: none.
-type memberSurvey struct {
+// memberSummary is what the policy sees of the members. Indexes are into them, -1: none.
+type memberSummary struct {
 	voters     int
 	promote    int // the first that may be given a vote
 	demote     int // the voter with the best reason to lose its vote
@@ -89,8 +89,8 @@
 	removeNext int // a member without a vote that is to be removed
 }
 
-func (p *memberPolicy) survey(n *raft.Node, members []raft.Member) memberSurvey {
-	s := memberSurvey{promote: -1, demote: -1, lastVoter: -1, removeNext: -1}
+func (p *memberPolicy) summarize(n *raft.Node, members []raft.Member) memberSummary {
+	s := memberSummary{promote: -1, demote: -1, lastVoter: -1, removeNext: -1}
 	best := keepsVote
 	for i := range members {
 		reason := p.demotion(n, members, i)
@@ -122,21 +122,21 @@
 		return "", nil
 	}
 	members := n.Members()
-	survey := p.survey(n, members)
-	if change, next = p.nextVoters(n, members, survey); next != nil && n.CanCommitMembers(next) {
+	summary := p.summarize(n, members)
+	if change, next = p.nextVoters(n, members, summary); next != nil && n.CanCommitMembers(next) {
 		return change, next
 	}
 	if next := withKnownVersions(n, members); !slices.Equal(next, members) {
 		return "version", next
 	}
-	if i := survey.removeNext; i >= 0 {
+	if i := summary.removeNext; i >= 0 {
 		return "drop", slices.Delete(slices.Clone(members), i, i+1)
 	}
 	return "", nil
 }
 
 // nextVoters are the members with one vote given, taken or both.
-func (p *memberPolicy) nextVoters(n *raft.Node, members []raft.Member, s memberSurvey) (string, []raft.Member) {
+func (p *memberPolicy) nextVoters(n *raft.Node, members []raft.Member, s memberSummary) (string, []raft.Member) {
 	vote := func(i int, has bool) []raft.Member {
 		next := slices.Clone(members)
 		next[i].Voter = has
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -42,7 +42,7 @@
 	known := slices.ContainsFunc(members, func(o raft.Member) bool { return o.ID == q.ID })
 	switch {
 	case q.Leaving && known:
-		return m.letGo(q.ID), nil
+		return m.handleLeaving(q.ID), nil
 	case known, q.Leaving:
 		return &api.ControlResponse{Status: http.StatusOK}, nil
 	}
@@ -57,8 +57,8 @@
 	return &api.ControlResponse{Status: http.StatusOK}, nil
 }
 
-// letGo marks a member as leaving, and replaces it as a voter where that can be.
-func (m *memberManager) letGo(id raft.ID) *api.ControlResponse {
+// handleLeaving marks a member as leaving, and replaces it as a voter where that can be.
+func (m *memberManager) handleLeaving(id raft.ID) *api.ControlResponse {
 	m.policy.markLeaving(id)
 	m.reconcile()
 	node := m.host.node
--- a/controlplane/memberselector.go
+++ b/controlplane/memberselector.go
@@ -140,8 +140,8 @@
 func (s *memberSelector) replaceMembers() {
 	s.replacements++
 	next := s.fallbacks
-	turnOfUnconfirmed := s.replacements%2 == 0
-	if len(next) == 0 || turnOfUnconfirmed && len(s.unconfirmed) > 0 {
+	useUnconfirmed := s.replacements%2 == 0
+	if len(next) == 0 || useUnconfirmed && len(s.unconfirmed) > 0 {
 		next = s.unconfirmed
 	}
 	if len(next) == 0 {
--- a/controlplane/operatorapi.go
+++ b/controlplane/operatorapi.go
@@ -57,7 +57,7 @@
 			http.StatusBadRequest)
 		return
 	}
-	began := time.Now()
+	start := time.Now()
 	select {
 	case o.bodies <- struct{}{}:
 		defer func() { <-o.bodies }()
@@ -66,7 +66,7 @@
 		http.Error(w, "other configurations are being brought", http.StatusServiceUnavailable)
 		return
 	}
-	remaining := operatorTimeout - time.Since(began)
+	remaining := operatorTimeout - time.Since(start)
 	// A recorder in a test has no deadline; a connection always has.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := readBody(http.MaxBytesReader(w, r.Body, api.MaxConfigBytes), r.ContentLength)
@@ -74,7 +74,7 @@
 		http.Error(w, "the configuration can't be read whole: "+err.Error(), bodyErrorStatus(err))
 		return
 	}
-	o.answer(w, r, remaining, func(ctx context.Context) api.ControlResponse {
+	o.respond(w, r, remaining, func(ctx context.Context) api.ControlResponse {
 		return o.client.Replace(ctx, &api.ReplaceRequest{Base: base, Config: body})
 	})
 }
@@ -120,7 +120,7 @@
 }
 
 func (o *operatorAPI) read(w http.ResponseWriter, r *http.Request, request *api.GetRequest) {
-	o.answer(w, r, operatorTimeout, func(ctx context.Context) api.ControlResponse {
+	o.respond(w, r, operatorTimeout, func(ctx context.Context) api.ControlResponse {
 		return o.client.Get(ctx, request)
 	})
 }
@@ -136,9 +136,9 @@
 	_ = encoder.Encode(status) // a caller that is gone needs no answer
 }
 
-// answer makes a call for an operator, and answers with its result. The call ends after a
+// respond makes a call for an operator, and answers with its result. The call ends after a
 // time-out, and when the operator gives up.
-func (o *operatorAPI) answer(
+func (o *operatorAPI) respond(
 	w http.ResponseWriter,
 	r *http.Request,
 	timeout time.Duration,
--- a/controlplane/readindex.go
+++ b/controlplane/readindex.go
@@ -35,15 +35,15 @@
 
 // readIndexBatch is one call to the leader for all who wait.
 type readIndexBatch struct {
-	done   chan struct{}         // closed when the call is over
-	answer api.ReadIndexResponse // of the leader; not OK where there was none
+	done     chan struct{}         // closed when the call is over
+	response api.ReadIndexResponse // of the leader; not OK where there was none
 }
 
 // waitState is what a condition that is waited for has come to.
 type waitState int
 
 const (
-	waitGoesOn waitState = iota
+	waitPending waitState = iota
 	waitSucceeded
 	waitFailed // it can't hold any more
 )
@@ -82,7 +82,7 @@
 		case node.HasCommittedInTerm() && node.ConfirmedReadIndexRound() >= round:
 			return waitSucceeded
 		}
-		return waitGoesOn
+		return waitPending
 	})
 	return node.CommitIndex(), ok
 }
@@ -98,7 +98,7 @@
 			return true
 		case waitFailed:
 			return false
-		case waitGoesOn:
+		case waitPending:
 		}
 		acknowledged, changed := b.notify.acknowledged, b.notify.changed
 		b.mu.Unlock()
@@ -161,7 +161,7 @@
 	default:
 		return false
 	}
-	answer := &batch.answer
+	answer := &batch.response
 	return answer.OK && b.waitFor(ctx, func() waitState { return b.applied(answer.Index, answer.ServersVersion) })
 }
 
@@ -174,7 +174,7 @@
 	case b.host.suspended:
 		return waitFailed
 	}
-	return waitGoesOn
+	return waitPending
 }
 
 // joinBatch returns what the next call asks the leader, and has one made.
@@ -205,7 +205,7 @@
 		if conn, err := b.cfg.Conns.Conn(addr); addr != "" && err == nil {
 			ctx, cancel := context.WithTimeout(b.lifecycle.ctx, readIndexTimeout)
 			if answer, err := api.CallReadIndex(ctx, conn); err == nil {
-				batch.answer = *answer
+				batch.response = *answer
 			}
 			cancel()
 		}
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -23,7 +23,7 @@
 	term      uint64 // in which it came, then that of its entry
 	readRound uint64 // the read index round that confirms it, 0: none was asked for
 	index     uint64 // of its entry, 0: not proposed
-	answer    *api.ControlResponse
+	response  *api.ControlResponse
 }
 
 // callProgress is what came of one step of a call.
@@ -37,8 +37,8 @@
 func (g *casRegister) advance(node *raft.Node, p *pendingCall) callProgress {
 	unknown := callProgress{done: true}
 	switch {
-	case p.answer != nil:
-		return callProgress{done: true, result: *p.answer}
+	case p.response != nil:
+		return callProgress{done: true, result: *p.response}
 	case p.index != 0: // its entry may still be committed, whoever leads
 		return callProgress{}
 	case node.Role() != raft.Leader:
@@ -92,7 +92,7 @@
 	p.index, p.term = index, term
 	if other := g.calls[index]; other != nil {
 		// Its entry was cut off here; whether it was committed elsewhere is unknown.
-		other.answer = &api.ControlResponse{}
+		other.response = &api.ControlResponse{}
 	}
 	g.calls[index] = p
 	return callProgress{}
@@ -111,7 +111,7 @@
 		if p.term != e.Term { // another entry took its place
 			r = api.ControlResponse{}
 		}
-		p.answer = &r
+		p.response = &r
 	}
 	return replaced
 }
@@ -121,7 +121,7 @@
 	for at, p := range g.calls {
 		if at <= index {
 			delete(g.calls, at)
-			p.answer = &api.ControlResponse{}
+			p.response = &api.ControlResponse{}
 		}
 	}
 }
--- a/controlplane/replacement_sim_test.go
+++ b/controlplane/replacement_sim_test.go
@@ -261,7 +261,7 @@
 	switch l := s.leader(); {
 	case m.leaving && l != nil && l != m && s.now%4 == 0 && !s.formerPolicy:
 		l.policy.markLeaving(m.id)
-	case (!known || m.node.Leader() == 0) && s.now%joinTicks == 0:
+	case (!known || m.node.Leader() == 0) && s.now%joinIntervalTicks == 0:
 		s.requestJoin(m)
 	}
 }
--- a/controlplane/sendqueue.go
+++ b/controlplane/sendqueue.go
@@ -15,10 +15,10 @@
 	// maxQueuedBytes bounds the bytes of entries and chunks that wait for a member or are on
 	// their way to it; one message goes whatever its size.
 	maxQueuedBytes = 256 << 10
-	// maxBulkCall is what one call of the bulk queue carries, if no message alone is larger: what
+	// maxBulkCallBytes is what one call of the bulk queue carries, if no message alone is larger: what
 	// a link of 1 Mbit/s needs 130 ms for, so that a heartbeat behind it on the same link still
 	// comes well within an election time.
-	maxBulkCall = 17 << 10
+	maxBulkCallBytes = 17 << 10
 )
 
 // queueKey names one of the two send queues to a member, control and bulk. Heartbeats, votes
@@ -81,8 +81,8 @@
 		q.waiting = append(q.waiting, m)
 		return true
 	}
-	weight := m.PayloadSize()
-	if len(q.waiting) >= maxQueuedMessages || q.bytes > 0 && q.bytes+weight > maxQueuedBytes {
+	size := m.PayloadSize()
+	if len(q.waiting) >= maxQueuedMessages || q.bytes > 0 && q.bytes+size > maxQueuedBytes {
 		return false
 	}
 	for _, queued := range [][]raft.Message{q.inFlight, q.waiting} {
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	q.waiting, q.bytes = append(q.waiting, m), q.bytes+weight
+	q.waiting, q.bytes = append(q.waiting, m), q.bytes+size
 	return true
 }
 
@@ -103,7 +103,7 @@
 	}
 	count, bytes := 0, 0
 	for count < len(q.waiting) {
-		if bytes += q.waiting[count].PayloadSize(); q.bulk && bytes > maxBulkCall && count > 0 {
+		if bytes += q.waiting[count].PayloadSize(); q.bulk && bytes > maxBulkCallBytes && count > 0 {
 			break
 		}
 		count++
--- a/controlplane/sendqueue_test.go
+++ b/controlplane/sendqueue_test.go
@@ -31,7 +31,7 @@
 	if len(messages) != 1 {
 		t.Errorf("%d messages in one call", len(messages))
 	}
-	if timeout := callTimeoutFor(payloadBytes(messages)); timeout < size*time.Second/minLinkSpeed {
+	if timeout := callTimeoutFor(payloadBytes(messages)); timeout < size*time.Second/minLinkBytesPerSecond {
 		t.Errorf("the call has %v", timeout)
 	}
 	if q.take() != nil {
--- a/controlplane/sim_member_test.go
+++ b/controlplane/sim_member_test.go
@@ -157,7 +157,7 @@
 	m.state.Applied = append(m.state.Applied, appliedRevision{command.Revision, command.fingerprint()})
 	if c := m.calls[e.Index]; c != nil && c.term == e.Term {
 		delete(m.calls, e.Index)
-		c.answer = &api.ControlResponse{Status: http.StatusOK}
+		c.response = &api.ControlResponse{Status: http.StatusOK}
 	}
 }
 
--- a/controlplane/state.go
+++ b/controlplane/state.go
@@ -89,9 +89,9 @@
 	return revisions
 }
 
-// keepNewest adds the newest configuration to the previous ones, before it is replaced, and
+// archiveNewest adds the newest configuration to the previous ones, before it is replaced, and
 // drops the oldest ones that are over the bounds.
-func (s *State) keepNewest() {
+func (s *State) archiveNewest() {
 	if s.Revision == 0 || s.Compressed == nil {
 		return
 	}
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -39,7 +39,7 @@
 		DiskFails:          host.suspended && !host.stopped(),
 		Halted:             host.stopReason,
 		UnresponsiveVoters: describeMembers(c.members.health.unresponsive),
-		Watches:            c.watches.waiting,
+		Watches:            c.watches.activeWatches,
 		DeltaBytes:         c.watches.configs.CachedBytes() + c.endpoints.servers.table.CachedBytes(),
 		MaxDeltaBytes:      4*versioned.MaxCachedBytes + maxWatches*api.ChunkSize,
 	}
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -17,13 +17,13 @@
 const (
 	// deliverTimeout bounds a call without entries or chunks; with them it is longer.
 	deliverTimeout = 400 * time.Millisecond
-	// minLinkSpeed is the speed in bytes a second that time-outs of large calls allow for, half
+	// minLinkBytesPerSecond is the speed in bytes a second that time-outs of large calls allow for, half
 	// of it, as the link has more to carry: 1 Mbit/s.
-	minLinkSpeed = 125_000
+	minLinkBytesPerSecond = 125_000
 	// maxSenders bounds what is kept of members that sent something, or were sent something.
 	maxSenders = 64
-	// queueIdleTime is how long a send queue without messages is kept.
-	queueIdleTime = time.Minute
+	// queueIdleTimeout is how long a send queue without messages is kept.
+	queueIdleTimeout = time.Minute
 )
 
 // transport carries messages between members: each has two send queues to each other one, and a
@@ -44,7 +44,7 @@
 
 // callTimeoutFor is how long a call with so many bytes of entries and chunks may take.
 func callTimeoutFor(bytes int) time.Duration {
-	return deliverTimeout + 2*time.Duration(bytes)*time.Second/minLinkSpeed
+	return deliverTimeout + 2*time.Duration(bytes)*time.Second/minLinkBytesPerSecond
 }
 
 func (t *transport) enqueueAll(messages []raft.Message) {
@@ -81,9 +81,9 @@
 	return addr
 }
 
-// deliverFrom sends a member what a queue has, until nothing was put for queueIdleTime.
+// deliverFrom sends a member what a queue has, until nothing was put for queueIdleTimeout.
 func (t *transport) deliverFrom(queue *sendQueue, key queueKey, addr string) {
-	idle := time.NewTimer(queueIdleTime)
+	idle := time.NewTimer(queueIdleTimeout)
 	defer idle.Stop()
 	for {
 		messages := queue.take()
@@ -111,9 +111,9 @@
 }
 
 // awaitMessage waits until something is put into a queue. It returns false if nothing was for
-// queueIdleTime, with the queue removed, or if this member ends.
+// queueIdleTimeout, with the queue removed, or if this member ends.
 func (t *transport) awaitMessage(queue *sendQueue, key queueKey, idle *time.Timer) bool {
-	idle.Reset(queueIdleTime)
+	idle.Reset(queueIdleTimeout)
 	select {
 	case <-t.lifecycle.ctx.Done():
 		return false
--- a/controlplane/unreadable_state_test.go
+++ b/controlplane/unreadable_state_test.go
@@ -194,8 +194,8 @@
 	default:
 		t.Error("those who wait for changes are not woken")
 	}
-	if call.answer == nil || call.answer.Status != 0 || len(core.store.calls) != 0 {
-		t.Errorf("a call whose entry the snapshot stands for: %+v", call.answer)
+	if call.response == nil || call.response.Status != 0 || len(core.store.calls) != 0 {
+		t.Errorf("a call whose entry the snapshot stands for: %+v", call.response)
 	}
 	if got := core.store.state.Revision; got != 8 {
 		t.Errorf("revision %d", got)
--- a/controlplane/watch.go
+++ b/controlplane/watch.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxWatchTime = 5 * time.Second
+	maxWatchWait = 5 * time.Second
 	// maxWatches bounds those who wait at one member. Each holds a chunk of a delta at most
 	// (api.ChunkSize).
 	maxWatches = 1024
@@ -28,8 +28,8 @@
 	endpoints *endpointManager
 	notify    *notifier
 
-	configs versioned.Table // versions of the configuration's rows
-	waiting int             // watches in hand
+	configs       versioned.Table // versions of the configuration's rows
+	activeWatches int             // watches in hand
 }
 
 // publish makes rows, which differ by a delta from those before, the newest for watchers.
@@ -40,20 +40,20 @@
 
 // Watch answers a limiter when there is something new, or when its wait is over.
 func (w *watchServer) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
-	came := time.Now()
+	start := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.leaderUnknown() || w.waiting >= maxWatches {
+	if w.leaderUnknown() || w.activeWatches >= maxWatches {
 		return &api.WatchResponse{Members: w.host.memberAddrs()}, nil
 	}
-	w.waiting++
-	defer func() { w.waiting-- }()
+	w.activeWatches++
+	defer func() { w.activeWatches-- }()
 	if q.WaitMs > 0 {
 		if !w.awaitChange(ctx, q) {
 			return nil, ctx.Err()
 		}
 	}
-	waited := time.Since(came)
+	waited := time.Since(start)
 	r := &api.WatchResponse{
 		Lease:        w.reads.confirmRead(ctx),
 		LeaseDelayMs: waited.Milliseconds(),
@@ -92,7 +92,7 @@
 // awaitChange waits for something newer than a watch names, for as long as it says. It reports
 // whether the call is still there.
 func (w *watchServer) awaitChange(ctx context.Context, q *api.WatchRequest) bool {
-	timeout := time.NewTimer(max(1, min(maxWatchTime, time.Duration(q.WaitMs)*time.Millisecond)))
+	timeout := time.NewTimer(max(1, min(maxWatchWait, time.Duration(q.WaitMs)*time.Millisecond)))
 	defer timeout.Stop()
 	for w.store.state.Revision <= q.Revision && w.endpoints.servers.table.Version() <= q.ServersVersion {
 		changed := w.notify.changed
