--- a/controlplane/apply.go
+++ b/controlplane/apply.go
@@ -11,30 +11,30 @@
 	"example.org/elmspan/api"
 )
 
-// Outcome is what a command comes to.
+// Outcome is the result of evaluating or applying a command.
 type Outcome int
 
-// The outcomes of a command. All but OutcomeAcceptable are final: a command that has one of
-// them gets it again whenever it is sent again, or OutcomeUnknown.
+// The outcomes of a command. All but OutcomeAcceptable are final: a command that is sent again
+// gets the same outcome, or OutcomeUnknown.
 const (
-	// OutcomeAcceptable: the command can be applied as things stand.
+	// OutcomeAcceptable: the command can be applied to the current state.
 	OutcomeAcceptable Outcome = iota
-	// OutcomeApplied: the command was applied, now or when it was sent before, whatever was
-	// applied after it and whichever base it names now.
+	// OutcomeApplied: the command was applied, now or when it was sent before, no matter which
+	// commands were applied after it and which base it names now.
 	OutcomeApplied
-	// OutcomeConflict: the command was not applied and never can be, as its base is not the
-	// current revision.
+	// OutcomeConflict: the command was not applied and never can be, because its base is not
+	// the current revision.
 	OutcomeConflict
-	// OutcomeInvalid: the command was not applied and never can be, as it can't be decoded or
-	// its revision is not above the current one.
+	// OutcomeInvalid: the command was not applied and never can be, because it can't be decoded
+	// or its revision is not higher than the current one.
 	OutcomeInvalid
-	// OutcomeUnknown: the command may have been applied so long ago that this is not
-	// remembered. To refuse it could refuse what was acknowledged.
+	// OutcomeUnknown: the command may have been applied so long ago that the state no longer
+	// remembers it. Rejecting it could contradict an earlier acknowledgement.
 	OutcomeUnknown
 )
 
-// httpStatus is the status of the operator's interface for each outcome. 0: there is no
-// result yet.
+// httpStatus returns the HTTP status that the operator API responds with. 0: there is no result
+// yet.
 func (o Outcome) httpStatus() int {
 	switch o {
 	case OutcomeApplied:
@@ -49,26 +49,25 @@
 	return 0
 }
 
-// Decision is an outcome with its reason, which is empty where the command was or can be
-// applied.
+// Decision is an outcome with its reason, which is empty if the command was or can be applied.
 type Decision struct {
 	Outcome Outcome
 	Reason  string
 }
 
-// result returns a decision as operators are answered with it.
+// result returns a decision as the response to an operator.
 func (d Decision) result() api.ControlResponse {
 	return api.ControlResponse{Status: d.Outcome.httpStatus(), Reason: d.Reason}
 }
 
-// Evaluate decides, without applying it, about the command to replace revision base by a
-// configuration with a fingerprint.
+// Evaluate returns the decision on a command, without applying it: to replace revision base by a
+// configuration with the given revision and fingerprint.
 //
-// OutcomeAcceptable doesn't depend on which revisions are remembered: revisions rise, so a
-// command that was applied is never one whose base is the current revision and whose own is
-// higher. Members that remember different revisions, such as one that has its snapshot from a
-// version without digests, therefore apply the same commands; they can only differ in whether
-// a command of long ago is OutcomeApplied or OutcomeUnknown.
+// OutcomeAcceptable doesn't depend on which revisions are remembered: revisions only increase, so
+// a command that was applied can't have the current revision as its base and a higher revision of
+// its own. Members that remember different revisions, such as one whose snapshot comes from a
+// version without digests, therefore apply the same commands; they can only differ in whether an
+// old command is OutcomeApplied or OutcomeUnknown.
 func (s *State) Evaluate(base, revision uint64, content fingerprint) Decision {
 	i, remembered := slices.BinarySearchFunc(s.Applied, revision, func(a appliedRevision, revision uint64) int {
 		return cmp.Compare(a.Revision, revision)
--- a/controlplane/chunks.go
+++ b/controlplane/chunks.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// chunkBytes: larger messages go in chunks of so many bytes, one call after the other. A
-	// heartbeat behind one comes within 400 ms on 1 Mbit/s; smaller chunks would wait for an
-	// answer more often.
+	// chunkBytes is the size of the chunks in which larger messages are sent, one call after the
+	// other. On a link of 1 Mbit/s a heartbeat behind a chunk arrives within 400 ms; smaller
+	// chunks would cost more round trips.
 	chunkBytes = 32 << 10
-	// maxChunkedBytes bounds the bytes of messages that come in chunks.
+	// maxChunkedBytes bounds the total size of messages that are received in chunks.
 	maxChunkedBytes = api.MaxConfigBytes + 1<<20
 )
 
-// reassembly puts messages together that come in several calls of one sender, one chunk after
-// the other. The zero value holds none.
+// reassembly reassembles messages that one sender delivers in several calls, one chunk after the
+// other. The zero value is empty.
 type reassembly struct {
 	data []byte
-	size int    // of the complete messages
-	sum  uint64 // XXH64 of them, which also identifies them
+	size int    // of the complete messages, in bytes
+	sum  uint64 // XXH64 of the complete messages, which also identifies them
 }
 
-// add takes a chunk in and returns how many bytes are held, and the complete messages once they
-// are there. A chunk that doesn't follow on what is held changes nothing: the answer says what is.
+// add appends a chunk and returns how many bytes are held, and the complete messages once the last
+// chunk has arrived. A chunk that doesn't continue the bytes held changes nothing: from the number
+// returned the sender knows where to continue.
 func (r *reassembly) add(chunk *api.MessageChunk) (held int, complete []byte) {
 	if chunk.Size != r.size || chunk.Checksum != r.sum || r.data == nil {
 		if chunk.Offset != 0 || chunk.Size < len(chunk.Data) || chunk.Size > maxChunkedBytes {
-			return 0, nil // their beginning is not here, as after a restart
+			return 0, nil // the first chunk is missing, for example after a restart
 		}
 		*r = reassembly{data: make([]byte, 0, chunk.Size), size: chunk.Size, sum: chunk.Checksum}
 	}
--- a/controlplane/client.go
+++ b/controlplane/client.go
@@ -18,35 +18,35 @@
 const (
 	// callTimeout bounds one call to one member.
 	callTimeout = 600 * time.Millisecond
-	// callRetryDelay is how long a client waits before it calls again.
+	// callRetryDelay is how long a client waits before it repeats a call.
 	callRetryDelay = 40 * time.Millisecond
 )
 
-// Client calls the members of the control plane from any process: the leader for operators,
-// and for watches the member that comes first for this process. Conns and Log are needed.
-// All methods may be called concurrently.
+// Client calls the members of the control plane from any process: the leader for operators, and
+// for watches the member that this process prefers. Conns and Log are required. All methods may be
+// called concurrently.
 type Client struct {
 	Conns *api.ConnPool
 	Log   *slog.Logger
-	// Name is that of this process: which member it watches first depends on it.
+	// Name is the name of this process. It determines which member the process prefers to watch.
 	Name string
-	// Status, where set, is served as JSON at /v1/Status.
+	// Status, if set, returns the value that is served as JSON at /v1/Status.
 	Status func() any
 
 	selector memberSelector
 
 	mu    sync.Mutex
-	local *Core // the member in this process, nil for none; guarded by mu
+	local *Core // the member in this process, nil if there is none; guarded by mu
 }
 
-// SetMembers says which members there are and which of them leads. leader is empty where none
-// is known; an empty list of members leaves those that are known.
+// SetMembers sets the leader and the members. leader is empty if it is unknown; an empty list of
+// members keeps the present ones.
 func (c *Client) SetMembers(leader string, members []string) {
 	c.selector.setMembers(leader, c.watchOrder(members))
 }
 
-// watchOrder sorts members in the order in which this process watches them: by a hash of its
-// name and their addresses, so that the processes spread over the members.
+// watchOrder sorts members in the order in which this process prefers to watch them: by a hash of
+// its name and their addresses, which distributes the processes over the members.
 func (c *Client) watchOrder(members []string) []string {
 	rank := func(addr string) uint64 {
 		return xxhash.Sum64String(c.Name + "/" + addr)
@@ -56,12 +56,12 @@
 	})
 }
 
-// ObserveWatchResponse takes in what a member said of the members with its answer to a watch.
+// ObserveWatchResponse updates the known members from a watch response.
 //
-// Where it granted a lease, a majority confirmed it after the call, so that its list is not
-// out of date. A member that grants none may have been cut off for long, or have left the
-// control plane: the members it names are only called when all others have failed, and never
-// replace those of an answer with a lease.
+// A response with a lease was confirmed by a majority after the call, so its list of members is
+// current. A member that grants no lease may have been partitioned for a long time, or have left
+// the control plane: the members it names are only called when all others have failed, and never
+// replace those of a response with a lease.
 func (c *Client) ObserveWatchResponse(r *api.WatchResponse) {
 	if r.Lease {
 		c.SetMembers(r.Leader, r.Members)
@@ -70,38 +70,38 @@
 	c.selector.observeUnconfirmed(r.Leader, r.Members)
 }
 
-// SetFallbacks says which machines of the control plane are known from another source, such
-// as discovery. They are called when all members have failed, as after all of them were
-// replaced one by one while this process was not informed.
+// SetFallbacks sets the addresses of control plane machines that are known from another source,
+// such as discovery. They are called when all members have failed, for example because all of them
+// were replaced one by one while this process received no update.
 func (c *Client) SetFallbacks(addrs []string) {
 	c.selector.setFallbacks(addrs)
 }
 
-// KnownMembers are all internal addresses at which members were named to this process, the
-// leader first; some may be members no more.
+// KnownMembers returns all internal addresses of members that this process has learned of, the
+// leader first. Some may no longer be members.
 func (c *Client) KnownMembers() []string {
 	return c.selector.knownAddrs()
 }
 
-// WatchMember returns the member to watch, empty where none is known. It differs from process
-// to process; a member that failed is avoided for a while.
+// WatchMember returns the address of the member to watch, empty if none is known. It differs from
+// process to process; a member that failed is avoided for a while.
 func (c *Client) WatchMember() string {
 	return c.selector.watchMember()
 }
 
-// WatchMemberFailed says that a watch of a member failed: the next one is watched from now on.
+// WatchMemberFailed reports that a watch of a member failed: from now on the next one is watched.
 func (c *Client) WatchMemberFailed(addr string) {
 	c.selector.watchMemberFailed(addr)
 }
 
-// SetLocalCore says which member runs in this process, nil for none.
+// SetLocalCore sets the member that runs in this process, nil for none.
 func (c *Client) SetLocalCore(core *Core) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.local = core
 }
 
-// LocalCore returns the member that runs in this process, nil for none.
+// LocalCore returns the member that runs in this process, nil if there is none.
 func (c *Client) LocalCore() *Core {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +120,7 @@
 	})
 }
 
-// Get reads the replicated state at the leader.
+// Get reads the replicated state from the leader.
 func (c *Client) Get(ctx context.Context, request *api.GetRequest) api.ControlResponse {
 	return c.callLeader(ctx, leaderCall{
 		local: func(core *Core) (*api.ControlResponse, error) {
@@ -132,13 +132,13 @@
 	})
 }
 
-// leaderCall is a call that the leader answers, in both ways in which it is made.
+// leaderCall is a call to the leader, as a local call and as an RPC.
 type leaderCall struct {
 	local  func(*Core) (*api.ControlResponse, error)
 	remote func(context.Context, *grpc.ClientConn) (*api.ControlResponse, error)
 }
 
-// callLeader makes a call again and again until a member has a result or the context ends.
+// callLeader repeats a call until a member returns a result or the context ends.
 func (c *Client) callLeader(ctx context.Context, call leaderCall) api.ControlResponse {
 	for ctx.Err() == nil {
 		if result := c.callOnce(ctx, call); result != nil {
@@ -151,12 +151,12 @@
 	}
 	return api.ControlResponse{
 		Status: http.StatusServiceUnavailable,
-		Reason: "the core has no leader that answers; try again",
+		Reason: "no leader of the control plane responded; try again",
 	}
 }
 
-// callOnce makes a call once, at the member in this process where that leads, else at the
-// member that is believed to lead. It returns nil where there is no result.
+// callOnce makes a call once: to the member in this process if that is the leader, otherwise to
+// the member that is believed to lead. It returns nil if there is no result.
 func (c *Client) callOnce(ctx context.Context, call leaderCall) *api.ControlResponse {
 	if core := c.LocalCore(); core != nil && core.Leads() {
 		result, err := call.local(core)
@@ -175,7 +175,7 @@
 		c.selector.leaderFailed(addr)
 	case result.Status != 0:
 		return result
-	default: // it doesn't lead, and says who does
+	default: // the member doesn't lead, and names the leader that it knows
 		c.SetMembers(result.Leader, nil)
 	}
 	return nil
--- a/controlplane/configchange.go
+++ b/controlplane/configchange.go
@@ -7,26 +7,27 @@
 	"example.org/elmspan/versioned"
 )
 
-// configChange is one configuration on its way through this package. Each stage fills in
-// fields and changes none of those before:
+// configChange is one change of the configuration in progress. Each stage sets further fields and
+// leaves the earlier ones unchanged:
 //
 //   - received: an [api.ReplaceRequest], the bytes that an operator sent;
 //   - validated (configStore.validate): base, revision, content, rows and entry are set;
 //   - proposed (casRegister.advance): a pendingCall holds it, with the term and index of its entry;
-//   - committed (configStore.buildCommitted): made anew from the log, with revision, rows and
-//     delta; a follower was never sent the other fields;
-//   - applied (configStore.applyEntries): it is State and rows of the store, and in its table.
+//   - committed (configStore.buildCommitted): rebuilt from the log, with revision, rows and delta;
+//     a follower never has the other fields;
+//   - applied (configStore.applyEntries): it is in the store's State and rows, and in the table of
+//     the watchServer.
 type configChange struct {
 	base     uint64      // the revision that it replaces
 	revision uint64      // its own
-	content  fingerprint // of the bytes as they were sent
-	entry    []byte      // the log entry that brings it
-	// rows are shared with others and never changed.
+	content  fingerprint // of the configuration as it was sent
+	entry    []byte      // the data of its log entry
+	// rows are shared with other parts and never changed.
 	rows  *api.ConfigRows
 	delta versioned.RowDiff // from the rows applied before
 }
 
-// newConfigChange validates a configuration. Rows that are as they were before are shared.
+// newConfigChange validates a configuration. Rows that equal those in before are shared.
 func newConfigChange(q *api.ReplaceRequest, content fingerprint, before *api.ConfigRows) (*configChange, error) {
 	rows, err := api.ValidateConfig(q.Config, before)
 	if err == nil {
@@ -42,24 +43,25 @@
 	return &configChange{base: q.Base, revision: rows.Revision, content: content, rows: rows, entry: entry}, nil
 }
 
-// isNewestOf reports whether a state's newest configuration is this one.
+// isNewestOf reports whether this is the newest configuration of a state.
 func (c *configChange) isNewestOf(s *State) bool {
 	n := len(s.Applied)
 	return n > 0 && s.Revision == c.revision && s.Applied[n-1] == appliedRevision{c.revision, c.content}
 }
 
-// validateSize returns why a sound configuration could not be sent to watchers once it is
-// committed: it could not be unpacked again. That its rows can be read follows from its
-// soundness (api.FuzzParseConfig); to read them here too would cost a leader some MB.
+// validateSize returns an error if a valid configuration is too large to be decompressed again,
+// and so could not be sent to watchers once it is committed. That the rows of a valid configuration
+// can be decoded is tested by api.FuzzParseConfig; decoding them here too would cost a leader some
+// MB.
 func validateSize(config []byte) error {
 	if len(config) > api.MaxConfigBytes {
-		return fmt.Errorf("%d bytes, %d at most", len(config), api.MaxConfigBytes)
+		return fmt.Errorf("the configuration has %d bytes, the maximum is %d", len(config), api.MaxConfigBytes)
 	}
 	return nil
 }
 
-// buildRows returns the newest configuration of a state as rows, nil where there is none. What
-// it has in common with the one before is shared.
+// buildRows returns the newest configuration of a state as rows, nil if there is none. Rows that
+// equal those in before are shared.
 func buildRows(s *State, before *api.ConfigRows) (*api.ConfigRows, error) {
 	if s.Revision == 0 {
 		return nil, nil
@@ -70,7 +72,7 @@
 	}
 	rows, err := api.BuildConfigRows(data, before)
 	if err == nil && rows.Revision != s.Revision {
-		err = fmt.Errorf("revision %d holds one that says %d", s.Revision, rows.Revision)
+		err = fmt.Errorf("the stored configuration of revision %d has revision %d", s.Revision, rows.Revision)
 	}
 	return rows, err
 }
--- a/controlplane/configsnapshot.go
+++ b/controlplane/configsnapshot.go
@@ -7,14 +7,14 @@
 	"example.org/elmspan/raft"
 )
 
-// decodedSnapshot is a snapshot in the form that is answered from.
+// decodedSnapshot is a snapshot, decoded into the form that a configStore uses.
 type decodedSnapshot struct {
 	index, term uint64
 	state       State
-	rows        *api.ConfigRows // nil: it holds no configuration
+	rows        *api.ConfigRows // nil: there is no configuration
 }
 
-// decodeSnapshot reads a snapshot completely, down to the rows that watchers are sent.
+// decodeSnapshot decodes a snapshot completely, including the rows that watchers are sent.
 func decodeSnapshot(s *raft.Snapshot) (*decodedSnapshot, error) {
 	d := &decodedSnapshot{index: s.Index, term: s.Term}
 	if len(s.Data) == 0 {
@@ -28,8 +28,8 @@
 	return d, err
 }
 
-// checkSnapshot reports whether a snapshot can be installed. A member that went on without would
-// answer from an older state, and might lead with it.
+// checkSnapshot returns an error if a snapshot can't be installed. A member that skipped the
+// snapshot would serve an older state, and might become the leader with it.
 func (s *configStore) checkSnapshot(snapshot *raft.Snapshot) error {
 	decoded, err := decodeSnapshot(snapshot)
 	if err != nil {
@@ -45,7 +45,7 @@
 }
 
 // installSnapshot replaces the state by that of a snapshot which the node has installed. Calls
-// whose entries it stands for end without a result: their clients ask again.
+// whose entries the snapshot covers end without a result: their clients repeat them.
 func (s *configStore) installSnapshot(snapshot *raft.Snapshot) error {
 	decoded := s.checkedSnapshot
 	if decoded == nil || decoded.index != snapshot.Index || decoded.term != snapshot.Term {
@@ -53,7 +53,7 @@
 		s.mu.Unlock()
 		decoded, err = decodeSnapshot(snapshot)
 		s.mu.Lock()
-		if err != nil { // it was checked before it was installed
+		if err != nil { // unexpected: the snapshot was checked before
 			return err
 		}
 	}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// adopt makes a decoded snapshot the state that is answered from.
+// adopt makes the state of a decoded snapshot the applied state.
 func (s *configStore) adopt(d *decodedSnapshot) {
 	s.state, s.rows = d.state, d.rows
 	if d.rows != nil {
--- a/controlplane/configstore.go
+++ b/controlplane/configstore.go
@@ -14,9 +14,9 @@
 	"example.org/elmspan/versioned"
 )
 
-// configStore answers the operator's calls, and applies what is committed: a linearizable
-// compare and swap of one configuration. All fields are guarded by Core.mu, which is given up
-// while a large configuration is parsed, compared or encoded.
+// configStore serves the operators' calls and applies committed entries: a linearizable
+// compare-and-swap register that holds one configuration. All fields are guarded by Core.mu, which
+// is released while a large configuration is parsed, compared or encoded.
 type configStore struct {
 	cfg     *CoreConfig
 	mu      *sync.Mutex // Core.mu
@@ -27,13 +27,13 @@
 
 	casRegister
 	rows      *api.ConfigRows // the applied configuration as rows; nil: there is none yet
-	validated *configChange   // the last that an operator sent: it is often sent again
-	// checkedSnapshot is the one that was checked last, until it is installed.
+	validated *configChange   // the last validated change: operators often send it again
+	// checkedSnapshot is the last snapshot that was checked, until it is installed.
 	checkedSnapshot *decodedSnapshot
-	unreadableIndex uint64 // of the last snapshot that can't be read, to log it once
+	unreadableIndex uint64 // of the last unreadable snapshot, which is logged once
 }
 
-// Replace commits a configuration that replaces a given revision.
+// Replace commits a configuration that replaces a given revision; see [Core.Replace].
 func (s *configStore) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
 	change, err := s.validate(q)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return &r, nil
 }
 
-// Get reads the configuration, or another part of the state, as of after the call.
+// Get reads the configuration or another part of the state, linearizably; see [Core.Get].
 func (s *configStore) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
 	s.mu.Lock()
 	r := s.call(ctx, &pendingCall{get: true})
@@ -63,7 +63,7 @@
 	case q.Revision != 0:
 		r.Config, err = state.ConfigAt(q.Revision)
 		if errors.Is(err, ErrRevisionNotKept) {
-			reason := fmt.Sprintf("revision %d is not remembered; there are %v", q.Revision, state.Revisions())
+			reason := fmt.Sprintf("revision %d is not kept; those kept are %v", q.Revision, state.Revisions())
 			return &api.ControlResponse{Status: http.StatusNotFound, Reason: reason}, nil
 		}
 	default:
@@ -75,8 +75,8 @@
 	return &r, nil
 }
 
-// validate makes a received configuration a validated one, which can be proposed. Called
-// without the mutex, as a large one takes long to parse.
+// validate turns a received configuration into a validated change, which can be proposed. Called
+// without the mutex, because parsing a large configuration takes long.
 func (s *configStore) validate(q *api.ReplaceRequest) (*configChange, error) {
 	content := fingerprintOf(q.Config)
 	s.mu.Lock()
@@ -97,8 +97,8 @@
 	return change, nil
 }
 
-// call advances a call until it has its result or its context ends. Called under the
-// mutex, which it gives up while it waits.
+// call advances a call until it has a result or its context ends. Called with the mutex held,
+// which is released while the call waits.
 func (s *configStore) call(ctx context.Context, p *pendingCall) api.ControlResponse {
 	for {
 		if s.host.suspended && p.index == 0 {
@@ -134,13 +134,13 @@
 	}
 }
 
-// applyEntries applies committed entries, and publishes the newest configuration: of several at
-// once, as after a start, the last alone. Its rows are made before, with the mutex given up, and
-// the batch is applied in one step. An error means that the configuration can't be sent to
-// watchers; then nothing of the batch is applied.
+// applyEntries applies committed entries and publishes the newest configuration. If a batch has
+// several configurations, as after a start, only the last is published. Its rows are built first,
+// without the mutex; then the batch is applied in one step. An error means that the configuration
+// can't be sent to watchers; in that case no entry of the batch is applied.
 func (s *configStore) applyEntries(entries []raft.Entry) error {
 	committed, err := s.buildCommitted(entries)
-	if err != nil { // it was validated before it was proposed, by a member that could read it
+	if err != nil { // the member that proposed it could read it, as it validated it first
 		return err
 	}
 	for _, e := range entries {
@@ -153,9 +153,9 @@
 	return nil
 }
 
-// buildCommitted returns the configuration that entries make the newest, with its rows and how
-// they differ from those before; nil where they bring none. It gives the mutex up: nothing else
-// changes the state meanwhile, see raftHost.handling.
+// buildCommitted returns the newest configuration after the given entries, with its rows and their
+// difference from the previous rows; nil if the entries don't change the configuration. It
+// releases the mutex: nothing else changes the state meanwhile, see raftHost.handling.
 func (s *configStore) buildCommitted(entries []raft.Entry) (*configChange, error) {
 	state, before, tableRows, known := s.state, s.rows, s.watches.configs.Rows(), s.validated
 	s.mu.Unlock()
@@ -182,7 +182,7 @@
 	return committed, nil
 }
 
-// applyEntry applies one committed entry, and gives the call that proposed it its result.
+// applyEntry applies one committed entry, and sets the result of the call that proposed it.
 func (s *configStore) applyEntry(e raft.Entry) {
 	proposedHere := s.calls[e.Index] != nil
 	if s.apply(e) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// encodeSnapshot encodes the present state, with the mutex given up.
+// encodeSnapshot encodes the present state; the mutex is released meanwhile.
 func (s *configStore) encodeSnapshot() ([]byte, error) {
 	state := s.state
 	s.mu.Unlock()
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -20,26 +20,27 @@
 	tickInterval      = 50 * time.Millisecond
 	electionTicks     = 10 // 0.5 to 1 s without a leader
 	heartbeatTicks    = 2
-	joinIntervalTicks = 8 // between two requests of an isolated member to be added
+	joinIntervalTicks = 8 // between two rounds of join requests of an isolated member
 )
 
-// CoreConfig is what a member needs to begin.
+// CoreConfig configures a [Core].
 type CoreConfig struct {
 	Addr      string   // its own internal address
-	Seeds     []string // internal addresses; the first voters where Bootstrap is set
+	Seeds     []string // internal addresses; the initial voters if Bootstrap is set
 	Bootstrap bool     // the whole system starts for the first time
-	Voters    int      // wanted
+	Voters    int      // target number of voters
 	Store     Store
 	Conns     *api.ConnPool
 	Log       *slog.Logger
-	Seed      uint64 // of the election time-outs
-	// KnownMembers, where set, returns internal addresses at which the process knows of members by
-	// other ways than the log, as by discovery. A member that was not added yet asks these beside
-	// the seeds. It is called by any goroutine, without locks.
+	Seed      uint64 // of the random election time-outs
+	// KnownMembers, if set, returns internal addresses of members that the process knows from
+	// sources other than the log, such as discovery. A process that has not been added yet sends
+	// its join requests to these as well as to the seeds. It is called from any goroutine, without
+	// locks held.
 	KnownMembers func() []string
 }
 
-// Store keeps a member's durable state: a [storage.Store], which says what each error means.
+// Store keeps a member's durable state. [storage.Store] implements it and documents the errors.
 type Store interface {
 	Identity() (raft.ID, error)
 	Initialize(raft.ID, raft.Snapshot) error
@@ -48,12 +49,12 @@
 	Compact(raft.Snapshot) error
 }
 
-// Core is one member of the core. It joins the parts that do its work, each in a file of its
-// own with its own state; the package comment says how they work together. One mutex guards
-// them all, as what one step changes in several of them must be seen together.
+// Core is one member of the control plane. It connects the parts that do its work, each in its own
+// file with its own state; the package comment describes how they work together. One mutex guards
+// all of them: a step that changes several parts must appear atomic.
 type Core struct {
-	cfg CoreConfig // never changed
-	mu  sync.Mutex // guards all that follows
+	cfg CoreConfig // not changed after NewCore
+	mu  sync.Mutex // guards all fields below
 
 	lifecycle lifecycle
 	notify    notifier
@@ -67,23 +68,23 @@
 	endpoints endpointManager
 }
 
-// lifecycle is the time in which a member runs.
+// lifecycle holds the context and the goroutines of a running member.
 type lifecycle struct {
-	ctx   context.Context // of Run, nil before; set under Core.mu, and read without by tasks
+	ctx   context.Context // of Run, nil before; set under Core.mu, read without it by tasks
 	tasks sync.WaitGroup  // goroutines that end with ctx; Run waits for them
 }
 
 // ended reports whether Run's context has ended.
 func (l *lifecycle) ended() bool { return l.ctx != nil && l.ctx.Err() != nil }
 
-// BootstrapID is the id of a first voter: all derive it from its address.
+// BootstrapID returns the id of an initial voter, which every member derives from its address.
 func BootstrapID(addr string) raft.ID {
 	return raft.ID(xxhash.Sum64String("bootstrap/"+addr) | 1)
 }
 
-// NewCore opens the state on disk, or begins one: as a first voter where the whole system
-// starts for the first time, else under a new id, without a vote until the others have added
-// it. A snapshot that can't be read is [storage.ErrCorrupt].
+// NewCore opens the state on disk, or initializes an empty store: as an initial voter if the
+// whole system starts for the first time, otherwise under a new id and without a vote until the
+// members have added it. The error for an unreadable snapshot is [storage.ErrCorrupt].
 func NewCore(cfg CoreConfig) (*Core, error) {
 	id, err := openIdentity(&cfg)
 	if err != nil {
@@ -114,7 +115,7 @@
 	return c, nil
 }
 
-// openIdentity returns the id in the store, and begins an empty store with a new one.
+// openIdentity returns the id in the store, and initializes an empty store with a new one.
 func openIdentity(cfg *CoreConfig) (raft.ID, error) {
 	id, err := cfg.Store.Identity()
 	if err != nil || id != 0 {
@@ -126,14 +127,14 @@
 			first.Members = append(first.Members, raft.Member{ID: BootstrapID(addr), Addr: addr, Voter: true})
 		}
 	}
-	id = raft.ID(rand.Uint64() &^ 1) // even: never that of a first voter
+	id = raft.ID(rand.Uint64() &^ 1) // even: never the id of an initial voter
 	if cfg.Bootstrap && slices.Contains(cfg.Seeds, cfg.Addr) {
 		id = BootstrapID(cfg.Addr)
 	}
 	return id, cfg.Store.Initialize(id, first)
 }
 
-// connectParts gives each part those that it works with.
+// connectParts gives each part references to the parts that it uses.
 func (c *Core) connectParts() {
 	c.notify = newNotifier()
 	c.host = raftHost{
@@ -163,7 +164,8 @@
 	c.endpoints = endpointManager{cfg: &c.cfg, mu: &c.mu, host: &c.host, notify: &c.notify}
 }
 
-// roleChangedTo adapts the parts to another role or leader. Called under the mutex.
+// roleChangedTo updates the parts after a change of the role or the leader. Called with the mutex
+// held.
 func (c *Core) roleChangedTo(role raft.Role) {
 	c.transport.dropReassemblies()
 	if role == raft.Leader {
@@ -171,9 +173,9 @@
 	}
 }
 
-// Run takes part until the context ends; then it hands leadership on. Where the store loses
-// something meanwhile it returns [storage.ErrCorrupt] at once: the member must not go on, as it
-// can't know what it has acknowledged, and one with a new id begins in its place.
+// Run runs the member until the context ends; then it steps down. If the store loses acknowledged
+// data, Run returns [storage.ErrCorrupt] at once: the member can't know what it has acknowledged,
+// so it must not continue, and a member with a new id has to replace it.
 func (c *Core) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -202,7 +204,7 @@
 	}
 }
 
-// runTick lets one tick pass in all parts. An error ends Run.
+// runTick advances all parts by one tick. An error ends Run.
 func (c *Core) runTick() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controlplane/delta.go
+++ b/controlplane/delta.go
@@ -10,7 +10,7 @@
 // maxDeltaBytes bounds a delta that is fetched in chunks.
 const maxDeltaBytes = 2 * api.MaxConfigBytes
 
-// newDelta is the delta from a version to a table's newest one, with its first chunk.
+// newDelta returns the first chunk of the delta from a version to the newest version of a table.
 func newDelta(t *versioned.Table, from uint64) (*api.EncodedDelta, error) {
 	b, err := t.DeltaSince(from)
 	if err != nil {
@@ -20,9 +20,9 @@
 	return &api.EncodedDelta{From: b.From, To: b.To, Size: len(b.Data), Data: first}, nil
 }
 
-// FetchDelta returns all of a delta whose first chunk has come. The others are fetched one after
-// the other; table is api.ConfigTable or api.ServerTable. It returns [ErrDeltaUnavailable] where the
-// member has it no more.
+// FetchDelta returns a complete delta, given its first chunk. It fetches the other chunks one
+// after the other; table is api.ConfigTable or api.ServerTable. It returns [ErrDeltaUnavailable] if
+// the member no longer has the delta.
 func FetchDelta(ctx context.Context, first *api.EncodedDelta,
 	fetch func(context.Context, *api.FetchRequest) (*api.Chunk, error), table uint8,
 ) ([]byte, error) {
--- a/controlplane/endpointlist.go
+++ b/controlplane/endpointlist.go
@@ -8,18 +8,18 @@
 	"example.org/elmspan/versioned"
 )
 
-// endpointList is the list of servers at one member: the leader's own, made of the platform's
-// answers, or what the leader sent. A new leader goes on with what the one before sent it: its
-// versions are higher, and what was seen draining or gone stays so (discovery.OneWayStates).
-// It does no I/O; in a Core it is guarded by Core.mu.
+// endpointList is the server list of one member. The leader builds it from the lists that the
+// platform returns; other members copy the leader's. A new leader continues with its copy from the
+// previous leader: the versions keep increasing, and a server that was seen draining or removed
+// stays so (discovery.OneWayStates). It does no I/O; in a Core it is guarded by Core.mu.
 type endpointList struct {
-	endpoints discovery.EndpointList // of the platform's answers, at the leader
-	table     versioned.Table        // the list, as it is sent
-	start     time.Time              // when this member's clock of the table began
-	skew      float64                // ms of the table's clock, which is the first leader's, against this member's
+	endpoints discovery.EndpointList // the merged lists of the platform, on the leader
+	table     versioned.Table        // the list as it is sent
+	start     time.Time              // zero point of this member's clock for the table
+	skew      float64                // table's clock (that of the first leader) minus this member's, in ms
 }
 
-// clockMs is the time on the table's clock.
+// clockMs returns the time on the table's clock, in milliseconds.
 func (l *endpointList) clockMs() float64 {
 	if l.start.IsZero() {
 		l.start = time.Now()
@@ -27,22 +27,23 @@
 	return float64(time.Since(l.start))/float64(time.Millisecond) + l.skew
 }
 
-// becomeLeader has this member go on with what it was sent as a follower.
+// becomeLeader rebuilds the endpoints from the table that this member received as a follower.
 func (l *endpointList) becomeLeader() {
 	l.endpoints = discovery.EndpointList{}
 	for id, row := range l.table.Rows() {
-		// At the beginning of the table's clock, so that until when a server is slow stays
-		// what it was: else each row would change, and limiters be sent the complete list.
+		// Parsed as of time 0 of the table's clock, so that the end of each slow start stays the
+		// same: otherwise every row would change, and limiters would be sent the complete list.
 		if s, err := api.ParseServerRow(id, row, 0); err == nil {
 			l.endpoints.Add(s, s.WarmupMs)
 		}
 	}
 }
 
-// merge merges the platform's answer into the list, in a term of this leader. changed: watchers are to be notified;
-// uncertain: another answer is wanted soon.
-func (l *endpointList) merge(term uint64, servers []api.Server) (changed, uncertain bool, err error) {
-	changed, uncertain = l.endpoints.Merge(l.clockMs(), servers)
+// merge merges a server list of the platform into the list, in a term of this leader. changed: the
+// list has changed, so watchers must be notified; uncertain: a server is missing for the first
+// time, so the platform should be asked again soon.
+func (l *endpointList) merge(term uint64, list []api.Server) (changed, uncertain bool, err error) {
+	changed, uncertain = l.endpoints.Merge(l.clockMs(), list)
 	if !changed && l.table.Version() != 0 {
 		return false, uncertain, nil
 	}
@@ -56,7 +57,8 @@
 	return true, uncertain, nil
 }
 
-// applyDelta applies what the leader sent; clockMs was the time on its clock then.
+// applyDelta applies a delta from the leader; clockMs was the leader's time on the table's clock
+// when it sent the delta.
 func (l *endpointList) applyDelta(delta *versioned.DeltaReader, clockMs float64) error {
 	rows, err := delta.ApplyTo(l.table.Version(), l.table.Rows())
 	if err != nil {
--- a/controlplane/endpoints.go
+++ b/controlplane/endpoints.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	endpointWatchWait  = 1500 * time.Millisecond // of one watch of a follower at the leader
+	endpointWatchWait  = 1500 * time.Millisecond // how long the leader may hold a follower's watch
 	endpointRetryDelay = 60 * time.Millisecond
 )
 
-// endpointManager keeps the list of servers at one member: the leader's is made of the
-// platform's answers, the others' follow the leader's by watches. All fields are guarded by
-// Core.mu, which is given up during calls.
+// endpointManager maintains the server list of one member: the leader merges the lists that the
+// platform returns, the other members watch the leader's. All fields are guarded by Core.mu, which
+// is released during calls.
 type endpointManager struct {
 	cfg    *CoreConfig
 	mu     *sync.Mutex // Core.mu
@@ -28,15 +28,14 @@
 	servers endpointList
 }
 
-// SetServers merges the platform's answer into the list, where this member leads. changed: it changed the
-// list; uncertain: another answer is wanted soon.
-func (m *endpointManager) SetServers(servers []api.Server) (changed, uncertain bool) {
+// SetServers merges a server list of the platform into the list; see [Core.SetServers].
+func (m *endpointManager) SetServers(list []api.Server) (changed, uncertain bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.host.leads() {
 		return false, false
 	}
-	changed, uncertain, err := m.servers.merge(m.host.node.Term(), servers)
+	changed, uncertain, err := m.servers.merge(m.host.node.Term(), list)
 	if err != nil {
 		m.cfg.Log.Error("server list encoding failed", "error", err)
 	}
@@ -46,7 +45,7 @@
 	return changed, uncertain
 }
 
-// follow keeps the leader's list at a member that does not lead, until the context ends.
+// follow copies the leader's list while this member does not lead, until the context ends.
 func (m *endpointManager) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
@@ -61,7 +60,7 @@
 	}
 }
 
-// followOnce makes one watch at the leader, and reports whether the next may follow at once.
+// followOnce watches the leader's list once, and reports whether the next watch may follow at once.
 func (m *endpointManager) followOnce(ctx context.Context, addr string, version uint64) bool {
 	conn, err := m.cfg.Conns.Conn(addr)
 	if err != nil {
@@ -71,7 +70,7 @@
 	defer cancel()
 	r, err := api.CallWatch(call, conn, &api.WatchRequest{
 		Name:           "core",
-		Revision:       math.MaxUint64, // its own log brings it the configurations
+		Revision:       math.MaxUint64, // none wanted: configurations arrive through the log
 		ServersVersion: version,
 		WaitMs:         endpointWatchWait.Milliseconds(),
 	})
@@ -94,8 +93,8 @@
 	return m.applyDelta(data, r.ClockMs)
 }
 
-// applyDelta applies what the leader sent to the list. Where it doesn't fit, the list begins anew, so that
-// the next watch asks for the complete one.
+// applyDelta applies a delta from the leader to the list. If that fails, the list is reset, so that
+// the next watch requests the complete list.
 func (m *endpointManager) applyDelta(data []byte, clockMs float64) bool {
 	delta, err := versioned.OpenDelta(data)
 	if err == nil {
--- a/controlplane/export.go
+++ b/controlplane/export.go
@@ -11,14 +11,14 @@
 	"example.org/elmspan/api"
 )
 
-// An export is the state in one file: a line that names the format and its version, the
-// CRC-32 (IEEE, big endian) of what follows, the state in CBOR.
+// An export is the state in one file: a line with the format and its version, the CRC-32 (IEEE,
+// big endian) of the rest, and the state in CBOR.
 const (
 	exportMagic      = "elmspan state 1\n"
 	exportHeaderSize = len(exportMagic) + crc32.Size
 )
 
-// Export encodes a state as an export.
+// Export encodes a state as an export file.
 func Export(s *State) ([]byte, error) {
 	body, err := cbor.Marshal(s)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return append(file, body...), nil
 }
 
-// Import decodes an export and checks all of it, down to the newest configuration. Whatever
-// is wrong with it is an [ErrInvalidExport].
+// Import decodes an export file and validates it completely, including the newest configuration.
+// Every error is an [ErrInvalidExport].
 func Import(file []byte) (*State, error) {
 	body, err := exportBody(file)
 	if err != nil {
@@ -53,7 +53,7 @@
 		return nil, invalidExport(err)
 	}
 	if parsed.Revision != s.Revision {
-		return nil, fmt.Errorf("%w: revision %d holds a configuration of revision %d",
+		return nil, fmt.Errorf("%w: the state has revision %d, but its configuration has revision %d",
 			ErrInvalidExport, s.Revision, parsed.Revision)
 	}
 	if err := s.validateApplied(config); err != nil {
@@ -66,28 +66,28 @@
 	return fmt.Errorf("%w: %w", ErrInvalidExport, cause)
 }
 
-// exportBody checks the header of an export, and returns what follows it.
+// exportBody checks the header of an export file, and returns the rest.
 func exportBody(file []byte) ([]byte, error) {
 	if len(file) < exportHeaderSize || !bytes.HasPrefix(file, []byte(exportMagic)) {
 		return nil, ErrInvalidExport
 	}
 	body := file[exportHeaderSize:]
 	if binary.BigEndian.Uint32(file[len(exportMagic):]) != crc32.ChecksumIEEE(body) {
-		return nil, fmt.Errorf("%w: its checksum is wrong", ErrInvalidExport)
+		return nil, fmt.Errorf("%w: checksum mismatch", ErrInvalidExport)
 	}
 	return body, nil
 }
 
-// validateApplied returns what is wrong with the revisions that are remembered, if anything:
-// members that start with them decide by them about commands that are sent again.
+// validateApplied returns an error if the remembered revisions are inconsistent: a restored member
+// uses them to recognise commands that are sent again.
 func (s *State) validateApplied(newestConfig []byte) error {
 	if len(s.Applied) > maxAppliedRevisions {
-		return fmt.Errorf("%d revisions are remembered, at most %d can be", len(s.Applied), maxAppliedRevisions)
+		return fmt.Errorf("%d revisions are remembered, the maximum is %d", len(s.Applied), maxAppliedRevisions)
 	}
 	last := s.oldestRemembered() - 1
 	for _, a := range s.Applied {
 		if a.Revision <= last {
-			return fmt.Errorf("revision %d is remembered after %d", a.Revision, last)
+			return fmt.Errorf("remembered revision %d is not higher than %d", a.Revision, last)
 		}
 		last = a.Revision
 	}
@@ -96,7 +96,7 @@
 	}
 	newest := s.Applied[len(s.Applied)-1]
 	if newest.Revision != s.Revision || !newest.matches(fingerprintOf(newestConfig)) {
-		return fmt.Errorf("revision %d is not the newest one that is remembered", s.Revision)
+		return fmt.Errorf("the newest remembered revision does not match the configuration of revision %d", s.Revision)
 	}
 	return nil
 }
--- a/controlplane/fingerprint.go
+++ b/controlplane/fingerprint.go
@@ -6,16 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fingerprint identifies the bytes of a configuration as they were sent. With the revision
-// it is the idempotency key of a replace command: a command that is sent again has both.
+// fingerprint identifies the bytes of a configuration as they were sent. Together with the revision
+// it is the idempotency key of a replace command: a command that is sent again has the same two.
 type fingerprint struct {
-	// Hash is the XXH64, which anybody can make collide. Members of a version without
-	// digests compare it, so it is stored as long as there may be any.
+	// Hash is the XXH64, for which anybody can construct collisions. Members that run a version
+	// without digests compare it, so it is stored as long as there may be such members.
 	Hash uint64 `cbor:"2,keyasint"`
-	// Digest is the first half of the SHA-256. Nobody can find other bytes with the digest of
-	// a command that another operator sent; an operator who makes two commands of one digest,
-	// in 2^64 trials, deceives only themselves. All zero: unknown, as it comes from an entry
-	// or a snapshot of a member without digests.
+	// Digest is the first half of the SHA-256. Nobody can find other bytes with the digest of a
+	// command that another operator sent. An operator can construct two commands with the same
+	// digest in 2^64 trials, but harms only themselves. All zero: unknown, because it comes from
+	// an entry or a snapshot of a member that runs a version without digests.
 	Digest [digestSize]byte `cbor:"3,keyasint"`
 }
 
@@ -30,7 +30,8 @@
 	}
 }
 
-// matches reports whether two fingerprints are of the same bytes.
+// matches reports whether two fingerprints identify the same bytes. If either has no digest, the
+// hashes decide.
 func (f fingerprint) matches(other fingerprint) bool {
 	var unknown [digestSize]byte
 	if f.Digest == unknown || other.Digest == unknown {
--- a/controlplane/host.go
+++ b/controlplane/host.go
@@ -10,20 +10,21 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// stateMachine is what committed entries and snapshots are applied to. Its methods are called
-// under Core.mu; applyEntries, installSnapshot and encodeSnapshot give it up meanwhile.
+// stateMachine is the state machine that committed entries and snapshots are applied to. Its
+// methods are called with Core.mu held, and release it while they decode, build or encode.
 type stateMachine interface {
-	// applyEntries applies committed entries in one step, or none of them.
+	// applyEntries applies all given committed entries in one step, or after an error none.
 	applyEntries([]raft.Entry) error
-	// installSnapshot replaces the state by that of a snapshot which was checked before.
+	// installSnapshot replaces the state by that of a snapshot that was checked before.
 	installSnapshot(*raft.Snapshot) error
 	// encodeSnapshot encodes the present state.
 	encodeSnapshot() ([]byte, error)
 }
 
-// raftHost drives a [raft.Node], which does no I/O of its own: it lets time pass, stores what
-// must be stored, then sends, then applies. All fields are guarded by Core.mu, which is given
-// up while the disk writes, so that heartbeats, watches and leases don't wait for it.
+// raftHost drives a [raft.Node], which does no I/O of its own: it ticks the node, stores what the
+// node has ready, then sends messages, then applies committed entries. All fields are guarded by
+// Core.mu, which is released during disk writes, so that heartbeats, watches and leases don't wait
+// for the disk.
 type raftHost struct {
 	cfg          *CoreConfig
 	mu           *sync.Mutex // Core.mu
@@ -37,32 +38,32 @@
 	id   raft.ID
 	node *raft.Node
 	disk diskMonitor
-	// handling: a goroutine handles what the node has ready, one batch after the other. Nothing
-	// else changes the applied state, or what the node counts as stored and applied.
+	// handling: a goroutine is processing the batches that the node has ready. Nothing else changes
+	// the applied state, or what the node counts as stored and applied.
 	handling bool
-	// pendingMessages are sent once what they acknowledge is on disk.
+	// pendingMessages are sent once the entries and votes that they acknowledge are on disk.
 	pendingMessages []raft.Message
-	// suspended: nothing is acknowledged or answered, as the disk takes no writes or, where
-	// stopReason says why, as this member can't go on.
+	// suspended: this member acknowledges and answers nothing, because a disk write failed or
+	// stalled or, if stopReason is set, because it has stopped for good.
 	suspended        bool
-	stopReason       string // why this member stopped serving for good; empty: it serves
-	lostDurability   error  // the store lost what was acknowledged: Run returns it
+	stopReason       string // why this member has stopped serving for good; empty: it has not
+	lostDurability   error  // set when the store has lost acknowledged data; returned by Run
 	role             raft.Role
 	leader           raft.ID
 	confirmedRound   uint64 // read index round that readers were last notified of
-	rejectedReported uint64 // rejected snapshots that were logged
+	rejectedReported uint64 // number of rejected snapshots that were logged
 }
 
-// hexID is an id as logs and the status show it.
+// hexID formats an id for logs and the status.
 func hexID(id raft.ID) string { return fmt.Sprintf("%x", uint64(id)) }
 
-// leads reports whether this member leads and may answer.
+// leads reports whether this member is the leader and is not suspended.
 func (h *raftHost) leads() bool { return h.node.Role() == raft.Leader && !h.suspended }
 
 // stopped reports whether this member has stopped serving for good.
 func (h *raftHost) stopped() bool { return h.stopReason != "" }
 
-// leaderAddr is the address of the leader, empty where none is known.
+// leaderAddr returns the address of the leader, empty if none is known.
 func (h *raftHost) leaderAddr() string {
 	for _, m := range h.node.Members() {
 		if m.ID == h.node.Leader() {
@@ -72,7 +73,7 @@
 	return ""
 }
 
-// memberAddrs are the addresses of the present members.
+// memberAddrs returns the addresses of the present members.
 func (h *raftHost) memberAddrs() []string {
 	var out []string
 	for _, m := range h.node.Members() {
@@ -81,16 +82,16 @@
 	return out
 }
 
-// isolated reports whether no leader is known, or this process is no member.
+// isolated reports whether no leader is known or this process is not a member.
 func (h *raftHost) isolated() bool { return h.node.Leader() == 0 || !h.isMember() }
 
-// isMember reports whether this process is a member, as far as its log says.
+// isMember reports whether this process is a member according to its own log.
 func (h *raftHost) isMember() bool {
 	return slices.ContainsFunc(h.node.Members(), func(m raft.Member) bool { return m.ID == h.id })
 }
 
-// tick lets one tick pass. Only a leader's node is ticked while a write is in flight: a candidate
-// would begin another election before its vote for itself is stored.
+// tick advances the node by one tick. While a write is in flight only a leader's node is ticked: a
+// candidate could start another election before its vote for itself is stored.
 func (h *raftHost) tick() {
 	if h.disk.tick() {
 		h.cfg.Log.Error("disk stalled, member suspended")
@@ -104,8 +105,8 @@
 	}
 }
 
-// handleReady handles what the node has ready. It is called after each tick, message, proposal
-// and heartbeat. Messages alone are sent at once; what must be stored or applied is left to a
+// handleReady processes what the node has ready. It is called after each tick, message, proposal
+// and heartbeat. A Ready with messages only is sent at once; storing and applying is left to a
 // goroutine, see [raftHost.handleBatches].
 func (h *raftHost) handleReady() {
 	if !h.stopped() && h.node.LostDurability() {
@@ -129,7 +130,7 @@
 			h.node.Advance(ready)
 			continue
 		}
-		if h.lifecycle.ctx == nil { // before Run there are no goroutines
+		if h.lifecycle.ctx == nil { // before Run no goroutine may be started
 			h.handleBatches()
 			return
 		}
@@ -141,7 +142,7 @@
 	}
 }
 
-// startHandling starts the goroutine that handles what the node has ready.
+// startHandling starts the goroutine that runs handleBatches.
 func (h *raftHost) startHandling() {
 	h.handling = true
 	h.lifecycle.tasks.Go(func() {
@@ -151,8 +152,8 @@
 	})
 }
 
-// handleBatches handles what the node has ready, one batch after the other, until there is
-// nothing more or the disk fails.
+// handleBatches processes what the node has ready, one batch after the other, until nothing is
+// left or a disk write fails.
 func (h *raftHost) handleBatches() {
 	h.handling = true
 	for !h.stopped() {
@@ -173,9 +174,9 @@
 	}
 }
 
-// sendUnrestricted sends of a Ready those messages that acknowledge nothing which is not on
-// disk yet; the others wait until what comes with them is. A leader's own messages are
-// unrestricted: it counts toward a majority only what it has stored itself.
+// sendUnrestricted sends the messages of a Ready that acknowledge only data already on disk; the
+// others become pendingMessages until their data is stored. A leader's messages are unrestricted:
+// it counts its own copy toward a majority only once it has stored it.
 func (h *raftHost) sendUnrestricted(ready *raft.Ready) {
 	unsaved := ready.HardState != nil || ready.Snapshot != nil
 	for _, m := range ready.Messages {
@@ -190,17 +191,17 @@
 	h.node.Advance(raft.Ready{Messages: ready.Messages})
 }
 
-// persistAndApply handles one batch. The order matters: first the batch is on disk, then the
-// messages go out that acknowledge it, then it is installed and applied. It reports whether the
-// next batch may follow.
+// persistAndApply processes one batch. The order matters: first the batch is written to disk, then
+// the messages that acknowledge it are sent, then its snapshot is installed and its committed
+// entries are applied. It reports whether the next batch may follow.
 func (h *raftHost) persistAndApply(ready raft.Ready) bool {
 	h.sendUnrestricted(&ready)
-	due := h.pendingMessages // all that they acknowledge is on disk once this batch is
+	due := h.pendingMessages // may be sent once this batch is on disk
 	h.pendingMessages = nil
 	if ready.MustSync() {
 		if err := h.writeToDisk(func() error { return h.cfg.Store.Save(ready) }); err != nil {
 			h.handleWriteError(err, due)
-			return false // the next tick tries again; nothing has gone out
+			return false // the next tick retries; no acknowledgement was sent
 		}
 	}
 	if h.suspended {
@@ -228,8 +229,8 @@
 	return true
 }
 
-// handleWriteError suspends this member until a write succeeds, and keeps the messages that wait
-// for it. A store that has lost what was acknowledged stops the member for good.
+// handleWriteError suspends this member until a write succeeds, and keeps the messages that depend
+// on the write. If the store has lost acknowledged data, the member is stopped for good.
 func (h *raftHost) handleWriteError(err error, due []raft.Message) {
 	if h.checkLostDurability(err) {
 		return
@@ -242,8 +243,8 @@
 	h.node.StepDown()
 }
 
-// writeToDisk waits for the disk with the mutex given up. A member whose disk keeps it waiting
-// for longer than an election takes is suspended meanwhile.
+// writeToDisk runs a disk write with the mutex released. If the write takes stallTicks or longer,
+// the member is suspended until it returns.
 func (h *raftHost) writeToDisk(write func() error) error {
 	h.disk.begin()
 	h.mu.Unlock()
@@ -256,7 +257,8 @@
 	return err
 }
 
-// compact cuts the log behind a snapshot, and reports whether one could be made.
+// compact takes a snapshot and compacts the log up to it. It reports whether the snapshot could be
+// encoded.
 func (h *raftHost) compact() bool {
 	index := h.node.AppliedIndex()
 	data, err := h.stateMachine.encodeSnapshot()
@@ -273,7 +275,8 @@
 	return true
 }
 
-// publishProgress notifies those who wait of a changed role and of confirmed read indexes.
+// publishProgress notifies waiting goroutines of a changed role or leader and of confirmed read
+// indexes.
 func (h *raftHost) publishProgress() {
 	if rejected := h.node.RejectedSnapshots(); rejected != h.rejectedReported {
 		h.rejectedReported = rejected
@@ -291,15 +294,15 @@
 	}
 }
 
-// failStop stops a member for good that can't apply what the others committed: it must not
-// answer from an older state. Nothing is lost: its log stays as it is, for a program that can.
+// failStop stops this member for good because it can't apply committed data: it must not serve an
+// older state. Nothing is lost: its log stays as it is, for a program version that can apply it.
 func (h *raftHost) failStop(reason string, err error) {
 	h.cfg.Log.Error("member stopped, committed state is unreadable", "reason", reason, "error", err)
 	h.stopServing(reason, err)
 }
 
-// checkLostDurability stops this member for good if an error says that its store has lost what
-// was acknowledged, and reports whether it does.
+// checkLostDurability stops this member for good if an error means that its store has lost
+// acknowledged data. It reports whether that is so.
 func (h *raftHost) checkLostDurability(err error) bool {
 	if !errors.Is(err, storage.ErrCorrupt) {
 		return false
@@ -309,7 +312,7 @@
 	return true
 }
 
-// stopServing stops this member for good: it acknowledges and answers nothing any more.
+// stopServing stops this member for good: it no longer acknowledges or answers anything.
 func (h *raftHost) stopServing(reason string, err error) {
 	h.stopReason = fmt.Sprintf("%s: %v", reason, err)
 	h.suspended = true
--- a/controlplane/joiner.go
+++ b/controlplane/joiner.go
@@ -10,23 +10,23 @@
 	"example.org/elmspan/api"
 )
 
-// maxJoinCalls bounds the calls of one round, whatever addresses the answers name.
+// maxJoinCalls bounds the calls of one round, however many addresses the responses name.
 const maxJoinCalls = 24
 
-// joiner has this process added to the control plane. A machine with an empty disk knows no
-// member but by the addresses that it is configured with, and none of these need lead, nor be a
-// member any more: what an answer says of the leader is followed. The fields up to busy are set
-// before Run and not changed; busy is guarded by Core.mu, which is given up during calls.
+// joiner sends join requests until this process has been added to the control plane. A machine with
+// an empty disk only knows its configured addresses, and none of these has to be the leader or even
+// still a member: the joiner also calls the leaders that the responses name. The fields before busy
+// are set before Run and not changed; busy is guarded by Core.mu, which is released during calls.
 type joiner struct {
 	cfg       *CoreConfig
 	mu        *sync.Mutex // Core.mu
 	lifecycle *lifecycle
 	host      *raftHost
 
-	busy bool // a round is under way
+	busy bool // a round is in progress
 }
 
-// begin starts a round of calls, unless one is under way. Called under the mutex.
+// begin starts a round of calls, unless one is in progress. Called with the mutex held.
 func (j *joiner) begin() {
 	if j.busy {
 		return
@@ -41,23 +41,23 @@
 	})
 }
 
-// runRound asks all that are known to add this member, then those that the answers name, until one
-// has done it or there is nobody left to ask. The calls of a wave are made side by side: a
-// machine that does not answer costs the others no time.
+// runRound sends join requests to all known addresses, then to those that the responses name, until
+// one is accepted or no address is left. The calls of a wave are concurrent, so that a machine that
+// does not respond doesn't delay the others.
 func (j *joiner) runRound(ctx context.Context, candidates *joinCandidates) {
 	if j.cfg.KnownMembers != nil {
-		candidates.add(j.cfg.KnownMembers()...) // without the mutex, as it takes locks of its own
+		candidates.add(j.cfg.KnownMembers()...) // without the mutex: KnownMembers acquires other locks
 	}
 	var rejections []string
 	for wave := candidates.next(); len(wave) > 0; wave = candidates.next() {
-		for i, answer := range j.callAll(ctx, wave) {
-			if answer.accepted() {
+		for i, result := range j.callAll(ctx, wave) {
+			if result.accepted() {
 				return
 			}
-			if answer.err == nil {
-				candidates.add(answer.response.Leader)
+			if result.err == nil {
+				candidates.add(result.response.Leader)
 			}
-			rejections = append(rejections, wave[i]+": "+answer.String())
+			rejections = append(rejections, wave[i]+": "+result.String())
 		}
 	}
 	if ctx.Err() == nil && !j.isMember() {
@@ -65,18 +65,19 @@
 	}
 }
 
-// callAll asks several processes at once, and returns their answers in the same order.
+// callAll sends a join request to several processes at once, and returns the results in the same
+// order.
 func (j *joiner) callAll(ctx context.Context, addrs []string) []joinResult {
-	answers := make([]joinResult, len(addrs))
+	results := make([]joinResult, len(addrs))
 	var calls sync.WaitGroup
 	for i, addr := range addrs {
-		calls.Go(func() { answers[i] = j.call(ctx, addr) })
+		calls.Go(func() { results[i] = j.call(ctx, addr) })
 	}
 	calls.Wait()
-	return answers
+	return results
 }
 
-// call asks one process to add this member.
+// call sends a join request to one process.
 func (j *joiner) call(ctx context.Context, addr string) joinResult {
 	conn, err := j.cfg.Conns.Conn(addr)
 	if err != nil {
@@ -89,14 +90,14 @@
 	return joinResult{response: response, err: err}
 }
 
-// isMember reports whether this process has been added, as far as it knows.
+// isMember reports whether this process has been added, according to its own log.
 func (j *joiner) isMember() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.host.isMember()
 }
 
-// joinResult is what a process answered to a join request.
+// joinResult is the result of a join request to one process.
 type joinResult struct {
 	response *api.ControlResponse // nil after an error
 	err      error
@@ -104,7 +105,7 @@
 
 func (a joinResult) accepted() bool { return a.err == nil && a.response.Status == http.StatusOK }
 
-// String says in one line why this member was not added.
+// String returns in one line why this process was not added.
 func (a joinResult) String() string {
 	switch {
 	case a.err != nil:
@@ -112,17 +113,17 @@
 	case a.response.Reason != "":
 		return a.response.Reason
 	case a.response.Leader != "":
-		return "not the leader, which is " + a.response.Leader
+		return "not the leader; the leader is " + a.response.Leader
 	}
-	return fmt.Sprintf("status %d, knows no leader", a.response.Status)
+	return fmt.Sprintf("status %d, no leader known", a.response.Status)
 }
 
-// joinCandidates decides, in one round of join requests, who is asked next: each address once,
-// and never this process's own. It does no I/O.
+// joinCandidates decides which addresses are called next in one round of join requests: each
+// address once, and never this process's own. It does no I/O.
 type joinCandidates struct {
 	self      string
-	known     []string // in the order in which they became known
-	numCalled int      // the first so many of known were asked
+	known     []string // in the order in which they were added
+	numCalled int      // how many of known, from the beginning, were called
 }
 
 func newJoinCandidates(self string, sources ...[]string) *joinCandidates {
@@ -133,7 +134,7 @@
 	return c
 }
 
-// add takes in addresses; empty ones, and those that are known, are left out.
+// add adds addresses; empty and known ones are ignored.
 func (c *joinCandidates) add(addrs ...string) {
 	for _, addr := range addrs {
 		if addr != "" && addr != c.self && len(c.known) < maxJoinCalls && !slices.Contains(c.known, addr) {
@@ -142,7 +143,7 @@
 	}
 }
 
-// next returns those that were not asked yet, and counts them as asked.
+// next returns the addresses that were not called yet, and counts them as called.
 func (c *joinCandidates) next() []string {
 	wave := c.known[c.numCalled:]
 	c.numCalled = len(c.known)
--- a/controlplane/memberpolicy.go
+++ b/controlplane/memberpolicy.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// A voter that did not answer for replaceTicks gives its vote to a standby; a member
-	// without a vote is removed after removeTicks. A leader that is lost too must be replaced
-	// within the 4 s that a machine is given to be whole again: up to 1 s for the election, this
-	// time-out as its successor counts it, and the change.
+	// A voter that has not responded for replaceTicks loses its vote to a standby; a member
+	// without a vote is removed after removeTicks. A lost leader, too, must be replaced within the
+	// 4 s that are allowed for recovering from the loss of a machine: up to 1 s for the election,
+	// then this time-out, counted by the new leader, and the membership change.
 	replaceTicks = 40
 	removeTicks  = 1200
-	// A member counts as leaving for leavingTicks after it has said so.
+	// A member counts as leaving for leavingTicks after its last announcement.
 	leavingTicks = 20
 )
 
-// memberPolicy decides who is to vote. It does no I/O and counts time in ticks, so that a
-// simulation plays it as it is. In a Core it is guarded by Core.mu.
+// memberPolicy decides which members are voters. It does no I/O and counts time in ticks, so that
+// simulations run it unchanged. In a Core it is guarded by Core.mu.
 type memberPolicy struct {
-	voters  int // wanted
+	voters  int // target number of voters
 	ticks   int
-	leaving map[raft.ID]int // the tick until which a member counts as one that leaves
+	leaving map[raft.ID]int // the tick until which a member counts as leaving
 }
 
-// markLeaving notes that a member has said that it leaves.
+// markLeaving records that a member has announced that it leaves.
 func (p *memberPolicy) markLeaving(id raft.ID) {
 	if p.leaving == nil || len(p.leaving) > maxSenders {
 		p.leaving = map[raft.ID]int{}
@@ -33,40 +33,41 @@
 	p.leaving[id] = p.ticks + leavingTicks
 }
 
-// promotable reports that a member may be given a vote: it answered lately, has all that is
-// committed and doesn't leave.
+// promotable reports whether a member may become a voter: it has responded recently, has all
+// committed entries and isn't leaving.
 func (p *memberPolicy) promotable(n *raft.Node, id raft.ID) bool {
 	return n.TicksSinceResponse(id) < electionTicks && n.CaughtUp(id) && p.leaving[id] <= p.ticks
 }
 
-// hasStandby reports that a member without a vote is there, caught up or not.
+// hasStandby reports whether there is a responsive member without a vote, caught up or not.
 func (p *memberPolicy) hasStandby(n *raft.Node) bool {
 	return slices.ContainsFunc(n.Members(), func(m raft.Member) bool {
 		return !m.Voter && !m.Outgoing && n.TicksSinceResponse(m.ID) < electionTicks && p.leaving[m.ID] <= p.ticks
 	})
 }
 
-// demotionReason is why a voter is to lose its vote, the better reason the higher.
+// demotionReason is why a voter should lose its vote. Higher values take precedence.
 type demotionReason int
 
 const (
 	keepsVote demotionReason = iota
 	isLeaving
 	timedOut
-	isReplaced // its successor has joined from its address: its disk is lost
+	isReplaced // a later member has the same address: the disk of this one is lost
 )
 
-// timeout is for how many ticks a voter may give no answer. One that has not answered this
-// leader at all gave none when it was elected either: to count anew from each election
-// would let leaders that are lost one after the other put off its replacement.
+// timeout returns for how many ticks a voter may fail to respond. A voter that has never responded
+// to this leader gets a shorter time-out: it did not respond during the election either, and if
+// the full time-out restarted with each election, a series of lost leaders could postpone its
+// replacement.
 func (p *memberPolicy) timeout(n *raft.Node, id raft.ID) int {
-	if answered, _ := n.PeerResponse(id); !answered {
+	if responded, _ := n.PeerResponse(id); !responded {
 		return electionTicks
 	}
 	return replaceTicks
 }
 
-// demotion returns whether and why the member at index i is to lose its vote.
+// demotion returns whether and why the member at index i should lose its vote.
 func (p *memberPolicy) demotion(n *raft.Node, members []raft.Member, i int) demotionReason {
 	m := &members[i]
 	switch {
@@ -80,13 +81,14 @@
 	return keepsVote
 }
 
-// memberSummary is what the policy sees of the members. Indexes are into them, -1: none.
+// memberSummary is what the policy needs to know of the members. The indexes are positions in the
+// list of members; -1: none.
 type memberSummary struct {
 	voters     int
-	promote    int // the first that may be given a vote
-	demote     int // the voter with the best reason to lose its vote
-	lastVoter  int // the last that doesn't lead
-	removeNext int // a member without a vote that is to be removed
+	promote    int // the first member that may become a voter
+	demote     int // the voter with the strongest reason to lose its vote
+	lastVoter  int // the last voter that is not the leader
+	removeNext int // a member without a vote that should be removed
 }
 
 func (p *memberPolicy) summarize(n *raft.Node, members []raft.Member) memberSummary {
@@ -112,11 +114,11 @@
 	return s
 }
 
-// nextMembers are the members that the core should have, one change further, and the change in
-// a word; nil where nothing is to be changed, or nothing may be as yet. Wanted are so many
-// voters, of those that live; a vote goes to a standby in one decision with the loss of
-// another's. Where there is no standby, whoever timed out or leaves keeps its vote: with it gone
-// the others would bear no loss either, and its return would be none.
+// nextMembers returns the list of members after the next change, and a name of the change; nil if
+// no change is needed, or none is allowed yet. The target is the configured number of responsive
+// voters. A voter is demoted and a standby promoted in one decision. Without a standby, a voter
+// that timed out or is leaving keeps its vote: demoting it would not let the others tolerate one
+// more loss, and its return would no longer help.
 func (p *memberPolicy) nextMembers(n *raft.Node) (change string, next []raft.Member) {
 	if !n.HasCommittedInTerm() || n.MembershipChangePending() {
 		return "", nil
@@ -135,7 +137,7 @@
 	return "", nil
 }
 
-// nextVoters are the members with one vote given, taken or both.
+// nextVoters returns the members with one voter promoted, one demoted, or both.
 func (p *memberPolicy) nextVoters(n *raft.Node, members []raft.Member, s memberSummary) (string, []raft.Member) {
 	vote := func(i int, has bool) []raft.Member {
 		next := slices.Clone(members)
@@ -150,26 +152,26 @@
 		switch {
 		case n.SupportsJointConsensus(swapped):
 			return "swap", swapped
-		case tooMany: // some are of older versions: one more, then one less
-			return "take the vote", vote(s.demote, false)
+		case tooMany: // older versions lack joint consensus: promote first, then demote
+			return "demote voter", vote(s.demote, false)
 		}
-		return "give a vote", vote(s.promote, true)
+		return "promote to voter", vote(s.promote, true)
 	case s.promote >= 0 && s.voters < p.voters:
-		return "give a vote", vote(s.promote, true)
+		return "promote to voter", vote(s.promote, true)
 	case s.demote >= 0 && tooMany:
-		return "take the vote", vote(s.demote, false)
+		return "demote voter", vote(s.demote, false)
 	case tooMany && s.voters%2 == 0 && s.lastVoter >= 0:
-		return "take the vote", vote(s.lastVoter, false) // an even number bears no more than one less
+		// An even number of voters tolerates no more losses than one voter less.
+		return "demote voter", vote(s.lastVoter, false)
 	}
 	return "", nil
 }
 
-// withKnownVersions are the members with what their answers say of the changes that they
-// understand.
+// withKnownVersions returns the members with SupportsJoint updated from their last responses.
 func withKnownVersions(n *raft.Node, members []raft.Member) []raft.Member {
 	next := slices.Clone(members)
 	for i := range next {
-		if answered, joint := n.PeerResponse(next[i].ID); answered {
+		if responded, joint := n.PeerResponse(next[i].ID); responded {
 			next[i].SupportsJoint = joint
 		}
 	}
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -12,12 +12,12 @@
 	"example.org/elmspan/raft"
 )
 
-// leaveInterval is how often a member that leaves says so, as long as it is there.
+// leaveInterval is how often a leaving member announces it, until its process ends.
 const leaveInterval = 200 * time.Millisecond
 
-// memberManager adds members, replaces those that failed and lets go those that leave. Which
-// change is made is decided by memberPolicy. All fields are guarded by Core.mu, which is given up during
-// calls to other members.
+// memberManager adds members, replaces failed ones and handles those that leave. memberPolicy
+// decides which change to make. All fields are guarded by Core.mu, which is released during calls
+// to other members.
 type memberManager struct {
 	cfg       *CoreConfig
 	mu        *sync.Mutex // Core.mu
@@ -28,9 +28,8 @@
 	health voterHealth
 }
 
-// Join adds a process as a member, at first without a vote. One that is leaving is marked as such: it
-// is given no vote, and its vote goes to a standby. Status is 200, or 409 where a voter leaves
-// and there is no standby; 0 where this member doesn't lead.
+// Join adds a process as a member, at first without a vote, or marks a member as leaving: then it
+// gets no vote, and the vote that it has goes to a standby. See [Core.Join] for the status.
 func (m *memberManager) Join(_ context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,18 +56,18 @@
 	return &api.ControlResponse{Status: http.StatusOK}, nil
 }
 
-// handleLeaving marks a member as leaving, and replaces it as a voter where that can be.
+// handleLeaving marks a member as leaving, and replaces it as a voter if possible.
 func (m *memberManager) handleLeaving(id raft.ID) *api.ControlResponse {
 	m.policy.markLeaving(id)
 	m.reconcile()
 	node := m.host.node
 	if !node.MembershipChangePending() && !m.policy.hasStandby(node) && isVoter(node.Members(), id) {
-		return &api.ControlResponse{Status: http.StatusConflict, Reason: "no other member stands by"}
+		return &api.ControlResponse{Status: http.StatusConflict, Reason: "no standby to take over the vote"}
 	}
 	return &api.ControlResponse{Status: http.StatusOK}
 }
 
-// reconcile proposes the next change of members that the policy wants, where this member leads.
+// reconcile proposes the next membership change that the policy decides on, if this member leads.
 func (m *memberManager) reconcile() {
 	m.health.update(m.host.node, m.cfg.Log)
 	change, next := m.policy.nextMembers(m.host.node)
@@ -86,9 +85,7 @@
 	m.host.handleReady()
 }
 
-// Leave hands on what others count on before this process ends: its leadership, and its vote
-// where there is a standby. The member goes on taking part meanwhile, until Run's context
-// ends. The channel is closed once the others don't need it any more, or can't do without.
+// Leave starts to hand over leadership and vote before this process ends; see [Core.Leave].
 func (m *memberManager) Leave() <-chan struct{} {
 	done := make(chan struct{})
 	m.mu.Lock()
@@ -116,8 +113,8 @@
 	return done
 }
 
-// announceLeaving hands leadership on, or notifies the leader that this member leaves. done:
-// nothing more is to be waited for.
+// announceLeaving transfers leadership, or notifies the leader that this member is leaving. done:
+// there is nothing left to wait for.
 func (m *memberManager) announceLeaving(ctx context.Context) (done bool) {
 	m.TransferLeadership()
 	m.mu.Lock()
@@ -136,7 +133,7 @@
 	return !needed || err == nil && r.Status == http.StatusConflict
 }
 
-// leadsAlone reports whether this member leads and no other voter answers.
+// leadsAlone reports whether this member leads and no other voter responds.
 func (m *memberManager) leadsAlone() bool {
 	node := m.host.node
 	if node.Role() != raft.Leader {
@@ -150,7 +147,7 @@
 	return true
 }
 
-// TransferLeadership transfers leadership, where this member leads, as its process is about to end.
+// TransferLeadership transfers leadership to another member, if this member leads.
 func (m *memberManager) TransferLeadership() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/controlplane/memberselector.go
+++ b/controlplane/memberselector.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// preferredRetryAfter is when the member that this process watches first is watched
-	// again after it failed.
+	// preferredRetryAfter is how long after its failure the preferred member is watched again.
 	preferredRetryAfter = 10 * time.Second
-	// maxUnconfirmed bounds the members that are known by unconfirmed answers.
+	// maxUnconfirmed bounds the addresses known from responses without a lease.
 	maxUnconfirmed = 16
-	// roundsBeforeFallback: so many times each member fails before others are called.
+	// roundsBeforeFallback is how many times all members must fail before other addresses are
+	// used.
 	roundsBeforeFallback = 2
 )
 
-// memberSelector chooses the members that a client calls. The zero value knows of none.
+// memberSelector chooses the members that a client calls. The zero value knows no members.
 type memberSelector struct {
 	mu sync.Mutex // guards all fields
 
 	leader  string   // empty: unknown
 	members []string // in the order in which they are watched
-	// nextCandidate is which member is asked next who leads, modulo their number.
+	// nextCandidate is the index, modulo their number, of the member that was last called while
+	// the leader was unknown.
 	nextCandidate int
 
 	watched    int       // index of the member that is watched
-	switchedAt time.Time // when another one was chosen for a failure
-	failures   int       // of watches, since the members were set
+	switchedAt time.Time // when a failure last changed watched
+	failures   int       // failed watches since the members were replaced
 
-	fallbacks   []string // known from another source
-	unconfirmed []string // from answers without a lease, and former members; the latest last
-	// replacements is how often all members had failed and were replaced by others, since
-	// the members were set.
+	fallbacks   []string // known from another source, see Client.SetFallbacks
+	unconfirmed []string // from responses without a lease, and former members; newest last
+	// replacements is how often all members have failed since setMembers last set them.
 	replacements int
 }
 
@@ -50,23 +50,23 @@
 	}
 }
 
-// useMembers starts with the first of other members. Called under the mutex.
+// useMembers replaces the members and watches the first of them. Called with the mutex held.
 func (s *memberSelector) useMembers(members []string) {
 	s.members, s.watched, s.failures = members, 0, 0
 }
 
-// observeUnconfirmed takes in what a member said without a lease.
+// observeUnconfirmed records the leader and members of a response without a lease.
 func (s *memberSelector) observeUnconfirmed(leader string, members []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leader == "" {
-		s.leader = leader // a wrong one does no harm: it answers that it doesn't lead
+		s.leader = leader // harmless if wrong: that member responds that it doesn't lead
 	}
 	s.rememberUnconfirmed(members)
 }
 
-// rememberUnconfirmed keeps members that may be called when all others have failed. Called
-// under the mutex.
+// rememberUnconfirmed stores addresses that are used when all members have failed. Called with the
+// mutex held.
 func (s *memberSelector) rememberUnconfirmed(members []string) {
 	for _, addr := range members {
 		if !slices.Contains(s.unconfirmed, addr) {
@@ -83,8 +83,8 @@
 	s.fallbacks = slices.Clone(addrs)
 }
 
-// leaderCandidate returns the leader or, where it is unknown, each of the members in turn;
-// empty where there are none.
+// leaderCandidate returns the leader or, if it is unknown, each of the members in turn; empty if
+// there are none.
 func (s *memberSelector) leaderCandidate() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	return s.members[s.nextCandidate%len(s.members)]
 }
 
-// leaderFailed forgets a leader that does not answer.
+// leaderFailed resets the leader if it is the one that failed to respond.
 func (s *memberSelector) leaderFailed(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// watchMember returns the member to watch, empty where there is none.
+// watchMember returns the member to watch, empty if there is none.
 func (s *memberSelector) watchMember() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 	return s.members[s.watched]
 }
 
-// watchMemberFailed goes on to the next member, if it is the watched one that failed.
+// watchMemberFailed switches to the next member if the failed one is being watched.
 func (s *memberSelector) watchMemberFailed(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,8 +135,8 @@
 	}
 }
 
-// replaceMembers goes on to other members, as all have failed: in turn to those known from
-// another source and to the unconfirmed ones. Called under the mutex.
+// replaceMembers replaces the members, which have all failed, alternately by the fallbacks and by
+// the unconfirmed addresses. Called with the mutex held.
 func (s *memberSelector) replaceMembers() {
 	s.replacements++
 	next := s.fallbacks
@@ -152,7 +152,7 @@
 	s.rememberUnconfirmed(former)
 }
 
-// knownAddrs are all addresses of members that are known, whoever named them: the leader first, each once.
+// knownAddrs returns all known addresses from every source without duplicates, the leader first.
 func (s *memberSelector) knownAddrs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/controlplane/operatorapi.go
+++ b/controlplane/operatorapi.go
@@ -13,29 +13,28 @@
 )
 
 const (
-	// operatorTimeout bounds an operator's call, without the time in which its body comes:
-	// an operator gives up after a second.
+	// operatorTimeout bounds an operator's call, not counting the time to read its body. Operators
+	// give up after 1 s.
 	operatorTimeout = 850 * time.Millisecond
-	// bodySlotTimeout is how much of it may go by before there is a slot for a body. What is
-	// left is enough for the control plane.
+	// bodySlotTimeout is the part of operatorTimeout that may be spent waiting for a slot to read
+	// the body. The rest is enough for the control plane.
 	bodySlotTimeout = operatorTimeout / 2
-	// maxConcurrentBodies configurations are read at a time: they are the largest thing that
-	// a process holds for a caller.
+	// maxConcurrentBodies bounds the configurations that are read at a time: they are the largest
+	// objects that a process holds for a caller.
 	maxConcurrentBodies = 4
-	// bodyTimeout bounds the time in which a body comes.
+	// bodyTimeout bounds the time to read a body.
 	bodyTimeout = 10 * time.Second
-	// retryAfter is the Retry-After of an answer that the call may be made again, in seconds.
+	// retryAfter is the Retry-After header of responses with status 503, in seconds.
 	retryAfter = "0.2"
 )
 
-// operatorAPI serves the operator's interface: HTTP calls that a client passes on to the
-// leader.
+// operatorAPI serves the operator API: HTTP calls that the client forwards to the leader.
 type operatorAPI struct {
 	client *Client
-	bodies chan struct{} // holds an element for each body that is being read
+	bodies chan struct{} // semaphore: one element for each body that is being read
 }
 
-// Handler returns the operator's interface.
+// Handler returns the HTTP handler of the operator API.
 func (c *Client) Handler() http.Handler {
 	o := &operatorAPI{
 		client: c,
@@ -53,7 +52,7 @@
 func (o *operatorAPI) replaceConfig(w http.ResponseWriter, r *http.Request) {
 	base, err := strconv.ParseUint(r.Header.Get("Base-Revision"), 10, 64)
 	if err != nil {
-		http.Error(w, "Base-Revision: the number of the version that this one builds on is needed",
+		http.Error(w, "Base-Revision: the number of the revision to be replaced is required",
 			http.StatusBadRequest)
 		return
 	}
@@ -63,15 +62,15 @@
 		defer func() { <-o.bodies }()
 	case <-time.After(bodySlotTimeout):
 		w.Header().Set("Retry-After", retryAfter)
-		http.Error(w, "other configurations are being brought", http.StatusServiceUnavailable)
+		http.Error(w, "too many configurations are being uploaded", http.StatusServiceUnavailable)
 		return
 	}
 	remaining := operatorTimeout - time.Since(start)
-	// A recorder in a test has no deadline; a connection always has.
+	// The error is ignored: recorders in tests don't support deadlines, connections always do.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := readBody(http.MaxBytesReader(w, r.Body, api.MaxConfigBytes), r.ContentLength)
 	if err != nil {
-		http.Error(w, "the configuration can't be read whole: "+err.Error(), bodyErrorStatus(err))
+		http.Error(w, "reading the configuration failed: "+err.Error(), bodyErrorStatus(err))
 		return
 	}
 	o.respond(w, r, remaining, func(ctx context.Context) api.ControlResponse {
@@ -79,8 +78,8 @@
 	})
 }
 
-// readBody reads a body. Where its length is known, all of it is allocated at once: to let a
-// buffer grow to a large configuration takes several times its memory.
+// readBody reads a body. If its length is known, the buffer is allocated at once: growing a buffer
+// to the size of a large configuration takes several times its memory.
 func readBody(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 || length > api.MaxConfigBytes {
 		return io.ReadAll(r)
@@ -90,7 +89,7 @@
 	return body, err
 }
 
-// bodyErrorStatus is the status of an answer to a body that could not be read.
+// bodyErrorStatus returns the status of the response to a body that could not be read.
 func bodyErrorStatus(err error) int {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -104,7 +103,7 @@
 	if text := r.URL.Query().Get("revision"); text != "" {
 		var err error
 		if request.Revision, err = strconv.ParseUint(text, 10, 64); err != nil || request.Revision == 0 {
-			http.Error(w, "revision: a version's number is needed", http.StatusBadRequest)
+			http.Error(w, "revision: a positive number is required", http.StatusBadRequest)
 			return
 		}
 	}
@@ -133,11 +132,11 @@
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(status) // a caller that is gone needs no answer
+	_ = encoder.Encode(status) // fails only if the caller has disconnected
 }
 
-// respond makes a call for an operator, and answers with its result. The call ends after a
-// time-out, and when the operator gives up.
+// respond makes a call for an operator, and writes its result as the response. The call is
+// cancelled after a time-out, and when the operator disconnects.
 func (o *operatorAPI) respond(
 	w http.ResponseWriter,
 	r *http.Request,
@@ -152,8 +151,8 @@
 	writeResult(w, &result)
 }
 
-// writeResult writes a result as an HTTP answer. A caller that is gone needs no answer, so
-// failures to write one are ignored.
+// writeResult writes a result as an HTTP response. Write errors are ignored: the caller has
+// disconnected.
 func writeResult(w http.ResponseWriter, result *api.ControlResponse) {
 	switch {
 	case result.Status == http.StatusOK && result.Versions != nil:
--- a/controlplane/readindex.go
+++ b/controlplane/readindex.go
@@ -10,15 +10,18 @@
 )
 
 const (
+	// readIndexTimeout bounds the wait for a read index, and the call to the leader for one.
 	readIndexTimeout = 700 * time.Millisecond
-	// readIndexInterval is how long read indexes are gathered for: all that are wanted within it
-	// share one round of heartbeats. Longer, and each read waits; shorter, and a leader sends more.
+	// readIndexInterval is the batching interval of read indexes: all reads within it share one
+	// round of heartbeats. A longer interval delays each read; with a shorter one a leader sends
+	// more heartbeats.
 	readIndexInterval = 25 * time.Millisecond
 )
 
-// readIndexBatcher confirms that what is answered here is the newest (Raft dissertation, 6.4).
-// A leader begins one round of heartbeats for all who wait; another member asks the leader once
-// for all who wait at it. All fields are guarded by Core.mu, which is given up while it waits.
+// readIndexBatcher confirms that this member may serve reads from its applied state, by read index
+// (Raft dissertation, 6.4). A leader starts one round of heartbeats for all waiting reads; another
+// member makes one call to the leader for all reads that wait at it. All fields are guarded by
+// Core.mu, which is released while a read waits.
 type readIndexBatcher struct {
 	cfg       *CoreConfig
 	mu        *sync.Mutex // Core.mu
@@ -29,34 +32,34 @@
 
 	heartbeatDue  bool // a round of heartbeats is scheduled, as leader
 	lastHeartbeat time.Time
-	next          *readIndexBatch // part of the next call to the leader
-	querying      bool            // a goroutine asks the leader
+	next          *readIndexBatch // for the next call to the leader; nil: no read waits for it
+	querying      bool            // a goroutine runs queryLeader
 }
 
-// readIndexBatch is one call to the leader for all who wait.
+// readIndexBatch is the reads that share one call to the leader.
 type readIndexBatch struct {
 	done     chan struct{}         // closed when the call is over
-	response api.ReadIndexResponse // of the leader; not OK where there was none
+	response api.ReadIndexResponse // of the leader; not OK if there was none
 }
 
-// waitState is what a condition that is waited for has come to.
+// waitState is the state of a condition that a caller waits for.
 type waitState int
 
 const (
 	waitPending waitState = iota
 	waitSucceeded
-	waitFailed // it can't hold any more
+	waitFailed // the condition can no longer become true
 )
 
-// scheduleHeartbeat has a leader begin a round of heartbeats within readIndexInterval: those
-// who come in the meantime share it.
+// scheduleHeartbeat schedules a round of heartbeats, which a leader starts within
+// readIndexInterval. Reads that arrive until then share the round.
 func (b *readIndexBatcher) scheduleHeartbeat() {
 	if b.heartbeatDue {
 		return
 	}
 	b.heartbeatDue = true
-	// Never due as it is made: in fake time such a one runs on the caller's thread, which
-	// crashes Go 1.26's race detector.
+	// At least 1 ns: with the fake clock of testing/synctest a timer that is due at once runs on
+	// the caller's thread, which crashes the race detector of Go 1.26.
 	time.AfterFunc(max(1, readIndexInterval-time.Since(b.lastHeartbeat)), func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -68,9 +71,9 @@
 	})
 }
 
-// confirmLeadership waits until a majority has answered a round of heartbeats that began after
-// this call: this member led then, and all that was acknowledged before is committed up to
-// index. Called under the mutex.
+// confirmLeadership waits until a majority has responded to a round of heartbeats that began after
+// this call. Then this member was the leader at that time, and every entry acknowledged before the
+// call is committed at or below index. Called with the mutex held.
 func (b *readIndexBatcher) confirmLeadership(ctx context.Context) (index uint64, ok bool) {
 	node := b.host.node
 	round, term := node.NextReadIndexRound(), node.Term()
@@ -87,8 +90,8 @@
 	return node.CommitIndex(), ok
 }
 
-// waitFor waits until a condition holds, can't hold any more or takes too long. Called under
-// the mutex, as the condition is.
+// waitFor waits until a condition succeeds, fails or takes longer than readIndexTimeout. It is
+// called, and calls the condition, with the mutex held.
 func (b *readIndexBatcher) waitFor(ctx context.Context, condition func() waitState) bool {
 	timeout := time.NewTimer(readIndexTimeout)
 	defer timeout.Stop()
@@ -118,7 +121,7 @@
 	}
 }
 
-// ReadIndex answers a member that asks for those who wait at it.
+// ReadIndex returns a read index to another member, for all reads that wait there.
 func (b *readIndexBatcher) ReadIndex(ctx context.Context, _ *api.Empty) (*api.ReadIndexResponse, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -138,12 +141,12 @@
 	}, nil
 }
 
-// confirmRead waits until it is sure that all that was acknowledged before this call is applied
-// here, and that the list of servers is the leader's. Called under the mutex.
+// confirmRead waits until it is confirmed that every entry acknowledged before this call is applied
+// here, and that the server list is not older than the leader's. Called with the mutex held.
 func (b *readIndexBatcher) confirmRead(ctx context.Context) bool {
 	if b.host.leads() {
 		index, ok := b.confirmLeadership(ctx)
-		// What is committed may still be on its way into the state that is answered from.
+		// Committed entries may not have been applied yet.
 		return ok && b.waitFor(ctx, func() waitState { return b.applied(index, 0) })
 	}
 	if b.host.leaderAddr() == "" || b.host.suspended {
@@ -161,12 +164,13 @@
 	default:
 		return false
 	}
-	answer := &batch.response
-	return answer.OK && b.waitFor(ctx, func() waitState { return b.applied(answer.Index, answer.ServersVersion) })
+	response := &batch.response
+	return response.OK &&
+		b.waitFor(ctx, func() waitState { return b.applied(response.Index, response.ServersVersion) })
 }
 
-// applied reports whether what is answered from here has come to an index and a version of the
-// list of servers.
+// applied reports whether the applied state and the server list have reached an index and a
+// version.
 func (b *readIndexBatcher) applied(index, servers uint64) waitState {
 	switch {
 	case b.host.node.AppliedIndex() >= index && b.endpoints.servers.table.Version() >= servers:
@@ -177,7 +181,7 @@
 	return waitPending
 }
 
-// joinBatch returns what the next call asks the leader, and has one made.
+// joinBatch returns the batch of the next call to the leader, and starts queryLeader if necessary.
 func (b *readIndexBatcher) joinBatch() *readIndexBatch {
 	if b.next == nil {
 		b.next = &readIndexBatch{done: make(chan struct{})}
@@ -189,7 +193,7 @@
 	return b.next
 }
 
-// queryLeader asks for all who wait, one call after the other, until nobody does.
+// queryLeader calls the leader for one batch after the other, until no read is waiting.
 func (b *readIndexBatcher) queryLeader() {
 	for {
 		backoff.Sleep(b.lifecycle.ctx, readIndexInterval)
@@ -204,8 +208,8 @@
 		b.mu.Unlock()
 		if conn, err := b.cfg.Conns.Conn(addr); addr != "" && err == nil {
 			ctx, cancel := context.WithTimeout(b.lifecycle.ctx, readIndexTimeout)
-			if answer, err := api.CallReadIndex(ctx, conn); err == nil {
-				batch.response = *answer
+			if response, err := api.CallReadIndex(ctx, conn); err == nil {
+				batch.response = *response
 			}
 			cancel()
 		}
--- a/controlplane/register.go
+++ b/controlplane/register.go
@@ -7,53 +7,55 @@
 	"example.org/elmspan/raft"
 )
 
-// casRegister is a linearizable register: one configuration that is read, and replaced by
-// compare and swap. It does no I/O, reads no clock and starts no goroutine; [configStore] hosts
-// it, and so does a simulation of histories. In a Core it is guarded by Core.mu.
+// casRegister is a linearizable register that holds one configuration, with read and
+// compare-and-swap. It does no I/O, reads no clock and starts no goroutine; it is used by
+// [configStore] and by the simulation that checks linearizability. In a Core it is guarded by
+// Core.mu.
 type casRegister struct {
 	state State
-	calls map[uint64]*pendingCall // proposed, by the index of their entry
+	calls map[uint64]*pendingCall // proposed calls by the index of their entry
 }
 
 // pendingCall is an operator's call that has no result yet.
 type pendingCall struct {
-	get bool // a read; otherwise the change that follows is to be made
+	get bool // a read; otherwise a call to make the embedded change
 	configChange
 
-	term      uint64 // in which it came, then that of its entry
-	readRound uint64 // the read index round that confirms it, 0: none was asked for
-	index     uint64 // of its entry, 0: not proposed
+	term      uint64 // in which the call was received, then that of its entry
+	readRound uint64 // the read index round that confirms it; 0: not assigned yet
+	index     uint64 // of its entry; 0: not proposed
 	response  *api.ControlResponse
 }
 
-// callProgress is what came of one step of a call.
+// callProgress is the result of one step of a call.
 type callProgress struct {
 	done       bool
-	result     api.ControlResponse // where done; a Status of 0: this member doesn't know it
+	result     api.ControlResponse // if done; Status 0: this member doesn't know the result
 	needsRound bool                // the call waits for a read index round
 }
 
-// advance takes a call as far as it gets now: answered, proposed, or waiting for a round.
+// advance advances a call as far as possible now: until it is done, proposed or waiting for a read
+// index round.
 func (g *casRegister) advance(node *raft.Node, p *pendingCall) callProgress {
 	unknown := callProgress{done: true}
 	switch {
 	case p.response != nil:
 		return callProgress{done: true, result: *p.response}
-	case p.index != 0: // its entry may still be committed, whoever leads
+	case p.index != 0: // its entry may still be committed, even under another leader
 		return callProgress{}
 	case node.Role() != raft.Leader:
 		return unknown
 	case p.readRound == 0:
 		p.term, p.readRound = node.Term(), node.NextReadIndexRound()
 	case p.term != node.Term():
-		// Rounds are numbered through all terms, so that a later term's round would confirm the call as
-		// well: it began after the call came in. The caller asks anew all the same, as the proof of
-		// linearizability is then that of one term.
+		// Round numbers increase across terms, so a round of a later term would confirm the call as
+		// well: it began after the call was received. The caller repeats the call all the same, so
+		// that the linearizability proof needs to consider one term only.
 		return unknown
 	}
-	// What is answered from what is known here must be the newest, and known by one who
-	// is in touch with a majority: a leader that has been cut off must neither read back
-	// an old version, nor reject a change or confirm it because of one.
+	// A result from the local state requires that the state is the newest and that a majority
+	// has confirmed the leadership: a partitioned leader must not return an old revision, nor
+	// reject or acknowledge a change because of one.
 	confirmed := node.HasCommittedInTerm() && node.ConfirmedReadIndexRound() >= p.readRound &&
 		node.AppliedIndex() >= node.CommitIndex()
 	if p.get {
@@ -71,19 +73,19 @@
 	return g.propose(node, p)
 }
 
-// read is the progress of a call that reads.
+// read returns the progress of a read.
 func (g *casRegister) read(confirmed bool) callProgress {
 	switch {
 	case !confirmed:
 		return callProgress{needsRound: true}
 	case g.state.Revision == 0:
-		none := api.ControlResponse{Status: http.StatusNotFound, Reason: "no configuration was taken yet"}
+		none := api.ControlResponse{Status: http.StatusNotFound, Reason: "no configuration has been applied yet"}
 		return callProgress{done: true, result: none}
 	}
 	return callProgress{done: true, result: api.ControlResponse{Status: http.StatusOK}}
 }
 
-// propose puts the entry of a change into the log.
+// propose appends the entry of a change to the log.
 func (g *casRegister) propose(node *raft.Node, p *pendingCall) callProgress {
 	index, term, err := node.Propose(p.entry)
 	if err != nil {
@@ -91,14 +93,14 @@
 	}
 	p.index, p.term = index, term
 	if other := g.calls[index]; other != nil {
-		// Its entry was cut off here; whether it was committed elsewhere is unknown.
+		// The other call's entry was truncated from this log; whether it was committed is unknown.
 		other.response = &api.ControlResponse{}
 	}
 	g.calls[index] = p
 	return callProgress{}
 }
 
-// apply applies a committed entry, and reports whether it brought a configuration.
+// apply applies a committed entry, and reports whether it replaced the configuration.
 func (g *casRegister) apply(e raft.Entry) (replaced bool) {
 	var r api.ControlResponse
 	if len(e.Data) > 0 {
@@ -108,7 +110,7 @@
 	}
 	if p := g.calls[e.Index]; p != nil {
 		delete(g.calls, e.Index)
-		if p.term != e.Term { // another entry took its place
+		if p.term != e.Term { // another entry was committed at this index
 			r = api.ControlResponse{}
 		}
 		p.response = &r
@@ -116,7 +118,7 @@
 	return replaced
 }
 
-// endCallsUpTo ends calls whose entries a snapshot stands for: what came of them is unknown.
+// endCallsUpTo ends the calls whose entries a snapshot covers: their results are unknown.
 func (g *casRegister) endCallsUpTo(index uint64) {
 	for at, p := range g.calls {
 		if at <= index {
@@ -126,7 +128,7 @@
 	}
 }
 
-// drop forgets a call that nobody waits for any more. Its entry may be committed all the same.
+// drop removes a call whose caller no longer waits. Its entry may still be committed.
 func (g *casRegister) drop(p *pendingCall) {
 	if g.calls[p.index] == p {
 		delete(g.calls, p.index)
--- a/controlplane/restore.go
+++ b/controlplane/restore.go
@@ -10,9 +10,9 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// Restore writes a state into an empty store: that of a first voter, whose log starts with
-// this state. All seeds must be restored from the same state, and the control plane that had
-// it before must be gone for good.
+// Restore initializes an empty store as that of an initial voter, whose log starts with a snapshot
+// of the given state. All seeds must be restored from the same state, and the control plane that
+// the state comes from must never run again.
 func Restore(store *storage.Store, addr string, seeds []string, s *State) error {
 	id, err := store.Identity()
 	if err != nil {
@@ -22,7 +22,7 @@
 		return ErrStoreNotEmpty
 	}
 	if !slices.Contains(seeds, addr) {
-		return fmt.Errorf("controlplane: %s is none of the seeds %v: it joins with an empty folder by itself",
+		return fmt.Errorf("controlplane: %s is not one of the seeds %v; other members join with an empty directory",
 			addr, seeds)
 	}
 	data, err := cbor.Marshal(s)
@@ -36,17 +36,17 @@
 	return store.Initialize(BootstrapID(addr), first)
 }
 
-// Inspection is what the store of a member holds.
+// Inspection is the content of a member's store.
 type Inspection struct {
 	ID     raft.ID
 	Stored raft.PersistentState
-	// State is the state with the whole log applied to it. It may hold changes that were not
-	// acknowledged, as the log doesn't say which of its last entries are committed.
+	// State is the state after all log entries. It may contain changes that were never
+	// acknowledged, because the log doesn't record which of its last entries are committed.
 	State *State
 }
 
-// Inspect reads the store of a member that does not run. A snapshot that can't be decoded is
-// a [storage.ErrCorrupt].
+// Inspect reads the store of a member that is not running. The error for a snapshot that can't be
+// decoded is [storage.ErrCorrupt].
 func Inspect(store *storage.Store) (*Inspection, error) {
 	id, err := store.Identity()
 	if err != nil {
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, e := range stored.Entries {
-		if len(e.Data) > 0 { // an entry without data has no command
+		if len(e.Data) > 0 { // entries without data have no command
 			state.Apply(e.Data)
 		}
 	}
--- a/controlplane/sendqueue.go
+++ b/controlplane/sendqueue.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// maxQueuedMessages bounds the messages that wait in a queue. A member whose link is slow
-	// must not have the others hold more for it: what has no room is dropped, and sent again in
-	// time.
+	// maxQueuedMessages bounds the messages that wait in a queue, so that a member with a slow
+	// link doesn't use up the memory of the others: excess messages are dropped, and Raft sends
+	// them again later.
 	maxQueuedMessages = 128
-	// maxQueuedBytes bounds the bytes of entries and chunks that wait for a member or are on
-	// their way to it; one message goes whatever its size.
+	// maxQueuedBytes bounds the entries and chunks that wait for a member or are in flight to it,
+	// in bytes. A single message may exceed it.
 	maxQueuedBytes = 256 << 10
-	// maxBulkCallBytes is what one call of the bulk queue carries, if no message alone is larger: what
-	// a link of 1 Mbit/s needs 130 ms for, so that a heartbeat behind it on the same link still
-	// comes well within an election time.
+	// maxBulkCallBytes bounds the payload of one call of the bulk queue, unless a single message is
+	// larger. A link of 1 Mbit/s needs 130 ms for it, so that a heartbeat behind it on the same
+	// link still arrives well within an election time-out.
 	maxBulkCallBytes = 17 << 10
 )
 
-// queueKey names one of the two send queues to a member, control and bulk. Heartbeats, votes
-// and answers never wait for a call that carries entries or chunks of snapshots.
+// queueKey identifies one of the two send queues to a member, control and bulk. Heartbeats, votes
+// and replies never wait for a call that carries entries or snapshot chunks.
 type queueKey struct {
 	to   raft.ID
 	bulk bool
 }
 
-// sendQueue is one send queue with the goroutine that empties it. Its own lock is taken last,
-// also under Core.mu, and held for no I/O.
+// sendQueue is one send queue, which transport.deliverFrom empties in a goroutine. Its lock comes
+// after Core.mu in the lock order, and is not held during I/O.
 type sendQueue struct {
 	mu       sync.Mutex
 	messages messageQueue
-	wake     chan struct{} // of one element: something was put
+	wake     chan struct{} // capacity 1: signals that a message was put
 }
 
 func newSendQueue(bulk bool) *sendQueue {
@@ -62,17 +62,18 @@
 	q.messages.done()
 }
 
-// messageQueue is what waits in one send queue, and what is in flight: one call at a time. It
-// does no I/O and takes no lock.
+// messageQueue holds the messages that wait in one send queue and those in flight, which is one call
+// at a time. It does no I/O and acquires no lock.
 type messageQueue struct {
 	bulk     bool
 	waiting  []raft.Message
 	inFlight []raft.Message
-	bytes    int // of entries and chunks of both; 0 in a control queue
+	bytes    int // payload of waiting and inFlight; 0 in a control queue
 }
 
-// put has a message wait, and reports whether there was room. A full control queue drops its
-// oldest, as the newest say most; a full bulk queue takes no more.
+// put adds a message, and reports whether it was added. A full control queue drops its oldest
+// message, which newer ones supersede; a bulk queue drops the new one if it is full or already has
+// a message with the same payload.
 func (q *messageQueue) put(m raft.Message) bool {
 	if !q.bulk {
 		if len(q.waiting) >= maxQueuedMessages {
@@ -88,7 +89,7 @@
 	for _, queued := range [][]raft.Message{q.inFlight, q.waiting} {
 		for i := range queued {
 			if samePayload(&queued[i], &m) {
-				return false // on its way already
+				return false // already queued or in flight
 			}
 		}
 	}
@@ -96,7 +97,7 @@
 	return true
 }
 
-// take returns what the next call carries, nothing while one is in flight.
+// take returns the messages of the next call, none while a call is in flight.
 func (q *messageQueue) take() []raft.Message {
 	if len(q.inFlight) > 0 || len(q.waiting) == 0 {
 		return nil
@@ -115,7 +116,7 @@
 	return q.inFlight
 }
 
-// done notes that the call is over.
+// done records that the call is over.
 func (q *messageQueue) done() {
 	for i := range q.inFlight {
 		if q.bulk {
@@ -126,7 +127,7 @@
 	q.inFlight = q.inFlight[:0]
 }
 
-// samePayload reports that two messages carry the same.
+// samePayload reports whether two messages carry the same entries or snapshot chunk.
 func samePayload(a, b *raft.Message) bool {
 	if a.Kind != b.Kind || a.Term != b.Term || a.Index != b.Index || a.Offset != b.Offset ||
 		len(a.Entries) != len(b.Entries) {
@@ -136,7 +137,7 @@
 		a.Snapshot.Index == b.Snapshot.Index && a.SnapshotChecksum == b.SnapshotChecksum
 }
 
-// payloadBytes is what messages have of entries and chunks, in bytes.
+// payloadBytes returns the size of the entries and chunks in messages, in bytes.
 func payloadBytes(messages []raft.Message) (bytes int) {
 	for i := range messages {
 		bytes += messages[i].PayloadSize()
--- a/controlplane/state.go
+++ b/controlplane/state.go
@@ -8,49 +8,50 @@
 )
 
 const (
-	// maxAppliedRevisions is how many revisions are remembered to recognise a command that
-	// is sent again: five days of 720 changes and more. Each takes 32 bytes of memory and at
-	// most 39 of a snapshot or an export, so 131 and 160 KB in all.
+	// maxAppliedRevisions is how many revisions are remembered to recognise a command that is
+	// sent again: more than five days at 720 changes a day. Each takes 32 bytes of memory and at
+	// most 39 bytes of a snapshot or an export, in total 131 KB and 160 KB.
 	maxAppliedRevisions = 4096
-	// maxAppliedBeforeDigests is how many a version without digests remembered.
+	// maxAppliedBeforeDigests is how many revisions a version without digests remembered.
 	maxAppliedBeforeDigests = 128
-	// maxPreviousRevisions and maxPreviousBytes bound the configurations before the newest
-	// that are kept whole; the bytes are compressed ones.
+	// maxPreviousRevisions and maxPreviousBytes bound the previous configurations that are kept;
+	// the bytes are counted compressed.
 	maxPreviousRevisions = 32
 	maxPreviousBytes     = 512 << 10
 )
 
-// State is the replicated state of the control plane: the newest configuration, as it was
-// sent, those before it, and which revisions were applied. It does no I/O and reads no clock:
-// the same entries in the same order give the same state on every member, see [State.Apply].
-// Its CBOR encoding is the data of a snapshot and the body of an export. The zero value is the
-// state before the first entry.
+// State is the replicated state of the control plane: the newest configuration as it was sent,
+// some previous ones, and which revisions were applied. It does no I/O and reads no clock: the
+// same entries in the same order give the same state on every member, see [State.Apply]. Its CBOR
+// encoding is the data of a snapshot and the body of an export. The zero value is the state before
+// the first entry.
 //
-// A State may be copied; entries applied to a copy don't change the original.
+// A State may be copied; applying entries to a copy doesn't change the original.
 type State struct {
-	// Revision is that of the newest configuration, 0 where there is none.
+	// Revision is that of the newest configuration, 0 if there is none.
 	Revision uint64 `cbor:"1,keyasint"`
-	// Uncompressed is the newest configuration where it came in an entry of the first form.
+	// Uncompressed is the newest configuration if its log entry has the first form of
+	// [replaceCommand].
 	Uncompressed []byte `cbor:"2,keyasint,omitempty"`
-	// Applied are the revisions that were applied, the oldest first: at most
-	// maxAppliedRevisions, the newest one included.
+	// Applied has the last applied revisions, oldest first and including the newest one: at
+	// most maxAppliedRevisions.
 	Applied []appliedRevision `cbor:"3,keyasint,omitempty"`
-	// Compressed is the newest configuration, in an eighth of its size.
+	// Compressed is the newest configuration, compressed to about an eighth of its size.
 	Compressed []byte `cbor:"4,keyasint,omitempty"`
-	// Previous are the configurations before the newest, the oldest first.
+	// Previous has the configurations before the newest, oldest first.
 	Previous []storedConfig `cbor:"5,keyasint,omitempty"`
-	// AppliedFrom: every revision from this number on that was applied is in Applied. 0: the
+	// AppliedFrom: Applied has every applied revision that is not lower than this number. 0: the
 	// state was written by a version without digests, see oldestRemembered.
 	AppliedFrom uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// storedConfig is a configuration that was replaced.
+// storedConfig is a previous configuration.
 type storedConfig struct {
 	Revision   uint64 `cbor:"1,keyasint"`
 	Compressed []byte `cbor:"2,keyasint"`
 }
 
-// appliedRevision is what is remembered of a command that was applied: its idempotency key.
+// appliedRevision is the idempotency key of a command that was applied.
 type appliedRevision struct {
 	Revision uint64 `cbor:"1,keyasint"`
 	fingerprint
@@ -77,7 +78,7 @@
 	return nil, ErrRevisionNotKept
 }
 
-// Revisions lists the revisions whose configurations are kept, the newest last.
+// Revisions returns the revisions whose configurations are kept, newest last.
 func (s *State) Revisions() []uint64 {
 	var revisions []uint64
 	for _, p := range s.Previous {
@@ -90,12 +91,12 @@
 }
 
 // archiveNewest adds the newest configuration to the previous ones, before it is replaced, and
-// drops the oldest ones that are over the bounds.
+// drops the oldest ones that exceed the bounds.
 func (s *State) archiveNewest() {
 	if s.Revision == 0 || s.Compressed == nil {
 		return
 	}
-	// Clip: the array may be shared with a copy.
+	// Clip makes append reallocate: the array may be shared with a copy of the state.
 	s.Previous = append(slices.Clip(s.Previous), storedConfig{
 		Revision:   s.Revision,
 		Compressed: s.Compressed,
@@ -110,21 +111,21 @@
 	}
 }
 
-// oldestRemembered returns the number from which on every revision that was applied is in
-// Applied.
+// oldestRemembered returns the lowest number from which on Applied is known to have every applied
+// revision.
 func (s *State) oldestRemembered() uint64 {
 	switch {
 	case s.AppliedFrom != 0:
 		return s.AppliedFrom
-	case len(s.Applied) == 0: // nothing was applied yet, or nothing was remembered
+	case len(s.Applied) == 0: // no revision was applied yet, or none was remembered
 		return s.Revision + 1
-	case len(s.Applied) >= maxAppliedBeforeDigests: // there may have been others before them
+	case len(s.Applied) >= maxAppliedBeforeDigests: // older ones may have been dropped
 		return s.Applied[0].Revision
 	}
 	return 1
 }
 
-// trimApplied forgets the oldest revisions but for so many.
+// trimApplied drops the oldest of the remembered revisions that exceed the limit.
 func (s *State) trimApplied(limit int) {
 	if excess := len(s.Applied) - limit; excess > 0 {
 		s.AppliedFrom = s.Applied[excess-1].Revision + 1
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -7,24 +7,25 @@
 	"example.org/elmspan/versioned"
 )
 
-// CoreStatus is what a member of the core shows of itself.
+// CoreStatus is the status of a member of the control plane.
 type CoreStatus struct {
 	ID, Role, Leader string
 	Term, Commit     uint64
 	Revision         uint64
 	DiskFails        bool
-	Halted           string // why it stopped serving for good; empty: it serves
+	Halted           string // why it has stopped serving for good; empty: it has not
 	Members          []string
-	// UnresponsiveVoters have not answered this leader for 2 s: each is a loss that is not repaired.
+	// UnresponsiveVoters are the voters that have not responded to this leader for 2 s: losses that
+	// are not repaired yet.
 	UnresponsiveVoters []string `json:",omitempty"`
-	// Watches wait here for changes. What is held for them: encoded deltas, and
-	// for each a chunk at most, so MaxDeltaBytes in all.
+	// Watches is the number of active watches. DeltaBytes is the size of the cached deltas.
+	// MaxDeltaBytes bounds the memory for both: the cached deltas and one chunk for each watch.
 	Watches       int
 	DeltaBytes    int `json:"NewsBytes"`
 	MaxDeltaBytes int `json:"NewsBytesMost"`
 }
 
-// Status returns what this member knows.
+// Status returns the status of this member, as far as it knows.
 func (c *Core) Status() CoreStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -15,20 +15,22 @@
 )
 
 const (
-	// deliverTimeout bounds a call without entries or chunks; with them it is longer.
+	// deliverTimeout bounds a call without payload; see callTimeoutFor for calls with entries or
+	// chunks.
 	deliverTimeout = 400 * time.Millisecond
-	// minLinkBytesPerSecond is the speed in bytes a second that time-outs of large calls allow for, half
-	// of it, as the link has more to carry: 1 Mbit/s.
+	// minLinkBytesPerSecond is the slowest link that the time-outs of large calls allow for:
+	// 1 Mbit/s. A call may take twice as long, because the link carries other traffic too.
 	minLinkBytesPerSecond = 125_000
-	// maxSenders bounds what is kept of members that sent something, or were sent something.
+	// maxSenders bounds the number of members for which addresses, reassemblies and other state
+	// are kept.
 	maxSenders = 64
-	// queueIdleTimeout is how long a send queue without messages is kept.
+	// queueIdleTimeout is how long an empty send queue is kept.
 	queueIdleTimeout = time.Minute
 )
 
-// transport carries messages between members: each has two send queues to each other one, and a
-// goroutine for each queue that makes one call at a time. All fields are guarded by Core.mu,
-// which is given up during calls; the queues have a lock of their own, see [sendQueue].
+// transport carries messages between members. A member has two send queues for each other member;
+// the goroutine of each queue makes one call at a time. All fields are guarded by Core.mu, which is
+// released during calls; the queues have their own locks, see [sendQueue].
 type transport struct {
 	cfg       *CoreConfig
 	mu        *sync.Mutex // Core.mu
@@ -36,13 +38,13 @@
 	host      *raftHost
 
 	queues        map[queueKey]*sendQueue
-	callTimeout   func(bytes int) time.Duration // of a call with so many bytes of payload
-	acceptsChunks map[raft.ID]bool              // members that take messages in chunks
-	reassemblies  map[raft.ID]*reassembly       // what has come of chunked messages, by sender
-	senderAddrs   map[raft.ID]string            // of those who sent something, for answers to them
+	callTimeout   func(bytes int) time.Duration // of a call, by the size of its payload
+	acceptsChunks map[raft.ID]bool              // members that accept chunked messages
+	reassemblies  map[raft.ID]*reassembly       // partly received chunked messages, by sender
+	senderAddrs   map[raft.ID]string            // addresses of senders, used for replies to them
 }
 
-// callTimeoutFor is how long a call with so many bytes of entries and chunks may take.
+// callTimeoutFor returns the time-out of a call with the given payload of entries and chunks.
 func callTimeoutFor(bytes int) time.Duration {
 	return deliverTimeout + 2*time.Duration(bytes)*time.Second/minLinkBytesPerSecond
 }
@@ -53,8 +55,8 @@
 	}
 }
 
-// enqueue puts a message into the send queue of its receiver, and starts a queue that is not
-// there. A message to a member without a known address is dropped. Called under the mutex.
+// enqueue puts a message into the send queue to its receiver, and creates the queue if necessary. A
+// message to a member without a known address is dropped. Called with the mutex held.
 func (t *transport) enqueue(m raft.Message) {
 	key := queueKey{m.To, m.IsBulk()}
 	queue := t.queues[key]
@@ -70,7 +72,7 @@
 	queue.put(m)
 }
 
-// peerAddr is the address of a member, or of one that sent something; empty: unknown.
+// peerAddr returns the address of a member or of a process that has sent messages; empty: unknown.
 func (t *transport) peerAddr(id raft.ID) string {
 	addr := t.senderAddrs[id]
 	for _, m := range t.host.node.Members() {
@@ -81,7 +83,8 @@
 	return addr
 }
 
-// deliverFrom sends a member what a queue has, until nothing was put for queueIdleTimeout.
+// deliverFrom sends the messages of a queue to a member, until the queue has been idle for
+// queueIdleTimeout.
 func (t *transport) deliverFrom(queue *sendQueue, key queueKey, addr string) {
 	idle := time.NewTimer(queueIdleTimeout)
 	defer idle.Stop()
@@ -110,8 +113,8 @@
 	}
 }
 
-// awaitMessage waits until something is put into a queue. It returns false if nothing was for
-// queueIdleTimeout, with the queue removed, or if this member ends.
+// awaitMessage waits until a message is put into a queue. It returns false if this member ends, or
+// after queueIdleTimeout without a message; then the queue is removed.
 func (t *transport) awaitMessage(queue *sendQueue, key queueKey, idle *time.Timer) bool {
 	idle.Reset(queueIdleTimeout)
 	select {
@@ -121,7 +124,7 @@
 	case <-idle.C:
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		if len(queue.wake) == 0 { // put is called under the same mutex
+		if len(queue.wake) == 0 { // put is called with the same mutex held
 			delete(t.queues, key)
 			return false
 		}
@@ -129,8 +132,8 @@
 	return true
 }
 
-// send carries messages to a member: in one call or, where they are large and it takes chunks,
-// in several, so that no heartbeat waits for more than one of them.
+// send sends messages to a member: in one call or, if they are large and the member accepts chunks,
+// in several calls, so that a heartbeat waits for at most one chunk.
 func (t *transport) send(to raft.ID, addr string, messages []raft.Message) error {
 	conn, err := t.cfg.Conns.Conn(addr)
 	if err != nil {
@@ -155,8 +158,8 @@
 	return err
 }
 
-// sendChunked carries messages to a member in several calls. Each answer says how much the
-// member holds, so that the next chunk follows on that.
+// sendChunked sends messages to a member in several calls. Each response has the number of bytes
+// that the member has received, where the next chunk begins.
 func (t *transport) sendChunked(to raft.ID, conn *grpc.ClientConn, messages []raft.Message) error {
 	body, err := cbor.Marshal(messages)
 	if err != nil {
@@ -170,7 +173,8 @@
 		switch {
 		case err != nil:
 			return err
-		case r.ReceivedBytes <= offset || r.ReceivedBytes > len(body): // a restart, perhaps into an older version
+		case r.ReceivedBytes <= offset || r.ReceivedBytes > len(body):
+			// The member has restarted, perhaps with an older version.
 			t.mu.Lock()
 			t.acceptsChunks[to] = r.AcceptsChunks
 			t.mu.Unlock()
@@ -181,7 +185,7 @@
 	return nil
 }
 
-// call makes one call to a member, with so many bytes of payload.
+// call makes one call to a member; bytes is the size of its payload.
 func (t *transport) call(conn *grpc.ClientConn, bytes int, d *api.DeliverRequest) (*api.DeliverResponse, error) {
 	d.From, d.Addr = t.host.id, t.cfg.Addr
 	ctx, cancel := context.WithTimeout(t.lifecycle.ctx, t.callTimeout(bytes))
@@ -189,8 +193,8 @@
 	return api.CallDeliver(ctx, conn, d)
 }
 
-// Deliver receives messages of other members. The two send queues of a member call it side by
-// side: a message may overtake another.
+// Deliver receives messages from another member. Its two send queues call concurrently, so messages
+// may be reordered.
 func (t *transport) Deliver(_ context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -220,7 +224,7 @@
 	return r, nil
 }
 
-// reassemblyOf is what has come of a sender's chunked messages.
+// reassemblyOf returns the reassembly of a sender's chunked messages.
 func (t *transport) reassemblyOf(from raft.ID) *reassembly {
 	r := t.reassemblies[from]
 	if r == nil {
@@ -230,5 +234,6 @@
 	return r
 }
 
-// dropReassemblies drops all chunked messages that have come in part: another leader begins anew.
+// dropReassemblies drops all partly received chunked messages: a new leader sends them from the
+// beginning.
 func (t *transport) dropReassemblies() { clear(t.reassemblies) }
--- a/controlplane/voterhealth.go
+++ b/controlplane/voterhealth.go
@@ -8,14 +8,15 @@
 	"example.org/elmspan/raft"
 )
 
-// voterHealth watches, on the leader, which voters have not answered for replaceTicks. Each of
-// them is a loss that the cluster can't bear a second time: an operator must hear of it while a
-// majority is still there. It does no I/O but to log; in a Core it is guarded by Core.mu.
+// voterHealth tracks, on the leader, which voters have not responded for replaceTicks. Each of them
+// reduces the number of further losses that the control plane tolerates, so an operator must be
+// warned while there still is a majority. Its only I/O is logging; in a Core it is guarded by
+// Core.mu.
 type voterHealth struct {
-	unresponsive []raft.Member // in the order of the members; nil where this member doesn't lead
+	unresponsive []raft.Member // in the order of the members; nil if this member doesn't lead
 }
 
-// update takes in what the node knows now, and logs where other voters don't answer than before.
+// update updates the unresponsive voters from the node, and logs if they have changed.
 func (h *voterHealth) update(n *raft.Node, log *slog.Logger) {
 	now := unresponsiveVoters(n)
 	same := slices.EqualFunc(now, h.unresponsive, func(a, b raft.Member) bool { return a.ID == b.ID })
@@ -31,8 +32,8 @@
 	}
 }
 
-// unresponsiveVoters are the voters that have not answered this leader for replaceTicks. On
-// other members there are none.
+// unresponsiveVoters returns the voters that have not responded to this leader for replaceTicks. On
+// other members it returns nil.
 func unresponsiveVoters(n *raft.Node) []raft.Member {
 	var out []raft.Member
 	for _, m := range n.Members() {
@@ -53,7 +54,7 @@
 	return voters
 }
 
-// describeMembers are members as logs and the status show them: id and address.
+// describeMembers formats members for logs and the status: id and address.
 func describeMembers(members []raft.Member) []string {
 	var out []string
 	for _, m := range members {
--- a/controlplane/watch.go
+++ b/controlplane/watch.go
@@ -11,15 +11,15 @@
 
 const (
 	maxWatchWait = 5 * time.Second
-	// maxWatches bounds those who wait at one member. Each holds a chunk of a delta at most
-	// (api.ChunkSize).
+	// maxWatches bounds the active watches of one member. Each uses memory for at most one chunk of
+	// a delta (api.ChunkSize).
 	maxWatches = 1024
 )
 
-// watchServer answers limiters that watch the configuration and the list of servers: with what
-// changed since the versions that they have, and with a lease where this member is in touch with
-// a majority. Every member answers them, so that no one process serves all. All fields are
-// guarded by Core.mu, which is given up while a watch waits.
+// watchServer serves limiters that watch the configuration and the server list. A response has the
+// changes since the versions that the limiter has, and a lease if a majority has confirmed the
+// leadership. Every member serves watches, so that the load is distributed. All fields are guarded
+// by Core.mu, which is released while a watch waits.
 type watchServer struct {
 	mu        *sync.Mutex // Core.mu
 	host      *raftHost
@@ -29,16 +29,16 @@
 	notify    *notifier
 
 	configs       versioned.Table // versions of the configuration's rows
-	activeWatches int             // watches in hand
+	activeWatches int             // number of watches being served
 }
 
-// publish makes rows, which differ by a delta from those before, the newest for watchers.
+// publish makes the rows of a committed change the newest version for watchers.
 func (w *watchServer) publish(c *configChange) {
 	w.configs.ReplaceWithDiff(c.rows.Revision, c.rows.Rows, c.delta)
 	w.notify.notifyWatchers()
 }
 
-// Watch answers a limiter when there is something new, or when its wait is over.
+// Watch responds to a limiter; see [Core.Watch].
 func (w *watchServer) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
 	start := time.Now()
 	w.mu.Lock()
@@ -70,7 +70,7 @@
 	return r, nil
 }
 
-// addDeltas gives a response what is newer than the versions that a watch names.
+// addDeltas adds the deltas from the versions in a request to the newest ones to a response.
 func (w *watchServer) addDeltas(r *api.WatchResponse, q *api.WatchRequest) error {
 	var err error
 	if r.Revision = w.store.state.Revision; r.Revision > q.Revision {
@@ -89,8 +89,8 @@
 
 func (w *watchServer) leaderUnknown() bool { return !w.host.leads() && w.host.leaderAddr() == "" }
 
-// awaitChange waits for something newer than a watch names, for as long as it says. It reports
-// whether the call is still there.
+// awaitChange waits until something is newer than the versions in a request, the leader is unknown
+// or the wait of the request is over. It returns false if the call has ended.
 func (w *watchServer) awaitChange(ctx context.Context, q *api.WatchRequest) bool {
 	timeout := time.NewTimer(max(1, min(maxWatchWait, time.Duration(q.WaitMs)*time.Millisecond)))
 	defer timeout.Stop()
@@ -116,7 +116,7 @@
 	return true
 }
 
-// Fetch returns one more chunk of a delta.
+// Fetch returns a further chunk of a delta; see [Core.Fetch].
 func (w *watchServer) Fetch(_ context.Context, q *api.FetchRequest) (*api.Chunk, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
