--- a/raft/compaction.go
+++ b/raft/compaction.go
@@ -21,7 +21,7 @@
 // isFollowerCatchingUp reports whether the log must go on from a snapshot that a follower receives.
 func (n *Node) isFollowerCatchingUp() bool {
 	for _, p := range n.progress {
-		if p.needsLog() {
+		if p.delaysCompaction() {
 			return true
 		}
 	}
--- a/raft/durability_test.go
+++ b/raft/durability_test.go
@@ -16,32 +16,32 @@
 // the leader that it acknowledged it to, whichever messages are lost, late and duplicated. One
 // that comes back with its own disk is not. (Without it the leader counted entries that
 // the member no longer had.)
-func TestMemberWithAnEarlierDiskIsNotified(t *testing.T) {
+func TestMemberWithRolledBackDiskIsNotified(t *testing.T) {
 	t.Parallel()
-	played := 0
+	completed := 0
 	for seed := range uint64(durabilitySeeds) {
-		if playEarlierDisk(t, seed) {
-			played++
+		if runRolledBackDisk(t, seed) {
+			completed++
 		}
 	}
-	if played < minDurabilityRuns {
-		t.Errorf("%d runs of %d came to their end", played, durabilitySeeds)
+	if completed < minDurabilityRuns {
+		t.Errorf("%d runs of %d came to their end", completed, durabilitySeeds)
 	}
 }
 
-// earlierDiskRun is a leader and a member that comes back.
-type earlierDiskRun struct {
+// rolledBackDiskRun is a leader and a member that comes back.
+type rolledBackDiskRun struct {
 	*simCluster
 	leader *Node
 	id     ID // of the member
 }
 
-// playEarlierDisk plays one run, in which the member comes back with an earlier disk if the seed
+// runRolledBackDisk plays one run, in which the member comes back with an earlier disk if the seed
 // is even. It returns false if the run came to no end.
-func playEarlierDisk(t *testing.T, seed uint64) bool {
+func runRolledBackDisk(t *testing.T, seed uint64) bool {
 	t.Helper()
 	s := newSimCluster(t, seed)
-	run := &earlierDiskRun{simCluster: s, leader: s.awaitLeader(), id: 1}
+	run := &rolledBackDiskRun{simCluster: s, leader: s.awaitLeader(), id: 1}
 	if run.leader.cfg.ID == run.id {
 		run.id = 2
 	}
@@ -60,7 +60,7 @@
 	}
 	s.start(run.id)
 	n := s.nodes[run.id]
-	run.playUntilNotified(n)
+	run.runUntilNotified(n)
 	if !run.leads() {
 		return false
 	}
@@ -72,13 +72,13 @@
 }
 
 // leads reports whether the leader is up and leads.
-func (r *earlierDiskRun) leads() bool {
+func (r *rolledBackDiskRun) leads() bool {
 	return r.nodes[r.leader.cfg.ID] == r.leader && r.leader.Role() == Leader
 }
 
 // acknowledgeValues proposes values until the member has acknowledged them all. It returns false
 // if one of the two crashed, or the leader changed.
-func (r *earlierDiskRun) acknowledgeValues(count int) bool {
+func (r *rolledBackDiskRun) acknowledgeValues(count int) bool {
 	for i := range count {
 		if r.nodes[r.id] == nil || !r.leads() {
 			return false
@@ -93,9 +93,9 @@
 	return isUp()
 }
 
-// playUntilNotified plays the leader and the member, without crashes of the member, until it is notified
+// runUntilNotified plays the leader and the member, without crashes of the member, until it is notified
 // or for long enough.
-func (r *earlierDiskRun) playUntilNotified(n *Node) {
+func (r *rolledBackDiskRun) runUntilNotified(n *Node) {
 	rng := rand.New(rand.NewPCG(r.seed, 8))
 	for i := 0; i < 400 && !n.LostDurability() && r.leads(); i++ {
 		if i%9 == 0 && rng.IntN(2) == 0 {
--- a/raft/election_test.go
+++ b/raft/election_test.go
@@ -6,7 +6,7 @@
 func TestSimultaneousPreVotesElectOne(t *testing.T) {
 	t.Parallel()
 	cluster := newScriptedCluster(t, 3, 0)
-	cluster.keepUp(2, 3)
+	cluster.setLive(2, 3)
 	for _, id := range []ID{2, 3} {
 		n := cluster.nodes[id]
 		n.electionElapsed, n.electionTimeout = 100, 0
@@ -25,7 +25,7 @@
 	cluster := newScriptedCluster(t, 3, 0)
 	cluster.nodes[1].BroadcastHeartbeat()
 	cluster.deliverAll()
-	cluster.keepUp(2, 3)
+	cluster.setLive(2, 3)
 	for range 30 {
 		cluster.nodes[2].Tick()
 		cluster.nodes[3].Tick()
--- a/raft/membership_test.go
+++ b/raft/membership_test.go
@@ -24,7 +24,7 @@
 			t.Parallel()
 			cluster := newScriptedCluster(t, 3, 1)
 			leader := cluster.nodes[1]
-			cluster.keepUp(c.up...)
+			cluster.setLive(c.up...)
 			before := leader.CommitIndex()
 			cluster.proposeMembers(leader, swapped(leader.Members(), 3, 4))
 			round := leader.NextReadIndexRound()
@@ -57,7 +57,7 @@
 	t.Run("removal", func(t *testing.T) {
 		t.Parallel()
 		cluster := newScriptedCluster(t, 4, 0)
-		cluster.keepUp(1, 4)
+		cluster.setLive(1, 4)
 		leader := cluster.nodes[1]
 		cluster.proposeMembers(leader, changed(leader.Members(), func(m *Member) { m.Voter = m.ID != 4 }))
 		cluster.deliverAll()
@@ -69,7 +69,7 @@
 		leader := cluster.nodes[1]
 		cluster.proposeMembers(leader, swapped(leader.Members(), 3, 4))
 		cluster.commitJointEntry(leader)
-		cluster.keepUp(1, 3) // the final entry reaches 3 alone
+		cluster.setLive(1, 3) // the final entry reaches 3 alone
 		cluster.deliverAll()
 		checkRemovedVoterIsElected(t, cluster, 3)
 	})
@@ -107,7 +107,7 @@
 		t.Fatalf("it has last index %d of %d, is a voter: %v", n.LastIndex(), leader.LastIndex(), n.isVoter())
 	}
 	last := n.LastIndex()
-	cluster.keepUp(2, 3, 4)
+	cluster.setLive(2, 3, 4)
 	cluster.elect(2)
 	cluster.elect(removed)
 	leaders := 0
@@ -133,7 +133,7 @@
 		cluster.nodes[m.To].Step(m) // all receive the joint entry, and no reply arrives
 	}
 	cluster.network = nil
-	cluster.keepUp(2, 3, 4)
+	cluster.setLive(2, 3, 4)
 	cluster.elect(3)
 	leader := cluster.nodes[3]
 	members := leader.Members()
@@ -256,7 +256,7 @@
 			t.Parallel()
 			cluster := newScriptedCluster(t, 3, 1)
 			leader := cluster.nodes[1]
-			cluster.keepUp(c.up...)
+			cluster.setLive(c.up...)
 			cluster.tick(1, 9)
 			if c.proposes {
 				if _, _, err := leader.Propose([]byte("v")); err != nil {
@@ -274,7 +274,7 @@
 	}
 }
 
-func TestNewLeaderTrustsNoMajorityBeforeReplies(t *testing.T) {
+func TestNewLeaderCannotCommitChangeBeforeReplies(t *testing.T) {
 	t.Parallel()
 	leader := newScriptedCluster(t, 3, 1).nodes[1]
 	for _, p := range leader.progress {
@@ -295,7 +295,7 @@
 			t.Parallel()
 			cluster := newScriptedCluster(t, 3, 1)
 			leader, removed := cluster.nodes[1], cluster.nodes[3]
-			cluster.keepUp(1, 2, 4)
+			cluster.setLive(1, 2, 4)
 			cluster.proposeMembers(leader, swapped(leader.Members(), 3, 4))
 			cluster.deliverAll()
 			if dropped {
@@ -308,7 +308,7 @@
 			if !removed.isVoter() || removed.Term() != term {
 				t.Fatalf("it is a voter by its log: %v, term %d", removed.isVoter(), removed.Term())
 			}
-			cluster.keepUp(1, 2, 3, 4)
+			cluster.setLive(1, 2, 3, 4)
 			cluster.tickAll(100)
 			if leader.Role() != Leader || leader.Term() != term || removed.Role() == Leader {
 				t.Errorf("the leader is %v in term %d, was in %d", leader.Role(), leader.Term(), term)
--- a/raft/model/actions.go
+++ b/raft/model/actions.go
@@ -24,11 +24,11 @@
 	for _, a := range s.actions() {
 		next := s.clone()
 		if a.budget != nil {
-			left := a.budget(&next.left)
-			if *left == 0 {
+			remaining := a.budget(&next.remaining)
+			if *remaining == 0 {
 				continue
 			}
-			*left--
+			*remaining--
 		}
 		if !a.apply(next, next.mutableMember(a.member)) {
 			continue
@@ -61,7 +61,7 @@
 	receiver := int(message.To) - 1
 	if message.Kind == raft.SnapshotChunk {
 		all = append(all, action{
-			name:   fmt.Sprint("deliver damaged: ", describe(message)),
+			name:   fmt.Sprint("deliver damaged: ", describeMessage(message)),
 			member: receiver,
 			budget: func(b *Bounds) *int { return &b.Damaged },
 			apply: func(next *state, m *member) bool {
@@ -74,7 +74,7 @@
 	}
 	return append(all,
 		action{
-			name:   fmt.Sprint("deliver: ", describe(message)),
+			name:   fmt.Sprint("deliver: ", describeMessage(message)),
 			member: receiver,
 			apply: func(next *state, m *member) bool {
 				next.inFlight = slices.Delete(next.inFlight, position, position+1)
@@ -83,7 +83,7 @@
 			},
 		},
 		action{
-			name:   fmt.Sprint("deliver a duplicate: ", describe(message)),
+			name:   fmt.Sprint("deliver a duplicate: ", describeMessage(message)),
 			member: receiver,
 			budget: func(b *Bounds) *int { return &b.Duplicates },
 			apply: func(_ *state, m *member) bool {
@@ -112,8 +112,8 @@
 			apply: func(next *state, m *member) bool {
 				wasLeader := m.node.Role() == raft.Leader
 				m.beginElection()
-				mayStand := next.left.Candidates == 0 || i < next.left.Candidates
-				return mayStand && !wasLeader && m.node.Role() != raft.Follower
+				mayCampaign := next.remaining.Candidates == 0 || i < next.remaining.Candidates
+				return mayCampaign && !wasLeader && m.node.Role() != raft.Follower
 			},
 		},
 		{
@@ -131,7 +131,7 @@
 			name:   fmt.Sprint("compact the log of ", id),
 			member: i,
 			budget: func(b *Bounds) *int { return &b.Snapshots },
-			apply:  func(next *state, m *member) bool { return m.compact(applied, next.left.Chunks) },
+			apply:  func(next *state, m *member) bool { return m.compact(applied, next.remaining.Chunks) },
 		})
 	}
 	return all
@@ -157,7 +157,7 @@
 			member: i,
 			budget: func(b *Bounds) *int { return &b.Values },
 			apply: func(next *state, m *member) bool {
-				_, _, err := m.node.Propose([]byte{byte('a' + next.left.Values)})
+				_, _, err := m.node.Propose([]byte{byte('a' + next.remaining.Values)})
 				return err == nil
 			},
 		},
@@ -197,7 +197,7 @@
 			apply:  func(_ *state, m *member) bool { return m.node.ProposeMembers(members) == nil },
 		})
 	}
-	for _, members := range swaps(present, len(s.members), s.left.SwappedOut) {
+	for _, members := range swaps(present, len(s.members), s.remaining.SwappedOut) {
 		all = append(all, action{
 			name:   fmt.Sprint("swap voters to ", voterIDs(members), " at ", id),
 			member: i,
@@ -262,8 +262,8 @@
 	return ids
 }
 
-// describe returns one line about a message, for traces.
-func describe(m raft.Message) string {
+// describeMessage returns one line about a message, for traces.
+func describeMessage(m raft.Message) string {
 	kind := m.Kind.String()
 	if m.Reject {
 		kind += " (rejection)"
--- a/raft/model/invariants.go
+++ b/raft/model/invariants.go
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// violate records that an action broke an invariant.
-func (s *state) violate(format string, args ...any) {
+// recordViolation records that an action broke an invariant.
+func (s *state) recordViolation(format string, args ...any) {
 	if s.violation == nil {
 		s.violation = fmt.Errorf(format, args...)
 	}
@@ -55,7 +55,7 @@
 func (s *state) apply(id raft.ID, e raft.Entry) {
 	position := int(e.Index) - 1
 	if position > len(s.committed) {
-		s.violate("member %d applies index %d after %d committed entries", id, e.Index, len(s.committed))
+		s.recordViolation("member %d applies index %d after %d committed entries", id, e.Index, len(s.committed))
 		return
 	}
 	if position == len(s.committed) {
@@ -63,7 +63,7 @@
 		return
 	}
 	if first := s.committed[position]; first.Term != e.Term || !bytes.Equal(first.Data, e.Data) {
-		s.violate("index %d was %q of term %d, and member %d applies %q of term %d",
+		s.recordViolation("index %d was %q of term %d, and member %d applies %q of term %d",
 			e.Index, first.Data, first.Term, id, e.Data, e.Term)
 	}
 }
@@ -71,8 +71,8 @@
 // checkInstalled checks that a snapshot is one that was made, and not older than what the member
 // has applied.
 func (s *state) checkInstalled(m *member, snapshot *raft.Snapshot) {
-	if !bytes.Equal(snapshot.Data, snapshotData(snapshot.Index, s.left.Chunks)) || snapshot.Index < m.applied {
-		s.violate("member %d, which has applied index %d, installs %x as the snapshot of index %d",
+	if !bytes.Equal(snapshot.Data, snapshotData(snapshot.Index, s.remaining.Chunks)) || snapshot.Index < m.applied {
+		s.recordViolation("member %d, which has applied index %d, installs %x as the snapshot of index %d",
 			m.id, m.applied, snapshot.Data, snapshot.Index)
 	}
 }
@@ -83,7 +83,7 @@
 		s.leaders = append(s.leaders, 0)
 	}
 	if other := s.leaders[term]; other != 0 && other != id {
-		s.violate("term %d has the leaders %d and %d", term, other, id)
+		s.recordViolation("term %d has the leaders %d and %d", term, other, id)
 	}
 	s.leaders[term] = id
 }
--- a/raft/model/key.go
+++ b/raft/model/key.go
@@ -27,7 +27,7 @@
 
 // appendObservations appends what may still happen, and what was observed.
 func (s *state) appendObservations(b []byte) []byte {
-	l := s.left
+	l := s.remaining
 	for _, v := range []int{
 		l.Elections, l.Values, l.Heartbeats, l.Crashes, l.StepDowns, l.Duplicates, l.Changes, l.Swaps,
 		l.Snapshots, l.Damaged, len(s.committed), len(s.inFlight),
--- a/raft/model/mutants_test.go
+++ b/raft/model/mutants_test.go
@@ -131,15 +131,15 @@
 			command := exec.CommandContext(t.Context(), "go", "test", "-overlay", overlay, "-count=1", "-run", run, ".",
 				"-world", m.world)
 			output, err := command.CombinedOutput()
-			if err == nil || !strings.Contains(string(output), traceMark) {
+			if err == nil || !strings.Contains(string(output), violationMarker) {
 				t.Errorf("not found: %v\n%s", err, output)
 			}
 		})
 	}
 }
 
-// traceMark is in the report of a violation, and not in that of a program that does not compile.
-const traceMark = " events:\n"
+// violationMarker is in the report of a violation, and not in that of a program that does not compile.
+const violationMarker = " events:\n"
 
 // overlay writes the mutated source, and returns the file that has the go command compile it in
 // place of the original.
--- a/raft/model/state.go
+++ b/raft/model/state.go
@@ -19,9 +19,9 @@
 
 // state is one state of the model. Actions change a clone of it.
 type state struct {
-	left     Bounds // what may still happen
-	members  []*member
-	inFlight []raft.Message
+	remaining Bounds // what may still happen
+	members   []*member
+	inFlight  []raft.Message
 
 	// What was observed so far, for the invariants.
 	committed []raft.Entry  // from index 1 on, as they were first applied anywhere
@@ -59,7 +59,7 @@
 	for i := range b.Swaps { // learners that are known to understand joint changes
 		initial = append(initial, raft.Member{ID: raft.ID(b.Members + i + 1), SupportsJoint: true})
 	}
-	s := &state{left: b}
+	s := &state{remaining: b}
 	for i := range b.Members + b.Changes + b.Swaps {
 		m := &member{
 			id:         raft.ID(i + 1),
@@ -71,13 +71,13 @@
 		s.members = append(s.members, m)
 	}
 	if b.LeaderAtStart {
-		s.electFirst()
+		s.electFirstMember()
 	}
 	return s
 }
 
-// electFirst makes member 1 the leader, and delivers all that follows on it.
-func (s *state) electFirst() {
+// electFirstMember makes member 1 the leader, and delivers all that follows on it.
+func (s *state) electFirstMember() {
 	s.members[0].beginElection()
 	for s.runHost(0); len(s.inFlight) > 0; {
 		m := s.inFlight[0]
@@ -186,7 +186,7 @@
 			count++
 		}
 	}
-	if count >= s.left.InFlight {
+	if count >= s.remaining.InFlight {
 		oldest := slices.IndexFunc(s.inFlight, sameLink)
 		s.inFlight = slices.Delete(s.inFlight, oldest, oldest+1)
 	}
--- a/raft/progress.go
+++ b/raft/progress.go
@@ -66,11 +66,11 @@
 	p.paused, p.inflightIndex, p.inflightBytes, p.inflightTicks = true, lastIndex, bytes, 0
 }
 
-// needsLog reports whether the follower is alive and receives a snapshot, or has received one and
+// delaysCompaction reports whether the follower is alive and receives a snapshot, or has received one and
 // not yet all that was committed since: the log must go on from that snapshot.
-func (p *progress) needsLog() bool {
-	refused := p.transfer != nil && p.transfer.refusals > 0
-	return p.catchingUp && p.ticksSinceResponse < catchUpTimeoutTicks && !refused
+func (p *progress) delaysCompaction() bool {
+	rejected := p.transfer != nil && p.transfer.rejections > 0
+	return p.catchingUp && p.ticksSinceResponse < catchUpTimeoutTicks && !rejected
 }
 
 // syncProgress keeps one record for each other member, and drops those of former members.
--- a/raft/replication_test.go
+++ b/raft/replication_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// playedFollowers plays the two followers of a leader: both vote, and member 2 acknowledges
+// scriptedFollowers plays the two followers of a leader: both vote, and member 2 acknowledges
 // entries if it is to. It counts what is sent.
-type playedFollowers struct {
+type scriptedFollowers struct {
 	leader       *Node
 	acknowledges bool
 	bytesSent    map[ID]int // of entries
@@ -12,7 +12,7 @@
 }
 
 // deliver carries out all that the leader has ready.
-func (f *playedFollowers) deliver() {
+func (f *scriptedFollowers) deliver() {
 	for r := f.leader.Ready(); !r.Empty(); r = f.leader.Ready() {
 		f.leader.Advance(r)
 		for _, m := range r.Messages {
@@ -31,7 +31,7 @@
 }
 
 // tick plays ticks of the leader.
-func (f *playedFollowers) tick(ticks int) {
+func (f *scriptedFollowers) tick(ticks int) {
 	for range ticks {
 		f.leader.Tick()
 		f.deliver()
@@ -46,7 +46,7 @@
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
 	cfg := Config{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1}
 	n := New(cfg, PersistentState{Snapshot: Snapshot{Members: members}})
-	f := &playedFollowers{leader: n, acknowledges: true, bytesSent: map[ID]int{}}
+	f := &scriptedFollowers{leader: n, acknowledges: true, bytesSent: map[ID]int{}}
 	f.tick(40)
 	if n.Role() != Leader {
 		t.Fatal("no leader")
--- a/raft/scriptedcluster_test.go
+++ b/raft/scriptedcluster_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// keepUp has these members up, and all others down.
-func (c *scriptedCluster) keepUp(ids ...ID) {
+// setLive has these members up, and all others down.
+func (c *scriptedCluster) setLive(ids ...ID) {
 	for id := range c.nodes {
 		c.down[id] = !slices.Contains(ids, id)
 	}
--- a/raft/simcluster_test.go
+++ b/raft/simcluster_test.go
@@ -322,7 +322,7 @@
 	case 3, 4, 5:
 		s.startAll()
 	case 6:
-		if !s.bearsLostDisk(leader) {
+		if !s.toleratesDiskLoss(leader) {
 			return
 		}
 		ids := s.liveIDs()
@@ -331,9 +331,9 @@
 	s.manageMembers()
 }
 
-// bearsLostDisk reports whether the last lost disk is made good: all members are up, connected,
+// toleratesDiskLoss reports whether the last lost disk is made good: all members are up, connected,
 // voters, and have all that is committed.
-func (s *simCluster) bearsLostDisk(leader *Node) bool {
+func (s *simCluster) toleratesDiskLoss(leader *Node) bool {
 	if leader == nil || len(s.nodes) < simVoters || len(s.isolated) > 0 {
 		return false
 	}
--- a/raft/simfaults_test.go
+++ b/raft/simfaults_test.go
@@ -3,21 +3,21 @@
 import "testing"
 
 const (
-	defaultPace    = 7 // of 16: how often a member's clock ticks in half a step
-	maxPausedQueue = 50
-	maxOpenReads   = 20
+	defaultClockSpeed    = 7 // of 16: how often a member's clock ticks in half a step
+	maxQueuedWhilePaused = 50
+	maxOpenReads         = 20
 )
 
 // faultySimCluster adds disks that refuse writes, members that pause, clocks that run at
 // different speeds, one-way partitions and loss of power of all members, and checks reads.
 type faultySimCluster struct {
 	*simCluster
-	refusing    map[ID]int       // steps for which a member's disk refuses writes
-	paused      map[ID]int       // steps for which a member stands still
-	queued      map[ID][]Message // what arrives for it meanwhile
-	pace        map[ID]int       // speed of a member's clock, of 16; 0: defaultPace
-	partitioned map[[2]ID]bool   // one way: from, to
-	reads       []pendingRead
+	failingDisks map[ID]int       // steps for which a member's disk refuses writes
+	paused       map[ID]int       // steps for which a member stands still
+	queued       map[ID][]Message // what arrives for it meanwhile
+	clockSpeed   map[ID]int       // speed of a member's clock, of 16; 0: defaultPace
+	partitioned  map[[2]ID]bool   // one way: from, to
+	reads        []pendingRead
 }
 
 // pendingRead waits for a leader's read index.
@@ -30,12 +30,12 @@
 
 func newFaultySimCluster(t *testing.T, seed uint64) *faultySimCluster {
 	return &faultySimCluster{
-		simCluster:  newSimCluster(t, seed),
-		refusing:    map[ID]int{},
-		paused:      map[ID]int{},
-		queued:      map[ID][]Message{},
-		pace:        map[ID]int{},
-		partitioned: map[[2]ID]bool{},
+		simCluster:   newSimCluster(t, seed),
+		failingDisks: map[ID]int{},
+		paused:       map[ID]int{},
+		queued:       map[ID][]Message{},
+		clockSpeed:   map[ID]int{},
+		partitioned:  map[[2]ID]bool{},
 	}
 }
 
@@ -43,9 +43,9 @@
 func (s *faultySimCluster) endFaults() {
 	clear(s.partitioned)
 	clear(s.isolated)
-	clear(s.refusing)
+	clear(s.failingDisks)
 	clear(s.paused)
-	clear(s.pace)
+	clear(s.clockSpeed)
 }
 
 // injectFault has something go wrong at random, within what a cluster must bear: the contents of
@@ -61,11 +61,11 @@
 	victim := ids[s.rng.IntN(len(ids))]
 	switch s.rng.IntN(90) {
 	case 0:
-		s.refusing[victim] = 5 + s.rng.IntN(60)
+		s.failingDisks[victim] = 5 + s.rng.IntN(60)
 	case 1:
 		s.paused[victim] = 5 + s.rng.IntN(80)
 	case 2:
-		s.pace[victim] = 3 + s.rng.IntN(14)
+		s.clockSpeed[victim] = 3 + s.rng.IntN(14)
 	case 3, 4:
 		s.partitioned[[2]ID{victim, ids[s.rng.IntN(len(ids))]}] = true
 	case 5, 6, 7:
@@ -101,7 +101,7 @@
 // loseDisk loses the disk of a member, or of the leader right after an acknowledgement. It returns
 // false if the cluster can't bear that now.
 func (s *faultySimCluster) loseDisk(leader *Node, victim ID) bool {
-	if !s.bearsLostDisk(leader) {
+	if !s.toleratesDiskLoss(leader) {
 		return false
 	}
 	if s.rng.IntN(2) == 0 {
@@ -128,7 +128,7 @@
 	for _, m := range s.takeShuffled() {
 		n := s.nodes[m.To]
 		unreachable := n == nil || s.isolated[m.From] || s.isolated[m.To] ||
-			s.partitioned[[2]ID{m.From, m.To}] || s.refusing[m.To] > 0
+			s.partitioned[[2]ID{m.From, m.To}] || s.failingDisks[m.To] > 0
 		if s.paused[m.To] == 0 {
 			if s.arrives(m, unreachable) {
 				n.Step(m)
@@ -136,7 +136,7 @@
 			}
 			continue
 		}
-		if lost := s.rng.IntN(100) < percentLost; !lost && !unreachable && len(s.queued[m.To]) < maxPausedQueue {
+		if lost := s.rng.IntN(100) < percentLost; !lost && !unreachable && len(s.queued[m.To]) < maxQueuedWhilePaused {
 			s.queued[m.To] = append(s.queued[m.To], m)
 		}
 	}
@@ -146,12 +146,12 @@
 
 // tick counts up to two ticks of a member's clock.
 func (s *faultySimCluster) tick(id ID) {
-	pace := s.pace[id]
-	if pace == 0 {
-		pace = defaultPace
+	clockSpeed := s.clockSpeed[id]
+	if clockSpeed == 0 {
+		clockSpeed = defaultClockSpeed
 	}
 	for range 2 {
-		if s.rng.IntN(16) < pace && s.refusing[id] == 0 {
+		if s.rng.IntN(16) < clockSpeed && s.failingDisks[id] == 0 {
 			s.nodes[id].Tick()
 		}
 	}
@@ -161,8 +161,8 @@
 // up leadership, as package controlplane does.
 func (s *faultySimCluster) runHost(id ID) {
 	n := s.nodes[id]
-	if s.refusing[id] > 0 {
-		s.refusing[id]--
+	if s.failingDisks[id] > 0 {
+		s.failingDisks[id]--
 		if r := n.Ready(); r.MustSync() {
 			n.StepDown()
 			return
--- a/raft/snapshot_receive.go
+++ b/raft/snapshot_receive.go
@@ -69,7 +69,7 @@
 	}
 	n.incomingSnapshot = nil
 	if xxhash.Sum64(a.snapshot.Data) != a.checksum { // damaged on its way
-		n.refuseSnapshot(n.chunkReply(m))
+		n.rejectSnapshot(n.chunkReply(m))
 		return
 	}
 	m.Snapshot = &a.snapshot
@@ -88,8 +88,8 @@
 	}
 }
 
-// refuseSnapshot counts a snapshot that can't be used, and notifies its sender.
-func (n *Node) refuseSnapshot(reply Message) {
+// rejectSnapshot counts a snapshot that can't be used, and notifies its sender.
+func (n *Node) rejectSnapshot(reply Message) {
 	n.rejectedSnapshots++
 	reply.Reject = true
 	n.send(reply)
@@ -105,7 +105,7 @@
 	case n.cfg.ValidateSnapshot != nil && n.cfg.ValidateSnapshot(s) != nil:
 		reply := n.chunkReply(m)
 		reply.SnapshotChecksum = xxhash.Sum64(s.Data) // a snapshot in one message has none
-		n.refuseSnapshot(reply)
+		n.rejectSnapshot(reply)
 		return
 	default:
 		n.log.restore(s)
--- a/raft/snapshot_send.go
+++ b/raft/snapshot_send.go
@@ -10,10 +10,10 @@
 const (
 	// maxBackoffDoublings bounds how often the time-out of a transfer is doubled.
 	maxBackoffDoublings = 3
-	// refusedSnapshotTicks is how long a snapshot that a follower refused is not sent to it
-	// again. It doubles with each refusal, up to maxRefusalDoublings times.
-	refusedSnapshotTicks = 10
-	maxRefusalDoublings  = 5
+	// rejectedSnapshotPauseTicks is how long a snapshot that a follower refused is not sent to it
+	// again. It doubles with each refusal, up to maxRejectionDoublings times.
+	rejectedSnapshotPauseTicks = 10
+	maxRejectionDoublings      = 5
 )
 
 // snapshotTransfer is a snapshot on its way to a follower, as the leader sees it. It stays the
@@ -25,7 +25,7 @@
 	sent         int    // bytes that were sent; those behind acknowledged are in flight
 	ticksWaiting int    // ticks since the last progress
 	timeouts     int    // time-outs in a row
-	refusals     int    // how often the follower refused the snapshot
+	rejections   int    // how often the follower refused the snapshot
 	pauseTicks   int    // ticks for which nothing is sent, after a refusal
 }
 
@@ -45,11 +45,11 @@
 // retransmit has all that is not acknowledged sent again.
 func (t *snapshotTransfer) retransmit() { t.sent, t.ticksWaiting = t.acknowledged, 0 }
 
-// refuse records that the follower can't use the snapshot: it starts over after a pause.
-func (t *snapshotTransfer) refuse() {
+// reject records that the follower can't use the snapshot: it starts over after a pause.
+func (t *snapshotTransfer) reject() {
 	if t.pauseTicks == 0 {
-		t.pauseTicks = refusedSnapshotTicks << min(t.refusals, maxRefusalDoublings)
-		t.refusals++
+		t.pauseTicks = rejectedSnapshotPauseTicks << min(t.rejections, maxRejectionDoublings)
+		t.rejections++
 	}
 	t.acknowledged, t.timeouts = 0, 0
 	t.retransmit()
@@ -125,7 +125,7 @@
 		return // of another snapshot
 	}
 	if m.Reject {
-		t.refuse()
+		t.reject()
 		return
 	}
 	if t.acknowledge(int(min(m.Offset, uint64(len(t.snapshot.Data))))) {
--- a/raft/snapshot_test.go
+++ b/raft/snapshot_test.go
@@ -19,7 +19,7 @@
 	installed, rejected := 0, uint64(0)
 	for seed := range uint64(chunkSeeds) {
 		run := newChunkRun(seed)
-		run.play(t)
+		run.deliverAll(t)
 		installed += run.installed
 		rejected += run.node.RejectedSnapshots()
 		if run.faultless && run.node.RejectedSnapshots() > 0 {
@@ -78,8 +78,8 @@
 	return r
 }
 
-// play delivers all messages three times, and checks what is installed.
-func (r *chunkRun) play(t *testing.T) {
+// deliverAll delivers all messages three times, and checks what is installed.
+func (r *chunkRun) deliverAll(t *testing.T) {
 	last := uint64(0)
 	for range 3 {
 		for _, m := range r.messages {
@@ -89,7 +89,7 @@
 			r.node.Step(m)
 			_, installed := runHost(r.node)
 			for _, s := range installed {
-				if s.Index <= last || !r.isOneOf(s) {
+				if s.Index <= last || !r.wasSent(s) {
 					t.Fatalf("seed %d: after index %d it installs %q for %d", r.seed, last, s.Data, s.Index)
 				}
 				last = s.Index
@@ -108,8 +108,8 @@
 	return m
 }
 
-// isOneOf reports whether a snapshot is one of those that were sent.
-func (r *chunkRun) isOneOf(s *Snapshot) bool {
+// wasSent reports whether a snapshot is one of those that were sent.
+func (r *chunkRun) wasSent(s *Snapshot) bool {
 	return slices.ContainsFunc(r.snapshots, func(o Snapshot) bool {
 		return o.Index == s.Index && bytes.Equal(o.Data, s.Data)
 	})
@@ -118,17 +118,17 @@
 // transferRun is a leader that sends a snapshot to member 2, while member 3 acknowledges all.
 type transferRun struct {
 	leader, follower *Node
-	invalid          error // why the follower refuses snapshots; nil: it does not
-	firstIndex       uint64
+	validateErr      error // why the follower refuses snapshots; nil: it does not
+	snapshotIndex    uint64
 	chunks           int                  // sent to the follower
-	loses            func(chunk int) bool // which of them are lost
+	isLost           func(chunk int) bool // which of them are lost
 	installed        int
 }
 
 func newTransferRun(t *testing.T, data []byte) *transferRun {
 	t.Helper()
-	r := &transferRun{leader: newSingleLeader(t), loses: func(int) bool { return false }}
-	r.follower = newSingleNode(2, func(*Snapshot) error { return r.invalid })
+	r := &transferRun{leader: newSingleLeader(t), isLost: func(int) bool { return false }}
+	r.follower = newSingleNode(2, func(*Snapshot) error { return r.validateErr })
 	for range 10 {
 		mustPropose(t, r.leader, []byte("x"))
 		acknowledgeAll(r.leader, 3)
@@ -136,7 +136,7 @@
 	if r.leader.Compact(r.leader.AppliedIndex(), data) == nil {
 		t.Fatal("no snapshot")
 	}
-	r.firstIndex = r.leader.SnapshotIndex()
+	r.snapshotIndex = r.leader.SnapshotIndex()
 	return r
 }
 
@@ -165,11 +165,11 @@
 		return
 	}
 	if m.Kind == SnapshotChunk {
-		if m.Snapshot.Index != r.firstIndex {
-			t.Fatalf("chunks of snapshot %d, it began with %d", m.Snapshot.Index, r.firstIndex)
+		if m.Snapshot.Index != r.snapshotIndex {
+			t.Fatalf("chunks of snapshot %d, it began with %d", m.Snapshot.Index, r.snapshotIndex)
 		}
 		r.chunks++
-		if r.loses(r.chunks) {
+		if r.isLost(r.chunks) {
 			return
 		}
 	}
@@ -188,7 +188,7 @@
 	t.Parallel()
 	data := bytes.Repeat([]byte("0123456789"), 20)
 	r := newTransferRun(t, data)
-	r.invalid = errors.New("the host can't restore it")
+	r.validateErr = errors.New("the host can't restore it")
 	r.tick(t, 60)
 	refused := r.follower.RejectedSnapshots()
 	if r.installed != 0 || refused == 0 || refused > 3 || r.follower.CommitIndex() != 0 {
@@ -199,8 +199,8 @@
 		r.tick(t, 1)
 		r.leader.Compact(r.leader.AppliedIndex(), data[:50])
 	}
-	r.invalid, r.chunks = nil, 0
-	r.loses = func(chunk int) bool { return chunk%5 == 0 }
+	r.validateErr, r.chunks = nil, 0
+	r.isLost = func(chunk int) bool { return chunk%5 == 0 }
 	r.tick(t, 200)
 	if r.installed != 1 || r.follower.CommitIndex() != r.leader.CommitIndex() || r.chunks > 60 {
 		t.Errorf("%d installed with %d chunks, commit index %d of %d",
--- a/raft/trace_test.go
+++ b/raft/trace_test.go
@@ -31,7 +31,7 @@
 	digest := xxhash.New()
 	sent := map[MessageKind]int{}
 	for seed := range uint64(traceRuns) {
-		newTraceRun(t, seed, digest, sent).play()
+		newTraceRun(t, seed, digest, sent).run()
 	}
 	for kind := PreVoteRequest; kind <= SnapshotChunkReply; kind++ {
 		if sent[kind] < traceMinMessages {
@@ -94,8 +94,8 @@
 	}, disk)
 }
 
-// play plays all steps.
-func (r *traceRun) play() {
+// run plays all steps.
+func (r *traceRun) run() {
 	for step := range traceSteps {
 		for id := ID(1); id <= traceMembers; id++ {
 			n := r.nodes[id]
