--- a/raft/clone.go
+++ b/raft/clone.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Clone returns an independent copy of a member, for a model checker that explores every
-// continuation. The random source is copied too: both draw the same election time-outs.
+// Clone returns an independent copy of the member, for a model checker that explores every
+// possible continuation. The random source is copied too: both nodes draw the same election
+// timeouts.
 func (n *Node) Clone() *Node {
 	c := *n
 	c.log.entries, c.messages = slices.Clip(n.log.entries), slices.Clone(n.messages)
@@ -26,7 +27,6 @@
 	return &c
 }
 
-// clone returns an independent copy.
 func (p *progress) clone() *progress {
 	c := *p
 	if p.transfer != nil {
@@ -36,7 +36,7 @@
 	return &c
 }
 
-// clone returns an independent copy, with memory for the complete snapshot.
+// clone returns an independent copy, with capacity for the complete snapshot.
 func (a *snapshotAssembly) clone() *snapshotAssembly {
 	c := *a
 	c.snapshot.Data = append(make([]byte, 0, cap(a.snapshot.Data)), a.snapshot.Data...)
--- a/raft/compaction.go
+++ b/raft/compaction.go
@@ -1,9 +1,9 @@
 package raft
 
-// SnapshotDue reports whether the applied log has grown enough for a snapshot; see
-// [Config.SnapshotBytes]. While a follower catches up from a snapshot the leader waits, so that
-// its log goes on from that one, until the log is larger than the snapshot: then a new one is
-// the shorter way.
+// SnapshotDue reports whether the applied log has grown enough for a new snapshot; see
+// [Config.SnapshotBytes]. While a follower catches up from a snapshot, the leader keeps the
+// entries after that snapshot until they take more bytes than the snapshot itself: from then on
+// it costs less to send the follower a new snapshot.
 func (n *Node) SnapshotDue() bool {
 	if n.log.applied <= n.log.snapshot.Index {
 		return false
@@ -18,7 +18,8 @@
 	return bytes >= n.cfg.SnapshotBytes || n.log.applied-n.log.snapshot.Index >= uint64(n.cfg.SnapshotEntries)
 }
 
-// isFollowerCatchingUp reports whether the log must go on from a snapshot that a follower receives.
+// isFollowerCatchingUp reports whether a follower still needs the entries after the snapshot that
+// it is receiving or has received.
 func (n *Node) isFollowerCatchingUp() bool {
 	for _, p := range n.progress {
 		if p.delaysCompaction() {
@@ -28,9 +29,9 @@
 	return false
 }
 
-// Compact makes data the snapshot of the log up to an applied index (5.1), and returns the
-// snapshot, for the host to store. It returns nil, and does nothing, if there is a snapshot of
-// that index or a later one, or if the index is not applied and stored.
+// Compact replaces the log up to an applied index with a snapshot whose contents are data (5.1),
+// and returns the snapshot for the host to store. It does nothing and returns nil if there is
+// already a snapshot at that index or a later one, or if the index is not applied and stored.
 func (n *Node) Compact(index uint64, data []byte) *Snapshot {
 	l := &n.log
 	if index <= l.snapshot.Index || index > l.applied || index > l.persisted {
@@ -44,7 +45,7 @@
 	return &s
 }
 
-// membersAt returns the members as of an index that is held.
+// membersAt returns the members as of an index, which must be in the log.
 func (l *entryLog) membersAt(index uint64) []Member {
 	members := l.snapshot.Members
 	for _, e := range l.entries[:index-l.base] {
@@ -55,9 +56,9 @@
 	return members
 }
 
-// trailingBase returns the base of a log with a snapshot at an index. The entries from there to
-// the snapshot stay for followers that are a little behind: TrailingEntries at most, and half
-// of the bytes that make a snapshot due.
+// trailingBase returns the base of the log after a snapshot at an index. The entries between the
+// base and the snapshot are kept for followers that lag slightly: at most TrailingEntries of them,
+// and at most half of the bytes that make a snapshot due.
 func (n *Node) trailingBase(index uint64) uint64 {
 	base, bytes := index, 0
 	for base > n.log.base && index-base < uint64(max(0, n.cfg.TrailingEntries)) {
--- a/raft/election.go
+++ b/raft/election.go
@@ -1,31 +1,33 @@
 package raft
 
-// campaignKind is how an election is begun.
+// campaignKind is the way in which an election is started.
 type campaignKind uint8
 
 const (
-	// preVoteCampaign asks whether votes would be granted, and raises no term (9.6).
+	// preVoteCampaign asks whether votes would be granted, without incrementing the term (9.6).
 	preVoteCampaign campaignKind = iota
-	// voteCampaign asks for votes in a new term.
+	// voteCampaign requests votes in a new term.
 	voteCampaign
-	// transferCampaign does so at the request of the leader, which others do not protect (3.10).
+	// transferCampaign requests votes in a new term at the request of the leader. Other
+	// members grant them although they still hear from that leader (3.10).
 	transferCampaign
 )
 
-// becomeFollower follows a leader, or waits for one if that is 0, and draws a new election
-// time-out.
+// becomeFollower makes this member a follower of a leader, 0 if none is known, and restarts the
+// election timer.
 func (n *Node) becomeFollower(leader ID) {
 	n.role, n.leader, n.votes, n.progress = Follower, leader, nil, nil
 	n.resetElectionTimer()
 }
 
-// resetElectionTimer begins a new election time-out.
+// resetElectionTimer restarts the election timer with a new random timeout.
 func (n *Node) resetElectionTimer() {
 	n.electionElapsed = 0
 	n.electionTimeout = n.cfg.ElectionTicks + n.random.IntN(max(1, n.cfg.ElectionTicks))
 }
 
-// adoptTerm moves on to a later term, and follows its leader if that is known.
+// adoptTerm advances to a term, if it is later than the current one, and makes this member
+// a follower of its leader, 0 if that is unknown.
 func (n *Node) adoptTerm(term uint64, leader ID) {
 	if term > n.hardState.Term {
 		n.hardState, n.hardStateDirty = HardState{Term: term}, true
@@ -33,7 +35,8 @@
 	n.becomeFollower(leader)
 }
 
-// campaign begins an election, and asks the voters of all sets for their votes.
+// campaign starts an election and requests the votes of all voters, in a joint configuration
+// those of both sets.
 func (n *Node) campaign(kind campaignKind) {
 	n.role, n.leader = Candidate, 0
 	n.votes, n.preVote = map[ID]bool{n.cfg.ID: true}, kind == preVoteCampaign
@@ -58,8 +61,8 @@
 	n.countVotes()
 }
 
-// countVotes ends an election once a majority of each set of voters has granted its votes, or
-// so many of one set have rejected it that this can't come.
+// countVotes ends the election once a majority of each voter set has granted its votes, or once
+// so many voters of one set have rejected it that a majority of that set is impossible.
 func (n *Node) countVotes() {
 	won, lost := true, false
 	for _, set := range voterSets(n.members) {
@@ -86,14 +89,14 @@
 	}
 }
 
-// becomeLeader begins to lead. The first entry of the term is empty: entries of earlier terms
-// are committed by it (paper, 5.4.2).
+// becomeLeader makes this member the leader. It appends an empty entry, because entries of earlier
+// terms are committed only together with an entry of the current term (paper, 5.4.2).
 func (n *Node) becomeLeader() {
 	n.role, n.leader, n.votes, n.electionElapsed = Leader, n.cfg.ID, nil, 0
 	n.progress = map[ID]*progress{}
 	n.syncProgress()
 	if p := n.progress[n.lastLeader]; p != nil {
-		// The last leader has been unresponsive since before this election.
+		// The previous leader stopped responding before this election.
 		p.ticksSinceResponse = n.lastLeaderTicks
 	}
 	last := n.log.lastIndex()
@@ -102,20 +105,21 @@
 	n.BroadcastHeartbeat()
 }
 
-// hasActiveLeader reports whether a message of a leader arrived within the minimum election time-out.
+// hasActiveLeader reports whether this member leads, or has heard from a leader within the minimum
+// election timeout.
 func (n *Node) hasActiveLeader() bool {
 	return n.role == Leader || n.leader != 0 && n.electionElapsed < n.cfg.ElectionTicks
 }
 
-// handlePreVoteRequest answers a member whether it would get this one's vote. Where a leader is
-// alive there is no answer, which is a rejection.
+// handlePreVoteRequest tells a candidate whether it would get this member's vote. A member that
+// hears from a leader does not reply, which counts as a rejection.
 func (n *Node) handlePreVoteRequest(m Message) {
 	if n.hasActiveLeader() {
 		return
 	}
 	granted := n.log.isUpToDate(m.Index, m.LogTerm) && m.Term > n.hardState.Term
 	if granted && n.role == Candidate && n.preVote {
-		// Two pre-votes at once would split the votes: one of the two candidates waits.
+		// Two simultaneous pre-votes would split the vote, so one of the two candidates yields.
 		granted = m.From < n.cfg.ID || m.Index > n.log.lastIndex() || m.LogTerm > n.log.lastTerm()
 		if granted {
 			n.becomeFollower(0)
@@ -128,7 +132,8 @@
 	n.send(reply)
 }
 
-// handleVoteRequest grants one vote a term, to a candidate whose log is up to date (3.4, 3.6.1).
+// handleVoteRequest grants at most one vote per term, to a candidate whose log is at least as up to
+// date as this member's (3.4, 3.6.1).
 func (n *Node) handleVoteRequest(m Message) {
 	granted := (n.hardState.Vote == 0 || n.hardState.Vote == m.From) && n.leader == 0 &&
 		n.log.isUpToDate(m.Index, m.LogTerm)
@@ -138,7 +143,7 @@
 	n.send(Message{Kind: VoteReply, To: m.From, Term: n.hardState.Term, Reject: !granted})
 }
 
-// handleVoteReply counts the first answer of each voter in the election that is under way.
+// handleVoteReply counts the first reply of each voter in the current election.
 func (n *Node) handleVoteReply(m Message) {
 	if n.role != Candidate || n.preVote != (m.Kind == PreVoteReply) {
 		return
@@ -149,15 +154,16 @@
 	}
 }
 
-// handleTimeoutNow begins an election at the request of the leader, without a pre-vote.
+// handleTimeoutNow starts an election at the request of the leader, without a pre-vote.
 func (n *Node) handleTimeoutNow() {
 	if n.NeededForQuorum() {
 		n.campaign(transferCampaign)
 	}
 }
 
-// TransferLeadership makes a leader that is about to stop ask the voter with the most complete
-// log to begin an election (3.10). It does nothing if no live voter has the complete log.
+// TransferLeadership asks the responsive voter with the highest match index to start an election
+// (3.10), for a leader that is about to stop. It does nothing if no responsive voter has the
+// complete log.
 func (n *Node) TransferLeadership() {
 	if n.role != Leader {
 		return
@@ -178,7 +184,8 @@
 	}
 }
 
-// StepDown makes a leader give up leadership, as when its disk fails. Others do nothing.
+// StepDown makes a leader give up leadership, for example when its disk fails. It does nothing on
+// other members.
 func (n *Node) StepDown() {
 	if n.role == Leader {
 		n.becomeFollower(0)
--- a/raft/membership.go
+++ b/raft/membership.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// updateMembers takes the members of the last entry that names them: a change holds as soon as
-// its entry is in the log, committed or not (4.1).
+// updateMembers sets the members to those of the last entry that lists them: a change takes effect
+// as soon as its entry is in the log, committed or not (4.1).
 func (n *Node) updateMembers() {
 	n.members, n.membersIndex, n.previousMembers = n.log.snapshot.Members, n.log.snapshot.Index, nil
 	found := false
@@ -20,16 +20,16 @@
 	}
 }
 
-// isVoter reports whether this member is a voter, of either set of a joint change.
+// isVoter reports whether this member is a voter, in a joint configuration in either set.
 func (n *Node) isVoter() bool {
 	m := findMember(n.members, n.cfg.ID)
 	return m != nil && m.isVoter()
 }
 
 // NeededForQuorum reports whether a majority may still need this member: it is a voter, or the
-// change that takes its vote is not known to be committed. Until then it stands for election
-// too: it may be the only one left that holds that change, and then it can't vote for the
-// others, whose logs are shorter.
+// change that removes it from the voters is not known to be committed. Until that is committed
+// the member also starts elections: it may be the only live member that has the change in its log,
+// and then it can't vote for the others, whose logs are shorter.
 func (n *Node) NeededForQuorum() bool {
 	if n.isVoter() {
 		return true
@@ -38,24 +38,24 @@
 	return n.membersIndex > n.log.committed && m != nil && m.isVoter()
 }
 
-// MembershipChangePending reports whether a membership change is under way: its last entry is not
-// committed.
+// MembershipChangePending reports whether a membership change is in progress: the final entry of
+// the change is not known to be committed.
 func (n *Node) MembershipChangePending() bool {
 	return n.membersIndex > n.log.committed || len(outgoingVoterIDs(n.members)) > 0
 }
 
-// ProposeMembers proposes a list of members in place of the present one, with at most one
-// voter more and one voter less. Learners may come and go freely.
+// ProposeMembers proposes a list of members to replace the current one. The new list may add at
+// most one voter and remove at most one. Any number of learners may be added and removed.
 //
-// One voter added or removed is a single entry (4.1). Both at once, a swap, is a joint change
-// (4.3): its entry names both sets of voters, and as long as it is the last that names members,
-// an election, a commit and a read index need a majority of both. Once it is committed the
-// leader adds the entry with the new set alone. The member that loses its vote in a swap stays
-// in the list as a learner; a later change may remove it.
+// Adding or removing one voter takes a single entry (4.1). Doing both at once, a swap, is a joint
+// change (4.3): its entry lists both voter sets, and while it is the last entry that lists
+// members, an election, a commit and a read index each need a majority of both sets. Once it is
+// committed, the leader appends an entry that lists the new set alone. The voter that a swap
+// removes stays in the list as a learner; a later change may remove it.
 //
-// Errors: [ErrNotLeader]; [ErrChangePending] while a change is under way, or nothing of the
-// leader's term is committed (without that two leaders could make changes that share no
-// majority); [ErrInvalidChange] for a larger change, or one that leaves no voter;
+// Errors: [ErrNotLeader]; [ErrChangePending] while a change is in progress, or until the leader has
+// committed an entry of its term (otherwise two leaders could make changes whose majorities do not
+// overlap); [ErrInvalidChange] for a larger change, or one that leaves no voters;
 // [ErrJointUnsupported] for a swap unless [Node.SupportsJointConsensus].
 func (n *Node) ProposeMembers(members []Member) error {
 	if n.role != Leader {
@@ -79,19 +79,19 @@
 
 // voterChange counts how the voters of two lists of members differ.
 type voterChange struct {
-	added   int // voters that were none before
-	removed int // voters that are none any more
-	dropped int // ... of which so many are not even members any more
+	added   int // members that become voters
+	removed int // members that cease to be voters, including dropped
+	dropped int // voters that are removed from the list of members altogether
 }
 
 // isAllowed reports whether a change may be made in one step. A swap may not drop the voter that
-// it removes: it counts toward the outgoing majorities until the change is through.
+// it removes, because that voter counts toward the outgoing majority until the change completes.
 func (c voterChange) isAllowed() bool {
 	return c.added <= 1 && c.removed <= 1 && c.added+c.dropped <= 1
 }
 
-// compareMembers returns how a list of members differs from the present one, and the list with
-// the present voters marked as outgoing.
+// compareMembers returns a list of members with the current voters marked as outgoing, and how its
+// voters differ from the current ones.
 func (n *Node) compareMembers(members []Member) (next []Member, change voterChange) {
 	next = slices.Clone(members)
 	for i := range next {
@@ -117,7 +117,7 @@
 	return next, change
 }
 
-// withoutOutgoing returns the members without an outgoing set of voters.
+// withoutOutgoing returns a copy of the members without the outgoing voter set.
 func withoutOutgoing(members []Member) []Member {
 	next := slices.Clone(members)
 	for i := range next {
@@ -126,8 +126,8 @@
 	return next
 }
 
-// leaveJoint adds the entry with the new set of voters alone, once the joint one is committed,
-// on a leader that has committed in its term.
+// leaveJoint appends the entry with the new voter set alone, on a leader that has committed an
+// entry in its term, once the joint entry is committed.
 func (n *Node) leaveJoint() {
 	joint := len(outgoingVoterIDs(n.members)) > 0
 	if n.role == Leader && joint && n.membersIndex <= n.log.committed && n.HasCommittedInTerm() {
@@ -135,9 +135,9 @@
 	}
 }
 
-// SupportsJointConsensus reports whether all voters, the present ones and those of a list, are
-// stored in the log as members that understand joint changes. One that does not would elect
-// and commit with a majority of one set alone.
+// SupportsJointConsensus reports whether the log records support for joint consensus for all
+// current voters and all voters in a list. A member without support would elect leaders and commit
+// entries with a majority of one set alone.
 func (n *Node) SupportsJointConsensus(members []Member) bool {
 	for _, m := range slices.Concat(n.members, members) {
 		if present := findMember(n.members, m.ID); m.isVoter() && (present == nil || !present.SupportsJoint) {
@@ -147,9 +147,9 @@
 	return true
 }
 
-// CanCommitMembers reports whether, on a leader, a change to these members could be committed now: a
-// majority of the present voters, and of those to be, have answered within the minimum
-// election time-out, and each new voter has all that is committed.
+// CanCommitMembers reports whether this member leads and could commit a change to these members
+// now: a majority of the current voters and a majority of the proposed voters have responded within
+// the minimum election timeout, and each new voter has every committed entry.
 func (n *Node) CanCommitMembers(members []Member) bool {
 	if n.role != Leader {
 		return false
--- a/raft/node.go
+++ b/raft/node.go
@@ -2,68 +2,70 @@
 
 import "math/rand/v2"
 
-// Node is one member. It is not safe for concurrent use: every field and method is for the
-// host's one goroutine, or under the host's lock.
+// Node is the state machine of one member. It is not safe for concurrent use: the host calls it
+// from a single goroutine or under a lock.
 type Node struct {
-	cfg Config // with defaults; never changed
-	// random draws the election time-outs, and nothing else, from randomSource. [Node.Clone]
-	// copies the source, so that a clone draws the same.
+	cfg Config // with defaults; immutable
+	// random draws election timeouts, and nothing else, from randomSource. [Node.Clone] copies
+	// the source, so that a clone draws the same timeouts.
 	randomSource *rand.PCG
 	random       *rand.Rand
 
-	// hardState is the term and vote. hardStateDirty is set until the host has stored it.
+	// hardState is the current term and vote. hardStateDirty is set while the host has yet to
+	// store it.
 	hardState      HardState
 	hardStateDirty bool
-	log            entryLog // the replicated log, and how far it is committed and applied
+	log            entryLog
 
-	// members are those of the last entry that names them, committed or not (4.1), and
-	// membersIndex is its index, or that of the snapshot. previousMembers are those before
-	// it; nil if the snapshot names them.
+	// members are those of the last entry that lists members, committed or not (4.1), or of the
+	// snapshot, and membersIndex is the index of that entry or snapshot. previousMembers are
+	// the members before that entry; nil if members are those of the snapshot.
 	members         []Member
 	membersIndex    uint64
 	previousMembers []Member
 
 	role   Role
-	leader ID // whom this member follows in its term; 0: nobody is known
+	leader ID // of the current term; 0: unknown
 
 	messages []Message // to be sent with the next Ready
-	// installedSnapshot has replaced the log, and is for the host to store and apply; nil: none.
+	// installedSnapshot has replaced the log and waits for the host to store and apply it; nil:
+	// none.
 	installedSnapshot *Snapshot
-	// incomingSnapshot is one of which some chunks have arrived; nil: none.
+	// incomingSnapshot is a snapshot of which some chunks have been received; nil: none.
 	incomingSnapshot  *snapshotAssembly
 	rejectedSnapshots uint64 // since the start of the process
-	// lostDurability is one-way: once true it stays.
-	lostDurability bool
+	lostDurability    bool   // never reset
 
-	// lastLeader is the last leader of which a message arrived, in any term, and
-	// lastLeaderTicks how many ticks ago.
+	// lastLeader is the last leader that this member has received a message from, in any term,
+	// and lastLeaderTicks the number of ticks since then.
 	lastLeader      ID
 	lastLeaderTicks int
 
-	// electionElapsed counts ticks: on a leader since the last quorum check, on others
-	// since the last message of a leader, vote granted, or election begun here. Members
-	// other than the leader begin an election when it reaches electionTimeout.
+	// electionElapsed counts ticks: on a leader since the last quorum check; on other members
+	// since the last message of a leader, the last vote granted, or the last election that
+	// this member started. Members other than the leader start an election when it reaches
+	// electionTimeout.
 	electionElapsed int
 	electionTimeout int
 
-	// votes are the answers in the election that this candidate holds, its own vote among
-	// them; nil on others. preVote is set in a pre-vote.
+	// votes are the replies that this candidate has received in the current election, and its
+	// own vote; nil on other members. preVote is set during a pre-vote.
 	votes   map[ID]bool
 	preVote bool
 
-	// progress has a record for each other member; nil unless this member leads.
+	// progress tracks each other member; nil unless this member is the leader.
 	progress map[ID]*progress
 	// heartbeatElapsed counts the ticks since the last heartbeat round of this leader.
 	heartbeatElapsed int
-	// heartbeatRound numbers the heartbeats that this member has sent, in any term: no
-	// number is used twice by one process.
+	// heartbeatRound is the number of the last heartbeat round that this member has started. It
+	// is not reset with the term, so that a process never reuses a round number.
 	heartbeatRound uint64
 }
 
-// minFirstElectionTicks is the minimum time before the first election of a process.
+// minFirstElectionTicks is the minimum time from the start of a process to its first election.
 const minFirstElectionTicks = 2
 
-// New returns a member with what its disk holds.
+// New returns a member that starts from its stored state.
 func New(cfg Config, state PersistentState) *Node {
 	cfg = cfg.withDefaults()
 	source := rand.NewPCG(cfg.Seed, uint64(cfg.ID))
@@ -76,8 +78,8 @@
 	}
 	n.updateMembers()
 	n.becomeFollower(0)
-	// The first election comes early: after a start of all members there is no leader to
-	// wait for. Where there is one, its followers do not answer the pre-vote.
+	// The first election timeout is shorter: after a start of all members there is no leader to
+	// wait for. If there is one, its followers do not reply to the pre-vote.
 	n.electionTimeout = minFirstElectionTicks + n.random.IntN(max(1, cfg.ElectionTicks/2))
 	return n
 }
@@ -85,7 +87,7 @@
 // Role returns whether the member is a follower, a candidate or the leader.
 func (n *Node) Role() Role { return n.role }
 
-// Leader returns the leader that this member follows, 0 if none is known.
+// Leader returns the leader of the current term, 0 if none is known.
 func (n *Node) Leader() ID { return n.leader }
 
 // Term returns the current term.
@@ -94,10 +96,10 @@
 // Members returns the members as of the end of the log. The caller must not change the slice.
 func (n *Node) Members() []Member { return n.members }
 
-// CommitIndex returns the highest index that is known to be committed.
+// CommitIndex returns the highest index known to be committed.
 func (n *Node) CommitIndex() uint64 { return n.log.committed }
 
-// SnapshotIndex returns the index of the latest snapshot. Some entries before it may be held.
+// SnapshotIndex returns the index of the latest snapshot. The log may still have entries before it.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snapshot.Index }
 
 // LastIndex returns the index of the last entry of the log.
@@ -106,16 +108,17 @@
 // AppliedIndex returns the highest index that the host has applied; see [Node.Advance].
 func (n *Node) AppliedIndex() uint64 { return n.log.applied }
 
-// RejectedSnapshots returns how many snapshots arrived damaged, or were refused by
-// [Config.ValidateSnapshot], since the start of the process.
+// RejectedSnapshots returns the number of snapshots that were rejected since the start of the
+// process, because they were corrupt or because [Config.ValidateSnapshot] failed.
 func (n *Node) RejectedSnapshots() uint64 { return n.rejectedSnapshots }
 
-// LostDurability reports whether this member's log lacks entries that it has acknowledged, as its
-// leader found: its disk is an earlier one. The host must stop the member, and start it anew
-// only with an empty disk and a new ID.
+// LostDurability reports whether the leader has found that this member's log lacks entries that
+// the member had acknowledged, as when its disk was rolled back to an earlier state. The host must
+// stop the member, and may restart it only with an empty disk and a new ID.
 func (n *Node) LostDurability() bool { return n.lostDurability }
 
-// Tick counts one tick of time: elections, heartbeats, quorum checks and retransmissions follow.
+// Tick advances the member's timers by one tick. This may start an election, a heartbeat round, a
+// quorum check or retransmissions.
 func (n *Node) Tick() {
 	n.electionElapsed++
 	n.lastLeaderTicks++
@@ -138,8 +141,8 @@
 	}
 }
 
-// checkQuorum reports whether a majority has answered this leader since the last check. A
-// leader without one steps down (6.2): the others may have elected another.
+// checkQuorum reports whether a majority has replied to this leader since the last check. A leader
+// without a majority steps down (6.2), because the others may have elected another leader.
 func (n *Node) checkQuorum() bool {
 	n.electionElapsed = 0
 	active := n.hasQuorum(n.members, func(p *progress) bool { return p.recentlyActive })
@@ -149,7 +152,7 @@
 	return active
 }
 
-// send puts a message into the next Ready.
+// send adds a message to the next Ready.
 func (n *Node) send(m Message) {
 	m.From, m.SupportsJoint = n.cfg.ID, m.Kind == AppendEntriesReply
 	n.messages = append(n.messages, m)
--- a/raft/progress.go
+++ b/raft/progress.go
@@ -2,47 +2,47 @@
 
 const (
 	// retransmitTicks is how long a leader waits for the acknowledgement of entries or
-	// chunks before it sends them again, if they are small; see [retransmitAfter]. To send
-	// entries again with each heartbeat would fill the memory of a leader whose link is
-	// slow (docs/incidents/0006).
+	// chunks before it retransmits them, apart from their transmission time; see
+	// [retransmitAfter]. Resending entries with each heartbeat would fill the memory of a
+	// leader with a slow link (docs/incidents/0006).
 	retransmitTicks = 4
-	// minLinkBytesPerTick is the speed of the slowest link that time-outs allow for, in
-	// bytes in a tick of 50 ms: 1 Mbit/s.
+	// minLinkBytesPerTick is the speed of the slowest link that timeouts allow for: 1 Mbit/s,
+	// in bytes per tick of 50 ms.
 	minLinkBytesPerTick = 6250
-	// catchUpTimeoutTicks is how long a follower that receives a snapshot may send no reply
-	// before the leader no longer keeps the log for it.
+	// catchUpTimeoutTicks is how long a follower that catches up from a snapshot may be silent
+	// before the leader stops delaying compaction for it.
 	catchUpTimeoutTicks = 60
 )
 
-// retransmitAfter is the time-out for a number of bytes in flight, in ticks: retransmitTicks,
-// and what the bytes take on the slowest link.
+// retransmitAfter returns the retransmission timeout for a number of bytes in flight, in ticks:
+// retransmitTicks plus the transmission time on the slowest link.
 func retransmitAfter(bytes int) int { return retransmitTicks + bytes/minLinkBytesPerTick }
 
-// progress is what a leader knows of one follower.
+// progress is the state of one follower as known to the leader.
 type progress struct {
-	// matchIndex is the highest entry known to be replicated there, and matchRound the
-	// latest heartbeat round when it was last raised.
+	// matchIndex is the highest index known to be replicated to the follower, and matchRound
+	// the latest heartbeat round at the time matchIndex was last raised.
 	matchIndex, matchRound uint64
-	nextIndex              uint64 // of the first entry to send next
-	acknowledgedRound      uint64 // the latest heartbeat round that it has answered
-	recentlyActive         bool   // it has answered since the last quorum check
-	responded              bool   // it has answered this leader at all
-	supportsJoint          bool   // by its last answer it understands joint changes
+	nextIndex              uint64 // index of the next entry to send
+	acknowledgedRound      uint64 // the latest heartbeat round that the follower has replied to
+	recentlyActive         bool   // it has replied since the last quorum check
+	responded              bool   // it has replied to this leader at least once
+	supportsJoint          bool   // it supports joint consensus, according to its last reply
 	ticksSinceResponse     int
 
-	// paused is set while entries are in flight: heartbeats carry none meanwhile.
+	// paused is set while entries are in flight. Heartbeats then carry no entries.
 	paused        bool
-	inflightIndex uint64 // of the last entry in flight
+	inflightIndex uint64 // index of the last entry in flight
 	inflightBytes int    // size of the entries in flight
 	inflightTicks int    // ticks since they were sent
 
 	transfer *snapshotTransfer // nil: the follower needs no snapshot
-	// catchingUp is set once a snapshot was sent, until the follower has
-	// all that was committed since.
+	// catchingUp is set when a snapshot is sent, until the follower has every committed entry.
 	catchingUp bool
 }
 
-// tick counts one tick of the leader, and gives up waiting for what is overdue.
+// tick advances the timers of the follower by one tick, and ends the pause if the acknowledgement
+// of the entries in flight is overdue.
 func (p *progress) tick() {
 	p.ticksSinceResponse++
 	p.inflightTicks++
@@ -54,26 +54,27 @@
 	}
 }
 
-// acknowledge records an answer to a heartbeat round. latest is the last round that there
-// was: a member can't answer a later one.
+// acknowledge records a reply to a heartbeat round. latest is the last round that was started, which
+// bounds the round of any valid reply.
 func (p *progress) acknowledge(round, latest uint64) {
 	p.recentlyActive, p.ticksSinceResponse, p.responded = true, 0, true
 	p.acknowledgedRound = max(p.acknowledgedRound, min(round, latest))
 }
 
-// sentEntries records that entries up to an index are in flight.
+// sentEntries records that entries up to an index were sent and are in flight.
 func (p *progress) sentEntries(lastIndex uint64, bytes int) {
 	p.paused, p.inflightIndex, p.inflightBytes, p.inflightTicks = true, lastIndex, bytes, 0
 }
 
-// delaysCompaction reports whether the follower is alive and receives a snapshot, or has received one and
-// not yet all that was committed since: the log must go on from that snapshot.
+// delaysCompaction reports whether the follower is responsive and is receiving a snapshot that it
+// has not rejected, or has received one but not yet every committed entry since. The leader then
+// keeps the entries after that snapshot.
 func (p *progress) delaysCompaction() bool {
 	rejected := p.transfer != nil && p.transfer.rejections > 0
 	return p.catchingUp && p.ticksSinceResponse < catchUpTimeoutTicks && !rejected
 }
 
-// syncProgress keeps one record for each other member, and drops those of former members.
+// syncProgress creates a progress for each new member and deletes those of former members.
 func (n *Node) syncProgress() {
 	for id := range n.progress {
 		if findMember(n.members, id) == nil {
@@ -87,8 +88,8 @@
 	}
 }
 
-// TicksSinceResponse returns for how many ticks a member has sent this leader no reply; 0 on
-// other members, and of one that is not a member.
+// TicksSinceResponse returns the number of ticks since a member last replied to this leader. It
+// returns 0 if this member is not the leader, or if id is not another member.
 func (n *Node) TicksSinceResponse(id ID) int {
 	if p := n.progress[id]; p != nil {
 		return p.ticksSinceResponse
@@ -96,14 +97,14 @@
 	return 0
 }
 
-// CaughtUp reports whether a member has all that this leader has committed.
+// CaughtUp reports whether another member has every entry that this leader knows to be committed.
 func (n *Node) CaughtUp(id ID) bool {
 	p := n.progress[id]
 	return p != nil && p.matchIndex >= n.log.committed
 }
 
-// PeerResponse reports whether a member has answered this leader, and whether it understands
-// joint changes by what it said last.
+// PeerResponse reports whether a member has replied to this leader, and whether it supports joint
+// consensus according to its last reply.
 func (n *Node) PeerResponse(id ID) (responded, supportsJoint bool) {
 	if id == n.cfg.ID {
 		return true, true
@@ -113,7 +114,7 @@
 }
 
 // ReportSendFailure notifies a leader that messages to a member, other than heartbeats, were not
-// delivered: they may be sent again before their time-out.
+// delivered. The leader may then resend them before their retransmission timeout.
 func (n *Node) ReportSendFailure(id ID) {
 	p := n.progress[id]
 	if p == nil {
--- a/raft/quorum.go
+++ b/raft/quorum.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// voterIDs are the voters of the incoming set: all voters, unless a joint change is under way.
+// voterIDs returns the voters; during a joint change, those of the incoming set.
 func voterIDs(members []Member) (ids []ID) {
 	for _, m := range members {
 		if m.Voter {
@@ -15,7 +15,7 @@
 	return ids
 }
 
-// outgoingVoterIDs are the voters of the outgoing set of a joint change; none without one.
+// outgoingVoterIDs returns the voters of the outgoing set of a joint change, nil if there is none.
 func outgoingVoterIDs(members []Member) (ids []ID) {
 	for _, m := range members {
 		if m.Outgoing {
@@ -25,8 +25,8 @@
 	return ids
 }
 
-// voterSets are the sets of voters of which a majority each is needed: two while a joint
-// change is under way (4.3), else one.
+// voterSets returns the sets of voters of which a quorum needs a majority each: two during a joint
+// change (4.3), otherwise one.
 func voterSets(members []Member) [][]ID {
 	if outgoing := outgoingVoterIDs(members); len(outgoing) > 0 {
 		return [][]ID{voterIDs(members), outgoing}
@@ -34,7 +34,7 @@
 	return [][]ID{voterIDs(members)}
 }
 
-// findMember returns the member with an ID, nil if there is none.
+// findMember returns the member with the given ID, nil if there is none.
 func findMember(members []Member, id ID) *Member {
 	if i := slices.IndexFunc(members, func(m Member) bool { return m.ID == id }); i >= 0 {
 		return &members[i]
@@ -42,8 +42,9 @@
 	return nil
 }
 
-// quorumValue is the highest value that a majority of each set of voters reaches. own is the
-// value of this member, valueOf that of another one; one without progress counts as 0.
+// quorumValue returns the highest value that a majority of each voter set has reached. own is the
+// value of this member, and valueOf returns that of another member. A member without progress has
+// the value 0.
 func (n *Node) quorumValue(members []Member, own uint64, valueOf func(*progress) uint64) uint64 {
 	lowest := uint64(math.MaxUint64)
 	for _, set := range voterSets(members) {
@@ -63,8 +64,8 @@
 	return lowest
 }
 
-// hasQuorum reports whether a condition holds for a majority of each set of voters, this member
-// among those for which it does.
+// hasQuorum reports whether a condition holds for a majority of each voter set. It is taken to hold
+// for this member.
 func (n *Node) hasQuorum(members []Member, holds func(*progress) bool) bool {
 	return n.quorumValue(members, 1, func(p *progress) uint64 {
 		if holds(p) {
@@ -74,7 +75,8 @@
 	}) == 1
 }
 
-// majorityValue is the highest value that more than half of the values reach. It sorts them.
+// majorityValue returns the highest value v such that more than half of the values are at least v.
+// It sorts the slice.
 func majorityValue(values []uint64) uint64 {
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
--- a/raft/replication.go
+++ b/raft/replication.go
@@ -1,11 +1,11 @@
 package raft
 
-// maxEntriesBytes bounds the entries of one message. One entry is sent whatever its size.
+// maxEntriesBytes is the maximum size of the entries in one message. A single entry may exceed it.
 const maxEntriesBytes = 16 << 10
 
-// Propose adds an entry to the log of the leader, and returns its index and term. The entry is
-// committed once it comes back in [Ready.CommittedEntries] with the same index and term; a
-// later leader may replace it before. Error: [ErrNotLeader].
+// Propose appends an entry to the log of the leader and returns its index and term. The entry is
+// committed once it appears in [Ready.CommittedEntries] with the same index and term. Until then, a
+// later leader may replace it. Propose returns [ErrNotLeader] if this member does not lead.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if n.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -14,7 +14,7 @@
 	return index, term, nil
 }
 
-// appendEntry adds an entry to the log of this leader and sends it to the followers.
+// appendEntry appends an entry to the log of this leader and sends it to the followers.
 func (n *Node) appendEntry(e Entry) (index, term uint64) {
 	index, term = n.log.lastIndex()+1, n.hardState.Term
 	e.Index, e.Term = index, term
@@ -25,14 +25,14 @@
 	return index, term
 }
 
-// replaceEntries puts entries behind an index, in place of those that are there, and takes
-// over the members that they name.
+// replaceEntries replaces all entries after an index and updates the members accordingly.
 func (n *Node) replaceEntries(after uint64, entries []Entry) {
 	n.log.replaceAfter(after, entries)
 	n.updateMembers()
 }
 
-// broadcastAppend sends each follower what it lacks, in the order of the members.
+// broadcastAppend sends each follower the entries or the snapshot that it needs next, in the order
+// of the list of members.
 func (n *Node) broadcastAppend(heartbeat bool) {
 	for _, m := range n.members {
 		if p := n.progress[m.ID]; p != nil {
@@ -41,9 +41,10 @@
 	}
 }
 
-// sendAppend sends a follower what it lacks. A heartbeat goes out in any case, and beside what
-// is large, which it may overtake. It asks whether the log fits up to where the next entries
-// go. Beside a snapshot it asks nothing: it fits any log.
+// sendAppend sends a follower the entries or the snapshot that it needs next. If heartbeat is set,
+// one message is sent in any case: entries that are bulk are preceded by a separate message
+// without entries, which may overtake them. A heartbeat has the follower check that its log matches
+// up to nextIndex-1, unless the follower needs a snapshot: then Index is 0, which matches any log.
 func (n *Node) sendAppend(id ID, p *progress, heartbeat bool) {
 	needsSnapshot := p.nextIndex <= n.log.base
 	m := Message{Kind: AppendEntries, To: id, Term: n.hardState.Term, Commit: n.log.committed, Round: n.heartbeatRound}
@@ -68,7 +69,7 @@
 	}
 }
 
-// entriesForMessage returns as many entries behind an index as one message carries.
+// entriesForMessage returns the entries after an index, as many as one message may carry.
 func (n *Node) entriesForMessage(index uint64) []Entry {
 	entries, bytes := n.log.entriesAfter(index, n.cfg.MaxEntriesPerMessage), 0
 	for i := range entries {
@@ -80,12 +81,12 @@
 	return entries
 }
 
-// handleAppendEntries stores the entries of a leader, if the entry before them is the same
-// here (3.5), and learns how far the log is committed.
+// handleAppendEntries appends the entries of a leader if the log matches at the entry before them
+// (3.5), and advances the commit index.
 func (n *Node) handleAppendEntries(m Message) {
 	reply := Message{Kind: AppendEntriesReply, To: m.From, Term: n.hardState.Term, Round: m.Round}
 	switch {
-	case m.Index < n.log.base: // the log up to base is committed; entries behind it may be new
+	case m.Index < n.log.base: // the log up to base is committed; entries after it may be new
 		compacted := n.log.base - m.Index
 		if compacted > uint64(len(m.Entries)) {
 			reply.Index = n.log.base
@@ -104,14 +105,15 @@
 	reply.Index = max(m.Index, n.log.base) + uint64(len(m.Entries))
 	n.log.committed = max(n.log.committed, min(m.Commit, reply.Index))
 	if n.incomingSnapshot != nil && n.incomingSnapshot.snapshot.Index <= n.log.committed {
-		n.incomingSnapshot = nil // its entries have arrived one by one
+		n.incomingSnapshot = nil // the log has all its entries
 	}
 	n.send(reply)
 }
 
-// storeNewEntries stores those of some entries that are not here yet. Entries that are here
-// stay, with all behind them: a late message must not cut off newer entries. It returns false,
-// and stores nothing, if an entry contradicts a committed one, which no leader sends.
+// storeNewEntries appends the entries that are not in the log yet, and replaces conflicting ones.
+// Matching entries stay, with all entries after them: a delayed message must not truncate newer
+// entries. It returns false and changes nothing if an entry conflicts with a committed one, which
+// no correct leader sends.
 func (n *Node) storeNewEntries(entries []Entry) bool {
 	for i, e := range entries {
 		if n.log.term(e.Index) == e.Term {
@@ -126,7 +128,7 @@
 	return true
 }
 
-// handleAppendEntriesReply records what a follower has, and sends it what comes next.
+// handleAppendEntriesReply updates the progress of a follower and sends it the next entries.
 func (n *Node) handleAppendEntriesReply(m Message) {
 	p := n.progress[m.From]
 	if n.role != Leader || p == nil {
@@ -152,7 +154,7 @@
 		}
 		before := n.log.committed
 		n.maybeCommit()
-		if n.role == Leader && n.log.committed > before { // all followers learn that at once
+		if n.role == Leader && n.log.committed > before { // notify all followers immediately
 			n.broadcastAppend(true)
 			return
 		}
@@ -162,31 +164,32 @@
 	}
 }
 
-// handleAppendRejection moves back to where the log of a follower may fit, or notifies it that it
-// has lost what it had acknowledged.
+// handleAppendRejection backs up to the last index at which the log of a follower may match, or
+// notifies the follower that it has lost entries that it had acknowledged.
 func (n *Node) handleAppendRejection(m Message, p *progress) {
-	// The request was sent in a later round than the answer that raised matchIndex came in,
-	// so this is no late answer to an earlier request: what fitted once in this term always
-	// fits, unless it is gone.
+	// The rejected request was sent in a later round than the one in which matchIndex was last
+	// raised, so this is not a delayed reply to an earlier request. An index that has matched
+	// once keeps matching for the rest of the term, unless the follower has lost the entry.
 	if m.RejectedIndex != 0 && m.RejectedIndex <= p.matchIndex && m.Round > p.matchRound {
 		n.send(Message{Kind: DurabilityLost, To: m.From, Term: n.hardState.Term})
 		return
 	}
 	if p.nextIndex <= n.log.base {
-		return // a snapshot is on its way
+		return // the follower is being sent a snapshot
 	}
 	if m.RejectedIndex != 0 && m.RejectedIndex != p.nextIndex-1 {
-		return // an answer to an earlier request
+		return // a reply to an earlier request
 	}
 	next := max(p.matchIndex+1, min(p.nextIndex-1, m.Index+1))
-	if next < p.nextIndex { // else the entries go out again after their time-out
+	if next < p.nextIndex { // otherwise the entries are resent after the retransmission timeout
 		p.paused, p.nextIndex = false, next
 		n.sendAppend(m.From, p, false)
 	}
 }
 
-// maybeCommit commits what a majority has stored, if it is of this leader's own term: an entry
-// of an earlier term may still be replaced, although a majority has it (paper, 5.4.2).
+// maybeCommit commits the entries that a majority has stored, if the last of them is of this
+// leader's own term: an entry of an earlier term may still be replaced although a majority has it
+// (paper, 5.4.2).
 func (n *Node) maybeCommit() {
 	if n.role != Leader {
 		return
@@ -194,7 +197,7 @@
 	index := n.quorumValue(n.members, n.log.persisted, func(p *progress) uint64 { return p.matchIndex })
 	if index > n.log.committed && n.log.term(index) == n.hardState.Term {
 		n.log.committed = index
-		if !n.NeededForQuorum() { // the change that takes its vote is committed
+		if !n.NeededForQuorum() { // the change that removes it from the voters is committed
 			n.TransferLeadership()
 			n.becomeFollower(0)
 		}
--- a/raft/snapshot_receive.go
+++ b/raft/snapshot_receive.go
@@ -5,46 +5,49 @@
 // MaxSnapshotBytes is the largest snapshot that a member accepts in chunks.
 const MaxSnapshotBytes = 64 << 20
 
-// snapshotAssembly is a snapshot of which chunks have arrived: its first len(snapshot.Data)
-// bytes. Equal index, term, size and checksum are the same bytes, whichever leader sends them.
+// snapshotAssembly is a partially received snapshot: its first len(snapshot.Data) bytes have
+// arrived. Snapshots with equal index, term, size and checksum are identical, whichever leader sends
+// them.
 type snapshotAssembly struct {
 	snapshot Snapshot
 	size     uint64 // bytes of the complete snapshot
 	checksum uint64 // xxhash of the complete snapshot
-	term     uint64 // of the latest leader that sent a chunk of it
+	term     uint64 // term of the last chunk received
 }
 
-// newSnapshotAssembly returns the assembly of the snapshot that a message has a chunk of. Its
-// memory is allocated once: no chunk moves the others.
+// newSnapshotAssembly returns an empty assembly for the snapshot of a chunk. The memory for the
+// complete snapshot is allocated at once, so that appending chunks does not copy earlier ones.
 func newSnapshotAssembly(m *Message) *snapshotAssembly {
 	a := &snapshotAssembly{snapshot: *m.Snapshot, size: m.SnapshotSize, checksum: m.SnapshotChecksum}
 	a.snapshot.Data = make([]byte, 0, m.SnapshotSize)
 	return a
 }
 
-// matches reports whether a message has a chunk of this snapshot.
+// matches reports whether a message carries a chunk of this snapshot.
 func (a *snapshotAssembly) matches(m *Message) bool {
 	return a.snapshot.Index == m.Snapshot.Index && a.snapshot.Term == m.Snapshot.Term &&
 		a.size == m.SnapshotSize && a.checksum == m.SnapshotChecksum
 }
 
-// olderThan reports whether a message has a chunk of a later snapshot. The snapshots of one leader
-// only become later; those of a new leader may be earlier than those of the last one.
+// olderThan reports whether a chunk of another snapshot supersedes this assembly: it is from a later
+// term, or its snapshot has a higher index. The snapshots of one leader have increasing indexes, but
+// a new leader may send one with a lower index than its predecessor did.
 func (a *snapshotAssembly) olderThan(m *Message) bool {
 	return m.Term > a.term || m.Snapshot.Index > a.snapshot.Index
 }
 
-// add adds a chunk, unless it is a duplicate, or one before it is missing.
+// add appends a chunk, unless it is a duplicate or an earlier chunk is missing.
 func (a *snapshotAssembly) add(offset uint64, data []byte) {
 	if offset == a.received() {
 		a.snapshot.Data = append(a.snapshot.Data, data...)
 	}
 }
 
-// received is how many bytes have arrived.
+// received returns the number of bytes received so far.
 func (a *snapshotAssembly) received() uint64 { return uint64(len(a.snapshot.Data)) }
 
-// handleSnapshotChunk adds a chunk to those that have arrived. A complete snapshot is installed.
+// handleSnapshotChunk adds a chunk to the incoming snapshot, and installs the snapshot once it is
+// complete.
 func (n *Node) handleSnapshotChunk(m Message) {
 	if n.log.covers(m.Snapshot) {
 		n.incomingSnapshot = nil
@@ -57,7 +60,7 @@
 		a = newSnapshotAssembly(&m)
 		n.incomingSnapshot = a
 	case !a.matches(&m):
-		return // late, of a transfer that was given up
+		return // a delayed chunk of an abandoned transfer
 	}
 	a.term = m.Term
 	a.add(m.Offset, m.Snapshot.Data)
@@ -68,7 +71,7 @@
 		return
 	}
 	n.incomingSnapshot = nil
-	if xxhash.Sum64(a.snapshot.Data) != a.checksum { // damaged on its way
+	if xxhash.Sum64(a.snapshot.Data) != a.checksum { // corrupted in transit
 		n.rejectSnapshot(n.chunkReply(m))
 		return
 	}
@@ -76,7 +79,7 @@
 	n.installSnapshot(m)
 }
 
-// chunkReply returns the reply to a chunk, without what is held.
+// chunkReply returns a reply to a chunk; Offset is left for the caller to set.
 func (n *Node) chunkReply(m Message) Message {
 	return Message{
 		Kind:             SnapshotChunkReply,
@@ -88,15 +91,16 @@
 	}
 }
 
-// rejectSnapshot counts a snapshot that can't be used, and notifies its sender.
+// rejectSnapshot counts an unusable snapshot and sends its rejection.
 func (n *Node) rejectSnapshot(reply Message) {
 	n.rejectedSnapshots++
 	reply.Reject = true
 	n.send(reply)
 }
 
-// installSnapshot replaces the log by a complete snapshot, unless all of it is here. One that
-// the host can't restore is refused: this member keeps what it has.
+// installSnapshot replaces the log with a complete snapshot, unless the log already has all entries
+// that the snapshot contains. A snapshot that the host can't restore is rejected and the log stays
+// as it is.
 func (n *Node) installSnapshot(m Message) {
 	s := m.Snapshot
 	switch {
@@ -104,7 +108,7 @@
 		n.log.committed = max(n.log.committed, s.Index)
 	case n.cfg.ValidateSnapshot != nil && n.cfg.ValidateSnapshot(s) != nil:
 		reply := n.chunkReply(m)
-		reply.SnapshotChecksum = xxhash.Sum64(s.Data) // a snapshot in one message has none
+		reply.SnapshotChecksum = xxhash.Sum64(s.Data) // InstallSnapshot carries no checksum
 		n.rejectSnapshot(reply)
 		return
 	default:
--- a/raft/snapshot_send.go
+++ b/raft/snapshot_send.go
@@ -2,34 +2,38 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// A snapshot that does not fit into one message goes to a follower in chunks, each acknowledged
-// by how many bytes of the snapshot the follower holds. A lost message so costs one chunk, and
-// neither a slow link nor the size of the state keeps a follower from catching up
-// (docs/decisions/0013). Heartbeats, votes and entries go on beside it.
+// A snapshot that is larger than one chunk is sent to a follower in chunks. The follower acknowledges
+// each with the number of bytes of the snapshot that it has, so that a lost message costs one chunk,
+// and neither a slow link nor a large state prevents a follower from catching up
+// (docs/decisions/0013). Heartbeats, votes and entries are sent concurrently.
 
 const (
-	// maxBackoffDoublings bounds how often the time-out of a transfer is doubled.
+	// maxBackoffDoublings is the maximum number of times that the retransmission timeout of
+	// a transfer is doubled.
 	maxBackoffDoublings = 3
-	// rejectedSnapshotPauseTicks is how long a snapshot that a follower refused is not sent to it
-	// again. It doubles with each refusal, up to maxRejectionDoublings times.
+	// rejectedSnapshotPauseTicks is how long the leader waits after a rejection before it sends
+	// the follower that snapshot again. The pause doubles with each rejection, up to
+	// maxRejectionDoublings times.
 	rejectedSnapshotPauseTicks = 10
 	maxRejectionDoublings      = 5
 )
 
-// snapshotTransfer is a snapshot on its way to a follower, as the leader sees it. It stays the
-// same snapshot, whatever snapshots are made meanwhile, while the log goes on from it.
+// snapshotTransfer is the leader's state of sending a snapshot to a follower. A transfer continues
+// with the same snapshot even if newer ones are created in the meantime, as long as the log has the
+// entries after it.
 type snapshotTransfer struct {
 	snapshot     Snapshot
 	checksum     uint64 // xxhash of the data
-	acknowledged int    // bytes that the follower holds
-	sent         int    // bytes that were sent; those behind acknowledged are in flight
+	acknowledged int    // bytes that the follower has acknowledged
+	sent         int    // bytes sent; those after acknowledged are in flight
 	ticksWaiting int    // ticks since the last progress
-	timeouts     int    // time-outs in a row
-	rejections   int    // how often the follower refused the snapshot
-	pauseTicks   int    // ticks for which nothing is sent, after a refusal
+	timeouts     int    // consecutive timeouts
+	rejections   int    // times that the follower rejected the snapshot
+	pauseTicks   int    // remaining ticks of the pause after a rejection
 }
 
-// tick counts one tick, and sends again what is overdue, with exponential backoff.
+// tick advances the timers by one tick. If an acknowledgement is overdue, all bytes in flight are
+// retransmitted, with exponential backoff.
 func (t *snapshotTransfer) tick() {
 	if t.pauseTicks > 0 {
 		t.pauseTicks--
@@ -42,10 +46,10 @@
 	}
 }
 
-// retransmit has all that is not acknowledged sent again.
+// retransmit marks all unacknowledged bytes to be sent again.
 func (t *snapshotTransfer) retransmit() { t.sent, t.ticksWaiting = t.acknowledged, 0 }
 
-// reject records that the follower can't use the snapshot: it starts over after a pause.
+// reject records that the follower has rejected the snapshot. The transfer restarts after a pause.
 func (t *snapshotTransfer) reject() {
 	if t.pauseTicks == 0 {
 		t.pauseTicks = rejectedSnapshotPauseTicks << min(t.rejections, maxRejectionDoublings)
@@ -55,14 +59,14 @@
 	t.retransmit()
 }
 
-// acknowledge records how many bytes the follower holds. It returns false for a duplicated or
-// late message, after which nothing is to be sent.
+// acknowledge records the number of bytes that the follower has. It returns false if the message is
+// a duplicate or outdated, so that nothing is sent in response.
 func (t *snapshotTransfer) acknowledge(bytes int) bool {
 	switch {
 	case bytes > t.acknowledged:
 		t.acknowledged, t.sent, t.ticksWaiting, t.timeouts = bytes, max(t.sent, bytes), 0, 0
 		return true
-	case bytes < t.acknowledged && t.timeouts > 0: // it has lost what it had, as after a restart
+	case bytes < t.acknowledged && t.timeouts > 0: // it has lost received bytes, for example by a restart
 		t.acknowledged = bytes
 		t.retransmit()
 		return true
@@ -70,10 +74,11 @@
 	return false
 }
 
-// sendSnapshot sends a follower the next chunks of a snapshot, or all of it if it is small.
+// sendSnapshot sends a follower the next chunks of a snapshot, or the whole snapshot if it is no
+// larger than one chunk.
 func (n *Node) sendSnapshot(id ID, p *progress) {
 	t := p.transfer
-	if t == nil || t.snapshot.Index < n.log.base { // none, or the log does not go on from it any more
+	if t == nil || t.snapshot.Index < n.log.base { // none, or the entries after it are compacted
 		t = &snapshotTransfer{snapshot: n.log.snapshot, checksum: xxhash.Sum64(n.log.snapshot.Data)}
 		p.transfer, p.catchingUp = t, true
 	}
@@ -81,7 +86,7 @@
 		return
 	}
 	size := len(t.snapshot.Data)
-	if size <= n.cfg.ChunkBytes { // older versions know this kind of message only
+	if size <= n.cfg.ChunkBytes { // older versions support no other message for snapshots
 		if t.sent == 0 {
 			s := t.snapshot
 			n.send(Message{
@@ -113,7 +118,7 @@
 	}
 }
 
-// handleSnapshotChunkReply records how much of a snapshot a follower holds.
+// handleSnapshotChunkReply updates the transfer of a snapshot to a follower, and continues it.
 func (n *Node) handleSnapshotChunkReply(m Message) {
 	p := n.progress[m.From]
 	if n.role != Leader || p == nil {
@@ -122,7 +127,7 @@
 	p.acknowledge(m.Round, n.heartbeatRound)
 	t := p.transfer
 	if t == nil || m.Index != t.snapshot.Index || m.SnapshotChecksum != t.checksum {
-		return // of another snapshot
+		return // a reply about another snapshot
 	}
 	if m.Reject {
 		t.reject()
--- a/raft/statekey.go
+++ b/raft/statekey.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// A state key is a byte string that two members share if, and only if, their futures are the
-// same, whatever the time and the random source. A model checker counts states with equal keys
-// as one.
+// A state key is a byte string that is equal for two members if and only if they behave the same
+// from then on, apart from timers and the random source. A model checker treats states with equal
+// keys as one state.
 
-// AppendKey appends the state key of this member to b.
+// AppendKey appends the state key of the member to b.
 func (n *Node) AppendKey(b []byte) []byte {
 	l := &n.log
 	b = appendUvarints(b, n.hardState.Term, uint64(n.hardState.Vote),
@@ -56,7 +56,7 @@
 	return append(b, a.snapshot.Data...)
 }
 
-// AppendKey appends to b a key that two messages share if, and only if, they are equal.
+// AppendKey appends to b a key that is the same for two messages if and only if they are equal.
 func (m *Message) AppendKey(b []byte) []byte {
 	flags := uint64(m.Kind)<<3 | boolBit(m.Reject) | boolBit(m.LeadershipTransfer)<<1 | boolBit(m.SupportsJoint)<<2
 	b = appendUvarints(b, flags, uint64(m.From), uint64(m.To), m.Term,
@@ -93,7 +93,7 @@
 	return b
 }
 
-// boolBit is 1 for true and 0 for false.
+// boolBit returns 1 for true and 0 for false.
 func boolBit(v bool) uint64 {
 	if v {
 		return 1
--- a/raft/step.go
+++ b/raft/step.go
@@ -1,7 +1,7 @@
 package raft
 
-// Step takes in a message of another member. Messages for other members, and those that no
-// member sends, are ignored.
+// Step processes a message from another member. Messages addressed to other members and malformed
+// messages are ignored.
 func (n *Node) Step(m Message) {
 	if m.To != n.cfg.ID || m.From == n.cfg.ID || m.From == 0 || !m.isWellFormed() {
 		return
@@ -18,11 +18,11 @@
 	n.dispatch(m)
 }
 
-// handleNewerTerm adopts the term of a message from a newer one, if the message calls for
-// that, and reports whether the message is to be handled.
+// handleNewerTerm adopts the newer term of a message, if its kind requires that, and reports whether
+// the message should be processed.
 func (n *Node) handleNewerTerm(m Message) bool {
 	switch m.Kind {
-	case PreVoteRequest: // names a term that has not begun
+	case PreVoteRequest: // its term is a prospective one
 		return true
 	case PreVoteReply:
 		if m.Reject {
@@ -31,7 +31,7 @@
 		return !m.Reject
 	case VoteRequest:
 		if n.hasActiveLeader() && !m.LeadershipTransfer {
-			return false // a leader is alive: a member that came back must not unseat it (4.2.3)
+			return false // a rejoining member must not depose an active leader (4.2.3)
 		}
 		n.adoptTerm(m.Term, 0)
 	case AppendEntries, InstallSnapshot, SnapshotChunk:
@@ -42,8 +42,8 @@
 	return true
 }
 
-// rejectOlderTerm sends the current term to the sender of a message of an older one, where
-// the sender may take itself for the leader or for a candidate.
+// rejectOlderTerm replies with the current term to a message of an older term, if its kind shows
+// that the sender believes it is the leader or starts a pre-vote.
 func (n *Node) rejectOlderTerm(m Message) {
 	switch m.Kind {
 	case AppendEntries, InstallSnapshot, SnapshotChunk:
@@ -59,7 +59,7 @@
 	}
 }
 
-// dispatch handles a message of the current term, or a pre-vote for a later one.
+// dispatch handles a message of the current term, or a pre-vote message for a later term.
 func (n *Node) dispatch(m Message) {
 	switch m.Kind {
 	case PreVoteRequest:
@@ -88,7 +88,8 @@
 	}
 }
 
-// acceptLeader follows the sender of a leader's message of the current term.
+// acceptLeader makes this member a follower of the sender of a leader's message in the current term,
+// and restarts the election timer.
 func (n *Node) acceptLeader(id ID) {
 	if n.role != Follower || n.leader != id {
 		n.becomeFollower(id)
