--- a/raft/compaction_test.go
+++ b/raft/compaction_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Entries stay behind a snapshot, and the term of the entry before them is known: a follower that
-// is a little behind is sent entries, one that is further behind the snapshot.
+// Compaction keeps some entries before the snapshot, and the term of the entry before those, so that
+// a follower that lags slightly is sent entries instead of the snapshot.
 func TestCompactionKeepsTrailingEntries(t *testing.T) {
 	t.Parallel()
 	n := newSingleLeader(t)
@@ -34,7 +34,8 @@
 	}
 }
 
-// A snapshot is due after enough bytes, and entries of at most half of them stay behind it.
+// A snapshot is due once the entries reach the configured size, and compaction keeps at most half of
+// that size in trailing entries.
 func TestSnapshotIsDueAfterEnoughBytes(t *testing.T) {
 	t.Parallel()
 	entry := func(index uint64) Entry { return Entry{Index: index, Term: 1, Data: make([]byte, 400)} }
@@ -48,11 +49,11 @@
 	}
 	commit(2)
 	if n.SnapshotDue() {
-		t.Error("due before its bytes")
+		t.Error("due below the configured size")
 	}
 	commit(3, entry(3))
 	if !n.SnapshotDue() {
-		t.Error("not due after its bytes")
+		t.Error("not due above the configured size")
 	}
 	if n.Compact(3, nil) == nil || n.log.base != 2 || n.SnapshotDue() {
 		t.Errorf("base %d, due again: %v", n.log.base, n.SnapshotDue())
--- a/raft/durability_test.go
+++ b/raft/durability_test.go
@@ -9,13 +9,13 @@
 
 const (
 	durabilitySeeds   = 200
-	minDurabilityRuns = 120 // the others end early, by a crash of the simulation's own
+	minDurabilityRuns = 120 // the others are cut short by random crashes of the simulation
 )
 
-// A member that comes back with an earlier disk, behind what it has acknowledged, is notified by
-// the leader that it acknowledged it to, whichever messages are lost, late and duplicated. One
-// that comes back with its own disk is not. (Without it the leader counted entries that
-// the member no longer had.)
+// A member that restarts with its disk rolled back to a state before its last acknowledgements is
+// notified of that by the leader that received them, whichever messages are lost, delayed or
+// duplicated. A member that restarts with its disk intact is not notified. Without the notification
+// the leader would count entries that the member no longer has.
 func TestMemberWithRolledBackDiskIsNotified(t *testing.T) {
 	t.Parallel()
 	completed := 0
@@ -25,19 +25,19 @@
 		}
 	}
 	if completed < minDurabilityRuns {
-		t.Errorf("%d runs of %d came to their end", completed, durabilitySeeds)
+		t.Errorf("%d of %d runs completed", completed, durabilitySeeds)
 	}
 }
 
-// rolledBackDiskRun is a leader and a member that comes back.
+// rolledBackDiskRun is a simulation in which one follower crashes and restarts.
 type rolledBackDiskRun struct {
 	*simCluster
 	leader *Node
-	id     ID // of the member
+	id     ID // of the follower that restarts
 }
 
-// runRolledBackDisk plays one run, in which the member comes back with an earlier disk if the seed
-// is even. It returns false if the run came to no end.
+// runRolledBackDisk simulates one run, in which the follower restarts with a disk that was rolled
+// back if the seed is even. It returns false if the run could not be completed.
 func runRolledBackDisk(t *testing.T, seed uint64) bool {
 	t.Helper()
 	s := newSimCluster(t, seed)
@@ -65,19 +65,19 @@
 		return false
 	}
 	if n.LostDurability() != lost {
-		t.Errorf("seed %d: lost %v, told %v: it has last index %d, acknowledged %d",
+		t.Errorf("seed %d: entries lost: %v, notified: %v, last index %d, acknowledged index %d",
 			seed, lost, n.LostDurability(), n.LastIndex(), run.leader.progress[run.id].matchIndex)
 	}
 	return true
 }
 
-// leads reports whether the leader is up and leads.
+// leads reports whether the leader has not crashed and still leads.
 func (r *rolledBackDiskRun) leads() bool {
 	return r.nodes[r.leader.cfg.ID] == r.leader && r.leader.Role() == Leader
 }
 
-// acknowledgeValues proposes values until the member has acknowledged them all. It returns false
-// if one of the two crashed, or the leader changed.
+// acknowledgeValues proposes values and runs the simulation until the follower has acknowledged all
+// of them. It returns false if the leader or the follower crashed, or the leader changed.
 func (r *rolledBackDiskRun) acknowledgeValues(count int) bool {
 	for i := range count {
 		if r.nodes[r.id] == nil || !r.leads() {
@@ -93,8 +93,8 @@
 	return isUp()
 }
 
-// runUntilNotified plays the leader and the member, without crashes of the member, until it is notified
-// or for long enough.
+// runUntilNotified runs the leader and the restarted follower, without crashes of the follower, until
+// it is notified or a limit of 400 steps is reached.
 func (r *rolledBackDiskRun) runUntilNotified(n *Node) {
 	rng := rand.New(rand.NewPCG(r.seed, 8))
 	for i := 0; i < 400 && !n.LostDurability() && r.leads(); i++ {
@@ -123,7 +123,7 @@
 	}
 }
 
-// runHostWithoutDisk carries out what a member has ready, but for its disk, which is not looked at.
+// runHostWithoutDisk processes the pending work of a member without storing anything.
 func (s *simCluster) runHostWithoutDisk(n *Node) {
 	for r := n.Ready(); !r.Empty() && !n.LostDurability(); r = n.Ready() {
 		s.network = append(s.network, r.Messages...)
--- a/raft/election_test.go
+++ b/raft/election_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Of two that ask for pre-votes at once one waits, so that they don't split the votes.
+// Of two members that start a pre-vote at the same time, one yields, so that the vote is not split.
 func TestSimultaneousPreVotesElectOne(t *testing.T) {
 	t.Parallel()
 	cluster := newScriptedCluster(t, 3, 0)
@@ -19,7 +19,8 @@
 	}
 }
 
-// A new leader counts the ticks without a message of the last leader from its last message on.
+// A new leader counts the ticks since the last message of the previous leader, including those before
+// its own election.
 func TestTicksSinceLastLeaderAreCountedAcrossElection(t *testing.T) {
 	t.Parallel()
 	cluster := newScriptedCluster(t, 3, 0)
@@ -34,7 +35,7 @@
 	cluster.elect(2)
 	n := cluster.nodes[2]
 	if n.Role() != Leader || n.TicksSinceResponse(1) < 30 || n.TicksSinceResponse(3) > 1 {
-		t.Errorf("%v, the last leader is silent for %d ticks, the other for %d",
+		t.Errorf("%v, %d ticks since the last response of the previous leader, %d since that of the other follower",
 			n.Role(), n.TicksSinceResponse(1), n.TicksSinceResponse(3))
 	}
 }
--- a/raft/fuzz_test.go
+++ b/raft/fuzz_test.go
@@ -9,11 +9,11 @@
 const (
 	fuzzMaxMessages = 100
 	fuzzMaxTicks    = 32
-	fuzzMaxReadies  = 100 // that one message may lead to
+	fuzzMaxReadies  = 100 // per message
 )
 
-// Whatever another process sends, a member does not crash, stores no log with a gap, and its
-// commit index never falls.
+// Whatever messages a member receives, it does not panic, stores no log with a gap, and its commit
+// index never decreases.
 func FuzzStep(f *testing.F) {
 	for _, messages := range fuzzSeeds() {
 		data, err := cbor.Marshal(messages)
@@ -44,7 +44,7 @@
 	})
 }
 
-// fuzzSeeds are lists of messages with bounds and contradictions in them.
+// fuzzSeeds returns lists of messages with extreme and contradictory values.
 func fuzzSeeds() [][]Message {
 	const lastIndex = 1<<64 - 1
 	chunk := &Snapshot{Index: 9, Term: 4, Members: []Member{{ID: 1, Voter: true}}, Data: []byte("abc")}
@@ -77,7 +77,7 @@
 	}
 }
 
-// newFuzzNode returns member 1 of three, with a snapshot and two entries.
+// newFuzzNode returns member 1 of three, with a snapshot and two entries in its log.
 func newFuzzNode() *Node {
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
 	return New(Config{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Seed: 1}, PersistentState{
@@ -87,7 +87,7 @@
 	})
 }
 
-// runFuzzHost carries out what a member has ready, and checks the entries to be stored.
+// runFuzzHost processes the pending work of a member and checks the entries to be stored.
 func runFuzzHost(t *testing.T, n *Node) {
 	t.Helper()
 	for range fuzzMaxReadies {
@@ -97,7 +97,7 @@
 		}
 		for i, e := range r.Entries {
 			if i > 0 && e.Index != r.Entries[i-1].Index+1 {
-				t.Fatalf("a gap is to be stored: %d after %d", e.Index, r.Entries[i-1].Index)
+				t.Fatalf("gap in the entries to be stored: index %d after %d", e.Index, r.Entries[i-1].Index)
 			}
 		}
 		n.Advance(r)
--- a/raft/golden_test.go
+++ b/raft/golden_test.go
@@ -11,11 +11,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew; only for a new kind of message or record")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files; only for a new kind of message or record")
 
-// goldenValues returns one value for each file of testdata/golden: every kind of message
-// that members send, and every record that they store. All fields of each type are set in
-// one of them at least.
+// goldenValues returns one value for each file in testdata/golden: every kind of message that
+// members send, and every record that they store. Each field of each type is set in at least one of
+// them.
 func goldenValues() map[string]any {
 	members := []Member{
 		{ID: 0x1234567890abcdef, Addr: "10.1.2.3:7001", Voter: true, Outgoing: true, SupportsJoint: true},
@@ -45,7 +45,7 @@
 	return values
 }
 
-// goldenMessages returns messages of every kind that carries no snapshot.
+// goldenMessages returns messages of every kind that is not about snapshots.
 func goldenMessages(command, change Entry) map[string]Message {
 	return map[string]Message{
 		"message_01_pre_vote": {
@@ -99,7 +99,7 @@
 	}
 }
 
-// goldenSnapshotMessages returns messages of every kind that carries a snapshot, and their replies.
+// goldenSnapshotMessages returns messages of every kind that carries a snapshot, and replies to them.
 func goldenSnapshotMessages(snapshot Snapshot) map[string]Message {
 	chunk := snapshot
 	chunk.Data = []byte("state of")
@@ -123,8 +123,8 @@
 	}
 }
 
-// Every message and record that a member of another version may have written is decoded
-// to the same fields, and encoded to the same bytes.
+// Every message and record that a member of another version may have written decodes to the same
+// fields, and encodes to the same bytes.
 func TestGoldenBytesAreStable(t *testing.T) {
 	values := goldenValues()
 	for name, want := range values {
@@ -165,12 +165,12 @@
 	}
 	for _, file := range files {
 		if name := strings.TrimSuffix(file.Name(), ".cbor"); values[name] == nil {
-			t.Errorf("no value for the file %s", file.Name())
+			t.Errorf("goldenValues has no value for the file %s", file.Name())
 		}
 	}
 }
 
-// A message of each kind has a golden file, and each field of a message is set in one.
+// Each kind of message has a golden file, and each field of Message is set in at least one of them.
 func TestGoldenFilesCoverMessages(t *testing.T) {
 	kinds, set := map[MessageKind]bool{}, map[string]bool{}
 	for _, v := range goldenValues() {
@@ -192,6 +192,6 @@
 		}
 	}
 	if fields := reflect.TypeOf(Message{}); len(set) != fields.NumField() {
-		t.Errorf("%d of %d fields of a message are set", len(set), fields.NumField())
+		t.Errorf("%d of %d fields of Message are set", len(set), fields.NumField())
 	}
 }
--- a/raft/membership_test.go
+++ b/raft/membership_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// While one voter is swapped for another, majorities of both sets commit, confirm a read index and
-// keep the leader. With both, the change completes by itself.
+// While one voter is being swapped for another, a leader needs majorities of both sets to commit,
+// to confirm a read index and to pass the quorum check. With both majorities, the change completes
+// without further proposals.
 func TestJointChangeNeedsMajoritiesOfBothSets(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -48,10 +49,10 @@
 	}
 }
 
-// The voter that a change removes is the only one left that has the change, beside the leader that
-// made it and is lost. It is still elected, and what it has is kept. (Where only voters stand for
-// election it can't vote for the others, whose logs are shorter, and there is no leader although a
-// majority is up.)
+// A voter that is removed by a change is the only live member that has the change in its log, because
+// the leader that proposed it is down. It can still be elected, and its entries are kept. If only
+// voters could start an election, there would be no leader although a majority is up: the removed
+// voter can't vote for the others, whose logs are shorter.
 func TestRemovedVoterWithTheOnlyCopyOfTheChangeIsElected(t *testing.T) {
 	t.Parallel()
 	t.Run("removal", func(t *testing.T) {
@@ -69,14 +70,14 @@
 		leader := cluster.nodes[1]
 		cluster.proposeMembers(leader, swapped(leader.Members(), 3, 4))
 		cluster.commitJointEntry(leader)
-		cluster.setLive(1, 3) // the final entry reaches 3 alone
+		cluster.setLive(1, 3) // the final entry reaches only member 3
 		cluster.deliverAll()
 		checkRemovedVoterIsElected(t, cluster, 3)
 	})
 }
 
-// commitJointEntry plays until the leader has added the entry that ends a joint change. That one
-// has not been sent.
+// commitJointEntry delivers messages until the leader has appended the final entry of a joint change.
+// That entry is not sent yet.
 func (c *scriptedCluster) commitJointEntry(leader *Node) {
 	c.t.Helper()
 	isJoint := func() bool { return len(outgoingVoterIDs(leader.Members())) > 0 }
@@ -98,13 +99,14 @@
 	}
 }
 
-// checkRemovedVoterIsElected takes the leader away, and checks that the removed voter brings the
-// others to a leader with all that it has.
+// checkRemovedVoterIsElected stops the leader, has the removed voter start an election, and checks
+// that another member then leads with all entries of the removed voter.
 func checkRemovedVoterIsElected(t *testing.T, cluster *scriptedCluster, removed ID) {
 	t.Helper()
 	n, leader := cluster.nodes[removed], cluster.nodes[1]
 	if n.LastIndex() != leader.LastIndex() || n.isVoter() {
-		t.Fatalf("it has last index %d of %d, is a voter: %v", n.LastIndex(), leader.LastIndex(), n.isVoter())
+		t.Fatalf("the removed voter has last index %d of %d, is a voter: %v",
+			n.LastIndex(), leader.LastIndex(), n.isVoter())
 	}
 	last := n.LastIndex()
 	cluster.setLive(2, 3, 4)
@@ -130,7 +132,7 @@
 	r := old.Ready()
 	old.Advance(r)
 	for _, m := range r.Messages {
-		cluster.nodes[m.To].Step(m) // all receive the joint entry, and no reply arrives
+		cluster.nodes[m.To].Step(m) // all receive the joint entry, but their replies are lost
 	}
 	cluster.network = nil
 	cluster.setLive(2, 3, 4)
@@ -141,22 +143,23 @@
 	if !leader.HasCommittedInTerm() || !completed || findMember(members, 1).Voter || !findMember(members, 4).Voter {
 		t.Errorf("leads: %v, members %v", leader.HasCommittedInTerm(), members)
 	}
-	// The old leader still believes that it leads, and confirms nothing.
+	// The old leader still believes it is the leader, but confirms no read index.
 	round := old.NextReadIndexRound()
 	old.BroadcastHeartbeat()
 	cluster.down[1] = false
 	cluster.deliverAll()
 	if old.Role() == Leader || old.ConfirmedReadIndexRound() >= round && old.Role() == Leader {
-		t.Error("a leader without a vote goes on")
+		t.Error("the old leader continues to lead without being a voter")
 	}
-	// What was sent while it was down is lost, and is sent again after its time-out.
+	// The messages sent while it was down are lost, and are resent after the retransmission timeout.
 	cluster.tick(3, retransmitAfter(leader.progress[1].inflightBytes))
 	if old.NeededForQuorum() {
-		t.Error("a member that knows that its vote is gone is needed")
+		t.Error("a member that knows of its committed removal from the voters counts as needed for a quorum")
 	}
 }
 
-// A leader that swaps itself out leads until that is committed, and transfers leadership then.
+// A leader that proposes its own replacement leads until that change is committed, and then transfers
+// leadership.
 func TestLeaderThatIsSwappedOutTransfersLeadership(t *testing.T) {
 	t.Parallel()
 	cluster := newScriptedCluster(t, 3, 1)
@@ -170,7 +173,8 @@
 		}
 	}
 	if old.Role() == Leader || leaders != 1 || cluster.nodes[2].MembershipChangePending() {
-		t.Errorf("it is %v, %d others lead, members %v", old.Role(), leaders, cluster.nodes[2].Members())
+		t.Errorf("the old leader is %v, %d other members lead, members %v",
+			old.Role(), leaders, cluster.nodes[2].Members())
 	}
 }
 
@@ -217,7 +221,7 @@
 	})
 }
 
-// A change of two voters at once, or before the last one is committed, is refused.
+// A change that adds two voters, and a change proposed before the last one is committed, are rejected.
 func TestSecondMembershipChangeIsRefused(t *testing.T) {
 	t.Parallel()
 	leader := newSimCluster(t, 3).awaitLeader()
@@ -234,14 +238,15 @@
 	}
 }
 
-// A change needs no majority that is not there.
+// A change counts as committable only if majorities of the current and of the proposed voters are up
+// and the new voter has caught up.
 func TestChangeIsCommittableOnlyWithBothMajoritiesUp(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name     string
 		up       []ID
 		from, to ID
-		proposes bool // a value that the learner lacks, where it is not up
+		proposes bool // propose a value, which members that are down do not receive
 		want     bool
 	}{
 		{"new voter is silent, though it lacks nothing", []ID{1, 2}, 2, 4, false, false},
@@ -281,13 +286,13 @@
 		p.responded = false // as it is right after an election
 	}
 	if leader.CanCommitMembers(swapped(leader.Members(), 3, 4)) {
-		t.Error("a change is taken for one that can be committed, by members that have not answered")
+		t.Error("a change counts as committable although no follower has replied")
 	}
 }
 
-// A member whose vote was taken while it was cut off comes back believing that it is a voter. It
-// unseats nobody, raises no term, confirms nothing, and learns the present members. One that was
-// removed altogether unseats nobody either.
+// A voter that became a learner while it was disconnected reconnects with a log in which it still is
+// a voter. It does not depose the leader or increase the term, and learns the current members.
+// A voter that was removed altogether does not depose the leader either.
 func TestRemovedVoterDoesNotDisruptTheCluster(t *testing.T) {
 	t.Parallel()
 	for name, dropped := range map[string]bool{"learner now": false, "no member any more": true} {
@@ -304,18 +309,18 @@
 			}
 			removed.electionTimeout = 1
 			term := leader.Term()
-			cluster.tickAll(200) // it asks for votes all the time
+			cluster.tickAll(200) // the removed voter starts elections repeatedly
 			if !removed.isVoter() || removed.Term() != term {
-				t.Fatalf("it is a voter by its log: %v, term %d", removed.isVoter(), removed.Term())
+				t.Fatalf("the removed voter is a voter by its own log: %v, term %d", removed.isVoter(), removed.Term())
 			}
 			cluster.setLive(1, 2, 3, 4)
 			cluster.tickAll(100)
 			if leader.Role() != Leader || leader.Term() != term || removed.Role() == Leader {
-				t.Errorf("the leader is %v in term %d, was in %d", leader.Role(), leader.Term(), term)
+				t.Errorf("the leader is %v in term %d, was in term %d", leader.Role(), leader.Term(), term)
 			}
 			learned := !removed.isVoter() && removed.Leader() == 1 && removed.CommitIndex() == leader.CommitIndex()
 			if !dropped && !learned {
-				t.Errorf("it is a voter: %v, follows %d, commit %d of %d",
+				t.Errorf("the removed voter is a voter: %v, follows %d, commit index %d of %d",
 					removed.isVoter(), removed.Leader(), removed.CommitIndex(), leader.CommitIndex())
 			}
 		})
--- a/raft/readindex_test.go
+++ b/raft/readindex_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A leader that a majority answers confirms its rounds. One that is cut off confirms none, and
-// steps down within an election time-out.
+// A leader confirms its heartbeat rounds while a majority replies. An isolated leader confirms none
+// and steps down within an election timeout.
 func TestIsolatedLeaderStepsDownAndConfirmsNoReadIndex(t *testing.T) {
 	t.Parallel()
 	s := newSimCluster(t, 5)
@@ -16,25 +16,25 @@
 	leader.BroadcastHeartbeat()
 	for i := 0; leader.ConfirmedReadIndexRound() < round; i++ {
 		if i > 50 {
-			t.Fatal("a round is never confirmed")
+			t.Fatal("the heartbeat round was not confirmed within 50 steps")
 		}
 		s.step()
 	}
 	s.isolated[leader.cfg.ID] = true
 	for i := 0; leader.Role() == Leader; i++ {
 		if i > 60 {
-			t.Fatal("a leader that is cut off goes on leading")
+			t.Fatal("an isolated leader did not step down within 60 steps")
 		}
 		before := leader.ConfirmedReadIndexRound()
 		s.step()
 		if leader.Role() == Leader && leader.ConfirmedReadIndexRound() != before && i > 5 {
-			t.Fatal("a round is confirmed without a majority")
+			t.Fatal("an isolated leader confirmed a heartbeat round")
 		}
 	}
 }
 
-// A late reply to an earlier round confirms no later one: the leader may have been replaced in
-// between. Fails where replies do not carry the round of their request.
+// A delayed reply to an earlier heartbeat round does not confirm a later round, as the leader may have
+// been replaced in between. This fails if replies do not carry the round of their request.
 func TestLateRepliesDoNotConfirmReadIndex(t *testing.T) {
 	t.Parallel()
 	leader := newSimCluster(t, 11).awaitLeader()
@@ -55,11 +55,11 @@
 	earlier, round := leader.heartbeatRound, leader.NextReadIndexRound()
 	reply(earlier)
 	if leader.ConfirmedReadIndexRound() != earlier {
-		t.Fatalf("round %d is confirmed, %d was answered by all", leader.ConfirmedReadIndexRound(), earlier)
+		t.Fatalf("round %d is confirmed, although all replied to round %d", leader.ConfirmedReadIndexRound(), earlier)
 	}
 	leader.BroadcastHeartbeat()
 	reply(earlier)
 	if leader.ConfirmedReadIndexRound() >= round {
-		t.Error("late replies confirmed a later round")
+		t.Error("replies to an earlier round confirmed a later one")
 	}
 }
--- a/raft/replication_test.go
+++ b/raft/replication_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// scriptedFollowers plays the two followers of a leader: both vote, and member 2 acknowledges
-// entries if it is to. It counts what is sent.
+// scriptedFollowers simulates the two followers of a leader: both grant votes, and member 2
+// acknowledges entries if acknowledges is set. It counts the bytes that the leader sends.
 type scriptedFollowers struct {
 	leader       *Node
 	acknowledges bool
 	bytesSent    map[ID]int // of entries
-	largest      int        // message, in bytes of entries
+	largest      int        // bytes of entries in the largest message
 }
 
-// deliver carries out all that the leader has ready.
+// deliver processes all pending work of the leader.
 func (f *scriptedFollowers) deliver() {
 	for r := f.leader.Ready(); !r.Empty(); r = f.leader.Ready() {
 		f.leader.Advance(r)
@@ -30,7 +30,7 @@
 	}
 }
 
-// tick plays ticks of the leader.
+// tick advances the leader by a number of ticks.
 func (f *scriptedFollowers) tick(ticks int) {
 	for range ticks {
 		f.leader.Tick()
@@ -38,9 +38,9 @@
 	}
 }
 
-// Entries in flight are not sent again with each heartbeat, only after some time without a reply;
-// and no message exceeds its bound. (Found on pshpta-gw-grown: heartbeats that carried a
-// configuration of 328 KB to five members each filled the memory of a leader, docs/incidents/0006.)
+// Entries in flight are not resent with each heartbeat, only after the retransmission timeout, and no
+// message exceeds its maximum size. Otherwise heartbeats that each carry a configuration of 328 KB to
+// five members fill the memory of a leader, as on pshpta-gw-grown (docs/incidents/0006).
 func TestEntriesInFlightAreNotSentWithEachHeartbeat(t *testing.T) {
 	t.Parallel()
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
@@ -57,16 +57,16 @@
 	}
 	clear(f.bytesSent)
 	f.acknowledges = false
-	for range 8 { // a slow link: no reply yet, and a heartbeat for each read that waits
+	for range 8 { // a slow link: no reply yet, and a heartbeat for each pending read
 		n.BroadcastHeartbeat()
 		f.deliver()
 	}
 	if f.bytesSent[2] > maxEntriesBytes {
-		t.Errorf("%d bytes were sent to a follower that has not replied yet", f.bytesSent[2])
+		t.Errorf("%d bytes were sent to a follower before its first reply", f.bytesSent[2])
 	}
 	f.tick(3 * retransmitAfter(size))
 	if f.bytesSent[2] <= size || f.bytesSent[2] > 5*maxEntriesBytes {
-		t.Errorf("%d bytes in %d ticks without a reply", f.bytesSent[2], 3*retransmitAfter(size))
+		t.Errorf("%d bytes were sent in %d ticks without a reply", f.bytesSent[2], 3*retransmitAfter(size))
 	}
 	f.acknowledges = true
 	f.tick(30)
@@ -75,15 +75,15 @@
 	}
 }
 
-// slowBulkLink connects a leader and member 2. Bulk messages stay in flight until they are
-// delivered; all others arrive at once.
+// slowBulkLink connects a leader and member 2. Bulk messages stay in flight until the test delivers
+// them; all others arrive immediately.
 type slowBulkLink struct {
 	leader, follower *Node
 	inFlight         []Message // bulk messages
-	urgent           int       // other messages that arrived
+	urgent           int       // number of other messages delivered
 }
 
-// deliverUrgent delivers all messages but bulk.
+// deliverUrgent delivers all messages except bulk messages.
 func (l *slowBulkLink) deliverUrgent() {
 	for sent, _ := runHost(l.leader); len(sent) > 0; sent, _ = runHost(l.leader) {
 		for _, m := range sent {
@@ -99,7 +99,7 @@
 	}
 }
 
-// deliver delivers one message, and the replies to it.
+// deliver delivers one message and the replies to it.
 func (l *slowBulkLink) deliver(m Message) {
 	l.follower.Step(m)
 	replies, _ := runHost(l.follower)
@@ -108,8 +108,8 @@
 	}
 }
 
-// Heartbeats go out beside what is large and overtake it. None of them is rejected for an entry
-// that is still in flight, and the entry is not sent again for it.
+// Heartbeats are sent separately from large entries and may overtake them. No heartbeat is rejected
+// because of an entry that is still in flight, so none causes the entry to be resent.
 func TestHeartbeatsOvertakeLargeEntries(t *testing.T) {
 	t.Parallel()
 	leader, follower := newSingleLeader(t), newSingleNode(2, nil)
@@ -147,13 +147,13 @@
 		link.deliverUrgent()
 	}
 	if follower.LastIndex() != leader.LastIndex() || leader.CommitIndex() != leader.LastIndex() {
-		t.Errorf("the follower has %d of %d, commit index %d",
+		t.Errorf("the follower has last index %d of %d, the commit index is %d",
 			follower.LastIndex(), leader.LastIndex(), leader.CommitIndex())
 	}
 }
 
-// Two rejections, one of a heartbeat and one of the entries sent beside it, have what is missing
-// sent once.
+// If a heartbeat and the entries sent along with it are both rejected, the missing entries are sent
+// only once.
 func TestRepeatedRejectionIsAnsweredOnce(t *testing.T) {
 	t.Parallel()
 	leader := newSingleLeader(t)
--- a/raft/safety_test.go
+++ b/raft/safety_test.go
@@ -7,10 +7,10 @@
 
 const safetySeeds = 1200
 
-var faultSeeds = flag.Uint64("fault-seeds", 400, "runs of TestSafetyUnderDiskClockAndPartitionFaults")
+var faultSeeds = flag.Uint64("fault-seeds", 400, "number of runs of TestSafetyUnderDiskClockAndPartitionFaults")
 
-// Whatever happens within what a cluster must bear, no two members differ on an index of the log,
-// no term has two leaders, and once the faults end every live member has everything that was ever
+// Under all faults that a cluster must tolerate, no two members apply different entries at an index,
+// no term has two leaders, and once the faults end every live member has every entry that was ever
 // committed.
 func TestSafetyUnderCrashesAndLostMessages(t *testing.T) {
 	t.Parallel()
@@ -28,17 +28,17 @@
 	}
 	t.Log(installed, "snapshots installed,", swaps, "joint changes")
 	if installed < 1000 {
-		t.Errorf("%d snapshots were installed: too few to say anything", installed)
+		t.Errorf("%d snapshots were installed: too few for a meaningful result", installed)
 	}
 	if swaps < 300 {
-		t.Errorf("%d joint changes: too few to say anything", swaps)
+		t.Errorf("%d joint changes: too few for a meaningful result", swaps)
 	}
 }
 
-// The same with disks that refuse writes or are lost, members that pause and resume, clocks of
-// different speeds, one-way partitions, loss of power of all, and a leader that crashes or loses
-// its disk right after an acknowledgement. No leader confirms a read without knowing all that was
-// committed before it.
+// The safety properties of TestSafetyUnderCrashesAndLostMessages also hold with disks that fail writes
+// or are lost, members that pause and resume, clocks that run at different speeds, one-way
+// partitions, power failures of all members, and a leader that crashes or loses its disk right after
+// an acknowledgement. No leader confirms a read without having all entries committed before the read.
 func TestSafetyUnderDiskClockAndPartitionFaults(t *testing.T) {
 	t.Parallel()
 	confirmed, committed := 0, 0
@@ -54,7 +54,7 @@
 	}
 	t.Log(confirmed, "reads confirmed,", committed, "entries committed")
 	if n := int(*faultSeeds); confirmed < n || committed < 10*n {
-		t.Errorf("%d reads confirmed and %d entries committed in %d runs: too few to say anything",
+		t.Errorf("%d reads confirmed and %d entries committed in %d runs: too few for a meaningful result",
 			confirmed, committed, n)
 	}
 }
--- a/raft/scriptedcluster_test.go
+++ b/raft/scriptedcluster_test.go
@@ -5,18 +5,20 @@
 	"testing"
 )
 
-// noElection is an election time-out that does not come.
+// noElection is an election timeout that never expires.
 const noElection = 1 << 30
 
-// scriptedCluster is a few members whose messages arrive in order, where a test says so.
+// scriptedCluster is a cluster whose messages are delivered in order and without loss, when the test
+// calls for it.
 type scriptedCluster struct {
 	t       *testing.T
 	nodes   map[ID]*Node
 	network []Message
-	down    map[ID]bool // members that do nothing, and that no message reaches
+	down    map[ID]bool // members that process no work and receive no messages
 }
 
-// newScriptedCluster returns voters 1, 2, ... and learners after them. Member 1 leads.
+// newScriptedCluster returns a cluster of voters with IDs from 1, and learners with the IDs after them.
+// Member 1 leads.
 func newScriptedCluster(t *testing.T, voters, learners int) *scriptedCluster {
 	t.Helper()
 	c := &scriptedCluster{t: t, nodes: map[ID]*Node{}, down: map[ID]bool{}}
@@ -35,8 +37,8 @@
 	return c
 }
 
-// deliverAll runs the hosts of all that are up, and delivers the messages between them, until
-// nothing is left to do.
+// deliverAll processes the pending work of all live members and delivers their messages, until none
+// is left.
 func (c *scriptedCluster) deliverAll() {
 	for {
 		for _, id := range sortedIDs(c.nodes) {
@@ -57,7 +59,7 @@
 	}
 }
 
-// tickAll plays ticks of all members.
+// tickAll advances all members by a number of ticks.
 func (c *scriptedCluster) tickAll(ticks int) {
 	for range ticks {
 		for _, id := range sortedIDs(c.nodes) {
@@ -67,7 +69,7 @@
 	}
 }
 
-// tick plays ticks of one member.
+// tick advances one member by a number of ticks.
 func (c *scriptedCluster) tick(id ID, ticks int) {
 	for range ticks {
 		c.nodes[id].Tick()
@@ -75,14 +77,14 @@
 	}
 }
 
-// setLive has these members up, and all others down.
+// setLive sets the given members up and all others down.
 func (c *scriptedCluster) setLive(ids ...ID) {
 	for id := range c.nodes {
 		c.down[id] = !slices.Contains(ids, id)
 	}
 }
 
-// elect has a member begin an election, with enough time gone by for the others to answer.
+// elect makes a member start an election, after enough time without a leader for the others to vote.
 func (c *scriptedCluster) elect(id ID) {
 	for other, n := range c.nodes {
 		if n.Role() != Leader {
@@ -97,7 +99,7 @@
 	c.deliverAll()
 }
 
-// proposeMembers proposes a change at a leader that must take it.
+// proposeMembers proposes a membership change that the leader must accept.
 func (c *scriptedCluster) proposeMembers(leader *Node, members []Member) {
 	c.t.Helper()
 	if err := leader.ProposeMembers(members); err != nil {
@@ -105,14 +107,14 @@
 	}
 }
 
-// swapped returns members with the vote of one given to another.
+// swapped returns a copy of the members in which one is a learner and another a voter in its place.
 func swapped(members []Member, from, to ID) []Member {
 	swapped := slices.Clone(members)
 	findMember(swapped, from).Voter, findMember(swapped, to).Voter = false, true
 	return swapped
 }
 
-// changed returns members with a change made to each of them.
+// changed returns a copy of the members with a change applied to each of them.
 func changed(members []Member, change func(*Member)) []Member {
 	changed := slices.Clone(members)
 	for i := range changed {
@@ -121,7 +123,7 @@
 	return changed
 }
 
-// without returns members without one.
+// without returns a copy of the members without one of them.
 func without(members []Member, id ID) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.ID == id })
 }
--- a/raft/simcluster_test.go
+++ b/raft/simcluster_test.go
@@ -16,17 +16,17 @@
 	simHeartbeatTicks    = 2
 	simTrailingEntries   = 6
 	simSnapshotInterval  = 16  // entries between two snapshots
-	simMaxInFlight       = 200 // messages; beyond it the oldest half is lost
+	simMaxInFlight       = 200 // messages; beyond this the oldest half is lost
 	simConvergenceSteps  = 3000
-	simCrashBeforeSync   = 400 // one in so many
+	simCrashBeforeSync   = 400 // one crash per so many syncs
 	simCrashAfterSync    = 800
 	percentLost          = 4
 	percentLostOrDelayed = 14
 	percentFaulty        = 18 // lost, delayed or duplicated
 )
 
-// simCluster is a cluster under faults: messages are lost, late and duplicated, members crash,
-// lose what was not synced or their whole disk, and are replaced. A seed reproduces a run.
+// simCluster simulates a cluster under faults: messages are lost, delayed, reordered and duplicated;
+// members crash, lose unsynced writes or their whole disk, and are replaced. A seed reproduces a run.
 type simCluster struct {
 	t        *testing.T
 	seed     uint64
@@ -34,18 +34,18 @@
 	nodes    map[ID]*Node
 	disks    map[ID]*PersistentState
 	network  []Message
-	isolated map[ID]bool // members that nothing reaches
-	lastID   ID          // of the last member that was made
+	isolated map[ID]bool // members whose messages are lost in both directions
+	lastID   ID          // of the last member created
 
-	// What was observed, for the checks.
-	committed map[uint64]string // index to data, as first applied anywhere
+	// Observations for the checks.
+	committed map[uint64]string // data by index, as first applied by any member
 	leaders   map[uint64]ID     // by term
 
-	// Counts that show that a run had effects.
-	values         int // proposed
+	// Counts that show that a run exercised the code.
+	values         int // values proposed
 	readsConfirmed int
 	installed      int // snapshots installed
-	swaps          int // joint changes begun
+	swaps          int // joint changes proposed
 }
 
 // newSimCluster starts three voters with empty disks.
@@ -72,25 +72,25 @@
 	return s
 }
 
-// snapshotData is the replicated service's state at an index: some chunks long.
+// snapshotData returns the state of the replicated service at an index, which takes several chunks.
 func snapshotData(index uint64) []byte {
 	return bytes.Repeat(fmt.Append(nil, "state at ", index, ";"), 4)
 }
 
-// sortedIDs are the keys of a map in order, so that a run does not depend on the map's.
+// sortedIDs returns the keys of a map in order, so that a run does not depend on the order of the map.
 func sortedIDs[V any](m map[ID]V) []ID { return slices.Sorted(maps.Keys(m)) }
 
-// fail ends the test with the seed that reproduces it. The functions that a run calls often are not
-// marked with t.Helper, which takes half of the time of a run.
+// fail ends the test with a message that has the seed of the run. Functions that a run calls often do
+// not call t.Helper, which would take half of the run time.
 func (s *simCluster) fail(format string, args ...any) {
 	s.t.Helper()
 	s.t.Fatalf("seed %d: %s", s.seed, fmt.Sprintf(format, args...))
 }
 
-// liveIDs are the members that are up.
+// liveIDs returns the members that are up.
 func (s *simCluster) liveIDs() []ID { return sortedIDs(s.nodes) }
 
-// start starts a member with what its disk holds.
+// start starts a member from its disk.
 func (s *simCluster) start(id ID) {
 	d := s.disks[id]
 	cfg := Config{
@@ -108,10 +108,10 @@
 	})
 }
 
-// crash stops a member. Its disk stays.
+// crash stops a member. Its disk is kept.
 func (s *simCluster) crash(id ID) { delete(s.nodes, id) }
 
-// startAll starts the members that are down.
+// startAll starts all members that are down.
 func (s *simCluster) startAll() {
 	for _, id := range sortedIDs(s.disks) {
 		if s.nodes[id] == nil {
@@ -120,7 +120,7 @@
 	}
 }
 
-// replaceDisk takes a member's disk away for good, and starts a new member with an empty one.
+// replaceDisk removes a member with its disk, and starts a new member with an empty disk.
 func (s *simCluster) replaceDisk(id ID) {
 	s.crash(id)
 	delete(s.disks, id)
@@ -129,7 +129,7 @@
 	s.start(s.lastID)
 }
 
-// leader returns a leader that has committed in its term, nil if there is none.
+// leader returns a leader that has committed an entry in its term, nil if there is none.
 func (s *simCluster) leader() *Node {
 	for _, id := range s.liveIDs() {
 		if n := s.nodes[id]; n.Role() == Leader && n.HasCommittedInTerm() {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// awaitLeader plays until there is a leader.
+// awaitLeader runs the simulation until there is a leader.
 func (s *simCluster) awaitLeader() *Node {
 	for s.leader() == nil {
 		s.step()
@@ -150,11 +150,11 @@
 // propose proposes a value at a leader.
 func (s *simCluster) propose(leader *Node, data []byte) {
 	if _, _, err := leader.Propose(data); err != nil {
-		s.fail("a leader refuses a value: %v", err)
+		s.fail("leader rejected a proposal: %v", err)
 	}
 }
 
-// proposeMembers reports whether a leader took a change of members.
+// proposeMembers proposes a membership change and reports whether the leader accepted it.
 func (s *simCluster) proposeMembers(leader *Node, members []Member) bool {
 	err := leader.ProposeMembers(members)
 	switch {
@@ -162,17 +162,17 @@
 		return true
 	case errors.Is(err, ErrChangePending), errors.Is(err, ErrInvalidChange), errors.Is(err, ErrJointUnsupported):
 	default:
-		s.fail("a leader refuses members: %v", err)
+		s.fail("leader rejected a membership change: %v", err)
 	}
 	return false
 }
 
-// runHost carries out what a member has ready. A crash may come before or after each sync.
+// runHost processes the pending work of a member. The member may crash before or after each sync.
 func (s *simCluster) runHost(id ID) {
 	n := s.nodes[id]
 	for {
-		if n.LostDurability() { // no member of these runs starts with an earlier disk
-			s.fail("%d is told that it lost what it acknowledged", id)
+		if n.LostDurability() { // no member of these runs starts with a rolled-back disk
+			s.fail("member %d was notified of lost entries although it kept its disk", id)
 		}
 		r := n.Ready()
 		if r.Empty() {
@@ -197,7 +197,7 @@
 	s.compactSometimes(n, id)
 }
 
-// store puts on a member's disk what has to be there before the messages go out.
+// store writes to a member's disk what must be stored before messages are sent.
 func (s *simCluster) store(id ID, r Ready) {
 	d := s.disks[id]
 	if r.HardState != nil {
@@ -205,7 +205,7 @@
 	}
 	if r.Snapshot != nil {
 		if !bytes.Equal(r.Snapshot.Data, snapshotData(r.Snapshot.Index)) {
-			s.fail("%d installs %q as the snapshot of index %d", id, r.Snapshot.Data, r.Snapshot.Index)
+			s.fail("member %d installs %q as the snapshot of index %d", id, r.Snapshot.Data, r.Snapshot.Index)
 		}
 		s.installed++
 		d.Snapshot, d.Entries = *r.Snapshot, nil
@@ -216,13 +216,13 @@
 	}
 }
 
-// apply checks that all members apply the same entry at an index.
+// apply checks that all members apply the same data at an index.
 func (s *simCluster) apply(id ID, e Entry) {
 	if len(e.Data) == 0 {
 		return
 	}
 	if first, found := s.committed[e.Index]; found && first != string(e.Data) {
-		s.fail("index %d was %q, and %d applies %q", e.Index, first, id, e.Data)
+		s.fail("index %d was applied as %q, but member %d applies %q", e.Index, first, id, e.Data)
 	}
 	s.committed[e.Index] = string(e.Data)
 }
@@ -232,12 +232,12 @@
 		return
 	}
 	if other, found := s.leaders[n.Term()]; found && other != id {
-		s.fail("term %d has the leaders %d and %d", n.Term(), other, id)
+		s.fail("term %d has two leaders, members %d and %d", n.Term(), other, id)
 	}
 	s.leaders[n.Term()] = id
 }
 
-// compactSometimes makes a snapshot at some indexes.
+// compactSometimes makes a snapshot if the applied index is a multiple of simSnapshotInterval.
 func (s *simCluster) compactSometimes(n *Node, id ID) {
 	applied := n.AppliedIndex()
 	if applied == 0 || applied%simSnapshotInterval != 0 {
@@ -250,7 +250,7 @@
 	}
 }
 
-// step plays one step of time for all members, and delivers what is in flight.
+// step advances each live member by one tick or none and delivers the messages in flight.
 func (s *simCluster) step() {
 	for _, id := range s.liveIDs() {
 		if s.rng.IntN(8) > 0 {
@@ -271,7 +271,7 @@
 	s.boundNetwork()
 }
 
-// takeShuffled takes all messages out of the network, in any order.
+// takeShuffled removes all messages from the network and returns them in random order.
 func (s *simCluster) takeShuffled() []Message {
 	messages := s.network
 	s.network = nil
@@ -279,8 +279,8 @@
 	return messages
 }
 
-// arrives reports whether a message arrives now. A delayed or duplicated one goes back into the
-// network.
+// arrives reports whether a message is delivered now. A delayed or duplicated message is put back into
+// the network.
 func (s *simCluster) arrives(m Message, unreachable bool) bool {
 	percent := s.rng.IntN(100)
 	switch {
@@ -295,20 +295,19 @@
 	return true
 }
 
-// boundNetwork loses the oldest messages if there are too many.
+// boundNetwork drops the oldest messages if there are too many.
 func (s *simCluster) boundNetwork() {
 	if len(s.network) > simMaxInFlight {
 		s.network = s.network[simMaxInFlight/2:]
 	}
 }
 
-// injectFault has something go wrong at random, within what a cluster must bear: one disk lost
-// at a time.
+// injectFault injects a random fault that a cluster must tolerate: at most one disk is lost at a time.
 func (s *simCluster) injectFault() {
 	leader := s.leader()
 	if leader != nil && s.rng.IntN(3) == 0 {
 		s.values++
-		// Each second value is too large to travel with the heartbeats.
+		// Every second value is large enough to be sent as a bulk message.
 		s.propose(leader, fmt.Appendf(nil, "%*d", 1+s.values%2*maxUrgentBytes, s.values))
 	}
 	switch s.rng.IntN(60) {
@@ -331,8 +330,8 @@
 	s.manageMembers()
 }
 
-// toleratesDiskLoss reports whether the last lost disk is made good: all members are up, connected,
-// voters, and have all that is committed.
+// toleratesDiskLoss reports whether the cluster has fully recovered from the last lost disk: all members
+// are up, connected, voters, and have every committed entry.
 func (s *simCluster) toleratesDiskLoss(leader *Node) bool {
 	if leader == nil || len(s.nodes) < simVoters || len(s.isolated) > 0 {
 		return false
@@ -348,9 +347,9 @@
 	return len(members) == simVoters && len(s.disks) == simVoters && s.proposeMembers(leader, slices.Clone(members))
 }
 
-// manageMembers does what the host of a leader does: it adds new members as learners, makes them
-// voters once they have caught up, and removes those that are gone. Half of the runs give the
-// vote of one that is gone to a learner in one change.
+// manageMembers manages the membership as the host of a leader does: it adds new members as learners,
+// promotes them to voters once they have caught up, and removes members whose disk was lost. In half
+// of the runs it swaps a lost voter for a learner in one change.
 func (s *simCluster) manageMembers() {
 	leader := s.leader()
 	if leader == nil {
@@ -367,7 +366,7 @@
 	s.manageOneMember(leader, members)
 }
 
-// manageOneMember changes the first member that is to be changed.
+// manageOneMember proposes a change for the first member that needs one.
 func (s *simCluster) manageOneMember(leader *Node, members []Member) {
 	lostVoter := slices.IndexFunc(members, func(m Member) bool { return m.Voter && s.disks[m.ID] == nil })
 	for i, m := range members {
@@ -392,7 +391,7 @@
 	}
 }
 
-// highestCommitted is the highest index at which a value was applied anywhere.
+// highestCommitted returns the highest index at which any member has applied a value.
 func (s *simCluster) highestCommitted() (highest uint64) {
 	for index := range s.committed {
 		highest = max(highest, index)
@@ -400,8 +399,8 @@
 	return highest
 }
 
-// awaitConvergence plays without faults, and checks that all members come to the same commit index, and
-// that it covers all that was ever committed.
+// awaitConvergence runs the simulation without injecting further faults, and checks that all members
+// converge to the same commit index and that no committed entry is lost.
 func (s *simCluster) awaitConvergence() {
 	s.t.Helper()
 	s.startAll()
@@ -415,7 +414,7 @@
 	if !converged {
 		for _, id := range s.liveIDs() {
 			n := s.nodes[id]
-			s.t.Logf("%d: %v, term %d, leader %d, commit %d, last %d, snapshot %d, members %v",
+			s.t.Logf("member %d: %v, term %d, leader %d, commit index %d, last index %d, snapshot %d, members %v",
 				id, n.Role(), n.Term(), n.Leader(), n.CommitIndex(), n.LastIndex(), n.SnapshotIndex(), n.Members())
 		}
 		s.fail("the cluster did not converge")
@@ -423,13 +422,13 @@
 	highest := s.highestCommitted()
 	for _, id := range s.liveIDs() {
 		if s.nodes[id].CommitIndex() < highest {
-			s.fail("%d has commit index %d, but %d was committed", id, s.nodes[id].CommitIndex(), highest)
+			s.fail("member %d has commit index %d, but index %d was committed", id, s.nodes[id].CommitIndex(), highest)
 		}
 	}
 }
 
-// converged reports whether there is a leader, and that all that are up are its members and have its
-// commit index.
+// converged reports whether there is a leader, and all live processes are in its list of members and
+// have its commit index.
 func (s *simCluster) converged() bool {
 	leader := s.leader()
 	if leader == nil {
--- a/raft/simfaults_test.go
+++ b/raft/simfaults_test.go
@@ -3,24 +3,24 @@
 import "testing"
 
 const (
-	defaultClockSpeed    = 7 // of 16: how often a member's clock ticks in half a step
+	defaultClockSpeed    = 7 // probability of a tick in half a step, in sixteenths
 	maxQueuedWhilePaused = 50
 	maxOpenReads         = 20
 )
 
-// faultySimCluster adds disks that refuse writes, members that pause, clocks that run at
-// different speeds, one-way partitions and loss of power of all members, and checks reads.
+// faultySimCluster adds disks that fail writes, members that pause, clocks that run at different
+// speeds, one-way partitions and power failures of all members to simCluster, and checks reads.
 type faultySimCluster struct {
 	*simCluster
-	failingDisks map[ID]int       // steps for which a member's disk refuses writes
-	paused       map[ID]int       // steps for which a member stands still
-	queued       map[ID][]Message // what arrives for it meanwhile
-	clockSpeed   map[ID]int       // speed of a member's clock, of 16; 0: defaultPace
-	partitioned  map[[2]ID]bool   // one way: from, to
+	failingDisks map[ID]int       // remaining steps for which a member's disk fails writes
+	paused       map[ID]int       // remaining steps for which a member is paused
+	queued       map[ID][]Message // messages that arrive for a paused member
+	clockSpeed   map[ID]int       // speed of a member's clock, in sixteenths; 0: defaultClockSpeed
+	partitioned  map[[2]ID]bool   // from sender to receiver, one way
 	reads        []pendingRead
 }
 
-// pendingRead waits for a leader's read index.
+// pendingRead is a read that waits for its leader to confirm a read index.
 type pendingRead struct {
 	leader    ID
 	term      uint64
@@ -39,7 +39,7 @@
 	}
 }
 
-// endFaults ends all faults, but for members that are down.
+// endFaults ends all faults, but does not start members that are down.
 func (s *faultySimCluster) endFaults() {
 	clear(s.partitioned)
 	clear(s.isolated)
@@ -48,8 +48,7 @@
 	clear(s.clockSpeed)
 }
 
-// injectFault has something go wrong at random, within what a cluster must bear: the contents of
-// one disk lost at a time.
+// injectFault injects a random fault that a cluster must tolerate: at most one disk is lost at a time.
 func (s *faultySimCluster) injectFault() {
 	leader := s.leader()
 	s.proposeSometimes(leader)
@@ -73,10 +72,10 @@
 		clear(s.isolated)
 	case 8:
 		s.isolated[victim] = true
-	case 9: // all lose power at once
+	case 9: // a power failure of all members
 		clear(s.nodes)
 		clear(s.queued)
-	case 10: // right after something was acknowledged
+	case 10: // a crash of the leader right after it may have acknowledged an entry
 		if leader != nil {
 			s.crash(leader.cfg.ID)
 		}
@@ -90,7 +89,7 @@
 	s.manageMembers()
 }
 
-// proposeSometimes proposes a value, if there is a leader.
+// proposeSometimes proposes a value at random, if there is a leader.
 func (s *faultySimCluster) proposeSometimes(leader *Node) {
 	if leader != nil && s.rng.IntN(3) == 0 {
 		s.values++
@@ -98,8 +97,8 @@
 	}
 }
 
-// loseDisk loses the disk of a member, or of the leader right after an acknowledgement. It returns
-// false if the cluster can't bear that now.
+// loseDisk removes the disk of a member, or of the leader right after it may have acknowledged an entry.
+// It returns false if the cluster can't tolerate that now.
 func (s *faultySimCluster) loseDisk(leader *Node, victim ID) bool {
 	if !s.toleratesDiskLoss(leader) {
 		return false
@@ -111,7 +110,7 @@
 	return true
 }
 
-// step plays one step of time for all members, and delivers what is in flight.
+// step advances all members that are not paused and delivers the messages in flight.
 func (s *faultySimCluster) step() {
 	for _, id := range s.liveIDs() {
 		if s.paused[id] == 0 {
@@ -121,7 +120,7 @@
 		}
 		s.paused[id]--
 		if s.paused[id] == 0 {
-			s.network = append(s.network, s.queued[id]...) // all at once when it resumes
+			s.network = append(s.network, s.queued[id]...) // delivered together after it resumes
 			delete(s.queued, id)
 		}
 	}
@@ -144,7 +143,7 @@
 	s.checkReads()
 }
 
-// tick counts up to two ticks of a member's clock.
+// tick advances a member by up to two ticks, depending on the speed of its clock.
 func (s *faultySimCluster) tick(id ID) {
 	clockSpeed := s.clockSpeed[id]
 	if clockSpeed == 0 {
@@ -157,8 +156,8 @@
 	}
 }
 
-// runHost is the host of a member. With a disk that refuses writes it sends nothing, and gives
-// up leadership, as package controlplane does.
+// runHost processes the pending work of a member. If its disk fails writes, it sends nothing and steps
+// down as leader, as package controlplane does.
 func (s *faultySimCluster) runHost(id ID) {
 	n := s.nodes[id]
 	if s.failingDisks[id] > 0 {
@@ -171,8 +170,9 @@
 	s.simCluster.runHost(id)
 }
 
-// checkReads begins reads at leaders, and checks those that are confirmed: the leader must know
-// all that was committed before the read arrived. A lease that a leader grants is the same.
+// checkReads starts reads at leaders and checks those that are confirmed: the leader must have applied
+// every entry that was committed before the read arrived. The same condition makes it safe for
+// a leader to grant a lease.
 func (s *faultySimCluster) checkReads() {
 	if ids := s.liveIDs(); len(ids) > 0 && s.rng.IntN(4) == 0 && len(s.reads) < maxOpenReads {
 		id := ids[s.rng.IntN(len(ids))]
@@ -198,7 +198,7 @@
 			continue
 		}
 		if n.AppliedIndex() < r.committed {
-			s.fail("%d confirms a read with applied index %d, and %d was committed before it",
+			s.fail("member %d confirms a read with applied index %d, but index %d was committed before the read",
 				r.leader, n.AppliedIndex(), r.committed)
 		}
 		s.readsConfirmed++
--- a/raft/singlenode_test.go
+++ b/raft/singlenode_test.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// newSingleNode returns a member of three whose others are played by the test. Snapshots go in
+// newSingleNode returns one member of three; the test simulates the others. It sends snapshots in
 // chunks of 8 bytes.
 func newSingleNode(id ID, validate func(*Snapshot) error) *Node {
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
@@ -21,7 +21,8 @@
 	}, PersistentState{Snapshot: Snapshot{Members: members}})
 }
 
-// newSingleLeader returns such a member that leads, with ID 1. Member 3 has all its entries.
+// newSingleLeader returns a node as newSingleNode does, with ID 1, that leads. Member 3 has all its
+// entries.
 func newSingleLeader(t *testing.T) *Node {
 	t.Helper()
 	n := newSingleNode(1, nil)
@@ -39,7 +40,7 @@
 	return n
 }
 
-// grantVote answers a vote request or a pre-vote request of a member, and ignores other messages.
+// grantVote grants a vote request or a pre-vote request of a member, and ignores other messages.
 func grantVote(n *Node, request Message) {
 	switch request.Kind {
 	case PreVoteRequest:
@@ -49,7 +50,7 @@
 	}
 }
 
-// acknowledgeEntries answers AppendEntries that the log of the receiver fits.
+// acknowledgeEntries replies to AppendEntries as a receiver whose log matches.
 func acknowledgeEntries(n *Node, request Message) {
 	n.Step(Message{
 		Kind:  AppendEntriesReply,
@@ -61,14 +62,14 @@
 	})
 }
 
-// acknowledgeAll has one member acknowledge all entries that the leader has.
+// acknowledgeAll makes a member acknowledge all entries of the leader.
 func acknowledgeAll(leader *Node, id ID) {
 	runHost(leader)
 	leader.Step(Message{Kind: AppendEntriesReply, From: id, To: 1, Term: leader.Term(), Index: leader.LastIndex()})
 	runHost(leader)
 }
 
-// mustPropose proposes a value at a leader.
+// mustPropose proposes a value that the leader must accept.
 func mustPropose(t *testing.T, leader *Node, data []byte) {
 	t.Helper()
 	if _, _, err := leader.Propose(data); err != nil {
@@ -76,7 +77,8 @@
 	}
 }
 
-// runHost carries out all that a member has ready, and returns what was to be sent and installed.
+// runHost processes all pending work of a member, and returns the messages sent and the snapshots
+// installed.
 func runHost(n *Node) (sent []Message, installed []*Snapshot) {
 	for r := n.Ready(); !r.Empty(); r = n.Ready() {
 		if r.Snapshot != nil {
@@ -88,10 +90,10 @@
 	return sent, installed
 }
 
-// chunkBytes is the size of the chunks that [chunksOf] makes.
+// chunkBytes is the size of the chunks that [chunksOf] returns.
 const chunkBytes = 16
 
-// chunksOf are the messages that carry a snapshot to member 1.
+// chunksOf returns the messages that carry a snapshot to member 1.
 func chunksOf(from ID, term uint64, s Snapshot) (chunks []Message) {
 	for offset := 0; offset < len(s.Data); offset += chunkBytes {
 		chunk := s
--- a/raft/snapshot_test.go
+++ b/raft/snapshot_test.go
@@ -10,10 +10,10 @@
 
 const chunkSeeds = 3000
 
-// Chunks of three snapshots, of two leaders in two terms, two of them of the same index with
-// different bytes, damaged, duplicated, lost, in any order: what is installed is one of the three,
-// complete, and never one behind what is known to be committed. Where nothing is damaged and one
-// leader sends, nothing is rejected either.
+// A member receives chunks of three snapshots from two leaders in two terms. Two of the snapshots have
+// the same index but different data. Chunks are corrupted, duplicated, missing and out of order. The
+// member installs only complete snapshots that were sent, and none older than its commit index. If no
+// chunk is corrupted and all come from one leader, no snapshot is rejected either.
 func TestMixedChunksInstallOnlyCompleteSnapshots(t *testing.T) {
 	t.Parallel()
 	installed, rejected := 0, uint64(0)
@@ -23,11 +23,12 @@
 		installed += run.installed
 		rejected += run.node.RejectedSnapshots()
 		if run.faultless && run.node.RejectedSnapshots() > 0 {
-			t.Fatalf("seed %d: %d rejected, and nothing was damaged", seed, run.node.RejectedSnapshots())
+			t.Fatalf("seed %d: %d snapshots rejected, although no chunk was corrupted",
+				seed, run.node.RejectedSnapshots())
 		}
 	}
 	if installed < 1000 || rejected < 20 {
-		t.Errorf("%d installed, %d rejected: too few to say anything", installed, rejected)
+		t.Errorf("%d snapshots installed, %d rejected: too few for a meaningful result", installed, rejected)
 	}
 }
 
@@ -38,11 +39,11 @@
 	node      *Node
 	snapshots []Snapshot
 	messages  []Message
-	faultless bool // one leader, two snapshots, and no damage
+	faultless bool // one leader, two snapshots, and no corrupted chunks
 	installed int
 }
 
-// newChunkRun returns a run with its messages in the order in which they arrive.
+// newChunkRun returns a run with the messages in the order in which they will arrive.
 func newChunkRun(seed uint64) *chunkRun {
 	r := &chunkRun{
 		seed: seed,
@@ -68,7 +69,7 @@
 		}
 	}
 	swap := func(i, j int) { r.messages[i], r.messages[j] = r.messages[j], r.messages[i] }
-	if r.rng.IntN(2) == 0 { // nearly in order
+	if r.rng.IntN(2) == 0 { // almost in order
 		for range 6 {
 			swap(r.rng.IntN(len(r.messages)), r.rng.IntN(len(r.messages)))
 		}
@@ -78,7 +79,7 @@
 	return r
 }
 
-// deliverAll delivers all messages three times, and checks what is installed.
+// deliverAll delivers all messages three times and checks the snapshots that are installed.
 func (r *chunkRun) deliverAll(t *testing.T) {
 	last := uint64(0)
 	for range 3 {
@@ -90,7 +91,8 @@
 			_, installed := runHost(r.node)
 			for _, s := range installed {
 				if s.Index <= last || !r.wasSent(s) {
-					t.Fatalf("seed %d: after index %d it installs %q for %d", r.seed, last, s.Data, s.Index)
+					t.Fatalf("seed %d: after the snapshot of index %d it installs %q as that of index %d",
+						r.seed, last, s.Data, s.Index)
 				}
 				last = s.Index
 				r.installed++
@@ -99,7 +101,7 @@
 	}
 }
 
-// damaged returns a message with one bit of its chunk changed.
+// damaged returns a copy of a message with one bit of its chunk flipped.
 func (r *chunkRun) damaged(m Message) Message {
 	s := *m.Snapshot
 	s.Data = slices.Clone(s.Data)
@@ -108,20 +110,20 @@
 	return m
 }
 
-// wasSent reports whether a snapshot is one of those that were sent.
+// wasSent reports whether a snapshot equals one of those that were sent.
 func (r *chunkRun) wasSent(s *Snapshot) bool {
 	return slices.ContainsFunc(r.snapshots, func(o Snapshot) bool {
 		return o.Index == s.Index && bytes.Equal(o.Data, s.Data)
 	})
 }
 
-// transferRun is a leader that sends a snapshot to member 2, while member 3 acknowledges all.
+// transferRun is a leader that sends a snapshot to member 2, while member 3 acknowledges all entries.
 type transferRun struct {
 	leader, follower *Node
-	validateErr      error // why the follower refuses snapshots; nil: it does not
+	validateErr      error // returned by the follower's ValidateSnapshot; nil: snapshots are valid
 	snapshotIndex    uint64
-	chunks           int                  // sent to the follower
-	isLost           func(chunk int) bool // which of them are lost
+	chunks           int                  // chunks sent to the follower
+	isLost           func(chunk int) bool // whether the chunk with this number is lost
 	installed        int
 }
 
@@ -140,7 +142,7 @@
 	return r
 }
 
-// tick plays ticks of the leader, and delivers all messages.
+// tick advances the leader by a number of ticks and delivers all messages.
 func (r *transferRun) tick(t *testing.T, ticks int) {
 	t.Helper()
 	for range ticks {
@@ -156,7 +158,7 @@
 	}
 }
 
-// deliver delivers one message of the leader, and the replies to it.
+// deliver delivers one message of the leader and the replies to it.
 func (r *transferRun) deliver(t *testing.T, m Message) {
 	if m.To == 3 {
 		if m.Kind == AppendEntries {
@@ -166,7 +168,8 @@
 	}
 	if m.Kind == SnapshotChunk {
 		if m.Snapshot.Index != r.snapshotIndex {
-			t.Fatalf("chunks of snapshot %d, it began with %d", m.Snapshot.Index, r.snapshotIndex)
+			t.Fatalf("chunk of the snapshot of index %d, in the transfer of that of index %d",
+				m.Snapshot.Index, r.snapshotIndex)
 		}
 		r.chunks++
 		if r.isLost(r.chunks) {
@@ -181,20 +184,20 @@
 	}
 }
 
-// A leader continues a transfer where the follower is, sends what was lost again, and keeps to the
-// same snapshot while new ones are made. A snapshot that is refused is sent again only after a
-// while; the follower installs it once it can.
+// A leader resumes a transfer at the position that the follower has reached, resends lost chunks, and
+// continues with the same snapshot while newer ones are created. A rejected snapshot is sent again only
+// after a pause, and the follower installs it once it is valid.
 func TestSnapshotTransferContinuesAfterLossAndRefusal(t *testing.T) {
 	t.Parallel()
 	data := bytes.Repeat([]byte("0123456789"), 20)
 	r := newTransferRun(t, data)
-	r.validateErr = errors.New("the host can't restore it")
+	r.validateErr = errors.New("the host can't restore the snapshot")
 	r.tick(t, 60)
-	refused := r.follower.RejectedSnapshots()
-	if r.installed != 0 || refused == 0 || refused > 3 || r.follower.CommitIndex() != 0 {
-		t.Fatalf("%d installed, %d refused in 60 ticks", r.installed, refused)
+	rejected := r.follower.RejectedSnapshots()
+	if r.installed != 0 || rejected == 0 || rejected > 3 || r.follower.CommitIndex() != 0 {
+		t.Fatalf("%d installed, %d rejected in 60 ticks", r.installed, rejected)
 	}
-	for range 2 { // new snapshots meanwhile; the log still goes on from the first
+	for range 2 { // newer snapshots; the log still has all entries after the first
 		mustPropose(t, r.leader, []byte("y"))
 		r.tick(t, 1)
 		r.leader.Compact(r.leader.AppliedIndex(), data[:50])
@@ -203,13 +206,13 @@
 	r.isLost = func(chunk int) bool { return chunk%5 == 0 }
 	r.tick(t, 200)
 	if r.installed != 1 || r.follower.CommitIndex() != r.leader.CommitIndex() || r.chunks > 60 {
-		t.Errorf("%d installed with %d chunks, commit index %d of %d",
+		t.Errorf("%d snapshots installed with %d chunks, commit index %d of %d",
 			r.installed, r.chunks, r.follower.CommitIndex(), r.leader.CommitIndex())
 	}
 }
 
-// A snapshot that arrives late, from before what is committed here, changes nothing, though its
-// index is not in the log any more.
+// A delayed snapshot whose index is below the commit index changes nothing, even though the log no
+// longer has that index.
 func TestLateSnapshotChangesNothing(t *testing.T) {
 	t.Parallel()
 	n := newSingleNode(1, nil)
@@ -222,27 +225,28 @@
 		runHost(n)
 	}
 	if n.SnapshotIndex() != 20 || n.CommitIndex() != 20 || n.AppliedIndex() != 20 {
-		t.Errorf("snapshot %d, commit %d, applied %d", n.SnapshotIndex(), n.CommitIndex(), n.AppliedIndex())
+		t.Errorf("snapshot index %d, commit index %d, applied index %d",
+			n.SnapshotIndex(), n.CommitIndex(), n.AppliedIndex())
 	}
 }
 
-// An installed snapshot counts as applied only when the host has taken it over: until then, as
-// while its disk refuses writes, nobody is answered as if it were.
+// An installed snapshot counts as applied only after the host has applied it and called Advance. Until
+// then, for example while the disk fails writes, the applied index does not include it.
 func TestInstalledSnapshotIsAppliedOnlyByAdvance(t *testing.T) {
 	t.Parallel()
 	n := newSingleNode(1, nil)
 	snapshot := Snapshot{Index: 20, Term: 2, Data: snapshotData(20)}
 	n.Step(Message{Kind: InstallSnapshot, From: 2, To: 1, Term: 3, Snapshot: &snapshot})
 	if n.AppliedIndex() != 0 {
-		t.Errorf("applied index %d before the host did anything", n.AppliedIndex())
+		t.Errorf("applied index %d before the host processed the snapshot", n.AppliedIndex())
 	}
 	runHost(n)
 	if n.AppliedIndex() != 20 {
-		t.Errorf("applied index %d", n.AppliedIndex())
+		t.Errorf("applied index %d, want 20", n.AppliedIndex())
 	}
 }
 
-// A new leader that has the same snapshot continues with it where the last leader stopped.
+// A new leader that has the same snapshot resumes the transfer where the previous leader stopped.
 func TestNewLeaderContinuesSnapshotTransfer(t *testing.T) {
 	t.Parallel()
 	n := newSingleNode(1, nil)
@@ -254,7 +258,7 @@
 	n.Step(second[0])
 	sent, _ := runHost(n)
 	if len(sent) != 1 || sent[0].To != 3 || sent[0].Offset != 2*chunkBytes || sent[0].Reject {
-		t.Fatalf("its reply is %+v", sent)
+		t.Fatalf("the reply to the new leader is %+v", sent)
 	}
 	for _, m := range second[2:] {
 		n.Step(m)
--- a/raft/trace_test.go
+++ b/raft/trace_test.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// traceDigest is the digest of all that the members of [TestSeededRunsAreReproducible] hand
-	// to their hosts, and of their states. A change that leaves behaviour as it is leaves the
-	// digest as it is. One that does not has the new value, and the reason, in its commit.
+	// traceDigest is the digest of every Ready and every state of the members in
+	// [TestSeededRunsAreReproducible]. A commit that changes no behavior leaves it unchanged. A
+	// commit that does change behavior updates it and gives the reason in its message.
 	traceDigest uint64 = 0x3cc1d48ddc629674
 
 	traceRuns    = 150
 	traceSteps   = 500
 	traceMembers = 5
 	traceVoters  = 3
-	// traceMinMessages is how many messages of each kind make the digest mean something.
+	// traceMinMessages is the minimum number of messages of each kind for a meaningful digest.
 	traceMinMessages = 20
 )
 
-// Equal seeds and equal calls give equal results: the same messages in the same order, the same
+// The same seeds and calls give the same results: the same messages in the same order, the same
 // entries to store and to apply, and the same use of the random source.
 func TestSeededRunsAreReproducible(t *testing.T) {
 	t.Parallel()
@@ -35,7 +35,7 @@
 	}
 	for kind := PreVoteRequest; kind <= SnapshotChunkReply; kind++ {
 		if sent[kind] < traceMinMessages {
-			t.Errorf("%d messages were sent of kind %v: too few to say anything", sent[kind], kind)
+			t.Errorf("%d messages of kind %v were sent: too few for a meaningful result", sent[kind], kind)
 		}
 	}
 	if got := digest.Sum64(); got != traceDigest {
@@ -43,18 +43,18 @@
 	}
 }
 
-// traceRun is five members, two of them learners, under lost, late and duplicated messages,
-// crashes, snapshots and changes of members.
+// traceRun simulates five members, two of them learners, with lost, delayed and duplicated messages,
+// crashes, snapshots and membership changes.
 type traceRun struct {
 	t        *testing.T
 	seed     uint64
 	rng      *rand.Rand
-	digest   *xxhash.Digest      // of all that the members do
-	sent     map[MessageKind]int // how many messages
+	digest   *xxhash.Digest      // of every Ready and every state
+	sent     map[MessageKind]int // number of messages by kind
 	disks    map[ID]*PersistentState
 	nodes    map[ID]*Node
 	network  []Message
-	isolated ID // the member that nothing reaches; 0: none
+	isolated ID // the member whose messages are lost in both directions; 0: none
 }
 
 func newTraceRun(t *testing.T, seed uint64, digest *xxhash.Digest, sent map[MessageKind]int) *traceRun {
@@ -79,7 +79,7 @@
 	return r
 }
 
-// start starts a member, anew if it is up, with what its disk holds.
+// start starts a member from its disk, or restarts it if it is up.
 func (r *traceRun) start(id ID) {
 	disk := *r.disks[id]
 	disk.Entries = slices.Clone(disk.Entries)
@@ -94,7 +94,7 @@
 	}, disk)
 }
 
-// run plays all steps.
+// run runs all steps.
 func (r *traceRun) run() {
 	for step := range traceSteps {
 		for id := ID(1); id <= traceMembers; id++ {
@@ -112,7 +112,7 @@
 	}
 }
 
-// injectFault has something go wrong at random.
+// injectFault injects a random fault.
 func (r *traceRun) injectFault() {
 	anyMember := func() ID { return ID(1 + r.rng.IntN(traceMembers)) }
 	switch r.rng.IntN(40) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// deliver delivers the messages in flight, but for those that are lost or delayed.
+// deliver delivers the messages in flight, except those that are lost or delayed.
 func (r *traceRun) deliver() {
 	arriving := r.network
 	r.network = nil
@@ -146,7 +146,7 @@
 	r.network = r.network[max(0, len(r.network)-200):]
 }
 
-// runHost carries out all that a member has ready, and adds it to the digest.
+// runHost processes all pending work of a member and adds it to the digest.
 func (r *traceRun) runHost(id ID) {
 	n := r.nodes[id]
 	for ready := n.Ready(); !ready.Empty(); ready = n.Ready() {
@@ -176,7 +176,7 @@
 	}
 }
 
-// store puts on a member's disk what has to be there before the messages go out.
+// store writes to a member's disk what must be stored before messages are sent.
 func (r *traceRun) store(id ID, ready Ready) {
 	disk := r.disks[id]
 	if ready.HardState != nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// compact makes a snapshot of what a member has applied.
+// compact makes a snapshot of the applied state of a member.
 func (r *traceRun) compact(id ID) {
 	n, disk := r.nodes[id], r.disks[id]
 	applied := n.AppliedIndex()
@@ -202,8 +202,7 @@
 	}
 }
 
-// call makes one of the calls that the host of a leader makes. That it is refused is part of the
-// run.
+// call makes a random call of those that the host of a leader makes. An error is part of the run.
 func (r *traceRun) call(n *Node, step int) {
 	members := slices.Clone(n.Members())
 	anyMember := func() *Member { return &members[r.rng.IntN(len(members))] }
@@ -214,13 +213,13 @@
 		n.BroadcastHeartbeat()
 	case 5:
 		n.ReportSendFailure(ID(1 + r.rng.IntN(traceMembers)))
-	case 6: // one voter for another
+	case 6: // exchange the roles of two members
 		a, b := anyMember(), anyMember()
 		a.Voter, b.Voter = b.Voter, a.Voter
 		if n.CanCommitMembers(members) {
 			_ = n.ProposeMembers(members)
 		}
-	case 7: // one voter more, or one less
+	case 7: // add or remove a voter
 		m := anyMember()
 		m.Voter = !m.Voter
 		if n.CanCommitMembers(members) && len(voterIDs(members)) > 2 {
