--- a/raft/model/actions.go
+++ b/raft/model/actions.go
@@ -8,18 +8,18 @@
 	"example.org/elmspan/raft"
 )
 
-// action is something that may happen to one member.
+// action is a possible transition of one member.
 type action struct {
-	name   string // for the trace that leads to a violation
+	name   string // for the trace of a violation
 	member int    // position of the member in [state.members]
-	// budget is the bound that the action counts against; nil: it may always happen.
+	// budget returns the bound that the action counts against; nil: the action is unbounded.
 	budget func(*Bounds) *int
-	// apply changes the clone of a state, and the member in it. It returns false if the action
-	// is not enabled.
+	// apply performs the action on a clone of a state and on the member in that clone. It returns
+	// false if the action is not enabled.
 	apply func(next *state, m *member) bool
 }
 
-// Next implements [modelcheck.State]: it yields the state that each enabled action leads to.
+// Next implements [modelcheck.State]: it yields the successor state for each enabled action.
 func (s *state) Next(yield func(string, modelcheck.State) bool) {
 	for _, a := range s.actions() {
 		next := s.clone()
@@ -39,7 +39,7 @@
 	}
 }
 
-// actions are all that may happen, if their bounds allow it.
+// actions returns all candidate actions. Some may be disabled or exceed their bounds.
 func (s *state) actions() (all []action) {
 	for i := range s.inFlight {
 		all = append(all, s.deliveries(i)...)
@@ -54,14 +54,14 @@
 	return all
 }
 
-// deliveries are the ways in which a message in flight may be delivered. It is lost by the bound
-// on messages in flight, and by crashes.
+// deliveries returns the actions that deliver a message in flight. There is no action that loses
+// a message: loss follows from the bound on messages in flight and from crashes of the receiver.
 func (s *state) deliveries(position int) (all []action) {
 	message := s.inFlight[position]
 	receiver := int(message.To) - 1
 	if message.Kind == raft.SnapshotChunk {
 		all = append(all, action{
-			name:   fmt.Sprint("deliver damaged: ", describeMessage(message)),
+			name:   fmt.Sprint("deliver corrupted: ", describeMessage(message)),
 			member: receiver,
 			budget: func(b *Bounds) *int { return &b.Damaged },
 			apply: func(next *state, m *member) bool {
@@ -93,7 +93,7 @@
 		})
 }
 
-// damagedChunk returns a message with other bytes in its chunk.
+// damagedChunk returns a copy of a message with different bytes in its chunk.
 func damagedChunk(message raft.Message) raft.Message {
 	snapshot := *message.Snapshot
 	snapshot.Data = []byte{0xff}
@@ -101,12 +101,12 @@
 	return message
 }
 
-// memberActions are what may happen to any member.
+// memberActions returns the actions of a member in any role.
 func (s *state) memberActions(i int) []action {
 	id, node := s.members[i].id, s.members[i].node
 	all := []action{
 		{
-			name:   fmt.Sprint("begin an election at ", id),
+			name:   fmt.Sprint("start an election at ", id),
 			member: i,
 			budget: func(b *Bounds) *int { return &b.Elections },
 			apply: func(next *state, m *member) bool {
@@ -137,7 +137,7 @@
 	return all
 }
 
-// compact makes a snapshot of what the member has applied.
+// compact makes a snapshot of the member's applied state.
 func (m *member) compact(index uint64, chunks int) bool {
 	snapshot := m.node.Compact(index, snapshotData(index, chunks))
 	if snapshot == nil {
@@ -148,7 +148,7 @@
 	return true
 }
 
-// leaderActions are what may happen to a leader, beside changes of members.
+// leaderActions returns the actions of a leader other than membership changes.
 func (s *state) leaderActions(i int) []action {
 	id := s.members[i].id
 	return []action{
@@ -185,8 +185,8 @@
 	}
 }
 
-// membershipActions are the changes of members that a leader may propose, some of which it must
-// refuse.
+// membershipActions returns the membership changes that a leader may attempt, including some that it
+// must reject.
 func (s *state) membershipActions(i int) (all []action) {
 	id, present := s.members[i].id, s.members[i].node.Members()
 	for _, members := range singleChanges(present, len(s.members)) {
@@ -208,8 +208,8 @@
 	return all
 }
 
-// singleChanges are the lists with one voter more or less, and one with a larger change, which
-// must be refused.
+// singleChanges returns the lists of members with one voter added or removed, and one list with a
+// larger change, which must be rejected.
 func singleChanges(present []raft.Member, highest int) (lists [][]raft.Member) {
 	for id := raft.ID(1); int(id) <= highest; id++ {
 		list := slices.DeleteFunc(slices.Clone(present), func(m raft.Member) bool { return m.ID == id })
@@ -227,8 +227,8 @@
 	return lists
 }
 
-// swaps are the lists with one voter less and another more. The one that loses its vote, which is
-// out unless that is 0, stays as a learner.
+// swaps returns the lists of members in which one voter is replaced with another. If out is not 0, only
+// that voter is replaced. A replaced voter stays in the list as a learner.
 func swaps(present []raft.Member, highest, out int) (lists [][]raft.Member) {
 	for id := raft.ID(1); int(id) <= highest; id++ {
 		in := slices.IndexFunc(present, func(m raft.Member) bool { return m.ID == id })
@@ -252,7 +252,7 @@
 	return lists
 }
 
-// voterIDs are the IDs of the voters.
+// voterIDs returns the IDs of the voters.
 func voterIDs(members []raft.Member) (ids []raft.ID) {
 	for _, m := range members {
 		if m.Voter {
@@ -262,7 +262,7 @@
 	return ids
 }
 
-// describeMessage returns one line about a message, for traces.
+// describeMessage returns a message as one line for traces.
 func describeMessage(m raft.Message) string {
 	kind := m.Kind.String()
 	if m.Reject {
--- a/raft/model/bounds.go
+++ b/raft/model/bounds.go
@@ -2,33 +2,33 @@
 
 import "fmt"
 
-// Bounds limit how often each action happens, and describe the state at the start. A zero means
-// never, unless the field says something else.
+// Bounds limits how often each action happens, and describes the initial state. Zero means never,
+// unless the comment on the field says otherwise.
 type Bounds struct {
-	Members    int // voters at the start
-	Elections  int // elections begun
-	Candidates int // only the first so many members begin elections; 0: all
+	Members    int // voters in the initial state
+	Elections  int // elections started
+	Candidates int // only the first so many members start elections; 0: all
 	Values     int // values proposed
-	Heartbeats int // heartbeat rounds that begin by time alone
-	Crashes    int // members that stop and start again with their disks
-	StepDowns  int // leaders that step down by themselves
+	Heartbeats int // heartbeat rounds started by the heartbeat timer
+	Crashes    int // members that crash and restart from their disks
+	StepDowns  int // leaders whose host makes them step down
 	Duplicates int // messages that are delivered twice
-	Changes    int // membership changes by one voter
-	Swaps      int // membership changes of one voter for another, by joint consensus
-	// LeaderAtStart has member 1 elected at the start, and all members know it.
+	Changes    int // membership changes that add or remove one voter
+	Swaps      int // membership changes that replace one voter with another, by joint consensus
+	// LeaderAtStart makes member 1 the elected leader in the initial state, known to all members.
 	LeaderAtStart bool
-	SwappedOut    int // the only member that a swap takes the vote from; 0: any
-	Snapshots     int // logs that are compacted
+	SwappedOut    int // the only voter that a swap may remove; 0: any
+	Snapshots     int // log compactions
 	Chunks        int // messages that a snapshot takes; 0: one
-	Trailing      int // entries that stay in the log behind a snapshot
-	Damaged       int // snapshot chunks that are delivered with other bytes
-	// InFlight is how many messages may be on their way from one member to another. The oldest
-	// is lost for each one more.
+	Trailing      int // entries before a snapshot that are kept in the log
+	Damaged       int // snapshot chunks that are corrupted in transit
+	// InFlight is the maximum number of messages in flight from one member to another. A further
+	// message displaces the oldest, which is lost.
 	InFlight   int
-	MaxEntries int // entries of one message; 0: the default of raft.Config
+	MaxEntries int // maximum number of entries in a message; 0: the default of raft.Config
 }
 
-// String lists the bounds for the report of an exploration.
+// String returns the bounds as one line for the report of an exploration.
 func (b Bounds) String() string {
 	candidates := b.Candidates
 	if candidates == 0 {
--- a/raft/model/doc.go
+++ b/raft/model/doc.go
@@ -1,18 +1,19 @@
-// Package model is a small world of Raft members for the model checker (package modelcheck).
-// The members are real nodes of package raft; the network, the disks and the hosts are modelled.
+// Package model is a bounded model of a Raft cluster for the model checker (package modelcheck).
+// The members are real nodes of package raft; the network, the disks and the hosts are modeled.
 //
-// A state is a set of members with their disks, the messages in flight, and what was observed so
-// far. From each state several actions are enabled: a message is delivered, an election begins, a
-// member crashes, the leader proposes a value, and so on. [Bounds] limit how often each happens,
-// which makes the number of states finite. In every state that can be reached the invariants must
-// hold (invariants.go):
+// A state consists of the members with their disks, the messages in flight, and the history that the
+// invariants refer to. In each state several actions are enabled: a message is delivered, an election
+// starts, a member crashes, the leader proposes a value, and so on. [Bounds] limit how often each
+// action happens, which makes the number of states finite. The following invariants must hold in
+// every reachable state (invariants.go):
 //
 //   - a term has at most one leader (election safety, dissertation 3.2);
-//   - all members apply the same entry at an index, without a gap (state machine safety);
-//   - a member's commit index lies within its log, and it installs only snapshots that were made;
-//   - a leader whose read index is confirmed knows all that was committed before the request;
-//   - a snapshot that arrives undamaged is not rejected.
+//   - all members apply the same entry at an index, without gaps (state machine safety);
+//   - the commit index of a member is within its log, and a member installs only snapshots that
+//     were created;
+//   - a leader that confirms a read index has every entry committed before the request;
+//   - a snapshot that arrives uncorrupted is not rejected.
 //
-// Time is an action like any other: an election may begin anywhere at any moment, without a
-// pre-vote. What is safe here is therefore safe with any clocks.
+// The model has no clocks. Timeouts are actions that are always enabled: an election may start on any
+// member at any moment, without a pre-vote. The invariants therefore do not depend on timing.
 package model
--- a/raft/model/key.go
+++ b/raft/model/key.go
@@ -12,7 +12,7 @@
 	for _, m := range s.members {
 		b = m.node.AppendKey(append(b, '|'))
 	}
-	// The order in which messages were sent matters between the same two members only.
+	// The order of messages in flight matters only among those with the same sender and receiver.
 	keys := make([][]byte, 0, len(s.inFlight))
 	for i := range s.inFlight {
 		m := &s.inFlight[i]
@@ -25,7 +25,7 @@
 	return b
 }
 
-// appendObservations appends what may still happen, and what was observed.
+// appendObservations appends the remaining bounds and the history that the invariants refer to.
 func (s *state) appendObservations(b []byte) []byte {
 	l := s.remaining
 	for _, v := range []int{
--- a/raft/model/model_test.go
+++ b/raft/model/model_test.go
@@ -8,10 +8,11 @@
 	"example.org/elmspan/lab/modelcheck"
 )
 
-// minStates is how many states an exploration has at least, for its result to mean something.
+// minStates is the minimum number of states of an exploration whose result is meaningful.
 const minStates = 1000
 
-// smallWorlds are explored in seconds. docs/model.md names larger ones.
+// smallWorlds are bounds of the model that are explored within seconds. docs/model.md lists larger
+// ones.
 var smallWorlds = map[string]Bounds{
 	"values":    {Members: 3, Elections: 1, Values: 1, Heartbeats: 1, InFlight: 1},
 	"elections": {Members: 3, Elections: 2, InFlight: 1},
@@ -28,8 +29,10 @@
 	"damage":    {Members: 3, Elections: 1, Heartbeats: 2, Snapshots: 1, Chunks: 2, Damaged: 1, InFlight: 1},
 }
 
-// deepWorlds are those in which some guards are needed. They are too large to be explored in each
-// run: go test ./raft/model -run TestInvariantsHoldInDeepWorld -world NAME -timeout 0.
+// deepWorlds are bounds of the model that are needed to find the violations of some mutants. They are
+// too large to be explored in each test run; to explore one:
+//
+//	go test ./raft/model -run TestInvariantsHoldInDeepWorld -world NAME -timeout 0
 var deepWorlds = map[string]Bounds{
 	"three elections":   {Members: 3, Elections: 3, Candidates: 2, InFlight: 1},
 	"leaps":             {Members: 3, Elections: 2, Candidates: 2, Changes: 1, Heartbeats: 1, InFlight: 1},
@@ -43,12 +46,13 @@
 }
 
 var (
-	slow      = flag.Bool("slow", false, "test the guards too whose violation takes minutes to be found")
-	deepWorld = flag.String("world", "", "the deep world to be explored")
+	slow      = flag.Bool("slow", false, "also test the mutants whose violation takes minutes to find")
+	deepWorld = flag.String("world", "", "name of the deep world to explore")
 )
 
-// In every state of these worlds a term has one leader, the log one history, and a leader knows
-// all that was committed before a read index that it confirms.
+// In every reachable state of the small worlds the invariants hold: a term has one leader, the members
+// apply the same entries, and a leader that confirms a read index has every entry committed before the
+// request.
 func TestInvariantsHoldInSmallWorlds(t *testing.T) {
 	for name, bounds := range smallWorlds {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +63,7 @@
 			}
 			t.Log(bounds, ":", report)
 			if report.States < minStates {
-				t.Errorf("%v are too few to say anything", report)
+				t.Errorf("%v are too few for a meaningful result", report)
 			}
 		})
 	}
@@ -80,6 +84,6 @@
 func TestExplorationStopsAtStateLimit(t *testing.T) {
 	_, err := modelcheck.Explore(t.Context(), New(smallWorlds["elections"]), 100, 1)
 	if !errors.Is(err, modelcheck.ErrBound) {
-		t.Errorf("with a limit of 100 states: %v", err)
+		t.Errorf("with a limit of 100 states: got error %v, want ErrBound", err)
 	}
 }
--- a/raft/model/mutants_test.go
+++ b/raft/model/mutants_test.go
@@ -9,18 +9,19 @@
 	"testing"
 )
 
-// mutant is one guard of package raft, removed.
+// mutant is the source of package raft with one guard, a check that safety depends on, removed.
 type mutant struct {
 	guard, file       string
-	original, mutated string // source text, and what replaces it
-	world             string // in which the violation is found
-	slow              bool   // finding it takes minutes
+	original, mutated string // source text, and its replacement
+	world             string // the bounds within which a violation is found
+	slow              bool   // finding the violation takes minutes
 }
 
-// mutants are the guards of docs/invariants.md that keep the log safe. The worlds have no clocks,
-// so that pre-vote and check quorum, which only prevent disruption, are not among them. That a vote
-// is on disk before it is sent is up to the host. That membership changes follow on each other
-// takes five members to break (raft.TestSecondMembershipChangeIsRefused).
+// mutants remove the guards of docs/invariants.md that keep the log safe. The model has no clocks, so
+// pre-vote and check quorum, which only prevent disruption, are not among them. Storing a vote
+// before it is sent is the responsibility of the host. Removing the check that another membership
+// change is pending takes five members to violate an invariant
+// (raft.TestSecondMembershipChangeIsRefused).
 var mutants = []mutant{
 	{
 		guard:    "one vote a term",
@@ -111,11 +112,11 @@
 	},
 }
 
-// With any one guard removed, an exploration finds a violation: each guard is needed. The real
-// source is compiled with that one line changed.
+// With any one guard removed, the model checker finds a violation: each guard is needed, and the model
+// is able to detect its absence. Each mutant is compiled from the real source with that text replaced.
 func TestEveryGuardIsNeeded(t *testing.T) {
 	if raceEnabled {
-		t.Skip("the exploration runs in a process of its own, which the race detector does not see")
+		t.Skip("the exploration runs in a separate process, which the race detector does not cover")
 	}
 	for _, m := range mutants {
 		t.Run(m.guard, func(t *testing.T) {
@@ -132,17 +133,17 @@
 				"-world", m.world)
 			output, err := command.CombinedOutput()
 			if err == nil || !strings.Contains(string(output), violationMarker) {
-				t.Errorf("not found: %v\n%s", err, output)
+				t.Errorf("no violation found: %v\n%s", err, output)
 			}
 		})
 	}
 }
 
-// violationMarker is in the report of a violation, and not in that of a program that does not compile.
+// violationMarker occurs in the report of a violation, but not in the output of a failed compilation.
 const violationMarker = " events:\n"
 
-// overlay writes the mutated source, and returns the file that has the go command compile it in
-// place of the original.
+// overlay writes the mutated source, and returns the name of an overlay file that makes the go command
+// compile it in place of the original.
 func (m *mutant) overlay(t *testing.T) string {
 	t.Helper()
 	file, err := filepath.Abs(filepath.Join("..", m.file))
@@ -154,7 +155,7 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(string(source), m.original); n != 1 {
-		t.Fatalf("%s has %q %d times", m.file, m.original, n)
+		t.Fatalf("%s contains %q %d times, want once", m.file, m.original, n)
 	}
 	dir := t.TempDir()
 	mutated, overlay := filepath.Join(dir, m.file), filepath.Join(dir, "overlay.json")
--- a/raft/model/state.go
+++ b/raft/model/state.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// neverTicks is an election time-out that does not come: elections are actions.
+	// neverTicks is an election timeout that never expires: elections are actions.
 	neverTicks = 1 << 40
-	// heartbeatTicks is the time between heartbeats. It is long enough for what is in flight
-	// to be sent again with the next one.
+	// heartbeatTicks is the heartbeat interval. It is long enough for the retransmission timeout
+	// of entries in flight to expire before the next heartbeat.
 	heartbeatTicks = 4
 )
 
-// state is one state of the model. Actions change a clone of it.
+// state is one state of the model. It is immutable: actions change a clone.
 type state struct {
-	remaining Bounds // what may still happen
+	remaining Bounds // how often each action may still happen
 	members   []*member
 	inFlight  []raft.Message
 
-	// What was observed so far, for the invariants.
-	committed []raft.Entry  // from index 1 on, as they were first applied anywhere
+	// The history that the invariants refer to.
+	committed []raft.Entry  // from index 1 on, as first applied by any member
 	leaders   []raft.ID     // by term; 0: none
 	requests  []readRequest // read index requests
-	damaged   bool          // a chunk was delivered damaged
-	violation error         // the first invariant that an action broke
+	damaged   bool          // a corrupted chunk was delivered
+	violation error         // the first violation of an invariant by an action
 }
 
-// member is one member with its disk. Those that are not in the list of members yet stand by.
+// member is a process with its disk. It may not be in the list of members of the cluster yet.
 type member struct {
 	id         raft.ID
 	maxEntries int // see [Bounds.MaxEntries]
 	trailing   int // see [Bounds.Trailing]
 	node       *raft.Node
 	disk       raft.PersistentState
-	applied    uint64 // the highest index that it has ever applied; the disk has all up to it
+	applied    uint64 // applied index after the last Ready; the disk has everything up to it
 }
 
-// readRequest is a read index request: the heartbeat round that confirms it, and how many entries
-// were committed when it was made.
+// readRequest is a read index request with the heartbeat round that confirms it, and the number of
+// entries that were committed when it was made.
 type readRequest struct {
 	leader    raft.ID
 	term      uint64
@@ -50,13 +50,14 @@
 	committed int
 }
 
-// New returns the initial state: members with empty disks.
+// New returns the initial state of the model: members with empty disks and, if
+// [Bounds.LeaderAtStart] is set, an elected leader.
 func New(b Bounds) modelcheck.State {
 	var initial []raft.Member
 	for i := range b.Members {
 		initial = append(initial, raft.Member{ID: raft.ID(i + 1), Voter: true, SupportsJoint: true})
 	}
-	for i := range b.Swaps { // learners that are known to understand joint changes
+	for i := range b.Swaps { // learners that are known to support joint consensus
 		initial = append(initial, raft.Member{ID: raft.ID(b.Members + i + 1), SupportsJoint: true})
 	}
 	s := &state{remaining: b}
@@ -76,7 +77,7 @@
 	return s
 }
 
-// electFirstMember makes member 1 the leader, and delivers all that follows on it.
+// electFirstMember makes member 1 the leader, and delivers all messages until none is left.
 func (s *state) electFirstMember() {
 	s.members[0].beginElection()
 	for s.runHost(0); len(s.inFlight) > 0; {
@@ -87,7 +88,7 @@
 	}
 }
 
-// start starts the member's process with what its disk holds.
+// start starts the member's process from its disk.
 func (m *member) start() {
 	m.node = raft.New(
 		raft.Config{
@@ -106,8 +107,8 @@
 		})
 }
 
-// beginElection makes the member begin an election, as if the leader had asked for it: that is
-// the only way without a pre-vote.
+// beginElection makes the member start an election as if the leader had asked for it, which is the
+// only way to start one without a pre-vote.
 func (m *member) beginElection() {
 	other := raft.ID(1)
 	if m.id == 1 {
@@ -116,7 +117,7 @@
 	m.node.Step(raft.Message{Kind: raft.TimeoutNow, From: other, To: m.id, Term: m.node.Term()})
 }
 
-// clone returns a copy that shares its members; see mutableMember.
+// clone returns a copy that shares its members with the original; see mutableMember.
 func (s *state) clone() *state {
 	c := *s
 	c.members = slices.Clone(s.members)
@@ -125,7 +126,7 @@
 	return &c
 }
 
-// mutableMember gives a clone its own copy of a member, to be changed.
+// mutableMember replaces a member of a clone with a copy that may be changed, and returns it.
 func (s *state) mutableMember(i int) *member {
 	m := *s.members[i]
 	m.node = m.node.Clone()
@@ -133,13 +134,14 @@
 	return &m
 }
 
-// snapshotData is the replicated service's state at an index: a byte for each chunk.
+// snapshotData returns the state of the replicated service at an index, with one byte per chunk.
 func snapshotData(index uint64, chunks int) []byte {
 	return bytes.Repeat([]byte{byte(index)}, max(1, chunks))
 }
 
-// runHost carries out all that a member has ready, in the order of package raft. A crash between
-// two steps is the same as one that happens after them with the messages lost.
+// runHost processes all pending work of a member, in the order that package raft requires. A crash
+// between two steps is not modeled separately: it is equivalent to a crash after them that loses
+// the messages.
 func (s *state) runHost(i int) *state {
 	m := s.members[i]
 	for r := m.node.Ready(); !r.Empty(); r = m.node.Ready() {
@@ -159,7 +161,7 @@
 	return s
 }
 
-// store writes to a member's disk what has to be there before its messages are sent.
+// store writes to a member's disk what must be stored before its messages are sent.
 func (s *state) store(m *member, r raft.Ready) {
 	if r.HardState != nil {
 		m.disk.HardState = *r.HardState
@@ -174,7 +176,8 @@
 	}
 }
 
-// send puts a message in flight. Beyond the bound it loses the oldest between these two members.
+// send puts a message in flight. If that exceeds [Bounds.InFlight], the oldest message with the same
+// sender and receiver is lost.
 func (s *state) send(message raft.Message) {
 	if int(message.To) > len(s.members) {
 		return
