--- a/raft/model/bounds.go
+++ b/raft/model/bounds.go
@@ -7,7 +7,7 @@
 type Bounds struct {
 	Members    int // voters in the initial state
 	Elections  int // elections started
-	Candidates int // only the first so many members start elections; 0: all
+	Candidates int // number of members, from the first, that may start elections; 0: all
 	Values     int // values proposed
 	Heartbeats int // heartbeat rounds started by the heartbeat timer
 	Crashes    int // members that crash and restart from their disks
--- a/raft/model/model_test.go
+++ b/raft/model/model_test.go
@@ -11,8 +11,8 @@
 // minStates is the minimum number of states of an exploration whose result is meaningful.
 const minStates = 1000
 
-// smallWorlds are bounds of the model that are explored within seconds. docs/model.md lists larger
-// ones.
+// smallWorlds are bounds, by name, within which the model is explored in seconds. docs/model.md lists
+// larger ones.
 var smallWorlds = map[string]Bounds{
 	"values":    {Members: 3, Elections: 1, Values: 1, Heartbeats: 1, InFlight: 1},
 	"elections": {Members: 3, Elections: 2, InFlight: 1},
@@ -29,8 +29,8 @@
 	"damage":    {Members: 3, Elections: 1, Heartbeats: 2, Snapshots: 1, Chunks: 2, Damaged: 1, InFlight: 1},
 }
 
-// deepWorlds are bounds of the model that are needed to find the violations of some mutants. They are
-// too large to be explored in each test run; to explore one:
+// deepWorlds are bounds, by name, that are needed to find the violations of some mutants. They are too
+// large to be explored in each test run. To explore one:
 //
 //	go test ./raft/model -run TestInvariantsHoldInDeepWorld -world NAME -timeout 0
 var deepWorlds = map[string]Bounds{
--- a/raft/node.go
+++ b/raft/node.go
@@ -84,7 +84,7 @@
 	return n
 }
 
-// Role returns whether the member is a follower, a candidate or the leader.
+// Role returns the current role of the member.
 func (n *Node) Role() Role { return n.role }
 
 // Leader returns the leader of the current term, 0 if none is known.
--- a/raft/replication.go
+++ b/raft/replication.go
@@ -41,10 +41,10 @@
 	}
 }
 
-// sendAppend sends a follower the entries or the snapshot that it needs next. If heartbeat is set,
-// one message is sent in any case: entries that are bulk are preceded by a separate message
-// without entries, which may overtake them. A heartbeat has the follower check that its log matches
-// up to nextIndex-1, unless the follower needs a snapshot: then Index is 0, which matches any log.
+// sendAppend sends a follower the entries or the snapshot that it needs next. If heartbeat is set, it
+// always sends an AppendEntries message that is not bulk: if there are no entries, or if they are
+// bulk, a separate message without entries, which may overtake bulk messages. The follower checks that
+// its log matches up to nextIndex-1. If it needs a snapshot, Index is 0, which matches any log.
 func (n *Node) sendAppend(id ID, p *progress, heartbeat bool) {
 	needsSnapshot := p.nextIndex <= n.log.base
 	m := Message{Kind: AppendEntries, To: id, Term: n.hardState.Term, Commit: n.log.committed, Round: n.heartbeatRound}
--- a/raft/simcluster_test.go
+++ b/raft/simcluster_test.go
@@ -18,8 +18,8 @@
 	simSnapshotInterval  = 16  // entries between two snapshots
 	simMaxInFlight       = 200 // messages; beyond this the oldest half is lost
 	simConvergenceSteps  = 3000
-	simCrashBeforeSync   = 400 // one crash per so many syncs
-	simCrashAfterSync    = 800
+	simCrashBeforeSync   = 400 // syncs per crash, on average
+	simCrashAfterSync    = 800 // Readys per crash, on average
 	percentLost          = 4
 	percentLostOrDelayed = 14
 	percentFaulty        = 18 // lost, delayed or duplicated
--- a/raft/types.go
+++ b/raft/types.go
@@ -10,7 +10,7 @@
 type Member struct {
 	ID    ID     `cbor:"1,keyasint"`
 	Addr  string `cbor:"2,keyasint"` // host:port, for the transport
-	Voter bool   `cbor:"3,keyasint"` // counts toward majorities; false: a learner
+	Voter bool   `cbor:"3,keyasint"` // in a joint change: of the incoming set; false: a learner
 	// Outgoing is set only by the leader in the entry of a joint change: the member belongs to
 	// the outgoing voter set.
 	Outgoing bool `cbor:"4,keyasint,omitempty"`
