--- a/raft/model/bounds.go
+++ b/raft/model/bounds.go
@@ -16,12 +16,12 @@
 	Changes    int // membership changes that add or remove one voter
 	Swaps      int // membership changes that replace one voter with another, by joint consensus
 	// LeaderAtStart makes member 1 the elected leader in the initial state, known to all members.
-	LeaderAtStart bool
-	SwappedOut    int // the only voter that a swap may remove; 0: any
-	Snapshots     int // log compactions
-	Chunks        int // messages that a snapshot takes; 0: one
-	Trailing      int // entries before a snapshot that are kept in the log
-	Damaged       int // snapshot chunks that are corrupted in transit
+	LeaderAtStart   bool
+	SwappedOut      int // the only voter that a swap may remove; 0: any
+	Snapshots       int // log compactions
+	Chunks          int // messages that a snapshot takes; 0: one
+	TrailingEntries int // entries before a snapshot that are kept in the log
+	Damaged         int // snapshot chunks that are corrupted in transit
 	// InFlight is the maximum number of messages in flight from one member to another. A further
 	// message displaces the oldest, which is lost.
 	InFlight   int
@@ -37,5 +37,5 @@
 	return fmt.Sprintf("%d members, %d elections by %d, %d values, %d heartbeats, %d crashes, %d step-downs, "+
 		"%d duplicates, %d changes, %d swaps, %d snapshots in %d chunks, %d trailing entries, %d damaged, %d in flight",
 		b.Members, b.Elections, candidates, b.Values, b.Heartbeats, b.Crashes, b.StepDowns,
-		b.Duplicates, b.Changes, b.Swaps, b.Snapshots, max(1, b.Chunks), b.Trailing, b.Damaged, b.InFlight)
+		b.Duplicates, b.Changes, b.Swaps, b.Snapshots, max(1, b.Chunks), b.TrailingEntries, b.Damaged, b.InFlight)
 }
--- a/raft/model/state.go
+++ b/raft/model/state.go
@@ -35,7 +35,7 @@
 type member struct {
 	id         raft.ID
 	maxEntries int // see [Bounds.MaxEntries]
-	trailing   int // see [Bounds.Trailing]
+	trailing   int // see [Bounds.TrailingEntries]
 	node       *raft.Node
 	disk       raft.PersistentState
 	applied    uint64 // applied index after the last Ready; the disk has everything up to it
@@ -65,7 +65,7 @@
 		m := &member{
 			id:         raft.ID(i + 1),
 			maxEntries: b.MaxEntries,
-			trailing:   b.Trailing,
+			trailing:   b.TrailingEntries,
 			disk:       raft.PersistentState{Snapshot: raft.Snapshot{Members: initial}},
 		}
 		m.start()
