--- a/raft/model/bounds.go
+++ b/raft/model/bounds.go
@@ -21,7 +21,7 @@
 	Snapshots       int // log compactions
 	Chunks          int // messages that a snapshot takes; 0: one
 	TrailingEntries int // entries before a snapshot that are kept in the log
-	Damaged         int // snapshot chunks that are corrupted in transit
+	DamagedChunks   int // snapshot chunks that are corrupted in transit
 	// InFlight is the maximum number of messages in flight from one member to another. A further
 	// message displaces the oldest, which is lost.
 	InFlight   int
@@ -37,5 +37,5 @@
 	return fmt.Sprintf("%d members, %d elections by %d, %d values, %d heartbeats, %d crashes, %d step-downs, "+
 		"%d duplicates, %d changes, %d swaps, %d snapshots in %d chunks, %d trailing entries, %d damaged, %d in flight",
 		b.Members, b.Elections, candidates, b.Values, b.Heartbeats, b.Crashes, b.StepDowns,
-		b.Duplicates, b.Changes, b.Swaps, b.Snapshots, max(1, b.Chunks), b.TrailingEntries, b.Damaged, b.InFlight)
+		b.Duplicates, b.Changes, b.Swaps, b.Snapshots, max(1, b.Chunks), b.TrailingEntries, b.DamagedChunks, b.InFlight)
 }
--- a/raft/model/key.go
+++ b/raft/model/key.go
@@ -30,7 +30,7 @@
 	l := s.remaining
 	for _, v := range []int{
 		l.Elections, l.Values, l.Heartbeats, l.Crashes, l.StepDowns, l.Duplicates, l.Changes, l.Swaps,
-		l.Snapshots, l.Damaged, len(s.committed), len(s.inFlight),
+		l.Snapshots, l.DamagedChunks, len(s.committed), len(s.inFlight),
 	} {
 		b = append(b, byte(v))
 	}
