--- a/raft/model/actions.go
+++ b/raft/model/actions.go
@@ -8,27 +8,27 @@
 	"example.org/elmspan/raft"
 )
 
-// action is something that may happen to one member.
+// action is a possible transition of one member.
 type action struct {
-	name   string // for the trace that leads to a violation
+	name   string // for the trace of a violation
 	member int    // position of the member in [state.members]
-	// budget is the bound that the action counts against; nil: it may always happen.
+	// budget returns the bound that the action counts against; nil: the action is unbounded.
 	budget func(*Bounds) *int
-	// apply changes the clone of a state, and the member in it. It returns false if the action
-	// is not enabled.
+	// apply performs the action on a clone of a state and on the member in that clone. It returns
+	// false if the action is not enabled.
 	apply func(next *state, m *member) bool
 }
 
-// Next implements [modelcheck.State]: it yields the state that each enabled action leads to.
+// Next implements [modelcheck.State]: it yields the successor state for each enabled action.
 func (s *state) Next(yield func(string, modelcheck.State) bool) {
 	for _, a := range s.actions() {
 		next := s.clone()
 		if a.budget != nil {
-			left := a.budget(&next.left)
-			if *left == 0 {
+			remaining := a.budget(&next.remaining)
+			if *remaining == 0 {
 				continue
 			}
-			*left--
+			*remaining--
 		}
 		if !a.apply(next, next.mutableMember(a.member)) {
 			continue
@@ -39,7 +39,7 @@
 	}
 }
 
-// actions are all that may happen, if their bounds allow it.
+// actions returns all candidate actions. Some may be disabled or exceed their bounds.
 func (s *state) actions() (all []action) {
 	for i := range s.inFlight {
 		all = append(all, s.deliveries(i)...)
@@ -54,16 +54,16 @@
 	return all
 }
 
-// deliveries are the ways in which a message in flight may be delivered. It is lost by the bound
-// on messages in flight, and by crashes.
+// deliveries returns the actions that deliver a message in flight. There is no action that loses
+// a message: loss follows from the bound on messages in flight and from crashes of the receiver.
 func (s *state) deliveries(position int) (all []action) {
 	message := s.inFlight[position]
 	receiver := int(message.To) - 1
 	if message.Kind == raft.SnapshotChunk {
 		all = append(all, action{
-			name:   fmt.Sprint("deliver damaged: ", describe(message)),
+			name:   fmt.Sprint("deliver corrupted: ", describeMessage(message)),
 			member: receiver,
-			budget: func(b *Bounds) *int { return &b.Damaged },
+			budget: func(b *Bounds) *int { return &b.DamagedChunks },
 			apply: func(next *state, m *member) bool {
 				next.inFlight = slices.Delete(next.inFlight, position, position+1)
 				m.node.Step(damagedChunk(message))
@@ -74,7 +74,7 @@
 	}
 	return append(all,
 		action{
-			name:   fmt.Sprint("deliver: ", describe(message)),
+			name:   fmt.Sprint("deliver: ", describeMessage(message)),
 			member: receiver,
 			apply: func(next *state, m *member) bool {
 				next.inFlight = slices.Delete(next.inFlight, position, position+1)
@@ -83,7 +83,7 @@
 			},
 		},
 		action{
-			name:   fmt.Sprint("deliver a duplicate: ", describe(message)),
+			name:   fmt.Sprint("deliver a duplicate: ", describeMessage(message)),
 			member: receiver,
 			budget: func(b *Bounds) *int { return &b.Duplicates },
 			apply: func(_ *state, m *member) bool {
@@ -93,7 +93,7 @@
 		})
 }
 
-// damagedChunk returns a message with other bytes in its chunk.
+// damagedChunk returns a copy of a message with different bytes in its chunk.
 func damagedChunk(message raft.Message) raft.Message {
 	snapshot := *message.Snapshot
 	snapshot.Data = []byte{0xff}
@@ -101,19 +101,19 @@
 	return message
 }
 
-// memberActions are what may happen to any member.
+// memberActions returns the actions of a member in any role.
 func (s *state) memberActions(i int) []action {
 	id, node := s.members[i].id, s.members[i].node
 	all := []action{
 		{
-			name:   fmt.Sprint("begin an election at ", id),
+			name:   fmt.Sprint("start an election at ", id),
 			member: i,
 			budget: func(b *Bounds) *int { return &b.Elections },
 			apply: func(next *state, m *member) bool {
 				wasLeader := m.node.Role() == raft.Leader
 				m.beginElection()
-				mayStand := next.left.Candidates == 0 || i < next.left.Candidates
-				return mayStand && !wasLeader && m.node.Role() != raft.Follower
+				mayCampaign := next.remaining.Candidates == 0 || i < next.remaining.Candidates
+				return mayCampaign && !wasLeader && m.node.Role() != raft.Follower
 			},
 		},
 		{
@@ -131,13 +131,13 @@
 			name:   fmt.Sprint("compact the log of ", id),
 			member: i,
 			budget: func(b *Bounds) *int { return &b.Snapshots },
-			apply:  func(next *state, m *member) bool { return m.compact(applied, next.left.Chunks) },
+			apply:  func(next *state, m *member) bool { return m.compact(applied, next.remaining.Chunks) },
 		})
 	}
 	return all
 }
 
-// compact makes a snapshot of what the member has applied.
+// compact makes a snapshot of the member's applied state.
 func (m *member) compact(index uint64, chunks int) bool {
 	snapshot := m.node.Compact(index, snapshotData(index, chunks))
 	if snapshot == nil {
@@ -148,7 +148,7 @@
 	return true
 }
 
-// leaderActions are what may happen to a leader, beside changes of members.
+// leaderActions returns the actions of a leader other than membership changes.
 func (s *state) leaderActions(i int) []action {
 	id := s.members[i].id
 	return []action{
@@ -157,7 +157,7 @@
 			member: i,
 			budget: func(b *Bounds) *int { return &b.Values },
 			apply: func(next *state, m *member) bool {
-				_, _, err := m.node.Propose([]byte{byte('a' + next.left.Values)})
+				_, _, err := m.node.Propose([]byte{byte('a' + next.remaining.Values)})
 				return err == nil
 			},
 		},
@@ -185,8 +185,8 @@
 	}
 }
 
-// membershipActions are the changes of members that a leader may propose, some of which it must
-// refuse.
+// membershipActions returns the membership changes that a leader may attempt, including some that it
+// must reject.
 func (s *state) membershipActions(i int) (all []action) {
 	id, present := s.members[i].id, s.members[i].node.Members()
 	for _, members := range singleChanges(present, len(s.members)) {
@@ -197,7 +197,7 @@
 			apply:  func(_ *state, m *member) bool { return m.node.ProposeMembers(members) == nil },
 		})
 	}
-	for _, members := range swaps(present, len(s.members), s.left.SwappedOut) {
+	for _, members := range swaps(present, len(s.members), s.remaining.SwappedOut) {
 		all = append(all, action{
 			name:   fmt.Sprint("swap voters to ", voterIDs(members), " at ", id),
 			member: i,
@@ -208,8 +208,8 @@
 	return all
 }
 
-// singleChanges are the lists with one voter more or less, and one with a larger change, which
-// must be refused.
+// singleChanges returns the lists of members with one voter added or removed, and one list with a
+// larger change, which must be rejected.
 func singleChanges(present []raft.Member, highest int) (lists [][]raft.Member) {
 	for id := raft.ID(1); int(id) <= highest; id++ {
 		list := slices.DeleteFunc(slices.Clone(present), func(m raft.Member) bool { return m.ID == id })
@@ -227,8 +227,8 @@
 	return lists
 }
 
-// swaps are the lists with one voter less and another more. The one that loses its vote, which is
-// out unless that is 0, stays as a learner.
+// swaps returns the lists of members in which one voter is replaced with another. If out is not 0, only
+// that voter is replaced. A replaced voter stays in the list as a learner.
 func swaps(present []raft.Member, highest, out int) (lists [][]raft.Member) {
 	for id := raft.ID(1); int(id) <= highest; id++ {
 		in := slices.IndexFunc(present, func(m raft.Member) bool { return m.ID == id })
@@ -252,7 +252,7 @@
 	return lists
 }
 
-// voterIDs are the IDs of the voters.
+// voterIDs returns the IDs of the voters.
 func voterIDs(members []raft.Member) (ids []raft.ID) {
 	for _, m := range members {
 		if m.Voter {
@@ -262,8 +262,8 @@
 	return ids
 }
 
-// describe returns one line about a message, for traces.
-func describe(m raft.Message) string {
+// describeMessage returns a message as one line for traces.
+func describeMessage(m raft.Message) string {
 	kind := m.Kind.String()
 	if m.Reject {
 		kind += " (rejection)"
