--- a/controlplane/core_under_faults_test.go
+++ b/controlplane/core_under_faults_test.go
@@ -19,7 +19,7 @@
 func TestCoresAreDurableAndLinearizableUnderFaults(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
-	var total faultCounts
+	var total coverageCounts
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range *coreSeeds {
 			runInBubble(t, fmt.Sprint(seed), func(t *testing.T) {
@@ -28,7 +28,7 @@
 					machines = 5
 				}
 				c := newFaultyCluster(t, seed, machines)
-				if err := c.play(60); err != nil {
+				if err := c.run(60); err != nil {
 					t.Fatalf("seed %d: %v", seed, err)
 				}
 				mu.Lock()
@@ -39,7 +39,7 @@
 	})
 	runs := int(*coreSeeds)
 	t.Logf("%d runs: %+v", runs, total)
-	if !t.Failed() && !total.enough(runs) {
+	if !t.Failed() && !total.sufficient(runs) {
 		t.Error("too few to show anything")
 	}
 }
--- a/controlplane/coresim_checks_test.go
+++ b/controlplane/coresim_checks_test.go
@@ -12,7 +12,7 @@
 	"example.org/elmspan/raft"
 )
 
-// checkMessages holds what a member sends against what its disk holds at this moment.
+// checkMessages checks the messages that a member sends against the current contents of its disk.
 func (p *memberProcess) checkMessages(d *api.DeliverRequest) {
 	c := p.cluster
 	p.core.mu.Lock()
@@ -24,13 +24,13 @@
 		return
 	}
 	if d.Chunk != nil {
-		c.failLocked("a chunked message: it is not checked")
+		c.failLocked("unexpected chunked message: chunks are not checked")
 	}
 	for i := range d.Messages {
 		m := &d.Messages[i]
 		c.counts.messages++
 		if p.unsynced != nil {
-			c.counts.besideWrite++
+			c.counts.duringWrite++
 		}
 		check := messageCheck{
 			cluster:   c,
@@ -38,9 +38,9 @@
 			message:   m,
 			candidate: role == raft.Candidate && m.Term == term,
 		}
-		if claim := check.undurableClaim(); claim != "" {
+		if claim := check.nonDurableClaim(); claim != "" {
 			hard := p.disk.stored.HardState
-			c.failLocked("%x: %s is sent, and its disk holds term %d, vote %x, up to %d: %+v",
+			c.failLocked("%x: sent %s that its disk does not hold (stored term %d, vote %x, last index %d): %+v",
 				uint64(p.disk.id), claim, hard.Term, uint64(hard.Vote), p.disk.lastIndex(), m)
 		}
 		leads := role == raft.Leader && m.Term == term
@@ -50,22 +50,22 @@
 	}
 }
 
-// messageCheck holds one message against the disk of its sender. It is made under the mutex.
+// messageCheck checks one message against the disk of its sender. The caller holds the cluster's mutex.
 type messageCheck struct {
 	cluster   *faultyCluster
 	disk      *simulatedDisk
 	message   *raft.Message
-	candidate bool // the sender is a candidate of the message's term
+	candidate bool // the sender is a candidate in the message's term
 }
 
-// undurableClaim names what a message claims that the sender's disk does not hold, empty
-// where there is nothing.
+// nonDurableClaim names the first claim in a message that the sender's disk does not hold; it
+// returns an empty string if there is none.
 //
-// A message of an earlier term than the stored one claims nothing any more: its batch may
-// hold what came after. Nor does the log of a sender that is no candidate any more: it counts
-// no votes, and the leader of its term may have had the end of its log truncated in the same
-// batch.
-func (c *messageCheck) undurableClaim() string {
+// A message of a term before the stored one is not checked: the same batch may have stored a
+// later term. Nor is the log position in a vote request of a sender that is no longer a
+// candidate: it counts no votes, and the leader of that term may have truncated its log in the
+// same batch.
+func (c *messageCheck) nonDurableClaim() string {
 	m, hard := c.message, c.disk.stored.HardState
 	withoutTerm := m.Kind == raft.PreVoteRequest || m.Kind == raft.PreVoteReply && !m.Reject
 	if !withoutTerm && m.Term > hard.Term {
@@ -74,22 +74,22 @@
 	switch m.Kind {
 	case raft.AppendEntries:
 		if m.LogTerm > 0 {
-			c.noteSent(m.Index, m.LogTerm)
+			c.recordSentTerm(m.Index, m.LogTerm)
 		}
 		for _, e := range m.Entries {
-			c.noteSent(e.Index, e.Term)
+			c.recordSentTerm(e.Index, e.Term)
 		}
 	case raft.SnapshotChunk, raft.InstallSnapshot:
-		c.noteSent(m.Snapshot.Index, m.Snapshot.Term)
+		c.recordSentTerm(m.Snapshot.Index, m.Snapshot.Term)
 	case raft.VoteRequest, raft.VoteReply:
-		return c.undurableVote()
+		return c.nonDurableVote()
 	case raft.AppendEntriesReply:
-		return c.undurableAcknowledgement()
+		return c.nonDurableAcknowledgement()
 	}
 	return ""
 }
 
-func (c *messageCheck) undurableVote() string {
+func (c *messageCheck) nonDurableVote() string {
 	m, hard := c.message, c.disk.stored.HardState
 	if m.Term != hard.Term {
 		return ""
@@ -106,21 +106,22 @@
 	return ""
 }
 
-// noteSent notes the term of an entry that a leader sent: two leaders of one term would differ.
-func (c *messageCheck) noteSent(index, term uint64) {
+// recordSentTerm records the term of an entry that the leader of a term sent. Two leaders in one
+// term are detected by entries that differ at the same index.
+func (c *messageCheck) recordSentTerm(index, term uint64) {
 	sent := c.cluster.sentTerms[c.message.Term]
 	if sent == nil {
 		sent = map[uint64]uint64{}
 		c.cluster.sentTerms[c.message.Term] = sent
 	}
 	if other, known := sent[index]; known && other != term {
-		c.cluster.failLocked("term %d has two leaders: entry %d is of terms %d and %d",
+		c.cluster.failLocked("term %d has two leaders: entry %d was sent with terms %d and %d",
 			c.message.Term, index, other, term)
 	}
 	sent[index] = term
 }
 
-func (c *messageCheck) undurableAcknowledgement() string {
+func (c *messageCheck) nonDurableAcknowledgement() string {
 	m := c.message
 	if m.Reject || m.Term != c.disk.stored.HardState.Term || m.Index == 0 {
 		return ""
@@ -129,14 +130,14 @@
 	term, known := c.cluster.sentTerms[m.Term][m.Index]
 	switch {
 	case !known && m.Index > c.disk.stored.Snapshot.Index:
-		return "an acknowledgement of what no leader sent"
+		return "an acknowledgement of an entry that no leader sent"
 	case !c.disk.holds(m.Index, term):
 		return "an acknowledgement"
 	}
 	return ""
 }
 
-// quorumCount counts the voters that hold an entry.
+// quorumCount counts the voters of a configuration, and those that have stored an entry.
 type quorumCount struct {
 	voters, holding int
 }
@@ -152,7 +153,8 @@
 	return 2*q.holding > q.voters
 }
 
-// checkCommit holds a commit index that a leader sends for the first time against the disks.
+// checkCommit checks a commit index that a leader sends for the first time: a majority of the
+// voters must have stored the entry, of the outgoing voters too during a joint change.
 func (c *faultyCluster) checkCommit(m *raft.Message, members []raft.Member) {
 	term, known := c.sentTerms[m.Term][m.Commit]
 	if !known {
@@ -170,44 +172,45 @@
 		}
 	}
 	if !incoming.isMajority() || outgoing.voters > 0 && !outgoing.isMajority() {
-		c.failLocked("a leader sends that %d of term %d is committed, which of the voters %+v hold, "+
-			"of those before %+v: %+v", m.Commit, term, incoming, outgoing, members)
+		c.failLocked("a leader sent commit index %d (entry of term %d) without a majority: voters %+v, "+
+			"outgoing voters %+v, members %+v", m.Commit, term, incoming, outgoing, members)
 	}
 	c.commitIndex = m.Commit
 }
 
-// checkApplied holds what a member has applied against what others have, and against what was
-// sent and refused.
+// checkApplied checks the revisions that a member has applied against those that other members
+// have applied, and against the commands that were sent and those that were refused.
 func (c *faultyCluster) checkApplied(p *memberProcess) {
 	p.core.mu.Lock()
 	applied := slices.Clone(p.core.store.state.Applied)
 	p.core.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	common := min(len(applied), len(c.chain))
-	if !slices.Equal(applied[:common], c.chain[:common]) {
-		c.failLocked("a member has applied %v, another %v", applied, c.chain)
+	common := min(len(applied), len(c.appliedRevisions))
+	if !slices.Equal(applied[:common], c.appliedRevisions[:common]) {
+		c.failLocked("one member has applied %v, another one %v", applied, c.appliedRevisions)
 		return
 	}
 	for _, a := range applied[common:] {
 		before := uint64(0)
-		if n := len(c.chain); n > 0 {
-			before = c.chain[n-1].Revision
+		if n := len(c.appliedRevisions); n > 0 {
+			before = c.appliedRevisions[n-1].Revision
 		}
-		command, sent := c.commands[a.fingerprint]
+		command, sent := c.sentCommands[a.fingerprint]
 		if !sent || command.base != before || command.revision != a.Revision {
-			c.failLocked("revision %d is applied on top of %d, the command was %+v", a.Revision, before, command)
+			c.failLocked("revision %d was applied on top of %d, the command was %+v", a.Revision, before, command)
 		}
-		c.chain = append(c.chain, a)
+		c.appliedRevisions = append(c.appliedRevisions, a)
 	}
-	for _, a := range c.chain {
-		if c.refused[a.fingerprint] {
-			c.failLocked("revision %d was refused and is applied", a.Revision)
+	for _, a := range c.appliedRevisions {
+		if c.refusedCommands[a.fingerprint] {
+			c.failLocked("revision %d was refused and was applied", a.Revision)
 		}
 	}
 }
 
-// converged reports whether all machines have applied all that any has, under one leader.
+// converged reports whether every machine has applied every revision that any of them has, under
+// one leader.
 func (c *faultyCluster) converged() bool {
 	leaders := 0
 	for _, m := range c.machines {
@@ -219,7 +222,7 @@
 			leaders++
 		}
 		core.mu.Unlock()
-		c.locked(func() { caughtUp = caughtUp && applied == len(c.chain) })
+		c.locked(func() { caughtUp = caughtUp && applied == len(c.appliedRevisions) })
 		if !caughtUp {
 			return false
 		}
@@ -227,16 +230,19 @@
 	return leaders == 1
 }
 
-// checkHistory holds the whole history against what all have applied in the end.
+// checkHistory checks the complete history against the revisions that all members have finally
+// applied, and checks that it is linearizable.
 func (c *faultyCluster) checkHistory() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts.applied = len(c.chain)
+	c.counts.applied = len(c.appliedRevisions)
 	for _, op := range c.history {
 		in, out := op.Input.(input), op.Output.(output)
-		applied := slices.ContainsFunc(c.chain, func(a appliedRevision) bool { return a.fingerprint == in.print })
+		applied := slices.ContainsFunc(c.appliedRevisions, func(a appliedRevision) bool {
+			return a.fingerprint == in.fingerprint
+		})
 		if !in.get && out.status == http.StatusOK && !applied {
-			c.failLocked("revision %d on %d was acknowledged and is gone", in.revision, in.base)
+			c.failLocked("revision %d on top of %d was acknowledged and lost", in.revision, in.base)
 		}
 	}
 	if c.failure != nil {
@@ -244,7 +250,7 @@
 	}
 	h := &registerSim{history: c.history}
 	if got := h.linearizable(); got != porcupine.Ok {
-		return fmt.Errorf("not the history of one register: %v%s", got, describeHistory(h.history))
+		return fmt.Errorf("the history is not linearizable: %v%s", got, describeHistory(h.history))
 	}
 	return nil
 }
@@ -253,7 +259,7 @@
 	var b strings.Builder
 	for _, op := range history {
 		in, out := op.Input.(input), op.Output.(output)
-		fmt.Fprintf(&b, "\n%d: %d to %d: get %t, base %d, revision %d: %d, revision %d",
+		fmt.Fprintf(&b, "\nclient %d, time %d to %d: get %t, base %d, revision %d: status %d, revision %d",
 			op.ClientId, op.Call, op.Return, in.get, in.base, in.revision, out.status, out.revision)
 	}
 	return b.String()
--- a/controlplane/coresim_disk_test.go
+++ b/controlplane/coresim_disk_test.go
@@ -9,13 +9,13 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// simulatedDisk is what a store keeps over a loss of power.
+// simulatedDisk is the part of a store that survives a power failure.
 type simulatedDisk struct {
 	id     raft.ID
 	stored raft.PersistentState
 }
 
-// holds reports whether an entry is stored.
+// holds reports whether the entry of an index and term is stored, or covered by the snapshot.
 func (d *simulatedDisk) holds(index, term uint64) bool {
 	if index <= d.stored.Snapshot.Index {
 		return true
@@ -24,19 +24,19 @@
 	return i < uint64(len(d.stored.Entries)) && d.stored.Entries[i].Term == term
 }
 
-// lastIndex is the index of the last entry that is stored.
+// lastIndex returns the index of the last stored entry.
 func (d *simulatedDisk) lastIndex() uint64 {
 	return d.stored.Snapshot.Index + uint64(len(d.stored.Entries))
 }
 
-// Identity and the methods after it make a memberProcess the Store of its core.
+// Identity returns the id of the member. With the methods below, memberProcess implements the Store of its core.
 func (p *memberProcess) Identity() (raft.ID, error) {
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
 	return p.disk.id, nil
 }
 
-// Load returns what is stored.
+// Load returns the stored state.
 func (p *memberProcess) Load() (raft.PersistentState, error) {
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
@@ -45,14 +45,14 @@
 	return stored, nil
 }
 
-// Initialize begins a store.
+// Initialize stores the identity and the first snapshot of a new member.
 func (p *memberProcess) Initialize(id raft.ID, first raft.Snapshot) error {
 	return p.write(func(d *simulatedDisk) {
 		*d = simulatedDisk{id: id, stored: raft.PersistentState{Snapshot: first}}
 	})
 }
 
-// Save stores a batch.
+// Save stores the hard state, snapshot and entries of a batch.
 func (p *memberProcess) Save(r raft.Ready) error {
 	return p.write(func(d *simulatedDisk) {
 		s := &d.stored
@@ -69,7 +69,7 @@
 	})
 }
 
-// Compact replaces entries by a snapshot.
+// Compact replaces the entries up to the index of a snapshot by that snapshot.
 func (p *memberProcess) Compact(snapshot raft.Snapshot) error {
 	return p.write(func(d *simulatedDisk) {
 		s := &d.stored
@@ -80,29 +80,29 @@
 	})
 }
 
-// writePlan is how a write goes.
+// writePlan is the outcome that was drawn for a write.
 type writePlan struct {
-	takes   time.Duration
-	fails   bool
-	kept    bool // although it fails
-	corrupt bool // it finds out that the disk is
+	duration        time.Duration
+	fails           bool
+	keptOnFailure   bool // the write is durable although it reports a failure
+	findsCorruption bool // the write detects that the disk is corrupt
 }
 
-// planWrite draws how a write goes. Called under the mutex.
+// planWrite draws the outcome of a write. The caller holds the mutex.
 func (p *memberProcess) planWrite() writePlan {
-	m, calm, now := p.machine, p.cluster.calm, time.Now()
-	plan := writePlan{takes: time.Duration(1+m.rng.IntN(20)) * time.Millisecond}
-	if !calm && (now.Before(m.slowUntil) || m.rng.IntN(50) == 0) {
-		plan.takes = time.Duration(1+m.rng.IntN(2000)) * time.Millisecond
+	m, calm, now := p.machine, p.cluster.faultsEnded, time.Now()
+	plan := writePlan{duration: time.Duration(1+m.rng.IntN(20)) * time.Millisecond}
+	if !calm && (now.Before(m.writesSlowUntil) || m.rng.IntN(50) == 0) {
+		plan.duration = time.Duration(1+m.rng.IntN(2000)) * time.Millisecond
 	}
-	plan.fails = now.Before(m.failsUntil) && !calm
-	plan.kept = m.rng.IntN(4) == 0
-	plan.corrupt = m.corrupt
+	plan.fails = now.Before(m.writesFailUntil) && !calm
+	plan.keptOnFailure = m.rng.IntN(4) == 0
+	plan.findsCorruption = m.corrupt
 	return plan
 }
 
-// write changes the disk. It takes a while, and is durable when it returns. One that fails may
-// have been kept.
+// write applies a change to the disk after a delay. The change is durable once write returns
+// without an error; a change that failed may be durable too.
 func (p *memberProcess) write(change func(*simulatedDisk)) error {
 	c := p.cluster
 	c.mu.Lock()
@@ -116,18 +116,18 @@
 	plan := p.planWrite()
 	c.mu.Unlock()
 	select {
-	case <-time.After(plan.takes):
+	case <-time.After(plan.duration):
 	case <-p.ctx.Done():
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.unsynced = nil
 	switch {
-	case p.ctx.Err() != nil: // powerOff has decided what is kept
+	case p.ctx.Err() != nil: // powerOff has decided whether the write is kept
 		return errPowerLost
-	case plan.corrupt && p.machine.corrupt:
-		return fmt.Errorf("%w: something acknowledged is gone", storage.ErrCorrupt)
-	case plan.fails && !plan.kept:
+	case plan.findsCorruption && p.machine.corrupt:
+		return fmt.Errorf("%w: acknowledged entries are missing", storage.ErrCorrupt)
+	case plan.fails && !plan.keptOnFailure:
 		return errNoSpace
 	}
 	*p.disk = next
--- a/controlplane/coresim_faults_test.go
+++ b/controlplane/coresim_faults_test.go
@@ -9,8 +9,8 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// superviseMembers checks what all members have applied, and starts one whose store was found
-// corrupt anew.
+// superviseMembers checks the revisions that the members have applied, and restarts with an empty
+// disk each member that stopped because its store is corrupt.
 func (c *faultyCluster) superviseMembers() {
 	for _, m := range c.machines {
 		var p *memberProcess
@@ -25,7 +25,7 @@
 			continue
 		}
 		if !errors.Is(p.err, storage.ErrCorrupt) {
-			c.fail("Run ends with %v, %s", p.err, p.core.host.stopReason)
+			c.fail("Run returned unexpectedly: %v, stop reason: %s", p.err, p.core.host.stopReason)
 			return
 		}
 		c.powerOff(m)
@@ -38,8 +38,8 @@
 	}
 }
 
-// canLoseDisk reports whether all members run, are in touch, and agree on who they are and who
-// leads: one disk can be lost.
+// canLoseDisk reports whether the cluster tolerates the loss of one disk: all members run and are
+// connected, each machine's member is a voter, and all members agree on the leader.
 func (c *faultyCluster) canLoseDisk() bool {
 	processes, ids, ok := c.healthyProcesses()
 	if !ok {
@@ -48,22 +48,22 @@
 	var leader raft.ID
 	for _, p := range processes {
 		p.core.mu.Lock()
-		members, of := p.core.host.node.Members(), p.core.host.node.Leader()
+		members, knownLeader := p.core.host.node.Members(), p.core.host.node.Leader()
 		changing := p.core.host.node.MembershipChangePending()
 		p.core.mu.Unlock()
-		if of == 0 || leader != 0 && of != leader || changing || len(members) != len(c.machines) {
+		if knownLeader == 0 || leader != 0 && knownLeader != leader || changing || len(members) != len(c.machines) {
 			return false
 		}
 		if slices.ContainsFunc(members, func(m raft.Member) bool { return !m.Voter || !slices.Contains(ids, m.ID) }) {
 			return false
 		}
-		leader = of
+		leader = knownLeader
 	}
 	return true
 }
 
-// healthyProcesses returns the members and their ids. ok is false where a machine is off or
-// has lost its disk, or a link is cut.
+// healthyProcesses returns the running members and their ids. ok is false if a machine is off, has
+// lost its disk or has a corrupt one, or if a link is partitioned.
 func (c *faultyCluster) healthyProcesses() (processes []*memberProcess, ids []raft.ID, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,41 +81,41 @@
 	return processes, ids, true
 }
 
-// injectFault has one thing happen.
+// injectFault injects one random fault, or repairs the links.
 func (c *faultyCluster) injectFault() {
 	rng := c.rng
-	one := c.machines[rng.IntN(len(c.machines))]
+	target := c.machines[rng.IntN(len(c.machines))]
 	until := time.Now().Add(time.Duration(200+rng.IntN(3000)) * time.Millisecond)
 	event := rng.IntN(20)
 	majority := rng.Perm(len(c.machines))[:len(c.machines)/2+1]
-	way := rng.IntN(3)
+	direction := rng.IntN(3)
 	switch {
 	case event <= 1:
-		c.awaitWrite(one)
-		c.powerOff(one)
+		c.awaitWrite(target)
+		c.powerOff(target)
 	case event == 2:
-		c.powerOff(one)
+		c.powerOff(target)
 	case event <= 4:
-		// One after the other, the last one drawn first.
+		// The machines lose power one by one, in the reverse order of the draw.
 		for _, i := range slices.Backward(majority) {
 			c.powerOff(c.machines[i])
 		}
 	case event <= 6:
 		c.powerOff(c.machines...)
 	case event == 7:
-		c.locked(func() { c.failAllAtNext = true })
+		c.locked(func() { c.powerOffAllOnAck = true })
 	case event <= 13:
-		c.locked(func() { c.injectLinkFault(event, one, majority, way) })
+		c.locked(func() { c.injectLinkFault(event, target, majority, direction) })
 	case event <= 15:
-		c.locked(func() { one.failsUntil = until })
+		c.locked(func() { target.writesFailUntil = until })
 	case event == 16:
-		c.locked(func() { one.slowUntil = until })
+		c.locked(func() { target.writesSlowUntil = until })
 	case c.canLoseDisk():
-		c.injectDiskLoss(event, one)
+		c.injectDiskLoss(event, target)
 	}
 }
 
-// awaitWrite waits for a write of a machine, if there is one soon.
+// awaitWrite waits up to 100 ms for a machine to begin a write.
 func (c *faultyCluster) awaitWrite(m *faultyMachine) {
 	for range 100 {
 		writes := false
@@ -127,28 +127,28 @@
 	}
 }
 
-// injectLinkFault cuts, slows or repairs links. Called under the mutex.
-func (c *faultyCluster) injectLinkFault(event int, one *faultyMachine, majority []int, way int) {
+// injectLinkFault partitions, slows or repairs links. The caller holds the mutex.
+func (c *faultyCluster) injectLinkFault(event int, target *faultyMachine, majority []int, direction int) {
 	switch {
 	case event == 8:
 		c.partition(majority)
-	case event <= 10: // one machine is cut off, or what it sends alone, or what it is sent
+	case event <= 10: // one machine is isolated: both ways, or outbound or inbound only
 		for _, other := range c.machines {
-			if other != one {
-				c.links[addrPair{one.addr, other.addr}].partitioned = way != 0
-				c.links[addrPair{other.addr, one.addr}].partitioned = way != 1
+			if other != target {
+				c.links[addrPair{target.addr, other.addr}].partitioned = direction != 0
+				c.links[addrPair{other.addr, target.addr}].partitioned = direction != 1
 			}
 		}
 	case event <= 12:
 		c.repairLinks()
 	default:
 		for _, other := range c.machines {
-			c.links[addrPair{one.addr, other.addr}].slow = 250 * time.Millisecond
+			c.links[addrPair{target.addr, other.addr}].slow = 250 * time.Millisecond
 		}
 	}
 }
 
-// partition cuts a majority off from the others.
+// partition cuts the links between a majority and the other machines.
 func (c *faultyCluster) partition(majority []int) {
 	for i, a := range c.machines {
 		for j, b := range c.machines {
@@ -159,14 +159,14 @@
 	}
 }
 
-// repairLinks ends all faults of links. Called under the mutex.
+// repairLinks ends all link faults. The caller holds the mutex.
 func (c *faultyCluster) repairLinks() {
 	for _, link := range c.links {
 		link.partitioned, link.slow = false, 0
 	}
 }
 
-// injectDiskLoss has a machine lose its disk, or find it corrupt at the next write.
+// injectDiskLoss makes a machine lose its disk, or detect at its next write that the disk is corrupt.
 func (c *faultyCluster) injectDiskLoss(event int, m *faultyMachine) {
 	if event == 19 {
 		c.locked(func() { m.corrupt = true })
--- a/controlplane/coresim_network_test.go
+++ b/controlplane/coresim_network_test.go
@@ -10,8 +10,8 @@
 	"example.org/elmspan/api"
 )
 
-// interceptCall carries each call that a member makes over the links, there and back, and
-// checks the messages in it.
+// interceptCall passes each call of a member and its response over the simulated links, and checks
+// the raft messages in the call.
 func (p *memberProcess) interceptCall(
 	ctx context.Context,
 	method string,
@@ -33,11 +33,12 @@
 	return p.transmit(ctx, addrPair{to, from})
 }
 
-// transmit carries something one way: it takes a while, or it is lost and the caller gives up.
-func (p *memberProcess) transmit(ctx context.Context, way addrPair) error {
+// transmit simulates the transmission in one direction: it returns after the delay of the link. On
+// a partitioned link, or if the member has lost power, it blocks until the caller's context ends.
+func (p *memberProcess) transmit(ctx context.Context, direction addrPair) error {
 	lost, delay := false, time.Duration(0)
 	p.cluster.locked(func() {
-		link := p.cluster.links[way]
+		link := p.cluster.links[direction]
 		lost = link.partitioned
 		if link.slow > 0 {
 			delay = time.Duration(link.rng.Int64N(int64(link.slow)))
--- a/controlplane/coresim_operators_test.go
+++ b/controlplane/coresim_operators_test.go
@@ -13,7 +13,7 @@
 	"example.org/elmspan/api"
 )
 
-// runOperator makes one call after the other, each until it is answered clearly.
+// runOperator makes calls in sequence, and retries each until it has a definite answer.
 func (c *faultyCluster) runOperator(id int) {
 	rng := rand.New(rand.NewPCG(c.seed, uint64(500+id)))
 	newest, mustRead := uint64(0), true
@@ -25,10 +25,10 @@
 			revision: newest + 1 + rng.Uint64N(3),
 		}
 		if rng.IntN(30) == 0 && newest > 0 {
-			call.revision = newest // never valid
+			call.revision = newest // invalid: not greater than the base
 		}
 		done := false
-		c.locked(func() { done = c.calm || c.failure != nil })
+		c.locked(func() { done = c.faultsEnded || c.failure != nil })
 		if done {
 			return
 		}
@@ -40,16 +40,16 @@
 	}
 }
 
-// submittedCall is a call and what was known when it was made.
+// submittedCall is a call, and the state of the cluster at the time of the call.
 type submittedCall struct {
-	client       int
-	in           input
-	at           int64
-	acknowledged uint64 // the highest revision
+	client               int
+	in                   input
+	calledAt             int64
+	acknowledgedRevision uint64 // the highest acknowledged revision at that time
 }
 
-// submit makes a call, with a configuration of its own, and records its result; the status is 0
-// where no member had one.
+// submit makes a call with a configuration that no other call has, and records its result. The
+// status is 0 if no member gave a definite answer.
 func (c *faultyCluster) submit(client int, rng *rand.Rand, in input, name string) output {
 	config := &api.Config{
 		Revision:  in.revision,
@@ -60,14 +60,14 @@
 		c.fail("%v", err)
 		return output{}
 	}
-	in.print = fingerprintOf(in.config)
+	in.fingerprint = fingerprintOf(in.config)
 	call := submittedCall{client: client, in: in}
 	c.locked(func() {
 		if !in.get {
-			c.commands[in.print] = in
+			c.sentCommands[in.fingerprint] = in
 		}
 		c.clock++
-		call.at, call.acknowledged = c.clock, c.acknowledged
+		call.calledAt, call.acknowledgedRevision = c.clock, c.acknowledgedRevision
 		c.counts.calls++
 	})
 	result, answered := c.callUntilAnswered(rng, in)
@@ -75,36 +75,38 @@
 	return result
 }
 
-// callUntilAnswered sends a call to one member after the other, unchanged, until one answers.
+// callUntilAnswered sends the same call to one member after another until one gives a definite
+// answer, 400 times at most.
 func (c *faultyCluster) callUntilAnswered(rng *rand.Rand, in input) (result output, answered bool) {
-	at := rng.IntN(len(c.machines))
+	target := rng.IntN(len(c.machines))
 	for range 400 {
 		var p *memberProcess
 		failed := false
-		c.locked(func() { p, failed = c.machines[at].process, c.failure != nil })
+		c.locked(func() { p, failed = c.machines[target].process, c.failure != nil })
 		if failed {
 			return result, false
 		}
 		response, err := p.call(rng, in)
 		if err != nil {
-			c.fail("a call: %v", err)
+			c.fail("call failed: %v", err)
 			return result, false
 		}
 		unanswered := response.Status == 0 || response.Status == http.StatusServiceUnavailable
-		if !unanswered && rng.IntN(12) > 0 { // else the answer is lost
+		if !unanswered && rng.IntN(12) > 0 { // otherwise the answer is lost
 			result, err = resultOf(in, response)
 			if err != nil {
-				c.fail("what is read back: %v", err)
+				c.fail("invalid configuration in a response: %v", err)
 			}
 			return result, err == nil
 		}
-		at = c.nextMachine(rng, response.Leader)
+		target = c.nextMachine(rng, response.Leader)
 		time.Sleep(time.Duration(1+rng.IntN(60)) * time.Millisecond)
 	}
 	return result, false
 }
 
-// call makes a call to a member. Without one, or one that loses power, the response is empty.
+// call makes a call to a member. The response is empty if the member is nil, or loses power during
+// the call.
 func (p *memberProcess) call(rng *rand.Rand, in input) (*api.ControlResponse, error) {
 	if p == nil {
 		return &api.ControlResponse{}, nil
@@ -121,15 +123,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.ctx.Err() != nil { // it lost power with the answer
+	if p.ctx.Err() != nil { // the member lost power before its answer arrived
 		return &api.ControlResponse{}, nil
 	}
 	return response, nil
 }
 
-// resultOf is the output of a call that was answered.
+// resultOf converts the response to a call to its output in the history.
 func resultOf(in input, response *api.ControlResponse) (output, error) {
-	result := output{status: response.Status, revision: in.revision, print: in.print}
+	result := output{status: response.Status, revision: in.revision, fingerprint: in.fingerprint}
 	if !in.get || response.Status != http.StatusOK {
 		return result, nil
 	}
@@ -137,25 +139,27 @@
 	if err != nil {
 		return output{}, err
 	}
-	result.revision, result.print = config.Revision, fingerprintOf(response.Config)
+	result.revision, result.fingerprint = config.Revision, fingerprintOf(response.Config)
 	return result, nil
 }
 
-// nextMachine is the machine to call next: mostly the one that is said to lead.
+// nextMachine picks the machine to call next: in most cases the leader that the last response
+// named.
 func (c *faultyCluster) nextMachine(rng *rand.Rand, leader string) int {
-	at := rng.IntN(len(c.machines))
+	target := rng.IntN(len(c.machines))
 	for i, m := range c.machines {
 		if leader == m.addr && rng.IntN(4) > 0 {
-			at = i
+			target = i
 		}
 	}
-	return at
+	return target
 }
 
-// record adds a call to the history. At an acknowledgement all may lose power.
+// record adds a call to the history. After an acknowledgement, all machines lose power if
+// powerOffAllOnAck is set.
 func (c *faultyCluster) record(call submittedCall, result output, answered bool) {
 	in := call.in
-	if !answered && in.get { // says nothing
+	if !answered && in.get { // an unanswered read proves nothing
 		c.locked(func() { c.clock++ })
 		return
 	}
@@ -165,35 +169,35 @@
 		op := porcupine.Operation{
 			ClientId: call.client,
 			Input:    in,
-			Call:     call.at,
+			Call:     call.calledAt,
 			Output:   result,
 			Return:   c.clock,
 		}
 		switch {
 		case !answered:
-			op.ClientId, op.Return = 1000+len(c.history), openEnd
+			op.ClientId, op.Return = 1000+len(c.history), unknownReturn
 		case in.get:
 			c.checkRead(call, result)
 		case result.status == http.StatusOK:
-			c.acknowledged = max(c.acknowledged, in.revision)
-			if c.failAllAtNext {
-				c.failAllAtNext, losePower = false, c.machines
+			c.acknowledgedRevision = max(c.acknowledgedRevision, in.revision)
+			if c.powerOffAllOnAck {
+				c.powerOffAllOnAck, losePower = false, c.machines
 			}
 		default:
-			c.refused[in.print] = true
+			c.refusedCommands[in.fingerprint] = true
 		}
 		c.history = append(c.history, op)
 	})
 	c.powerOff(losePower...)
 }
 
-// checkRead checks that a read is not older than what was acknowledged before it. Called under
-// the mutex.
+// checkRead checks that a read does not return a revision older than the one that was acknowledged
+// before the read began. The caller holds the mutex.
 func (c *faultyCluster) checkRead(call submittedCall, result output) {
-	outdated := result.status == http.StatusOK && result.revision < call.acknowledged
-	missing := result.status != http.StatusOK && call.acknowledged > 0
+	outdated := result.status == http.StatusOK && result.revision < call.acknowledgedRevision
+	missing := result.status != http.StatusOK && call.acknowledgedRevision > 0
 	if outdated || missing {
-		c.failLocked("a read is answered %d, revision %d, after %d was acknowledged",
-			result.status, result.revision, call.acknowledged)
+		c.failLocked("stale read: status %d, revision %d, after revision %d was acknowledged",
+			result.status, result.revision, call.acknowledgedRevision)
 	}
 }
--- a/controlplane/coresim_test.go
+++ b/controlplane/coresim_test.go
@@ -18,52 +18,52 @@
 	"example.org/elmspan/raft"
 )
 
-// faultyCluster are real cores over stores and links of the test, operators that replace and
-// read the configuration, and faults. All events and delays come from the seed. In which order
-// goroutines run that wake at the same instant of the bubble's clock does not: a seed gives
-// the same faults, and mostly, not always, the same history.
+// faultyCluster runs real cores on simulated stores and links, with operators that replace and
+// read the configuration while faults are injected. All events and delays derive from the seed.
+// The order of goroutines that wake at the same instant of the bubble's clock does not: a seed
+// reproduces the same faults, and in most runs, but not all, the same history.
 type faultyCluster struct {
-	t         *testing.T
-	seed      uint64
-	rng       *rand.Rand // of the events
-	net       *pipeNetwork
-	machines  []*faultyMachine
-	operators sync.WaitGroup
-	starts    uint64
+	t          *testing.T
+	seed       uint64
+	rng        *rand.Rand // draws the fault events
+	net        *pipeNetwork
+	machines   []*faultyMachine
+	operators  sync.WaitGroup
+	startCount uint64
 
-	mu      sync.Mutex // guards all that follows and the fields of machines and links
-	calm    bool       // no more faults, and no more calls but those under way
-	failure error      // the first broken rule
-	links   map[addrPair]*faultyLink
-	// sentTerms are the terms of entries, by index, that the leader of a term has sent.
-	sentTerms     map[uint64]map[uint64]uint64
-	commitIndex   uint64                     // the highest that a leader has sent
-	disks         map[raft.ID]*simulatedDisk // all there ever were
-	chain         []appliedRevision          // what members have applied
-	commands      map[fingerprint]input      // all that were sent
-	refused       map[fingerprint]bool
-	acknowledged  uint64 // the highest revision
-	failAllAtNext bool   // all lose power at the next acknowledgement
-	clock         int64  // rises with each call and result
-	history       []porcupine.Operation
-	counts        faultCounts
+	mu          sync.Mutex // guards the fields below, and the fields of machines and links
+	faultsEnded bool       // no new faults or calls; calls in progress are completed
+	failure     error      // the first violation found
+	links       map[addrPair]*faultyLink
+	// sentTerms has, by the term of a leader, the terms of the entries it has sent, by their index.
+	sentTerms            map[uint64]map[uint64]uint64
+	commitIndex          uint64                     // the highest one that a leader has sent
+	disks                map[raft.ID]*simulatedDisk // including lost ones
+	appliedRevisions     []appliedRevision          // in the order in which members apply them
+	sentCommands         map[fingerprint]input      // including unanswered ones
+	refusedCommands      map[fingerprint]bool
+	acknowledgedRevision uint64 // the highest one
+	powerOffAllOnAck     bool   // all machines lose power at the next acknowledgement
+	clock                int64  // incremented at each call and each result
+	history              []porcupine.Operation
+	counts               coverageCounts
 }
 
-// faultCounts show whether a run shows anything.
-type faultCounts struct {
+// coverageCounts counts the events that a run must contain for its checks to be meaningful.
+type coverageCounts struct {
 	messages         int
-	besideWrite      int // messages that were sent while a write was under way
-	acknowledgements int // of entries, that were checked
+	duringWrite      int // messages sent while a write was in progress
+	acknowledgements int // of entries, checked against the disk
 	powerLosses      int
-	tornWrites       int // losses of power in a write
+	tornWrites       int // power losses during a write
 	disksLost        int
 	calls            int
 	applied          int
 }
 
-func (n *faultCounts) add(o *faultCounts) {
+func (n *coverageCounts) add(o *coverageCounts) {
 	n.messages += o.messages
-	n.besideWrite += o.besideWrite
+	n.duringWrite += o.duringWrite
 	n.acknowledgements += o.acknowledgements
 	n.powerLosses += o.powerLosses
 	n.tornWrites += o.tornWrites
@@ -72,64 +72,64 @@
 	n.applied += o.applied
 }
 
-// enough reports whether so many runs show anything.
-func (n *faultCounts) enough(runs int) bool {
-	return n.besideWrite >= 20*runs && n.tornWrites >= runs && n.disksLost >= runs &&
+// sufficient reports whether the counts of a number of runs are high enough.
+func (n *coverageCounts) sufficient(runs int) bool {
+	return n.duringWrite >= 20*runs && n.tornWrites >= runs && n.disksLost >= runs &&
 		n.calls >= 20*runs && n.applied >= 5*runs
 }
 
-// addrPair is one direction between two machines: from, to.
+// addrPair is the sender and the receiver of one direction of a link.
 type addrPair [2]string
 
 // faultyLink is one direction of a link.
 type faultyLink struct {
 	rng         *rand.Rand
 	partitioned bool
-	slow        time.Duration // the longest delay
+	slow        time.Duration // the maximum delay
 }
 
-// faultyMachine runs one member after the other.
+// faultyMachine runs a member, restarts it after power losses, and replaces it after disk losses.
 type faultyMachine struct {
 	addr    string
-	rng     *rand.Rand // of its writes
+	rng     *rand.Rand // draws the outcome of writes
 	disk    *simulatedDisk
-	process *memberProcess // nil: without power
+	process *memberProcess // nil while the machine is off
 
-	failsUntil, slowUntil time.Time
-	corrupt               bool // the next write finds it out
+	writesFailUntil, writesSlowUntil time.Time
+	corrupt                          bool // detected at the next write or start
 }
 
-// memberProcess is a member from its start to a loss of power.
+// memberProcess is a member from its start until it loses power.
 type memberProcess struct {
 	cluster  *faultyCluster
 	machine  *faultyMachine
 	disk     *simulatedDisk
 	core     *Core
-	ctx      context.Context // until it loses power
+	ctx      context.Context // canceled when the machine loses power
 	powerOff context.CancelFunc
-	unsynced *raft.PersistentState // what the write that is under way is to leave
+	unsynced *raft.PersistentState // the state after the write in progress, nil if there is none
 	ended    chan struct{}         // closed when Run has returned
-	err      error                 // what Run has returned
+	err      error                 // the error that Run returned
 	stop     func()
 }
 
 var (
 	errNoSpace   = errors.New("no space left")
-	errPowerLost = errors.New("power is lost")
+	errPowerLost = errors.New("power lost")
 )
 
 func newFaultyCluster(t *testing.T, seed uint64, machines int) *faultyCluster {
 	t.Helper()
 	c := &faultyCluster{
-		t:         t,
-		seed:      seed,
-		rng:       rand.New(rand.NewPCG(seed, 21)),
-		net:       newPipeNetwork(),
-		links:     map[addrPair]*faultyLink{},
-		sentTerms: map[uint64]map[uint64]uint64{},
-		disks:     map[raft.ID]*simulatedDisk{},
-		commands:  map[fingerprint]input{},
-		refused:   map[fingerprint]bool{},
+		t:               t,
+		seed:            seed,
+		rng:             rand.New(rand.NewPCG(seed, 21)),
+		net:             newPipeNetwork(),
+		links:           map[addrPair]*faultyLink{},
+		sentTerms:       map[uint64]map[uint64]uint64{},
+		disks:           map[raft.ID]*simulatedDisk{},
+		sentCommands:    map[fingerprint]input{},
+		refusedCommands: map[fingerprint]bool{},
 	}
 	for i := range machines {
 		c.machines = append(c.machines, &faultyMachine{
@@ -154,12 +154,12 @@
 	f()
 }
 
-// fail notes that a rule is broken.
+// fail records a violation.
 func (c *faultyCluster) fail(format string, args ...any) {
 	c.locked(func() { c.failLocked(format, args...) })
 }
 
-// failLocked is fail under the mutex. The first failure counts.
+// failLocked is fail for callers that hold the mutex. Only the first violation is kept.
 func (c *faultyCluster) failLocked(format string, args ...any) {
 	if c.failure == nil {
 		c.failure = fmt.Errorf(format, args...)
@@ -180,12 +180,12 @@
 	return addrs
 }
 
-// start has a machine's power come back.
+// start powers a machine on and runs a member on its disk.
 func (c *faultyCluster) start(m *faultyMachine, bootstrap bool) {
 	c.t.Helper()
-	c.starts++
+	c.startCount++
 	c.locked(func() {
-		if m.corrupt && m.disk.id != 0 { // found at the start
+		if m.corrupt && m.disk.id != 0 { // the corruption is detected at the start
 			c.loseDisk(m)
 		}
 	})
@@ -218,7 +218,8 @@
 	})
 }
 
-// newCore opens a member over its disk. In every second run it makes snapshots often.
+// newCore creates the core of a member on its disk. With an even seed it takes snapshots more
+// often than in production.
 func (c *faultyCluster) newCore(p *memberProcess, conns *api.ConnPool, bootstrap bool) *Core {
 	c.t.Helper()
 	cfg := CoreConfig{
@@ -229,7 +230,7 @@
 		Store:     p,
 		Conns:     conns,
 		Log:       slog.New(slog.DiscardHandler),
-		Seed:      c.seed<<16 + c.starts,
+		Seed:      c.seed<<16 + c.startCount,
 	}
 	core, err := NewCore(cfg)
 	if err != nil {
@@ -254,8 +255,8 @@
 	return core
 }
 
-// powerOff has machines lose power at one moment. A write that is under way is kept whole, or
-// nothing of it is.
+// powerOff makes machines lose power at the same instant. A write in progress is either durable as a
+// whole or lost.
 func (c *faultyCluster) powerOff(machines ...*faultyMachine) {
 	var stopped []*memberProcess
 	c.locked(func() {
@@ -281,16 +282,17 @@
 	}
 }
 
-// loseDisk puts an empty disk, of a member with a new id, in the place of a machine's. Called
-// under the mutex.
+// loseDisk replaces the disk of a machine by an empty one, for a member with a new id. The caller
+// holds the mutex.
 func (c *faultyCluster) loseDisk(m *faultyMachine) {
 	c.counts.disksLost++
 	m.corrupt = false
 	m.disk = &simulatedDisk{id: raft.ID(c.seed<<20 + uint64(c.counts.disksLost)*2 + 1<<40)}
 }
 
-// play has a number of faults happen, then calm come. It returns the first broken rule.
-func (c *faultyCluster) play(faults int) error {
+// run injects a number of faults, ends all faults, waits for convergence and checks the history. It
+// returns the first violation.
+func (c *faultyCluster) run(faults int) error {
 	for _, m := range c.machines {
 		c.start(m, true)
 	}
@@ -304,21 +306,21 @@
 	for range faults {
 		time.Sleep(time.Duration(20+c.rng.IntN(700)) * time.Millisecond)
 		c.injectFault()
-		c.startSome()
+		c.startSomeMachines()
 		c.superviseMembers()
 		if err := c.failed(); err != nil {
 			return err
 		}
 	}
-	c.beCalm()
+	c.endFaults()
 	if err := c.awaitConvergence(); err != nil {
 		return err
 	}
 	return c.checkHistory()
 }
 
-// startSome starts one in three of the machines that are off.
-func (c *faultyCluster) startSome() {
+// startSomeMachines starts each machine that is off with a probability of one in three.
+func (c *faultyCluster) startSomeMachines() {
 	for _, m := range c.machines {
 		off := false
 		c.locked(func() { off = m.process == nil })
@@ -328,16 +330,17 @@
 	}
 }
 
-// beCalm ends all faults.
-func (c *faultyCluster) beCalm() {
+// endFaults repairs the links and stops the injection of faults and new calls.
+func (c *faultyCluster) endFaults() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calm, c.failAllAtNext = true, false
+	c.faultsEnded, c.powerOffAllOnAck = true, false
 	c.repairLinks()
 }
 
-// awaitConvergence waits until all machines have applied the same. Then one more command is sent, at
-// which a disk is found corrupt, and it waits until its machine has caught up too.
+// awaitConvergence waits until all machines have applied the same revisions. It then submits one
+// more command, at which one machine detects a corrupt disk, and waits until that machine has
+// caught up too.
 func (c *faultyCluster) awaitConvergence() error {
 	operatorsDone := make(chan struct{})
 	go func() {
@@ -372,20 +375,20 @@
 			return nil
 		}
 	}
-	return errors.New("the members have not converged after a minute of calm")
+	return errors.New("members have not converged a minute after the last fault")
 }
 
-// sendLastCommand sends a command, at which a machine finds its disk corrupt.
+// sendLastCommand submits a command, at which the given machine detects that its disk is corrupt.
 func (c *faultyCluster) sendLastCommand(corrupt *faultyMachine) error {
 	c.locked(func() { corrupt.corrupt = true })
 	newest := uint64(0)
-	if n := len(c.chain); n > 0 {
-		newest = c.chain[n-1].Revision
+	if n := len(c.appliedRevisions); n > 0 {
+		newest = c.appliedRevisions[n-1].Revision
 	}
 	call := input{base: newest, revision: newest + 1}
 	result := c.submit(0, rand.New(rand.NewPCG(c.seed, 499)), call, "last")
 	if result.status != http.StatusOK {
-		return fmt.Errorf("the last command is answered %d", result.status)
+		return fmt.Errorf("the last command was answered with status %d", result.status)
 	}
 	return nil
 }
--- a/controlplane/history_test.go
+++ b/controlplane/history_test.go
@@ -48,14 +48,14 @@
 	var calls, applied atomic.Int64
 	eachSeed(t, *historySeeds, func(seed uint64) error {
 		s := newRegisterSim(seed, smallSim, "")
-		if err := s.play(); err != nil {
+		if err := s.run(); err != nil {
 			return err
 		}
-		if err := s.check(); err != nil {
+		if err := s.checkHistory(); err != nil {
 			return err
 		}
 		calls.Add(int64(len(s.history)))
-		applied.Add(int64(len(s.chain)))
+		applied.Add(int64(len(s.appliedVersions)))
 		if got := s.linearizable(); got != porcupine.Ok {
 			return fmt.Errorf("%v: %v", got, s.history)
 		}
@@ -85,13 +85,13 @@
 			config.remembered = 4
 		}
 		s := newRegisterSim(seed, config, "")
-		if err := s.play(); err != nil {
+		if err := s.run(); err != nil {
 			return err
 		}
 		calls.Add(int64(len(s.history)))
-		applied.Add(int64(len(s.chain)))
+		applied.Add(int64(len(s.appliedVersions)))
 		disksLost.Add(int64(s.disksLost()))
-		return s.check()
+		return s.checkHistory()
 	})
 	n := int64(*historySeeds)
 	t.Logf("%d runs: %d calls, %d changes applied, %d disks lost", n, calls.Load(), applied.Load(), disksLost.Load())
@@ -107,14 +107,14 @@
 	day := largeSim
 	day.steps = 50_000 // 42 min
 	s := newRegisterSim(1, day, "")
-	if err := s.play(); err != nil {
+	if err := s.run(); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.check(); err != nil {
+	if err := s.checkHistory(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d calls, %d changes applied, %d disks lost", len(s.history), len(s.chain), s.disksLost())
-	if len(s.chain) < 3*maxAppliedBeforeDigests {
+	t.Logf("%d calls, %d changes applied, %d disks lost", len(s.history), len(s.appliedVersions), s.disksLost())
+	if len(s.appliedVersions) < 3*maxAppliedBeforeDigests {
 		t.Error("too few to show anything")
 	}
 }
@@ -128,7 +128,7 @@
 		t.Run(fault, func(t *testing.T) {
 			requireFound(t, smallSim, fault, func(s *registerSim) error {
 				// What the run itself finds is not asked here.
-				_ = s.play()
+				_ = s.run()
 				if got := s.linearizable(); got == porcupine.Illegal {
 					return fmt.Errorf("%v", got)
 				}
@@ -153,10 +153,10 @@
 	} {
 		t.Run(fault, func(t *testing.T) {
 			requireFound(t, largeSim, fault, func(s *registerSim) error {
-				if err := s.play(); err != nil {
+				if err := s.run(); err != nil {
 					return err
 				}
-				return s.check()
+				return s.checkHistory()
 			})
 		})
 	}
--- a/controlplane/linksim_test.go
+++ b/controlplane/linksim_test.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	mbit = 125_000 // bytes a second
-	// callOverhead is what a call and its answer take of a link each, beside what they carry.
+	mbit = 125_000 // 1 Mbit/s in bytes per second
+	// callOverhead is the size of a call or a response without its payload, in bytes.
 	callOverhead = 200
-	// messageOverhead is what a message takes of a call beside its entries or chunk.
+	// messageOverhead is the size of a message without its entries or chunk, in bytes.
 	messageOverhead = 100
 )
 
-// linkSim are members joined by links with a bandwidth and a delay: the real raft nodes, the
-// real send queues with their time-outs, and a clock of its own. What is put on a link is
-// carried in turn, whatever queue it is of.
+// linkSim simulates members connected by links with a limited bandwidth and a delay. It runs the
+// real raft nodes and the real send queues, with their timeouts, on a simulated clock. A link
+// transmits in order of arrival, across all queues that share it.
 type linkSim struct {
 	t      *testing.T
 	rng    *rand.Rand
@@ -33,41 +33,41 @@
 	nodes       map[raft.ID]*raft.Node
 	disks       map[raft.ID]*raft.PersistentState
 	incarnation map[raft.ID]int
-	stateSize   int // bytes
+	stateSize   int // in bytes
 
 	queues      map[queueID]*messageQueue
 	speed       func(from, to raft.ID) linkSpeed
-	busyUntil   map[link]time.Duration // when a link has carried what was put on it
-	lossRate    float64                // of calls and answers on links of 1 Mbit/s or less
+	busyUntil   map[link]time.Duration // when a link will have transmitted everything queued on it
+	lossRate    float64                // probability of loss, for calls and responses on links of 1 Mbit/s or less
 	partitioned map[raft.ID]bool
 
-	preVotes    int // sent: elections that a member would have liked
-	installed   int // snapshots
-	encoded     int // snapshots
+	preVotes    int // pre-vote requests sent: attempts to start an election
+	installed   int // snapshots that members installed
+	encoded     int // snapshots that members made
 	lastContact map[raft.ID]time.Duration
-	longestGap  time.Duration // in which a member got nothing from a leader in these links
+	longestGap  time.Duration // without an append or snapshot chunk from a leader, over all members
 }
 
-// linkSpeed is how fast one direction of a link is.
+// linkSpeed is the bandwidth and the delay of one direction of a link.
 type linkSpeed struct {
 	bytesPerSecond float64
 	delay          time.Duration
 }
 
-// queueID is one send queue from one member to another.
+// queueID identifies a send queue from one member to another.
 type queueID struct {
 	from raft.ID
 	queueKey
 }
 
-// event is something that happens at a time.
+// event is a function to run at a simulated time.
 type event struct {
 	at    time.Duration
-	order int // of events at the same time
+	order int // breaks ties between events at the same time
 	do    func()
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events by time.
 type eventQueue struct {
 	list  []event
 	added int
@@ -91,7 +91,8 @@
 	return x
 }
 
-// newLinkSim has three voters on disks, none of which runs, and fast links.
+// newLinkSim returns a simulation of three voters that are not started yet, with links of
+// 100 Mbit/s.
 func newLinkSim(t *testing.T, seed uint64, stateSize int) *linkSim {
 	t.Helper()
 	s := &linkSim{
@@ -117,18 +118,18 @@
 	return s
 }
 
-// sameSpeed is the speed of all links.
+// sameSpeed returns a speed function that gives all links the same speed.
 func sameSpeed(bytesPerSecond float64, delay time.Duration) func(_, _ raft.ID) linkSpeed {
 	return func(_, _ raft.ID) linkSpeed { return linkSpeed{bytesPerSecond, delay} }
 }
 
-// after has something happen after a while.
+// after schedules a function to run after a delay.
 func (s *linkSim) after(d time.Duration, do func()) {
 	s.events.added++
 	heap.Push(&s.events, event{at: s.now + d, order: s.events.added, do: do})
 }
 
-// run has time pass.
+// run advances the simulated clock and runs the events that are due.
 func (s *linkSim) run(d time.Duration) {
 	end := s.now + d
 	for len(s.events.list) > 0 && s.events.list[0].at <= end {
@@ -139,20 +140,21 @@
 	s.now = end
 }
 
-// waitUntil runs until a condition holds, and returns how long that took.
+// waitUntil runs the simulation until a condition holds, and returns the simulated time that
+// passed.
 func (s *linkSim) waitUntil(what string, limit time.Duration, condition func() bool) time.Duration {
 	s.t.Helper()
 	began := s.now
 	for !condition() {
 		if s.now-began >= limit {
-			s.t.Fatalf("%s: not within %v", what, limit)
+			s.t.Fatalf("%s: condition not met within %v", what, limit)
 		}
 		s.run(5 * time.Millisecond)
 	}
 	return s.now - began
 }
 
-// start starts a member from its disk, unless it runs.
+// start starts a member from its disk, unless it is already running.
 func (s *linkSim) start(id raft.ID) {
 	if s.nodes[id] != nil {
 		return
@@ -185,7 +187,7 @@
 	}
 }
 
-// stop ends a member with all that it had to send; its disk stays.
+// stop stops a member and drops its send queues. Its disk is kept.
 func (s *linkSim) stop(id raft.ID) {
 	delete(s.nodes, id)
 	for queue := range s.queues {
@@ -195,7 +197,7 @@
 	}
 }
 
-// stateAt is the state at an index of the log.
+// stateAt returns the state machine's state at an index of the log.
 func (s *linkSim) stateAt(index uint64) []byte {
 	data := make([]byte, s.stateSize)
 	binary.BigEndian.PutUint64(data, index)
@@ -203,7 +205,7 @@
 	return data
 }
 
-// handleReady has a member persist, send and apply what is ready, as [Core] does.
+// handleReady makes a member persist, send and apply its ready batches, as [Core] does.
 func (s *linkSim) handleReady(id raft.ID) {
 	node, disk := s.nodes[id], s.disks[id]
 	for r := node.Ready(); !r.Empty(); r = node.Ready() {
@@ -224,7 +226,7 @@
 	}
 }
 
-// save stores a batch. A snapshot must be the state at its index.
+// save stores a batch. It fails the test if a snapshot is not the state at its index.
 func (s *linkSim) save(id raft.ID, r *raft.Ready) {
 	s.t.Helper()
 	disk := s.disks[id]
@@ -233,7 +235,7 @@
 	}
 	if snapshot := r.Snapshot; snapshot != nil {
 		if !bytes.Equal(snapshot.Data, s.stateAt(snapshot.Index)) {
-			s.t.Fatalf("%d installs what is not the state at %d", id, snapshot.Index)
+			s.t.Fatalf("member %d installs a snapshot that is not the state at index %d", id, snapshot.Index)
 		}
 		s.installed++
 		disk.Snapshot, disk.Entries = *snapshot, nil
@@ -244,7 +246,7 @@
 	}
 }
 
-// send puts a message into its queue.
+// send adds a message to its queue.
 func (s *linkSim) send(m raft.Message) {
 	if m.Kind == raft.PreVoteRequest {
 		s.preVotes++
@@ -259,30 +261,30 @@
 	s.beginCall(id, queue)
 }
 
-// simCall is one call of a send queue. A large one goes in chunks, each after the answer to
-// the one before, as [transport.send] has it.
+// simCall is one call of a send queue. A large call is sent in chunks, each after the response to
+// the one before, as in [transport.send].
 type simCall struct {
-	sim      *linkSim
-	queue    *messageQueue
-	id       queueID
-	messages []raft.Message
-	left     int // bytes that were not sent yet
-	chunks   int // that were sent
-	ended    bool
+	sim        *linkSim
+	queue      *messageQueue
+	id         queueID
+	messages   []raft.Message
+	bytesLeft  int // not sent yet
+	chunksSent int
+	ended      bool
 }
 
-// beginCall begins the next call of a queue, if none is in flight.
+// beginCall sends the next call of a queue, unless one is in flight.
 func (s *linkSim) beginCall(id queueID, queue *messageQueue) {
 	messages := slices.Clone(queue.take())
 	if len(messages) == 0 {
 		return
 	}
 	c := &simCall{
-		sim:      s,
-		queue:    queue,
-		id:       id,
-		messages: messages,
-		left:     payloadBytes(messages) + messageOverhead*len(messages),
+		sim:       s,
+		queue:     queue,
+		id:        id,
+		messages:  messages,
+		bytesLeft: payloadBytes(messages) + messageOverhead*len(messages),
 	}
 	c.sendChunk()
 }
@@ -292,20 +294,21 @@
 	if c.ended {
 		return
 	}
-	size := min(c.left, max(chunkBytes, messageOverhead*len(c.messages)))
-	c.left -= size
-	last := c.left == 0
-	c.chunks++
-	chunk := c.chunks
+	size := min(c.bytesLeft, max(chunkBytes, messageOverhead*len(c.messages)))
+	c.bytesLeft -= size
+	last := c.bytesLeft == 0
+	c.chunksSent++
+	chunk := c.chunksSent
 	c.sim.after(callTimeoutFor(size), func() {
-		if chunk == c.chunks { // no answer has come
+		if chunk == c.chunksSent { // no response has arrived
 			c.end(false)
 		}
 	})
 	c.sim.transmit(link{c.id.from, c.id.to}, callOverhead+size, func() { c.arrive(last) })
 }
 
-// arrive has a chunk arrive. With the last one the messages are stepped.
+// arrive handles the arrival of a chunk at the receiver. The last one passes the messages to its
+// raft node.
 func (c *simCall) arrive(last bool) {
 	s, to := c.sim, c.id.to
 	node := s.nodes[to]
@@ -328,7 +331,7 @@
 	s.transmit(back, callOverhead, func() { c.end(true) })
 }
 
-// end ends a call, and begins the next one.
+// end completes a call and begins the next one of its queue.
 func (c *simCall) end(answered bool) {
 	s := c.sim
 	if c.ended || s.queues[c.id] != c.queue {
@@ -342,21 +345,21 @@
 	s.beginCall(c.id, c.queue)
 }
 
-// transmit has a link carry so many bytes after those before them.
-func (s *linkSim) transmit(way link, size int, arrived func()) {
-	speed := s.speed(way[0], way[1])
-	if s.partitioned[way[0]] || s.partitioned[way[1]] {
+// transmit queues a number of bytes on a link, and runs arrived once they are delivered.
+func (s *linkSim) transmit(direction link, size int, arrived func()) {
+	speed := s.speed(direction[0], direction[1])
+	if s.partitioned[direction[0]] || s.partitioned[direction[1]] {
 		return
 	}
 	if speed.bytesPerSecond <= mbit && s.rng.Float64() < s.lossRate {
 		return
 	}
 	takes := time.Duration(float64(size) / speed.bytesPerSecond * float64(time.Second))
-	s.busyUntil[way] = max(s.now, s.busyUntil[way]) + takes
-	s.after(s.busyUntil[way]+speed.delay-s.now, arrived)
+	s.busyUntil[direction] = max(s.now, s.busyUntil[direction]) + takes
+	s.after(s.busyUntil[direction]+speed.delay-s.now, arrived)
 }
 
-// leader is a member that has committed in its term as a leader, nil for none.
+// leader returns a leader that has committed an entry in its term, nil if there is none.
 func (s *linkSim) leader() *raft.Node {
 	for id := range raft.ID(simVoters) {
 		if n := s.nodes[id+1]; n != nil && n.HasCommittedInTerm() {
@@ -366,13 +369,13 @@
 	return nil
 }
 
-// awaitLeader runs until there is a leader.
+// awaitLeader runs the simulation until there is a leader.
 func (s *linkSim) awaitLeader() {
 	s.t.Helper()
 	s.waitUntil("a leader", 3*time.Second, func() bool { return s.leader() != nil })
 }
 
-// converged reports whether all members that run have applied all that is committed.
+// converged reports whether all running members have applied all committed entries.
 func (s *linkSim) converged() bool {
 	leader := s.leader()
 	for _, n := range s.nodes {
@@ -383,8 +386,8 @@
 	return true
 }
 
-// propose has the leader, if there is one, propose an entry of so many bytes. Where it can't
-// be proposed, the commit index shows it.
+// propose makes the leader, if there is one, propose an entry of a number of bytes. The error is
+// ignored: the commit index shows a proposal that failed.
 func (s *linkSim) propose(size int) {
 	if leader := s.leader(); leader != nil {
 		_, _, _ = leader.Propose(bytes.Repeat([]byte{'x'}, size))
@@ -392,7 +395,7 @@
 	}
 }
 
-// proposeMany has so many entries proposed, one after the other.
+// proposeMany proposes a number of entries of a size, one every 10 ms.
 func (s *linkSim) proposeMany(n, size int) {
 	for range n {
 		s.propose(size)
--- a/controlplane/operatorapi_test.go
+++ b/controlplane/operatorapi_test.go
@@ -88,7 +88,7 @@
 				began, w := time.Now(), httptest.NewRecorder()
 				handler.ServeHTTP(w, r)
 				took, retryAfter := time.Since(began), w.Header().Get("Retry-After")
-				if took >= operatorDeadline || took > answeredIn {
+				if took >= operatorDeadline || took > maxAnswerTime {
 					t.Errorf("call %d is answered after %v", i, took)
 				}
 				if w.Code != http.StatusServiceUnavailable || retryAfter == "" {
--- a/controlplane/partition_harness_test.go
+++ b/controlplane/partition_harness_test.go
@@ -14,39 +14,40 @@
 )
 
 const (
-	operatorDeadline = time.Second            // so long an operator waits for an answer
-	answeredIn       = 850 * time.Millisecond // that it can't be said
+	operatorDeadline = time.Second            // how long an operator waits for an answer
+	maxAnswerTime    = 850 * time.Millisecond // for a call whose outcome is unknown
 )
 
-// partition is what lies between the machines of a cluster: one of them may be cut off, both
-// ways or one way, and answers to operators may be lost.
+// partition is the state of the network between the machines of a cluster: one machine may be
+// isolated, in both directions or one, and responses to operators may be lost.
 type partition struct {
-	mu sync.Mutex // guards all that follows
+	mu sync.Mutex // guards the fields below
 
-	isolated    string // address, empty for none
-	sends       bool   // its messages get through
-	receives    bool   // those to it do
-	callsPass   bool   // other calls than those with messages get through
-	loseAnswers bool   // commands are applied and not answered
+	isolated        string // address of the isolated machine, empty if there is none
+	outboundAllowed bool   // raft messages from it are delivered
+	inboundAllowed  bool   // raft messages to it are delivered
+	callsAllowed    bool   // calls other than Deliver get through
+	loseAnswers     bool   // commands are applied, but their responses are dropped
 }
 
-// isolate cuts a machine off, but for what it sends or receives.
-func (p *partition) isolate(addr string, sends, receives bool) {
+// isolate cuts a machine off, except for the directions that are allowed.
+func (p *partition) isolate(addr string, outboundAllowed, inboundAllowed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.isolated, p.sends, p.receives, p.callsPass = addr, sends, receives, false
+	p.isolated, p.outboundAllowed, p.inboundAllowed, p.callsAllowed = addr, outboundAllowed, inboundAllowed, false
 }
 
-// end ends a cut.
-func (p *partition) end() {
+// heal ends the isolation.
+func (p *partition) heal() {
 	p.isolate("", false, false)
 }
 
-// lag has a machine receive no messages, while all else gets through.
-func (p *partition) lag(addr string) {
+// blockMessagesTo blocks raft messages to a machine, so that it lags behind. All other traffic gets
+// through.
+func (p *partition) blockMessagesTo(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.isolated, p.sends, p.receives, p.callsPass = addr, true, false, true
+	p.isolated, p.outboundAllowed, p.inboundAllowed, p.callsAllowed = addr, true, false, true
 }
 
 func (p *partition) setLoseAnswers(lose bool) {
@@ -55,22 +56,22 @@
 	p.loseAnswers = lose
 }
 
-// blocksMessages reports whether messages from one machine to another are cut.
+// blocksMessages reports whether raft messages from one machine to another are blocked.
 func (p *partition) blocksMessages(from, to string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.isolated == "" {
 		return false
 	}
-	return from == p.isolated && !p.sends || to == p.isolated && !p.receives
+	return from == p.isolated && !p.outboundAllowed || to == p.isolated && !p.inboundAllowed
 }
 
-// blocksCalls reports whether other calls are cut. They don't name who calls: one end may be the
-// machine that is cut off. They need both ways.
+// blocksCalls reports whether calls other than Deliver are blocked. They do not name the caller, so
+// that all are blocked while a machine is isolated, in one direction too: a call needs both.
 func (p *partition) blocksCalls() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.isolated != "" && !p.callsPass
+	return p.isolated != "" && !p.callsAllowed
 }
 
 func (p *partition) losesAnswers() bool {
@@ -79,72 +80,72 @@
 	return p.loseAnswers
 }
 
-// partitionedMember is a member as the others reach it. A call that is cut has no answer until
-// its caller gives up.
+// partitionedMember is a member behind the partition. A blocked call gets no response until its
+// caller gives up.
 type partitionedMember struct {
 	*Core
 	partition *partition
 	addr      string
 }
 
-func noAnswer(ctx context.Context) error {
+func waitForCancel(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// Deliver takes in messages, unless they are cut.
+// Deliver delivers raft messages, unless they are blocked.
 func (m *partitionedMember) Deliver(ctx context.Context, d *api.DeliverRequest) (*api.DeliverResponse, error) {
 	if m.partition.blocksMessages(d.Addr, m.addr) {
-		return nil, noAnswer(ctx)
+		return nil, waitForCancel(ctx)
 	}
 	return m.Core.Deliver(ctx, d)
 }
 
-// Watch answers a limiter, unless calls are cut.
+// Watch answers a limiter, unless calls are blocked.
 func (m *partitionedMember) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
 	if m.partition.blocksCalls() {
-		return nil, noAnswer(ctx)
+		return nil, waitForCancel(ctx)
 	}
 	return m.Core.Watch(ctx, q)
 }
 
-// ReadIndex answers a member, unless calls are cut.
+// ReadIndex answers a member, unless calls are blocked.
 func (m *partitionedMember) ReadIndex(ctx context.Context, q *api.Empty) (*api.ReadIndexResponse, error) {
 	if m.partition.blocksCalls() {
-		return nil, noAnswer(ctx)
+		return nil, waitForCancel(ctx)
 	}
 	return m.Core.ReadIndex(ctx, q)
 }
 
-// Join answers a member, unless calls are cut.
+// Join answers a member, unless calls are blocked.
 func (m *partitionedMember) Join(ctx context.Context, q *api.JoinRequest) (*api.ControlResponse, error) {
 	if m.partition.blocksCalls() {
-		return nil, noAnswer(ctx)
+		return nil, waitForCancel(ctx)
 	}
 	return m.Core.Join(ctx, q)
 }
 
-// Get answers a client, unless calls are cut.
+// Get answers a client, unless calls are blocked.
 func (m *partitionedMember) Get(ctx context.Context, q *api.GetRequest) (*api.ControlResponse, error) {
 	if m.partition.blocksCalls() {
-		return nil, noAnswer(ctx)
+		return nil, waitForCancel(ctx)
 	}
 	return m.Core.Get(ctx, q)
 }
 
-// Replace answers a client, unless calls are cut or the answers are lost.
+// Replace answers a client, unless calls are blocked or the response is to be lost.
 func (m *partitionedMember) Replace(ctx context.Context, q *api.ReplaceRequest) (*api.ControlResponse, error) {
 	if m.partition.blocksCalls() {
-		return nil, noAnswer(ctx)
+		return nil, waitForCancel(ctx)
 	}
 	r, err := m.Core.Replace(ctx, q)
 	if err == nil && r.Status == http.StatusOK && m.partition.losesAnswers() {
-		return nil, noAnswer(ctx)
+		return nil, waitForCancel(ctx)
 	}
 	return r, err
 }
 
-// partitionedCluster are three machines that keep their disks over a restart.
+// partitionedCluster is a cluster of three machines that keep their disks across restarts.
 type partitionedCluster struct {
 	*cluster
 	partition partition
@@ -176,31 +177,31 @@
 	c.start(addr)
 }
 
-func (c *partitionedCluster) restartOthers(than string) {
+func (c *partitionedCluster) restartOthers(except string) {
 	c.t.Helper()
-	for _, addr := range c.others(than) {
+	for _, addr := range c.others(except) {
 		c.restart(addr)
 	}
 }
 
-// others are all machines but one.
-func (c *partitionedCluster) others(than string) []string {
+// others returns the addresses of all machines except one.
+func (c *partitionedCluster) others(except string) []string {
 	var others []string
 	for _, addr := range c.addrs {
-		if addr != than {
+		if addr != except {
 			others = append(others, addr)
 		}
 	}
 	return others
 }
 
-// awaitLeaderAddr returns the machine that leads, of all but one.
-func (c *partitionedCluster) awaitLeaderAddr(but string) string {
+// awaitLeaderAddr waits for a leader among all machines except one, and returns its address.
+func (c *partitionedCluster) awaitLeaderAddr(except string) string {
 	c.t.Helper()
 	leader := ""
 	c.waitUntil("a leader", func() bool {
 		for addr, core := range c.cores {
-			if addr != but && core.Leads() {
+			if addr != except && core.Leads() {
 				leader = addr
 			}
 		}
@@ -209,26 +210,26 @@
 	return leader
 }
 
-// clientAt is the client in the process of a machine.
+// clientAt returns a client as in the process of a machine, with that machine's core as its local one.
 func (c *partitionedCluster) clientAt(addr string) *Client {
 	client := c.client()
 	client.SetLocalCore(c.cores[addr])
 	return client
 }
 
-// operatorCall is an operator's call over HTTP, a read where there is no configuration.
+// operatorCall is an operator's call over HTTP: a read if config is nil.
 type operatorCall struct {
 	name   string
 	base   uint64
 	config []byte
 }
 
-// operatorAnswer is the answer, and how long it took.
+// operatorAnswer is the response to an operatorCall.
 type operatorAnswer struct {
 	status     int
 	retryAfter string
 	body       []byte
-	took       time.Duration
+	elapsed    time.Duration
 }
 
 func (q *operatorCall) do(handler http.Handler) operatorAnswer {
@@ -243,17 +244,17 @@
 		status:     w.Code,
 		retryAfter: w.Header().Get("Retry-After"),
 		body:       w.Body.Bytes(),
-		took:       time.Since(began),
+		elapsed:    time.Since(began),
 	}
 }
 
-// isUnavailable reports whether an operator is given a time to try again.
+// isUnavailable reports whether the answer is a 503 with a Retry-After header.
 func (a *operatorAnswer) isUnavailable() bool {
 	return a.status == http.StatusServiceUnavailable && a.retryAfter != ""
 }
 
-// replaceUntilAnswered sends a configuration to those who are not cut off, whoever leads them
-// by then, until there is a clear answer. It returns its status.
+// replaceUntilAnswered sends a configuration to the leader of the machines that are not isolated
+// until the answer is definite, and returns its status.
 func (c *partitionedCluster) replaceUntilAnswered(isolated string, base uint64, config []byte) int {
 	c.t.Helper()
 	call := operatorCall{base: base, config: config}
@@ -265,20 +266,20 @@
 	return status
 }
 
-// requireUnavailable requires of a machine that is cut off that no operator's call has a clear
-// answer, that all have one in time, and that a limiter gets nothing of what it knows.
-// withNew: a new configuration is sent too. Not where what the machine sends gets through: the
-// others might commit it.
-func (c *partitionedCluster) requireUnavailable(isolated, when string, withNew bool) {
+// requireUnavailable requires that an isolated machine answers every operator's call in time with
+// 503 and Retry-After, and gives a limiter neither a lease nor any state. If sendNew is set, the
+// calls include a new configuration. It must not be set if messages from the machine get through:
+// the others might commit the configuration.
+func (c *partitionedCluster) requireUnavailable(isolated, when string, sendNew bool) {
 	c.t.Helper()
 	calls := []operatorCall{
-		{"what was applied, sent again", 0, testConfig(c.t, 5)},
-		{"what has lost", 0, testConfig(c.t, 7)},
-		{"what is invalid there", 5, testConfig(c.t, 3)},
-		{name: "a read"},
+		{"retry of the applied configuration", 0, testConfig(c.t, 5)},
+		{"configuration with a stale base", 0, testConfig(c.t, 7)},
+		{"invalid revision", 5, testConfig(c.t, 3)},
+		{name: "read of the configuration"},
 	}
-	if withNew {
-		calls = append(calls, operatorCall{"a new one", 5, testConfig(c.t, 9)})
+	if sendNew {
+		calls = append(calls, operatorCall{"new configuration", 5, testConfig(c.t, 9)})
 	}
 	handler := c.clientAt(isolated).Handler()
 	var callers sync.WaitGroup
@@ -286,10 +287,10 @@
 		callers.Go(func() {
 			a := q.do(handler)
 			if !a.isUnavailable() {
-				c.t.Errorf("%s: %s is answered %d, Retry-After %q: %.60q", when, q.name, a.status, a.retryAfter, a.body)
+				c.t.Errorf("%s: %s: status %d, Retry-After %q: %.60q", when, q.name, a.status, a.retryAfter, a.body)
 			}
-			if a.took >= operatorDeadline || a.took > answeredIn {
-				c.t.Errorf("%s: %s is answered after %v", when, q.name, a.took)
+			if a.elapsed >= operatorDeadline || a.elapsed > maxAnswerTime {
+				c.t.Errorf("%s: %s: answered only after %v", when, q.name, a.elapsed)
 			}
 		})
 	}
@@ -298,7 +299,7 @@
 		defer cancel()
 		r, err := c.cores[isolated].Watch(ctx, &api.WatchRequest{})
 		if err != nil || r.Lease || r.ConfigDelta != nil || r.ServersDelta != nil {
-			c.t.Errorf("%s: a limiter is told %+v, %v", when, r, err)
+			c.t.Errorf("%s: a limiter got %+v, %v", when, r, err)
 		}
 	})
 	callers.Wait()
--- a/controlplane/partition_test.go
+++ b/controlplane/partition_test.go
@@ -14,28 +14,28 @@
 	"example.org/elmspan/api"
 )
 
-// A machine is cut off for a time, as leader or not, both ways or one way, is started again
-// meanwhile, and the others are after it. Until it is back it answers every operator, in time,
-// that it can't say; limiters get neither a lease nor a configuration from it. Once it is back
-// it answers with the newest. (Reported by the users: it went on answering with an old
-// configuration, refused commands, or confirmed them.)
-func TestIsolatedMachineAnswersNothing(t *testing.T) {
+// A leader or follower is isolated, in both directions or one; it is restarted meanwhile, and the
+// other machines after it. While it is isolated it answers every operator in time that it is
+// unavailable, and gives limiters neither a lease nor a configuration. Once it is reconnected it
+// answers with the newest configuration. Guards against an isolated machine that keeps answering
+// with an old configuration, or refuses or confirms commands, as users have reported.
+func TestIsolatedMachineAnswersUnavailable(t *testing.T) {
 	t.Parallel()
 	for _, c := range []isolationCase{
 		{name: "the leader", leader: true, restarts: true},
 		{name: "a follower", restarts: true},
-		{name: "a leader that sends", leader: true, sends: true},
-		{name: "a leader that receives", leader: true, receives: true},
+		{name: "the leader, outbound allowed", leader: true, outboundAllowed: true},
+		{name: "the leader, inbound allowed", leader: true, inboundAllowed: true},
 	} {
 		runInBubble(t, c.name, c.run)
 	}
 }
 
 type isolationCase struct {
-	name            string
-	leader          bool
-	sends, receives bool // although it is cut off
-	restarts        bool
+	name                            string
+	leader                          bool
+	outboundAllowed, inboundAllowed bool // while the machine is isolated
+	restarts                        bool
 }
 
 func (v *isolationCase) run(t *testing.T) {
@@ -43,28 +43,28 @@
 	c := newPartitionedCluster(t)
 	isolated := c.awaitLeaderAddr("")
 	if replaceConfig(c.clientAt(isolated), 0, testConfig(t, 5)) != http.StatusOK {
-		t.Fatal("the first was not applied")
+		t.Fatal("the first configuration was not applied")
 	}
 	if !v.leader {
 		isolated = c.others(c.awaitLeaderAddr(""))[1]
 	}
-	c.waitUntil("it has the first", func() bool { return c.cores[isolated].Status().Revision == 5 })
-	c.partition.isolate(isolated, v.sends, v.receives)
-	c.requireUnavailable(isolated, "at once", !v.sends)
+	c.waitUntil("revision 5 at the machine", func() bool { return c.cores[isolated].Status().Revision == 5 })
+	c.partition.isolate(isolated, v.outboundAllowed, v.inboundAllowed)
+	c.requireUnavailable(isolated, "right after the isolation", !v.outboundAllowed)
 	if got := c.replaceUntilAnswered(isolated, 5, testConfig(t, 6)); got != http.StatusOK {
-		t.Fatalf("the others answer %d", got)
+		t.Fatalf("the other machines answered %d", got)
 	}
-	c.requireUnavailable(isolated, "after the others applied another", !v.sends)
+	c.requireUnavailable(isolated, "after the others applied another configuration", !v.outboundAllowed)
 	if v.restarts {
 		c.restart(isolated)
-		c.requireUnavailable(isolated, "started again", !v.sends)
+		c.requireUnavailable(isolated, "after its restart", !v.outboundAllowed)
 		c.restartOthers(isolated)
-		c.requireUnavailable(isolated, "after the others were started again", !v.sends)
+		c.requireUnavailable(isolated, "after the restart of the others", !v.outboundAllowed)
 		if got := c.replaceUntilAnswered(isolated, 5, testConfig(t, 6)); got != http.StatusOK {
-			t.Errorf("sent again to the others: %d", got)
+			t.Errorf("retry at the other machines: status %d", got)
 		}
 	}
-	c.partition.end()
+	c.partition.heal()
 	c.requireNewestReadBack(isolated, testConfig(t, 6))
 	for _, q := range []struct {
 		base, revision uint64
@@ -76,26 +76,27 @@
 		{6, 3, http.StatusBadRequest},
 	} {
 		if got := replaceConfig(c.clientAt(isolated), q.base, testConfig(t, q.revision)); got != q.want {
-			t.Errorf("once it is back, %d on %d: %d, want %d", q.revision, q.base, got, q.want)
+			t.Errorf("after the isolation, revision %d on %d: status %d, want %d", q.revision, q.base, got, q.want)
 		}
 	}
 }
 
-// requireNewestReadBack requires that a machine reads back a configuration, and none before it.
+// requireNewestReadBack requires that a machine eventually returns a configuration, and no older
+// one before that.
 func (c *partitionedCluster) requireNewestReadBack(addr string, config []byte) {
 	c.t.Helper()
 	handler := c.clientAt(addr).Handler()
-	c.waitUntil("it reads back", func() bool {
+	c.waitUntil("a successful read", func() bool {
 		a := (&operatorCall{}).do(handler)
 		if a.status == http.StatusOK && !bytes.Equal(a.body, config) {
-			c.t.Fatalf("an old one is read back: %q", a.body)
+			c.t.Fatalf("the read returned an old configuration: %q", a.body)
 		}
 		return a.status == http.StatusOK
 	})
 }
 
-// The answer to a command that was applied is lost. It is sent again to another machine, after
-// another change, after its leader has gone, and is acknowledged.
+// The answer to an applied command is lost. Retries of the command are acknowledged at any machine,
+// even after another change and after the leader has stopped.
 func TestCommandRetriedElsewhereIsAcknowledged(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newPartitionedCluster(t)
@@ -104,38 +105,38 @@
 		c.loseAnswerOfFirst(leader, others[0])
 		for _, addr := range c.addrs {
 			if got := replaceConfig(c.clientAt(addr), 0, testConfig(t, 5)); got != http.StatusOK {
-				t.Errorf("sent again to %s: %d", addr, got)
+				t.Errorf("retry at %s: status %d", addr, got)
 			}
 		}
 		c.stops[leader]()
 		if got := replaceConfig(c.clientAt(others[1]), 0, testConfig(t, 5)); got != http.StatusOK {
-			t.Errorf("sent again to the next leader: %d", got)
+			t.Errorf("retry at the next leader: status %d", got)
 		}
-		// Two commands, each sent four times at once.
+		// Two competing commands, each sent four times concurrently.
 		for round := range uint64(3) {
 			c.requireOneOfTwoCommands(others, 6+round)
 		}
 	})
 }
 
-// loseAnswerOfFirst has revision 5 applied without an answer, and revision 6 on top of it.
-func (c *partitionedCluster) loseAnswerOfFirst(leader, at string) {
+// loseAnswerOfFirst applies revision 5, whose answer is lost, and revision 6 on top of it.
+func (c *partitionedCluster) loseAnswerOfFirst(leader, addr string) {
 	c.t.Helper()
 	c.partition.setLoseAnswers(true)
-	client := c.clientAt(at)
+	client := c.clientAt(addr)
 	client.SetMembers(leader, nil)
 	a := (&operatorCall{base: 0, config: testConfig(c.t, 5)}).do(client.Handler())
 	if !a.isUnavailable() {
-		c.t.Fatalf("without an answer of the leader: %d", a.status)
+		c.t.Fatalf("status %d although the leader's answer was lost", a.status)
 	}
 	if got := replaceConfig(c.clientAt(leader), 5, testConfig(c.t, 6)); got != http.StatusOK {
-		c.t.Fatalf("on top of it: %d", got)
+		c.t.Fatalf("revision 6 on top of 5: status %d", got)
 	}
 	c.partition.setLoseAnswers(false)
 }
 
-// requireOneOfTwoCommands sends eight calls at once to two machines, of two operators that
-// picked the same revision, and requires that one of the two is applied.
+// requireOneOfTwoCommands sends eight concurrent calls to two machines, from two operators that
+// picked the same revision, and requires that exactly one of the two commands is applied.
 func (c *partitionedCluster) requireOneOfTwoCommands(machines []string, base uint64) {
 	c.t.Helper()
 	statuses := make([]int, 8)
@@ -163,19 +164,18 @@
 	for i, status := range statuses {
 		count[status]++
 		if status != statuses[i%2] {
-			c.t.Errorf("on %d: one command is answered %d and %d", base, status, statuses[i%2])
+			c.t.Errorf("base %d: the same command was answered %d and %d", base, status, statuses[i%2])
 		}
 	}
 	if count[http.StatusOK] != 4 || count[http.StatusPreconditionFailed] != 4 {
-		c.t.Errorf("on %d: statuses %v", base, count)
+		c.t.Errorf("base %d: counts by status %v", base, count)
 	}
 }
 
-// While a member lags, the leader is cut off, and so on, and the others apply changes:
-// whichever member grants a limiter a lease, with it comes no older configuration than one that
-// was acknowledged before the limiter asked. A lease holds from then for revoke_ms less 0.5 s,
-// so nobody serves a configuration that was replaced for longer than that after the
-// acknowledgement.
+// Changes are applied while a member lags behind or the leader is isolated. A lease that any member
+// grants to a limiter comes with a configuration no older than those acknowledged before the
+// limiter's request. The lease is valid for revoke_ms less 0.5 s from the request, so that no
+// limiter serves a replaced configuration for longer than that after the acknowledgement.
 func TestLeasesComeWithTheNewestConfiguration(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newPartitionedCluster(t)
@@ -189,31 +189,31 @@
 			c.replaceInTurn(w, "", 3)
 			isolated := c.awaitLeaderAddr("")
 			lagging := c.others(isolated)[0]
-			c.partition.lag(lagging) // the leader confirms to it what it has not applied
+			c.partition.blockMessagesTo(lagging) // the leader confirms reads at indexes that it has not applied
 			c.replaceInTurn(w, lagging, 3)
 			c.partition.isolate(isolated, false, false)
 			c.replaceInTurn(w, isolated, 3)
-			c.partition.end()
+			c.partition.heal()
 		}
 		before := w.leases.Load()
-		c.waitUntil("leases once all is calm", func() bool { return w.leases.Load() > before+6 })
+		c.waitUntil("leases after the partition healed", func() bool { return w.leases.Load() > before+6 })
 		close(w.done)
 		watchers.Wait()
 		if acknowledged := w.acknowledged.Load(); acknowledged != 27 {
-			t.Errorf("%d changes", acknowledged)
+			t.Errorf("%d acknowledged changes, want 27", acknowledged)
 		}
 	})
 }
 
-// leaseWatch checks the leases that members grant.
+// leaseWatch watches members and checks the leases that they grant.
 type leaseWatch struct {
 	t            *testing.T
 	done         chan struct{}
-	acknowledged atomic.Uint64 // the highest revision
-	leases       atomic.Uint64 // granted
+	acknowledged atomic.Uint64 // the highest acknowledged revision
+	leases       atomic.Uint64 // number of leases granted
 }
 
-// replaceInTurn has changes applied, one on top of the other, by those who are not cut off.
+// replaceInTurn applies successive changes at the machines that are not isolated.
 func (c *partitionedCluster) replaceInTurn(w *leaseWatch, isolated string, changes int) {
 	c.t.Helper()
 	for range changes {
@@ -225,7 +225,7 @@
 	}
 }
 
-// watch watches a member until all is done, for testTimeout at most.
+// watch watches a member until done is closed, for testTimeout at most.
 func (w *leaseWatch) watch(addr string, core *Core) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -241,13 +241,13 @@
 			w.t.Error(err)
 			return
 		}
-		time.Sleep(time.Millisecond) // else the bubble's clock stands where an answer waits for nothing
+		time.Sleep(time.Millisecond) // an answer that waits for nothing doesn't advance the bubble's clock
 		if !r.Lease {
 			continue
 		}
 		w.leases.Add(1)
 		if r.Revision < before {
-			w.t.Errorf("%s grants a lease with revision %d, %d was acknowledged before", addr, r.Revision, before)
+			w.t.Errorf("%s granted a lease with revision %d, but %d was acknowledged before", addr, r.Revision, before)
 		}
 	}
 }
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -13,10 +13,10 @@
 // replaceCall is a call that replaces the configuration.
 func replaceCall(base, revision uint64, config string) *pendingCall {
 	return newPendingCall(&input{
-		base:     base,
-		revision: revision,
-		print:    fingerprintOf([]byte(config)),
-		config:   []byte(config),
+		base:        base,
+		revision:    revision,
+		fingerprint: fingerprintOf([]byte(config)),
+		config:      []byte(config),
 	})
 }
 
@@ -30,14 +30,14 @@
 	t.Helper()
 	config := simConfig{machines: simVoters, remembered: maxAppliedRevisions}
 	s := &quietSim{newRegisterSim(seed, config, ""), t}
-	s.calm = true
+	s.faultsEnded = true
 	return s
 }
 
 // await steps until a condition holds.
 func (s *quietSim) await(what string, condition func() bool) {
 	s.t.Helper()
-	if err := s.until(condition); err != nil {
+	if err := s.stepUntil(condition); err != nil {
 		s.t.Fatalf("%s: %v", what, err)
 	}
 }
@@ -128,10 +128,10 @@
 		replaceCall(5, 6, "mine"),
 	}
 	var second *pendingCall
-	for step := range longPartition {
+	for step := range partitionSteps {
 		s.step()
 		s.requireNoResults(isolated, calls)
-		if second == nil && step > longPartition/2 {
+		if second == nil && step > partitionSteps/2 {
 			leader := s.awaitOtherLeader(isolated)
 			second = replaceCall(s.members[leader].state.Revision, 9, "theirs")
 			s.requireStatus(leader, second, http.StatusOK)
@@ -147,8 +147,8 @@
 	if got := s.members[leader].state.Revision; got != 9 {
 		t.Errorf("revision %d in the end", got)
 	}
-	if s.diverged != nil {
-		t.Error(s.diverged)
+	if s.divergence != nil {
+		t.Error(s.divergence)
 	}
 }
 
--- a/controlplane/replacement_losses_test.go
+++ b/controlplane/replacement_losses_test.go
@@ -9,48 +9,49 @@
 	"example.org/elmspan/raft"
 )
 
-// lossKind is how a machine is lost.
+// lossKind is the way in which a machine is lost.
 type lossKind string
 
 const (
 	lossCrash     lossKind = "crash"
 	lossPartition lossKind = "cut"
-	lossLeave     lossKind = "leave" // asked to end, it has some time; it comes back with its disk
+	lossLeave     lossKind = "leave" // shuts down gracefully within a time limit, and restarts with its disk
 	lossWiped     lossKind = "wiped"
-	lossReplaced  lossKind = "replaced" // for good, by one at another address
+	lossReplaced  lossKind = "replaced" // permanently lost; an empty machine with another address takes its place
 	lossRestart   lossKind = "restart"
 )
 
 var lossKinds = []lossKind{lossCrash, lossPartition, lossLeave, lossWiped, lossReplaced, lossRestart}
 
-// lose has a machine lost. It is lost until it or its successor has been back for repairTicks.
-func (s *replacementSim) lose(m *simMachine) {
+// injectLoss injects the loss of a machine. The machine counts as lost until it or its replacement
+// has been back for repairTicks.
+func (s *replacementSim) injectLoss(m *simMachine) {
 	kind := lossKinds[s.rng.IntN(len(lossKinds))]
 	if s.alwaysLeader {
 		kind = lossReplaced
 	}
-	s.losses = append(s.losses, fmt.Sprintf("%d: %s of %s", s.now, kind, m.addr))
-	down := s.rng.IntN(200)
+	s.lossLog = append(s.lossLog, fmt.Sprintf("%d: %s of %s", s.now, kind, m.addr))
+	downTicks := s.rng.IntN(200)
 	if s.alwaysLeader {
-		down = s.rng.IntN(10)
+		downTicks = s.rng.IntN(10)
 	}
 	switch kind {
 	case lossLeave:
-		m.leaving, m.killAt, m.lostUntil = true, s.now+killTicks, neverRepaired
+		m.leaving, m.killAt, m.lostUntil = true, s.now+killDelayTicks, neverRepaired
 		return
 	case lossPartition:
 		m.partitioned = true
-		s.repairAfter(m, down, func() { m.partitioned = false })
+		s.scheduleRepair(m, downTicks, func() { m.partitioned = false })
 		return
 	case lossRestart:
-		down /= 10
+		downTicks /= 10
 	}
 	m.node = nil
-	s.repairAfter(m, down, func() { s.comeBack(m, kind) })
+	s.scheduleRepair(m, downTicks, func() { s.restart(m, kind) })
 }
 
-// comeBack starts a machine that was lost, or its successor.
-func (s *replacementSim) comeBack(m *simMachine, kind lossKind) {
+// restart starts a lost machine, or its replacement.
+func (s *replacementSim) restart(m *simMachine, kind lossKind) {
 	switch kind {
 	case lossReplaced:
 		m.addr = fmt.Sprint("b", s.nextID)
@@ -62,20 +63,21 @@
 	}
 }
 
-// repairAfter has a machine come back after so many ticks.
-func (s *replacementSim) repairAfter(m *simMachine, ticks int, repair func()) {
+// scheduleRepair schedules the return of a machine after a number of ticks.
+func (s *replacementSim) scheduleRepair(m *simMachine, ticks int, repair func()) {
 	at := s.now + 1 + ticks
 	m.repair, m.repairAt, m.lostUntil = repair, at, at+repairTicks
 }
 
-// leave has a machine that is leaving end once it may, or when it is killed.
-func (s *replacementSim) leave(m *simMachine) {
+// stepLeaving advances the shutdown of a leaving machine: it transfers leadership, and stops once no
+// quorum needs it or its time limit has passed.
+func (s *replacementSim) stepLeaving(m *simMachine) {
 	if s.now%4 == 0 {
 		m.node.TransferLeadership()
 	}
-	if s.now >= m.killAt || !s.formerPolicy && !m.node.NeededForQuorum() {
+	if s.now >= m.killAt || !s.twoStepPolicy && !m.node.NeededForQuorum() {
 		m.node, m.leaving = nil, false
-		s.repairAfter(m, s.rng.IntN(100), func() { s.start(m) })
+		s.scheduleRepair(m, s.rng.IntN(100), func() { s.start(m) })
 	}
 }
 
@@ -91,20 +93,20 @@
 	return lost
 }
 
-// run has so many losses happen, each as soon as one before is repaired: at most so many at
-// once. It returns the first broken rule.
-func (s *replacementSim) run(losses, atOnce int) error {
+// run injects a number of losses, each as soon as fewer than maxConcurrent machines are lost. It
+// returns the first violation.
+func (s *replacementSim) run(losses, maxConcurrent int) error {
 	s.steps(repairTicks)
 	for losses > 0 && s.failure == nil {
 		s.step()
 		m := s.machines[s.rng.IntN(len(s.machines))]
-		if s.lostMachines() >= atOnce || s.isLost(m) || s.rng.IntN(3) == 0 {
+		if s.lostMachines() >= maxConcurrent || s.isLost(m) || s.rng.IntN(3) == 0 {
 			continue
 		}
 		if l := s.leader(); l != nil && !s.isLost(l) && (s.alwaysLeader || s.rng.IntN(3) == 0) {
-			m = l // the one that knows most
+			m = l // the machine with the most complete log
 		}
-		s.lose(m)
+		s.injectLoss(m)
 		losses--
 	}
 	for s.failure == nil && s.lostMachines() > 0 {
@@ -114,34 +116,34 @@
 		s.checkRepaired()
 	}
 	if s.failure != nil {
-		return fmt.Errorf("%w, after %q", s.failure, s.losses)
+		return fmt.Errorf("%w, after losses %q", s.failure, s.lossLog)
 	}
 	return nil
 }
 
-// checkRepaired checks that all machines have what was committed, and that there are as many
-// voters as are wanted.
+// checkRepaired checks that all machines have applied the committed entries, but for the last 30,
+// and that the number of voters is the configured one.
 func (s *replacementSim) checkRepaired() {
 	highest := slices.Max(slices.Collect(maps.Keys(s.committed)))
 	for _, m := range s.machines {
 		if applied := m.node.AppliedIndex(); applied+30 < highest {
-			s.fail("%d has applied %d of %d entries", m.id, applied, highest)
+			s.fail("member %d has applied %d of %d entries", m.id, applied, highest)
 		}
 	}
-	// A machine without joint changes may leave one voter more.
+	// With a machine that doesn't support joint changes, one voter too many may remain.
 	anyNumber := slices.ContainsFunc(s.machines, func(m *simMachine) bool { return m.withoutJoint })
 	l := s.leader()
 	switch {
 	case l == nil || !anyNumber && voterCount(l.node.Members()) != s.voters:
-		s.fail("not %d voters", s.voters)
+		s.fail("no leader, or not %d voters", s.voters)
 	case l.node.CommitIndex() < highest:
-		s.fail("the leader knows that %d entries are committed, %d were", l.node.CommitIndex(), highest)
+		s.fail("the leader has commit index %d, but %d was committed", l.node.CommitIndex(), highest)
 	}
 }
 
-// awaitNewLeader steps until another machine than one leads.
+// awaitNewLeader steps until a machine other than the former leader leads.
 func (s *replacementSim) awaitNewLeader(former *simMachine) (*simMachine, error) {
-	for range maxTicksWithout + 1 {
+	for range maxCommitGap + 1 {
 		if l := s.leader(); l != nil && l != former {
 			return l, nil
 		}
@@ -150,10 +152,10 @@
 	return nil, errors.New("no new leader")
 }
 
-// replaceInTwoSteps is how voters were replaced once: by one more and, 0.2 s later, one less;
-// those that do not answer after 3 s, as a leader counts them from its election on. Its proposals may be
-// refused; then it makes them again.
-func replaceInTwoSteps(n *raft.Node, wanted, ledFor int) {
+// replaceInTwoSteps is a former replacement policy: it adds a voter and removes another one 0.2 s
+// later. A voter is replaced if it has not answered for 3 s, counted from the leader's election at
+// the earliest. A refused proposal is repeated at the next call.
+func replaceInTwoSteps(n *raft.Node, targetVoters, ticksAsLeader int) {
 	if !n.HasCommittedInTerm() {
 		return
 	}
@@ -161,7 +163,7 @@
 	promote, demote := -1, -1
 	for i, m := range members {
 		replaced := slices.ContainsFunc(members[i+1:], func(o raft.Member) bool { return o.Addr == m.Addr })
-		sinceResponse := min(n.TicksSinceResponse(m.ID), ledFor)
+		sinceResponse := min(n.TicksSinceResponse(m.ID), ticksAsLeader)
 		switch {
 		case m.Voter:
 			if replaced || sinceResponse > 60 {
@@ -174,19 +176,19 @@
 			promote = i
 		}
 	}
-	proposeSwap(n, wanted, promote, demote)
+	proposeVoterChange(n, targetVoters, promote, demote)
 }
 
-// proposeSwap proposes one more voter or one less, of the members at indexes, -1 for none.
-func proposeSwap(n *raft.Node, wanted, promote, demote int) {
+// proposeVoterChange proposes to promote or to demote a member, both given as indexes, -1 for none.
+func proposeVoterChange(n *raft.Node, targetVoters, promote, demote int) {
 	next := slices.Clone(n.Members())
 	voters := voterCount(next)
-	if promote >= 0 && (voters < wanted || voters == wanted && demote >= 0) {
+	if promote >= 0 && (voters < targetVoters || voters == targetVoters && demote >= 0) {
 		next[promote].Voter = true
 		_ = n.ProposeMembers(next)
 		return
 	}
-	if demote >= 0 && voters > wanted {
+	if demote >= 0 && voters > targetVoters {
 		_ = n.ProposeMembers(slices.Delete(next, demote, demote+1))
 	}
 }
--- a/controlplane/replacement_sim_test.go
+++ b/controlplane/replacement_sim_test.go
@@ -9,51 +9,51 @@
 )
 
 const (
-	repairTicks     = 80  // a machine that is back for so long counts as repaired
-	maxTicksWithout = 100 // a commit
-	killTicks       = 50  // a machine that is asked to leave is killed after so long
-	neverRepaired   = 1 << 40
-	simSeeds        = 3 // machines that the settings of all name
+	repairTicks    = 80  // a machine that has been back for this long counts as repaired
+	maxCommitGap   = 100 // without a commit
+	killDelayTicks = 50  // a leaving machine is killed after this time
+	neverRepaired  = 1 << 40
+	seedAddrCount  = 3 // machines whose addresses are configured as seeds
 )
 
-// replacementSim are members on machines that are lost one after another, the next one as soon
-// as the one before is repaired. The raft nodes and the policy are the real ones, a step is a
-// tick.
+// replacementSim simulates members on machines that are lost one after another, each as soon as the
+// previous one is repaired. It runs the real raft nodes and the real membership policy. A step is
+// one tick.
 type replacementSim struct {
 	seed     uint64
 	rng      *rand.Rand
 	now      int
 	machines []*simMachine
-	net      []raft.Message
-	nextID   raft.ID // of the next member with an empty disk
-	voters   int     // wanted
+	inFlight []raft.Message
+	nextID   raft.ID // last id given to a member that starts with an empty disk
+	voters   int     // the configured number
 
-	formerPolicy   bool // voters are replaced as they once were, see replaceInTwoSteps
-	alwaysLeader   bool // it is the leader that is lost, for good, and its successor is there at once
+	twoStepPolicy  bool // uses the former policy, see replaceInTwoSteps
+	alwaysLeader   bool // each loss takes the leader permanently, and its replacement starts within 10 steps
 	mixedVersions  bool // some machines don't support joint changes
 	observeChanges func([]raft.Member)
 
-	committed   map[uint64]string // by index
-	lastCommit  int               // step
-	longestGap  int               // without a commit, in steps
-	changes     int               // of members, committed
-	nextPayload int
-	losses      []string
-	failure     error
+	committed     map[uint64]string // by index
+	lastCommit    int               // step of the last commit
+	longestGap    int               // in steps without a commit
+	memberChanges int               // committed membership changes
+	nextPayload   int
+	lossLog       []string
+	failure       error
 }
 
-// simMachine is one disk, and the member on it.
+// simMachine is a disk and the member that runs on it.
 type simMachine struct {
-	id           raft.ID
-	addr         string
-	disk         raft.PersistentState
-	node         *raft.Node // nil: down
-	policy       memberPolicy
-	partitioned  bool
-	notLeaderAt  int  // the last step at which it didn't lead
-	withoutJoint bool // its version doesn't support joint changes
-	leaving      bool
-	killAt       int // when it is killed, leaving or not
+	id                raft.ID
+	addr              string
+	disk              raft.PersistentState
+	node              *raft.Node // nil while the machine is down
+	policy            memberPolicy
+	partitioned       bool
+	lastNonLeaderStep int  // the last step at which the member was not the leader
+	withoutJoint      bool // its version doesn't support joint changes
+	leaving           bool
+	killAt            int // step at which a leaving machine is killed
 
 	repair    func()
 	repairAt  int
@@ -95,7 +95,7 @@
 	}, m.disk)
 }
 
-// startEmpty has a machine start with nothing on its disk.
+// startEmpty starts a machine with an empty disk, as a new member.
 func (s *replacementSim) startEmpty(m *simMachine) {
 	s.nextID++
 	m.id, m.disk = s.nextID, raft.PersistentState{}
@@ -108,23 +108,23 @@
 	}
 }
 
-// handleReady has a machine persist, send and apply what is ready.
+// handleReady makes a machine persist, send and apply its ready batches.
 func (s *replacementSim) handleReady(m *simMachine) {
 	for r := m.node.Ready(); !r.Empty(); r = m.node.Ready() {
 		m.save(&r)
 		for _, msg := range r.Messages {
 			msg.SupportsJoint = msg.SupportsJoint && !m.withoutJoint
-			s.net = append(s.net, msg)
+			s.inFlight = append(s.inFlight, msg)
 		}
 		for i := range r.CommittedEntries {
-			s.commit(m, &r.CommittedEntries[i])
+			s.recordCommit(m, &r.CommittedEntries[i])
 		}
 		m.node.Advance(r)
 	}
 	m.compact()
 }
 
-// save stores a batch.
+// save stores the hard state, snapshot and entries of a batch.
 func (m *simMachine) save(r *raft.Ready) {
 	if r.HardState != nil {
 		m.disk.HardState = *r.HardState
@@ -138,7 +138,7 @@
 	}
 }
 
-// compact makes a snapshot where one is due.
+// compact takes a snapshot if one is due.
 func (m *simMachine) compact() {
 	applied := m.node.AppliedIndex()
 	if applied < m.node.SnapshotIndex()+snapshotEntries {
@@ -150,12 +150,13 @@
 	}
 }
 
-// commit notes an entry that a machine applies, or requires that it is the one of before.
-func (s *replacementSim) commit(m *simMachine, e *raft.Entry) {
+// recordCommit records a committed entry that a machine applies. An entry with the same index that
+// another machine has applied must be identical.
+func (s *replacementSim) recordCommit(m *simMachine, e *raft.Entry) {
 	entry := fmt.Sprint(e.Term, " ", string(e.Data))
-	if had, known := s.committed[e.Index]; known {
-		if had != entry {
-			s.fail("index %d held %q and now %q at %d", e.Index, had, entry, m.id)
+	if existing, known := s.committed[e.Index]; known {
+		if existing != entry {
+			s.fail("index %d had entry %q, but now has %q at member %d", e.Index, existing, entry, m.id)
 		}
 		return
 	}
@@ -163,16 +164,17 @@
 	if e.Members == nil {
 		return
 	}
-	s.changes++
+	s.memberChanges++
 	if s.observeChanges != nil {
 		s.observeChanges(e.Members)
 	}
-	if n := voterCount(e.Members); n != s.voters && !s.formerPolicy && !s.mixedVersions {
-		s.fail("%d voters", n)
+	if n := voterCount(e.Members); n != s.voters && !s.twoStepPolicy && !s.mixedVersions {
+		s.fail("a membership change leaves %d voters", n)
 	}
 }
 
-// leader is a machine that can commit, as far as it knows.
+// leader returns a machine that is not partitioned and has committed an entry in its term as a
+// leader, nil if there is none.
 func (s *replacementSim) leader() *simMachine {
 	for _, m := range s.machines {
 		if m.node != nil && !m.partitioned && m.node.HasCommittedInTerm() {
@@ -189,28 +191,28 @@
 	}
 	if l := s.leader(); l != nil && s.now%3 == 0 {
 		s.nextPayload++
-		// Where it can't be proposed, the gap without a commit shows it.
+		// The error is ignored: a proposal that fails shows in the gap without a commit.
 		_, _, _ = l.node.Propose(fmt.Append(nil, s.nextPayload))
 		s.handleReady(l)
 	}
-	for range 2 { // there and back in the time of a tick
+	for range 2 { // a request and its response take one tick
 		s.deliver()
 	}
 	gap := s.now - s.lastCommit
 	s.longestGap = max(s.longestGap, gap)
-	if gap > maxTicksWithout {
+	if gap > maxCommitGap {
 		s.fail("nothing was committed for %d steps", gap)
 	}
 }
 
-// stepMachine has a tick pass at a machine.
+// stepMachine advances a machine by one tick.
 func (s *replacementSim) stepMachine(m *simMachine) {
 	if m.repair != nil && s.now >= m.repairAt {
 		m.repair()
 		m.repair = nil
 	}
 	if m.leaving {
-		s.leave(m)
+		s.stepLeaving(m)
 	}
 	if m.node == nil {
 		return
@@ -218,21 +220,21 @@
 	m.node.Tick()
 	m.policy.ticks = s.now
 	if m.node.Role() != raft.Leader {
-		m.notLeaderAt = s.now
+		m.lastNonLeaderStep = s.now
 	}
 	s.reconcileMembers(m)
 	if !m.partitioned {
-		s.callOthers(m)
+		s.requestJoinOrLeave(m)
 	}
 	s.handleReady(m)
 }
 
-// reconcileMembers has a machine propose the members that there should be. A proposal is
-// refused where another change is pending; then the next step makes it again.
+// reconcileMembers makes a machine propose the members that its policy wants. A proposal is refused
+// while another change is pending; the next step repeats it.
 func (s *replacementSim) reconcileMembers(m *simMachine) {
-	if s.formerPolicy || m.withoutJoint {
+	if s.twoStepPolicy || m.withoutJoint {
 		if s.now%4 == 0 {
-			replaceInTwoSteps(m.node, s.voters, s.now-m.notLeaderAt)
+			replaceInTwoSteps(m.node, s.voters, s.now-m.lastNonLeaderStep)
 		}
 		return
 	}
@@ -241,10 +243,10 @@
 	}
 }
 
-// deliver delivers what was sent; one message in fifty is lost.
+// deliver delivers the messages in flight, and loses one in fifty.
 func (s *replacementSim) deliver() {
-	messages := s.net
-	s.net = nil
+	messages := s.inFlight
+	s.inFlight = nil
 	for _, msg := range messages {
 		from, to := s.machine(msg.From), s.machine(msg.To)
 		if from == nil || to == nil || from.partitioned || to.partitioned || to.node == nil || s.rng.IntN(50) == 0 {
@@ -255,19 +257,19 @@
 	}
 }
 
-// callOthers is what a member asks others for: to be taken in, or let go.
-func (s *replacementSim) callOthers(m *simMachine) {
+// requestJoinOrLeave makes the calls of a member that asks to be added or to leave.
+func (s *replacementSim) requestJoinOrLeave(m *simMachine) {
 	known, _ := isMember(m.node.Members(), m.id)
 	switch l := s.leader(); {
-	case m.leaving && l != nil && l != m && s.now%4 == 0 && !s.formerPolicy:
+	case m.leaving && l != nil && l != m && s.now%4 == 0 && !s.twoStepPolicy:
 		l.policy.markLeaving(m.id)
 	case (!known || m.node.Leader() == 0) && s.now%joinTicks == 0:
 		s.requestJoin(m)
 	}
 }
 
-// requestJoin is a round of a [joiner], in which calls take no time: a machine asks the seeds and the
-// members that it knows, then those that they name as leader.
+// requestJoin performs one round of a [joiner], with calls that take no time: a machine calls the
+// seeds and the members that it knows, then the leaders that they name.
 func (s *replacementSim) requestJoin(m *simMachine) {
 	var members []string
 	for _, other := range m.node.Members() {
@@ -291,21 +293,21 @@
 	}
 }
 
-// addMember has a leader add a machine's member, unless it is there.
+// addMember makes a leader propose to add the member of a machine, unless it is one already.
 func (s *replacementSim) addMember(l, m *simMachine) {
 	members := l.node.Members()
 	if known, _ := isMember(members, m.id); known {
 		return
 	}
-	joins := raft.Member{ID: m.id, Addr: m.addr, SupportsJoint: !m.withoutJoint}
-	_ = l.node.ProposeMembers(append(slices.Clone(members), joins)) // it asks again
+	joining := raft.Member{ID: m.id, Addr: m.addr, SupportsJoint: !m.withoutJoint}
+	_ = l.node.ProposeMembers(append(slices.Clone(members), joining)) // if refused, the machine asks again
 	s.handleReady(l)
 }
 
-// seeds are the addresses that each machine is given, of some of the machines only.
+// seeds returns the configured seed addresses, which are those of the first machines only.
 func (s *replacementSim) seeds() []string {
 	var addrs []string
-	for _, m := range s.machines[:simSeeds] {
+	for _, m := range s.machines[:seedAddrCount] {
 		addrs = append(addrs, m.addr)
 	}
 	return addrs
--- a/controlplane/replacement_test.go
+++ b/controlplane/replacement_test.go
@@ -9,12 +9,12 @@
 	"example.org/elmspan/raft"
 )
 
-var repairSeeds = flag.Uint64("repair.seeds", 60, "runs of TestSecondLossAfterRepairIsBorne, each of six losses")
+var repairSeeds = flag.Uint64("repair.seeds", 60, "runs of TestSecondLossAfterRepairIsTolerated, of six losses each")
 
-// A machine is lost, in any way, and the next one as soon as the first one or its successor
-// has been back for 4 s: something is committed at least every 5 s, nothing that was committed
-// is lost, and the number of voters is never an even one.
-func TestSecondLossAfterRepairIsBorne(t *testing.T) {
+// A machine is lost, in any way, and the next one as soon as the first one or its replacement has
+// been back for 4 s. An entry is committed at least every 5 s, no committed entry is lost, and the
+// number of voters stays the configured one: it is never even.
+func TestSecondLossAfterRepairIsTolerated(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		voters, standbys int
@@ -39,17 +39,17 @@
 					failed++
 					t.Error(err)
 				}
-				longestGap, changes = max(longestGap, s.longestGap), changes+s.changes
+				longestGap, changes = max(longestGap, s.longestGap), changes+s.memberChanges
 			}
-			t.Logf("%d of %d failed; at most %d steps without a commit, %.1f changes of members a run",
+			t.Logf("%d of %d failed; at most %d steps without a commit, %.1f membership changes per run",
 				failed, *repairSeeds, longestGap, float64(changes)/float64(*repairSeeds))
 		})
 	}
 }
 
-// A voter that was lost before its leader was is replaced by the next leader an election time
-// after that was elected: it has never answered that one, and is not waited for anew.
-func TestLostVoterIsNotWaitedForAnewByEachLeader(t *testing.T) {
+// A voter is lost, and then the leader. The voter has never answered the next leader, which replaces
+// it one election timeout after its own election instead of waiting for the full timeout again.
+func TestNewLeaderDoesNotRestartLostVoterTimeout(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
 		s := newReplacementSim(seed, 5, 2)
@@ -80,16 +80,17 @@
 	}
 }
 
-// With voters replaced in two steps, 0.2 s apart, and those that do not answer after 3 s, as it once was, a
-// second loss finds no majority: TestSecondLossAfterRepairIsBorne finds such a fault.
-func TestReplacementInTwoStepsBearsNoSecondLoss(t *testing.T) {
+// With the former policy, which replaces voters in two steps 0.2 s apart and only after 3 s without an
+// answer, a second loss leaves no majority. This shows that TestSecondLossAfterRepairIsTolerated
+// detects such a policy.
+func TestTwoStepReplacementFailsOnSecondLoss(t *testing.T) {
 	t.Parallel()
 	for _, alwaysLeader := range []bool{true, false} {
 		failed := 0
 		var first error
 		for seed := range *repairSeeds {
 			s := newReplacementSim(seed, 3, 0)
-			s.formerPolicy, s.alwaysLeader = true, alwaysLeader
+			s.twoStepPolicy, s.alwaysLeader = true, alwaysLeader
 			if err := s.run(6, 1); err != nil {
 				failed++
 				if first == nil {
@@ -97,17 +98,18 @@
 				}
 			}
 		}
-		t.Logf("always the leader: %t: %d of %d seeds fail, the first: %v", alwaysLeader, failed, *repairSeeds, first)
+		t.Logf("always the leader: %t: %d of %d seeds failed, the first: %v", alwaysLeader, failed, *repairSeeds, first)
 		if alwaysLeader && failed < int(*repairSeeds/4) {
-			t.Errorf("%d of %d seeds: the former policy is not found to fail", failed, *repairSeeds)
+			t.Errorf("%d of %d seeds failed: the fault of the former policy is not detected", failed, *repairSeeds)
 		}
 	}
 }
 
-// With one machine of a version that doesn't support joint changes, voters are replaced by one
-// more and then one less, as before; no such machine ever votes by a joint change. Upgraded,
-// it is recorded as such, and replacements are joint again.
-func TestMachinesWithoutJointChangesAreBorne(t *testing.T) {
+// While one machine runs a version without joint membership changes, voters are replaced in two
+// steps, by adding one and then removing one, and that machine is never part of a joint change.
+// After its upgrade, the machine is recorded as supporting joint changes, and replacements are
+// joint again.
+func TestMachinesWithoutJointChangesAreSupported(t *testing.T) {
 	t.Parallel()
 	even, joint := 0, 0
 	for seed := range *repairSeeds {
@@ -131,16 +133,16 @@
 		if slices.ContainsFunc(members, func(m raft.Member) bool {
 			return !m.SupportsJoint && s.machine(m.ID) != nil
 		}) {
-			t.Fatalf("seed %d: not all are recorded to support joint changes: %v", seed, members)
+			t.Fatalf("seed %d: not all members are recorded as supporting joint changes: %v", seed, members)
 		}
 	}
 	if even == 0 || joint == 0 {
-		t.Errorf("%d changes in two steps, %d joint ones: too few to show anything", even, joint)
+		t.Errorf("%d two-step changes, %d joint changes: too few for a meaningful test", even, joint)
 	}
 }
 
-// checkJointChange returns how many outgoing voters there are, and requires that all of them
-// support joint changes.
+// checkJointChange returns the number of outgoing voters, and requires that all of them support
+// joint changes.
 func (s *replacementSim) checkJointChange(members []raft.Member) int {
 	outgoing := 0
 	for _, m := range members {
@@ -149,15 +151,15 @@
 		}
 		outgoing++
 		if x := s.machine(m.ID); x != nil && x.withoutJoint {
-			s.fail("%d doesn't support joint changes, and is part of one", m.ID)
+			s.fail("member %d is part of a joint change, which it doesn't support", m.ID)
 		}
 	}
 	return outgoing
 }
 
-// An even number of voters bears no more losses than one less: of four first voters one is a
-// standby from then on.
-func TestFourthFirstVoterBecomesStandby(t *testing.T) {
+// An even number of voters tolerates no more losses than one voter less: one of four initial voters
+// becomes a standby.
+func TestFourthInitialVoterBecomesStandby(t *testing.T) {
 	t.Parallel()
 	s := newReplacementSim(1, 4, 0)
 	s.mixedVersions, s.voters = true, 3
--- a/controlplane/sim_client_test.go
+++ b/controlplane/sim_client_test.go
@@ -11,37 +11,38 @@
 	"example.org/elmspan/raft"
 )
 
-// simClient makes one call after the other.
+// simClient is a client that makes calls in sequence.
 type simClient struct {
 	id        int
-	newest    uint64 // the newest revision that it knows
+	newest    uint64 // the newest revision known to the client
 	busy      bool
-	in        input // the call it makes
+	in        input // the current call
 	calledAt  int64
-	member    raft.ID      // that is called
-	call      *pendingCall // at that member; nil: it calls none now
-	stepsLeft int          // steps until it calls another member
+	member    raft.ID      // to which the call was sent
+	call      *pendingCall // at that member, nil while no member handles it
+	stepsLeft int          // until the call to the member times out
 	attempts  int
 }
 
-// input and output are those of the register, for the checkers.
+// input is a call to the register, as the history checkers get it.
 type input struct {
 	get            bool
 	base, revision uint64
-	print          fingerprint
+	fingerprint    fingerprint
 	config         []byte
 }
 
+// output is the answer to a call, as the history checkers get it.
 type output struct {
-	status   int // 0: no clear answer
-	revision uint64
-	print    fingerprint
+	status      int // 0: no definite answer
+	revision    uint64
+	fingerprint fingerprint
 }
 
-// newPendingCall is a call as a member gets it.
+// newPendingCall returns a call as a member receives it.
 func newPendingCall(in *input) *pendingCall {
 	p := &pendingCall{get: in.get}
-	p.base, p.revision, p.content = in.base, in.revision, in.print
+	p.base, p.revision, p.content = in.base, in.revision, in.fingerprint
 	if !p.get {
 		var err error
 		if p.entry, err = encodeReplaceCommand(p.base, p.revision, in.config); err != nil {
@@ -51,10 +52,10 @@
 	return p
 }
 
-// stepClient has a client go on with its call, or begin one.
+// stepClient makes a client continue its call or begin a new one.
 func (s *registerSim) stepClient(c *simClient) {
 	if !c.busy {
-		if s.calm || s.rng.IntN(6) > 0 {
+		if s.faultsEnded || s.rng.IntN(6) > 0 {
 			return
 		}
 		s.beginCall(c)
@@ -67,11 +68,11 @@
 		if m := s.members[c.member]; m != nil {
 			m.drop(c.call)
 		}
-		c.call = nil // no clear answer here
+		c.call = nil // this member gave no definite answer
 	}
 	c.attempts++
 	if c.attempts > maxCallAttempts {
-		s.end(c, output{}, true)
+		s.endCall(c, output{}, true)
 		return
 	}
 	if s.rng.IntN(3) > 0 {
@@ -81,23 +82,24 @@
 	c.call = newPendingCall(&c.in)
 }
 
-// beginCall draws a client's next call. Other clients pick the same revisions.
+// beginCall draws the next call of a client. Revisions are drawn from a small range, so that clients
+// compete for them.
 func (s *registerSim) beginCall(c *simClient) {
-	c.busy, c.calledAt, c.attempts, c.call = true, s.tick(), 0, nil
+	c.busy, c.calledAt, c.attempts, c.call = true, s.advanceClock(), 0, nil
 	c.in = input{
 		get:      s.rng.IntN(3) == 0,
 		base:     c.newest,
 		revision: c.newest + 1 + s.rng.Uint64N(3),
 	}
 	if s.rng.IntN(30) == 0 {
-		c.in.revision = c.newest // never valid
+		c.in.revision = c.newest // invalid: not greater than the base
 	}
 	c.in.config = fmt.Append(nil, c.in.revision, c.id, s.now)
-	c.in.print = fingerprintOf(c.in.config)
+	c.in.fingerprint = fingerprintOf(c.in.config)
 }
 
-// answer has a member go on with the calls that are at it.
-func (s *registerSim) answer(id raft.ID) {
+// advanceCalls makes a member advance the calls that were sent to it.
+func (s *registerSim) advanceCalls(id raft.ID) {
 	m := s.members[id]
 	if m == nil || s.frozen[id] > 0 {
 		return
@@ -107,36 +109,36 @@
 			continue
 		}
 		r, done := s.drive(id, c.call)
-		if s.members[id] != m { // it lost power
+		if s.members[id] != m { // the member lost power
 			return
 		}
 		if done {
-			s.receive(c, &r, m)
+			s.receiveAnswer(c, &r, m)
 		}
 	}
 }
 
-// receive has a client get a member's answer. One in twelve is lost.
-func (s *registerSim) receive(c *simClient, r *api.ControlResponse, m *simMember) {
+// receiveAnswer delivers a member's answer to a client. One in twelve definite answers is lost.
+func (s *registerSim) receiveAnswer(c *simClient, r *api.ControlResponse, m *simMember) {
 	if r.Status == 0 || r.Status == http.StatusServiceUnavailable {
 		c.call = nil
 		return
 	}
 	if s.rng.IntN(12) == 0 {
-		c.call = nil // the call is sent again unchanged
+		c.call = nil // the client will retry the call unchanged
 		if s.losses && s.rng.IntN(3) == 0 {
-			c.attempts = -s.rng.IntN(600) // ... for as long as it takes, and others go on meanwhile
+			c.attempts = -s.rng.IntN(600) // for longer, while other clients make more calls
 		}
 		return
 	}
 	out := output{status: r.Status, revision: m.state.Revision}
 	if n := len(m.state.Applied); n > 0 {
-		out.print = m.state.Applied[n-1].fingerprint
+		out.fingerprint = m.state.Applied[n-1].fingerprint
 	}
-	s.end(c, out, false)
+	s.endCall(c, out, false)
 }
 
-// drive has a member go on with a call.
+// drive makes a member advance a call, and returns the result once the call is done.
 func (s *registerSim) drive(id raft.ID, p *pendingCall) (r api.ControlResponse, done bool) {
 	m := s.members[id]
 	progress := s.advance(m, p)
@@ -149,7 +151,7 @@
 	return progress.result, progress.done
 }
 
-// advance advances a call as the register does, or as one with a planted fault.
+// advance advances a call as the register does, or as a register with the planted fault does.
 func (s *registerSim) advance(m *simMember, p *pendingCall) callProgress {
 	if m.node.Role() != raft.Leader || p.index != 0 {
 		return m.advance(m.node, p)
@@ -177,23 +179,24 @@
 	return m.advance(m.node, p)
 }
 
-// end ends a client's call. open: it has no clear answer, and may still take effect.
-func (s *registerSim) end(c *simClient, out output, open bool) {
+// endCall ends a client's call and adds it to the history. An unresolved call has no definite answer
+// and may still take effect.
+func (s *registerSim) endCall(c *simClient, out output, unresolved bool) {
 	c.busy, c.call = false, nil
 	op := porcupine.Operation{
 		ClientId: c.id,
 		Input:    c.in,
 		Call:     c.calledAt,
 		Output:   out,
-		Return:   s.tick(),
+		Return:   s.advanceClock(),
 	}
-	if open {
+	if unresolved {
 		if c.in.get {
-			return // says nothing
+			return // an unanswered read proves nothing
 		}
-		// The checker wants one call at a time of each client: this one goes on as
-		// another's.
-		op.ClientId, op.Return = 1000+len(s.history), openEnd
+		// The checker requires that each client makes one call at a time: this call
+		// is attributed to a client of its own.
+		op.ClientId, op.Return = 1000+len(s.history), unknownReturn
 	}
 	s.history = append(s.history, op)
 	switch {
--- a/controlplane/sim_faults_test.go
+++ b/controlplane/sim_faults_test.go
@@ -6,26 +6,26 @@
 	"example.org/elmspan/raft"
 )
 
-// The faults that can be planted in the members of a simulation, for the checkers to find.
+// The faults that can be planted in the members of a simulation, for the checkers to detect.
 const (
-	faultReadsUnconfirmed         = "reads without a confirmation"
-	faultRefusesUnconfirmed       = "refuses without a confirmation"
+	faultReadsUnconfirmed         = "reads without confirming leadership"
+	faultRefusesUnconfirmed       = "refuses without confirming leadership"
 	faultIgnoresFingerprint       = "distinguishes commands by their revision alone"
-	faultRemembersFour            = "remembers four revisions"
-	faultAppliesWithoutEvaluation = "evaluates before proposing, and not when applying"
-	faultConfirmsProposed         = "confirms before it is committed"
-	faultAnswersByIndexAlone      = "answers by another's entry"
-	faultSendsBeforeSync          = "sends before the disk has synced"
+	faultRemembersFour            = "remembers only four revisions"
+	faultAppliesWithoutEvaluation = "evaluates before proposing, but not when applying"
+	faultConfirmsProposed         = "acknowledges before the commit"
+	faultAnswersByIndexAlone      = "answers by the index of an entry, whatever its term"
+	faultSendsBeforeSync          = "sends before the disk sync"
 	faultWipedKeepsID             = "a wiped member keeps its id"
 )
 
-// powerOff has a member lose power. Its disk keeps what was saved.
+// powerOff makes a member lose power. Its disk keeps the saved state.
 func (s *registerSim) powerOff(id raft.ID) {
 	delete(s.members, id)
 	delete(s.frozen, id)
 }
 
-// failAfterAcknowledgement is a fault at a leader right after it has acknowledged something.
+// failAfterAcknowledgement injects a fault at a leader right after it has acknowledged a command.
 func (s *registerSim) failAfterAcknowledgement(id raft.ID) {
 	if !s.losses {
 		s.powerOff(id)
@@ -35,12 +35,12 @@
 	switch s.rng.IntN(4) {
 	case 0:
 		s.powerOff(id)
-	case 1: // all lose power
+	case 1: // all members lose power
 		clear(s.members)
-	case 2: // one disk is lost while all others lose power
+	case 2: // the leader's disk is lost while all members lose power
 		clear(s.members)
 		fallthrough
-	case 3: // one disk is lost
+	case 3: // the leader's disk is lost
 		s.powerOff(id)
 		if canLoseDisk {
 			s.wipe(slices.Index(s.slots, id))
@@ -48,7 +48,8 @@
 	}
 }
 
-// wipe takes a machine's disk away: what starts there is a new member.
+// wipe replaces the disk of a machine by an empty one, on which a new member starts: with
+// faultWipedKeepsID, one with the id of the old member.
 func (s *registerSim) wipe(slot int) {
 	old := s.slots[slot]
 	s.powerOff(old)
@@ -76,40 +77,40 @@
 	}
 }
 
-// injectFault has one thing happen, or nothing.
+// injectFault injects one random fault, repairs links, restarts a member, or does nothing.
 func (s *registerSim) injectFault() {
 	slot := s.rng.IntN(len(s.slots))
-	one, other := s.slots[slot], s.slots[s.rng.IntN(len(s.slots))]
+	target, peer := s.slots[slot], s.slots[s.rng.IntN(len(s.slots))]
 	switch event := s.rng.IntN(60); {
 	case event == 0:
-		s.powerOff(one)
+		s.powerOff(target)
 	case event <= 3:
-		s.blocked[link{one, other}] = true
+		s.blocked[link{target, peer}] = true
 	case event == 4:
 		s.isolateLeaders()
 	case event <= 6:
 		clear(s.blocked)
 		clear(s.slow)
 	case event == 7:
-		s.frozen[one] = 20 + s.rng.IntN(60)
+		s.frozen[target] = 20 + s.rng.IntN(60)
 	case event <= 11:
-		if s.members[one] == nil {
-			s.start(one)
+		if s.members[target] == nil {
+			s.start(target)
 		}
 	case event == 12:
 		s.restartAll()
 	case event == 13:
 		if s.losses {
-			s.slow[link{one, other}] = true
+			s.slow[link{target, peer}] = true
 		}
 	case event == 14:
-		s.isolated(one)
+		s.partitionTemporarily(target)
 	case event <= 18:
 		s.loseDisk(slot)
 	}
 }
 
-// loseDisk wipes a machine, in a simulation with losses, where that can't lose what is committed.
+// loseDisk wipes a machine, in a simulation with losses, if no committed entry can be lost by that.
 func (s *registerSim) loseDisk(slot int) {
 	leader := s.leader()
 	if s.losses && leader != 0 && len(s.partitioned) == 0 && s.canLoseDisk(s.members[leader]) {
@@ -117,7 +118,8 @@
 	}
 }
 
-// isolateLeaders cuts each leader off: all that it is sent, and half of the time what it sends.
+// isolateLeaders blocks all messages to each leader and, with a probability of one half, those from
+// it.
 func (s *registerSim) isolateLeaders() {
 	for _, id := range s.ids() {
 		if s.members[id].node.Role() == raft.Leader {
@@ -126,7 +128,7 @@
 	}
 }
 
-// restartAll has all members lose power and start again.
+// restartAll makes all members lose power and restart.
 func (s *registerSim) restartAll() {
 	clear(s.members)
 	clear(s.frozen)
@@ -135,13 +137,13 @@
 	}
 }
 
-// isolated cuts a member off for 20 s, in a simulation with losses; half of the time the leader in
-// its place.
-func (s *registerSim) isolated(id raft.ID) {
+// partitionTemporarily isolates a member for 20 s, in a simulation with losses. With a probability of
+// one half it isolates the leader instead.
+func (s *registerSim) partitionTemporarily(id raft.ID) {
 	if leader := s.leader(); leader != 0 && s.rng.IntN(2) == 0 {
 		id = leader
 	}
 	if s.losses && len(s.partitioned) == 0 {
-		s.partitioned[id] = s.now + longPartition
+		s.partitioned[id] = s.now + partitionSteps
 	}
 }
--- a/controlplane/sim_member_test.go
+++ b/controlplane/sim_member_test.go
@@ -12,7 +12,7 @@
 	"example.org/elmspan/raft"
 )
 
-// restore has a member go on with the state of a snapshot.
+// restore replaces the state of a member by that of a snapshot.
 func (m *simMember) restore(data []byte) {
 	m.state = State{}
 	if len(data) == 0 {
@@ -23,7 +23,7 @@
 	}
 }
 
-// save leaves on the disk what a Save of the store does: all of it or nothing.
+// save stores a batch on the disk atomically, as Save of the store does.
 func (s *registerSim) save(id raft.ID, r raft.Ready) {
 	d := s.disks[id]
 	if r.HardState != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// handleReady has a member persist, send and apply what is ready.
+// handleReady makes a member persist, send and apply its ready batches.
 func (s *registerSim) handleReady(id raft.ID) {
 	m := s.members[id]
 	for r := m.node.Ready(); !r.Empty(); r = m.node.Ready() {
@@ -46,16 +46,16 @@
 			return
 		}
 	}
-	s.syncLater(id, m)
+	s.syncDeferred(id, m)
 	s.compact(id, m)
 }
 
-// handleBatch handles one batch. It returns false where the member lost power.
+// handleBatch handles one batch. It returns false if the member lost power.
 func (s *registerSim) handleBatch(id raft.ID, m *simMember, r raft.Ready) bool {
 	if r.MustSync() && !s.persist(id, m, r) {
 		return false
 	}
-	s.net = append(s.net, r.Messages...)
+	s.inFlight = append(s.inFlight, r.Messages...)
 	if r.Snapshot != nil {
 		m.restore(r.Snapshot.Data)
 	}
@@ -64,19 +64,19 @@
 		applied = s.apply(m, e) || applied
 	}
 	m.node.Advance(r)
-	if !applied || m.node.Role() != raft.Leader || !s.chance(30) {
+	if !applied || m.node.Role() != raft.Leader || !s.oneIn(30) {
 		return true
 	}
-	s.answer(id) // what was acknowledged was acknowledged; then power is lost
+	s.advanceCalls(id) // sends the acknowledgements before the member fails
 	if s.members[id] == m {
 		s.failAfterAcknowledgement(id)
 	}
 	return false
 }
 
-// persist saves a batch. It returns false where power was lost before or after the sync.
+// persist saves a batch. It returns false if power was lost before or after the sync.
 func (s *registerSim) persist(id raft.ID, m *simMember, r raft.Ready) bool {
-	if s.losses && s.chance(400) { // before: nothing of it is kept
+	if s.losses && s.oneIn(400) { // before the sync: the batch is lost
 		s.powerOff(id)
 		return false
 	}
@@ -85,15 +85,16 @@
 	} else {
 		s.save(id, r)
 	}
-	if s.losses && s.chance(800) { // after
+	if s.losses && s.oneIn(800) { // after the sync
 		s.powerOff(id)
 		return false
 	}
 	return true
 }
 
-// syncLater saves, at some time, what a member with faultSendsBeforeSync has not.
-func (s *registerSim) syncLater(id raft.ID, m *simMember) {
+// syncDeferred saves, with a probability of one in four, the batches that a member with
+// faultSendsBeforeSync has not synced.
+func (s *registerSim) syncDeferred(id raft.ID, m *simMember) {
 	if len(m.unsynced) == 0 || s.rng.IntN(4) != 0 {
 		return
 	}
@@ -103,7 +104,7 @@
 	m.unsynced = nil
 }
 
-// compact makes a snapshot where one is due.
+// compact takes a snapshot if one is due, in a simulation with losses.
 func (s *registerSim) compact(id raft.ID, m *simMember) {
 	applied := m.node.AppliedIndex()
 	due := applied%snapshotEntries == 0 && applied > m.node.SnapshotIndex()
@@ -121,8 +122,8 @@
 	}
 }
 
-// apply applies an entry as the register does, or as one with a planted fault. It notes the
-// version that it brings, and returns whether it brings one.
+// apply applies an entry as the register does, or as a register with the planted fault does. If the
+// entry produces a new version, apply records it and returns true.
 func (s *registerSim) apply(m *simMember, e raft.Entry) bool {
 	before := m.state.Revision
 	switch {
@@ -138,7 +139,7 @@
 		return false
 	}
 	newest := m.state.Applied[len(m.state.Applied)-1]
-	s.note(appliedVersion{before, newest.Revision, newest.fingerprint, s.tick()})
+	s.recordVersion(appliedVersion{before, newest.Revision, newest.fingerprint, s.advanceClock()})
 	if s.fault == faultRemembersFour {
 		m.state.Applied = slices.Clone(m.state.Applied[max(0, len(m.state.Applied)-4):])
 	} else {
@@ -147,7 +148,7 @@
 	return true
 }
 
-// applyWithoutEvaluation applies the command of an entry whatever the state is.
+// applyWithoutEvaluation applies the command of an entry unconditionally.
 func applyWithoutEvaluation(m *simMember, e raft.Entry) {
 	var command replaceCommand
 	if err := cbor.Unmarshal(e.Data, &command); err != nil {
@@ -161,33 +162,35 @@
 	}
 }
 
-// note adds a version that a member applied to the chain, or requires that it is in it.
-func (s *registerSim) note(v appliedVersion) {
-	i, known := s.version(v.revision)
+// recordVersion appends a version that a member applied to appliedVersions. A version that another
+// member has applied must be identical.
+func (s *registerSim) recordVersion(v appliedVersion) {
+	i, known := s.findVersion(v.revision)
 	if known {
-		if had := s.chain[i]; had.print != v.print || had.base != v.base {
-			s.diverged = fmt.Errorf("a member applies %d on top of %d, another one applied another on top of %d",
-				v.revision, v.base, had.base)
+		if existing := s.appliedVersions[i]; existing.fingerprint != v.fingerprint || existing.base != v.base {
+			s.divergence = fmt.Errorf("members applied different versions of revision %d, on top of %d and of %d",
+				v.revision, v.base, existing.base)
 		}
 		return
 	}
-	if n := len(s.chain); n > 0 {
-		last := s.chain[n-1]
+	if n := len(s.appliedVersions); n > 0 {
+		last := s.appliedVersions[n-1]
 		switch {
 		case i < n:
-			s.diverged = fmt.Errorf("a member applies %d, and %d was applied before", v.revision, last.revision)
+			s.divergence = fmt.Errorf("a member applied revision %d, but %d was applied before",
+				v.revision, last.revision)
 			return
 		case last.revision != v.base:
-			s.diverged = fmt.Errorf("%d is applied on top of %d, while %d was current",
+			s.divergence = fmt.Errorf("revision %d was applied on top of %d, while %d was current",
 				v.revision, v.base, last.revision)
 		}
 	}
-	s.chain = append(s.chain, v)
+	s.appliedVersions = append(s.appliedVersions, v)
 }
 
-// version returns the index in the chain of a version, and whether it is there.
-func (s *registerSim) version(revision uint64) (int, bool) {
-	return slices.BinarySearchFunc(s.chain, revision, func(v appliedVersion, revision uint64) int {
+// findVersion returns the index of a revision in appliedVersions, and whether it is there.
+func (s *registerSim) findVersion(revision uint64) (int, bool) {
+	return slices.BinarySearchFunc(s.appliedVersions, revision, func(v appliedVersion, revision uint64) int {
 		return cmp.Compare(v.revision, revision)
 	})
 }
--- a/controlplane/sim_world_test.go
+++ b/controlplane/sim_world_test.go
@@ -14,44 +14,44 @@
 	"example.org/elmspan/raft"
 )
 
-// registerSim is a control plane without sockets or disks: members that persist, send and
-// apply as [Core] does, and clients whose calls go to whichever machine, again and again until
-// there is an answer. All that happens comes from the seed.
+// registerSim simulates a control plane without sockets or disks: members that persist, send and
+// apply as [Core] does, and clients that send each call to random machines until there is an
+// answer. All events derive from the seed.
 type registerSim struct {
 	simConfig
-	fault string // planted, empty for none
-	rng   *rand.Rand
-	now   int64 // in steps, of a tick of 50 ms
-	clock int64 // rises with each event that is ordered
-	calm  bool  // no more faults and no more calls but those under way
-
-	slots   []raft.ID // of each machine, the member on it
-	nextID  raft.ID   // of the member on the next empty disk
+	fault       string // planted in all members, empty for none
+	rng         *rand.Rand
+	now         int64 // in steps of one tick, 50 ms
+	clock       int64 // logical time: incremented at each event in the history
+	faultsEnded bool  // no new faults or calls; calls in progress are completed
+
+	slots   []raft.ID // by machine, the id of the member on it
+	nextID  raft.ID   // id of the last member that started with an empty disk
 	members map[raft.ID]*simMember
 	disks   map[raft.ID]*raft.PersistentState
 
-	net         []raft.Message
+	inFlight    []raft.Message
 	blocked     map[link]bool
 	slow        map[link]bool
-	partitioned map[raft.ID]int64 // off from all others until that step
-	frozen      map[raft.ID]int   // does nothing for so many steps
+	partitioned map[raft.ID]int64 // until which step the member is isolated
+	frozen      map[raft.ID]int   // for how many more steps the member does nothing
 
-	clients  []*simClient
-	history  []porcupine.Operation
-	chain    []appliedVersion // in the order of the log
-	diverged error            // two members have applied different versions
+	clients         []*simClient
+	history         []porcupine.Operation
+	appliedVersions []appliedVersion // in log order
+	divergence      error            // set if two members have applied different versions
 }
 
-// simConfig is the size of a simulation.
+// simConfig is the configuration of a simulation.
 type simConfig struct {
 	clients, machines, steps int
-	// losses: disks too are lost, members replaced, logs truncated, links slow.
+	// losses also makes disks fail, members be replaced, logs be truncated and links be slow.
 	losses     bool
-	remembered int // revisions, for commands that are sent again
+	remembered int // number of applied revisions kept to recognize retried commands
 }
 
-// Small simulations are for the checker of linearizability, large ones, of 55 s, for the check
-// that takes time in proportion to the history.
+// smallSim is for the linearizability checker, whose search grows fast with the history. largeSim, of
+// 55 s, is for checkHistory, which takes time proportional to the history.
 var (
 	smallSim = simConfig{
 		clients:    4,
@@ -70,34 +70,36 @@
 
 const (
 	simVoters          = 3
-	firstReplacementID = raft.ID(100) // members with an empty disk have higher ids
+	firstReplacementID = raft.ID(100) // members that start with an empty disk have higher ids
 	maxCallAttempts    = 300
-	snapshotEntries    = 16  // between snapshots
-	longPartition      = 400 // steps: 20 s
+	snapshotEntries    = 16  // entries between snapshots
+	partitionSteps     = 400 // 20 s
 	convergenceSteps   = 1500
-	maxNetwork         = 300 // messages under way; where there are more, the oldest are lost
-	keptNetwork        = 200
-	// openEnd is the end of calls without a clear answer: they may take effect at any time.
-	openEnd = int64(1) << 40
-	// maxModelSteps bounds the search for a linearization: beyond it is Unknown, which fails.
+	maxInFlight        = 300 // messages; beyond it, all but the newest keptInFlight are dropped
+	keptInFlight       = 200
+	// unknownReturn is the return time of calls without a definite answer, which may take effect
+	// at any time.
+	unknownReturn = int64(1) << 40
+	// maxModelSteps limits the search for a linearization. A search that exceeds it returns
+	// Unknown, which fails the test.
 	maxModelSteps = 2_000_000
 )
 
-// link is one direction between two members: from, to.
+// link is the sender and the receiver of one direction of a link.
 type link [2]raft.ID
 
-// simMember is a member that runs.
+// simMember is a running member.
 type simMember struct {
 	casRegister
 	node     *raft.Node
 	policy   memberPolicy
-	unsynced []raft.Ready // of one with faultSendsBeforeSync
+	unsynced []raft.Ready // batches of a member with faultSendsBeforeSync that are not on the disk
 }
 
-// appliedVersion is a configuration that was applied.
+// appliedVersion is an applied configuration.
 type appliedVersion struct {
 	base, revision uint64
-	print          fingerprint
+	fingerprint    fingerprint
 	at             int64 // when some member first applied it
 }
 
@@ -133,10 +135,10 @@
 	return s
 }
 
-// disksLost is how many disks were lost.
+// disksLost returns the number of lost disks.
 func (s *registerSim) disksLost() int { return int(s.nextID - firstReplacementID) }
 
-func (s *registerSim) tick() int64 {
+func (s *registerSim) advanceClock() int64 {
 	s.clock++
 	return s.clock
 }
@@ -162,11 +164,11 @@
 	s.members[id] = m
 }
 
-// chance is one in so many, but none once all is calm.
-func (s *registerSim) chance(of int) bool { return !s.calm && s.rng.IntN(of) == 0 }
+// oneIn returns true with a probability of 1/n, and never after the faults have ended.
+func (s *registerSim) oneIn(n int) bool { return !s.faultsEnded && s.rng.IntN(n) == 0 }
 
-// canLoseDisk reports whether all members live and no change of members is pending: a disk can be
-// lost. Some may lack what was committed last.
+// canLoseDisk reports whether the cluster tolerates the loss of one disk: all members run, and no
+// membership change is pending. Some members may lack the last committed entries.
 func (s *registerSim) canLoseDisk(leader *simMember) bool {
 	voters := 0
 	for _, m := range leader.node.Members() {
@@ -180,15 +182,15 @@
 	return voters == simVoters && leader.node.ProposeMembers(slices.Clone(leader.node.Members())) == nil
 }
 
-// reconcileMembers takes members in, and has the leader's policy decide who is to vote. A
-// proposal is refused where another change is pending; then the next step makes it again.
+// reconcileMembers adds new members, and lets the leader's policy choose the voters. A proposal is
+// refused while another change is pending; the next step repeats it.
 func (s *registerSim) reconcileMembers(leader *simMember) {
 	members := leader.node.Members()
 	for slot, id := range s.slots {
 		known := slices.ContainsFunc(members, func(m raft.Member) bool { return m.ID == id })
 		if s.members[id] != nil && !known {
-			joins := raft.Member{ID: id, Addr: fmt.Sprint(slot), SupportsJoint: true}
-			_ = leader.node.ProposeMembers(append(slices.Clone(members), joins))
+			joining := raft.Member{ID: id, Addr: fmt.Sprint(slot), SupportsJoint: true}
+			_ = leader.node.ProposeMembers(append(slices.Clone(members), joining))
 			return
 		}
 	}
@@ -198,10 +200,10 @@
 	}
 }
 
-// ids are those of the members that run, in order.
+// ids returns the ids of the running members, sorted.
 func (s *registerSim) ids() []raft.ID { return slices.Sorted(maps.Keys(s.members)) }
 
-// leader is a member that leads and has committed in its term, 0 for none.
+// leader returns a leader that has committed an entry in its term, 0 if there is none.
 func (s *registerSim) leader() raft.ID {
 	for _, id := range s.ids() {
 		if s.members[id].leads() {
@@ -217,7 +219,7 @@
 
 func (s *registerSim) step() {
 	s.now++
-	if !s.calm {
+	if !s.faultsEnded {
 		s.injectFault()
 	}
 	maps.DeleteFunc(s.partitioned, func(_ raft.ID, until int64) bool { return s.now > until })
@@ -229,11 +231,11 @@
 		s.stepClient(c)
 	}
 	for _, id := range s.ids() {
-		s.answer(id)
+		s.advanceCalls(id)
 	}
 }
 
-// tickMember has a tick pass at a member.
+// tickMember advances a member by one tick.
 func (s *registerSim) tickMember(id raft.ID) {
 	m := s.members[id]
 	if m == nil {
@@ -251,44 +253,45 @@
 	s.handleReady(id)
 }
 
-// deliver delivers what was sent, in any order: some of it is lost, late or doubled.
+// deliver delivers the messages in flight in random order. Some are lost, delayed or duplicated.
 func (s *registerSim) deliver() {
-	messages := s.net
-	s.net = nil
+	messages := s.inFlight
+	s.inFlight = nil
 	s.rng.Shuffle(len(messages), func(i, j int) { messages[i], messages[j] = messages[j], messages[i] })
 	for i := range messages {
 		s.deliverMessage(&messages[i])
 	}
-	if len(s.net) > maxNetwork {
-		s.net = s.net[len(s.net)-keptNetwork:]
+	if len(s.inFlight) > maxInFlight {
+		s.inFlight = s.inFlight[len(s.inFlight)-keptInFlight:]
 	}
 }
 
 func (s *registerSim) deliverMessage(msg *raft.Message) {
-	to, way := s.members[msg.To], link{msg.From, msg.To}
+	to, direction := s.members[msg.To], link{msg.From, msg.To}
 	switch {
-	case to == nil || s.blocked[way] || s.partitioned[msg.From] > 0 || s.partitioned[msg.To] > 0 || s.chance(40):
+	case to == nil || s.blocked[direction] || s.partitioned[msg.From] > 0 || s.partitioned[msg.To] > 0 || s.oneIn(40):
 		return
-	case s.frozen[msg.To] > 0 || s.rng.IntN(4) == 0 || s.slow[way] && s.rng.IntN(12) > 0:
-		s.net = append(s.net, *msg) // late
+	case s.frozen[msg.To] > 0 || s.rng.IntN(4) == 0 || s.slow[direction] && s.rng.IntN(12) > 0:
+		s.inFlight = append(s.inFlight, *msg) // delayed
 		return
-	case s.losses && s.chance(25):
-		s.net = append(s.net, *msg) // doubled
+	case s.losses && s.oneIn(25):
+		s.inFlight = append(s.inFlight, *msg) // duplicated
 	}
 	to.node.Step(*msg)
 	s.handleReady(msg.To)
 }
 
-// awaitConvergence lets calm come, until all members have converged and every call has its end. What has
-// not converged by then is in the error.
+// awaitConvergence ends all faults and steps until all members have converged, all calls have ended,
+// and a last read has returned the newest version. It returns an error if that takes more than
+// convergenceSteps.
 func (s *registerSim) awaitConvergence() error {
-	s.beCalm()
+	s.endFaults()
 	var read *pendingCall
 	readAt := raft.ID(0)
 	for range convergenceSteps {
 		s.step()
 		leader := s.leader()
-		if leader == 0 || s.hasCalls() || !s.converged() {
+		if leader == 0 || s.hasPendingCalls() || !s.converged() {
 			continue
 		}
 		if leader != readAt {
@@ -300,19 +303,19 @@
 	}
 	for _, c := range s.clients {
 		if c.busy && !c.in.get {
-			s.end(c, output{}, true)
+			s.endCall(c, output{}, true)
 		}
 	}
-	// A command that is forgotten has no clear answer, so that its call does not end.
+	// A forgotten command gets no definite answer, so that its call does not end.
 	if s.remembered < maxAppliedRevisions && s.leader() != 0 && s.converged() {
 		return nil
 	}
 	return fmt.Errorf("not converged after %d steps", convergenceSteps)
 }
 
-// beCalm ends all faults.
-func (s *registerSim) beCalm() {
-	s.calm = true
+// endFaults ends all faults and starts the members that are down.
+func (s *registerSim) endFaults() {
+	s.faultsEnded = true
 	clear(s.blocked)
 	clear(s.slow)
 	clear(s.partitioned)
@@ -324,24 +327,24 @@
 	}
 }
 
-func (s *registerSim) hasCalls() bool {
+func (s *registerSim) hasPendingCalls() bool {
 	return slices.ContainsFunc(s.clients, func(c *simClient) bool { return c.busy })
 }
 
-// checkLastRead checks that the newest version is read back in the end.
+// checkLastRead checks that the last read has returned the newest version.
 func (s *registerSim) checkLastRead(leader raft.ID, r *api.ControlResponse) error {
 	revision := s.members[leader].state.Revision
-	n := len(s.chain)
+	n := len(s.appliedVersions)
 	switch {
 	case n == 0 && r.Status == http.StatusNotFound:
 		return nil
-	case n > 0 && r.Status == http.StatusOK && revision == s.chain[n-1].revision:
+	case n > 0 && r.Status == http.StatusOK && revision == s.appliedVersions[n-1].revision:
 		return nil
 	}
-	return fmt.Errorf("in the end %d is read back, with status %d", revision, r.Status)
+	return fmt.Errorf("the last read returned revision %d with status %d", revision, r.Status)
 }
 
-// converged reports whether all machines have applied the same.
+// converged reports whether all members run and have applied the same revisions.
 func (s *registerSim) converged() bool {
 	var first *State
 	for _, id := range s.slots {
@@ -359,11 +362,11 @@
 	return true
 }
 
-// errStepLimit means that a condition did not hold within convergenceSteps.
-var errStepLimit = errors.New("not within the limit of steps")
+// errStepLimit means that a condition was not met within convergenceSteps.
+var errStepLimit = errors.New("condition not met within the step limit")
 
-// until steps until a condition holds.
-func (s *registerSim) until(condition func() bool) error {
+// stepUntil steps the simulation until a condition holds, for convergenceSteps at most.
+func (s *registerSim) stepUntil(condition func() bool) error {
 	for range convergenceSteps {
 		if condition() {
 			return nil
@@ -373,16 +376,17 @@
 	return errStepLimit
 }
 
-// play has all of it happen. It returns the first broken rule that a run finds by itself.
-func (s *registerSim) play() error {
+// run runs the simulation to the end. It returns the first violation that it detects without a
+// check of the history.
+func (s *registerSim) run() error {
 	for range s.steps {
 		s.step()
-		if s.diverged != nil {
-			return s.diverged
+		if s.divergence != nil {
+			return s.divergence
 		}
 	}
 	if err := s.awaitConvergence(); err != nil {
 		return err
 	}
-	return s.diverged
+	return s.divergence
 }
