--- a/controlplane/coresim_disk_test.go
+++ b/controlplane/coresim_disk_test.go
@@ -90,12 +90,12 @@
 
 // planWrite draws the outcome of a write. The caller holds the mutex.
 func (p *memberProcess) planWrite() writePlan {
-	m, calm, now := p.machine, p.cluster.faultsEnded, time.Now()
+	m, faultsEnded, now := p.machine, p.cluster.faultsEnded, time.Now()
 	plan := writePlan{duration: time.Duration(1+m.rng.IntN(20)) * time.Millisecond}
-	if !calm && (now.Before(m.writesSlowUntil) || m.rng.IntN(50) == 0) {
+	if !faultsEnded && (now.Before(m.writesSlowUntil) || m.rng.IntN(50) == 0) {
 		plan.duration = time.Duration(1+m.rng.IntN(2000)) * time.Millisecond
 	}
-	plan.fails = now.Before(m.writesFailUntil) && !calm
+	plan.fails = now.Before(m.writesFailUntil) && !faultsEnded
 	plan.keptOnFailure = m.rng.IntN(4) == 0
 	plan.findsCorruption = m.corrupt
 	return plan
