--- a/controlplane/apply_fuzz_test.go
+++ b/controlplane/apply_fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Whatever bytes an entry contains: revisions rise, what was applied stays applied, and the
-// same entry again changes nothing.
+// For an entry of arbitrary bytes, revisions never decrease, applied revisions stay applied, and
+// applying the entry a second time changes nothing.
 func FuzzApply(f *testing.F) {
 	var entries [][]byte
 	for i := range uint64(3) {
@@ -46,10 +46,10 @@
 		}
 		repeated := s.Apply(data)
 		if s.Revision != after || first.Outcome == OutcomeApplied && repeated.Outcome != OutcomeApplied {
-			t.Fatalf("again: revision %d after %d: %+v", s.Revision, after, repeated)
+			t.Fatalf("entry applied twice: revision %d after %d: %+v", s.Revision, after, repeated)
 		}
 		if d := s.Apply(entries[0]); d.Outcome != OutcomeApplied || s.Revision != after {
-			t.Fatalf("the first revision sent again: %+v", d)
+			t.Fatalf("first revision applied again: %+v", d)
 		}
 	})
 }
--- a/controlplane/bubble_test.go
+++ b/controlplane/bubble_test.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// bubbleLimit is against a hang: a core ticks for ever, so that no bubble with one is ever
-	// found to be without anything to do.
+	// bubbleLimit bounds the fake time of a test. A core ticks forever, so synctest never detects
+	// a deadlock in a bubble that runs one.
 	bubbleLimit = 20 * time.Minute
-	// storeGrace is how long a store that was closed still has goroutines (goleveldb's pool).
-	storeGrace = 2 * time.Second
+	// storeCloseDelay is how long goroutines of a closed store (goleveldb's buffer pool) still run.
+	storeCloseDelay = 2 * time.Second
 )
 
-// inBubble runs a test on a clock of its own, which goes on when all of it waits: what takes a
-// second takes a second of the test's, however slow or busy the machine is.
+// inBubble runs a test in a synctest bubble. Its fake clock advances only while all goroutines of
+// the test are blocked, so timing doesn't depend on the speed or load of the machine.
 func inBubble(t *testing.T, test func(*testing.T)) {
 	t.Helper()
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(storeGrace) }) // the last
-		hangs := time.AfterFunc(bubbleLimit, func() {
-			panic(fmt.Sprintf("%s: its clock has gone on for %v", t.Name(), bubbleLimit))
+		t.Cleanup(func() { time.Sleep(storeCloseDelay) }) // registered first, so it runs last
+		watchdog := time.AfterFunc(bubbleLimit, func() {
+			panic(fmt.Sprintf("%s: timed out after %v of fake time", t.Name(), bubbleLimit))
 		})
-		t.Cleanup(func() { hangs.Stop() })
+		t.Cleanup(func() { watchdog.Stop() })
 		test(t)
 	})
 }
 
-// runInBubble runs a subtest in a bubble.
+// runInBubble runs a subtest in a bubble of its own.
 func runInBubble(t *testing.T, name string, test func(*testing.T)) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) { inBubble(t, test) })
 }
 
-// memoryDir is a folder whose disk is memory where the machine has such (Linux), so that
-// nobody waits for other programs' writes: what a loss of power takes is not asked here.
+// memoryDir returns a temporary directory, in memory where /dev/shm exists (Linux), so that tests
+// don't wait for disk writes of other programs. It can't test what a power failure loses.
 func memoryDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "elmspan-test-")
--- a/controlplane/cluster_test.go
+++ b/controlplane/cluster_test.go
@@ -17,25 +17,26 @@
 )
 
 const (
-	testTimeout  = 30 * time.Second // of the bubble's clock
+	testTimeout  = 30 * time.Second // fake time in a bubble
 	pollInterval = 5 * time.Millisecond
 )
 
-// cluster are members on machines of a bubble.
+// cluster runs control plane members in one process.
 type cluster struct {
 	t       *testing.T
 	net     testNetwork
 	timeout time.Duration
 	addrs   []string
-	seeds   []string // that each machine is given
-	voters  int      // wanted
-	// knownMembers is what each process knows of members beside the seeds; nil: nothing.
+	seeds   []string // configured on each machine
+	voters  int      // target number of voters
+	// knownMembers returns the member addresses that each process knows in addition to the seeds.
+	// It is optional.
 	knownMembers func() []string
-	cores        map[string]*Core  // that run, by address
-	stops        map[string]func() // likewise
+	cores        map[string]*Core  // running members by address
+	stops        map[string]func() // stop functions of running members by address
 }
 
-// newCluster is a cluster of three members.
+// newCluster starts a cluster of three members.
 func newCluster(t *testing.T) *cluster {
 	t.Helper()
 	c := newStoppedCluster(t, 3)
@@ -45,13 +46,14 @@
 	return c
 }
 
-// newStoppedCluster is one of so many machines of which none was started yet.
-func newStoppedCluster(t *testing.T, machines int) *cluster {
+// newStoppedCluster returns a cluster of n machines on a pipe network, none of them started.
+func newStoppedCluster(t *testing.T, n int) *cluster {
 	t.Helper()
-	return newClusterOn(t, newPipeNetwork(), machines)
+	return newClusterOn(t, newPipeNetwork(), n)
 }
 
-func newClusterOn(t *testing.T, network testNetwork, machines int) *cluster {
+// newClusterOn returns a cluster of n machines on a network, none of them started.
+func newClusterOn(t *testing.T, network testNetwork, n int) *cluster {
 	t.Helper()
 	c := &cluster{
 		t:       t,
@@ -61,7 +63,7 @@
 		cores:   map[string]*Core{},
 		stops:   map[string]func(){},
 	}
-	for range machines {
+	for range n {
 		c.addrs = append(c.addrs, c.net.newAddr())
 	}
 	c.seeds = c.addrs
@@ -84,7 +86,7 @@
 	c.serve(addr, listener, core, core)
 }
 
-// open opens a member on a folder. Its store and its connections are closed when it stops.
+// open opens a member on a data directory. Stopping the member closes its store and connections.
 func (c *cluster) open(addr, dir string, bootstrap bool) *Core {
 	c.t.Helper()
 	store, err := storage.Open(dir)
@@ -109,10 +111,11 @@
 	return core
 }
 
-// serve runs a member, and serves its calls by what stands for it, until it is stopped.
-func (c *cluster) serve(addr string, listener net.Listener, core *Core, calls api.Control) {
+// serve runs a member and serves its RPCs with service until the member is stopped. service is the
+// member itself or a wrapper of it.
+func (c *cluster) serve(addr string, listener net.Listener, core *Core, service api.Control) {
 	server := api.NewServer(nil)
-	api.RegisterControl(server, calls)
+	api.RegisterControl(server, service)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go serveUntilStopped(server, listener)
@@ -124,14 +127,14 @@
 		err := <-ended
 		core.cfg.Conns.Close()
 		if err = errors.Join(err, core.cfg.Store.(*storage.Store).Close()); err != nil {
-			c.t.Errorf("%s ends with %v", addr, err)
+			c.t.Errorf("stopping %s: %v", addr, err)
 		}
 		delete(c.cores, addr)
 		delete(c.stops, addr)
 	}
 }
 
-// waitUntil waits for a condition.
+// waitUntil polls until a condition holds, and fails the test on timeout.
 func (c *cluster) waitUntil(what string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(c.timeout)
@@ -143,7 +146,7 @@
 	}
 }
 
-// awaitLeader waits for a leader that has committed in its term.
+// awaitLeader waits for a leader that has committed an entry in its term.
 func (c *cluster) awaitLeader() *Core {
 	c.t.Helper()
 	var leader *Core
@@ -163,12 +166,12 @@
 	return nil
 }
 
-// awaitRevision waits until all members that run have applied a revision.
+// awaitRevision waits until all running members have applied a revision.
 func (c *cluster) awaitRevision(revision uint64) {
 	c.t.Helper()
-	c.waitUntil("all have applied it", func() bool {
+	c.waitUntil("all members have applied the revision", func() bool {
 		for _, core := range c.cores {
-			if appliedBy(core) != revision {
+			if appliedRevisionOf(core) != revision {
 				return false
 			}
 		}
@@ -176,14 +179,14 @@
 	})
 }
 
-// appliedBy is the revision that a member has applied.
-func appliedBy(core *Core) uint64 {
+// appliedRevisionOf returns the newest revision that a member has applied.
+func appliedRevisionOf(core *Core) uint64 {
 	core.mu.Lock()
 	defer core.mu.Unlock()
 	return core.store.state.Revision
 }
 
-// client is a client without a member in its process.
+// client returns a client in a process that runs no member.
 func (c *cluster) client() *Client {
 	client := &Client{Conns: c.net.conns(), Log: slog.New(slog.DiscardHandler)}
 	client.SetMembers("", c.seeds)
@@ -191,7 +194,7 @@
 	return client
 }
 
-// testConfig is a small configuration.
+// testConfig returns a small configuration in encoded form.
 func testConfig(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	route := api.Route{
@@ -217,15 +220,15 @@
 	return data
 }
 
-// replaceConfig sends a configuration to the leader, and returns the status of the result.
+// replaceConfig sends a configuration change to the control plane and returns the result status.
 func replaceConfig(client *Client, base uint64, config []byte) int {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return client.Replace(ctx, &api.ReplaceRequest{Base: base, Config: config}).Status
 }
 
-// openMember opens member 1 of three on a disk that holds a snapshot. It does not run, and the
-// test stands for the other two.
+// openMember opens member 1 of three on a store that holds a snapshot. The member is not running,
+// and the test takes the place of the other two.
 func openMember(t *testing.T, first raft.Snapshot) (*Core, *storage.Store, error) {
 	t.Helper()
 	store := openStore(t, memoryDir(t))
@@ -248,7 +251,7 @@
 	return core, store, err
 }
 
-// mustOpenMember opens a member whose snapshot, up to entry 5, has revision 3.
+// mustOpenMember opens a member whose snapshot at index 5 has revision 3.
 func mustOpenMember(t *testing.T) (*Core, *storage.Store) {
 	t.Helper()
 	core, store, err := openMember(t, raft.Snapshot{Index: 5, Term: 1, Data: validState(t, 3)})
@@ -258,7 +261,7 @@
 	return core, store
 }
 
-// openStore opens a store until the test ends.
+// openStore opens a store and closes it at the end of the test.
 func openStore(t *testing.T, dir string) *storage.Store {
 	t.Helper()
 	store, err := storage.Open(dir)
@@ -273,7 +276,7 @@
 	return store
 }
 
-// validState is an encoded state with one revision.
+// validState returns an encoded state with one applied revision.
 func validState(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	var s State
@@ -287,7 +290,7 @@
 	return data
 }
 
-// isMember reports whether a member is among others, and may vote.
+// isMember reports whether an ID is in a list of members and whether that member is a voter.
 func isMember(members []raft.Member, id raft.ID) (known, votes bool) {
 	i := slices.IndexFunc(members, func(m raft.Member) bool { return m.ID == id })
 	return i >= 0, i >= 0 && members[i].Voter
--- a/controlplane/core_test.go
+++ b/controlplane/core_test.go
@@ -14,10 +14,9 @@
 	"example.org/elmspan/api"
 )
 
-// A revision is applied once and is kept through a loss. A member that has lost its disk comes
-// back as a new one, catches up and gets the vote of the old one. (Found on a day with a
-// replaced machine: a member that joins with nothing on its disk knew no address to answer to,
-// and never got its vote.)
+// A revision is applied once and survives the loss of a member. A member that lost its disk rejoins
+// under a new ID, catches up and replaces its former ID as a voter. Regression test: a member that
+// joined with an empty disk knew no address to reply to and was never promoted to voter.
 func TestMemberThatLostItsDiskIsReplaced(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -30,9 +29,9 @@
 		c.start(lost, memoryDir(t), false)
 		successor := c.cores[lost]
 		if successor.host.id == former {
-			t.Fatal("a member without its disk has its old id")
+			t.Fatal("the member that lost its disk has its old ID")
 		}
-		c.waitUntil("the new member has the old one's vote", func() bool {
+		c.waitUntil("the new member replaces the old one as a voter", func() bool {
 			successor.mu.Lock()
 			defer successor.mu.Unlock()
 			members := successor.host.node.Members()
@@ -40,20 +39,21 @@
 			formerKnown, _ := isMember(members, former)
 			return votes && !formerKnown && successor.store.state.Revision == 9
 		})
-		c.stops[c.addrs[1]]() // the other two go on
+		c.stops[c.addrs[1]]() // the other two remain a quorum
 		if got := replaceConfig(client, 9, testConfig(t, 10)); got != http.StatusOK {
-			t.Errorf("with the member that came back: %d", got)
+			t.Errorf("change with the replaced member in the quorum: status %d", got)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		r := client.Get(ctx, &api.GetRequest{})
 		if r.Status != http.StatusOK || !bytes.Equal(r.Config, testConfig(t, 10)) {
-			t.Errorf("read back: %d", r.Status)
+			t.Errorf("read back: status %d", r.Status)
 		}
 	})
 }
 
-// requireReplaceStatuses requires the status of each kind of replacement, and leaves revision 9.
+// requireReplaceStatuses checks the status of each kind of configuration change. It leaves the
+// cluster at revision 9.
 func requireReplaceStatuses(t *testing.T, client *Client) {
 	t.Helper()
 	for _, c := range []struct {
@@ -62,15 +62,15 @@
 		config []byte
 		want   int
 	}{
-		{"the first", 0, testConfig(t, 4), http.StatusOK},
-		{"the first again", 0, testConfig(t, 4), http.StatusOK},
-		{"another on the same base", 0, testConfig(t, 6), http.StatusPreconditionFailed},
-		{"a revision that is not above", 4, testConfig(t, 3), http.StatusBadRequest},
-		{"no configuration", 4, []byte("?"), http.StatusBadRequest},
-		{"the second", 4, testConfig(t, 9), http.StatusOK},
+		{"first change", 0, testConfig(t, 4), http.StatusOK},
+		{"first change retried", 0, testConfig(t, 4), http.StatusOK},
+		{"conflicting change on the same base", 0, testConfig(t, 6), http.StatusPreconditionFailed},
+		{"revision not above the current one", 4, testConfig(t, 3), http.StatusBadRequest},
+		{"invalid configuration", 4, []byte("?"), http.StatusBadRequest},
+		{"second change", 4, testConfig(t, 9), http.StatusOK},
 	} {
 		if got := replaceConfig(client, c.base, c.config); got != c.want {
-			t.Errorf("%s, on %d: %d, want %d", c.name, c.base, got, c.want)
+			t.Errorf("%s, base %d: status %d, want %d", c.name, c.base, got, c.want)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		const operators = 4
 		c := newCluster(t)
 		if replaceConfig(c.client(), 0, testConfig(t, 1)) != http.StatusOK {
-			t.Fatal("the first was not applied")
+			t.Fatal("the first change was not applied")
 		}
 		statuses := make(chan int, operators)
 		for i := range operators {
@@ -97,8 +97,8 @@
 	})
 }
 
-// A lease is only granted by a leader that a majority confirms: one that has lost the others
-// grants none. A limiter gets one in time even where nothing is new.
+// Only a leader that a majority confirms grants leases: a leader that has lost the other members
+// grants none. A watch is answered with a lease in time even if nothing has changed.
 func TestLeaseNeedsAMajority(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -121,13 +121,13 @@
 		for _, addr := range c.addrs {
 			isAt := func(member string) bool { return strings.Contains(member, " "+addr+" ") }
 			if len(members) != 3 || !slices.ContainsFunc(members, isAt) {
-				t.Errorf("members %q, one of which is at %s", members, addr)
+				t.Errorf("members %q, want three, one of them at %s", members, addr)
 			}
 		}
 	})
 }
 
-// countingListener counts the bytes that its connections carry.
+// countingListener counts the bytes received and sent on its connections.
 type countingListener struct {
 	net.Listener
 	received, sent atomic.Int64
@@ -155,10 +155,10 @@
 	return n, err
 }
 
-// A large configuration goes from the limiter that got it to the leader, and back to one that
-// reads it, in a fraction of its bytes: as it is, 328 KB fill a link of 5 Mbit/s for longer
-// than the call may take. (Found on a day of 1,400 routes: seven limiters in a row answered
-// 503, and the command had no acknowledgement after 10 s. Fails uncompressed.)
+// A large configuration is compressed both when it is sent to the leader and when it is read back:
+// uncompressed, 328 KB occupy a 5 Mbit/s link for longer than the call's timeout. Regression test:
+// with 1,400 routes and no compression, seven limiters in a row answered 503, and the change was
+// not acknowledged within 10 s.
 func TestLargeConfigurationsAreSentCompressed(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newStoppedCluster(t, 1)
@@ -166,8 +166,8 @@
 		listener := &countingListener{Listener: c.net.listen(addr)}
 		c.startOn(addr, memoryDir(t), listener, true)
 		client := c.client()
-		if got := replaceConfig(client, 0, testConfig(t, 1)); got != http.StatusOK { // sent until there is a leader
-			t.Fatalf("the first is answered %d", got)
+		if got := replaceConfig(client, 0, testConfig(t, 1)); got != http.StatusOK { // retried until there is a leader
+			t.Fatalf("first change: status %d", got)
 		}
 		conn, err := client.Conns.Conn(addr)
 		if err != nil {
@@ -177,7 +177,7 @@
 		defer cancel()
 		config := largeConfig(t, 2)
 		received, sent := listener.received.Load(), listener.sent.Load()
-		// One call each, as long as it may take: what a client would send again is not counted.
+		// Each call is made once and directly, so that retries of a client are not counted.
 		r, err := api.CallReplace(ctx, conn, &api.ReplaceRequest{Base: 1, Config: config})
 		if err != nil || r.Status != http.StatusOK {
 			t.Fatalf("%+v, %v", r, err)
@@ -188,12 +188,12 @@
 		}
 		received, sent = listener.received.Load()-received, listener.sent.Load()-sent
 		if limit := int64(len(config)) / 3; received > limit || sent > limit {
-			t.Errorf("of %d bytes %d went to the leader and %d back", len(config), received, sent)
+			t.Errorf("configuration of %d bytes: %d bytes sent to the leader, %d received", len(config), received, sent)
 		}
 	})
 }
 
-// largeConfig is a configuration of 1,400 routes.
+// largeConfig returns a configuration of 1,400 routes in encoded form.
 func largeConfig(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	config := &api.Config{
--- a/controlplane/core_under_faults_test.go
+++ b/controlplane/core_under_faults_test.go
@@ -7,15 +7,14 @@
 	"testing"
 )
 
-var coreSeeds = flag.Uint64("core.seeds", 24, "runs of TestCoresAreDurableAndLinearizableUnderFaults")
+var coreSeeds = flag.Uint64("core.seeds", 24, "number of seeds for TestCoresAreDurableAndLinearizableUnderFaults")
 
-// Real cores, three and five, with commands by four operators that pick the same revisions and
-// are sent again until they are answered, while writes take up to 2 s, disks are full, disks
-// are lost or found corrupt, machines are cut off, one way too, and power is lost by one, a
-// majority or all, in the middle of a write and right after an acknowledgement. Whatever
-// [Core] sends while its store writes: no vote, term or acknowledgement is sent before it is
-// stored, nothing is said to be committed that a majority has not stored, and operators are
-// answered the history of one register.
+// Runs clusters of three and five real cores. Four operators pick the same revisions and retry each
+// command until it is answered. Injected faults: writes of up to 2 s, full, lost and corrupt disks,
+// one-way and two-way partitions, and power failures of one member, a majority or all, in the
+// middle of a write and right after an acknowledgement. [Core] sends messages while its store
+// writes, but it must not send a vote, term or acknowledgement before that is stored, or report an
+// entry as committed that a majority has not stored. The operators' calls must be linearizable.
 func TestCoresAreDurableAndLinearizableUnderFaults(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -40,6 +39,6 @@
 	runs := int(*coreSeeds)
 	t.Logf("%d runs: %+v", runs, total)
 	if !t.Failed() && !total.enough(runs) {
-		t.Error("too few to show anything")
+		t.Error("too few events for a meaningful test")
 	}
 }
--- a/controlplane/endpointlist_test.go
+++ b/controlplane/endpointlist_test.go
@@ -9,35 +9,35 @@
 	"example.org/elmspan/versioned"
 )
 
-// A new leader that was sent the list goes on from it: limiters are sent what has changed since,
-// not the whole list, however long its servers have been there.
+// A new leader that received the server list from its predecessor continues its versions: limiters
+// are sent only the changes since their version, not the full list, however old its servers are.
 func TestNewLeaderContinuesTheServerList(t *testing.T) {
 	t.Parallel()
-	var first, next endpointList
-	answer := manyServers(9700)
-	first.start = time.Now().Add(-time.Hour)
-	if _, _, err := first.merge(3, answer); err != nil {
+	var former, successor endpointList
+	servers := manyServers(9700)
+	former.start = time.Now().Add(-time.Hour)
+	if _, _, err := former.merge(3, servers); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := first.table.DeltaSince(0)
+	full, err := former.table.DeltaSince(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	delta, err := versioned.OpenDelta(whole.Data)
+	delta, err := versioned.OpenDelta(full.Data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := next.applyDelta(delta, first.clockMs()+60_000); err != nil {
+	if err := successor.applyDelta(delta, former.clockMs()+60_000); err != nil {
 		t.Fatal(err)
 	}
-	version := next.table.Version()
-	next.becomeLeader()
-	answer[7].State = api.Draining
-	changed, _, err := next.merge(5, answer)
-	if err != nil || !changed || next.table.Version() <= version {
-		t.Fatalf("changed %t, version %d after %d, %v", changed, next.table.Version(), version, err)
+	version := successor.table.Version()
+	successor.becomeLeader()
+	servers[7].State = api.Draining
+	changed, _, err := successor.merge(5, servers)
+	if err != nil || !changed || successor.table.Version() <= version {
+		t.Fatalf("changed %t, version %d after %d, %v", changed, successor.table.Version(), version, err)
 	}
-	since, err := next.table.DeltaSince(version)
+	since, err := successor.table.DeltaSince(version)
 	if err != nil || since.From != version || len(since.Data) > 200 {
 		t.Errorf("from version %d, %d bytes, %v", since.From, len(since.Data), err)
 	}
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -19,22 +19,22 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// replaceInTurn has revisions 1 to n applied, each on top of the one before.
+// replaceInTurn applies revisions 1 to n, each based on the previous one.
 func replaceInTurn(t *testing.T, cl *Client, n uint64) {
 	t.Helper()
 	for base := range n {
 		if got := replaceConfig(cl, base, testConfig(t, base+1)); got != http.StatusOK {
-			t.Fatalf("revision %d: %d", base+1, got)
+			t.Fatalf("revision %d: status %d", base+1, got)
 		}
 	}
 }
 
-// requireConfigAt requires that a revision is read back as it was sent.
+// requireConfigAt requires that the configuration of a revision is read back unchanged.
 func requireConfigAt(ctx context.Context, t *testing.T, cl *Client, revision uint64) {
 	t.Helper()
 	r := cl.Get(ctx, &api.GetRequest{Revision: revision})
 	if r.Status != http.StatusOK || !bytes.Equal(r.Config, testConfig(t, revision)) {
-		t.Errorf("revision %d: %d %s", revision, r.Status, r.Reason)
+		t.Errorf("revision %d: status %d, %s", revision, r.Status, r.Reason)
 	}
 }
 
@@ -50,7 +50,7 @@
 		requireConfigAt(ctx, t, cl, 2)
 		r := cl.Get(ctx, &api.GetRequest{Revision: 9})
 		if r.Status != http.StatusNotFound || !strings.Contains(r.Reason, "[1 2 3 4]") {
-			t.Errorf("revision 9: %d %s", r.Status, r.Reason)
+			t.Errorf("revision 9: status %d, %s", r.Status, r.Reason)
 		}
 	})
 }
@@ -61,12 +61,12 @@
 		applyReplace(t, &s, i, i+1, fmt.Append(nil, strings.Repeat("x", int(i)), i))
 	}
 	if len(s.Previous) > maxPreviousRevisions || len(s.Previous) < maxPreviousRevisions-1 {
-		t.Errorf("%d configurations are kept", len(s.Previous))
+		t.Errorf("%d previous configurations are kept", len(s.Previous))
 	}
 }
 
-// All disks of the control plane are lost. A new one that is restored from an export has every
-// configuration that was acknowledged.
+// All members lose their disks. A control plane restored from an export has every configuration
+// that was acknowledged.
 func TestRestoreFromExportKeepsAcknowledgedConfigurations(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -87,15 +87,15 @@
 			requireConfigAt(ctx, t, cl, revision)
 		}
 		if got := replaceConfig(cl, 2, testConfig(t, 3)); got != http.StatusOK {
-			t.Errorf("a call that was acknowledged, sent again: %d", got)
+			t.Errorf("retry of an acknowledged change: status %d", got)
 		}
 		if got := replaceConfig(cl, 3, testConfig(t, 4)); got != http.StatusOK {
-			t.Errorf("a change after the restore: %d", got)
+			t.Errorf("change after the restore: status %d", got)
 		}
 	})
 }
 
-// restore starts all machines with empty disks, from an export.
+// restore starts all machines on empty disks with the state of an export.
 func (c *cluster) restore(export []byte) {
 	c.t.Helper()
 	state, err := Import(export)
@@ -126,11 +126,11 @@
 		damaged := slices.Clone(file)
 		damaged[i] ^= 1
 		if _, err := Import(damaged); err == nil {
-			t.Fatalf("byte %d of %d changed, and it is imported", i, len(file))
+			t.Fatalf("imported with byte %d of %d changed", i, len(file))
 		}
 	}
 	if _, err := Import(file[:len(file)-1]); !errors.Is(err, ErrInvalidExport) {
-		t.Errorf("without its last byte: %v", err)
+		t.Errorf("truncated by one byte: %v", err)
 	}
 }
 
@@ -140,21 +140,21 @@
 	store := openStore(t, memoryDir(t))
 	seeds := []string{"10.0.0.1:1"}
 	if Restore(store, "10.0.0.9:1", seeds, &s) == nil {
-		t.Error("restored at a machine that is no seed")
+		t.Error("restored on a machine that is not a seed")
 	}
 	if err := Restore(store, "10.0.0.1:1", seeds, &s); err != nil {
 		t.Fatal(err)
 	}
 	if err := Restore(store, "10.0.0.1:1", seeds, &s); !errors.Is(err, ErrStoreNotEmpty) {
-		t.Errorf("restored over a state: %v", err)
+		t.Errorf("restored into a store that is not empty: %v", err)
 	}
 	if got, err := Inspect(store); err != nil || got.State.Revision != 3 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
-// A log and a snapshot of the first format, with configurations as they were sent, are read;
-// what is written after them is in the newest format.
+// A log and a snapshot in the first format, which holds uncompressed configurations, can be read.
+// Later writes use the newest format.
 func TestFirstFormatIsRead(t *testing.T) {
 	dir := filepath.Join(memoryDir(t), "log")
 	if err := os.Mkdir(dir, 0o755); err != nil {
@@ -167,11 +167,11 @@
 	if err := errors.Join(store.Initialize(7, snapshot), store.Save(ready)); err != nil {
 		t.Fatal(err)
 	}
-	found, err := Inspect(store)
-	if err != nil || found.State.Revision != 6 {
-		t.Fatalf("%+v, %v", found, err)
+	inspected, err := Inspect(store)
+	if err != nil || inspected.State.Revision != 6 {
+		t.Fatalf("%+v, %v", inspected, err)
 	}
-	s := found.State
+	s := inspected.State
 	if got := applyReplace(t, s, 6, 8, testConfig(t, 8)); got != OutcomeApplied {
 		t.Fatalf("outcome %d", got)
 	}
@@ -180,6 +180,7 @@
 	}
 }
 
+// firstFormatSnapshot returns a snapshot in the first format.
 func firstFormatSnapshot(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	data, err := cbor.Marshal(struct {
@@ -192,6 +193,7 @@
 	return data
 }
 
+// firstFormatEntry returns a log entry in the first format.
 func firstFormatEntry(t *testing.T, base, revision uint64) []byte {
 	t.Helper()
 	data, err := cbor.Marshal(struct {
--- a/controlplane/golden_test.go
+++ b/controlplane/golden_test.go
@@ -13,12 +13,12 @@
 	"example.org/elmspan/api"
 )
 
-// The files under testdata/golden were written by the program of f96d826. A member of
-// that program and one of this may share a core, a log and a snapshot, so what stands in
-// the files must be read and written to the same bytes. The client keeps nothing on disk.
+// The files under testdata/golden were written by the program built from commit f96d826. Members
+// of that version and of this one may run in one cluster and exchange log entries and snapshots, so
+// the contents must decode and encode to the same bytes. The client stores nothing on disk.
 
-// golden reads a file that the earlier program wrote.
-func golden(t *testing.T, name string) []byte {
+// readGolden reads a golden file.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
@@ -27,7 +27,7 @@
 	return data
 }
 
-// goldenLog are the entries of the earlier program's log, in the order of the log.
+// goldenLog lists the files of the golden log entries in log order.
 var goldenLog = []string{
 	"entry-1-plain.cbor",
 	"entry-2-hash.cbor",
@@ -40,7 +40,7 @@
 	"entry-9-compressed.cbor",
 }
 
-// decodeAs decodes bytes and requires that they are encoded to the same bytes again.
+// decodeAs decodes a value and requires that encoding it gives the same bytes.
 func decodeAs[T any](t *testing.T, data []byte) T {
 	t.Helper()
 	var value T
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encoded, data) {
-		t.Fatalf("encoded again to other bytes:\n%x\nwant\n%x", encoded, data)
+		t.Fatalf("re-encoded to\n%x\nwant\n%x", encoded, data)
 	}
 	return value
 }
@@ -62,9 +62,9 @@
 	for _, c := range []struct {
 		file           string
 		base, revision uint64
-		config         string // file of what the entry brings
-		plain          bool   // it is stored as it was sent
-		digest         bool   // it has a digest
+		config         string // file of the configuration in the entry
+		plain          bool   // the configuration is stored uncompressed
+		digest         bool   // the entry has a digest
 	}{
 		{file: "entry-1-plain.cbor", base: 0, revision: 2, config: "config-2.cbor", plain: true},
 		{file: "entry-2-hash.cbor", base: 2, revision: 3, config: "config-3.cbor"},
@@ -73,25 +73,25 @@
 		{file: "entry-9-compressed.cbor", base: 9, revision: 12, config: "config-12.cbor", digest: true},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			data, sent := golden(t, c.file), golden(t, c.config)
+			data, sent := readGolden(t, c.file), readGolden(t, c.config)
 			entry := decodeAs[replaceCommand](t, data)
 			if entry.Base != c.base || entry.Revision != c.revision {
-				t.Errorf("revision %d on %d, want %d on %d", entry.Revision, entry.Base, c.revision, c.base)
+				t.Errorf("revision %d on base %d, want %d on base %d", entry.Revision, entry.Base, c.revision, c.base)
 			}
 			if got := entry.fingerprint(); got != fingerprintOf(sent) {
 				t.Errorf("fingerprint %x, want %x", got, fingerprintOf(sent))
 			}
 			if (entry.Uncompressed != nil) != c.plain || c.plain && !bytes.Equal(entry.Uncompressed, sent) {
-				t.Errorf("stored as it was sent: %t, want %t", entry.Uncompressed != nil, c.plain)
+				t.Errorf("stored uncompressed: %t, want %t", entry.Uncompressed != nil, c.plain)
 			}
 			if (entry.Digest != nil) != c.digest {
-				t.Errorf("with a digest: %t, want %t", entry.Digest != nil, c.digest)
+				t.Errorf("has a digest: %t, want %t", entry.Digest != nil, c.digest)
 			}
 			if !c.digest {
 				return
 			}
-			if made, err := encodeReplaceCommand(c.base, c.revision, sent); err != nil || !bytes.Equal(made, data) {
-				t.Errorf("the same order makes the entry\n%x, %v, want\n%x", made, err, data)
+			if got, err := encodeReplaceCommand(c.base, c.revision, sent); err != nil || !bytes.Equal(got, data) {
+				t.Errorf("the same command is encoded to\n%x, %v, want\n%x", got, err, data)
 			}
 		})
 	}
@@ -99,10 +99,10 @@
 
 func TestGoldenLogGivesTheGoldenSnapshot(t *testing.T) {
 	t.Parallel()
-	results := decodeAs[[]api.ControlResponse](t, golden(t, "results.cbor"))
+	results := decodeAs[[]api.ControlResponse](t, readGolden(t, "results.cbor"))
 	var s State
 	for i, name := range goldenLog {
-		if got := s.Apply(golden(t, name)).result(); !reflect.DeepEqual(got, results[i]) {
+		if got := s.Apply(readGolden(t, name)).result(); !reflect.DeepEqual(got, results[i]) {
 			t.Errorf("%s: %+v, want %+v", name, got, results[i])
 		}
 		if i == 2 {
@@ -112,14 +112,14 @@
 	requireEncoding(t, s, "snapshot.cbor")
 }
 
-// requireEncoding requires that a value is encoded to the bytes of a golden file.
+// requireEncoding requires that a value encodes to the bytes of a golden file.
 func requireEncoding(t *testing.T, value any, name string) {
 	t.Helper()
 	data, err := cbor.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := golden(t, name); !bytes.Equal(data, want) {
+	if want := readGolden(t, name); !bytes.Equal(data, want) {
 		t.Errorf("%s: encoded to\n%x, want\n%x", name, data, want)
 	}
 }
@@ -127,30 +127,30 @@
 func TestGoldenSnapshotsKeepTheirBytes(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		file     string
-		versions []uint64
-		taken    int
-		config   string
+		file       string
+		revisions  []uint64
+		remembered int
+		config     string
 	}{
-		{file: "snapshot-after-3.cbor", versions: []uint64{3, 5}, taken: 3, config: "config-5.cbor"},
-		{file: "snapshot.cbor", versions: []uint64{3, 5, 9, 12}, taken: 5, config: "config-12.cbor"},
-		{file: "snapshot-plain.cbor", versions: []uint64{4}},
-		{file: "snapshot-hash-only-stored-again.cbor", versions: []uint64{200}, taken: 128},
+		{file: "snapshot-after-3.cbor", revisions: []uint64{3, 5}, remembered: 3, config: "config-5.cbor"},
+		{file: "snapshot.cbor", revisions: []uint64{3, 5, 9, 12}, remembered: 5, config: "config-12.cbor"},
+		{file: "snapshot-plain.cbor", revisions: []uint64{4}},
+		{file: "snapshot-hash-only-stored-again.cbor", revisions: []uint64{200}, remembered: 128},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			s := decodeAs[State](t, golden(t, c.file))
-			if got := s.Revisions(); !slices.Equal(got, c.versions) {
-				t.Errorf("versions %v, want %v", got, c.versions)
+			s := decodeAs[State](t, readGolden(t, c.file))
+			if got := s.Revisions(); !slices.Equal(got, c.revisions) {
+				t.Errorf("revisions %v, want %v", got, c.revisions)
 			}
-			if len(s.Applied) != c.taken {
-				t.Errorf("%d versions are remembered, want %d", len(s.Applied), c.taken)
+			if len(s.Applied) != c.remembered {
+				t.Errorf("%d applied revisions are remembered, want %d", len(s.Applied), c.remembered)
 			}
 			sent, err := s.Config()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.config != "" && !bytes.Equal(sent, golden(t, c.config)) {
-				t.Errorf("configuration %x", sent)
+			if c.config != "" && !bytes.Equal(sent, readGolden(t, c.config)) {
+				t.Errorf("unexpected configuration %x", sent)
 			}
 			if parsed, err := api.ParseConfig(sent); err != nil || parsed.Revision != s.Revision {
 				t.Errorf("the configuration of revision %d: %v", s.Revision, err)
@@ -159,31 +159,32 @@
 	}
 }
 
-// A program before digests wrote a hash alone of each version. The digest is written as
-// zeros when such a snapshot is stored again, and the outcome of a command of long ago is unknown.
+// Versions without digests stored only a hash of each applied revision. When such a snapshot is
+// stored again, the digests are written as zeros. The outcome of a command that was forgotten is
+// unknown.
 func TestGoldenSnapshotWithoutDigestsIsRead(t *testing.T) {
 	t.Parallel()
 	var s State
-	if err := cbor.Unmarshal(golden(t, "snapshot-hash-only.cbor"), &s); err != nil {
+	if err := cbor.Unmarshal(readGolden(t, "snapshot-hash-only.cbor"), &s); err != nil {
 		t.Fatal(err)
 	}
 	requireEncoding(t, s, "snapshot-hash-only-stored-again.cbor")
-	results := decodeAs[[]api.ControlResponse](t, golden(t, "results.cbor"))
+	results := decodeAs[[]api.ControlResponse](t, readGolden(t, "results.cbor"))
 	want := results[len(results)-1]
-	if got := s.Apply(golden(t, "entry-forgotten.cbor")).result(); !reflect.DeepEqual(got, want) {
+	if got := s.Apply(readGolden(t, "entry-forgotten.cbor")).result(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
 
 func TestGoldenExportKeepsItsBytes(t *testing.T) {
 	t.Parallel()
-	file := golden(t, "state.export")
+	file := readGolden(t, "state.export")
 	s, err := Import(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	requireEncoding(t, s, "snapshot.cbor")
 	if encoded, err := Export(s); err != nil || !bytes.Equal(encoded, file) {
-		t.Errorf("exported again to\n%x, %v, want\n%x", encoded, err, file)
+		t.Errorf("re-exported to\n%x, %v, want\n%x", encoded, err, file)
 	}
 }
--- a/controlplane/history_test.go
+++ b/controlplane/history_test.go
@@ -10,10 +10,10 @@
 	"github.com/anishathalye/porcupine"
 )
 
-var historySeeds = flag.Uint64("history.seeds", 150, "runs of each test of histories")
+var historySeeds = flag.Uint64("history.seeds", 150, "number of seeds for each test of histories")
 
-// eachSeed runs worlds, four at a time, until one fails.
-func eachSeed(t *testing.T, n uint64, run func(seed uint64) error) {
+// forEachSeed runs a simulation for each seed below n, four in parallel, until one fails.
+func forEachSeed(t *testing.T, n uint64, run func(seed uint64) error) {
 	t.Helper()
 	var next atomic.Uint64
 	var failed atomic.Bool
@@ -40,13 +40,13 @@
 	all.Wait()
 }
 
-// However the members are cut off from each other, one way too, and whoever loses power when:
-// what operators are answered is the history of one register. (Reported by the users: two
-// changes on top of the same version were both confirmed while the network was cut.)
+// The operators' calls are linearizable under one-way and two-way network partitions and power
+// failures. Regression test for a user report: two changes on the same base version were both
+// confirmed during a partition.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	t.Parallel()
 	var calls, applied atomic.Int64
-	eachSeed(t, *historySeeds, func(seed uint64) error {
+	forEachSeed(t, *historySeeds, func(seed uint64) error {
 		s := newRegisterSim(seed, smallSim, "")
 		if err := s.play(); err != nil {
 			return err
@@ -64,22 +64,22 @@
 	n := int64(*historySeeds)
 	t.Logf("%d runs: %d calls, %d changes applied", n, calls.Load(), applied.Load())
 	if calls.Load() < 20*n || applied.Load() < 3*n {
-		t.Error("too few to show anything")
+		t.Error("too few events for a meaningful test")
 	}
 }
 
-// Eight operators at once who pick the same revisions, answers that are lost, cuts of 20 s,
-// one way too, slow links, doubled messages, storage that loses what was not synced, logs
-// that are truncated, machines that are replaced, loss of power of all and of a disk right
-// after an acknowledgement: every command that is acknowledged is in the history of all
-// members, none that is refused is, nothing old is read back, and the newest is read back in
-// the end. In every fifth run members forget all but four revisions. (Reported by the users:
-// two operators were both confirmed under one revision, a command that was sent again was
-// refused, and a member that had been cut off answered with an old configuration.)
+// Eight concurrent operators pick the same revisions. Injected faults: lost responses, one-way and
+// two-way partitions of 20 s, slow links, duplicate messages, storage that loses unsynced writes,
+// log truncation, replaced machines, and a power failure of all members and the loss of a disk
+// right after an acknowledgement. Every acknowledged command is in the history of all members, no
+// refused command is, reads never return an outdated configuration, and the final read returns the
+// newest. In every fifth run members remember only four revisions. Regression test for user
+// reports: two operators were both confirmed under one revision, a retried command was refused, and
+// a member answered with an outdated configuration after a partition.
 func TestLargeHistoriesAreConsistent(t *testing.T) {
 	t.Parallel()
 	var calls, applied, disksLost atomic.Int64
-	eachSeed(t, *historySeeds, func(seed uint64) error {
+	forEachSeed(t, *historySeeds, func(seed uint64) error {
 		config := largeSim
 		if seed%5 == 4 {
 			config.remembered = 4
@@ -96,17 +96,17 @@
 	n := int64(*historySeeds)
 	t.Logf("%d runs: %d calls, %d changes applied, %d disks lost", n, calls.Load(), applied.Load(), disksLost.Load())
 	if calls.Load() < 60*n || applied.Load() < 8*n || disksLost.Load() < n/2 {
-		t.Error("too few to show anything")
+		t.Error("too few events for a meaningful test")
 	}
 }
 
-// A day of hundreds of changes among all these faults: every command that was applied is
-// acknowledged when it is sent again in the end.
+// Simulates hundreds of changes under all of these faults. At the end, every applied command is
+// acknowledged when it is retried.
 func TestCommandsOfADayAreAcknowledgedWhenRetried(t *testing.T) {
 	t.Parallel()
-	day := largeSim
-	day.steps = 50_000 // 42 min
-	s := newRegisterSim(1, day, "")
+	config := largeSim
+	config.steps = 50_000 // 42 min of simulated time
+	s := newRegisterSim(1, config, "")
 	if err := s.play(); err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 	}
 	t.Logf("%d calls, %d changes applied, %d disks lost", len(s.history), len(s.chain), s.disksLost())
 	if len(s.chain) < 3*maxAppliedBeforeDigests {
-		t.Error("too few to show anything")
+		t.Error("too few events for a meaningful test")
 	}
 }
 
@@ -126,8 +126,8 @@
 		faultRefusesUnconfirmed,
 	} {
 		t.Run(fault, func(t *testing.T) {
-			requireFound(t, smallSim, fault, func(s *registerSim) error {
-				// What the run itself finds is not asked here.
+			requireFaultDetected(t, smallSim, fault, func(s *registerSim) error {
+				// Only the linearizability checker is under test: errors of the run are ignored.
 				_ = s.play()
 				if got := s.linearizable(); got == porcupine.Illegal {
 					return fmt.Errorf("%v", got)
@@ -152,7 +152,7 @@
 		faultWipedKeepsID,
 	} {
 		t.Run(fault, func(t *testing.T) {
-			requireFound(t, largeSim, fault, func(s *registerSim) error {
+			requireFaultDetected(t, largeSim, fault, func(s *registerSim) error {
 				if err := s.play(); err != nil {
 					return err
 				}
@@ -162,8 +162,8 @@
 	}
 }
 
-// requireFound requires that a check fails for a world with a planted fault, in one of 1,000 runs.
-func requireFound(t *testing.T, config simConfig, fault string, check func(*registerSim) error) {
+// requireFaultDetected requires that a check detects an injected fault within 1,000 seeds.
+func requireFaultDetected(t *testing.T, config simConfig, fault string, check func(*registerSim) error) {
 	t.Helper()
 	for seed := range uint64(1000) {
 		if err := check(newRegisterSim(seed, config, fault)); err != nil {
@@ -171,5 +171,5 @@
 			return
 		}
 	}
-	t.Error("not found")
+	t.Error("fault not detected")
 }
--- a/controlplane/join_test.go
+++ b/controlplane/join_test.go
@@ -8,11 +8,11 @@
 	"example.org/elmspan/raft"
 )
 
-// joinTime is how long machines with empty disks may take to replace the voters that were lost:
-// after it the next machines may be lost.
-const joinTime = repairTicks * tickInterval
+// repairTimeout is the time within which machines with empty disks must replace the voters that were
+// lost. After it, further machines may fail.
+const repairTimeout = repairTicks * tickInterval
 
-// newClusterOfFive is a cluster of five voters, three of which are the seeds.
+// newClusterOfFive starts a cluster of five voters, three of them seeds.
 func newClusterOfFive(t *testing.T) *cluster {
 	t.Helper()
 	c := newStoppedCluster(t, 5)
@@ -20,12 +20,12 @@
 	for _, addr := range c.addrs {
 		c.start(addr, memoryDir(t), slices.Contains(c.seeds, addr))
 	}
-	c.waitUntil("five voters", func() bool { return c.allVote(c.addrs) })
+	c.waitUntil("five voters", func() bool { return c.votersAre(c.addrs) })
 	return c
 }
 
-// allVote reports whether the voters are the members that run on these machines, and no others.
-func (c *cluster) allVote(addrs []string) bool {
+// votersAre reports whether the members running at addrs are exactly the voters.
+func (c *cluster) votersAre(addrs []string) bool {
 	leader, members := c.stableMembers()
 	if leader == nil || voterCount(members) != len(addrs) {
 		return false
@@ -36,8 +36,9 @@
 	})
 }
 
-// letLead has a machine stand for election, as by a transfer of leadership, and waits until it leads.
-func (c *cluster) letLead(addr string) {
+// transferLeadership makes a member stand for election, as in a leadership transfer, and waits until
+// it leads.
+func (c *cluster) transferLeadership(addr string) {
 	c.t.Helper()
 	leader, core := c.awaitLeader(), c.cores[addr]
 	if leader == core {
@@ -51,7 +52,7 @@
 	c.waitUntil(addr+" leads", core.Leads)
 }
 
-// loseDisks has machines lose power and their disks at the same moment, and start again.
+// loseDisks stops members at the same moment and restarts them with empty disks.
 func (c *cluster) loseDisks(addrs ...string) {
 	c.t.Helper()
 	for _, addr := range addrs {
@@ -62,17 +63,18 @@
 	}
 }
 
-// awaitRepair requires that all machines vote within joinTime.
+// awaitRepair requires that all machines are voters within repairTimeout.
 func (c *cluster) awaitRepair(what string) {
 	c.t.Helper()
-	c.timeout = joinTime
-	c.waitUntil(what, func() bool { return c.allVote(c.addrs) })
+	c.timeout = repairTimeout
+	c.waitUntil(what, func() bool { return c.votersAre(c.addrs) })
 	c.timeout = testTimeout
 }
 
-// Machines that lost their disks know the seeds alone. They are added as well while a machine
-// leads that is no seed, so that the next loss is borne. (Found by incident 0021: they asked the
-// seeds, did not go on to the leader that those named, and the next loss took the majority.)
+// Machines that lost their disks know only the seeds. They are added even if the leader is not a
+// seed, so that the cluster tolerates the next failure. Regression test for incident 0021: they asked
+// the seeds but did not contact the leader named in the responses, and the next failure destroyed
+// the quorum.
 func TestEmptyMachinesJoinALeaderThatIsNoSeed(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newClusterOfFive(t)
@@ -81,58 +83,59 @@
 		replace := func(when string) {
 			t.Helper()
 			if got := replaceConfig(client, revision, testConfig(t, revision+1)); got != http.StatusOK {
-				t.Fatalf("%s: %d", when, got)
+				t.Fatalf("change %s: status %d", when, got)
 			}
 			revision++
 		}
-		replace("at first")
-		c.letLead(c.addrs[3])
+		replace("before the failures")
+		c.transferLeadership(c.addrs[3])
 		c.loseDisks(c.addrs[0], c.addrs[1])
-		c.awaitRepair("the first two are replaced")
-		replace("after the first loss")
-		c.letLead(c.addrs[3])
+		c.awaitRepair("the first two machines are voters again")
+		replace("after the first failure")
+		c.transferLeadership(c.addrs[3])
 		c.loseDisks(c.addrs[2], c.addrs[0])
-		c.awaitRepair("the next two are replaced")
-		replace("after the second loss")
+		c.awaitRepair("the next two machines are voters again")
+		replace("after the second failure")
 	})
 }
 
-// None of the seeds that a machine's settings name is a member any more. It is added by what its
-// process knows of the control plane from others.
+// None of the configured seeds is a member any more. A machine with an empty disk joins through
+// member addresses that its process learned from other sources.
 func TestEmptyMachineJoinsWithoutItsSeeds(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newClusterOfFive(t)
-		c.letLead(c.addrs[4])
-		c.seeds = []string{c.net.newAddr(), c.net.newAddr()} // nobody is there
+		c.transferLeadership(c.addrs[4])
+		c.seeds = []string{c.net.newAddr(), c.net.newAddr()} // nothing listens there
 		follower := c.addrs[2]
 		c.knownMembers = func() []string { return []string{c.seeds[0], follower} }
 		c.loseDisks(c.addrs[0], c.addrs[1])
-		c.awaitRepair("both are replaced")
+		c.awaitRepair("both machines are voters again")
 	})
 }
 
-// In a round each address is asked once, this process's own and empty ones never, and no more than
-// maxJoinCalls, whatever is answered.
+// In one round each address is asked at most once, the process's own address and empty addresses are
+// never asked, and at most maxJoinCalls addresses are asked, whatever the responses contain.
 func TestJoinCandidates(t *testing.T) {
 	t.Parallel()
 	c := newJoinCandidates("self", []string{"a", "self", "b"}, []string{"b", "c"})
-	requireWave(t, c, "a", "b", "c")
+	requireNext(t, c, "a", "b", "c")
 	c.add("", "self", "b")
-	requireWave(t, c)
+	requireNext(t, c)
 	c.add("leader")
-	requireWave(t, c, "leader")
+	requireNext(t, c, "leader")
 	for i := range 2 * maxJoinCalls {
 		c.add(string(rune('A' + i)))
 	}
 	if asked := 4 + len(c.next()); asked != maxJoinCalls {
 		t.Errorf("%d calls in a round", asked)
 	}
-	requireWave(t, c)
+	requireNext(t, c)
 }
 
-func requireWave(t *testing.T, c *joinCandidates, want ...string) {
+// requireNext requires the candidates to be asked next.
+func requireNext(t *testing.T, c *joinCandidates, want ...string) {
 	t.Helper()
 	if got := c.next(); !slices.Equal(got, want) {
-		t.Errorf("asked next: %q, want %q", got, want)
+		t.Errorf("next candidates: %q, want %q", got, want)
 	}
 }
--- a/controlplane/lost_durability_test.go
+++ b/controlplane/lost_durability_test.go
@@ -9,13 +9,13 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// failingStore fails a Save or a Compact.
+// failingStore is a store whose Save or Compact fails.
 type failingStore struct {
 	Store
 	saveError, compactError error
 }
 
-// Save stores a batch, or fails.
+// Save stores a batch or returns saveError.
 func (s *failingStore) Save(r raft.Ready) error {
 	if s.saveError != nil {
 		return s.saveError
@@ -23,7 +23,7 @@
 	return s.Store.Save(r)
 }
 
-// Compact replaces entries by a snapshot, or fails.
+// Compact replaces entries by a snapshot or returns compactError.
 func (s *failingStore) Compact(snapshot raft.Snapshot) error {
 	if s.compactError != nil {
 		return s.compactError
@@ -31,49 +31,49 @@
 	return s.Store.Compact(snapshot)
 }
 
-// A member whose store is found corrupt while it runs promises and answers nothing from then
-// on, and Run ends with it, so that another member can begin in its place. (It once went on,
-// and the member answered nothing.)
+// A member that detects at run time that its store is corrupt sends no more votes, acknowledgements
+// or responses, and Run returns the error, so that a new member can replace it. Regression test: Run
+// once continued, with a member that answered nothing.
 func TestCorruptStoreEndsTheMember(t *testing.T) {
 	t.Parallel()
-	lost := fmt.Errorf("opening it again: %w", storage.ErrCorrupt)
+	corrupt := fmt.Errorf("reopening the store: %w", storage.ErrCorrupt)
 	for _, c := range []struct {
 		name  string
 		store failingStore
 	}{
-		{"save", failingStore{saveError: lost}},
-		{"compact", failingStore{compactError: lost}},
+		{"save", failingStore{saveError: corrupt}},
+		{"compact", failingStore{compactError: corrupt}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			core := memberOnFailingStore(t, c.store)
 			if !core.host.suspended {
-				t.Error("it goes on answering")
+				t.Error("the member is not suspended")
 			}
 			if s := core.Status(); s.Halted == "" || s.DiskFails || core.host.node.Role() == raft.Leader {
 				t.Errorf("status %+v", s)
 			}
 			if err := core.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) {
-				t.Errorf("Run ends with %v", err)
+				t.Errorf("Run returns %v", err)
 			}
 			requireNoReadIndex(t, core)
 		})
 	}
 }
 
-// Another failure of the disk suspends a member and ends nothing.
+// A disk error other than corruption suspends the member but doesn't stop it.
 func TestFullDiskSuspendsTheMember(t *testing.T) {
 	t.Parallel()
 	core := memberOnFailingStore(t, failingStore{saveError: errors.New("no space")})
 	if !core.host.suspended {
-		t.Error("it goes on answering")
+		t.Error("the member is not suspended")
 	}
 	if core.host.lostDurability != nil || core.host.stopReason != "" {
-		t.Errorf("ended by %v, %q", core.host.lostDurability, core.host.stopReason)
+		t.Errorf("stopped by %v, %q", core.host.lostDurability, core.host.stopReason)
 	}
 }
 
-// memberOnFailingStore is a member that got so many entries over a failing store that a
-// snapshot is due.
+// memberOnFailingStore returns a member on a failing store that has received enough entries for a
+// snapshot to be due.
 func memberOnFailingStore(t *testing.T, store failingStore) *Core {
 	t.Helper()
 	core, _ := mustOpenMember(t)
@@ -87,18 +87,18 @@
 	return core
 }
 
-// A member whose leader says that it has less than it acknowledged ends likewise: its disk
-// is one of earlier. Nobody but its leader is believed.
+// A member that its leader reports to have fewer entries than it acknowledged stops as well: its disk
+// was rolled back to an earlier state. Such a message is accepted only from the leader.
 func TestMemberThatLostAcknowledgedEntriesEnds(t *testing.T) {
 	t.Parallel()
 	core, _ := mustOpenMember(t)
 	deliverFrom(t, core, 2, raft.Message{Kind: raft.AppendEntries, Index: 9, LogTerm: 4, Round: 3})
 	deliverFrom(t, core, 3, raft.Message{Kind: raft.DurabilityLost})
 	if core.host.lostDurability != nil {
-		t.Error("it believes another than its leader")
+		t.Error("a message from another member than the leader was accepted")
 	}
 	deliverFrom(t, core, 2, raft.Message{Kind: raft.DurabilityLost})
 	if err := core.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) || core.host.stopReason == "" {
-		t.Errorf("Run ends with %v, %q", err, core.host.stopReason)
+		t.Errorf("Run returns %v, %q", err, core.host.stopReason)
 	}
 }
--- a/controlplane/members_test.go
+++ b/controlplane/members_test.go
@@ -9,24 +9,24 @@
 	"example.org/elmspan/raft"
 )
 
-// All machines are restarted in turn, each asked to end, with what it keeps on its disk. Where a
-// fourth is a standby, a member's vote is another's before it goes, and three that vote are
-// there at any time; where there is no standby, it keeps its vote and isn't waited for. Each
-// change of the configuration is applied meanwhile.
+// All machines are shut down gracefully and restarted in turn with their disks. With a standby as the
+// fourth member, the vote of a leaving member is transferred before it stops, so that three voters
+// are running at any time. Without a standby, the member stays a voter and stops without delay.
+// Configuration changes are applied throughout.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	runInBubble(t, "three machines", func(t *testing.T) { restartInTurn(t, 3) })
 	runInBubble(t, "three and a standby", func(t *testing.T) { restartInTurn(t, 4) })
 }
 
-// rollingRestart restarts all machines of a cluster, of which three vote.
+// rollingRestart restarts the machines of a cluster with three voters, one by one.
 type rollingRestart struct {
 	*cluster
 	machines []string
 	dirs     map[string]string
 	client   *Client
 	revision uint64
-	longest  time.Duration // until a member may go
+	maxLeave time.Duration // longest time until a member could leave
 }
 
 func restartInTurn(t *testing.T, machines int) {
@@ -43,16 +43,16 @@
 		r.dirs[addr] = memoryDir(t)
 		c.start(addr, r.dirs[addr], i < len(c.seeds))
 	}
-	c.waitUntil("all are there", r.complete)
+	c.waitUntil("all machines are members", r.complete)
 	before := c.commitIndex()
 	for _, addr := range r.machines {
 		r.restart(addr)
 	}
-	t.Logf("at most %v until one may go; %d entries of the log, %d of them configurations",
-		r.longest, c.commitIndex()-before, r.revision)
+	t.Logf("members left within %v; %d log entries, %d of them configurations",
+		r.maxLeave, c.commitIndex()-before, r.revision)
 }
 
-// restart restarts a machine, with a change while it leaves and one while it is gone.
+// restart restarts a machine and applies a change while it leaves and another while it is down.
 func (r *rollingRestart) restart(addr string) {
 	r.t.Helper()
 	core := r.cores[addr]
@@ -60,33 +60,33 @@
 	select {
 	case <-core.Leave():
 	case <-time.After(testTimeout):
-		r.t.Fatalf("%s isn't let go", addr)
+		r.t.Fatalf("%s could not leave", addr)
 	}
-	r.longest = max(r.longest, time.Since(began))
+	r.maxLeave = max(r.maxLeave, time.Since(began))
 	if hasStandby := len(r.machines) > 3; hasStandby && neededForQuorum(core) {
-		r.t.Errorf("%s goes with its vote", addr)
+		r.t.Errorf("%s leaves while it is needed for a quorum", addr)
 	}
 	r.replace("while " + addr + " leaves")
 	r.stops[addr]()
 	r.replace("without " + addr)
 	r.start(addr, r.dirs[addr], false)
-	r.waitUntil("all are there again", r.complete)
+	r.waitUntil("all machines are members again", r.complete)
 	if r.cores[addr].host.id != core.host.id {
-		r.t.Fatalf("%s came back as another", addr)
+		r.t.Fatalf("%s restarted with another ID", addr)
 	}
 }
 
-// replace has the next change applied.
+// replace applies the next configuration change.
 func (r *rollingRestart) replace(when string) {
 	r.t.Helper()
 	if got := replaceConfig(r.client, r.revision, testConfig(r.t, r.revision+1)); got != http.StatusOK {
-		r.t.Fatalf("%s: %d", when, got)
+		r.t.Fatalf("change %s: status %d", when, got)
 	}
 	r.revision++
 }
 
-// complete reports whether all machines are members, three of which vote, and that each can take
-// another's vote.
+// complete reports whether all machines are members, three of them voters, and each could be
+// promoted in place of another voter.
 func (r *rollingRestart) complete() bool {
 	leader, members := r.stableMembers()
 	if leader == nil || len(members) != len(r.machines) || voterCount(members) != 3 {
@@ -100,8 +100,8 @@
 	})
 }
 
-// stableMembers are the members as the leader has them, nil without a leader, or while a
-// change of members is pending.
+// stableMembers returns the leader and its members, or nil if there is no leader or a membership
+// change is pending.
 func (c *cluster) stableMembers() (leader *Core, members []raft.Member) {
 	for _, core := range c.cores {
 		core.mu.Lock()
@@ -114,7 +114,7 @@
 	return leader, members
 }
 
-// commitIndex is the highest that a member knows.
+// commitIndex returns the highest commit index of any running member.
 func (c *cluster) commitIndex() uint64 {
 	highest := uint64(0)
 	for _, core := range c.cores {
--- a/controlplane/memberselector_test.go
+++ b/controlplane/memberselector_test.go
@@ -9,22 +9,21 @@
 	"example.org/elmspan/api"
 )
 
-// All members were replaced one by one while a process was not informed. A machine that
-// left the control plane long ago still runs, is in reach, and still names the members of
-// its time. It does not lead the process back to them, whatever comes first: a present member
-// is found.
+// All members were replaced while a process received no updates. A former member is still running
+// and reachable, and returns an outdated list of members. Whatever the order of the addresses, the
+// process finds a current member and doesn't return to the former ones.
 func TestFormerMemberDoesNotMislead(t *testing.T) {
-	former, present := []string{"a:1", "b:1", "x:1"}, []string{"c:1", "d:1", "e:1"}
+	former, current := []string{"a:1", "b:1", "x:1"}, []string{"c:1", "d:1", "e:1"}
 	for _, seeds := range [][]string{former, {"x:1"}, {"a:1", "x:1"}} {
 		for _, fallbacks := range [][]string{{"x:1", "c:1"}, {"c:1", "x:1"}} {
 			t.Run(fmt.Sprintf("seeds %v, fallbacks %v", seeds, fallbacks), func(t *testing.T) {
-				requirePresentMemberFound(t, seeds, fallbacks, former, present)
+				requireCurrentMemberFound(t, seeds, fallbacks, former, current)
 			})
 		}
 	}
 }
 
-func requirePresentMemberFound(t *testing.T, seeds, fallbacks, former, present []string) {
+func requireCurrentMemberFound(t *testing.T, seeds, fallbacks, former, current []string) {
 	t.Helper()
 	outdated := &api.WatchResponse{Leader: "a:1", Members: former}
 	c := &Client{Name: "edge-1"}
@@ -33,8 +32,8 @@
 	calls := 0
 	for ; calls < 40; calls++ {
 		member := c.WatchMember()
-		if slices.Contains(present, member) {
-			c.ObserveWatchResponse(&api.WatchResponse{Lease: true, Leader: "d:1", Members: present})
+		if slices.Contains(current, member) {
+			c.ObserveWatchResponse(&api.WatchResponse{Lease: true, Leader: "d:1", Members: current})
 			break
 		}
 		if member == "x:1" {
@@ -42,17 +41,17 @@
 		}
 		c.WatchMemberFailed(member)
 	}
-	if member := c.WatchMember(); !slices.Contains(present, member) {
-		t.Errorf("after %d calls %s is watched", calls, member)
+	if member := c.WatchMember(); !slices.Contains(current, member) {
+		t.Errorf("after %d calls the client watches %s", calls, member)
 	}
-	c.ObserveWatchResponse(outdated) // a late answer
+	c.ObserveWatchResponse(outdated) // a late response
 	member, leader := c.WatchMember(), c.selector.leaderCandidate()
-	if !slices.Contains(present, member) || leader != "d:1" {
-		t.Errorf("after a late answer %s is watched, %s is believed to lead", member, leader)
+	if !slices.Contains(current, member) || leader != "d:1" {
+		t.Errorf("after a late response the client watches %s and calls %s as the leader", member, leader)
 	}
 }
 
-// A process whose only seed has left the control plane learns from it whom to call.
+// A process whose only seed is a former member learns the addresses of other members from it.
 func TestUnconfirmedMembersAreCalledWhenAllOthersFailed(t *testing.T) {
 	c := &Client{Name: "edge-1"}
 	c.SetMembers("", []string{"x:1"})
@@ -66,11 +65,11 @@
 		}
 		c.WatchMemberFailed(member)
 	}
-	t.Error("no other member is watched")
+	t.Error("the client never watches another member")
 }
 
-// The member that is watched first differs from limiter to limiter; where it fails the next
-// one is watched, and each of them is reached within a lease.
+// Limiters differ in which member they watch first. When it fails they watch the next one, and each
+// member is reached within the duration of a lease.
 func TestWatchesSpreadOverMembers(t *testing.T) {
 	addrs := []string{"a:1", "b:1", "c:1", "d:1", "e:1"}
 	watchedFirst := map[string]int{}
@@ -87,22 +86,22 @@
 			c.WatchMemberFailed("another")
 		}
 		if len(seen) != len(addrs) {
-			t.Fatalf("limiter %d watches %v only", i, seen)
+			t.Fatalf("limiter %d watches only %v", i, seen)
 		}
 		c.WatchMemberFailed(c.WatchMember())
 		c.selector.switchedAt = time.Now().Add(-2 * preferredRetryAfter)
 		if c.WatchMember() != first {
-			t.Fatalf("limiter %d does not go back", i)
+			t.Fatalf("limiter %d does not return to its preferred member", i)
 		}
 	}
 	for addr, limiters := range watchedFirst {
 		if limiters < 8 || limiters > 34 {
-			t.Errorf("%s is watched first by %d of 100", addr, limiters)
+			t.Errorf("%s is the first choice of %d of 100 limiters", addr, limiters)
 		}
 	}
 }
 
-// Where all members have failed again and again, machines known from another source are watched.
+// When all members have failed repeatedly, the client watches fallbacks known from another source.
 func TestFallbacksAreCalledWhenAllMembersFailed(t *testing.T) {
 	c := &Client{Name: "edge-1"}
 	c.SetMembers("", []string{"a:1", "b:1"})
@@ -111,7 +110,7 @@
 		member := c.WatchMember()
 		isFallback := member == "c:1" || member == "d:1"
 		if isFallback != (failures >= 4) {
-			t.Errorf("after %d failures %s is watched", failures, member)
+			t.Errorf("after %d failures the client watches %s", failures, member)
 		}
 		if failures < 7 {
 			c.WatchMemberFailed(member)
@@ -119,6 +118,6 @@
 	}
 	c.SetMembers("", []string{"e:1"})
 	if member := c.WatchMember(); member != "e:1" {
-		t.Errorf("%s is watched, not the member that the control plane names", member)
+		t.Errorf("the client watches %s, not the member that the control plane reported", member)
 	}
 }
--- a/controlplane/mixed_versions_test.go
+++ b/controlplane/mixed_versions_test.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// What a program without digests reads and writes.
+// Stored types of versions without digests.
 type (
 	legacyAppliedRevision struct {
 		Revision uint64 `cbor:"1,keyasint"`
@@ -32,7 +32,7 @@
 	}
 )
 
-// apply is what a program without digests makes of an entry.
+// apply applies an entry as a version without digests does.
 func (s *legacyState) apply(t *testing.T, data []byte) {
 	t.Helper()
 	var command legacyCommand
@@ -48,7 +48,8 @@
 	s.Applied = s.Applied[max(0, len(s.Applied)-maxAppliedBeforeDigests):]
 }
 
-// copyBySnapshot has a state go through a snapshot, from one program to the other or to itself.
+// copyBySnapshot encodes a value and decodes it as type T, as when a snapshot is sent to a member of
+// the same or the other version.
 func copyBySnapshot[T any](t *testing.T, from any) *T {
 	t.Helper()
 	data, err := cbor.Marshal(from)
@@ -62,24 +63,24 @@
 	return to
 }
 
-// mixedCommand is a command that was sent to members of both programs.
+// mixedCommand is a command for members of both versions.
 type mixedCommand struct {
 	base, revision uint64
 	config         []byte
 	applied        bool
 }
 
-// mixedMembers are members with and without digests that apply the same entries.
+// mixedMembers holds the states of members with and without digests that apply the same entries.
 type mixedMembers struct {
 	t       *testing.T
 	rng     *rand.Rand
-	at      string // seed and step, for messages
+	where   string // seed and step, for error messages
 	current []*State
 	legacy  []*legacyState
 	sent    []mixedCommand
 }
 
-// nextCommand is a new command, now and then one with an old base, or one that is sent again.
+// nextCommand returns a new command, sometimes with an outdated base, or a retry of an earlier one.
 func (m *mixedMembers) nextCommand(step int) mixedCommand {
 	revision := m.current[0].Revision
 	command := mixedCommand{
@@ -96,7 +97,7 @@
 	return command
 }
 
-// encode returns the entry of a command, half of the time as a member without digests writes it.
+// encode returns the log entry of a command, half of the time in the format without digests.
 func (m *mixedMembers) encode(command mixedCommand) []byte {
 	m.t.Helper()
 	data, err := encodeReplaceCommand(command.base, command.revision, command.config)
@@ -109,7 +110,7 @@
 	return data
 }
 
-// apply has all members apply a command, and checks what those with digests say of it.
+// apply applies a command on all members and checks the outcomes on members with digests.
 func (m *mixedMembers) apply(command mixedCommand) {
 	m.t.Helper()
 	data := m.encode(command)
@@ -118,9 +119,9 @@
 		got := s.Apply(data).Outcome
 		switch {
 		case command.applied && got != OutcomeApplied && got != OutcomeUnknown:
-			m.t.Fatalf("%s: member %d decides %d about revision %d, which was applied", m.at, i, got, command.revision)
+			m.t.Fatalf("%s: member %d: outcome %d for applied revision %d", m.where, i, got, command.revision)
 		case !command.applied && got == OutcomeApplied && s.Revision == before:
-			m.t.Fatalf("%s: member %d confirms revision %d, which was not applied", m.at, i, command.revision)
+			m.t.Fatalf("%s: member %d confirms revision %d, which was not applied", m.where, i, command.revision)
 		}
 	}
 	for _, s := range m.legacy {
@@ -144,12 +145,12 @@
 		{m.legacy[1].Revision, m.legacy[1].Compressed},
 	} {
 		if got.revision != want.revision || !bytes.Equal(got.compressed, want.compressed) {
-			m.t.Fatalf("%s: one member has revision %d, another %d", m.at, want.revision, got.revision)
+			m.t.Fatalf("%s: members differ: revision %d and revision %d", m.where, want.revision, got.revision)
 		}
 	}
 }
 
-// sendSnapshot has a member, now and then, take over the snapshot of another one.
+// sendSnapshot sometimes replaces the state of a member by the snapshot of another.
 func (m *mixedMembers) sendSnapshot() {
 	m.t.Helper()
 	switch m.rng.IntN(40) {
@@ -164,9 +165,9 @@
 	}
 }
 
-// While members are upgraded one by one to a program with digests, entries and snapshots of
-// either program are read by the other: all members hold the same configuration after each
-// entry, and none with digests refuses what was applied.
+// During a rolling upgrade to a version with digests, each version reads the entries and snapshots of
+// the other: all members hold the same configuration after each entry, and no member with digests
+// refuses a command that was applied.
 func TestMembersWithAndWithoutDigestsAgree(t *testing.T) {
 	for seed := range uint64(25) {
 		m := &mixedMembers{
@@ -176,13 +177,13 @@
 			legacy:  []*legacyState{{}, {}},
 		}
 		for step := range 700 {
-			m.at = fmt.Sprintf("seed %d step %d", seed, step)
+			m.where = fmt.Sprintf("seed %d step %d", seed, step)
 			m.apply(m.nextCommand(step))
 			m.requireAgreement()
 			m.sendSnapshot()
 		}
 		if revision := m.current[0].Revision; revision < 300 {
-			t.Fatalf("seed %d: %d revisions are too few", seed, revision)
+			t.Fatalf("seed %d: only %d revisions, too few for a meaningful test", seed, revision)
 		}
 	}
 }
--- a/controlplane/network_test.go
+++ b/controlplane/network_test.go
@@ -14,26 +14,26 @@
 	"example.org/elmspan/api"
 )
 
-// pipeDelay is how long a write to a connection in memory takes.
+// pipeDelay is the duration of a write to an in-memory connection.
 const pipeDelay = 100 * time.Microsecond
 
-// testNetwork is what lies between machines.
+// testNetwork is the network between the machines of a test.
 type testNetwork interface {
-	newAddr() string // that no other machine has
+	newAddr() string // unused by other machines
 	listen(addr string) net.Listener
 	conns() *api.ConnPool
 }
 
-var errRefused = errors.New("nobody listens there")
+var errRefused = errors.New("connection refused")
 
-// pipeListener accepts connections in memory. They are [net.Pipe]'s: those of gRPC's bufconn
-// begin with timers that are due at once, and of Go 1.26's race detector two such timers at once
-// in one bubble, or one beside another that ends, crash the process (runtime.(*timer).modify
-// runs them on whichever thread, all with the bubble's one race context).
+// pipeListener accepts in-memory connections. They are made by [net.Pipe], not by gRPC's bufconn,
+// which starts timers that expire immediately. Under the race detector of Go 1.26, two such timers at
+// once in a bubble, or one while another ends, crash the process: runtime.(*timer).modify runs them
+// on any thread, all with the single race context of the bubble.
 type pipeListener struct {
-	dialed chan net.Conn // not accepted yet
+	dialed chan net.Conn // server ends of connections to accept
 	closed chan struct{}
-	close  func() // closes closed, once
+	close  func() // closes the channel closed, once
 }
 
 func newPipeListener() *pipeListener {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Accept and the methods after it make a pipeListener a [net.Listener].
+// Accept implements [net.Listener].
 func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.dialed:
@@ -67,21 +67,21 @@
 	}
 }
 
-// Close ends the listener.
+// Close implements [net.Listener].
 func (l *pipeListener) Close() error {
 	l.close()
 	return nil
 }
 
-// Addr is the same for all.
+// Addr implements [net.Listener]. All pipe listeners have the same address.
 func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "memory", Net: "unix"} }
 
-// pipeNetwork lies between the machines of a bubble: connections in memory. Those to addresses
-// at which nobody listens are refused.
+// pipeNetwork connects the machines of a bubble by in-memory connections. Connections to an address
+// without a listener are refused.
 type pipeNetwork struct {
-	mu        sync.Mutex // guards all that follows
+	mu        sync.Mutex // guards the fields below
 	listeners map[string]*pipeListener
-	addrs     int // given out
+	addrs     int // number of addresses handed out
 }
 
 func newPipeNetwork() *pipeNetwork {
@@ -117,12 +117,12 @@
 	return delayedConn{conn}, nil
 }
 
-// conns are a machine's connections to the others.
+// conns returns a pool for the connections of one machine to the others.
 func (n *pipeNetwork) conns() *api.ConnPool {
 	return api.NewConnPool(nil, grpc.WithContextDialer(n.dial))
 }
 
-// loopbackNetwork is a network of real sockets: it says nothing of time.
+// loopbackNetwork uses real sockets on the loopback interface, with no control of timing.
 type loopbackNetwork struct {
 	t         *testing.T
 	listeners map[string]net.Listener
@@ -150,7 +150,7 @@
 
 func (n *loopbackNetwork) conns() *api.ConnPool { return api.NewConnPool(nil) }
 
-// delayedListener gives what is written at either end of a connection its time on the way.
+// delayedListener delays the writes of the server end of its connections by pipeDelay.
 type delayedListener struct{ net.Listener }
 
 func (l delayedListener) Accept() (net.Conn, error) {
@@ -161,6 +161,7 @@
 	return delayedConn{conn}, nil
 }
 
+// delayedConn delays its writes by pipeDelay.
 type delayedConn struct{ net.Conn }
 
 func (c delayedConn) Write(b []byte) (int, error) {
@@ -168,7 +169,7 @@
 	return c.Conn.Write(b)
 }
 
-// serveUntilStopped serves calls until the server is stopped, at which Serve ends.
+// serveUntilStopped serves RPCs until the server is stopped.
 func serveUntilStopped(server *grpc.Server, listener net.Listener) {
 	_ = server.Serve(listener)
 }
--- a/controlplane/peer_test.go
+++ b/controlplane/peer_test.go
@@ -10,10 +10,10 @@
 	"example.org/elmspan/raft"
 )
 
-// peerTerm is the term in which the test's messages lead a member, unless they name another.
+// peerTerm is the term of messages that a test delivers to a member, unless they have another.
 const peerTerm = 4
 
-// deliverFrom has messages of a member come to member 1.
+// deliverFrom delivers messages from a member to member 1.
 func deliverFrom(t *testing.T, core *Core, from raft.ID, messages ...raft.Message) {
 	t.Helper()
 	for i := range messages {
@@ -26,8 +26,8 @@
 	}
 }
 
-// installMessages send a snapshot, in two chunks or in one message.
-func installMessages(snapshot raft.Snapshot, chunked bool) []raft.Message {
+// snapshotMessages returns the messages that transfer a snapshot, as two chunks or one message.
+func snapshotMessages(snapshot raft.Snapshot, chunked bool) []raft.Message {
 	if !chunked {
 		return []raft.Message{{Kind: raft.InstallSnapshot, Snapshot: &snapshot}}
 	}
@@ -48,8 +48,8 @@
 	return messages
 }
 
-// install has member 2 send a snapshot.
-func install(t *testing.T, core *Core, index uint64, data []byte, chunked bool) {
+// deliverSnapshot delivers a snapshot from member 2 to member 1.
+func deliverSnapshot(t *testing.T, core *Core, index uint64, data []byte, chunked bool) {
 	t.Helper()
 	snapshot := raft.Snapshot{
 		Index:   index,
@@ -57,12 +57,12 @@
 		Members: core.host.node.Members(),
 		Data:    data,
 	}
-	for _, m := range installMessages(snapshot, chunked) {
+	for _, m := range snapshotMessages(snapshot, chunked) {
 		deliverFrom(t, core, 2, m)
 	}
 }
 
-// appendMessage appends entries after one of term 1.
+// appendMessage returns a message that appends entries. The entry before them is of term 1.
 func appendMessage(commit uint64, entries ...raft.Entry) raft.Message {
 	return raft.Message{
 		Kind:    raft.AppendEntries,
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -10,7 +10,7 @@
 	"example.org/elmspan/raft"
 )
 
-// replaceCall is a call that replaces the configuration.
+// replaceCall returns a call that replaces the configuration.
 func replaceCall(base, revision uint64, config string) *pendingCall {
 	return newPendingCall(&input{
 		base:     base,
@@ -20,36 +20,36 @@
 	})
 }
 
-// quietSim is a simulation without clients in which no fault happens by itself. A test steps it.
-type quietSim struct {
+// scriptedSim is a simulation without clients and random faults. The test drives each step.
+type scriptedSim struct {
 	*registerSim
 	t *testing.T
 }
 
-func newQuietSim(t *testing.T, seed uint64) *quietSim {
+func newScriptedSim(t *testing.T, seed uint64) *scriptedSim {
 	t.Helper()
 	config := simConfig{machines: simVoters, remembered: maxAppliedRevisions}
-	s := &quietSim{newRegisterSim(seed, config, ""), t}
+	s := &scriptedSim{newRegisterSim(seed, config, ""), t}
 	s.calm = true
 	return s
 }
 
-// await steps until a condition holds.
-func (s *quietSim) await(what string, condition func() bool) {
+// await steps the simulation until a condition holds.
+func (s *scriptedSim) await(what string, condition func() bool) {
 	s.t.Helper()
 	if err := s.until(condition); err != nil {
 		s.t.Fatalf("%s: %v", what, err)
 	}
 }
 
-func (s *quietSim) awaitLeader() raft.ID {
+func (s *scriptedSim) awaitLeader() raft.ID {
 	s.t.Helper()
 	s.await("a leader", func() bool { return s.leader() != 0 })
 	return s.leader()
 }
 
-// awaitOtherLeader is the leader of those who are not cut off.
-func (s *quietSim) awaitOtherLeader(isolated raft.ID) raft.ID {
+// awaitOtherLeader waits for a leader other than the isolated member.
+func (s *scriptedSim) awaitOtherLeader(isolated raft.ID) raft.ID {
 	s.t.Helper()
 	leader := raft.ID(0)
 	s.await("another leader", func() bool {
@@ -62,11 +62,11 @@
 	return leader
 }
 
-// callUntilDone has a call end at a member, and returns its result.
-func (s *quietSim) callUntilDone(at raft.ID, p *pendingCall) api.ControlResponse {
+// callUntilDone steps the simulation until a call at a member is done, and returns its result.
+func (s *scriptedSim) callUntilDone(at raft.ID, p *pendingCall) api.ControlResponse {
 	s.t.Helper()
 	var result api.ControlResponse
-	s.await("the call's end", func() bool {
+	s.await("the call is done", func() bool {
 		var done bool
 		result, done = s.drive(at, p)
 		return done
@@ -74,35 +74,35 @@
 	return result
 }
 
-// requireStatus requires that a call ends with a status.
-func (s *quietSim) requireStatus(at raft.ID, p *pendingCall, want int) {
+// requireStatus requires that a call completes with a status.
+func (s *scriptedSim) requireStatus(at raft.ID, p *pendingCall, want int) {
 	s.t.Helper()
 	if r := s.callUntilDone(at, p); r.Status != want {
-		s.t.Errorf("get %t, revision %d on %d: %+v, want %d", p.get, p.revision, p.base, r, want)
+		s.t.Errorf("get %t, revision %d on base %d: %+v, want status %d", p.get, p.revision, p.base, r, want)
 	}
 }
 
-// requireProposed requires that a member proposes a call, and has no result yet.
-func (s *quietSim) requireProposed(m *simMember, p *pendingCall) {
+// requireProposed requires that a member proposes a call and has no result for it yet.
+func (s *scriptedSim) requireProposed(m *simMember, p *pendingCall) {
 	s.t.Helper()
 	if m.advance(m.node, p).done || p.index == 0 {
 		s.t.Fatalf("not proposed: %+v", p)
 	}
 }
 
-// A leader that is cut off for 20 s, both ways or one way, answers nothing from what it knew:
-// no read, no refusal, no confirmation, neither of what is new nor of what it had applied
-// itself. Once it is back all have their results, and what the others applied meanwhile is in
-// force. (Reported by the users: it went on answering with an old configuration, or refused
-// commands, or confirmed them.)
+// A leader that is isolated for 20 s, in one or both directions, answers nothing from its own state:
+// it returns no reads, and neither refuses nor confirms commands, be they new or already applied by
+// it. After it reconnects, all calls get their results, and the changes that the other members
+// applied in the meantime are in effect. Regression test for user reports: an isolated leader
+// returned an outdated configuration, or refused or confirmed commands.
 func TestIsolatedLeaderAnswersNothing(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		from, to bool
 	}{
 		{"both ways", true, true},
-		{"what it sends", true, false},
-		{"what it is sent", false, true},
+		{"outgoing messages lost", true, false},
+		{"incoming messages lost", false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(20) {
@@ -116,7 +116,7 @@
 
 func requireNoResultsWhileIsolated(t *testing.T, seed uint64, from, to bool) {
 	t.Helper()
-	s := newQuietSim(t, seed)
+	s := newScriptedSim(t, seed)
 	isolated := s.awaitLeader()
 	s.requireStatus(isolated, replaceCall(0, 5, "first"), http.StatusOK)
 	s.isolate(isolated, from, to)
@@ -145,21 +145,21 @@
 	s.requireStatus(leader, replaceCall(second.base, 9, "theirs"), http.StatusOK)
 	s.requireStatus(leader, &pendingCall{get: true}, http.StatusOK)
 	if got := s.members[leader].state.Revision; got != 9 {
-		t.Errorf("revision %d in the end", got)
+		t.Errorf("final revision %d", got)
 	}
 	if s.diverged != nil {
 		t.Error(s.diverged)
 	}
 }
 
-// requireNoResults has a member go on with calls, none of which may have a result. A call that
-// ends without one is made again.
-func (s *quietSim) requireNoResults(at raft.ID, calls []*pendingCall) {
+// requireNoResults advances calls at a member and requires that none gets a result. A call that
+// completes without a result is replaced by a retry.
+func (s *scriptedSim) requireNoResults(at raft.ID, calls []*pendingCall) {
 	s.t.Helper()
 	for i, p := range calls {
 		r, done := s.drive(at, p)
 		if done && r.Status != 0 {
-			s.t.Fatalf("step %d: call %d is answered %+v", s.now, i, r)
+			s.t.Fatalf("step %d: call %d got result %+v", s.now, i, r)
 		}
 		if done {
 			calls[i] = &pendingCall{get: p.get, configChange: p.configChange}
@@ -167,17 +167,17 @@
 	}
 }
 
-// A command whose answer was lost is sent again while its first entry is still on its way: it
-// is in the log twice, with another change between, and is acknowledged.
+// A command whose response was lost is retried before its first entry is committed. It is in the log
+// twice, with another change in between, and is acknowledged.
 func TestCommandTwiceInTheLogIsAcknowledged(t *testing.T) {
-	s := newQuietSim(t, 1)
+	s := newScriptedSim(t, 1)
 	leader := s.awaitLeader()
 	m := s.members[leader]
 	first, retried, late := replaceCall(0, 2, "a"), replaceCall(0, 2, "a"), replaceCall(0, 3, "c")
 	for _, p := range []*pendingCall{first, late, retried} { // none is committed yet
 		s.requireProposed(m, p)
 	}
-	m.drop(first) // its caller is gone
+	m.drop(first) // its caller has disconnected
 	s.requireStatus(leader, retried, http.StatusOK)
 	s.requireStatus(leader, late, http.StatusPreconditionFailed)
 	s.requireStatus(leader, replaceCall(2, 4, "b"), http.StatusOK)
@@ -188,20 +188,21 @@
 	}
 }
 
-// The index of an entry that was truncated is taken by that of another call: the first call
-// ends at once without a result, and when its caller goes the second is still answered.
+// The entry of a call is truncated and its index reused by the entry of another call. The first call
+// completes at once without a result. After its caller disconnects, the second call is still
+// answered.
 func TestIndexTakenByAnotherEntryEndsTheCall(t *testing.T) {
-	s := newQuietSim(t, 1)
+	s := newScriptedSim(t, 1)
 	leader := s.awaitLeader()
 	m := s.members[leader]
 	first, second := replaceCall(0, 2, "first"), replaceCall(0, 3, "second")
 	s.requireProposed(m, first)
-	m.calls[m.node.LastIndex()+1] = first // as after its entry was truncated
+	m.calls[m.node.LastIndex()+1] = first // as if its entry had been truncated
 	s.requireProposed(m, second)
 	if progress := m.advance(m.node, first); !progress.done || progress.result.Status != 0 {
-		t.Errorf("the first: %+v", progress)
+		t.Errorf("first call: %+v", progress)
 	}
 	m.drop(first)
-	// The first one's entry is committed before it all the same.
+	// The entry of the first call is still in the log and is committed before it.
 	s.requireStatus(leader, second, http.StatusPreconditionFailed)
 }
--- a/controlplane/sendqueue_test.go
+++ b/controlplane/sendqueue_test.go
@@ -16,34 +16,35 @@
 	}
 }
 
-// One message goes whatever its size, and no other beside it. Its call has time for its bytes
-// on a link of 1 Mbit/s, and no other is in flight meanwhile.
+// A bulk queue accepts a single message of any size, but no second message beside it. The timeout of
+// its call is long enough for its bytes on a link of 1 Mbit/s, and no other call is in flight
+// meanwhile.
 func TestBulkQueueTakesOneLargeMessage(t *testing.T) {
 	const size = 400 << 10
 	q := &messageQueue{bulk: true}
 	if !q.put(snapshotChunk(0, size)) {
-		t.Error("a large message is dropped")
+		t.Error("a large message was dropped")
 	}
 	if q.put(snapshotChunk(1, 1)) {
-		t.Error("another one is queued beside it")
+		t.Error("another message was queued beside it")
 	}
 	messages := q.take()
 	if len(messages) != 1 {
 		t.Errorf("%d messages in one call", len(messages))
 	}
 	if timeout := callTimeoutFor(payloadBytes(messages)); timeout < size*time.Second/minLinkSpeed {
-		t.Errorf("the call has %v", timeout)
+		t.Errorf("call timeout is %v", timeout)
 	}
 	if q.take() != nil {
-		t.Error("a second call is in flight")
+		t.Error("a second call was started")
 	}
 	if q.put(snapshotChunk(0, size)) {
-		t.Error("it is queued again while it is in flight")
+		t.Error("the message was queued again while in flight")
 	}
 }
 
-// A bulk queue holds a bounded number of bytes, of which a call carries 17 KB, and nothing
-// twice at once.
+// A bulk queue holds a bounded number of bytes, a call carries at most 17 KB of them, and no message
+// is queued twice at the same time.
 func TestBulkQueueIsBounded(t *testing.T) {
 	const size = 8 << 10
 	q := &messageQueue{bulk: true}
@@ -52,29 +53,29 @@
 		n++
 	}
 	if n != maxQueuedBytes/size || q.bytes > maxQueuedBytes {
-		t.Errorf("%d wait, %d bytes", n, q.bytes)
+		t.Errorf("%d messages queued, %d bytes", n, q.bytes)
 	}
 	if q.take(); len(q.inFlight) != 2 {
-		t.Errorf("%d in one call", len(q.inFlight))
+		t.Errorf("%d messages in one call", len(q.inFlight))
 	}
 	if q.put(snapshotChunk(0, size)) {
-		t.Error("what is in flight is queued again")
+		t.Error("a message in flight was queued again")
 	}
 	q.done()
 	if q.put(snapshotChunk(3, size)) {
-		t.Error("what waits is queued again")
+		t.Error("a queued message was queued again")
 	}
 	if !q.put(snapshotChunk(0, size)) {
-		t.Error("what was sent is not queued again")
+		t.Error("a message that was sent could not be queued again")
 	}
 	for len(q.take()) > 0 {
 		q.done()
 	}
 	if q.bytes != 0 {
-		t.Errorf("%d bytes are held of nothing", q.bytes)
+		t.Errorf("the empty queue counts %d bytes", q.bytes)
 	}
 	if got := callTimeoutFor(0); got != deliverTimeout {
-		t.Errorf("a call with nothing has %v", got)
+		t.Errorf("timeout of a call without payload is %v", got)
 	}
 }
 
@@ -89,6 +90,6 @@
 		t.Fatalf("%d messages", len(messages))
 	}
 	if last := messages[len(messages)-1].Round; last != maxQueuedMessages+excess-1 {
-		t.Errorf("the last one is of round %d", last)
+		t.Errorf("the last message is of round %d", last)
 	}
 }
--- a/controlplane/slow_disk_test.go
+++ b/controlplane/slow_disk_test.go
@@ -9,23 +9,23 @@
 	"example.org/elmspan/raft"
 )
 
-// slowDisk is a member whose writes wait until the test lets them go on. What it sends stays in
-// its send queues.
+// slowDisk is a member whose disk writes block until the test releases them. Its outgoing messages
+// stay in its send queues.
 type slowDisk struct {
 	*Core
 	Store
 	t       *testing.T
-	writing chan struct{} // an element is taken when a write begins
-	result  chan error    // of the write
+	writing chan struct{} // receives an element when a write begins
+	result  chan error    // result of the write
 	done    chan struct{} // closed when the test ends
 }
 
-// Save waits for the test.
+// Save blocks until the test releases the write.
 func (d *slowDisk) Save(r raft.Ready) error {
 	select {
 	case d.writing <- struct{}{}:
 	case <-d.done:
-		return errors.New("the test is over")
+		return errors.New("the test has ended")
 	}
 	select {
 	case err := <-d.result:
@@ -62,13 +62,13 @@
 	return d
 }
 
-// newSlowFollower follows member 2, and has written its term.
+// newSlowFollower returns a follower of member 2 whose term is on disk.
 func newSlowFollower(t *testing.T) *slowDisk {
 	t.Helper()
 	d := newSlowDisk(t)
 	d.receive(heartbeat(3))
 	d.write()
-	d.sent()
+	d.takeSent()
 	return d
 }
 
@@ -76,14 +76,14 @@
 	return raft.Message{Kind: raft.AppendEntries, Index: 5, LogTerm: 1, Round: round}
 }
 
-// receive has messages of member 2 come.
+// receive delivers messages from member 2.
 func (d *slowDisk) receive(messages ...raft.Message) {
 	d.t.Helper()
 	deliverFrom(d.t, d.Core, 2, messages...)
 }
 
-// sent takes what waits to be sent to member 2.
-func (d *slowDisk) sent() []raft.Message {
+// takeSent removes the messages to member 2 from the send queues and returns them.
+func (d *slowDisk) takeSent() []raft.Message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var sent []raft.Message
@@ -95,30 +95,30 @@
 	return sent
 }
 
-// requireNothingSent requires that nothing waits to be sent to member 2.
+// requireNothingSent requires that no message to member 2 is queued.
 func (d *slowDisk) requireNothingSent(when string) {
 	d.t.Helper()
-	if sent := d.sent(); len(sent) != 0 {
-		d.t.Errorf("%s it sends %+v", when, sent)
+	if sent := d.takeSent(); len(sent) != 0 {
+		d.t.Errorf("sent %s: %+v", when, sent)
 	}
 }
 
-// awaitWrite waits until a write begins.
+// awaitWrite blocks until a write begins.
 func (d *slowDisk) awaitWrite() { <-d.writing }
 
-// endWrite ends a write that has begun, and waits until nothing is handled any more.
+// endWrite completes a write in progress and waits for all tasks of the member to end.
 func (d *slowDisk) endWrite(result error) {
 	d.result <- result
 	d.lifecycle.tasks.Wait()
 }
 
-// write lets one write go on.
+// write waits for one write and completes it.
 func (d *slowDisk) write() {
 	d.awaitWrite()
 	d.endWrite(nil)
 }
 
-// tick has ticks pass as Run does.
+// tick runs n ticks as Run does.
 func (d *slowDisk) tick(n int) {
 	for range n {
 		d.mu.Lock()
@@ -128,35 +128,35 @@
 	}
 }
 
-// While a follower waits for its disk it answers heartbeats and callers. What it is sent
-// meanwhile it acknowledges only once that is on disk.
+// While a follower waits for its disk, it answers heartbeats and status calls. It acknowledges entries
+// only once they are on disk.
 func TestHeartbeatsDoNotWaitForTheDisk(t *testing.T) {
 	t.Parallel()
 	d := newSlowFollower(t)
 	d.receive(appendMessage(0, raft.Entry{Index: 6, Term: peerTerm}))
 	d.awaitWrite()
 	d.receive(heartbeat(4))
-	sent := d.sent()
+	sent := d.takeSent()
 	if len(sent) != 1 || sent[0].Kind != raft.AppendEntriesReply || sent[0].Round != 4 || sent[0].Index != 5 {
-		t.Errorf("while the disk writes it sends %+v", sent)
+		t.Errorf("sent during the write: %+v", sent)
 	}
 	if s := d.Status(); s.Revision != 3 || s.DiskFails {
-		t.Errorf("while the disk writes its status is %+v", s)
+		t.Errorf("status during the write: %+v", s)
 	}
 	d.endWrite(nil)
-	if sent = d.sent(); len(sent) != 1 || sent[0].Index != 6 {
-		t.Errorf("when it has written it sends %+v", sent)
+	if sent = d.takeSent(); len(sent) != 1 || sent[0].Index != 6 {
+		t.Errorf("sent after the write: %+v", sent)
 	}
 }
 
-// A vote must be durable as well: it is sent once it is on disk.
+// A vote must be durable before it is sent.
 func TestVoteWaitsForTheDisk(t *testing.T) {
 	t.Parallel()
 	d := newSlowFollower(t)
 	d.receive(appendMessage(0, raft.Entry{Index: 6, Term: peerTerm}))
 	d.write()
-	d.tick(2 * electionTicks) // else it stays with its leader
-	d.sent()
+	d.tick(2 * electionTicks) // otherwise it refuses to vote while its leader is active
+	d.takeSent()
 	d.receive(raft.Message{
 		Kind:               raft.VoteRequest,
 		Term:               9,
@@ -165,31 +165,31 @@
 		LeadershipTransfer: true,
 	})
 	d.awaitWrite()
-	d.requireNothingSent("before its vote is on disk")
+	d.requireNothingSent("before the vote is on disk")
 	d.endWrite(errors.New("full"))
-	d.requireNothingSent("when the disk has refused")
+	d.requireNothingSent("after the failed write")
 	if !d.Status().DiskFails {
-		t.Error("the status says nothing of the disk")
+		t.Error("the status doesn't report the disk failure")
 	}
 	d.tick(1)
 	d.write()
-	sent := d.sent()
+	sent := d.takeSent()
 	if len(sent) == 0 || sent[0].Kind != raft.VoteReply || sent[0].Reject {
-		t.Errorf("when its vote is on disk it sends %+v", sent)
+		t.Errorf("sent once the vote is on disk: %+v", sent)
 	}
 	if d.Status().DiskFails {
-		t.Error("the status says that the disk still fails")
+		t.Error("the status still reports a disk failure")
 	}
 }
 
-// awaitCandidate has ticks pass until the member is a candidate.
+// awaitCandidate runs ticks until the member is a candidate.
 func (d *slowDisk) awaitCandidate() {
 	for d.host.node.Role() != raft.Candidate {
 		d.tick(1)
 	}
 }
 
-// becomeLeader makes the member the leader of a term, which it returns.
+// becomeLeader makes the member a leader and returns its term.
 func (d *slowDisk) becomeLeader() uint64 {
 	d.t.Helper()
 	d.awaitCandidate()
@@ -198,52 +198,52 @@
 	d.write()
 	d.receive(raft.Message{Kind: raft.VoteReply, Term: term})
 	if d.host.node.Role() != raft.Leader {
-		d.t.Fatal("it does not lead")
+		d.t.Fatal("the member is not the leader")
 	}
 	return term
 }
 
-// A leader that waits for its disk goes on with its heartbeats, and answers nothing from what
-// the others have committed meanwhile before it has applied that itself. One whose disk keeps
-// it waiting too long steps down, and takes part again when the disk answers.
+// A leader that waits for its disk keeps sending heartbeats, and answers nothing based on entries that
+// the others have committed until it has applied them itself. If its disk stalls for too long, it
+// steps down, and it participates again once the disk responds.
 func TestLeaderStepsDownWhenItsDiskStalls(t *testing.T) {
 	t.Parallel()
 	d := newSlowDisk(t)
 	term := d.becomeLeader()
-	d.awaitWrite() // of its first entry, 6
+	d.awaitWrite() // of the leader's first entry, 6
 	if sent := d.heartbeatsIn(3 * heartbeatTicks); sent < 2 {
-		t.Errorf("%d heartbeats while the disk writes", sent)
+		t.Errorf("%d heartbeats during the write", sent)
 	}
-	// The two others have it: it is committed.
+	// The other two members have stored the entry, so it is committed.
 	reply := raft.Message{Kind: raft.AppendEntriesReply, Term: term, Index: 6, Round: 1 << 20}
 	d.receive(reply)
 	if d.host.node.AppliedIndex() >= 6 {
-		t.Fatal("applied before it is on disk")
+		t.Fatal("entry 6 was applied before it was on disk")
 	}
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if r, err := d.Watch(canceled, &api.WatchRequest{}); err != nil || r.Lease || r.ConfigDelta != nil {
-		t.Errorf("answered before it is applied: %+v, %v", r, err)
+		t.Errorf("answered before entry 6 was applied: %+v, %v", r, err)
 	}
 	d.tick(stallTicks)
 	if d.Leads() || d.host.node.Role() == raft.Leader || !d.Status().DiskFails {
-		t.Error("it leads though its disk doesn't answer")
+		t.Error("the member still leads, or reports no disk failure, while its disk stalls")
 	}
-	d.sent()
+	d.takeSent()
 	d.receive(reply)
-	d.requireNothingSent("without a disk")
+	d.requireNothingSent("while the disk stalls")
 	d.endWrite(nil)
 	if s := d.Status(); s.DiskFails {
-		t.Errorf("once the disk answers its status is %+v", s)
+		t.Errorf("status once the disk responds: %+v", s)
 	}
 }
 
-// heartbeatsIn counts the heartbeats that member 2 is sent in so many ticks.
+// heartbeatsIn counts the heartbeats to member 2 during a number of ticks.
 func (d *slowDisk) heartbeatsIn(ticks int) int {
 	heartbeats := 0
 	for range ticks / heartbeatTicks {
 		d.tick(heartbeatTicks)
-		for _, m := range d.sent() {
+		for _, m := range d.takeSent() {
 			if m.Kind == raft.AppendEntries && len(m.Entries) == 0 {
 				heartbeats++
 			}
@@ -252,23 +252,23 @@
 	return heartbeats
 }
 
-// A candidate whose disk is slow waits for its vote to be stored, and asks for others' then: it
-// begins no further election meanwhile.
+// A candidate with a slow disk requests votes only once its own vote is stored. It starts no further
+// election meanwhile.
 func TestCandidateWaitsForItsVoteToBeStored(t *testing.T) {
 	t.Parallel()
 	d := newSlowDisk(t)
 	d.awaitCandidate()
-	d.sent()
+	d.takeSent()
 	term := d.host.node.Term() + 1
 	d.receive(raft.Message{Kind: raft.PreVoteReply, Term: term})
 	d.awaitWrite()
 	d.tick(stallTicks - 1)
 	d.endWrite(nil)
-	sent := d.sent()
+	sent := d.takeSent()
 	if len(sent) != 1 || sent[0].Kind != raft.VoteRequest || sent[0].Term != term {
-		t.Errorf("in term %d it sends %+v", term, sent)
+		t.Errorf("sent in term %d: %+v", term, sent)
 	}
 	if got := d.host.node.Term(); got != term {
-		t.Errorf("term %d, not %d", got, term)
+		t.Errorf("term %d, want %d", got, term)
 	}
 }
--- a/controlplane/unreadable_state_test.go
+++ b/controlplane/unreadable_state_test.go
@@ -84,7 +84,7 @@
 	t.Parallel()
 	core, store := mustOpenMember(t)
 	for i, chunked := range []bool{false, true} {
-		install(t, core, uint64(9+i), unreadableState(t, 7), chunked)
+		deliverSnapshot(t, core, uint64(9+i), unreadableState(t, 7), chunked)
 		requireRevision(t, core, store, 3, 5)
 		if got := core.host.node.CommitIndex(); got != 5 {
 			t.Errorf("chunked %t: committed up to %d", chunked, got)
@@ -96,7 +96,7 @@
 	if got := core.host.node.RejectedSnapshots(); got != 2 {
 		t.Errorf("%d refused", got)
 	}
-	install(t, core, 12, validState(t, 8), true)
+	deliverSnapshot(t, core, 12, validState(t, 8), true)
 	requireRevision(t, core, store, 8, 12)
 }
 
@@ -188,7 +188,7 @@
 	call := &pendingCall{index: 7, term: 1}
 	core.store.calls[7] = call
 	changed := core.notify.changed
-	install(t, core, 9, validState(t, 8), false)
+	deliverSnapshot(t, core, 9, validState(t, 8), false)
 	select {
 	case <-changed:
 	default:
