--- a/controlplane/core_under_faults_test.go
+++ b/controlplane/core_under_faults_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-var coreSeeds = flag.Uint64("core.seeds", 24, "number of seeds for TestCoresAreDurableAndLinearizableUnderFaults")
+var coreSeeds = flag.Uint64("core.seeds", 24, "seeds for TestCoresAreDurableAndLinearizableUnderFaults")
 
 // Runs clusters of three and five real cores. Four operators pick the same revisions and retry each
 // command until it is answered. Injected faults: writes of up to 2 s, full, lost and corrupt disks,
--- a/controlplane/history_test.go
+++ b/controlplane/history_test.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-var historySeeds = flag.Uint64("history.seeds", 150, "number of seeds for each test of histories")
+var historySeeds = flag.Uint64("history.seeds", 150, "seeds for each test of histories")
 
 // forEachSeed runs a simulation for each seed below n, four in parallel, until one fails.
 func forEachSeed(t *testing.T, n uint64, run func(seed uint64) error) {
--- a/controlplane/slow_disk_test.go
+++ b/controlplane/slow_disk_test.go
@@ -155,7 +155,7 @@
 	d := newSlowFollower(t)
 	d.receive(appendMessage(0, raft.Entry{Index: 6, Term: peerTerm}))
 	d.write()
-	d.tick(2 * electionTicks) // otherwise it refuses to vote while its leader is active
+	d.tick(2 * electionTicks) // past the election timeout, so that no leader is active
 	d.takeSent()
 	d.receive(raft.Message{
 		Kind:               raft.VoteRequest,
--- a/controlplane/slow_links_test.go
+++ b/controlplane/slow_links_test.go
@@ -9,24 +9,25 @@
 	"example.org/elmspan/raft"
 )
 
-var linkSeeds = flag.Uint64("links.seeds", 30, "runs of TestMembersConvergeAfterHundredsOfChangesAndRestarts")
+var linkSeeds = flag.Uint64("links.seeds", 30, "seeds for TestMembersConvergeAfterHundredsOfChangesAndRestarts")
 
-// maxHeartbeatGap is how long a member may get nothing from its leader: short of an election.
+// maxHeartbeatGap is the longest time that a member may wait for its leader: below the election
+// timeout.
 const maxHeartbeatGap = electionTicks * tickInterval * 4 / 5
 
-// slowLinksCase is a member that comes back and takes a state of 4 MB.
+// slowLinksCase is a case in which a rejoining member is sent a state of 4 MB.
 type slowLinksCase struct {
 	name        string
 	lossRate    float64
-	allSlow     bool // else only the links of the member that comes back
+	allSlow     bool // otherwise only the links of the rejoining member are slow
 	changeBytes int
 	limit       time.Duration
 }
 
-// A member that comes back takes a state of 4 MB over a link of 1 Mbit/s while a change comes
-// each second. Nobody misses the leader's heartbeats for an election meanwhile, and there is
-// one transfer, whatever snapshots the log would have asked for. (Fails with all of it in one
-// message, as it once was: it never arrives.)
+// A rejoining member is sent a state of 4 MB over a link of 1 Mbit/s while one change per second is
+// proposed. No member misses heartbeats for long enough to start an election, and there is a single
+// transfer, however many snapshots the growing log would justify. Regression test: when the snapshot
+// was sent as one message, it never arrived.
 func TestLargeStateOverASlowLinkCausesNoElection(t *testing.T) {
 	t.Parallel()
 	for _, c := range []slowLinksCase{
@@ -43,14 +44,14 @@
 
 func (c *slowLinksCase) run(t *testing.T, seed uint64) {
 	t.Helper()
-	const away = raft.ID(3)
+	const rejoining = raft.ID(3)
 	s := newLinkSim(t, seed, 4<<20)
 	s.start(1)
 	s.start(2)
 	s.awaitLeader()
-	s.proposeMany(200, 2<<10) // while the third is away
+	s.proposeMany(200, 2<<10) // while member 3 is down
 	s.speed = func(from, to raft.ID) linkSpeed {
-		if c.allSlow || from == away || to == away {
+		if c.allSlow || from == rejoining || to == rejoining {
 			return linkSpeed{mbit, 20 * time.Millisecond}
 		}
 		return linkSpeed{100 * mbit, time.Millisecond}
@@ -58,40 +59,40 @@
 	s.lossRate = c.lossRate
 	s.run(2 * time.Second)
 	term := s.leader().Term()
-	s.start(away)
-	s.waitUntil("it knows the leader", time.Second, func() bool { return s.nodes[away].Leader() != 0 })
-	preVotes, nextChange := s.preVotes, s.now // a start may ask for an election before
+	s.start(rejoining)
+	s.waitUntil("it knows the leader", time.Second, func() bool { return s.nodes[rejoining].Leader() != 0 })
+	preVotes, nextChange := s.preVotes, s.now // the start may have caused pre-votes
 	s.longestGap = 0
-	took := s.waitUntil("the member that came back has it all", c.limit, func() bool {
+	took := s.waitUntil("the rejoining member has caught up", c.limit, func() bool {
 		if s.now >= nextChange {
 			nextChange += time.Second
 			s.propose(c.changeBytes)
 		}
 		leader := s.leader()
-		return leader != nil && s.installed > 0 && s.nodes[away].AppliedIndex()+1 >= leader.CommitIndex()
+		return leader != nil && s.installed > 0 && s.nodes[rejoining].AppliedIndex()+1 >= leader.CommitIndex()
 	})
 	preVotes = s.preVotes - preVotes
-	t.Logf("4 MB in %v, longest gap %v, %d elections asked for", took, s.longestGap, preVotes)
+	t.Logf("4 MB in %v, longest heartbeat gap %v, %d pre-vote requests", took, s.longestGap, preVotes)
 	if leader := s.leader(); leader == nil || leader.Term() != term {
-		t.Error("an election was caused")
+		t.Error("the transfer caused an election")
 	}
 	if s.installed != 1 {
-		t.Errorf("%d snapshots were installed, 1 is enough", s.installed)
+		t.Errorf("%d snapshots were installed, want 1", s.installed)
 	}
 	if c.lossRate > 0 {
 		return
 	}
 	if preVotes != 0 {
-		t.Errorf("%d elections were asked for", preVotes)
+		t.Errorf("%d pre-vote requests were sent", preVotes)
 	}
 	if s.longestGap > maxHeartbeatGap {
-		t.Errorf("nothing came from the leader for %v", s.longestGap)
+		t.Errorf("no message from the leader for %v", s.longestGap)
 	}
 }
 
-// Hundreds of changes, eight in flight, of some hundred bytes to 41 KB each, while members
-// stop and start with their disks, or are cut off, one at a time, throughout: two seconds
-// after the last fault every member has all that was committed, over any seed.
+// Hundreds of changes of a few hundred bytes to 41 KB are proposed, up to eight in flight, while
+// members are restarted with their disks or partitioned, one at a time. For every seed, two seconds
+// after the last fault every member has all committed entries.
 func TestMembersConvergeAfterHundredsOfChangesAndRestarts(t *testing.T) {
 	t.Parallel()
 	installed := 0
@@ -103,52 +104,52 @@
 		s.after(time.Second, restarts.next)
 		restarts.propose()
 		if restarts.proposed < restarts.changes {
-			t.Fatalf("seed %d: %d changes in %v", seed, restarts.proposed, s.now)
+			t.Fatalf("seed %d: only %d changes in %v", seed, restarts.proposed, s.now)
 		}
 		clear(s.partitioned)
 		s.startAll()
 		s.run(40 * tickInterval)
 		if !s.converged() {
 			s.logNodes()
-			t.Fatalf("seed %d: not converged 2 s after the last fault", seed)
+			t.Fatalf("seed %d: members have not converged 2 s after the last fault", seed)
 		}
 		installed += s.installed
 	}
 	if installed < int(*linkSeeds) {
-		t.Errorf("%d snapshots were installed: too few to show anything", installed)
+		t.Errorf("%d snapshots were installed: too few for a meaningful test", installed)
 	}
 }
 
-// restartFaults stop and start members, or cut them off, until so many changes are proposed.
+// restartFaults restarts or partitions members until a number of changes are proposed.
 type restartFaults struct {
 	sim      *linkSim
-	changes  int
+	changes  int // number of changes to propose
 	proposed int
-	away     raft.ID // 0: none is
+	faulty   raft.ID // stopped or partitioned member, 0 if none
 }
 
-// next has the next fault happen, or ends the last one, and so on after a while.
+// next starts a fault or ends the current one, and schedules the next call.
 func (f *restartFaults) next() {
 	s := f.sim
 	switch {
 	case f.proposed >= f.changes:
 		return
-	case f.away != 0: // one at a time
-		s.start(f.away)
-		delete(s.partitioned, f.away)
-		f.away = 0
+	case f.faulty != 0: // one at a time
+		s.start(f.faulty)
+		delete(s.partitioned, f.faulty)
+		f.faulty = 0
 	case s.converged():
-		f.away = raft.ID(1 + s.rng.IntN(simVoters))
+		f.faulty = raft.ID(1 + s.rng.IntN(simVoters))
 		if s.rng.IntN(3) == 0 {
-			s.partitioned[f.away] = true
+			s.partitioned[f.faulty] = true
 		} else {
-			s.stop(f.away)
+			s.stop(f.faulty)
 		}
 	}
 	s.after(time.Duration(s.rng.Int64N(int64(3*time.Second))), f.next)
 }
 
-// propose has the changes proposed, eight in flight at most, for five minutes at most.
+// propose proposes the changes, at most eight in flight, for at most five minutes.
 func (f *restartFaults) propose() {
 	s := f.sim
 	for s.now < 5*time.Minute && f.proposed < f.changes {
@@ -160,18 +161,18 @@
 	}
 }
 
-// logNodes logs where each member is.
+// logNodes logs the Raft state of each member.
 func (s *linkSim) logNodes() {
 	s.t.Helper()
 	for id, n := range s.nodes {
-		s.t.Logf("%d: %v of term %d, leader %d, applied %d of %d, snapshot %d",
+		s.t.Logf("member %d: %v of term %d, leader %d, applied %d of %d, snapshot %d",
 			id, n.Role(), n.Term(), n.Leader(), n.AppliedIndex(), n.LastIndex(), n.SnapshotIndex())
 	}
 }
 
-// Entries of 400 KB, as with 16,000 routes, over links of 1 Mbit/s to all: each takes more
-// than 3 s, and no heartbeat waits for more than a chunk of it. (Fails where an entry goes in
-// one call: 20 changes, 20 elections.)
+// Entries of 400 KB, as for 16,000 routes, are sent over links of 1 Mbit/s to all members. Each takes
+// more than 3 s, and no heartbeat waits for more than one chunk of it. When each entry was sent in a
+// single call, 20 changes caused 20 elections.
 func TestLargeEntriesOverSlowLinksCauseNoElection(t *testing.T) {
 	t.Parallel()
 	const changes = 20
@@ -187,19 +188,19 @@
 		s.run(8 * time.Second)
 	}
 	if s.leader() != leader || leader.Term() != term || s.preVotes != preVotes {
-		t.Errorf("term %d after %d, %d elections asked for", leader.Term(), term, s.preVotes-preVotes)
+		t.Errorf("term %d after %d, %d pre-vote requests", leader.Term(), term, s.preVotes-preVotes)
 	}
 	if s.longestGap > maxHeartbeatGap {
-		t.Errorf("nothing came from the leader for %v", s.longestGap)
+		t.Errorf("no message from the leader for %v", s.longestGap)
 	}
 	if committed := leader.CommitIndex() - before; committed != changes {
 		t.Errorf("%d of %d changes were committed", committed, changes)
 	}
-	t.Logf("longest gap %v", s.longestGap)
+	t.Logf("longest heartbeat gap %v", s.longestGap)
 }
 
-// A member that was cut off for long comes back without an election: the others' leader stays,
-// and it gets what it missed by the tail of the log or, after more, by a snapshot.
+// A member reconnects after a long partition without an election: the leader stays, and the member is
+// sent the missed entries from the log or, if it missed more, a snapshot.
 func TestMemberBackFromACutCausesNoElection(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ missed, snapshots int }{
@@ -210,33 +211,33 @@
 			s := newLinkSim(t, uint64(c.missed), 1<<20)
 			s.startAll()
 			s.waitUntil("a leader", 3*time.Second, func() bool { return s.leader() != nil && s.converged() })
-			s.proposeMany(60, 100) // so that a snapshot falls into what is missed
+			s.proposeMany(60, 100) // so that a snapshot is due among the missed changes
 			leader := s.leader()
-			away, term := 1+leader.Leader()%simVoters, leader.Term()
-			s.partitioned[away] = true
+			partitioned, term := 1+leader.Leader()%simVoters, leader.Term()
+			s.partitioned[partitioned] = true
 			s.proposeMany(c.missed, 100)
 			s.run(20 * time.Second)
-			if n := s.nodes[away]; n.Term() != term || n.Role() == raft.Leader {
-				t.Errorf("cut off it went to term %d from %d", n.Term(), term)
+			if n := s.nodes[partitioned]; n.Term() != term || n.Role() == raft.Leader {
+				t.Errorf("while partitioned the member went to term %d from %d, or became leader", n.Term(), term)
 			}
 			if s.encoded == 0 {
-				t.Error("no snapshot was made meanwhile")
+				t.Error("no snapshot was made during the partition")
 			}
-			delete(s.partitioned, away)
-			took := s.waitUntil("it has what it missed", 2*time.Second, s.converged)
+			delete(s.partitioned, partitioned)
+			took := s.waitUntil("the member has caught up", 2*time.Second, s.converged)
 			if s.leader() != leader || leader.Term() != term {
 				t.Errorf("term %d after %d", leader.Term(), term)
 			}
 			if s.installed != c.snapshots {
 				t.Errorf("%d snapshots were installed, want %d", s.installed, c.snapshots)
 			}
-			t.Logf("%d changes in %v", c.missed, took)
+			t.Logf("caught up on %d changes in %v", c.missed, took)
 		})
 	}
 }
 
-// The snapshot of idle members is encoded once, wherever their log ends. (Fails as it once was:
-// at each multiple of 64 every message and tick encoded the whole state.)
+// Idle members encode their snapshot once, wherever their log ends. Regression test: when the log
+// ended at a multiple of 64, every message and tick encoded the whole state.
 func TestIdleMembersEncodeNoSnapshots(t *testing.T) {
 	t.Parallel()
 	s := newLinkSim(t, 1, 1<<10)
@@ -246,10 +247,10 @@
 		s.propose(100)
 		s.run(20 * time.Millisecond)
 	}
-	s.run(time.Second) // followers learn last what is committed
+	s.run(time.Second) // until followers learn the commit index
 	before := s.encoded
 	s.run(time.Minute)
 	if s.leader().CommitIndex()%64 != 0 || s.encoded != before {
-		t.Errorf("%d encodings in a minute of rest at %d", s.encoded-before, s.leader().CommitIndex())
+		t.Errorf("%d encodings in an idle minute at index %d", s.encoded-before, s.leader().CommitIndex())
 	}
 }
--- a/controlplane/state_test.go
+++ b/controlplane/state_test.go
@@ -22,10 +22,10 @@
 	return s.Apply(data).Outcome
 }
 
-// A command whose answer was lost is sent again after days of changes. (Reported by the
-// users: it was refused.)
+// A command whose response was lost is acknowledged when it is retried after days of changes.
+// Regression test for a user report: it was refused.
 func TestCommandRetriedAfterDaysIsAcknowledged(t *testing.T) {
-	const changes = 2000 // a day at full size has 720
+	const changes = 2000 // a full-size fleet makes 720 a day
 	var s State
 	for i := range uint64(changes) {
 		if got := applyReplace(t, &s, i, i+1, fmt.Append(nil, i)); got != OutcomeApplied {
@@ -34,7 +34,7 @@
 	}
 	for i := range uint64(changes) {
 		if got := applyReplace(t, &s, i, i+1, fmt.Append(nil, i)); got != OutcomeApplied {
-			t.Fatalf("revision %d of %d sent again: outcome %d", i+1, changes, got)
+			t.Fatalf("retry of revision %d of %d: outcome %d", i+1, changes, got)
 		}
 	}
 	if got := applyReplace(t, &s, 7, 8, []byte("another")); got != OutcomeConflict {
@@ -55,20 +55,20 @@
 	}
 	repeated := s.Evaluate(changes-2, changes-1, fingerprintOf(fmt.Append(nil, changes-2)))
 	if repeated.Outcome != OutcomeApplied {
-		t.Errorf("the same command again: %+v", repeated)
+		t.Errorf("retry of the same command: %+v", repeated)
 	}
 }
 
-// collidingConfigs returns two texts of one XXH64: what the first block changes of an accumulator is
-// undone by the second.
+// collidingConfigs returns two different texts with the same XXH64 hash: the second block undoes the
+// change that the first block makes to an accumulator.
 func collidingConfigs(t *testing.T) (a, b []byte) {
 	t.Helper()
-	const prime1, prime2 = 11400714785074694791, 14029467366897019727 // of XXH64
+	const prime1, prime2 = 11400714785074694791, 14029467366897019727 // constants of XXH64
 	round := func(accumulator, input uint64) uint64 {
 		return bits.RotateLeft64(accumulator+input*prime2, 31) * prime1
 	}
-	var p1, p2 uint64 = prime1, prime2 // variables: sums of constants must not overflow
-	inverse := p2                      // of p2 modulo 2^64, by Newton's method
+	var p1, p2 uint64 = prime1, prime2 // variables, since constant sums must not overflow
+	inverse := p2                      // multiplicative inverse of p2 modulo 2^64, by Newton's method
 	for range 6 {
 		inverse *= 2 - p2*inverse
 	}
@@ -85,8 +85,8 @@
 	return a, b
 }
 
-// Two operators send different configurations under one revision, made so that a hash of no
-// cryptographic strength can't distinguish them: one is applied.
+// Two operators send different configurations under one revision, with colliding non-cryptographic
+// hashes. Only one is applied.
 func TestCommandsWithCollidingHashesAreDistinguished(t *testing.T) {
 	a, b := collidingConfigs(t)
 	var s State
@@ -94,15 +94,15 @@
 		t.Fatal(got)
 	}
 	if got := applyReplace(t, &s, 0, 5, b); got != OutcomeConflict {
-		t.Errorf("the other one under the same revision: outcome %d", got)
+		t.Errorf("colliding configuration under the same revision: outcome %d", got)
 	}
 	if got := applyReplace(t, &s, 0, 5, a); got != OutcomeApplied {
-		t.Errorf("the first one sent again: outcome %d", got)
+		t.Errorf("retry of the first configuration: outcome %d", got)
 	}
 }
 
-// A command that is forgotten is neither acknowledged nor refused when it is sent again; one
-// that was certainly never applied is refused as before.
+// A retry of an applied command that is no longer remembered is neither acknowledged nor refused. A
+// command that was certainly never applied is still refused.
 func TestForgottenCommandIsNeitherAcknowledgedNorRefused(t *testing.T) {
 	var s State
 	const last = uint64(maxAppliedRevisions + 10)
@@ -116,16 +116,16 @@
 		config         string
 		want           Outcome
 	}{
-		{"applied, and forgotten", 0, 2, "0", OutcomeUnknown},
-		{"the last that is forgotten", 18, 20, "9", OutcomeUnknown},
-		{"the first that is remembered", 20, 22, "10", OutcomeApplied},
-		{"can't be distinguished from one that was applied", 16, 20, "another", OutcomeUnknown},
-		{"lost against one that is remembered", 20, 22, "another", OutcomeConflict},
-		{"lost, with a revision that was never applied", 20, 23, "another", OutcomeConflict},
-		{"never valid: not above its base", 8, 7, "another", OutcomeConflict},
-		{"not above the current revision", 2 * last, 7, "another", OutcomeInvalid},
-		{"the newest", 2*last - 2, 2 * last, newestConfig, OutcomeApplied},
-		{"the newest, with another base", 2*last - 4, 2 * last, newestConfig, OutcomeApplied},
+		{"applied and forgotten", 0, 2, "0", OutcomeUnknown},
+		{"newest forgotten command", 18, 20, "9", OutcomeUnknown},
+		{"oldest remembered command", 20, 22, "10", OutcomeApplied},
+		{"indistinguishable from an applied command", 16, 20, "another", OutcomeUnknown},
+		{"conflicts with a remembered command", 20, 22, "another", OutcomeConflict},
+		{"conflict, revision never applied", 20, 23, "another", OutcomeConflict},
+		{"never valid: revision not above its base", 8, 7, "another", OutcomeConflict},
+		{"revision not above the current one", 2 * last, 7, "another", OutcomeInvalid},
+		{"newest command", 2*last - 2, 2 * last, newestConfig, OutcomeApplied},
+		{"newest command with another base", 2*last - 4, 2 * last, newestConfig, OutcomeApplied},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := applyReplace(t, &s, c.base, c.revision, []byte(c.config)); got != c.want {
@@ -136,44 +136,45 @@
 	if s.Revision != 2*last {
 		t.Errorf("revision %d", s.Revision)
 	}
-	s.Applied[0].Revision = math.MaxUint64 // the longest to encode
+	s.Applied[0].Revision = math.MaxUint64 // the longest encoding
 	data, err := cbor.Marshal(s.Applied)
 	if err != nil || len(s.Applied) != maxAppliedRevisions || len(data) > 39*maxAppliedRevisions+3 {
 		t.Errorf("%d revisions take %d bytes, %v", len(s.Applied), len(data), err)
 	}
 }
 
-// From which revision on all are remembered is known, not guessed from how many there are.
+// The oldest revision since which all applied revisions are remembered is stored, not inferred from
+// the number of remembered revisions.
 func TestOldestRememberedRevisionIsExact(t *testing.T) {
-	before := State{Revision: 4, Uncompressed: []byte("four")} // written before any were remembered
+	before := State{Revision: 4, Uncompressed: []byte("four")} // from a version that remembered no applied revisions
 	if got := applyReplace(t, &before, 4, 6, []byte("six")); got != OutcomeApplied {
 		t.Fatal(got)
 	}
 	if got := applyReplace(t, &before, 3, 4, []byte("four")); got != OutcomeUnknown {
-		t.Errorf("applied before any were remembered: outcome %d", got)
+		t.Errorf("revision applied before any were remembered: outcome %d", got)
 	}
 	var complete State
 	for i := range uint64(2 * maxAppliedBeforeDigests) {
 		applyReplace(t, &complete, complete.Revision, 5+i, fmt.Append(nil, i))
 	}
 	if got := applyReplace(t, &complete, 0, 3, []byte("lost")); got != OutcomeConflict {
-		t.Errorf("a revision below the first, where all are remembered: outcome %d", got)
+		t.Errorf("revision below the first, with all revisions remembered: outcome %d", got)
 	}
 }
 
-// A state that remembers other revisions than it can have is not imported.
+// A state whose remembered revisions are inconsistent is not imported.
 func TestImportChecksAppliedRevisions(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(*State)
-		valid bool
+		name    string
+		corrupt func(*State)
+		valid   bool
 	}{
-		{"as it was exported", func(*State) {}, true},
-		{"the newest is another one", replaceNewestFingerprint, false},
-		{"the newest is missing", func(s *State) { s.Applied = s.Applied[:2] }, false},
+		{"unchanged export", func(*State) {}, true},
+		{"newest fingerprint differs", replaceNewestFingerprint, false},
+		{"newest revision missing", func(s *State) { s.Applied = s.Applied[:2] }, false},
 		{"out of order", func(s *State) { s.Applied[0], s.Applied[1] = s.Applied[1], s.Applied[0] }, false},
-		{"from before the oldest one", func(s *State) { s.AppliedFrom = 3 }, false},
-		{"too many", addTooManyApplied, false},
+		{"remembered since a revision below the oldest one", func(s *State) { s.AppliedFrom = 3 }, false},
+		{"too many revisions", addTooManyApplied, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var s State
@@ -182,14 +183,14 @@
 					t.Fatal(got)
 				}
 			}
-			c.spoil(&s)
+			c.corrupt(&s)
 			data, err := Export(&s)
 			if err != nil {
 				t.Fatal(err)
 			}
 			_, err = Import(data)
 			if (err == nil) != c.valid || err != nil && !errors.Is(err, ErrInvalidExport) {
-				t.Errorf("imported: %v", err)
+				t.Errorf("import returned %v", err)
 			}
 		})
 	}
--- a/controlplane/transport_test.go
+++ b/controlplane/transport_test.go
@@ -15,11 +15,11 @@
 	"example.org/elmspan/raft"
 )
 
-// receiver gets messages as a member does, or as one of a version without chunks.
+// receiver receives messages as a member does, with or without support for chunks.
 type receiver struct {
 	api.Control
 	withoutChunks bool
-	restarts      bool // once: it has lost what it held
+	restarts      bool // loses the received chunks once
 	reassembly    reassembly
 	calls         []*api.DeliverRequest
 	complete      []byte
@@ -43,9 +43,9 @@
 	return &api.DeliverResponse{AcceptsChunks: true, ReceivedBytes: held}, nil
 }
 
-// senderTo serves a receiver, and returns what sends messages to it, the first of which has
-// shown whether the receiver accepts chunks.
-func senderTo(t *testing.T, r *receiver) func(...raft.Message) error {
+// newSender serves a receiver and returns a function that sends messages to it. It sends a first
+// message, whose response says whether the receiver accepts chunks.
+func newSender(t *testing.T, r *receiver) func(...raft.Message) error {
 	t.Helper()
 	network := newPipeNetwork()
 	addr := network.newAddr()
@@ -67,7 +67,7 @@
 	return send
 }
 
-// largeMessage has an entry of 100 KB.
+// largeMessage returns a message with an entry of 100 KB.
 func largeMessage() raft.Message {
 	data := bytes.Repeat([]byte("0123456789"), 10<<10)
 	return raft.Message{
@@ -77,12 +77,12 @@
 	}
 }
 
-// requireChunked requires that a receiver has got a large message in chunks alone.
+// requireChunked requires that the receiver got largeMessage, and only in chunks.
 func (r *receiver) requireChunked(t *testing.T) {
 	t.Helper()
 	for _, d := range r.calls {
 		if payloadBytes(d.Messages) > 0 || d.Chunk != nil && len(d.Chunk.Data) > chunkBytes {
-			t.Errorf("a call of %d and %+v bytes", payloadBytes(d.Messages), d.Chunk)
+			t.Errorf("call with %d payload bytes and chunk %+v", payloadBytes(d.Messages), d.Chunk)
 		}
 	}
 	want, err := cbor.Marshal([]raft.Message{largeMessage()})
@@ -90,14 +90,14 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(r.complete, want) {
-		t.Errorf("%d bytes came, %d were sent", len(r.complete), len(want))
+		t.Errorf("%d bytes received, %d sent", len(r.complete), len(want))
 	}
 }
 
 func TestLargeMessagesGoInChunks(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		r := &receiver{}
-		send := senderTo(t, r)
+		send := newSender(t, r)
 		if err := send(largeMessage()); err != nil {
 			t.Error(err)
 		}
@@ -108,23 +108,24 @@
 func TestMemberWithoutChunksGetsMessagesWhole(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		r := &receiver{withoutChunks: true}
-		send := senderTo(t, r)
+		send := newSender(t, r)
 		if err := send(largeMessage()); err != nil {
 			t.Error(err)
 		}
 		if len(r.calls) != 2 || len(r.calls[1].Messages) != 1 || r.calls[1].Chunk != nil {
-			t.Errorf("it gets %d calls", len(r.calls))
+			t.Errorf("want two calls, the second with one whole message: got %d calls", len(r.calls))
 		}
 	})
 }
 
-// To a member that restarts between two chunks the call fails, and the next one has it all.
+// If the receiver restarts between two chunks, the call fails and the next one sends the whole
+// message.
 func TestMemberThatRestartsBetweenChunksGetsAllInTheEnd(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		r := &receiver{restarts: true}
-		send := senderTo(t, r)
+		send := newSender(t, r)
 		if err := send(largeMessage()); !errors.Is(err, errChunksLost) {
-			t.Errorf("while it restarts: %v", err)
+			t.Errorf("during the restart: %v", err)
 		}
 		if err := send(largeMessage()); err != nil {
 			t.Error(err)
@@ -140,19 +141,19 @@
 func TestLargeEntriesReachAllInChunksOverSockets(t *testing.T) {
 	t.Parallel()
 	c := newClusterOn(t, newLoopbackNetwork(t), 3)
-	c.timeout = 5 * time.Minute // against a hang alone
+	c.timeout = 5 * time.Minute // only guards against a hang
 	for _, addr := range c.addrs {
 		c.start(addr, t.TempDir(), true)
 	}
 	requireLargeEntryApplied(c)
 }
 
-// requireLargeEntryApplied requires that all members apply a configuration of 150 KB that can't
-// be compressed much, once the leader knows that the others accept chunks.
+// requireLargeEntryApplied requires that all members apply a barely compressible configuration of
+// 150 KB, which is sent once the leader knows that the others accept chunks.
 func requireLargeEntryApplied(c *cluster) {
 	c.t.Helper()
 	leader := c.awaitLeader()
-	c.waitUntil("the others accept chunks", func() bool {
+	c.waitUntil("the other members accept chunks", func() bool {
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
 		accepting := 0
@@ -166,7 +167,7 @@
 	config := incompressibleConfig(c.t, 5)
 	ctx, cancel := context.WithTimeout(c.t.Context(), c.timeout)
 	defer cancel()
-	c.waitUntil("it is applied", func() bool { // by whoever leads: how soon is not asked here
+	c.waitUntil("the configuration is applied", func() bool { // by any leader, with no requirement on the time
 		core := c.leader()
 		if core == nil {
 			return false
@@ -177,6 +178,7 @@
 	c.awaitRevision(5)
 }
 
+// incompressibleConfig returns a configuration of 150 KB with a random name, in encoded form.
 func incompressibleConfig(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	const letters = "0123456789abcdefghijklmnopqrstuvwxyz"
--- a/controlplane/unreadable_state_test.go
+++ b/controlplane/unreadable_state_test.go
@@ -14,7 +14,7 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// truncatedConfig is a compressed configuration that is cut off.
+// truncatedConfig returns a compressed configuration that is truncated.
 func truncatedConfig(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	compressed, err := compression.Compress(testConfig(t, revision)[:10])
@@ -24,8 +24,8 @@
 	return compressed
 }
 
-// unreadableState is a state that is well formed and can't be sent to limiters: its
-// configuration is cut off.
+// unreadableState returns a well-formed encoded state whose configuration is truncated, so that it
+// can't be sent to limiters.
 func unreadableState(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	data, err := cbor.Marshal(State{Revision: revision, Compressed: truncatedConfig(t, revision)})
@@ -35,8 +35,8 @@
 	return data
 }
 
-// requireRevision requires that a member has a revision, in its state and for watchers, and a
-// snapshot on its disk.
+// requireRevision requires the revision of a member, in its state and for watchers, and the index of
+// the snapshot on its disk.
 func requireRevision(t *testing.T, core *Core, store *storage.Store, revision, snapshotIndex uint64) {
 	t.Helper()
 	stored, err := store.Load()
@@ -47,15 +47,15 @@
 		t.Errorf("revision %d, want %d", got, revision)
 	}
 	if got := core.watches.configs.Version(); got != revision {
-		t.Errorf("watchers are sent revision %d, want %d", got, revision)
+		t.Errorf("revision for watchers %d, want %d", got, revision)
 	}
 	if got := stored.Snapshot.Index; got != snapshotIndex {
-		t.Errorf("the snapshot on disk is up to %d, want %d", got, snapshotIndex)
+		t.Errorf("index of the snapshot on disk %d, want %d", got, snapshotIndex)
 	}
 }
 
-// A member whose own state can't be read doesn't begin with an empty one: it says that its
-// disk is corrupt, and the process begins a new member.
+// A member whose state on disk can't be read doesn't start with an empty state: opening it reports a
+// corrupt disk, and the process starts a new member.
 func TestUnreadableStateOnDiskIsCorrupt(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -63,13 +63,13 @@
 		data []byte
 	}{
 		{"not CBOR", []byte{0xff, 1, 2}},
-		{"no configuration in it", unreadableState(t, 3)},
-		{"cut off", validState(t, 3)[:20]},
+		{"truncated configuration", unreadableState(t, 3)},
+		{"truncated state", validState(t, 3)[:20]},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			snapshot := raft.Snapshot{Index: 5, Term: 1, Data: c.data}
 			if _, _, err := openMember(t, snapshot); !errors.Is(err, storage.ErrCorrupt) {
-				t.Errorf("opened: %v", err)
+				t.Errorf("opening the member returned %v", err)
 			}
 		})
 	}
@@ -77,9 +77,9 @@
 	requireRevision(t, core, store, 3, 5)
 }
 
-// A snapshot that can't be read is refused as if it had not come: the member stays at what it
-// has, on disk too, and takes the next one that can be read. (It once emptied its state,
-// stored the snapshot, and went on.)
+// A snapshot that can't be read is rejected as if it had not been received: the member keeps its
+// state, in memory and on disk, and accepts the next readable snapshot. Regression test: the member
+// once cleared its state, stored the snapshot and continued.
 func TestUnreadableSnapshotIsRefused(t *testing.T) {
 	t.Parallel()
 	core, store := mustOpenMember(t)
@@ -87,22 +87,22 @@
 		deliverSnapshot(t, core, uint64(9+i), unreadableState(t, 7), chunked)
 		requireRevision(t, core, store, 3, 5)
 		if got := core.host.node.CommitIndex(); got != 5 {
-			t.Errorf("chunked %t: committed up to %d", chunked, got)
+			t.Errorf("chunked %t: commit index %d", chunked, got)
 		}
 		if reason := core.host.stopReason; reason != "" {
-			t.Errorf("chunked %t: stopped, %s", chunked, reason)
+			t.Errorf("chunked %t: stopped: %s", chunked, reason)
 		}
 	}
 	if got := core.host.node.RejectedSnapshots(); got != 2 {
-		t.Errorf("%d refused", got)
+		t.Errorf("%d snapshots rejected, want 2", got)
 	}
 	deliverSnapshot(t, core, 12, validState(t, 8), true)
 	requireRevision(t, core, store, 8, 12)
 }
 
-// A member that can't apply what is committed stops serving: it answers nothing from what was
-// before, doesn't lead, and says why. (It once logged an error, gave limiters the older rows
-// under a lease, and could lead.)
+// A member that can't apply a committed entry stops serving: it answers nothing from its outdated
+// state, doesn't become leader, and reports the reason. Regression test: it once logged an error, sent
+// outdated rows to limiters under a lease, and could become leader.
 func TestMemberThatCannotApplyStopsServing(t *testing.T) {
 	t.Parallel()
 	core, _ := mustOpenMember(t)
@@ -122,7 +122,7 @@
 		t.Errorf("status %+v", s)
 	}
 	if got := core.host.node.AppliedIndex(); got != 5 {
-		t.Errorf("applied up to %d", got)
+		t.Errorf("applied index %d", got)
 	}
 	deliverFrom(t, core, 2, raft.Message{Kind: raft.TimeoutNow})
 	for range 100 {
@@ -132,25 +132,25 @@
 		t.Errorf("%v of term %d", role, term)
 	}
 	if core.host.stopReason == "" {
-		t.Error("it serves again")
+		t.Error("the member serves again")
 	}
 	requireNothingAnswered(t, core)
 }
 
-// requireNothingAnswered requires that a member answers nobody.
+// requireNothingAnswered requires that a member answers no watch, read, change or read index call.
 func requireNothingAnswered(t *testing.T, core *Core) {
 	t.Helper()
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if r, err := core.Watch(canceled, &api.WatchRequest{}); err != nil || r.Lease || r.ConfigDelta != nil {
-		t.Errorf("a limiter is answered: %+v, %v", r, err)
+		t.Errorf("watch answered: %+v, %v", r, err)
 	}
 	if r, err := core.Get(t.Context(), &api.GetRequest{}); err != nil || r.Status != 0 {
-		t.Errorf("a read is answered: %+v, %v", r, err)
+		t.Errorf("read answered: %+v, %v", r, err)
 	}
 	change := &api.ReplaceRequest{Base: 3, Config: testConfig(t, 9)}
 	if r, err := core.Replace(t.Context(), change); err != nil || r.Status != 0 {
-		t.Errorf("a change is answered: %+v, %v", r, err)
+		t.Errorf("change answered: %+v, %v", r, err)
 	}
 	requireNoReadIndex(t, core)
 }
@@ -159,7 +159,7 @@
 func requireNoReadIndex(t *testing.T, core *Core) {
 	t.Helper()
 	if r, err := core.ReadIndex(t.Context(), &api.Empty{}); err != nil || r.OK {
-		t.Errorf("a member is answered: %+v, %v", r, err)
+		t.Errorf("read index confirmed: %+v, %v", r, err)
 	}
 }
 
@@ -170,18 +170,18 @@
 		Upstreams: []api.Upstream{{Name: strings.Repeat("a", api.MaxConfigBytes)}},
 	})
 	if err := validateSize(long); err == nil {
-		t.Error("one that is longer than can be read back is valid")
+		t.Error("a configuration too large to be read back was accepted")
 	}
 	if _, err := api.ParseConfig(testConfig(t, 3)[:10]); err == nil {
-		t.Error("one that is cut off is valid")
+		t.Error("a truncated configuration was accepted")
 	}
 	if err := validateSize(testConfig(t, 3)); err != nil {
 		t.Error(err)
 	}
 }
 
-// A snapshot that is installed wakes limiters that wait for changes, and ends calls whose
-// entries it stands for: their results are unknown, they are made again elsewhere.
+// Installing a snapshot wakes limiters that wait for changes, and ends calls whose entries it
+// includes. Their results are unknown, so clients retry them at another member.
 func TestInstalledSnapshotWakesThoseWhoWait(t *testing.T) {
 	t.Parallel()
 	core, _ := mustOpenMember(t)
@@ -192,10 +192,10 @@
 	select {
 	case <-changed:
 	default:
-		t.Error("those who wait for changes are not woken")
+		t.Error("waiting watches were not woken")
 	}
 	if call.answer == nil || call.answer.Status != 0 || len(core.store.calls) != 0 {
-		t.Errorf("a call whose entry the snapshot stands for: %+v", call.answer)
+		t.Errorf("call whose entry the snapshot includes: %+v", call.answer)
 	}
 	if got := core.store.state.Revision; got != 8 {
 		t.Errorf("revision %d", got)
--- a/controlplane/voterhealth_test.go
+++ b/controlplane/voterhealth_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A voter that does not answer is in the leader's status until it is back: a loss that is not
-// repaired is seen before the next one.
+// The leader's status lists a voter that doesn't answer until it is back, so that an unrepaired
+// failure is visible before the next one.
 func TestVotersThatDoNotAnswerAreReported(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newStoppedCluster(t, 3)
@@ -19,11 +19,11 @@
 		}
 		want := hexID(c.cores[lost].host.id) + " " + lost
 		c.stops[lost]()
-		c.waitUntil("it is reported", func() bool {
+		c.waitUntil("the voter is reported as unresponsive", func() bool {
 			voters := leader.Status().UnresponsiveVoters
 			return len(voters) == 1 && voters[0] == want
 		})
 		c.start(lost, dirs[lost], false)
-		c.waitUntil("it is back", func() bool { return len(leader.Status().UnresponsiveVoters) == 0 })
+		c.waitUntil("the voter responds again", func() bool { return len(leader.Status().UnresponsiveVoters) == 0 })
 	})
 }
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -14,8 +14,8 @@
 	"example.org/elmspan/versioned"
 )
 
-// serversIn are servers i-0, i-1, ... in these states.
-func serversIn(states ...string) []api.Server {
+// serversInStates returns servers i-0, i-1, ... in the given states.
+func serversInStates(states ...string) []api.Server {
 	var servers []api.Server
 	for i, state := range states {
 		servers = append(servers, api.Server{
@@ -30,7 +30,7 @@
 	return servers
 }
 
-// serverStates is the list of servers that a member sends, by id; nil without a lease.
+// serverStates returns the states of the servers that a member sends, by ID, or nil without a lease.
 func serverStates(t *testing.T, core *Core) map[string]string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -58,11 +58,11 @@
 	return states
 }
 
-// requireServerStates requires that a member sends the servers that serversIn gives.
+// requireServerStates requires that a member sends the servers of serversInStates.
 func requireServerStates(t *testing.T, core *Core, states ...string) {
 	t.Helper()
 	want := map[string]string{}
-	for _, server := range serversIn(states...) {
+	for _, server := range serversInStates(states...) {
 		want[server.ID] = server.State
 	}
 	if got := serverStates(t, core); !maps.Equal(got, want) {
@@ -70,19 +70,19 @@
 	}
 }
 
-// Every member answers limiters, with a lease, the leader's list of servers and the
-// configuration. One that has lost the majority grants no lease.
+// Every member answers watches of limiters with a lease, the leader's server list and the
+// configuration. A member without a majority grants no lease.
 func TestEveryMemberAnswersWatches(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCluster(t)
 		if replaceConfig(c.client(), 0, testConfig(t, 5)) != http.StatusOK {
-			t.Fatal("not applied")
+			t.Fatal("the configuration was not applied")
 		}
-		c.awaitLeader().SetServers(serversIn(api.InService, api.Draining))
+		c.awaitLeader().SetServers(serversInStates(api.InService, api.Draining))
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		for addr, core := range c.cores {
-			c.waitUntil("an answer of "+addr, func() bool {
+			c.waitUntil("a watch response of "+addr, func() bool {
 				r, err := core.Watch(ctx, &api.WatchRequest{})
 				return err == nil && r.Lease && r.Revision == 5 && r.ConfigDelta != nil && r.ServersDelta != nil
 			})
@@ -95,6 +95,7 @@
 	})
 }
 
+// stopAllButOne stops all members but one and returns that one.
 func (c *cluster) stopAllButOne() *Core {
 	var last *Core
 	for addr, core := range c.cores {
@@ -106,8 +107,8 @@
 	return last
 }
 
-// A change is sent as a delta, by whichever member, whatever there is besides. To those who
-// have it, nothing is sent.
+// Every member sends a change as a delta whose size doesn't depend on the rest of the configuration,
+// and sends nothing to limiters that have the current revision.
 func TestDeltasHoldOnlyWhatChanged(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -124,7 +125,7 @@
 		defer cancel()
 		for addr, core := range c.cores {
 			var r *api.WatchResponse
-			c.waitUntil("an answer of "+addr, func() bool {
+			c.waitUntil("a watch response of "+addr, func() bool {
 				var err error
 				r, err = core.Watch(ctx, &api.WatchRequest{Revision: 1, ServersVersion: math.MaxUint64})
 				return err == nil && r.Lease && r.Revision == 2
@@ -134,12 +135,13 @@
 			}
 			r, err := core.Watch(ctx, &api.WatchRequest{Revision: 2, ServersVersion: math.MaxUint64})
 			if err != nil || r.ConfigDelta != nil || r.ServersDelta != nil {
-				t.Errorf("%s sends again: %+v, %v", addr, r, err)
+				t.Errorf("%s sends a delta to an up-to-date limiter: %+v, %v", addr, r, err)
 			}
 		}
 	})
 }
 
+// configOfManyRoutes returns a configuration with the given number of routes.
 func configOfManyRoutes(routes int) *api.Config {
 	config := &api.Config{Upstreams: []api.Upstream{{Name: "a"}}}
 	for i := range routes {
@@ -154,36 +156,36 @@
 	return config
 }
 
-// serversVersion is the version of the list of servers that a member has.
+// serversVersion returns the version of a member's server list.
 func serversVersion(core *Core) uint64 {
 	core.mu.Lock()
 	defer core.mu.Unlock()
 	return core.endpoints.servers.table.Version()
 }
 
-// A new leader goes on with the list that it was sent: what the one before saw draining is not
-// in service again, whatever the platform answers first. (Reported by the users: a machine that
-// was being drained went on getting requests after a control process had died and come back at
-// once.)
+// A new leader continues with the server list of its predecessor: a server that the predecessor saw
+// draining doesn't return to service, whatever the platform answers first. Regression test for a
+// user report: a draining machine continued to receive requests after a control process had crashed
+// and restarted immediately.
 func TestServerListSurvivesChangeOfLeader(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCluster(t)
 		if replaceConfig(c.client(), 0, testConfig(t, 1)) != http.StatusOK {
-			t.Fatal("not applied")
+			t.Fatal("the configuration was not applied")
 		}
 		first := c.awaitLeader()
-		first.SetServers(serversIn(api.InService, api.InService, api.InService))
-		first.SetServers(serversIn(api.InService, api.Draining, api.InService))
+		first.SetServers(serversInStates(api.InService, api.InService, api.InService))
+		first.SetServers(serversInStates(api.InService, api.Draining, api.InService))
 		version := serversVersion(first)
 		for addr, core := range c.cores {
-			c.waitUntil("the list at "+addr, func() bool { return serversVersion(core) == version })
+			c.waitUntil("the server list at "+addr, func() bool { return serversVersion(core) == version })
 		}
 		c.stops[first.cfg.Addr]()
 		next := c.awaitLeader()
-		next.SetServers(serversIn(api.InService, api.InService, api.InService)) // older than what was seen
+		next.SetServers(serversInStates(api.InService, api.InService, api.InService)) // outdated states
 		requireServerStates(t, next, api.InService, api.Draining, api.InService)
-		next.SetServers(serversIn(api.InService, api.Draining))
-		next.SetServers(serversIn(api.InService, api.Draining))
+		next.SetServers(serversInStates(api.InService, api.Draining))
+		next.SetServers(serversInStates(api.InService, api.Draining))
 		requireServerStates(t, next, api.InService, api.Draining)
 		if got := serversVersion(next); got <= version {
 			t.Errorf("version %d after %d", got, version)
@@ -191,9 +193,10 @@
 	})
 }
 
-// Three hundred limiters on slow links, none of which fetches more than the first chunk, and
-// versions of 10,000 routes in quick succession: what is held for them is bounded. (Found on
-// pshpta-gw-grown: a leader of 102 MB ended in the middle of its work. docs/incidents/0006)
+// The memory held for deltas is bounded with 300 limiters on slow links, each of which fetches only
+// the first chunk, while versions of 10,000 routes follow each other in quick succession. Regression
+// test for docs/incidents/0006: on the fleet pshpta-gw-grown, a leader using 102 MB died while
+// serving.
 func TestMemoryOfDeltasIsBounded(t *testing.T) {
 	t.Parallel()
 	const watchers = 300
@@ -211,12 +214,12 @@
 			inFlight += len(delta.Data)
 		}
 		if inFlight > watchers*api.ChunkSize || configs.CachedBytes() > 2*versioned.MaxCachedBytes {
-			t.Fatalf("version %d: %d bytes in flight, %d held", version, inFlight, configs.CachedBytes())
+			t.Fatalf("version %d: %d bytes in flight, %d bytes cached", version, inFlight, configs.CachedBytes())
 		}
 	}
 }
 
-// manyRouteRows are the rows of so many routes.
+// manyRouteRows returns the rows of the given number of routes.
 func manyRouteRows(t *testing.T, routes int) map[string][]byte {
 	t.Helper()
 	rows := map[string][]byte{}
@@ -242,7 +245,8 @@
 	return row
 }
 
-// changeSomeRows returns rows of which one in three of those with an even length are changed.
+// changeSomeRows returns a copy of rows in which up to a third of them, all of even length, are
+// replaced.
 func changeSomeRows(t *testing.T, rows map[string][]byte, version uint64) map[string][]byte {
 	t.Helper()
 	next := maps.Clone(rows)
@@ -263,10 +267,10 @@
 	return next
 }
 
-// A member that starts with many changes in its log makes a table of the last alone: each takes
-// as long as the configuration is large, and nobody is answered meanwhile. (Found on a day of
-// 240 changes of 900 routes: eight of them delayed the first leases by 0.12 s. Fails where each
-// change that is applied is made a table.)
+// A member that starts with many changes in its log builds a table only for the last one. The time to
+// build a table grows with the configuration, and no watch is answered meanwhile. Regression test:
+// with 240 changes of 900 routes and a table for each applied change, eight of them delayed the first
+// leases by 0.12 s.
 func TestChangesAppliedAtOnceArePublishedOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		const changes = 20
@@ -282,12 +286,12 @@
 		defer core.mu.Unlock()
 		configs := &core.watches.configs
 		if version := configs.Version(); version != changes {
-			t.Errorf("limiters are sent version %d", version)
+			t.Errorf("version for limiters %d, want the last one", version)
 		}
 		for version := uint64(1); version < changes; version++ {
 			delta, err := configs.DeltaSince(version)
 			if err != nil || delta.From != 0 || delta.To != changes {
-				t.Errorf("version %d was made a table: a delta from %d to %d, %v", version, delta.From, delta.To, err)
+				t.Errorf("table built for version %d: delta from %d to %d, %v", version, delta.From, delta.To, err)
 			}
 		}
 	})
