--- a/controlplane/golden_test.go
+++ b/controlplane/golden_test.go
@@ -90,8 +90,8 @@
 			if !c.digest {
 				return
 			}
-			if got, err := encodeReplaceCommand(c.base, c.revision, sent); err != nil || !bytes.Equal(got, data) {
-				t.Errorf("the same command is encoded to\n%x, %v, want\n%x", got, err, data)
+			if enc, err := encodeReplaceCommand(c.base, c.revision, sent); err != nil || !bytes.Equal(enc, data) {
+				t.Errorf("the same command is encoded to\n%x, %v, want\n%x", enc, err, data)
 			}
 		})
 	}
--- a/controlplane/join_test.go
+++ b/controlplane/join_test.go
@@ -73,8 +73,8 @@
 
 // Machines that lost their disks know only the seeds. They are added even if the leader is not a
 // seed, so that the cluster tolerates the next failure. Regression test for incident 0021: they asked
-// the seeds but did not contact the leader named in the responses, and the next failure destroyed
-// the quorum.
+// the seeds but did not contact the leader named in the responses, and the next failure left the
+// cluster without a majority.
 func TestEmptyMachinesJoinALeaderThatIsNoSeed(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newClusterOfFive(t)
--- a/controlplane/slow_links_test.go
+++ b/controlplane/slow_links_test.go
@@ -213,17 +213,17 @@
 			s.waitUntil("a leader", 3*time.Second, func() bool { return s.leader() != nil && s.converged() })
 			s.proposeMany(60, 100) // so that a snapshot is due among the missed changes
 			leader := s.leader()
-			partitioned, term := 1+leader.Leader()%simVoters, leader.Term()
-			s.partitioned[partitioned] = true
+			isolated, term := 1+leader.Leader()%simVoters, leader.Term()
+			s.partitioned[isolated] = true
 			s.proposeMany(c.missed, 100)
 			s.run(20 * time.Second)
-			if n := s.nodes[partitioned]; n.Term() != term || n.Role() == raft.Leader {
+			if n := s.nodes[isolated]; n.Term() != term || n.Role() == raft.Leader {
 				t.Errorf("while partitioned the member went to term %d from %d, or became leader", n.Term(), term)
 			}
 			if s.encoded == 0 {
 				t.Error("no snapshot was made during the partition")
 			}
-			delete(s.partitioned, partitioned)
+			delete(s.partitioned, isolated)
 			took := s.waitUntil("the member has caught up", 2*time.Second, s.converged)
 			if s.leader() != leader || leader.Term() != term {
 				t.Errorf("term %d after %d", leader.Term(), term)
--- a/controlplane/transport_test.go
+++ b/controlplane/transport_test.go
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestMemberWithoutChunksGetsMessagesWhole(t *testing.T) {
+func TestMemberWithoutChunkSupportGetsWholeMessages(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		r := &receiver{withoutChunks: true}
 		send := newSender(t, r)
@@ -120,7 +120,7 @@
 
 // If the receiver restarts between two chunks, the call fails and the next one sends the whole
 // message.
-func TestMemberThatRestartsBetweenChunksGetsAllInTheEnd(t *testing.T) {
+func TestMemberThatRestartsBetweenChunksGetsWholeMessage(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		r := &receiver{restarts: true}
 		send := newSender(t, r)
