--- a/raft/storage/batch.go
+++ b/raft/storage/batch.go
@@ -17,7 +17,7 @@
 	err     error
 }
 
-// newBatch returns an empty batch that follows the current contents of the store.
+// newBatch returns an empty batch, to be applied to the current contents of the store.
 func (s *Store) newBatch() *writeBatch {
 	b := &writeBatch{after: s.contents}
 	b.after.entries = slices.Clip(s.contents.entries) // so that append copies the slice of the store
@@ -48,7 +48,8 @@
 	b.after.hardState = b.put(keyHardState, state)
 }
 
-// putSnapshot replaces the snapshot. The remaining entries must follow it without a gap.
+// putSnapshot replaces the snapshot. The caller ensures that the remaining entries follow it
+// without a gap.
 func (b *writeBatch) putSnapshot(snapshot raft.Snapshot) {
 	b.after.snapshot = b.put(keySnapshot, snapshot)
 	b.after.snapshotIndex = snapshot.Index
--- a/raft/storage/damage_test.go
+++ b/raft/storage/damage_test.go
@@ -103,7 +103,8 @@
 	}
 	after := d.losePower(m.rand)
 	if err := m.startAndStop(after); err != nil {
-		return corrupt, fmt.Errorf("%w\nbefore: %s\nlive:   %s\nafter:  %s", err, before, d.listing(), after.listing())
+		return corrupt, fmt.Errorf("%w\ndamaged: %s\nbefore the power loss: %s\nafter the power loss: %s",
+			err, before, d.listing(), after.listing())
 	}
 	return corrupt, nil
 }
@@ -185,7 +186,7 @@
 // after a power loss at a random step.
 func (m *testMember) resetUntilPowerLoss(d *faultDisk) (after *faultDisk, err error) {
 	if _, err := openStore(d, storeDir); !errors.Is(err, ErrCorrupt) {
-		return nil, fmt.Errorf("partly removed store: got %w, want ErrCorrupt", err)
+		return nil, fmt.Errorf("corrupt or partly removed store: got %w, want ErrCorrupt", err)
 	}
 	d.powerLossAt = d.steps + 1 + m.rand.IntN(40)
 	s, err := resetStore(d, storeDir)
--- a/raft/storage/dbfiles.go
+++ b/raft/storage/dbfiles.go
@@ -20,11 +20,11 @@
 //     manifest.go.
 //   - After the first failure to write, sync or create a file, nothing is written to the
 //     disk any more. goleveldb would retry on the same file, but an fsync that succeeds
-//     after a failed one doesn't cover the pages that the failed one dropped. The error is
-//     hidden from goleveldb, whose compaction would otherwise retry for seconds or fail
-//     while a writer waits for it. The store checks writeError after each write; on an
-//     error it doesn't acknowledge the write, and reopens the database to read back what
-//     is on disk.
+//     after a failed one doesn't cover the pages that the failed one dropped. Create, Write
+//     and Sync hide the error from goleveldb, whose compaction would otherwise retry for
+//     seconds or fail while a writer waits for it. The store checks writeError after each
+//     write; on an error it doesn't acknowledge the write, and reopens the database to read
+//     back what is on disk.
 //
 // Removals are not synced: a removed file is no longer listed in the manifest, which is
 // durable by then, so a file that reappears after a power loss is ignored.
@@ -36,7 +36,7 @@
 	firstWriteErr error              // first write error; nothing is written after it
 	firstReadErr  error              // first read error other than damage, see isDamage
 	manifestSet   bool               // goleveldb has set a current manifest
-	created       []storage.FileDesc // files created before manifestSet
+	created       []storage.FileDesc // files created while manifestSet was false
 	closed        bool               // shutDown was called
 	// partialTables holds the tables that are only partly on disk, or not at all, because
 	// of the first write error.
--- a/raft/storage/dbwriter.go
+++ b/raft/storage/dbwriter.go
@@ -17,8 +17,8 @@
 
 	written int // bytes written to the file
 	// tail holds the bytes of a table that were written after the first write error of the
-	// store, because compaction reads back the tables that it has written. There are few of
-	// them, as the next Save reopens the store. Guarded by dbFiles.mu.
+	// store, because compaction reads back the tables that it has written. It stays small, as
+	// the next write to the store reopens it. It is appended to under dbFiles.mu.
 	tail []byte
 }
 
--- a/raft/storage/doc.go
+++ b/raft/storage/doc.go
@@ -4,10 +4,10 @@
 // # Durability
 //
 // Data is durable, and survives a power loss, once [Store.Initialize], [Store.Save] or
-// [Store.Compact] has returned without an error. Only then may the member send a vote, an
-// acknowledgement or its identity that depends on it. If any durable data is lost, the
-// store detects this and fails with [ErrCorrupt]; the member must then rejoin under a new
-// identity, see [Reset].
+// [Store.Compact] has returned without an error. Only then may the member send messages that
+// depend on the data, such as a vote, an acknowledgement or its identity. If any durable data
+// is lost, the store detects this and fails with [ErrCorrupt]; the member must then rejoin
+// under a new identity, see [Reset].
 //
 // # Detection of lost data
 //
@@ -19,8 +19,8 @@
 //  2. The seal is advanced to the batch and synced.
 //  3. The call returns, and the caller may acknowledge the data.
 //
-// After a restart the database is therefore at the batch recorded in the seal, or one
-// batch ahead, which was written but never acknowledged. Any other sequence number, or
+// After a restart the database is therefore at the batch recorded in the seal, or at the
+// next one, which was written but never acknowledged. Any other sequence number, or
 // contents that don't match the digest, means that acknowledged data was lost.
 //
 // # Files
@@ -35,6 +35,6 @@
 //	nnnnnn.log       goleveldb's write-ahead logs
 //	nnnnnn.ldb       goleveldb's tables
 //
-// Next to the directory, a file NAME.lost marks a store that was found corrupt and has not
-// yet been replaced by that of a new member.
+// Next to the directory, a file with the same name and the suffix .lost marks a store that
+// was found corrupt and has not yet been replaced by that of a new member.
 package storage
--- a/raft/storage/faultdisk_damage_test.go
+++ b/raft/storage/faultdisk_damage_test.go
@@ -10,7 +10,7 @@
 // fileKinds lists the kinds of files that the tests damage.
 var fileKinds = []string{"CURRENT", "MANIFEST", "journal", "table", "seal"}
 
-// Kinds of damage to a file. Those before removeFile need a file that is not empty.
+// Damage modes. Those before removeFile need a file that is not empty.
 const (
 	flipBit = iota
 	overwriteBlock
--- a/raft/storage/faultdisk_file_test.go
+++ b/raft/storage/faultdisk_file_test.go
@@ -49,7 +49,7 @@
 	if err == nil && h.disk.full {
 		err, p = syscall.ENOSPC, p[:len(p)/2] // only a part of the data fits
 	}
-	w := pendingWrite{int(offset), slices.Clone(p)} // even if this write lost power
+	w := pendingWrite{int(offset), slices.Clone(p)} // a write interrupted by the power loss may be kept too
 	h.file.pending = append(h.file.pending, w)
 	h.file.visible = overwrite(h.file.visible, w)
 	if err != nil {
--- a/raft/storage/faultdisk_test.go
+++ b/raft/storage/faultdisk_test.go
@@ -29,8 +29,8 @@
 	powerLossAt    int  // step at which power is lost, 0 for never
 	powerLost      bool // all changes fail
 	full           bool // no space is left
-	failSyncs      int  // number of next syncs that fail; the data is never written
-	failSyncNumber int  // the sync with this number fails likewise
+	failSyncs      int  // number of syncs that fail from now on; their data is never written
+	failSyncNumber int  // the number, as counted by syncs, of a sync that fails likewise
 
 	// Simulated bugs of the store: directories, or files of one kind, are not synced.
 	skipDirSync  bool
@@ -41,7 +41,8 @@
 // survive a power loss.
 type diskDir struct{ visible, durable map[string]*diskFile }
 
-// diskFile holds the contents of a file, likewise.
+// diskFile holds the contents of a file: those that a process sees, and those that survive a
+// power loss.
 type diskFile struct {
 	visible, durable []byte
 	pending          []pendingWrite // writes since the last sync
@@ -60,8 +61,9 @@
 
 func newDiskDir() *diskDir { return &diskDir{map[string]*diskFile{}, map[string]*diskFile{}} }
 
-// step counts a change, and fails if power is or gets lost. Reads still work without power,
-// which is harmless, as nothing can be written or acknowledged based on them.
+// step counts a change, and fails if power was lost before or is lost at this step. Reads
+// still work without power, which is harmless, as nothing can be written or acknowledged
+// based on them.
 func (d *faultDisk) step() error {
 	if d.powerLost {
 		return errPowerLost
@@ -272,7 +274,7 @@
 	return out
 }
 
-// fileKind returns the kind of a file, based on its name.
+// fileKind returns the kind of a file, based on its name. A journal is a write-ahead log.
 func fileKind(name string) string {
 	switch {
 	case strings.HasPrefix(name, currentName):
--- a/raft/storage/filesystem.go
+++ b/raft/storage/filesystem.go
@@ -21,7 +21,8 @@
 	Open(path string) (file, error)
 	// OpenInPlace opens an existing file for reading and writing.
 	OpenInPlace(path string) (file, error)
-	// Remove removes a file. The removal is durable only after SyncDir.
+	// Remove removes a file, or a directory with its contents. It may return nil if nothing is
+	// there. The removal is durable only after SyncDir.
 	Remove(path string) error
 	// Names lists the names in a directory, in no particular order.
 	Names(dir string) ([]string, error)
@@ -29,7 +30,8 @@
 	Mkdir(dir string) error
 	// SyncDir makes the entries of a directory durable, both added and removed ones.
 	SyncDir(dir string) error
-	// Lock takes an exclusive lock, which is held until the result is closed.
+	// Lock takes an exclusive lock on a file, which it creates if missing. The lock is held
+	// until the result is closed. Lock fails if the file is already locked.
 	Lock(path string) (io.Closer, error)
 }
 
--- a/raft/storage/format.go
+++ b/raft/storage/format.go
@@ -17,17 +17,17 @@
 // everything that a member stores: the files of this package, and what other packages
 // (raft and controlplane) encode into entries and snapshots.
 //
-// It is stored in a separate file, FORMAT.n, whose layout never changes, and which is
-// durable before any data of that format is written. A format file is never renamed or
-// overwritten with different bytes; the valid file with the highest number applies. A torn
-// file is ignored, as no data of its format was written yet.
+// It is stored in a separate file, FORMAT.n, where n is Format. The layout of the file never
+// changes, and the file is durable before any data of that format is written. A valid format
+// file is never renamed or overwritten with different bytes; the one with the highest number
+// applies. A torn file is ignored, as no data of its format was written yet.
 //
 // To change the format, increment Format, and raise MinReader too if older versions can't
 // read the new data. Release a version that reads a format before the one that writes it,
 // so that a cluster can be rolled back by one version.
 type formatVersion struct {
 	Format    int // the newest format that may be on disk
-	MinReader int // the lowest format that a reader must support to use the store
+	MinReader int // programs whose currentFormat.Format is at least this may use the store
 }
 
 // currentFormat is the format that this version writes.
@@ -110,11 +110,11 @@
 	return nil
 }
 
-// writeFormat makes the current format version durable before any data is written in it.
-// If the store has a newer format that this version may use, the format file is left as it
-// is. Otherwise the file is written and synced each time the store is opened, as an earlier
-// process may have ended before the file was durable. Overwriting it with the same bytes
-// can't damage it.
+// writeFormat makes the current format version durable, before any data of that format is
+// written. If the store has a newer format that this version may use, the format file is
+// left as it is. Otherwise the file is written and synced each time the store is opened, as
+// an earlier process may have ended before the file was durable. Overwriting it with the
+// same bytes can't damage it.
 func (s *Store) writeFormat() error {
 	v, files, err := readFormat(s.fs, s.dir)
 	if err != nil || v.Format > currentFormat.Format {
--- a/raft/storage/manifest.go
+++ b/raft/storage/manifest.go
@@ -38,9 +38,9 @@
 }
 
 // setCurrent writes the pointer file of a manifest. The manifest and its directory entry
-// are made durable first. Otherwise the pointer file could survive a power loss that the
-// manifest does not, and refer, after the next start, to a partly written new manifest of
-// the same number.
+// are made durable first. Otherwise a power loss could remove the manifest but not the
+// pointer file, which would refer, after the next start, to a partly written new manifest
+// of the same number.
 func (f *dbFiles) setCurrent(manifest storage.FileDesc) error {
 	if err := f.syncManifest(manifest); err != nil {
 		return err
@@ -87,7 +87,7 @@
 // manifestPointer is a pointer file, which names a manifest.
 type manifestPointer struct {
 	name   string
-	number int64 // of the manifest, or unnumberedPointer: the file name has no number to check
+	number int64 // in the file name, or unnumberedPointer
 }
 
 // manifestPointers lists the pointer files, newest first.
--- a/raft/storage/member_test.go
+++ b/raft/storage/member_test.go
@@ -192,8 +192,8 @@
 	return nil
 }
 
-// injectFault makes the disk full or unable to sync, and returns for how many attempts of a
-// call.
+// injectFault makes the disk full or unable to sync, and returns the number of attempts of a
+// call after which the fault ends.
 func (m *testMember) injectFault(d *faultDisk) (attempts int) {
 	attempts = 1 + m.rand.IntN(4)
 	d.mu.Lock()
--- a/raft/storage/powerloss_test.go
+++ b/raft/storage/powerloss_test.go
@@ -10,12 +10,13 @@
 )
 
 // runWithPowerLosses runs a member and loses power several times, each at a random step.
-// inject may inject a fault into the disk.
-func runWithPowerLosses(seed uint64, faults bool, inject func(*faultDisk)) error {
+// With faults, the disk also has temporary faults, see testMember.run. simulateBug may set a
+// simulated bug of the store on the disk.
+func runWithPowerLosses(seed uint64, faults bool, simulateBug func(*faultDisk)) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	m := &testMember{rand: r, id: raft.ID(r.Uint64() | 1), largeEntries: r.IntN(3) > 0}
 	d := newFaultDisk()
-	inject(d)
+	simulateBug(d)
 	for run := range 4 {
 		d.powerLossAt = 1 + r.IntN([]int{30, 100, 400}[r.IntN(3)])
 		after, err := runUntilPowerLoss(m, d, faults)
@@ -54,32 +55,32 @@
 	return after, err
 }
 
-func noFault(*faultDisk) {}
+func noBug(*faultDisk) {}
 
 // After a power loss at any step, which loses any part of the data and directory entries
 // that were not synced, all acknowledged data must be present, and the store must not be
 // reported as corrupt.
 func TestAcknowledgedDataSurvivesPowerLoss(t *testing.T) {
-	checkSeeds(t, *diskSeeds, func(seed uint64) error { return runWithPowerLosses(seed, false, noFault) })
+	checkSeeds(t, *diskSeeds, func(seed uint64) error { return runWithPowerLosses(seed, false, noBug) })
 }
 
 // Like the test above, on a disk that is temporarily full or fails syncs and drops the data.
 // The store must recover by itself, without losing acknowledged data.
 func TestAcknowledgedDataSurvivesPowerLossOnAFaultyDisk(t *testing.T) {
-	checkSeeds(t, *diskSeeds, func(seed uint64) error { return runWithPowerLosses(seed, true, noFault) })
+	checkSeeds(t, *diskSeeds, func(seed uint64) error { return runWithPowerLosses(seed, true, noBug) })
 }
 
 // Checks that the tests above detect a missing sync: without any one kind of sync, some
 // seeds must lose acknowledged data.
 func TestPowerLossFindsMissingSyncs(t *testing.T) {
-	for name, inject := range map[string]func(*faultDisk){
+	for name, simulateBug := range map[string]func(*faultDisk){
 		"directories not synced": func(d *faultDisk) { d.skipDirSync = true },
 		"journals not synced":    func(d *faultDisk) { d.skipSyncKind = "journal" },
 		"manifests not synced":   func(d *faultDisk) { d.skipSyncKind = "MANIFEST" },
 		"tables not synced":      func(d *faultDisk) { d.skipSyncKind = "table" },
 		"seal not synced":        func(d *faultDisk) { d.skipSyncKind = "seal" },
 	} {
-		failed := runSeeds(40, func(seed uint64) error { return runWithPowerLosses(seed, false, inject) })
+		failed := runSeeds(40, func(seed uint64) error { return runWithPowerLosses(seed, false, simulateBug) })
 		if len(failed) == 0 {
 			t.Errorf("%s: not detected", name)
 		}
--- a/raft/storage/record.go
+++ b/raft/storage/record.go
@@ -41,8 +41,8 @@
 	return binary.BigEndian.Uint64(key[len(entryPrefix):]), true
 }
 
-// recordHash returns the hash of a key and its record. It is never 0, which means that
-// there is no record.
+// recordHash returns the hash of a key and its record. It is never 0, because [contents] uses
+// 0 for a missing record.
 func recordHash(key, record []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -62,7 +62,7 @@
 	return append(record, body...), nil
 }
 
-// decodeRecord decodes a record into value. All its errors are [ErrCorrupt].
+// decodeRecord decodes a record into value. All its errors wrap [ErrCorrupt].
 func decodeRecord(record []byte, value any) error {
 	body, err := recordBody(record)
 	if err != nil {
--- a/raft/storage/recovery.go
+++ b/raft/storage/recovery.go
@@ -134,7 +134,8 @@
 	id := found.batchID()
 	// When the store is reopened, the last batch that this process acknowledged is known.
 	if last := s.acknowledged; last != (batchID{}) && !isSameOrNext(id, last) {
-		return fmt.Errorf("%w: database is at batch %d, %d was acknowledged", ErrCorrupt, id.Sequence, last.Sequence)
+		return fmt.Errorf("%w: database is at batch %d, but batch %d was acknowledged",
+			ErrCorrupt, id.Sequence, last.Sequence)
 	}
 	if s.seal == nil && found.sequence > 0 {
 		return fmt.Errorf("%w: the seal file is missing or invalid", ErrCorrupt)
@@ -142,9 +143,9 @@
 	if s.seal != nil && !isSameOrNext(id, s.seal.batch) {
 		return fmt.Errorf("%w: database is at batch %d, seal at %d", ErrCorrupt, id.Sequence, s.seal.batch.Sequence)
 	}
-	// Stores that predate the seal have no batch number, and only this check.
+	// The only check here for stores that predate the seal, as they have no batch number.
 	if !found.empty() && (found.identity == 0 || found.snapshot == 0) {
-		return fmt.Errorf("%w: the identity is missing", ErrCorrupt)
+		return fmt.Errorf("%w: the identity or the snapshot is missing", ErrCorrupt)
 	}
 	return nil
 }
@@ -187,8 +188,8 @@
 	return nil
 }
 
-// ensureSealDurable makes the seal durable. If there is none, it creates one for the batch
-// first.
+// ensureSealDurable makes the seal durable. If there is none, it creates one that holds the
+// given batch.
 func (s *Store) ensureSealDurable(first batchID) error {
 	if s.seal != nil {
 		return s.seal.rewrite()
@@ -259,7 +260,7 @@
 	return nil
 }
 
-// readDatabase opens the database and summarizes its contents.
+// readDatabase opens the database, read-only or for writing, and summarizes its contents.
 func (s *Store) readDatabase(readOnly bool) (found contents, err error) {
 	s.files = &dbFiles{fs: s.fs, dir: s.dir}
 	defer func() {
--- a/raft/storage/seal.go
+++ b/raft/storage/seal.go
@@ -11,8 +11,8 @@
 )
 
 // seal is a small file next to the database that holds the last acknowledged batch.
-// Without it, a database that lost the end of its write-ahead log could not be told from
-// one in which those batches were never written.
+// Without it, a database that lost the batches at the end of its write-ahead log could not
+// be told from one in which they were never written.
 //
 // The file has two slots, which are overwritten alternately in place. The valid slot with
 // the higher sequence number is current. The file is never extended or renamed, so one
@@ -41,7 +41,8 @@
 	sealChecksumAt = 24
 )
 
-// createSeal durably creates the seal file of a store, or replaces an existing one.
+// createSeal durably creates a seal file that holds the given batch, or replaces an existing
+// one.
 func createSeal(fs fileSystem, dir, path string, first batchID) error {
 	f, err := fs.Create(path)
 	if err != nil {
--- a/raft/storage/seal_test.go
+++ b/raft/storage/seal_test.go
@@ -9,7 +9,7 @@
 )
 
 // A batch that the seal does not record yet must be accepted only if the contents match its
-// digest. Here the seal is one batch behind, and a record is missing.
+// digest. Here the seal is one batch behind, and a record is missing, except in the last case.
 func TestUnsealedBatchIsCheckedAgainstItsDigest(t *testing.T) {
 	for _, deleted := range [][]byte{keyHardState, entryKey(1), entryKey(2), keyBatch, nil} {
 		d := newFaultDisk()
--- a/raft/storage/tablefooter.go
+++ b/raft/storage/tablefooter.go
@@ -16,9 +16,10 @@
 	blockTrailerSize   = 5 // compression type and checksum at the end of each block
 )
 
-// checkTableFooter fails, with an error that counts as damage, if a block handle points
-// outside the table. The footer has no checksum, and goleveldb would allocate as much
-// memory as a corrupted length says. The file offset is reset to the start.
+// checkTableFooter fails, with an error that counts as damage (see isDamage), if a block
+// handle is invalid or points outside the table. The footer has no checksum, and goleveldb
+// would allocate as much memory as a corrupted length says. The file offset is reset to the
+// start.
 func checkTableFooter(table file) error {
 	size, err := table.Seek(0, io.SeekEnd)
 	if err != nil {
@@ -46,7 +47,7 @@
 		// The first two comparisons rule out an overflow of the sum.
 		inside := offset <= size && length <= size && offset+length+blockTrailerSize <= size-tableFooterSize
 		if !readable || !inside {
-			return fmt.Errorf("table footer: block of %d bytes at offset %d exceeds the table of %d bytes: %w",
+			return fmt.Errorf("table footer: invalid block handle: %d bytes at offset %d in a table of %d bytes: %w",
 				length, offset, size, io.EOF)
 		}
 		handles = handles[n+m:]
