--- a/controlplane/apply.go
+++ b/controlplane/apply.go
@@ -19,8 +19,8 @@
 const (
 	// OutcomeAcceptable: the command can be applied to the current state.
 	OutcomeAcceptable Outcome = iota
-	// OutcomeApplied: the command was applied, now or when it was sent before, no matter which
-	// commands were applied after it and which base it names now.
+	// OutcomeApplied: the command was applied, now or when it was sent earlier. Neither the commands
+	// applied since then nor the base that it names now make a difference.
 	OutcomeApplied
 	// OutcomeConflict: the command was not applied and never can be, because its base is not
 	// the current revision.
@@ -75,7 +75,7 @@
 	switch {
 	case remembered && s.Applied[i].matches(content):
 		return Decision{Outcome: OutcomeApplied}
-	case base < revision && revision < s.oldestRemembered(): // a revision below its base was never applied
+	case base < revision && revision < s.oldestRemembered(): // a revision not higher than its base was never applied
 		return Decision{Outcome: OutcomeUnknown, Reason: fmt.Sprintf("it can't be told any more whether "+
 			"revision %d was taken: those from %d on are remembered, the current one is %d",
 			revision, s.oldestRemembered(), s.Revision)}
--- a/controlplane/chunks.go
+++ b/controlplane/chunks.go
@@ -24,8 +24,9 @@
 }
 
 // add appends a chunk and returns how many bytes are held, and the complete messages once the last
-// chunk has arrived. A chunk that doesn't continue the bytes held changes nothing: from the number
-// returned the sender knows where to continue.
+// chunk has arrived and the checksum matches. The first chunk of other messages discards the bytes
+// held. Any other chunk that doesn't continue them changes nothing: from the number returned the
+// sender knows where to continue.
 func (r *reassembly) add(chunk *api.MessageChunk) (held int, complete []byte) {
 	if chunk.Size != r.size || chunk.Checksum != r.sum || r.data == nil {
 		if chunk.Offset != 0 || chunk.Size < len(chunk.Data) || chunk.Size > maxChunkedBytes {
--- a/controlplane/client.go
+++ b/controlplane/client.go
@@ -22,9 +22,9 @@
 	callRetryDelay = 40 * time.Millisecond
 )
 
-// Client calls the members of the control plane from any process: the leader for operators, and
-// for watches the member that this process prefers. Conns and Log are required. All methods may be
-// called concurrently.
+// Client gives any process access to the control plane: it serves the operator API by calls to the
+// leader, and selects the member that this process watches. Conns and Log are required. All methods
+// may be called concurrently.
 type Client struct {
 	Conns *api.ConnPool
 	Log   *slog.Logger
--- a/controlplane/configchange.go
+++ b/controlplane/configchange.go
@@ -27,7 +27,8 @@
 	delta versioned.RowDiff // from the rows applied before
 }
 
-// newConfigChange validates a configuration. Rows that equal those in before are shared.
+// newConfigChange validates the configuration of a request and returns the change that makes it the
+// newest one. Rows that equal those in before are shared.
 func newConfigChange(q *api.ReplaceRequest, content fingerprint, before *api.ConfigRows) (*configChange, error) {
 	rows, err := api.ValidateConfig(q.Config, before)
 	if err == nil {
--- a/controlplane/configstore.go
+++ b/controlplane/configstore.go
@@ -80,10 +80,10 @@
 func (s *configStore) validate(q *api.ReplaceRequest) (*configChange, error) {
 	content := fingerprintOf(q.Config)
 	s.mu.Lock()
-	last, before := s.validated, s.rows
+	lastValidated, before := s.validated, s.rows
 	s.mu.Unlock()
-	if last != nil && last.content == content && last.base == q.Base {
-		return last, nil
+	if lastValidated != nil && lastValidated.content == content && lastValidated.base == q.Base {
+		return lastValidated, nil
 	}
 	change, err := newConfigChange(q, content, before)
 	if err != nil {
@@ -140,7 +140,7 @@
 // can't be sent to watchers; in that case no entry of the batch is applied.
 func (s *configStore) applyEntries(entries []raft.Entry) error {
 	committed, err := s.buildCommitted(entries)
-	if err != nil { // the member that proposed it could read it, as it validated it first
+	if err != nil { // unexpected: the member that proposed the configuration had validated it
 		return err
 	}
 	for _, e := range entries {
@@ -157,7 +157,7 @@
 // difference from the previous rows; nil if the entries don't change the configuration. It
 // releases the mutex: nothing else changes the state meanwhile, see raftHost.handling.
 func (s *configStore) buildCommitted(entries []raft.Entry) (*configChange, error) {
-	state, before, tableRows, known := s.state, s.rows, s.watches.configs.Rows(), s.validated
+	state, before, tableRows, lastValidated := s.state, s.rows, s.watches.configs.Rows(), s.validated
 	s.mu.Unlock()
 	defer s.mu.Lock()
 	revision := state.Revision
@@ -170,8 +170,8 @@
 		return nil, nil
 	}
 	committed := &configChange{revision: state.Revision}
-	if known != nil && known.isNewestOf(&state) {
-		committed.rows = known.rows
+	if lastValidated != nil && lastValidated.isNewestOf(&state) {
+		committed.rows = lastValidated.rows
 	} else {
 		var err error
 		if committed.rows, err = buildRows(&state, before); err != nil {
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -18,7 +18,7 @@
 
 const (
 	tickInterval      = 50 * time.Millisecond
-	electionTicks     = 10 // 0.5 to 1 s without a leader
+	electionTicks     = 10 // minimum election time-out, randomized up to twice this: 0.5 to 1 s
 	heartbeatTicks    = 2
 	joinIntervalTicks = 8 // between two rounds of join requests of an isolated member
 )
--- a/controlplane/doc.go
+++ b/controlplane/doc.go
@@ -26,8 +26,9 @@
 //     joinCandidates decides which addresses to call, without I/O.
 //   - transport (transport.go) carries messages between members. It owns the send queues
 //     (sendqueue.go) and partly received chunked messages (chunks.go).
-//   - endpointManager (endpoints.go) owns the server list (endpointlist.go): the leader merges
-//     the lists that the platform returns, the other members copy the leader's list.
+//   - endpointManager (endpoints.go) owns the server list (endpointlist.go): the leader merges the
+//     lists that package discovery reads from the cloud platform, the other members copy the
+//     leader's list.
 //   - notifier (notifier.go) wakes goroutines that wait for a change in any of these parts.
 //
 // # Locks
--- a/controlplane/endpointlist.go
+++ b/controlplane/endpointlist.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// merge merges a server list of the platform into the list, in a term of this leader. changed: the
+// merge merges a server list of the platform into the list. The term is that in which this member
+// leads: the versions of a later term are higher than all versions of earlier ones. changed: the
 // list has changed, so watchers must be notified; uncertain: a server is missing for the first
 // time, so the platform should be asked again soon.
 func (l *endpointList) merge(term uint64, list []api.Server) (changed, uncertain bool, err error) {
--- a/controlplane/host.go
+++ b/controlplane/host.go
@@ -276,7 +276,7 @@
 }
 
 // publishProgress notifies waiting goroutines of a changed role or leader and of confirmed read
-// indexes.
+// indexes, and logs rejected snapshots.
 func (h *raftHost) publishProgress() {
 	if rejected := h.node.RejectedSnapshots(); rejected != h.rejectedReported {
 		h.rejectedReported = rejected
--- a/controlplane/joiner.go
+++ b/controlplane/joiner.go
@@ -103,19 +103,19 @@
 	err      error
 }
 
-func (a joinResult) accepted() bool { return a.err == nil && a.response.Status == http.StatusOK }
+func (r joinResult) accepted() bool { return r.err == nil && r.response.Status == http.StatusOK }
 
 // String returns in one line why this process was not added.
-func (a joinResult) String() string {
+func (r joinResult) String() string {
 	switch {
-	case a.err != nil:
-		return a.err.Error()
-	case a.response.Reason != "":
-		return a.response.Reason
-	case a.response.Leader != "":
-		return "not the leader; the leader is " + a.response.Leader
+	case r.err != nil:
+		return r.err.Error()
+	case r.response.Reason != "":
+		return r.response.Reason
+	case r.response.Leader != "":
+		return "not the leader; the leader is " + r.response.Leader
 	}
-	return fmt.Sprintf("status %d, no leader known", a.response.Status)
+	return fmt.Sprintf("status %d, no leader known", r.response.Status)
 }
 
 // joinCandidates decides which addresses are called next in one round of join requests: each
--- a/controlplane/memberpolicy.go
+++ b/controlplane/memberpolicy.go
@@ -10,7 +10,8 @@
 	// A voter that has not responded for replaceTicks loses its vote to a standby; a member
 	// without a vote is removed after removeTicks. A lost leader, too, must be replaced within the
 	// 4 s that are allowed for recovering from the loss of a machine: up to 1 s for the election,
-	// then this time-out, counted by the new leader, and the membership change.
+	// then at most replaceTicks (see memberPolicy.timeout), counted by the new leader, and the
+	// membership change.
 	replaceTicks = 40
 	removeTicks  = 1200
 	// A member counts as leaving for leavingTicks after its last announcement.
@@ -161,7 +162,7 @@
 	case s.demote >= 0 && tooMany:
 		return "demote voter", vote(s.demote, false)
 	case tooMany && s.voters%2 == 0 && s.lastVoter >= 0:
-		// An even number of voters tolerates no more losses than one voter less.
+		// An even number of voters tolerates no more losses than the odd number below it.
 		return "demote voter", vote(s.lastVoter, false)
 	}
 	return "", nil
--- a/controlplane/memberselector.go
+++ b/controlplane/memberselector.go
@@ -22,9 +22,9 @@
 
 	leader  string   // empty: unknown
 	members []string // in the order in which they are watched
-	// nextCandidate is the index, modulo their number, of the member that was last called while
-	// the leader was unknown.
-	nextCandidate int
+	// lastCandidate is the index, modulo the number of members, of the member that was last called
+	// while the leader was unknown.
+	lastCandidate int
 
 	watched    int       // index of the member that is watched
 	switchedAt time.Time // when a failure last changed watched
@@ -94,8 +94,8 @@
 	if len(s.members) == 0 {
 		return ""
 	}
-	s.nextCandidate++
-	return s.members[s.nextCandidate%len(s.members)]
+	s.lastCandidate++
+	return s.members[s.lastCandidate%len(s.members)]
 }
 
 // leaderFailed resets the leader if it is the one that failed to respond.
--- a/controlplane/notifier.go
+++ b/controlplane/notifier.go
@@ -4,8 +4,11 @@
 // holds Core.mu, releases the mutex, and checks its condition again once the channel is closed.
 // Guarded by Core.mu.
 type notifier struct {
-	changed      chan struct{} // closed when there may be something new for watchers
-	acknowledged chan struct{} // closed when a read index is confirmed or a call has its result
+	// changed is closed when there may be something new for watchers.
+	changed chan struct{}
+	// acknowledged is closed when a read index is confirmed, entries are applied or a call has its
+	// result.
+	acknowledged chan struct{}
 }
 
 func newNotifier() notifier {
@@ -18,7 +21,8 @@
 	n.changed = make(chan struct{})
 }
 
-// notifyReaders wakes goroutines that wait for a read index or for the result of a call.
+// notifyReaders wakes goroutines that wait for a read index, for entries to be applied or for the
+// result of a call.
 func (n *notifier) notifyReaders() {
 	close(n.acknowledged)
 	n.acknowledged = make(chan struct{})
--- a/controlplane/sendqueue.go
+++ b/controlplane/sendqueue.go
@@ -16,7 +16,7 @@
 	// in bytes. A single message may exceed it.
 	maxQueuedBytes = 256 << 10
 	// maxBulkCallBytes bounds the payload of one call of the bulk queue, unless a single message is
-	// larger. A link of 1 Mbit/s needs 130 ms for it, so that a heartbeat behind it on the same
+	// larger. A link of 1 Mbit/s needs 140 ms for it, so that a heartbeat behind it on the same
 	// link still arrives well within an election time-out.
 	maxBulkCallBytes = 17 << 10
 )
@@ -28,8 +28,8 @@
 	bulk bool
 }
 
-// sendQueue is one send queue, which transport.deliverFrom empties in a goroutine. Its lock comes
-// after Core.mu in the lock order, and is not held during I/O.
+// sendQueue is one of the two send queues to a member. A goroutine in transport.deliverFrom sends
+// its messages. Its lock comes after Core.mu in the lock order, and is not held during I/O.
 type sendQueue struct {
 	mu       sync.Mutex
 	messages messageQueue
@@ -62,8 +62,8 @@
 	q.messages.done()
 }
 
-// messageQueue holds the messages that wait in one send queue and those in flight, which is one call
-// at a time. It does no I/O and acquires no lock.
+// messageQueue holds the messages that wait in one send queue and those of the call in flight: there
+// is at most one such call. It does no I/O and acquires no lock.
 type messageQueue struct {
 	bulk     bool
 	waiting  []raft.Message
--- a/controlplane/service.go
+++ b/controlplane/service.go
@@ -24,7 +24,8 @@
 	return c.store.Get(ctx, q)
 }
 
-// Watch responds to a limiter as soon as there is something new, or after the time that it waits.
+// Watch responds to a limiter or another member as soon as there is something newer than the
+// versions in the request, or when the wait that the request allows is over.
 func (c *Core) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
 	return c.watches.Watch(ctx, q)
 }
--- a/controlplane/state.go
+++ b/controlplane/state.go
@@ -91,7 +91,8 @@
 }
 
 // archiveNewest adds the newest configuration to the previous ones, before it is replaced, and
-// drops the oldest ones that exceed the bounds.
+// drops the oldest ones that exceed the bounds. An uncompressed configuration, which only an old
+// version writes, is not kept.
 func (s *State) archiveNewest() {
 	if s.Revision == 0 || s.Compressed == nil {
 		return
--- a/controlplane/transport.go
+++ b/controlplane/transport.go
@@ -56,7 +56,8 @@
 }
 
 // enqueue puts a message into the send queue to its receiver, and creates the queue if necessary. A
-// message to a member without a known address is dropped. Called with the mutex held.
+// message to a member without a known address, or before Run, is dropped. Called with the mutex
+// held.
 func (t *transport) enqueue(m raft.Message) {
 	key := queueKey{m.To, m.IsBulk()}
 	queue := t.queues[key]
@@ -174,7 +175,8 @@
 		case err != nil:
 			return err
 		case r.ReceivedBytes <= offset || r.ReceivedBytes > len(body):
-			// The member has restarted, perhaps with an older version.
+			// The member has dropped the earlier chunks: it has restarted, perhaps with an older
+			// version, has learned of another leader, or is suspended.
 			t.mu.Lock()
 			t.acceptsChunks[to] = r.AcceptsChunks
 			t.mu.Unlock()
--- a/controlplane/watch.go
+++ b/controlplane/watch.go
@@ -16,10 +16,10 @@
 	maxWatches = 1024
 )
 
-// watchServer serves limiters that watch the configuration and the server list. A response has the
-// changes since the versions that the limiter has, and a lease if a majority has confirmed the
-// leadership. Every member serves watches, so that the load is distributed. All fields are guarded
-// by Core.mu, which is released while a watch waits.
+// watchServer serves limiters that watch the configuration and the server list, and members that
+// watch the leader's server list. A response has the changes since the versions that the caller
+// has, and a lease if a majority has confirmed the leadership. Every member serves watches, so that
+// the load is distributed. All fields are guarded by Core.mu, which is released while a watch waits.
 type watchServer struct {
 	mu        *sync.Mutex // Core.mu
 	host      *raftHost
@@ -38,7 +38,7 @@
 	w.notify.notifyWatchers()
 }
 
-// Watch responds to a limiter; see [Core.Watch].
+// Watch responds to a limiter or another member; see [Core.Watch].
 func (w *watchServer) Watch(ctx context.Context, q *api.WatchRequest) (*api.WatchResponse, error) {
 	start := time.Now()
 	w.mu.Lock()
