--- a/controlplane/coresim_checks_test.go
+++ b/controlplane/coresim_checks_test.go
@@ -61,10 +61,10 @@
 // nonDurableClaim names the first claim in a message that the sender's disk does not hold; it
 // returns an empty string if there is none.
 //
-// A message of a term before the stored one is not checked: the same batch may have stored a
-// later term. Nor is the log position in a vote request of a sender that is no longer a
-// candidate: it counts no votes, and the leader of that term may have truncated its log in the
-// same batch.
+// Votes and acknowledgements in a message of a term before the stored one are not checked: the
+// same batch may have stored a later term. Nor is the log position in a vote request of a sender
+// that is no longer a candidate: such a sender counts no votes, and may have truncated its log in
+// the same batch, because of entries from the leader of that term.
 func (c *messageCheck) nonDurableClaim() string {
 	m, hard := c.message, c.disk.stored.HardState
 	withoutTerm := m.Kind == raft.PreVoteRequest || m.Kind == raft.PreVoteReply && !m.Reject
@@ -154,7 +154,7 @@
 }
 
 // checkCommit checks a commit index that a leader sends for the first time: a majority of the
-// voters must have stored the entry, of the outgoing voters too during a joint change.
+// voters must have stored the entry and, during a joint change, a majority of the outgoing voters.
 func (c *faultyCluster) checkCommit(m *raft.Message, members []raft.Member) {
 	term, known := c.sentTerms[m.Term][m.Commit]
 	if !known {
@@ -209,8 +209,8 @@
 	}
 }
 
-// converged reports whether every machine has applied every revision that any of them has, under
-// one leader.
+// converged reports whether every machine has applied every revision that any of them has, and
+// every entry that it knows to be committed, with one leader and no pending membership change.
 func (c *faultyCluster) converged() bool {
 	leaders := 0
 	for _, m := range c.machines {
--- a/controlplane/coresim_faults_test.go
+++ b/controlplane/coresim_faults_test.go
@@ -39,7 +39,8 @@
 }
 
 // canLoseDisk reports whether the cluster tolerates the loss of one disk: all members run and are
-// connected, each machine's member is a voter, and all members agree on the leader.
+// connected, each machine's member is a voter, no membership change is pending, and all members
+// agree on the leader.
 func (c *faultyCluster) canLoseDisk() bool {
 	processes, ids, ok := c.healthyProcesses()
 	if !ok {
@@ -143,7 +144,7 @@
 		c.repairLinks()
 	default:
 		for _, other := range c.machines {
-			c.links[addrPair{target.addr, other.addr}].slow = 250 * time.Millisecond
+			c.links[addrPair{target.addr, other.addr}].maxDelay = 250 * time.Millisecond
 		}
 	}
 }
@@ -162,7 +163,7 @@
 // repairLinks ends all link faults. The caller holds the mutex.
 func (c *faultyCluster) repairLinks() {
 	for _, link := range c.links {
-		link.partitioned, link.slow = false, 0
+		link.partitioned, link.maxDelay = false, 0
 	}
 }
 
--- a/controlplane/coresim_network_test.go
+++ b/controlplane/coresim_network_test.go
@@ -40,8 +40,8 @@
 	p.cluster.locked(func() {
 		link := p.cluster.links[direction]
 		lost = link.partitioned
-		if link.slow > 0 {
-			delay = time.Duration(link.rng.Int64N(int64(link.slow)))
+		if link.maxDelay > 0 {
+			delay = time.Duration(link.rng.Int64N(int64(link.maxDelay)))
 		}
 	})
 	if lost || p.ctx.Err() != nil {
--- a/controlplane/coresim_operators_test.go
+++ b/controlplane/coresim_operators_test.go
@@ -92,7 +92,7 @@
 			return result, false
 		}
 		unanswered := response.Status == 0 || response.Status == http.StatusServiceUnavailable
-		if !unanswered && rng.IntN(12) > 0 { // otherwise the answer is lost
+		if !unanswered && rng.IntN(12) > 0 { // one in twelve definite answers is lost
 			result, err = resultOf(in, response)
 			if err != nil {
 				c.fail("invalid configuration in a response: %v", err)
@@ -105,8 +105,8 @@
 	return result, false
 }
 
-// call makes a call to a member. The response is empty if the member is nil, or loses power during
-// the call.
+// call makes a call to a member. The response is empty if p is nil, as for a machine that is off,
+// or if the member loses power during the call.
 func (p *memberProcess) call(rng *rand.Rand, in input) (*api.ControlResponse, error) {
 	if p == nil {
 		return &api.ControlResponse{}, nil
--- a/controlplane/coresim_test.go
+++ b/controlplane/coresim_test.go
@@ -20,8 +20,8 @@
 
 // faultyCluster runs real cores on simulated stores and links, with operators that replace and
 // read the configuration while faults are injected. All events and delays derive from the seed.
-// The order of goroutines that wake at the same instant of the bubble's clock does not: a seed
-// reproduces the same faults, and in most runs, but not all, the same history.
+// The order of goroutines that wake at the same instant of the synctest bubble's clock does not: a
+// seed reproduces the same faults, and in most runs, but not all, the same history.
 type faultyCluster struct {
 	t          *testing.T
 	seed       uint64
@@ -35,7 +35,8 @@
 	faultsEnded bool       // no new faults or calls; calls in progress are completed
 	failure     error      // the first violation found
 	links       map[addrPair]*faultyLink
-	// sentTerms has, by the term of a leader, the terms of the entries it has sent, by their index.
+	// sentTerms maps the term of a leader, and the index of an entry that it has sent, to the
+	// term of the entry.
 	sentTerms            map[uint64]map[uint64]uint64
 	commitIndex          uint64                     // the highest one that a leader has sent
 	disks                map[raft.ID]*simulatedDisk // including lost ones
@@ -51,14 +52,14 @@
 
 // coverageCounts counts the events that a run must contain for its checks to be meaningful.
 type coverageCounts struct {
-	messages         int
-	duringWrite      int // messages sent while a write was in progress
-	acknowledgements int // of entries, checked against the disk
-	powerLosses      int
-	tornWrites       int // power losses during a write
-	disksLost        int
-	calls            int
-	applied          int
+	messages          int
+	duringWrite       int // messages sent while a write was in progress
+	acknowledgements  int // of entries, checked against the disk
+	powerLosses       int
+	interruptedWrites int // power losses during a write
+	disksLost         int
+	calls             int
+	applied           int
 }
 
 func (n *coverageCounts) add(o *coverageCounts) {
@@ -66,7 +67,7 @@
 	n.duringWrite += o.duringWrite
 	n.acknowledgements += o.acknowledgements
 	n.powerLosses += o.powerLosses
-	n.tornWrites += o.tornWrites
+	n.interruptedWrites += o.interruptedWrites
 	n.disksLost += o.disksLost
 	n.calls += o.calls
 	n.applied += o.applied
@@ -74,7 +75,7 @@
 
 // sufficient reports whether the counts of a number of runs are high enough.
 func (n *coverageCounts) sufficient(runs int) bool {
-	return n.duringWrite >= 20*runs && n.tornWrites >= runs && n.disksLost >= runs &&
+	return n.duringWrite >= 20*runs && n.interruptedWrites >= runs && n.disksLost >= runs &&
 		n.calls >= 20*runs && n.applied >= 5*runs
 }
 
@@ -85,7 +86,7 @@
 type faultyLink struct {
 	rng         *rand.Rand
 	partitioned bool
-	slow        time.Duration // the maximum delay
+	maxDelay    time.Duration // of each call and each response
 }
 
 // faultyMachine runs a member, restarts it after power losses, and replaces it after disk losses.
@@ -266,7 +267,7 @@
 				continue
 			}
 			if p.unsynced != nil {
-				c.counts.tornWrites++
+				c.counts.interruptedWrites++
 				if m.rng.IntN(2) == 0 {
 					p.disk.stored = *p.unsynced
 				}
@@ -347,7 +348,7 @@
 		c.operators.Wait()
 		close(operatorsDone)
 	}()
-	var last *faultyMachine // the one with the corrupt disk
+	var corrupted *faultyMachine // nil until the last command is sent
 	for range 1200 {
 		for _, m := range c.machines {
 			if m.process == nil {
@@ -366,12 +367,12 @@
 		}
 		switch {
 		case !c.converged():
-		case last == nil && c.canLoseDisk():
-			last = c.machines[c.rng.IntN(len(c.machines))]
-			if err := c.sendLastCommand(last); err != nil {
+		case corrupted == nil && c.canLoseDisk():
+			corrupted = c.machines[c.rng.IntN(len(c.machines))]
+			if err := c.sendLastCommand(corrupted); err != nil {
 				return err
 			}
-		case last != nil && !last.corrupt:
+		case corrupted != nil && !corrupted.corrupt:
 			return nil
 		}
 	}
@@ -379,8 +380,8 @@
 }
 
 // sendLastCommand submits a command, at which the given machine detects that its disk is corrupt.
-func (c *faultyCluster) sendLastCommand(corrupt *faultyMachine) error {
-	c.locked(func() { corrupt.corrupt = true })
+func (c *faultyCluster) sendLastCommand(m *faultyMachine) error {
+	c.locked(func() { m.corrupt = true })
 	newest := uint64(0)
 	if n := len(c.appliedRevisions); n > 0 {
 		newest = c.appliedRevisions[n-1].Revision
--- a/controlplane/linearizability_test.go
+++ b/controlplane/linearizability_test.go
@@ -70,7 +70,7 @@
 // takes effect when some member first applies it. In addition it requires that no member has
 // applied a refused command.
 func (s *registerSim) checkHistory() error {
-	applied := map[uint64]bool{} // revisions of commands that some client sent
+	applied := map[uint64]bool{} // applied revisions whose command is in the history
 	for _, op := range s.history {
 		c := checkedCall{sim: s, op: op, in: op.Input.(input), out: op.Output.(output)}
 		if c.in.get {
--- a/controlplane/linksim_test.go
+++ b/controlplane/linksim_test.go
@@ -43,7 +43,7 @@
 
 	preVotes    int // pre-vote requests sent: attempts to start an election
 	installed   int // snapshots that members installed
-	encoded     int // snapshots that members made
+	encoded     int // states that members encoded for a snapshot
 	lastContact map[raft.ID]time.Duration
 	longestGap  time.Duration // without an append or snapshot chunk from a leader, over all members
 }
@@ -345,7 +345,8 @@
 	s.beginCall(c.id, c.queue)
 }
 
-// transmit queues a number of bytes on a link, and runs arrived once they are delivered.
+// transmit queues a number of bytes on a link, and runs arrived once they are delivered. They are
+// dropped if either end is partitioned, and lost at random according to lossRate.
 func (s *linkSim) transmit(direction link, size int, arrived func()) {
 	speed := s.speed(direction[0], direction[1])
 	if s.partitioned[direction[0]] || s.partitioned[direction[1]] {
--- a/controlplane/partition_harness_test.go
+++ b/controlplane/partition_harness_test.go
@@ -66,8 +66,9 @@
 	return from == p.isolated && !p.outboundAllowed || to == p.isolated && !p.inboundAllowed
 }
 
-// blocksCalls reports whether calls other than Deliver are blocked. They do not name the caller, so
-// that all are blocked while a machine is isolated, in one direction too: a call needs both.
+// blocksCalls reports whether calls other than Deliver are blocked. These calls do not name their
+// caller, so all of them are blocked while a machine is isolated, even in one direction only: a call
+// and its response need both directions.
 func (p *partition) blocksCalls() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,7 +211,7 @@
 	return leader
 }
 
-// clientAt returns a client as in the process of a machine, with that machine's core as its local one.
+// clientAt returns a client like that in a machine's own process: its local core is the machine's.
 func (c *partitionedCluster) clientAt(addr string) *Client {
 	client := c.client()
 	client.SetLocalCore(c.cores[addr])
--- a/controlplane/partition_test.go
+++ b/controlplane/partition_test.go
@@ -14,11 +14,12 @@
 	"example.org/elmspan/api"
 )
 
-// A leader or follower is isolated, in both directions or one; it is restarted meanwhile, and the
-// other machines after it. While it is isolated it answers every operator in time that it is
-// unavailable, and gives limiters neither a lease nor a configuration. Once it is reconnected it
-// answers with the newest configuration. Guards against an isolated machine that keeps answering
-// with an old configuration, or refuses or confirms commands, as users have reported.
+// A leader or follower is isolated, in both directions or one. If it is isolated in both, it is
+// restarted meanwhile, and the other machines after it. While it is isolated it answers every
+// operator with 503 before the operator's deadline, and gives limiters neither a lease nor a
+// configuration. Once it is reconnected it answers with the newest configuration. Guards against
+// an isolated machine that keeps answering with an old configuration, or refuses or confirms
+// commands, as users have reported.
 func TestIsolatedMachineAnswersUnavailable(t *testing.T) {
 	t.Parallel()
 	for _, c := range []isolationCase{
@@ -189,7 +190,8 @@
 			c.replaceInTurn(w, "", 3)
 			isolated := c.awaitLeaderAddr("")
 			lagging := c.others(isolated)[0]
-			c.partition.blockMessagesTo(lagging) // the leader confirms reads at indexes that it has not applied
+			// The leader then confirms reads at indexes that the lagging member has not applied.
+			c.partition.blockMessagesTo(lagging)
 			c.replaceInTurn(w, lagging, 3)
 			c.partition.isolate(isolated, false, false)
 			c.replaceInTurn(w, isolated, 3)
@@ -241,7 +243,7 @@
 			w.t.Error(err)
 			return
 		}
-		time.Sleep(time.Millisecond) // an answer that waits for nothing doesn't advance the bubble's clock
+		time.Sleep(time.Millisecond) // an immediate answer doesn't advance the bubble's clock
 		if !r.Lease {
 			continue
 		}
--- a/controlplane/replacement_losses_test.go
+++ b/controlplane/replacement_losses_test.go
@@ -15,10 +15,10 @@
 const (
 	lossCrash     lossKind = "crash"
 	lossPartition lossKind = "cut"
-	lossLeave     lossKind = "leave" // shuts down gracefully within a time limit, and restarts with its disk
-	lossWiped     lossKind = "wiped"
+	lossLeave     lossKind = "leave"    // shuts down gracefully within a time limit, and restarts with its disk
+	lossWiped     lossKind = "wiped"    // restarts with an empty disk
 	lossReplaced  lossKind = "replaced" // permanently lost; an empty machine with another address takes its place
-	lossRestart   lossKind = "restart"
+	lossRestart   lossKind = "restart"  // a crash with a tenth of the downtime
 )
 
 var lossKinds = []lossKind{lossCrash, lossPartition, lossLeave, lossWiped, lossReplaced, lossRestart}
@@ -54,7 +54,7 @@
 func (s *replacementSim) restart(m *simMachine, kind lossKind) {
 	switch kind {
 	case lossReplaced:
-		m.addr = fmt.Sprint("b", s.nextID)
+		m.addr = fmt.Sprint("b", s.lastID)
 		s.startEmpty(m)
 	case lossWiped:
 		s.startEmpty(m)
@@ -131,10 +131,10 @@
 		}
 	}
 	// With a machine that doesn't support joint changes, one voter too many may remain.
-	anyNumber := slices.ContainsFunc(s.machines, func(m *simMachine) bool { return m.withoutJoint })
+	extraVoterAllowed := slices.ContainsFunc(s.machines, func(m *simMachine) bool { return m.withoutJoint })
 	l := s.leader()
 	switch {
-	case l == nil || !anyNumber && voterCount(l.node.Members()) != s.voters:
+	case l == nil || !extraVoterAllowed && voterCount(l.node.Members()) != s.voters:
 		s.fail("no leader, or not %d voters", s.voters)
 	case l.node.CommitIndex() < highest:
 		s.fail("the leader has commit index %d, but %d was committed", l.node.CommitIndex(), highest)
--- a/controlplane/replacement_sim_test.go
+++ b/controlplane/replacement_sim_test.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	repairTicks    = 80  // a machine that has been back for this long counts as repaired
-	maxCommitGap   = 100 // without a commit
-	killDelayTicks = 50  // a leaving machine is killed after this time
-	neverRepaired  = 1 << 40
-	seedAddrCount  = 3 // machines whose addresses are configured as seeds
+	repairTicks    = 80      // a machine that has been back for this long counts as repaired
+	maxCommitGap   = 100     // steps without a commit before the run fails
+	killDelayTicks = 50      // a leaving machine is killed after this time
+	neverRepaired  = 1 << 40 // lostUntil while no repair is scheduled
+	seedAddrCount  = 3       // machines whose addresses are configured as seeds
 )
 
-// replacementSim simulates members on machines that are lost one after another, each as soon as the
-// previous one is repaired. It runs the real raft nodes and the real membership policy. A step is
-// one tick.
+// replacementSim simulates members on machines that are lost and repaired, with a limit on the number
+// that are lost at the same time. It runs the real raft nodes and the real membership policy. A step
+// is one tick.
 type replacementSim struct {
 	seed     uint64
 	rng      *rand.Rand
 	now      int
 	machines []*simMachine
 	inFlight []raft.Message
-	nextID   raft.ID // last id given to a member that starts with an empty disk
+	lastID   raft.ID // last id given to a member that starts with an empty disk
 	voters   int     // the configured number
 
 	twoStepPolicy  bool // uses the former policy, see replaceInTwoSteps
 	alwaysLeader   bool // each loss takes the leader permanently, and its replacement starts within 10 steps
-	mixedVersions  bool // some machines don't support joint changes
+	mixedVersions  bool // some machines don't support joint changes; changes may leave any number of voters
 	observeChanges func([]raft.Member)
 
 	committed     map[uint64]string // by index
@@ -64,7 +64,7 @@
 	s := &replacementSim{
 		seed:      seed,
 		rng:       rand.New(rand.NewPCG(seed, 3)),
-		nextID:    100,
+		lastID:    100,
 		voters:    voters,
 		committed: map[uint64]string{},
 	}
@@ -97,8 +97,8 @@
 
 // startEmpty starts a machine with an empty disk, as a new member.
 func (s *replacementSim) startEmpty(m *simMachine) {
-	s.nextID++
-	m.id, m.disk = s.nextID, raft.PersistentState{}
+	s.lastID++
+	m.id, m.disk = s.lastID, raft.PersistentState{}
 	s.start(m)
 }
 
--- a/controlplane/replacement_test.go
+++ b/controlplane/replacement_test.go
@@ -12,8 +12,9 @@
 var repairSeeds = flag.Uint64("repair.seeds", 60, "runs of TestSecondLossAfterRepairIsTolerated, of six losses each")
 
 // A machine is lost, in any way, and the next one as soon as the first one or its replacement has
-// been back for 4 s. An entry is committed at least every 5 s, no committed entry is lost, and the
-// number of voters stays the configured one: it is never even.
+// been back for 4 s. With five voters, two machines may be lost at a time. An entry is committed at
+// least every 5 s, no committed entry is lost, and the number of voters stays the configured one: it
+// is never even.
 func TestSecondLossAfterRepairIsTolerated(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -74,7 +75,7 @@
 		elected := s.now
 		for ; isVoter(next.node.Members(), lost.id); s.step() {
 			if ticks := s.now - elected; ticks > electionTicks+8 {
-				t.Fatalf("seed %d: the lost voter still votes %d ticks after the election", seed, ticks)
+				t.Fatalf("seed %d: the lost voter is still a voter %d ticks after the election", seed, ticks)
 			}
 		}
 	}
@@ -162,6 +163,7 @@
 func TestFourthInitialVoterBecomesStandby(t *testing.T) {
 	t.Parallel()
 	s := newReplacementSim(1, 4, 0)
+	// mixedVersions is set only because it disables the check of the number of voters.
 	s.mixedVersions, s.voters = true, 3
 	for _, m := range s.machines {
 		m.policy.voters = 3
--- a/controlplane/sim_client_test.go
+++ b/controlplane/sim_client_test.go
@@ -127,7 +127,7 @@
 	if s.rng.IntN(12) == 0 {
 		c.call = nil // the client will retry the call unchanged
 		if s.losses && s.rng.IntN(3) == 0 {
-			c.attempts = -s.rng.IntN(600) // for longer, while other clients make more calls
+			c.attempts = -s.rng.IntN(600) // retries for longer, while other clients make more calls
 		}
 		return
 	}
--- a/controlplane/sim_faults_test.go
+++ b/controlplane/sim_faults_test.go
@@ -61,10 +61,10 @@
 		return
 	}
 	delete(s.disks, old)
-	s.nextID++
-	s.slots[slot] = s.nextID
-	s.disks[s.nextID] = &raft.PersistentState{}
-	s.start(s.nextID)
+	s.lastID++
+	s.slots[slot] = s.lastID
+	s.disks[s.lastID] = &raft.PersistentState{}
+	s.start(s.lastID)
 }
 
 // isolate blocks the links of a member: those from it, those to it, or both.
--- a/controlplane/sim_world_test.go
+++ b/controlplane/sim_world_test.go
@@ -26,7 +26,7 @@
 	faultsEnded bool  // no new faults or calls; calls in progress are completed
 
 	slots   []raft.ID // by machine, the id of the member on it
-	nextID  raft.ID   // id of the last member that started with an empty disk
+	lastID  raft.ID   // id of the last member that started with an empty disk
 	members map[raft.ID]*simMember
 	disks   map[raft.ID]*raft.PersistentState
 
@@ -45,7 +45,9 @@
 // simConfig is the configuration of a simulation.
 type simConfig struct {
 	clients, machines, steps int
-	// losses also makes disks fail, members be replaced, logs be truncated and links be slow.
+	// losses adds further faults: lost disks, power losses around a disk sync, temporary
+	// partitions, slow links and duplicated messages. It also enables snapshots, which truncate the
+	// logs, and membership changes.
 	losses     bool
 	remembered int // number of applied revisions kept to recognize retried commands
 }
@@ -108,7 +110,7 @@
 		simConfig:   config,
 		fault:       fault,
 		rng:         rand.New(rand.NewPCG(seed, 9)),
-		nextID:      firstReplacementID,
+		lastID:      firstReplacementID,
 		members:     map[raft.ID]*simMember{},
 		disks:       map[raft.ID]*raft.PersistentState{},
 		blocked:     map[link]bool{},
@@ -136,7 +138,7 @@
 }
 
 // disksLost returns the number of lost disks.
-func (s *registerSim) disksLost() int { return int(s.nextID - firstReplacementID) }
+func (s *registerSim) disksLost() int { return int(s.lastID - firstReplacementID) }
 
 func (s *registerSim) advanceClock() int64 {
 	s.clock++
@@ -167,8 +169,9 @@
 // oneIn returns true with a probability of 1/n, and never after the faults have ended.
 func (s *registerSim) oneIn(n int) bool { return !s.faultsEnded && s.rng.IntN(n) == 0 }
 
-// canLoseDisk reports whether the cluster tolerates the loss of one disk: all members run, and no
-// membership change is pending. Some members may lack the last committed entries.
+// canLoseDisk reports whether the cluster tolerates the loss of one disk: all members run, the number
+// of voters is simVoters, and the leader accepts a membership change. To find out, it proposes the
+// current members unchanged. Some members may lack the last committed entries.
 func (s *registerSim) canLoseDisk(leader *simMember) bool {
 	voters := 0
 	for _, m := range leader.node.Members() {
