--- a/raft/doc.go
+++ b/raft/doc.go
@@ -1,7 +1,7 @@
 // Package raft is the replicated log of the control plane. It implements Raft as described in
 // Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (the paper), and
-// in Ongaro's dissertation "Consensus: Bridging Theory and Practice", of which the section
-// numbers below are:
+// in Ongaro's dissertation "Consensus: Bridging Theory and Practice". Section numbers refer to
+// the dissertation, here and in the other comments, unless they name the paper:
 //
 //   - leader election and log replication: 3.4 to 3.6;
 //   - leadership transfer ([Node.TransferLeadership]): 3.10;
@@ -17,11 +17,11 @@
 // A restarted member resumes from its stored state as a follower without a known leader. It
 // learns of the leader from a heartbeat, or starts a pre-vote, which fails while the other
 // members hear from a leader. The leader then finds the point up to which the two logs match:
-// [Node.Step] rejects an append that does not match the log with a hint, and the leader backs up
-// to the hinted index. From there it sends the missing entries or, if it has already compacted
-// them, a snapshot in chunks followed by the entries after it. A member that lost its disk
-// returns with a new [ID] and without membership: its host asks for it to be added, and it
-// catches up in the same way before it becomes a voter.
+// the member rejects an append that does not match its log, the rejection carries the last index
+// that may match, and the leader backs up to that index. From there it sends the missing entries
+// or, if it has already compacted them, a snapshot in chunks followed by the entries after it.
+// A member that lost its disk returns with a new [ID] and without membership: its host asks for it
+// to be added, and it catches up in the same way before it becomes a voter.
 //
 // # Network partitions
 //
--- a/raft/durability_test.go
+++ b/raft/durability_test.go
@@ -94,7 +94,7 @@
 }
 
 // runUntilNotified runs the leader and the restarted follower, without crashes of the follower, until
-// it is notified or a limit of 400 steps is reached.
+// the follower is notified, the leader no longer leads, or a limit of 400 steps is reached.
 func (r *rolledBackDiskRun) runUntilNotified(n *Node) {
 	rng := rand.New(rand.NewPCG(r.seed, 8))
 	for i := 0; i < 400 && !n.LostDurability() && r.leads(); i++ {
--- a/raft/election.go
+++ b/raft/election.go
@@ -112,14 +112,15 @@
 }
 
 // handlePreVoteRequest tells a candidate whether it would get this member's vote. A member that
-// hears from a leader does not reply, which counts as a rejection.
+// hears from a leader does not reply, so the candidate does not get its vote.
 func (n *Node) handlePreVoteRequest(m Message) {
 	if n.hasActiveLeader() {
 		return
 	}
 	granted := n.log.isUpToDate(m.Index, m.LogTerm) && m.Term > n.hardState.Term
 	if granted && n.role == Candidate && n.preVote {
-		// Two simultaneous pre-votes would split the vote, so one of the two candidates yields.
+		// Two simultaneous pre-votes would split the vote, so one of the two candidates yields: the
+		// one whose log is behind or, if the logs are equal, the one with the higher ID.
 		granted = m.From < n.cfg.ID || m.Index > n.log.lastIndex() || m.LogTerm > n.log.lastTerm()
 		if granted {
 			n.becomeFollower(0)
--- a/raft/golden_test.go
+++ b/raft/golden_test.go
@@ -15,7 +15,7 @@
 
 // goldenValues returns one value for each file in testdata/golden: every kind of message that
 // members send, and every record that they store. Each field of each type is set in at least one of
-// them.
+// them. The number in the name of a message file is that of its kind.
 func goldenValues() map[string]any {
 	members := []Member{
 		{ID: 0x1234567890abcdef, Addr: "10.1.2.3:7001", Voter: true, Outgoing: true, SupportsJoint: true},
--- a/raft/membership.go
+++ b/raft/membership.go
@@ -55,8 +55,8 @@
 //
 // Errors: [ErrNotLeader]; [ErrChangePending] while a change is in progress, or until the leader has
 // committed an entry of its term (otherwise two leaders could make changes whose majorities do not
-// overlap); [ErrInvalidChange] for a larger change, or one that leaves no voters;
-// [ErrJointUnsupported] for a swap unless [Node.SupportsJointConsensus].
+// overlap); [ErrInvalidChange] for a larger change, one that leaves no voters, or a swap that drops
+// the replaced voter from the list; [ErrJointUnsupported] for a swap unless [Node.SupportsJointConsensus].
 func (n *Node) ProposeMembers(members []Member) error {
 	if n.role != Leader {
 		return ErrNotLeader
--- a/raft/membership_test.go
+++ b/raft/membership_test.go
@@ -99,8 +99,9 @@
 	}
 }
 
-// checkRemovedVoterIsElected stops the leader, has the removed voter start an election, and checks
-// that another member then leads with all entries of the removed voter.
+// checkRemovedVoterIsElected stops the leader and has the removed voter start an election. The removed
+// voter leads until its removal is committed, and then transfers leadership: the function checks that
+// another member leads in the end, with all entries of the removed voter.
 func checkRemovedVoterIsElected(t *testing.T, cluster *scriptedCluster, removed ID) {
 	t.Helper()
 	n, leader := cluster.nodes[removed], cluster.nodes[1]
@@ -143,7 +144,8 @@
 	if !leader.HasCommittedInTerm() || !completed || findMember(members, 1).Voter || !findMember(members, 4).Voter {
 		t.Errorf("leads: %v, members %v", leader.HasCommittedInTerm(), members)
 	}
-	// The old leader still believes it is the leader, but confirms no read index.
+	// The old leader, which has not heard of the new one, starts a heartbeat round. Once it is connected
+	// again, the replies make it step down.
 	round := old.NextReadIndexRound()
 	old.BroadcastHeartbeat()
 	cluster.down[1] = false
@@ -249,7 +251,7 @@
 		proposes bool // propose a value, which members that are down do not receive
 		want     bool
 	}{
-		{"new voter is silent, though it lacks nothing", []ID{1, 2}, 2, 4, false, false},
+		{"new voter is down but has every entry", []ID{1, 2}, 2, 4, false, false},
 		{"all are up", []ID{1, 2, 3, 4}, 3, 4, true, true},
 		{"removed voter is down", []ID{1, 2, 4}, 3, 4, true, true},
 		{"new voter is down", []ID{1, 2, 3}, 3, 4, true, false},
--- a/raft/message.go
+++ b/raft/message.go
@@ -5,8 +5,8 @@
 // MessageKind is the kind of a message.
 type MessageKind uint8
 
-// The kinds of messages. The number of a reply is that of its request plus one. A member ignores
-// unknown kinds, such as those of a newer version.
+// The kinds of messages. If a request has a reply kind of its own, that has the next number. A member
+// ignores unknown kinds, such as those of a newer version.
 const (
 	// PreVoteRequest asks whether a vote for the sender would be granted (9.6).
 	PreVoteRequest MessageKind = iota + 1
@@ -18,18 +18,19 @@
 	VoteReply
 	// AppendEntries replicates entries. Without entries it is a heartbeat.
 	AppendEntries
-	// AppendEntriesReply acknowledges entries, or rejects them because the entry before them
-	// does not match the log.
+	// AppendEntriesReply acknowledges entries or a complete snapshot. It rejects entries if the
+	// entry before them does not match the log, and any message of a leader of an older term.
 	AppendEntriesReply
-	// InstallSnapshot carries a complete snapshot.
+	// InstallSnapshot carries a complete snapshot. The reply is an AppendEntriesReply or, if
+	// the snapshot can't be installed, a SnapshotChunkReply.
 	InstallSnapshot
 	// TimeoutNow asks the receiver to start an election immediately (3.10).
 	TimeoutNow
-	// SnapshotChunk carries a part of a snapshot. Older versions support neither this kind
-	// nor SnapshotChunkReply.
+	// SnapshotChunk carries a part of a snapshot. The reply to the last chunk is that to
+	// InstallSnapshot. Older versions support neither this kind nor SnapshotChunkReply.
 	SnapshotChunk
-	// SnapshotChunkReply acknowledges the bytes of a snapshot that the sender has received, or
-	// rejects the snapshot.
+	// SnapshotChunkReply acknowledges the bytes of a snapshot received so far, or rejects the
+	// snapshot.
 	SnapshotChunkReply
 	// DurabilityLost notifies a member that its log lacks entries that it had acknowledged to
 	// the leader that sends this.
@@ -63,11 +64,13 @@
 	Kind MessageKind `cbor:"1,keyasint"`
 	From ID          `cbor:"2,keyasint"`
 	To   ID          `cbor:"3,keyasint"`
-	Term uint64      `cbor:"4,keyasint"` // of the sender; in a pre-vote request its term plus one
-	// Index is the index of the entry before Entries; in a vote request, of the candidate's
-	// last entry. In a reply it is the last index that matches the leader's log or, if Reject
-	// is set, the last index that may match. In the reply to a chunk it is the index of the
-	// snapshot.
+	// Term is the term of the sender. In a pre-vote request, and in a reply that grants it, it
+	// is the candidate's term plus one.
+	Term uint64 `cbor:"4,keyasint"`
+	// Index is the index of the entry before Entries. In a vote request it is the index of the
+	// candidate's last entry. In a reply it is the last index that matches the leader's log or,
+	// if Reject is set, the last index that may match. In a SnapshotChunkReply it is the index
+	// of the snapshot.
 	Index   uint64 `cbor:"5,keyasint,omitempty"`
 	LogTerm uint64 `cbor:"6,keyasint,omitempty"` // of the entry at Index
 	Commit  uint64 `cbor:"7,keyasint,omitempty"` // commit index of the leader
@@ -90,8 +93,8 @@
 	SnapshotSize uint64 `cbor:"14,keyasint,omitempty"` // in a chunk: bytes of the complete snapshot
 	// SnapshotChecksum, in a chunk and its reply, is the xxhash of the complete snapshot.
 	SnapshotChecksum uint64 `cbor:"15,keyasint,omitempty"`
-	// RejectedIndex, in a rejection, is the Index of the rejected request; 0 from older
-	// versions.
+	// RejectedIndex, in the rejection of an AppendEntries that does not match the log, is the
+	// Index of that request; 0 from older versions.
 	RejectedIndex uint64 `cbor:"16,keyasint,omitempty"`
 }
 
--- a/raft/model/actions.go
+++ b/raft/model/actions.go
@@ -66,8 +66,8 @@
 			budget: func(b *Bounds) *int { return &b.DamagedChunks },
 			apply: func(next *state, m *member) bool {
 				next.inFlight = slices.Delete(next.inFlight, position, position+1)
-				m.node.Step(damagedChunk(message))
-				next.damaged = true
+				m.node.Step(corruptedChunk(message))
+				next.corrupted = true
 				return true
 			},
 		})
@@ -93,8 +93,8 @@
 		})
 }
 
-// damagedChunk returns a copy of a message with different bytes in its chunk.
-func damagedChunk(message raft.Message) raft.Message {
+// corruptedChunk returns a copy of a message with different bytes in its chunk.
+func corruptedChunk(message raft.Message) raft.Message {
 	snapshot := *message.Snapshot
 	snapshot.Data = []byte{0xff}
 	message.Snapshot = &snapshot
--- a/raft/model/bounds.go
+++ b/raft/model/bounds.go
@@ -35,7 +35,8 @@
 		candidates = b.Members
 	}
 	return fmt.Sprintf("%d members, %d elections by %d, %d values, %d heartbeats, %d crashes, %d step-downs, "+
-		"%d duplicates, %d changes, %d swaps, %d snapshots in %d chunks, %d trailing entries, %d damaged, %d in flight",
+		"%d duplicates, %d changes, %d swaps, %d snapshots in %d chunks, %d trailing entries, "+
+		"%d corrupted chunks, %d in flight",
 		b.Members, b.Elections, candidates, b.Values, b.Heartbeats, b.Crashes, b.StepDowns,
 		b.Duplicates, b.Changes, b.Swaps, b.Snapshots, max(1, b.Chunks), b.TrailingEntries, b.DamagedChunks, b.InFlight)
 }
--- a/raft/model/invariants.go
+++ b/raft/model/invariants.go
@@ -17,7 +17,7 @@
 			return fmt.Errorf("member %d has commit index %d and last index %d",
 				m.id, m.node.CommitIndex(), m.node.LastIndex())
 		}
-		if m.node.RejectedSnapshots() > 0 && !s.damaged {
+		if m.node.RejectedSnapshots() > 0 && !s.corrupted {
 			return fmt.Errorf("member %d rejects a snapshot that arrived uncorrupted", m.id)
 		}
 		if err := s.checkReadIndex(m); err != nil {
--- a/raft/model/key.go
+++ b/raft/model/key.go
@@ -27,10 +27,10 @@
 
 // appendObservations appends the remaining bounds and the history that the invariants refer to.
 func (s *state) appendObservations(b []byte) []byte {
-	l := s.remaining
+	left := s.remaining
 	for _, v := range []int{
-		l.Elections, l.Values, l.Heartbeats, l.Crashes, l.StepDowns, l.Duplicates, l.Changes, l.Swaps,
-		l.Snapshots, l.DamagedChunks, len(s.committed), len(s.inFlight),
+		left.Elections, left.Values, left.Heartbeats, left.Crashes, left.StepDowns, left.Duplicates,
+		left.Changes, left.Swaps, left.Snapshots, left.DamagedChunks, len(s.committed), len(s.inFlight),
 	} {
 		b = append(b, byte(v))
 	}
--- a/raft/model/mutants_test.go
+++ b/raft/model/mutants_test.go
@@ -19,9 +19,9 @@
 
 // mutants remove the guards of docs/invariants.md that keep the log safe. The model has no clocks, so
 // pre-vote and check quorum, which only prevent disruption, are not among them. Storing a vote
-// before it is sent is the responsibility of the host. Removing the check that another membership
-// change is pending takes five members to violate an invariant
-// (raft.TestSecondMembershipChangeIsRefused).
+// before it is sent is the responsibility of the host. Without the check that no other membership
+// change is pending, an invariant is violated only with five members, more than any world has;
+// raft.TestSecondMembershipChangeIsRefused covers that check instead.
 var mutants = []mutant{
 	{
 		guard:    "one vote a term",
--- a/raft/model/state.go
+++ b/raft/model/state.go
@@ -27,11 +27,12 @@
 	committed []raft.Entry  // from index 1 on, as first applied by any member
 	leaders   []raft.ID     // by term; 0: none
 	requests  []readRequest // read index requests
-	damaged   bool          // a corrupted chunk was delivered
+	corrupted bool          // a corrupted chunk was delivered
 	violation error         // the first violation of an invariant by an action
 }
 
-// member is a process with its disk. It may not be in the list of members of the cluster yet.
+// member is a process with its disk. Processes that are not in the cluster's list of members yet are
+// included, so that a membership change can add them.
 type member struct {
 	id         raft.ID
 	maxEntries int // see [Bounds.MaxEntries]
--- a/raft/node.go
+++ b/raft/node.go
@@ -42,18 +42,19 @@
 	lastLeaderTicks int
 
 	// electionElapsed counts ticks: on a leader since the last quorum check; on other members
-	// since the last message of a leader, the last vote granted, or the last election that
-	// this member started. Members other than the leader start an election when it reaches
-	// electionTimeout.
+	// since the last message of a leader, the last vote granted, the last election that this
+	// member started, or the last time that it became a follower. Members other than the
+	// leader start an election when it reaches electionTimeout.
 	electionElapsed int
 	electionTimeout int
 
 	// votes are the replies that this candidate has received in the current election, and its
-	// own vote; nil on other members. preVote is set during a pre-vote.
+	// own vote; nil on other members. preVote is set if the last election that this member
+	// started was a pre-vote.
 	votes   map[ID]bool
 	preVote bool
 
-	// progress tracks each other member; nil unless this member is the leader.
+	// progress tracks the replication to the other members; nil unless this member is the leader.
 	progress map[ID]*progress
 	// heartbeatElapsed counts the ticks since the last heartbeat round of this leader.
 	heartbeatElapsed int
@@ -141,8 +142,9 @@
 	}
 }
 
-// checkQuorum reports whether a majority has replied to this leader since the last check. A leader
-// without a majority steps down (6.2), because the others may have elected another leader.
+// checkQuorum reports whether a majority has replied to this leader since the last check, and starts
+// the next check interval. A leader without a majority steps down (6.2), because the others may have
+// elected another leader.
 func (n *Node) checkQuorum() bool {
 	n.electionElapsed = 0
 	active := n.hasQuorum(n.members, func(p *progress) bool { return p.recentlyActive })
--- a/raft/progress.go
+++ b/raft/progress.go
@@ -88,8 +88,10 @@
 	}
 }
 
-// TicksSinceResponse returns the number of ticks since a member last replied to this leader. It
-// returns 0 if this member is not the leader, or if id is not another member.
+// TicksSinceResponse returns the number of ticks since a member last replied to this leader. Until its
+// first reply, it returns the ticks since this leader was elected or the member was added; for the
+// previous leader, those since its last message. It returns 0 if this member is not the leader, or if
+// id is not another member.
 func (n *Node) TicksSinceResponse(id ID) int {
 	if p := n.progress[id]; p != nil {
 		return p.ticksSinceResponse
--- a/raft/quorum.go
+++ b/raft/quorum.go
@@ -25,8 +25,8 @@
 	return ids
 }
 
-// voterSets returns the sets of voters of which a quorum needs a majority each: two during a joint
-// change (4.3), otherwise one.
+// voterSets returns the voter sets: two during a joint change (4.3), otherwise one. A quorum is
+// a majority of each of them.
 func voterSets(members []Member) [][]ID {
 	if outgoing := outgoingVoterIDs(members); len(outgoing) > 0 {
 		return [][]ID{voterIDs(members), outgoing}
--- a/raft/replication.go
+++ b/raft/replication.go
@@ -42,9 +42,10 @@
 }
 
 // sendAppend sends a follower the entries or the snapshot that it needs next. If heartbeat is set, it
-// always sends an AppendEntries message that is not bulk: if there are no entries, or if they are
-// bulk, a separate message without entries, which may overtake bulk messages. The follower checks that
-// its log matches up to nextIndex-1. If it needs a snapshot, Index is 0, which matches any log.
+// always sends an AppendEntries message that is not bulk. If there are no entries to send, or if they
+// make the message bulk, that is a separate message without entries, which may overtake bulk messages.
+// The follower checks that its log matches up to nextIndex-1. If it needs a snapshot, Index is 0, which
+// matches any log.
 func (n *Node) sendAppend(id ID, p *progress, heartbeat bool) {
 	needsSnapshot := p.nextIndex <= n.log.base
 	m := Message{Kind: AppendEntries, To: id, Term: n.hardState.Term, Commit: n.log.committed, Round: n.heartbeatRound}
@@ -99,7 +100,7 @@
 		n.send(reply)
 		return
 	}
-	if !n.storeNewEntries(m.Entries) {
+	if !n.appendNewEntries(m.Entries) {
 		return
 	}
 	reply.Index = max(m.Index, n.log.base) + uint64(len(m.Entries))
@@ -110,11 +111,11 @@
 	n.send(reply)
 }
 
-// storeNewEntries appends the entries that are not in the log yet, and replaces conflicting ones.
+// appendNewEntries appends the entries that are not in the log yet, and replaces conflicting ones.
 // Matching entries stay, with all entries after them: a delayed message must not truncate newer
 // entries. It returns false and changes nothing if an entry conflicts with a committed one, which
 // no correct leader sends.
-func (n *Node) storeNewEntries(entries []Entry) bool {
+func (n *Node) appendNewEntries(entries []Entry) bool {
 	for i, e := range entries {
 		if n.log.term(e.Index) == e.Term {
 			continue
@@ -167,9 +168,9 @@
 // handleAppendRejection backs up to the last index at which the log of a follower may match, or
 // notifies the follower that it has lost entries that it had acknowledged.
 func (n *Node) handleAppendRejection(m Message, p *progress) {
-	// The rejected request was sent in a later round than the one in which matchIndex was last
-	// raised, so this is not a delayed reply to an earlier request. An index that has matched
-	// once keeps matching for the rest of the term, unless the follower has lost the entry.
+	// An index that has matched once keeps matching for the rest of the term, unless the follower
+	// has lost the entry. A request of a later round than matchRound was sent after matchIndex was
+	// last raised, so its rejection is not a delayed reply to a request before that.
 	if m.RejectedIndex != 0 && m.RejectedIndex <= p.matchIndex && m.Round > p.matchRound {
 		n.send(Message{Kind: DurabilityLost, To: m.From, Term: n.hardState.Term})
 		return
@@ -197,7 +198,7 @@
 	index := n.quorumValue(n.members, n.log.persisted, func(p *progress) uint64 { return p.matchIndex })
 	if index > n.log.committed && n.log.term(index) == n.hardState.Term {
 		n.log.committed = index
-		if !n.NeededForQuorum() { // the change that removes it from the voters is committed
+		if !n.NeededForQuorum() { // the change that removes this leader from the voters is committed
 			n.TransferLeadership()
 			n.becomeFollower(0)
 		}
--- a/raft/replication_test.go
+++ b/raft/replication_test.go
@@ -7,7 +7,7 @@
 type scriptedFollowers struct {
 	leader       *Node
 	acknowledges bool
-	bytesSent    map[ID]int // of entries
+	bytesSent    map[ID]int // bytes of entry data, by receiver
 	largest      int        // bytes of entries in the largest message
 }
 
--- a/raft/safety_test.go
+++ b/raft/safety_test.go
@@ -9,9 +9,9 @@
 
 var faultSeeds = flag.Uint64("fault-seeds", 400, "number of runs of TestSafetyUnderDiskClockAndPartitionFaults")
 
-// Under all faults that a cluster must tolerate, no two members apply different entries at an index,
-// no term has two leaders, and once the faults end every live member has every entry that was ever
-// committed.
+// Under lost, delayed and duplicated messages, partitions, crashes and lost disks, no two members apply
+// different entries at an index, no term has two leaders, and once the faults end every live member has
+// every entry that was ever committed.
 func TestSafetyUnderCrashesAndLostMessages(t *testing.T) {
 	t.Parallel()
 	installed, swaps := 0, 0
--- a/raft/scriptedcluster_test.go
+++ b/raft/scriptedcluster_test.go
@@ -14,7 +14,7 @@
 	t       *testing.T
 	nodes   map[ID]*Node
 	network []Message
-	down    map[ID]bool // members that process no work and receive no messages
+	down    map[ID]bool // members whose work is not processed and that receive no messages
 }
 
 // newScriptedCluster returns a cluster of voters with IDs from 1, and learners with the IDs after them.
@@ -59,7 +59,7 @@
 	}
 }
 
-// tickAll advances all members by a number of ticks.
+// tickAll advances all members by a number of ticks, including those that are down.
 func (c *scriptedCluster) tickAll(ticks int) {
 	for range ticks {
 		for _, id := range sortedIDs(c.nodes) {
--- a/raft/simcluster_test.go
+++ b/raft/simcluster_test.go
@@ -171,7 +171,7 @@
 func (s *simCluster) runHost(id ID) {
 	n := s.nodes[id]
 	for {
-		if n.LostDurability() { // no member of these runs starts with a rolled-back disk
+		if n.LostDurability() { // members with a rolled-back disk are run by runHostWithoutDisk instead
 			s.fail("member %d was notified of lost entries although it kept its disk", id)
 		}
 		r := n.Ready()
@@ -331,7 +331,8 @@
 }
 
 // toleratesDiskLoss reports whether the cluster has fully recovered from the last lost disk: all members
-// are up, connected, voters, and have every committed entry.
+// are up, connected, voters, and have every committed entry, and no membership change is pending. To
+// check the latter, it proposes the unchanged members.
 func (s *simCluster) toleratesDiskLoss(leader *Node) bool {
 	if leader == nil || len(s.nodes) < simVoters || len(s.isolated) > 0 {
 		return false
--- a/raft/simfaults_test.go
+++ b/raft/simfaults_test.go
@@ -172,7 +172,7 @@
 
 // checkReads starts reads at leaders and checks those that are confirmed: the leader must have applied
 // every entry that was committed before the read arrived. The same condition makes it safe for
-// a leader to grant a lease.
+// a leader to grant a lease to a limiter (package controlplane).
 func (s *faultySimCluster) checkReads() {
 	if ids := s.liveIDs(); len(ids) > 0 && s.rng.IntN(4) == 0 && len(s.reads) < maxOpenReads {
 		id := ids[s.rng.IntN(len(ids))]
--- a/raft/snapshot_receive.go
+++ b/raft/snapshot_receive.go
@@ -79,7 +79,8 @@
 	n.installSnapshot(m)
 }
 
-// chunkReply returns a reply to a chunk; Offset is left for the caller to set.
+// chunkReply returns a SnapshotChunkReply to a message that carries a snapshot or a chunk of one. The
+// caller sets Offset or Reject.
 func (n *Node) chunkReply(m Message) Message {
 	return Message{
 		Kind:             SnapshotChunkReply,
--- a/raft/snapshot_test.go
+++ b/raft/snapshot_test.go
@@ -85,7 +85,7 @@
 	for range 3 {
 		for _, m := range r.messages {
 			if !r.faultless && r.rng.IntN(60) == 0 {
-				m = r.damaged(m)
+				m = r.corrupted(m)
 			}
 			r.node.Step(m)
 			_, installed := runHost(r.node)
@@ -101,8 +101,8 @@
 	}
 }
 
-// damaged returns a copy of a message with one bit of its chunk flipped.
-func (r *chunkRun) damaged(m Message) Message {
+// corrupted returns a copy of a message with one bit of its chunk flipped.
+func (r *chunkRun) corrupted(m Message) Message {
 	s := *m.Snapshot
 	s.Data = slices.Clone(s.Data)
 	s.Data[r.rng.IntN(len(s.Data))] ^= 1 << r.rng.IntN(8)
--- a/raft/statekey.go
+++ b/raft/statekey.go
@@ -56,7 +56,8 @@
 	return append(b, a.snapshot.Data...)
 }
 
-// AppendKey appends to b a key that is the same for two messages if and only if they are equal.
+// AppendKey appends to b a key that is the same for two messages if and only if they are equal, apart
+// from the addresses of members.
 func (m *Message) AppendKey(b []byte) []byte {
 	flags := uint64(m.Kind)<<3 | boolBit(m.Reject) | boolBit(m.LeadershipTransfer)<<1 | boolBit(m.SupportsJoint)<<2
 	b = appendUvarints(b, flags, uint64(m.From), uint64(m.To), m.Term,
--- a/raft/step.go
+++ b/raft/step.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// acceptLeader makes this member a follower of the sender of a leader's message in the current term,
-// and restarts the election timer.
+// acceptLeader makes this member a follower of a member that has sent it a message as the leader of
+// the current term, and restarts the election timer.
 func (n *Node) acceptLeader(id ID) {
 	if n.role != Follower || n.leader != id {
 		n.becomeFollower(id)
--- a/raft/trace_test.go
+++ b/raft/trace_test.go
@@ -202,7 +202,8 @@
 	}
 }
 
-// call makes a random call of those that the host of a leader makes. An error is part of the run.
+// call makes one of the calls that the host of a leader makes, at random, or none. Errors are ignored:
+// the leader may reject a proposal.
 func (r *traceRun) call(n *Node, step int) {
 	members := slices.Clone(n.Members())
 	anyMember := func() *Member { return &members[r.rng.IntN(len(members))] }
@@ -213,7 +214,7 @@
 		n.BroadcastHeartbeat()
 	case 5:
 		n.ReportSendFailure(ID(1 + r.rng.IntN(traceMembers)))
-	case 6: // exchange the roles of two members
+	case 6: // swap a voter for a learner, if the two members differ in that
 		a, b := anyMember(), anyMember()
 		a.Voter, b.Voter = b.Voter, a.Voter
 		if n.CanCommitMembers(members) {
--- a/raft/types.go
+++ b/raft/types.go
@@ -10,9 +10,9 @@
 type Member struct {
 	ID    ID     `cbor:"1,keyasint"`
 	Addr  string `cbor:"2,keyasint"` // host:port, for the transport
-	Voter bool   `cbor:"3,keyasint"` // in a joint change: of the incoming set; false: a learner
+	Voter bool   `cbor:"3,keyasint"` // a voter; in a joint change, of the incoming set
 	// Outgoing is set only by the leader in the entry of a joint change: the member belongs to
-	// the outgoing voter set.
+	// the outgoing voter set. A member with neither Voter nor Outgoing is a learner.
 	Outgoing bool `cbor:"4,keyasint,omitempty"`
 	// SupportsJoint is set once the member has reported that it supports joint consensus. It
 	// is stored in the log because a leader needs it also for voters that have never replied
@@ -45,7 +45,7 @@
 // HardState is the term and vote of a member. A change must be on stable storage before any message
 // that depends on it is sent.
 type HardState struct {
-	Term uint64 `cbor:"1,keyasint"` // the latest that the member has seen
+	Term uint64 `cbor:"1,keyasint"` // the current term
 	Vote ID     `cbor:"2,keyasint"` // the candidate voted for in Term; 0: none
 }
 
@@ -59,7 +59,7 @@
 // Role is the current role of a member.
 type Role uint8
 
-// The roles. Follower is the zero value.
+// The roles. Follower is the zero value. A member is a Candidate during a pre-vote, too.
 const (
 	Follower Role = iota
 	Candidate
