--- a/raft/model/actions.go
+++ b/raft/model/actions.go
@@ -63,7 +63,7 @@
 		all = append(all, action{
 			name:   fmt.Sprint("deliver corrupted: ", describeMessage(message)),
 			member: receiver,
-			budget: func(b *Bounds) *int { return &b.DamagedChunks },
+			budget: func(b *Bounds) *int { return &b.CorruptedChunks },
 			apply: func(next *state, m *member) bool {
 				next.inFlight = slices.Delete(next.inFlight, position, position+1)
 				m.node.Step(corruptedChunk(message))
--- a/raft/model/bounds.go
+++ b/raft/model/bounds.go
@@ -21,7 +21,7 @@
 	Snapshots       int // log compactions
 	Chunks          int // messages that a snapshot takes; 0: one
 	TrailingEntries int // entries before a snapshot that are kept in the log
-	DamagedChunks   int // snapshot chunks that are corrupted in transit
+	CorruptedChunks int // snapshot chunks that are corrupted in transit
 	// InFlight is the maximum number of messages in flight from one member to another. A further
 	// message displaces the oldest, which is lost.
 	InFlight   int
@@ -38,5 +38,6 @@
 		"%d duplicates, %d changes, %d swaps, %d snapshots in %d chunks, %d trailing entries, "+
 		"%d corrupted chunks, %d in flight",
 		b.Members, b.Elections, candidates, b.Values, b.Heartbeats, b.Crashes, b.StepDowns,
-		b.Duplicates, b.Changes, b.Swaps, b.Snapshots, max(1, b.Chunks), b.TrailingEntries, b.DamagedChunks, b.InFlight)
+		b.Duplicates, b.Changes, b.Swaps, b.Snapshots, max(1, b.Chunks), b.TrailingEntries,
+		b.CorruptedChunks, b.InFlight)
 }
--- a/raft/model/key.go
+++ b/raft/model/key.go
@@ -30,7 +30,7 @@
 	left := s.remaining
 	for _, v := range []int{
 		left.Elections, left.Values, left.Heartbeats, left.Crashes, left.StepDowns, left.Duplicates,
-		left.Changes, left.Swaps, left.Snapshots, left.DamagedChunks, len(s.committed), len(s.inFlight),
+		left.Changes, left.Swaps, left.Snapshots, left.CorruptedChunks, len(s.committed), len(s.inFlight),
 	} {
 		b = append(b, byte(v))
 	}
--- a/raft/model/model_test.go
+++ b/raft/model/model_test.go
@@ -26,7 +26,7 @@
 	"snapshots": {Members: 2, Elections: 2, Values: 1, Snapshots: 1, Crashes: 1, InFlight: 1},
 	"chunks":    {Members: 3, Elections: 1, Heartbeats: 2, Snapshots: 1, Chunks: 2, InFlight: 1},
 	"trailing":  {Members: 3, Elections: 1, Values: 1, Heartbeats: 1, Snapshots: 1, TrailingEntries: 1, InFlight: 1},
-	"damage":    {Members: 3, Elections: 1, Heartbeats: 2, Snapshots: 1, Chunks: 2, DamagedChunks: 1, InFlight: 1},
+	"damage":    {Members: 3, Elections: 1, Heartbeats: 2, Snapshots: 1, Chunks: 2, CorruptedChunks: 1, InFlight: 1},
 }
 
 // deepWorlds are bounds, by name, that are needed to find the violations of some mutants. They are too
