--- a/raft/model/actions.go
+++ b/raft/model/actions.go
@@ -63,11 +63,11 @@
 		all = append(all, action{
 			name:   fmt.Sprint("deliver corrupted: ", describeMessage(message)),
 			member: receiver,
-			budget: func(b *Bounds) *int { return &b.DamagedChunks },
+			budget: func(b *Bounds) *int { return &b.CorruptedChunks },
 			apply: func(next *state, m *member) bool {
 				next.inFlight = slices.Delete(next.inFlight, position, position+1)
-				m.node.Step(damagedChunk(message))
-				next.damaged = true
+				m.node.Step(corruptedChunk(message))
+				next.corrupted = true
 				return true
 			},
 		})
@@ -93,8 +93,8 @@
 		})
 }
 
-// damagedChunk returns a copy of a message with different bytes in its chunk.
-func damagedChunk(message raft.Message) raft.Message {
+// corruptedChunk returns a copy of a message with different bytes in its chunk.
+func corruptedChunk(message raft.Message) raft.Message {
 	snapshot := *message.Snapshot
 	snapshot.Data = []byte{0xff}
 	message.Snapshot = &snapshot
