--- a/dataplane/fixtures_test.go
+++ b/dataplane/fixtures_test.go
@@ -46,7 +46,7 @@
 				setDeadline(c, time.Now().Add(hangTimeout))
 				in := bufio.NewReader(c)
 				for {
-					h, body, err := h1.ReadWhole(in, 1<<16)
+					h, body, err := h1.ReadFullRequest(in, 1<<16)
 					if err != nil {
 						return
 					}
--- a/dataplane/h1/body.go
+++ b/dataplane/h1/body.go
@@ -35,9 +35,9 @@
 	return b
 }
 
-// ReadWhole reads a request with all of its body, for programs whose requests are short, such as the emulator's
+// ReadFullRequest reads a request with all of its body, for programs whose requests are short, such as the emulator's
 // servers. The head may have maxHead bytes.
-func ReadWhole(r *bufio.Reader, maxHead int) (*Head, []byte, error) {
+func ReadFullRequest(r *bufio.Reader, maxHead int) (*Head, []byte, error) {
 	h, err := ReadRequest(r, maxHead)
 	if err != nil {
 		return nil, nil, err
--- a/dataplane/staleconn_test.go
+++ b/dataplane/staleconn_test.go
@@ -37,7 +37,7 @@
 							resetOnClose(c)
 							return
 						}
-						h, body, err := h1.ReadWhole(in, 1<<16)
+						h, body, err := h1.ReadFullRequest(in, 1<<16)
 						if err != nil || !good("filed")(c, h, body) {
 							return
 						}
--- a/lab/controlbench/added_test.go
+++ b/lab/controlbench/added_test.go
@@ -47,7 +47,7 @@
 	defer func() { _ = conn.Close() }() // the other end may have closed it
 	in := bufio.NewReader(conn)
 	for {
-		head, _, err := h1.ReadWhole(in, maxRequestBytes)
+		head, _, err := h1.ReadFullRequest(in, maxRequestBytes)
 		if err != nil {
 			return
 		}
--- a/lab/controlbench/instantserver.go
+++ b/lab/controlbench/instantserver.go
@@ -77,7 +77,7 @@
 		if conn.SetReadDeadline(time.Now().Add(serverIdleTimeout)) != nil {
 			return
 		}
-		head, _, err := h1.ReadWhole(in, maxRequestBytes)
+		head, _, err := h1.ReadFullRequest(in, maxRequestBytes)
 		if err != nil {
 			return
 		}
--- a/lab/emulator/requestreader.go
+++ b/lab/emulator/requestreader.go
@@ -44,7 +44,7 @@
 			return
 		}
 		rested := r.begin()
-		head, body, err := h1.ReadWhole(in, maxHeadBytes)
+		head, body, err := h1.ReadFullRequest(in, maxHeadBytes)
 		if err != nil {
 			return
 		}
--- a/process/machine_test.go
+++ b/process/machine_test.go
@@ -94,7 +94,7 @@
 	}
 	in := bufio.NewReader(c)
 	for {
-		h, _, err := h1.ReadWhole(in, 1<<14)
+		h, _, err := h1.ReadFullRequest(in, 1<<14)
 		if err != nil {
 			return
 		}
