--- a/dataplane/clientconn.go
+++ b/dataplane/clientconn.go
@@ -19,23 +19,23 @@
 
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
-// clientConn is one client's connection. Its requests are read one after the other; idempotent ones that are
-// pipelined are worked on at once, and answered in their order.
+// clientConn is a client connection. Requests are read one after another. Pipelined idempotent requests are processed
+// concurrently; responses are written in the order of the requests.
 type clientConn struct {
 	listener *clientListener
 	nc       net.Conn
-	in       *bufio.Reader // of the goroutine that runs serve; see disconnectReader
+	in       *bufio.Reader // used only by the goroutine that runs serve; see disconnectReader
 
-	// ctx ends when the client is seen to have left, or the gateway has closed the connection: what the client asked
-	// for is of no use then.
+	// ctx is cancelled when the client is found to have disconnected or the gateway has closed the connection: no
+	// response can be delivered from then on.
 	ctx        context.Context
 	disconnect context.CancelFunc
 
 	mu           sync.Mutex
 	requestsRead int  // guarded by mu
-	idle         bool // guarded by mu; waits for the first byte of a request
-	closing      bool // guarded by mu; a response says that the connection closes
-	lastWritten  bool // guarded by mu; the last response was written whole
+	idle         bool // guarded by mu; the connection waits for the first byte of a request
+	closing      bool // guarded by mu; no further response is written
+	lastWritten  bool // guarded by mu; the final response was written completely
 	watchOver    bool // guarded by mu; see watchWhile
 }
 
@@ -45,7 +45,7 @@
 	return c
 }
 
-// wakeIfIdle ends a connection that has no request in flight, for a drain.
+// wakeIfIdle interrupts the wait for the next request, so that a drain closes an idle connection.
 func (c *clientConn) wakeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,19 +54,19 @@
 	}
 }
 
-// serve reads requests and answers them until the connection ends. Whatever it waits for, it reads the connection
-// meanwhile: so it sees that the client leaves.
+// serve reads and answers requests until the connection ends. While it waits for anything else it keeps reading ahead,
+// so that a disconnect of the client is detected.
 func (c *clientConn) serve() {
 	c.in = readerPool.Get().(*bufio.Reader)
 	c.in.Reset(&disconnectReader{c.nc, c.disconnect})
 	pipeline := newPipeline()
 	defer c.finish(pipeline)
-	turn := make(chan struct{}) // closed when the next request to be read may write its response
-	close(turn)
+	nextTurn := make(chan struct{}) // closed when the next request to be read may write its response
+	close(nextTurn)
 	for first := true; ; first = false {
 		head, err := c.readHead(first)
 		if err != nil {
-			c.refuseMalformed(err, turn)
+			c.refuseMalformed(err, nextTurn)
 			return
 		}
 		arrived := time.Now()
@@ -74,42 +74,42 @@
 		if !ok {
 			return
 		}
-		mine, next := turn, make(chan struct{})
-		turn = next
-		r, refusal := c.prepare(head, arrived, mine)
+		turn, done := nextTurn, make(chan struct{})
+		nextTurn = done
+		r, refusal := c.prepare(head, arrived, turn)
 		if refusal == nil && r.stream == nil && r.route.IsIdempotent() && !head.ClosesConnection() {
 			if !pipeline.acquireIfFree() {
 				c.watchWhile(pipeline.acquire)
 			}
 			pipeline.run(func() {
-				c.answer(r, nil, mine, sequence)
-				close(next)
+				c.answer(r, nil, turn, sequence)
+				close(done)
 			})
 			continue
 		}
-		if refusal == nil && !r.route.IsIdempotent() && !c.waitForTurn(mine) {
+		if refusal == nil && !r.route.IsIdempotent() && !c.waitForTurn(turn) {
 			return
 		}
-		closes := c.answerAlone(r, refusal, mine, sequence)
-		close(next)
+		closes := c.answerAlone(r, refusal, turn, sequence)
+		close(done)
 		if closes {
 			return
 		}
 	}
 }
 
-// answerAlone answers a request behind which none is read meanwhile.
-func (c *clientConn) answerAlone(r *request, refusal *response, mine <-chan struct{}, sequence int) (closes bool) {
+// answerAlone answers a request without reading the next one before the response is written.
+func (c *clientConn) answerAlone(r *request, refusal *response, turn <-chan struct{}, sequence int) (closes bool) {
 	if refusal != nil {
-		c.await(mine)
-		return c.answer(r, refusal, mine, sequence)
+		c.await(turn)
+		return c.answer(r, refusal, turn, sequence)
 	}
-	answer := func() { closes = c.answer(r, nil, mine, sequence) }
+	answer := func() { closes = c.answer(r, nil, turn, sequence) }
 	if r.stream == nil {
 		c.watchWhile(answer)
 		return closes
 	}
-	// The body is read by those who send it on, and the end of the connection is met there.
+	// The goroutine that forwards the body reads the connection, and detects a disconnect while it does.
 	finished := make(chan struct{})
 	go func() { defer close(finished); answer() }()
 	select {
@@ -120,8 +120,8 @@
 	return closes
 }
 
-// finish waits for the responses that are due, then lets the connection go. Where its last response was written, it
-// reads on for the linger time: see closeAfterLast.
+// finish waits for outstanding responses and closes the connection. After a complete final response it first discards
+// input for the linger time; see closeAfterLast.
 func (c *clientConn) finish(pipeline *pipeline) {
 	if !pipeline.empty() {
 		c.watchWhile(pipeline.responses.Wait)
@@ -131,14 +131,14 @@
 	readerPool.Put(c.in)
 	if c.lastWritten {
 		c.setReadDeadline(time.Now().Add(c.listener.linger))
-		_, _ = io.Copy(io.Discard, c.nc) // what the client still sends is of no use
+		_, _ = io.Copy(io.Discard, c.nc) // requests received after the final response are ignored
 	}
 	_ = c.nc.Close()
 	c.listener.remove(c)
 }
 
-// nextSequence returns the number of the request just read. It reports false behind a response that closes the
-// connection: that request counts as not read.
+// nextSequence returns the sequence number of the request just read. It returns false if an earlier response closes the
+// connection: the request then counts as not received.
 func (c *clientConn) nextSequence() (sequence int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,18 +149,18 @@
 	return c.requestsRead, true
 }
 
-// waitForTurn waits until it is the turn of a request that must not run twice, and reports whether it has come: where
-// the connection ends with a response before, the requests behind that count as not read, and the client sends them
-// again (RFC 9112, 9.3.2).
-func (c *clientConn) waitForTurn(mine <-chan struct{}) bool {
-	c.await(mine)
+// waitForTurn waits until a non-idempotent request may be processed, and reports whether it may. If an earlier response
+// closes the connection, the requests after it count as not received, and the client sends them again (RFC 9112,
+// 9.3.2).
+func (c *clientConn) waitForTurn(turn <-chan struct{}) bool {
+	c.await(turn)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closing && !c.disconnected()
 }
 
-// readHead waits for a request and reads its head. The error is io.EOF where no request has begun, and an [h1.Error]
-// where a response is due.
+// readHead waits for a request and reads its head. The error is io.EOF if no request has begun, and an [h1.Error] if
+// the client must be sent an error response.
 func (c *clientConn) readHead(first bool) (*h1.Head, error) {
 	headTimeout, idleTimeout, maxHead := defaultHeadTimeout, defaultIdleTimeout, defaultMaxHead
 	if s := c.listener.router.current(); s != nil {
@@ -172,7 +172,7 @@
 	}
 	if c.in.Buffered() == 0 {
 		if err := c.waitForByte(wait); err != nil {
-			return nil, io.EOF // nothing was requested: no response is due
+			return nil, io.EOF // no request has begun, so no response is owed
 		}
 	}
 	c.setReadDeadline(time.Now().Add(headTimeout))
@@ -184,7 +184,7 @@
 	return h, err
 }
 
-// waitForByte waits for the first byte of a request. A drain may end the wait; see wakeIfIdle.
+// waitForByte waits for the first byte of a request. A drain can interrupt the wait; see wakeIfIdle.
 func (c *clientConn) waitForByte(wait time.Duration) error {
 	c.mu.Lock()
 	if c.closing {
@@ -200,13 +200,13 @@
 	return err
 }
 
-// refuseMalformed answers a head that can't be read when its turn has come, and ends the connection.
-func (c *clientConn) refuseMalformed(err error, mine <-chan struct{}) {
+// refuseMalformed answers a malformed request head after all earlier responses, and ends the connection.
+func (c *clientConn) refuseMalformed(err error, turn <-chan struct{}) {
 	var malformed *h1.Error
 	if !errors.As(err, &malformed) {
 		return
 	}
-	c.await(mine) // the responses that are due go first
+	c.await(turn) // earlier responses go first
 	c.listener.log.Debug("malformed request", "from", c.nc.RemoteAddr(), "error", err)
 	resp := &response{status: malformed.Status, text: malformed.Reason, closes: true}
 	if c.write(c.ctx, resp, nil, time.Now().Add(c.listener.writeTimeout)) == nil {
@@ -214,9 +214,9 @@
 	}
 }
 
-// answer forwards a request, unless it is refused already, and writes the response when its turn has come. It reports
-// whether the connection ends with it.
-func (c *clientConn) answer(r *request, refusal *response, mine <-chan struct{}, sequence int) (closes bool) {
+// answer forwards a request, unless it was refused already, and writes the response after all earlier ones. It reports
+// whether the connection must be closed.
+func (c *clientConn) answer(r *request, refusal *response, turn <-chan struct{}, sequence int) (closes bool) {
 	resp := refusal
 	if resp == nil {
 		resp = c.listener.forwarder.forward(r)
@@ -225,16 +225,16 @@
 	defer resp.release()
 	defer c.listener.forwarder.finish(r)
 	c.listener.report(r, resp)
-	<-mine
+	<-turn
 	if c.decideClose(r, resp, sequence) || resp.reason == clientDisconnected.code {
-		c.noteClosing()
+		c.markClosing()
 		return true
 	}
 	err := c.write(r.attemptContext(), resp, r.head, c.writeDeadline(r, resp))
 	if err == nil && !resp.closes {
 		return false
 	}
-	c.noteClosing()
+	c.markClosing()
 	if err == nil {
 		c.closeAfterLast()
 	} else {
@@ -243,15 +243,15 @@
 	return true
 }
 
-// noteClosing notes that no response follows: the connection ends.
-func (c *clientConn) noteClosing() {
+// markClosing records that the connection ends and no further response is written.
+func (c *clientConn) markClosing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
 }
 
-// decideClose decides whether the response says that the connection closes. It reports true where a response before
-// has ended the connection: this one is not written.
+// decideClose decides whether the response announces that the connection closes. It returns true if an earlier response
+// has closed the connection: this one is not written.
 func (c *clientConn) decideClose(r *request, resp *response, sequence int) (ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -260,15 +260,15 @@
 		return true
 	case r.head.ClosesConnection(), resp.endsWithConnection(r.head), r.stream != nil && !r.stream.Done():
 		resp.closes = true
-	case c.listener.readiness.draining.Load() && sequence == c.requestsRead: // nothing was read behind it
+	case c.listener.readiness.draining.Load() && sequence == c.requestsRead: // no later request was read
 		resp.closes = true
 	}
 	c.closing = resp.closes
 	return false
 }
 
-// writeDeadline is until when a response may be written: one whose rest is still read from the server has at least
-// the time of its request.
+// writeDeadline returns the deadline for writing a response. A response still being read from the server may be written
+// at least until the deadline of its request.
 func (c *clientConn) writeDeadline(r *request, resp *response) time.Time {
 	until := time.Now().Add(c.listener.writeTimeout)
 	if resp.rest != nil && r.deadline.After(until) {
@@ -277,19 +277,20 @@
 	return until
 }
 
-// abort closes the connection in the middle of a response. Where its length is not known, only a reset shows the client
-// that it isn't whole.
+// abort closes the connection in the middle of a response. If the response has no stated length, only a TCP reset shows
+// the client that it is truncated.
 func (c *clientConn) abort(reset bool) {
 	if reset {
-		if t, ok := c.nc.(interface{ SetLinger(sec int) error }); ok { // a [net.TCPConn], or one in memory
-			_ = t.SetLinger(0) // fails on a connection that is closed already
+		if t, ok := c.nc.(interface{ SetLinger(sec int) error }); ok { // [net.TCPConn], or a test connection
+			_ = t.SetLinger(0) // fails only on a closed connection
 		}
 	}
 	_ = c.nc.Close()
 }
 
-// closeAfterLast ends the connection after its last response. What the client still sends must not make the system
-// reset the connection before that is read (RFC 9112, 9.6): see finish.
+// closeAfterLast closes the write side of the connection after its final response. Closing both sides while the client
+// still sends would make the kernel reset the connection, and the client could lose the response (RFC 9112, 9.6); see
+// finish.
 func (c *clientConn) closeAfterLast() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -300,11 +301,11 @@
 	c.setReadDeadline(time.Now().Add(c.listener.linger))
 }
 
-// write writes a response, until a deadline. The context ends the wait for the link.
+// write writes a response within a deadline. Cancelling the context ends the wait for the link.
 func (c *clientConn) write(ctx context.Context, resp *response, requestHead *h1.Head, until time.Time) error {
 	_ = c.nc.SetWriteDeadline(until) // fails on a closed connection, as the write then does
 	return resp.writeTo(ctx, c.nc, requestHead, c.listener.link)
 }
 
-// setReadDeadline sets the read deadline. It fails on a closed connection only, where the next read fails too.
+// setReadDeadline sets the read deadline. It fails only on a closed connection, where the next read fails too.
 func (c *clientConn) setReadDeadline(until time.Time) { _ = c.nc.SetReadDeadline(until) }
--- a/dataplane/clock.go
+++ b/dataplane/clock.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// clock measures the time since the process started, on the steady clock: a change of the wall clock has no effect.
+// clock measures the time since the process started, on the monotonic clock: changes of the wall clock
+// have no effect.
 type clock struct{ start time.Time }
 
 // now returns the time since the start.
 func (c clock) now() time.Duration { return time.Since(c.start) }
 
-// nowMs returns the time since the start in milliseconds, as the state machines count it.
+// nowMs returns the time since the start in milliseconds, the unit of the state machines.
 func (c clock) nowMs() float64 { return inMs(c.now()) }
 
 // sinceStartMs returns the time from the start to t in milliseconds.
@@ -17,5 +18,5 @@
 // inMs returns a duration in milliseconds.
 func inMs(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// millis returns the duration of so many milliseconds.
+// millis returns the duration of ms milliseconds.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/dataplane/disconnect.go
+++ b/dataplane/disconnect.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// pastDeadline is a read deadline that ends a read at once.
+// pastDeadline is a read deadline in the past, which interrupts a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// disconnectReader reads a client's connection. Whoever meets the end of it there, or a reset, has the requests
-// cancelled that were read from it. A deadline is no end.
+// disconnectReader reads a client's connection. A read that finds the end of the stream, a reset or another error
+// cancels the requests of the connection; an expired read deadline does not.
 //
-// A client that closes its connection in one direction only can't be told from one that has left, and counts as
-// such, as with other HTTP servers.
+// A client that closes only its write side can't be distinguished from one that has disconnected, and is treated as
+// disconnected, as by other HTTP servers.
 type disconnectReader struct {
 	nc         net.Conn
 	disconnect context.CancelFunc
@@ -30,10 +30,10 @@
 	return n, err
 }
 
-// disconnected reports whether the client was seen to have left. Only reads see it; see watchWhile.
+// disconnected reports whether the client is known to have disconnected. Only reads detect it; see watchWhile.
 func (c *clientConn) disconnected() bool { return c.ctx.Err() != nil }
 
-// await waits until a channel is closed and watches the connection meanwhile.
+// await waits until a channel is closed, and watches the connection for a disconnect meanwhile.
 func (c *clientConn) await(done <-chan struct{}) {
 	select {
 	case <-done:
@@ -42,9 +42,8 @@
 	}
 }
 
-// watchWhile runs a function in a goroutine of its own and reads ahead meanwhile, so that the requests of a client
-// that leaves are cancelled. It returns once the function has. The function must not read the connection, and nobody
-// else may.
+// watchWhile runs work in another goroutine and reads ahead meanwhile, so that a disconnect cancels the client's
+// requests. It returns once work has returned. Neither work nor any other goroutine may read the connection meanwhile.
 func (c *clientConn) watchWhile(work func()) {
 	c.beginWatch()
 	done := make(chan struct{})
@@ -57,7 +56,7 @@
 	<-done
 }
 
-// beginWatch has reads of the connection wait without a deadline, until endWatch.
+// beginWatch clears the read deadline, so that watch blocks until endWatch.
 func (c *clientConn) beginWatch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +64,7 @@
 	c.setReadDeadline(time.Time{})
 }
 
-// endWatch ends the read of watch.
+// endWatch interrupts the read in watch.
 func (c *clientConn) endWatch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,8 +72,8 @@
 	c.setReadDeadline(pastDeadline)
 }
 
-// watch reads ahead until endWatch, the end of the connection, or until the buffer is full: what comes behind that
-// can't be seen before the next request is read.
+// watch reads ahead until endWatch is called, the connection ends or the buffer is full. With a full buffer a
+// disconnect can't be detected before the next request is read.
 func (c *clientConn) watch() {
 	for {
 		_, err := c.in.Peek(c.in.Buffered() + 1)
@@ -86,7 +85,7 @@
 	}
 }
 
-// watchEnded reports whether endWatch was called. Where another deadline has ended a read, it is taken off.
+// watchEnded reports whether endWatch was called. If not, another deadline has interrupted the read, and is cleared.
 func (c *clientConn) watchEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/dataplane/drain_test.go
+++ b/dataplane/drain_test.go
@@ -15,7 +15,7 @@
 	t.Parallel()
 	const grace = 6 * time.Second
 	for name, sentAt := range map[string]time.Duration{
-		"kept connection": 0, "as late as connections are accepted": openAfterTerm - 50*time.Millisecond,
+		"kept connection": 0, "as late as connections are accepted": acceptAfterTerm - 50*time.Millisecond,
 	} {
 		t.Run(name, func(t *testing.T) {
 			inFakeTime(t, func(t testing.TB) {
@@ -27,7 +27,7 @@
 					return good("yes")(w, h, body)
 				})
 				g := newGatewayOf(t, settings.Timing{GraceS: grace.Seconds()}, b)
-				g.listener.openFor = openAfterTerm
+				g.listener.acceptFor = acceptAfterTerm
 				c := dial(t, g)
 				c.send("GET "+warmTarget, "", "")
 				c.want(200, "yes")
--- a/dataplane/endpoints.go
+++ b/dataplane/endpoints.go
@@ -12,45 +12,45 @@
 	"example.org/elmspan/versioned"
 )
 
-// endpointList is the list of servers as it is held here. The limiter decides by the servers themselves; this is what
-// is needed to apply the next delta. It changes in one step with the limiter, so the limiter's mutex guards it.
+// endpointList holds the state needed to apply the next delta of the server list; the limiter holds the servers
+// themselves. Both change atomically, so the limiter's mutex guards the list too.
 type endpointList struct {
 	log     *slog.Logger
 	guarded *guardedLimiter
 	pool    *connpool.Pool[string]
 
-	version   uint64                  // guarded by guardedLimiter.mu; 0: none is held
-	checksum  uint64                  // guarded by guardedLimiter.mu; over all rows
-	checksums map[string]uint64       // guarded by guardedLimiter.mu; of each row
+	version   uint64                  // guarded by guardedLimiter.mu; 0: there is no list yet
+	checksum  uint64                  // guarded by guardedLimiter.mu; of all rows
+	checksums map[string]uint64       // guarded by guardedLimiter.mu; of each row, by server ID
 	oneWay    discovery.OneWayStates  // guarded by guardedLimiter.mu; draining and removed servers stay so
-	merged    *discovery.EndpointList // guarded by guardedLimiter.mu; of this gateway's own queries; nil: none
+	merged    *discovery.EndpointList // guarded by guardedLimiter.mu; from this gateway's own queries; nil: none
 }
 
-// currentVersion returns the version of the list that is held, 0 if none.
+// currentVersion returns the version of the current list, 0 if there is none.
 func (e *endpointList) currentVersion() uint64 {
 	e.guarded.mu.Lock()
 	defer e.guarded.mu.Unlock()
 	return e.version
 }
 
-// endpointDelta is a delta of the list, read and verified.
+// endpointDelta is a decoded and verified delta of the list.
 type endpointDelta struct {
 	put       []api.Server
 	removed   []string
-	checksums map[string]uint64 // of the rows in it; 0: the row was removed
-	checksum  uint64            // over all rows of the list that it makes
+	checksums map[string]uint64 // of each row in the delta; 0: the row is removed
+	checksum  uint64            // of all rows of the resulting list
 }
 
-// apply takes over a delta of the list, at a time on the list's clock. Nothing of it holds where it doesn't fit the
-// version that is held.
+// apply applies a delta to the list. clockMs is the present time on the clock of the list. If the delta does not fit
+// the current version, apply changes nothing and returns an error.
 func (e *endpointList) apply(r *versioned.DeltaReader, clockMs float64) error {
 	e.guarded.mu.Lock()
 	defer e.guarded.mu.Unlock()
 	switch {
 	case r.To <= e.version:
-		return fmt.Errorf("version %d is not above %d", r.To, e.version)
+		return fmt.Errorf("server list version %d is not newer than current version %d", r.To, e.version)
 	case r.From != 0 && r.From != e.version:
-		return fmt.Errorf("a delta on version %d", r.From)
+		return fmt.Errorf("server list delta is based on version %d, not the current version", r.From)
 	}
 	delta, err := e.read(r, clockMs)
 	if err != nil {
@@ -60,19 +60,19 @@
 	for _, id := range delta.removed {
 		e.oneWay.MarkRemoved(id)
 	}
-	// A whole list may be one of a new leader that knows less: what it does not have is not used now, but may come back
-	// unless it was draining.
+	// A full list may come from a new leader with incomplete knowledge: servers missing from it are removed for now,
+	// but may be added again unless they were draining.
 	e.update(delta.put, append(delta.removed, missing...))
 	e.log.Debug("servers applied", "version", r.To, "from", r.From, "changed", len(delta.put),
 		"removed", len(delta.removed), "total", len(e.checksums))
 	return nil
 }
 
-// read reads the rows of a delta and verifies the checksum of the list that it makes. It changes nothing. Called under
+// read decodes the rows of a delta and verifies the checksum of the resulting list. It changes no state. Called under
 // guardedLimiter.mu.
 func (e *endpointList) read(r *versioned.DeltaReader, clockMs float64) (*endpointDelta, error) {
 	d := &endpointDelta{checksums: map[string]uint64{}}
-	if r.From != 0 { // else the delta is the whole list
+	if r.From != 0 { // otherwise the delta is a full list
 		d.checksum = e.checksum
 	}
 	for {
@@ -96,7 +96,7 @@
 	return d, nil
 }
 
-// add takes in one row.
+// add decodes one row and adds it to the delta.
 func (d *endpointDelta) add(row versioned.Row, clockMs float64) error {
 	if row.Value == nil {
 		d.removed, d.checksums[row.Key] = append(d.removed, row.Key), 0
@@ -112,12 +112,12 @@
 	return nil
 }
 
-// commit makes the list the one that a delta leads to. It returns the servers that a whole list does not have any
-// more. Called under guardedLimiter.mu.
+// commit applies a verified delta to the version and the checksums. It returns the servers of the previous list that a
+// full list no longer contains. Called under guardedLimiter.mu.
 func (e *endpointList) commit(r *versioned.DeltaReader, d *endpointDelta) (missing []string) {
 	if r.From == 0 {
 		for id := range e.checksums {
-			if _, is := d.checksums[id]; !is {
+			if _, ok := d.checksums[id]; !ok {
 				missing = append(missing, id)
 			}
 		}
@@ -137,7 +137,7 @@
 	return missing
 }
 
-// mergeDiscovered takes in an answer of the platform that this gateway asked for itself.
+// mergeDiscovered merges the response of the platform to a query of this gateway.
 func (e *endpointList) mergeDiscovered(answer []api.Server) {
 	e.guarded.mu.Lock()
 	defer e.guarded.mu.Unlock()
@@ -165,7 +165,7 @@
 	e.update(put, removed)
 }
 
-// update has the limiter and the connection pool know what changed. Called under guardedLimiter.mu.
+// update passes changed and removed servers to the limiter and the connection pool. Called under guardedLimiter.mu.
 func (e *endpointList) update(put []api.Server, removed []string) {
 	kept := put[:0]
 	for _, server := range put {
--- a/dataplane/fixtures_test.go
+++ b/dataplane/fixtures_test.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.listener.openFor = 0
+	g.listener.acceptFor = 0
 	applyConfig(t, g, &versioned.Table{}, testConfig(timeoutMs, limits))
 	var list []api.Server
 	for i, b := range backends {
--- a/dataplane/forwarder.go
+++ b/dataplane/forwarder.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// Bounds of what Retry-After says.
+	// Bounds of Retry-After.
 	minRetryAfter = 30 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
-	// retryAfterRefused is when to come back after all servers turned the request away.
+	// retryAfterRefused is the Retry-After once all servers have rejected the request.
 	retryAfterRefused = 100 * time.Millisecond
 )
 
-// forwarder brings requests to servers and their responses back. Decisions are the limiter's; the I/O is done here.
+// forwarder sends requests to servers and returns their responses. The limiter makes the decisions; the forwarder does
+// the I/O.
 type forwarder struct {
 	log     *slog.Logger
 	metrics *telemetry.Metrics
@@ -31,21 +32,21 @@
 	pool    *connpool.Pool[string]
 	link    *link.Pacer
 	gossip  *gossipHost
-	rules   attempt.Rules // immutable after New; tests plant faults in it
+	rules   attempt.Rules // immutable after New; tests inject faults into it
 
-	inFlight atomic.Int64 // requests that are being forwarded
+	inFlight atomic.Int64 // requests being forwarded
 
 	// Guarded by guardedLimiter.mu.
-	waiting           map[*limiter.RequestState]chan struct{} // downloads that wait for the link
-	downloadsTimerSet bool                                    // a look at them is due
+	waiting           map[*limiter.RequestState]chan struct{} // downloads that wait for a slot on the link
+	downloadsTimerSet bool                                    // a timer for the next startDownloads is set
 }
 
-// forward is the way of one request to its response: charge the quota, pick the service, send it to servers until one
-// of them or the gateway has the final response.
+// forward produces the response to a request: it charges the quota, picks the service and makes attempts at servers
+// until one of them, or the gateway, gives the final response.
 func (f *forwarder) forward(r *request) *response {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
-	if r.clientLeft() { // it was read late, or is pipelined behind others
+	if r.disconnected() { // pipelined requests may be processed after the disconnect
 		return clientDisconnected.response(0)
 	}
 	run, refusal := f.begin(r)
@@ -63,9 +64,9 @@
 	return run.awaitResponse(run.hedgeTimer(hasServer))
 }
 
-// begin charges the tenant's quota and begins the request's lifecycle, under one hold of the mutex.
+// begin charges the tenant's quota and starts the request's lifecycle, in one critical section.
 func (f *forwarder) begin(r *request) (*lifecycle, *response) {
-	f.gossip.catchUp()
+	f.gossip.receiveIfOverdue()
 	f.guarded.mu.Lock()
 	l := f.guarded.limiter
 	if r.tenant != nil {
@@ -76,7 +77,7 @@
 	}
 	r.service = r.route.pickService(f.guarded.rng.Float64())
 	l.AccrueRetryBudget(r.service)
-	if r.head.Get("Attempt-Id") == "" { // its response could not be distinguished from another's
+	if r.head.Get("Attempt-Id") == "" { // the server's response could not be matched to the request
 		f.guarded.mu.Unlock()
 		return nil, refuseMalformed(400, "an Attempt-Id is needed")
 	}
@@ -97,7 +98,7 @@
 	return run, nil
 }
 
-// finish ends the lifecycle of a request whose response was written, or could not be.
+// finish ends the lifecycle of a request after its response was written, or writing it failed.
 func (f *forwarder) finish(r *request) {
 	if r.lifecycle != nil && r.isDownload() {
 		f.guarded.mu.Lock()
@@ -107,11 +108,11 @@
 	}
 }
 
-// isDownload reports whether the request is one for a long body, which is scheduled on the link.
+// isDownload reports whether the route is for downloads, whose long responses are scheduled on the link.
 func (r *request) isDownload() bool { return r.route.Type == api.Download }
 
-// startDownloads starts the downloads whose time on the link has come, and sets a timer for the next one. Called under
-// guardedLimiter.mu.
+// startDownloads starts the downloads that the limiter grants a slot on the link, and sets a timer for the next grant.
+// Called under guardedLimiter.mu.
 func (f *forwarder) startDownloads() {
 	now := f.clock.nowMs()
 	started, nextAt := f.guarded.limiter.GrantSlots(now)
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -26,34 +26,34 @@
 )
 
 const (
-	// reservedFDs are the descriptors kept for all but the connections of clients and to servers, which share the rest
-	// by halves.
+	// reservedFDs is the number of file descriptors reserved for everything but connections to clients and to servers.
+	// Each of these may use half of the others.
 	reservedFDs = 300
-	defaultFDs  = 1024 // where the settings name no limit
+	defaultFDs  = 1024 // assumed limit if the settings state none
 
-	// rngStream separates the gateway's random draws from others of the same seed.
+	// rngStream makes the gateway's random numbers independent of other generators with the same seed.
 	rngStream = 0xfa7e
 )
 
-// Options are what a gateway is given besides its node's settings.
+// Options are the parameters of a gateway besides the settings of its node.
 type Options struct {
-	Seed     uint64 // of the random draws: jitter, choice of servers
+	Seed     uint64 // of the random numbers for jitter and the choice of servers
 	Log      *slog.Logger
 	Upstream settings.UpstreamTuning
 	Link     settings.LinkTuning
-	Keys     *keys.Keyring      // nil: gossip is not sealed
-	Metrics  *telemetry.Metrics // nil: none are kept
-	// UnknownPeer, where set, is called with the address of a gateway that gossips to this one and is not known here.
-	// It must not block.
+	Keys     *keys.Keyring      // nil: gossip messages are not encrypted
+	Metrics  *telemetry.Metrics // nil: no metrics are collected
+	// UnknownPeer, if not nil, is called with the address of a gateway that sent a gossip message but is not a known
+	// peer. It must not block.
 	UnknownPeer func(addr string)
 }
 
-// Gateway is the data plane of one process. Its methods are safe for concurrent use; ApplyConfig is called by one
-// goroutine at a time.
+// Gateway is the data plane of one process. Its methods are safe for concurrent use, except that ApplyConfig may be
+// called by one goroutine at a time only.
 type Gateway struct {
 	node    *settings.Node // immutable
 	log     *slog.Logger
-	metrics *telemetry.Metrics // nil: none are kept
+	metrics *telemetry.Metrics // nil: no metrics are collected
 	clock   clock
 
 	guarded   *guardedLimiter
@@ -66,11 +66,11 @@
 	forwarder forwarder
 	gossip    gossipHost
 
-	tasks sync.WaitGroup // the goroutines of Run, and those of client connections
+	tasks sync.WaitGroup // the goroutines that Run starts and those of client connections
 }
 
-// New returns a gateway that listens. It is not ready before it has a configuration, servers and, where keys are
-// strictly revoked, a lease.
+// New returns a gateway with open listeners. It is not ready before it has a configuration, servers and, under strict
+// key revocation, a lease.
 func New(cfg *settings.Node, o Options) (*Gateway, error) {
 	g := &Gateway{node: cfg, log: o.Log, metrics: o.Metrics, clock: clock{time.Now()}}
 	incarnation := rand.Uint64()
@@ -100,7 +100,7 @@
 	g.listener = clientListener{
 		log: o.Log, metrics: o.Metrics, link: downlink, router: &g.router, lease: &g.lease, readiness: &g.readiness,
 		forwarder: &g.forwarder, tasks: &g.tasks, conns: map[*clientConn]struct{}{},
-		openFor: openAfterTerm, linger: defaultLinger, writeTimeout: defaultWriteTimeout,
+		acceptFor: acceptAfterTerm, linger: defaultLinger, writeTimeout: defaultWriteTimeout,
 	}
 	g.gossip = gossipHost{
 		log: o.Log, metrics: o.Metrics, guarded: g.guarded, peers: &g.peers, pool: pool, link: downlink,
@@ -113,7 +113,7 @@
 	return g, nil
 }
 
-// gossipCapacity is what the machine has, and the part of it that gossip may use.
+// gossipCapacity returns the capacity of the machine and the fraction of it that gossip may use.
 func gossipCapacity(cfg *settings.Node, o Options) gossip.Capacity {
 	return gossip.Capacity{
 		LinkMbps:     cfg.Limits.LinkMbps,
@@ -123,7 +123,7 @@
 	}
 }
 
-// limiterConfig is the configuration of the limiter's state machine.
+// limiterConfig returns the configuration of the limiter's state machine.
 func limiterConfig(cfg *settings.Node, o Options, self, incarnation uint64, downlink *link.Pacer) limiter.Config {
 	return limiter.Config{
 		Self: self, Incarnation: incarnation, Zone: cfg.Zone, Seed: o.Seed,
@@ -134,7 +134,7 @@
 	}
 }
 
-// newPool returns the pool of connections to servers: it may use half of the descriptors that are left.
+// newPool returns the pool of connections to servers. It may use half of the file descriptors that are not reserved.
 func newPool(cfg *settings.Node, tuning settings.UpstreamTuning, l *link.Pacer) *connpool.Pool[string] {
 	fds := cfg.Limits.MaxFDs
 	if fds == 0 {
@@ -145,7 +145,7 @@
 	return pool
 }
 
-// listen opens the three sockets: clients, readiness probe, gossip. Either all are open afterwards or none is.
+// listen opens the three sockets: clients, readiness probe, gossip. If one fails, it closes the others.
 func (g *Gateway) listen(cfg *settings.Node) error {
 	if err := g.listener.listen(cfg.Listeners.Front); err != nil {
 		return err
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// Run serves until the context ends, then finishes the requests that it has taken and returns.
+// Run serves until the context ends, then drains: it finishes the requests in flight and returns.
 func (g *Gateway) Run(ctx context.Context) {
 	background, stop := context.WithCancel(context.Background())
 	g.tasks.Go(func() { g.forwarder.pool.Sweep(background) })
@@ -176,49 +176,50 @@
 	stop()
 	g.readiness.close()
 	g.tasks.Wait()
-	_ = g.gossip.socket.Close() // nothing sends any more
+	_ = g.gossip.socket.Close() // all goroutines that use it have ended
 }
 
-// Close releases what New has opened, of a gateway that is not run.
+// Close closes the sockets of a gateway that was never run.
 func (g *Gateway) Close() error {
 	return errors.Join(g.listener.tcp.Close(), g.readiness.listener.Close(), g.gossip.socket.Close())
 }
 
-// Ready reports whether new connections are wanted.
+// Ready reports whether the gateway should receive new connections.
 func (g *Gateway) Ready() bool { return g.readiness.ready() }
 
-// HasLease reports whether requests may be answered from the configuration now.
+// HasLease reports whether the lease on the configuration is valid, so that requests may be served.
 func (g *Gateway) HasLease() bool { return g.lease.valid() }
 
-// ExtendLease extends the lease, which was requested at a time since the start; see Uptime.
+// ExtendLease extends the lease. requestedAt is when the extension was requested, as time since the start; see Uptime.
 func (g *Gateway) ExtendLease(requestedAt time.Duration) { g.lease.extend(requestedAt) }
 
 // Uptime returns the time since the start, for ExtendLease.
 func (g *Gateway) Uptime() time.Duration { return g.clock.now() }
 
-// ApplyConfig takes over a delta of the configuration. Nothing of it holds where it doesn't fit the revision in force.
+// ApplyConfig applies a delta to the configuration. If the delta does not fit the current revision, it changes nothing
+// and returns an error.
 func (g *Gateway) ApplyConfig(delta *versioned.DeltaReader) error { return g.router.apply(delta) }
 
-// Revision returns the revision of the configuration in force, 0 if none.
+// Revision returns the revision of the current configuration, 0 if there is none.
 func (g *Gateway) Revision() uint64 { return g.router.revision() }
 
-// ApplyEndpoints takes over a delta of the server list, at a time on the list's clock. What was seen draining or
-// removed here stays so.
+// ApplyEndpoints applies a delta to the server list. clockMs is the present time on the clock of the list. Servers that
+// this gateway has seen draining or removed stay so.
 func (g *Gateway) ApplyEndpoints(delta *versioned.DeltaReader, clockMs float64) error {
 	return g.endpoints.apply(delta, clockMs)
 }
 
-// EndpointsVersion returns the version of the server list that is held, 0 if none.
+// EndpointsVersion returns the version of the current server list, 0 if there is none.
 func (g *Gateway) EndpointsVersion() uint64 { return g.endpoints.currentVersion() }
 
-// MergeDiscovered takes in an answer of the platform that this gateway asked for itself, because the control plane is
-// out of reach.
+// MergeDiscovered merges a server list that this gateway queried from the platform itself because the control plane is
+// unreachable.
 func (g *Gateway) MergeDiscovered(answer []api.Server) { g.endpoints.mergeDiscovered(answer) }
 
-// ApplyPeers takes in the processes of which something has changed.
+// ApplyPeers updates the table of peers from processes whose records have changed.
 func (g *Gateway) ApplyPeers(changed []api.Peer) { g.peers.apply(changed) }
 
-// SettingsReloaded notes that the settings file was read again while the gateway runs.
+// SettingsReloaded logs that the settings file was reloaded.
 func (g *Gateway) SettingsReloaded(n *settings.Node) {
 	g.log.Info("settings reloaded", "cloud", n.Cloud.Address, "seeds", len(n.SeedPeers))
 }
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -352,7 +352,7 @@
 		{"late", runFor / 2, 1},
 	} {
 		g.gossip.receivedAt.Store(int64(c.receivedAt))
-		if g.gossip.catchUp(); received != c.want {
+		if g.gossip.receiveIfOverdue(); received != c.want {
 			t.Errorf("%s: %d messages taken in, want %d", c.name, received, c.want)
 		}
 	}
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// maxReceivedPerTick is how many messages are taken in at a tick. A flood must not keep the gateway from sending.
+	// maxReceivedPerTick is the maximum number of messages received at a tick, so that a flood of messages does not
+	// keep the gateway from sending.
 	maxReceivedPerTick = 512
-	// maxReceivePause is how long ago messages were taken in at the most when a request is charged to a quota.
-	maxReceivePause = 50 * time.Millisecond
+	// maxReceiveInterval is the maximum time since messages were last received when a request is charged to a quota.
+	maxReceiveInterval = 50 * time.Millisecond
 )
 
-// gossipHost sends and receives the limiter's gossip messages, one a datagram, sealed where there is a keyring.
+// gossipHost sends and receives the limiter's gossip messages, one per datagram, encrypted if there is a keyring.
 type gossipHost struct {
 	log         *slog.Logger
 	metrics     *telemetry.Metrics
@@ -31,20 +32,19 @@
 	peers       *peerTable
 	pool        *connpool.Pool[string]
 	link        *link.Pacer
-	keyring     *keys.Keyring // nil: messages are in the clear
+	keyring     *keys.Keyring // nil: messages are not encrypted
 	self        uint64        // hash of this gateway's name
 	incarnation uint64
 	unknownPeer func(addr string) // may be nil
 
 	socketMu   sync.Mutex       // taken before guardedLimiter.mu
-	socket     *datagram.Socket // guarded by socketMu, once run runs
+	socket     *datagram.Socket // guarded by socketMu once run has started
 	receiver   *gossipReceiver  // guarded by socketMu
-	receivedAt atomic.Int64     // when messages were last taken in, in ns since the start; 0: run doesn't run
+	receivedAt atomic.Int64     // when messages were last received, in ns since the start; 0: run is not running
 }
 
-// run takes in what the peers have sent and sends what is new, at each tick, until the context ends. What arrives
-// between two ticks waits for the next: in a large fleet hundreds of messages come in a second, and each would wake
-// the process.
+// run receives and sends messages at each tick, until the context ends. Messages that arrive between two ticks wait for
+// the next one: in a large fleet hundreds of messages arrive per second, and each would wake the process.
 func (h *gossipHost) run(ctx context.Context) {
 	everyMs := gossip.TickMs
 	t := time.NewTicker(millis(everyMs))
@@ -67,7 +67,7 @@
 	}
 }
 
-// exchange takes in and sends what is due at a tick, and returns when the next one is due.
+// exchange receives and sends the messages of one tick, and returns the time until the next one.
 func (h *gossipHost) exchange(out *gossipSender) (nextMs float64) {
 	h.socketMu.Lock()
 	defer h.socketMu.Unlock()
@@ -75,24 +75,24 @@
 	return out.tick()
 }
 
-// receiveAll takes in what has come. Called under socketMu.
+// receiveAll receives the messages that have arrived. Called under socketMu.
 func (h *gossipHost) receiveAll() {
 	h.receivedAt.Store(int64(h.guarded.clock.now()))
 	h.receiver.receiveAll()
 }
 
-// catchUp takes in what has come, where the goroutine in run is late: a process that stood still, or whose processor is
-// busy, would go on admitting by what it knew before.
-func (h *gossipHost) catchUp() {
+// receiveIfOverdue receives the messages that have arrived if the goroutine in run is late: a process that was
+// suspended or is short of CPU time would otherwise admit requests by outdated quota state.
+func (h *gossipHost) receiveIfOverdue() {
 	receivedAt := time.Duration(h.receivedAt.Load())
-	if receivedAt == 0 || h.guarded.clock.now()-receivedAt <= maxReceivePause || !h.socketMu.TryLock() {
+	if receivedAt == 0 || h.guarded.clock.now()-receivedAt <= maxReceiveInterval || !h.socketMu.TryLock() {
 		return
 	}
 	defer h.socketMu.Unlock()
 	h.receiveAll()
 }
 
-// newSealer returns what seals or opens messages; nil where they are in the clear.
+// newSealer returns a sealer that encrypts and decrypts messages; nil if they are not encrypted.
 func (h *gossipHost) newSealer() *keys.Sealer {
 	if h.keyring == nil {
 		return nil
@@ -100,14 +100,14 @@
 	return h.keyring.Sealer(h.self, h.incarnation)
 }
 
-// gossipSender sends messages. Its buffers are used again for each.
+// gossipSender sends messages. It reuses its buffers.
 type gossipSender struct {
 	host          *gossipHost
-	sealer        *keys.Sealer // nil: in the clear
+	sealer        *keys.Sealer // nil: messages are not encrypted
 	plain, sealed []byte
 }
 
-// tick has the limiter make the messages of a tick, sends them, and returns when the next tick is due.
+// tick sends the messages that the limiter generates for a tick, and returns the time until the next one.
 func (s *gossipSender) tick() (nextMs float64) {
 	g := s.host.guarded
 	g.mu.Lock()
@@ -116,7 +116,7 @@
 	return g.limiter.TickMs()
 }
 
-// send sends one message. Called under guardedLimiter.mu; sending does not block.
+// send sends one message without blocking. Called under guardedLimiter.mu.
 func (s *gossipSender) send(to uint64, w *gossip.Message) {
 	h := s.host
 	s.plain = w.Append(s.plain[:0])
@@ -124,20 +124,20 @@
 	if s.sealer != nil {
 		var err error
 		if s.sealed, err = s.sealer.Seal(s.sealed[:0], s.plain); err != nil {
-			h.log.Error("gossip message not sealed", "error", err)
+			h.log.Error("encrypting gossip message failed; message not sent", "error", err)
 			return
 		}
 		data = s.sealed
 	}
-	_ = h.socket.Send(data, h.peers.byID[to].addr) // the next message makes up for a lost one
+	_ = h.socket.Send(data, h.peers.byID[to].addr) // later messages make up for a lost one
 	h.link.Record(len(data))
 	h.metrics.Count("elmspan_words_sent_total", 1)
 }
 
-// gossipReceiver takes messages in. Its buffers are used again for each.
+// gossipReceiver receives messages. It reuses its buffers.
 type gossipReceiver struct {
 	host          *gossipHost
-	sealer        *keys.Sealer // nil: in the clear
+	sealer        *keys.Sealer // nil: messages are not encrypted
 	raw, unsealed []byte
 	message       gossip.Message
 }
@@ -148,7 +148,7 @@
 	}
 }
 
-// receiveAll takes in what has come, up to the bound of a tick.
+// receiveAll receives the messages that have arrived, at most maxReceivedPerTick.
 func (r *gossipReceiver) receiveAll() {
 	h := r.host
 	for range maxReceivedPerTick {
@@ -157,7 +157,7 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP error for a datagram that was sent, for example
+			continue // for example an ICMP error caused by a sent datagram
 		}
 		if !r.decode(r.raw[:n]) {
 			h.metrics.Count("elmspan_words_refused_total", 1)
@@ -171,7 +171,8 @@
 	}
 }
 
-// decode opens and decodes a datagram into r.message. It reports false where it is not a message of a peer.
+// decode decrypts and decodes a datagram into r.message. It returns false if the datagram is not a valid message of a
+// peer.
 func (r *gossipReceiver) decode(data []byte) bool {
 	if r.sealer != nil {
 		var err error
@@ -183,7 +184,7 @@
 	return r.message.Decode(data) == nil
 }
 
-// deliver gives the message to the limiter and reports whether its sender is a known peer.
+// deliver passes the message to the limiter and reports whether its sender is a known peer.
 func (r *gossipReceiver) deliver() (known bool) {
 	g, m := r.host.guarded, &r.message
 	g.mu.Lock()
--- a/dataplane/guardedlimiter.go
+++ b/dataplane/guardedlimiter.go
@@ -7,13 +7,13 @@
 	"example.org/elmspan/dataplane/limiter"
 )
 
-// guardedLimiter is the limiter's state machine (quotas, server choice, retries, downloads, gossip) with the one mutex
-// that guards it. A request takes the mutex a few times, each time for a short computation; no I/O is done under it,
-// except that a gossip tick sends its datagrams, which doesn't block.
+// guardedLimiter is the limiter's state machine (quotas, server choice, retries, downloads, gossip) with the mutex that
+// guards it. A request takes the mutex a few times, each time for a short computation. The only I/O under the mutex is
+// the non-blocking sending of datagrams at a gossip tick.
 type guardedLimiter struct {
 	clock clock
 
 	mu      sync.Mutex
 	limiter *limiter.Limiter // guarded by mu
-	rng     *rand.Rand       // guarded by mu; draws the service of a route with a traffic split
+	rng     *rand.Rand       // guarded by mu; selects the service of a route with a traffic split
 }
--- a/dataplane/h1/body.go
+++ b/dataplane/h1/body.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	maxChunkLine   = 256     // bytes of the line with a chunk's size
+	maxChunkLine   = 256     // bytes of a chunk-size line
 	maxTrailers    = 8 << 10 // bytes of all trailers
-	maxSizeDigits  = 15      // of a chunk's size: it fits an int64
+	maxSizeDigits  = 15      // hexadecimal digits of a chunk size, so that it fits an int64
 	chunkSizeRadix = 16
 )
 
-// ErrUnexpectedEnd is returned by reads where the connection ended before the body did.
-var ErrUnexpectedEnd = errors.New("h1: the body ends early")
+// ErrUnexpectedEnd is returned by reads if the connection ends before the body is complete.
+var ErrUnexpectedEnd = errors.New("h1: connection ended before the end of the body")
 
-// Body reads a framed body. It ends with io.EOF after the whole of it, and
-// never reads past its end.
+// Body reads a message body with a given framing. Read returns io.EOF at the end of the body and never consumes bytes
+// beyond it.
 type Body struct {
-	r     *bufio.Reader
-	left  int64 // bytes of the body, or of the chunk
-	kind  int64 // the framing: Chunked, UntilClose or a length
-	begun bool  // the first chunk was read
-	done  bool
+	r         *bufio.Reader
+	remaining int64 // unread bytes of the body, or of the current chunk
+	framing   int64 // Chunked, UntilClose or the length
+	started   bool  // the first chunk-size line was reached
+	done      bool
 }
 
-// NewBody returns a reader of a body with a framing: a length, Chunked or UntilClose.
+// NewBody returns a reader for a body whose framing is a length, Chunked or UntilClose.
 func NewBody(r *bufio.Reader, framing int64) *Body {
-	b := &Body{r: r, kind: framing, left: max(0, framing)}
+	b := &Body{r: r, framing: framing, remaining: max(0, framing)}
 	b.done = framing == 0
 	return b
 }
 
-// ReadFullRequest reads a request with all of its body, for programs whose requests are short, such as the emulator's
-// servers. The head may have maxHead bytes.
+// ReadFullRequest reads a request with its complete body, for programs with short requests, such as the emulated
+// servers. The head may have at most maxHead bytes.
 func ReadFullRequest(r *bufio.Reader, maxHead int) (*Head, []byte, error) {
 	h, err := ReadRequest(r, maxHead)
 	if err != nil {
@@ -50,18 +50,18 @@
 	return h, body, err
 }
 
-// ReadUpTo reads the body, or its first limit bytes where it is longer. One whose length is known is read into memory
-// of that length.
+// ReadUpTo reads the body, or its first limit bytes if it is longer. For a body of known length within the limit it
+// allocates exactly that length.
 func (b *Body) ReadUpTo(limit int64) ([]byte, error) {
-	if b.kind < 0 || b.left > limit {
+	if b.framing < 0 || b.remaining > limit {
 		return io.ReadAll(io.LimitReader(b, limit))
 	}
-	body := make([]byte, b.left)
+	body := make([]byte, b.remaining)
 	n, err := io.ReadFull(b, body)
 	return body[:n], err
 }
 
-// Done reports whether the whole body was read.
+// Done reports whether the body was read completely.
 func (b *Body) Done() bool { return b.done }
 
 // Read implements io.Reader.
@@ -69,66 +69,67 @@
 	if b.done {
 		return 0, io.EOF
 	}
-	if b.kind == Chunked && b.left == 0 {
+	if b.framing == Chunked && b.remaining == 0 {
 		if err := b.nextChunk(); err != nil {
-			return 0, short(err)
+			return 0, unexpectedEnd(err)
 		}
 		if b.done {
 			return 0, io.EOF
 		}
 	}
-	if b.kind != UntilClose && int64(len(p)) > b.left {
-		p = p[:b.left]
+	if b.framing != UntilClose && int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	if b.kind == UntilClose {
+	if b.framing == UntilClose {
 		b.done = err == io.EOF
 		return n, err
 	}
-	if b.left -= int64(n); b.left == 0 && b.kind != Chunked {
+	if b.remaining -= int64(n); b.remaining == 0 && b.framing != Chunked {
 		b.done = true
 		return n, nil
 	}
-	return n, short(err)
+	return n, unexpectedEnd(err)
 }
 
-// short returns the error of a body that is not at its end: io.EOF means that it ended early. Where it is malformed
-// too, that is reported.
-func short(err error) error {
+// unexpectedEnd converts io.EOF inside a body to ErrUnexpectedEnd. It returns other errors unchanged, and also io.EOF
+// joined with an [Error], which says more.
+func unexpectedEnd(err error) error {
 	if errors.Is(err, io.EOF) && !errors.As(err, new(*Error)) {
 		return ErrUnexpectedEnd
 	}
 	return err
 }
 
-// nextChunk reads a chunk's size, with the end of the one before. After the last chunk it drops the trailers.
+// nextChunk reads the line end after the previous chunk, if any, and the size of the next one. After the last chunk it
+// discards the trailers.
 func (b *Body) nextChunk() error {
-	if b.begun {
-		if line, err := b.line(maxChunkLine); err != nil || line != "" {
+	if b.started {
+		if line, err := b.readLine(maxChunkLine); err != nil || line != "" {
 			return errors.Join(err, malformed("a chunk is longer than it says"))
 		}
 	}
-	b.begun = true
-	line, err := b.line(maxChunkLine)
+	b.started = true
+	line, err := b.readLine(maxChunkLine)
 	if err != nil {
 		return err
 	}
-	if b.left, err = parseChunkSize(line); err != nil {
+	if b.remaining, err = parseChunkSize(line); err != nil {
 		return err
 	}
-	if b.left > 0 {
+	if b.remaining > 0 {
 		return nil
 	}
-	return b.dropTrailers()
+	return b.skipTrailers()
 }
 
-// parseChunkSize returns the size of a chunk from its line. Extensions are ignored.
+// parseChunkSize parses a chunk-size line and ignores chunk extensions.
 func parseChunkSize(line string) (int64, error) {
 	size, _, _ := strings.Cut(line, ";")
 	if size == "" || len(size) > maxSizeDigits {
 		return 0, malformed("a chunk's size %q", size)
 	}
-	for i := range len(size) { // ParseInt would take a sign
+	for i := range len(size) { // ParseInt would accept a sign
 		if !isHexDigit(size[i]) {
 			return 0, malformed("a chunk's size %q", size)
 		}
@@ -144,10 +145,10 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-// dropTrailers reads past the trailers, bounded, and ends the body.
-func (b *Body) dropTrailers() error {
+// skipTrailers discards the trailers, of maxTrailers bytes at most, and marks the body as complete.
+func (b *Body) skipTrailers() error {
 	for room := maxTrailers; ; {
-		line, err := b.line(room)
+		line, err := b.readLine(room)
 		if err != nil {
 			return err
 		}
@@ -159,8 +160,8 @@
 	}
 }
 
-// line reads a line of limit bytes at most and returns it without its CR LF.
-func (b *Body) line(limit int) (string, error) {
+// readLine reads a line of at most limit bytes and returns it without its CR LF.
+func (b *Body) readLine(limit int) (string, error) {
 	var out []byte
 	for {
 		part, err := b.r.ReadSlice('\n')
--- a/dataplane/h1/h1_test.go
+++ b/dataplane/h1/h1_test.go
@@ -12,7 +12,7 @@
 
 func read(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 64) }
 
-// What two readers could take differently is refused, with the status that says why.
+// Malformed and ambiguous requests, which allow request smuggling, are rejected with the matching status.
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	for text, want := range map[string]int{
 		"GET / HTTP/1.1\nHost: x\r\n\r\n":                                                     400,
@@ -42,7 +42,7 @@
 	}
 }
 
-// A body ends where its framing says, and what follows is left to the next message.
+// A body ends where its framing states, and the bytes after it remain for the next message.
 func TestBodyEndsWhereItsFramingSays(t *testing.T) {
 	for _, c := range []struct {
 		text    string
@@ -69,7 +69,7 @@
 			t.Errorf("%q: %q, %v, done %v", c.text, data, err, b.Done())
 		}
 		if rest, _ := io.ReadAll(r); c.ok && string(rest) != c.rest {
-			t.Errorf("%q: %q is left", c.text, rest)
+			t.Errorf("%q: %q remains unread", c.text, rest)
 		}
 	}
 }
@@ -102,8 +102,7 @@
 	}
 }
 
-// Whatever a client sends, reading it ends, in an error or in a request whose
-// own bytes are never taken for the next one's.
+// For any client input, reading ends with an error or a request, and never takes bytes of a body for the next request.
 func FuzzRequest(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n")
@@ -130,7 +129,7 @@
 	})
 }
 
-// Whatever a server sends, reading it ends; a body whose end is known ends there.
+// For any server input, reading ends, and a body of known length ends after that length.
 func FuzzResponse(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 204 x\r\n\r\n", false)
 	f.Add("HTTP/1.1 100 x\r\n\r\n"+
@@ -166,19 +165,19 @@
 	})
 }
 
-// Heads that announce an answer are passed over, but not without end.
+// Interim responses are skipped, up to a limit.
 func TestInterimResponsesAreBounded(t *testing.T) {
 	const interim, final = "HTTP/1.1 103 x\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"
 	for n, want := range map[int]int{0: 200, maxInterim: 200, maxInterim + 1: 0} {
 		h, err := ReadResponse(bufio.NewReader(strings.NewReader(strings.Repeat(interim, n)+final)), 100)
 		if want == 0 && err == nil || want != 0 && (err != nil || h.Status != want) {
-			t.Errorf("%d before: %+v, %v", n, h, err)
+			t.Errorf("%d interim responses: %+v, %v", n, h, err)
 		}
 	}
 }
 
-// A body is had up to a bound, whole or not, however it is framed; one of a known length
-// costs its own bytes and no more.
+// ReadUpTo returns at most limit bytes with every framing, also of a truncated body. For a known length it allocates
+// only that length.
 func TestReadUpToKeepsToItsLimit(t *testing.T) {
 	text := strings.Repeat("0123456789", 500)
 	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text)
@@ -213,11 +212,11 @@
 	if n := testing.AllocsPerRun(100, func() {
 		src.Reset(text)
 		in.Reset(src)
-		b := Body{r: in, kind: 5000, left: 5000}
+		b := Body{r: in, framing: 5000, remaining: 5000}
 		if got, err := b.ReadUpTo(8000); len(got) != 5000 || err != nil {
 			t.Error(len(got), err)
 		}
-	}); n > 2 { // the body, and the reader of it
+	}); n > 2 { // the body and its reader
 		t.Errorf("%v allocations", n)
 	}
 }
--- a/dataplane/h1/head.go
+++ b/dataplane/h1/head.go
@@ -1,5 +1,5 @@
-// Package h1 reads and writes HTTP/1.1 (RFC 9112), strictly: what two readers
-// could take differently is an error, as a request could be hidden in it.
+// Package h1 parses HTTP/1.1 messages (RFC 9112) strictly. It rejects ambiguous messages, which different parsers could
+// read differently, because they allow request smuggling.
 package h1
 
 import (
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// Error says what is wrong with a message of the other side. Callers find it with [errors.As]. Its texts are sent to
-// clients as they are.
+// Error describes a malformed or unsupported message from the peer. Callers match it with [errors.As]. Its text is sent
+// to clients unchanged.
 type Error struct {
-	Status int    // of the response to it
+	Status int    // status code of the response
 	Reason string // plain text
 }
 
 func (e *Error) Error() string { return e.Reason }
 
-// malformed returns the error of a message that is answered 400.
+// malformed returns an Error with status 400.
 func malformed(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
 
-// Field is one header field.
+// Field is a header field.
 type Field struct{ Name, Value string }
 
 // Head is the head of a request or a response.
 type Head struct {
-	Method, Target string // of a request
-	Status         int    // of a response
-	HTTP10         bool   // HTTP/1.0
+	Method, Target string // set in requests
+	Status         int    // set in responses
+	HTTP10         bool   // the version is HTTP/1.0
 	Fields         []Field
 }
 
-// Get returns the first value of a field, by its name in any case.
+// Get returns the first value of a field. Names are case-insensitive.
 func (h *Head) Get(name string) string {
 	for i := range h.Fields {
 		if strings.EqualFold(h.Fields[i].Name, name) {
@@ -44,7 +44,7 @@
 	return ""
 }
 
-// Count returns how often a field stands there.
+// Count returns the number of fields with a name.
 func (h *Head) Count(name string) (n int) {
 	for i := range h.Fields {
 		if strings.EqualFold(h.Fields[i].Name, name) {
@@ -54,7 +54,7 @@
 	return n
 }
 
-// HasToken reports whether a list field holds a token.
+// HasToken reports whether a comma-separated list field contains a token.
 func (h *Head) HasToken(name, token string) bool {
 	for i := range h.Fields {
 		if strings.EqualFold(h.Fields[i].Name, name) {
@@ -68,7 +68,7 @@
 	return false
 }
 
-// readLines reads up to and with the empty line, of limit bytes at most; tooLong is returned beyond.
+// readLines reads up to and including the empty line. It returns tooLong if that is more than limit bytes.
 func readLines(r *bufio.Reader, limit int, tooLong error) (string, error) {
 	var all []byte
 	for {
@@ -87,7 +87,7 @@
 		switch {
 		case n < 2 || all[n-2] != '\r':
 			return "", malformed("a line does not end with CR LF")
-		case n == 2: // an empty line before the first one (RFC 9112, 2.2)
+		case n == 2: // skip empty lines before the first line (RFC 9112, 2.2)
 			all = all[:0]
 			limit -= 2
 		case n >= 4 && all[n-4] == '\r' && all[n-3] == '\n':
@@ -96,8 +96,8 @@
 	}
 }
 
-// ReadRequest reads the head of a request, of limit bytes at most. The error is an *Error where the client is to be
-// sent it.
+// ReadRequest reads a request head of at most limit bytes. The error is an *Error if the client is to be sent an error
+// response.
 func ReadRequest(r *bufio.Reader, limit int) (*Head, error) {
 	text, err := readLines(r, limit, &Error{431, "the head is too long"})
 	if err != nil {
@@ -115,53 +115,55 @@
 	case proto != "HTTP/1.1":
 		return nil, &Error{505, "HTTP/1.1 is needed"}
 	}
-	if h.Fields, err = fields(rest); err != nil {
+	if h.Fields, err = parseFields(rest); err != nil {
 		return nil, err
 	}
 	return h, nil
 }
 
-// maxInterim is how many interim (1xx) responses may precede a response: each is bounded, but not all together.
+// maxInterim is the maximum number of interim (1xx) responses before a final response. The limit on each head does not
+// bound their number.
 const maxInterim = 8
 
-// ReadResponse reads the head of a response, of limit bytes at most, and skips interim responses (1xx).
+// ReadResponse reads the head of a final response and skips interim responses (1xx). Each head may have at most limit
+// bytes.
 func ReadResponse(r *bufio.Reader, limit int) (*Head, error) {
 	for interim := 0; ; interim++ {
 		if interim > maxInterim {
-			return nil, malformed("more than %d heads announce an answer", maxInterim)
+			return nil, malformed("more than %d interim responses", maxInterim)
 		}
-		text, err := readLines(r, limit, errors.New("the answer's head is too long"))
+		text, err := readLines(r, limit, errors.New("response head is too long"))
 		if err != nil {
 			return nil, err
 		}
 		line, rest, _ := strings.Cut(text, "\r\n")
 		h := &Head{HTTP10: strings.HasPrefix(line, "HTTP/1.0 ")}
 		if !h.HTTP10 && !strings.HasPrefix(line, "HTTP/1.1 ") || len(line) < 12 || len(line) > 12 && line[12] != ' ' {
-			return nil, malformed("the status line can't be read")
+			return nil, malformed("malformed status line")
 		}
 		if h.Status, err = strconv.Atoi(line[9:12]); err != nil || h.Status < 100 || h.Status > 599 {
-			return nil, malformed("the status %q", line[9:12])
+			return nil, malformed("invalid status code %q", line[9:12])
 		}
-		if h.Fields, err = fields(rest); err != nil {
+		if h.Fields, err = parseFields(rest); err != nil {
 			return nil, err
 		}
 		if h.Status >= 200 {
 			return h, nil
 		}
 		if h.Status == 101 {
-			return nil, malformed("a switch of protocols that nobody asked for")
+			return nil, malformed("unsolicited 101 Switching Protocols")
 		}
 	}
 }
 
-// fields parses the header fields behind the first line.
-func fields(text string) ([]Field, error) {
+// parseFields parses the header fields after the first line.
+func parseFields(text string) ([]Field, error) {
 	out := make([]Field, 0, strings.Count(text, "\r\n"))
 	for text != "" {
 		var line string
 		line, text, _ = strings.Cut(text, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !isToken(name) { // also a folded line, and a space before the colon
+		if !ok || !isToken(name) { // rejects also folded lines and a space before the colon
 			return nil, malformed("a header field's name can't be read")
 		}
 		value = strings.Trim(value, " \t")
@@ -175,7 +177,7 @@
 	return out, nil
 }
 
-// tokenSymbols are the characters of a token besides letters and digits.
+// tokenSymbols are the characters allowed in a token besides letters and digits.
 const tokenSymbols = "!#$%&'*+-.^_`|~"
 
 // isToken reports whether s is a token (RFC 9110, 5.6.2).
@@ -190,7 +192,7 @@
 	return s != ""
 }
 
-// isVisible reports whether s has visible ASCII characters only.
+// isVisible reports whether s consists of visible ASCII characters.
 func isVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
@@ -200,10 +202,10 @@
 	return true
 }
 
-// A framing is the length of a body in bytes, or one of these.
+// The framing of a body is its length in bytes or one of these constants.
 const (
-	Chunked    = -1 // in chunks
-	UntilClose = -2 // a response that ends with its connection
+	Chunked    = -1 // chunked transfer coding
+	UntilClose = -2 // the body of a response ends with the connection
 )
 
 // RequestFraming returns the framing of a request's body.
@@ -215,7 +217,7 @@
 	return 0, nil
 }
 
-// ResponseFraming returns the framing of the body of a response to a request's method.
+// ResponseFraming returns the framing of a response's body. method is that of the request.
 func (h *Head) ResponseFraming(method string) (int64, error) {
 	n, framed, err := h.framing()
 	switch {
@@ -229,7 +231,7 @@
 	return UntilClose, nil
 }
 
-// framing returns the framing that the fields state, and whether they state one.
+// framing returns the framing stated by the header fields, and whether they state one.
 func (h *Head) framing() (n int64, framed bool, err error) {
 	te, cl := h.Count("Transfer-Encoding"), h.Count("Content-Length")
 	switch {
@@ -255,8 +257,8 @@
 	return 0, false, nil
 }
 
-// KeepAlive returns how long the sender says that it keeps an idle connection, in
-// whole seconds as it is stated; 0 where it says nothing that can be read.
+// KeepAlive returns the idle timeout that the Keep-Alive field announces, in whole seconds; 0 if it announces none or
+// the value is invalid.
 func (h *Head) KeepAlive() time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -270,7 +272,7 @@
 	return 0
 }
 
-// ClosesConnection reports whether the sender closes the connection after this message.
+// ClosesConnection reports whether the connection must be closed after this message.
 func (h *Head) ClosesConnection() bool {
 	return h.HasToken("Connection", "close") || h.HTTP10 && !h.HasToken("Connection", "keep-alive")
 }
--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -10,19 +10,19 @@
 	"example.org/elmspan/internal/connpool"
 )
 
-// lifecycle carries out what a [limiter.RequestState] decides for one request: which servers get it, when a hedge
-// starts, whether a failed attempt is retried. It belongs to the goroutine that forwards the request; attempts report
-// to it through ended.
+// lifecycle carries out the decisions of a [limiter.RequestState] for one request: which servers it is sent to, when a
+// hedge starts, whether a failed attempt is retried. Only the goroutine that forwards the request uses it; attempts
+// report their end through ended.
 type lifecycle struct {
 	forwarder *forwarder
 	request   *request
-	// state decides. What reads or changes the limiter (servers, slots, hedge times) is called under guardedLimiter.mu;
-	// the rest belongs to this goroutine.
+	// state makes the decisions. Its methods that read or change the limiter (servers, slots, hedge times) are called
+	// under guardedLimiter.mu; the others only by this goroutine.
 	state   *limiter.RequestState
 	ended   chan *upstreamAttempt
 	running []*upstreamAttempt
-	failure *response     // the last failure of a server's
-	granted chan struct{} // closed when a download has its slot; nil: it doesn't wait for one
+	failure *response     // the last error response of a server
+	granted chan struct{} // closed when a waiting download gets its slot; nil: not waiting
 }
 
 // upstreamAttempt is an attempt at one server.
@@ -30,16 +30,16 @@
 	member         *balance.Member
 	ctx            context.Context
 	cancel         context.CancelFunc
-	host           *connpool.Host[string] // nil: the server has gone
+	host           *connpool.Host[string] // nil: the server was removed
 	sentAt         time.Time
-	load           float64 // of the server when it was chosen, without this attempt
+	load           float64 // load of the server when it was chosen, without this attempt
 	hedge          bool
-	lateAfter      time.Duration // after which it speaks against the server; 0: never
-	attemptOutcome               // set when it has ended
+	overdueAfter   time.Duration // time after which the attempt counts against the server; 0: never
+	attemptOutcome               // set when the attempt has ended
 }
 
-// waitForLink waits for a download's slot on the link. A response that is returned refuses the request. Where the slot
-// doesn't come before the deadline, the request goes on and ends by its deadline.
+// waitForLink waits for a download's slot on the link. A non-nil response rejects the request. If the deadline passes
+// first, it returns nil, and the request fails by its deadline.
 func (l *lifecycle) waitForLink() (refusal *response) {
 	if !l.request.isDownload() {
 		return nil
@@ -55,7 +55,7 @@
 	f.guarded.mu.Unlock()
 	switch {
 	case refused:
-		return linkFull.response(max(minRetryAfter, min(maxRetryAfter, millis(wait))))
+		return linkSaturated.response(max(minRetryAfter, min(maxRetryAfter, millis(wait))))
 	case granted:
 		return nil
 	}
@@ -74,10 +74,10 @@
 	return refusal
 }
 
-// startAttempt sends the request to one more server, if there is one for it. A response that is returned is final.
-// Nothing is sent for a client that has left.
+// startAttempt sends the request to another server, if one is available. A non-nil response is final. Nothing is sent
+// for a disconnected client.
 func (l *lifecycle) startAttempt(hedge bool) (started bool, refusal *response) {
-	if l.request.clientLeft() {
+	if l.request.disconnected() {
 		return false, clientDisconnected.response(0)
 	}
 	at, refusal := l.chooseServer(hedge)
@@ -87,15 +87,15 @@
 	at.ctx, at.cancel = context.WithCancel(l.request.attemptContext())
 	l.running = append(l.running, at)
 	if l.state.AllowsHedge() {
-		go l.runAttempt(at) // ends by the request's deadline
+		go l.runAttempt(at) // ends by the deadline of the request
 	} else {
 		l.runAttempt(at)
 	}
 	return true, nil
 }
 
-// chooseServer has the limiter choose a server. Where there is none, it returns nil, with a response where waiting for
-// one would come too late.
+// chooseServer has the limiter choose a server. If none is available it returns nil; the response is not nil if the
+// limiter rejects the request because no server can answer it in time.
 func (l *lifecycle) chooseServer(hedge bool) (*upstreamAttempt, *response) {
 	f := l.forwarder
 	f.guarded.mu.Lock()
@@ -104,7 +104,7 @@
 	if member == nil {
 		f.guarded.mu.Unlock()
 		if refused {
-			return nil, serverFull.response(max(minRetryAfter, min(maxRetryAfter, millis(wait))))
+			return nil, serversBusy.response(max(minRetryAfter, min(maxRetryAfter, millis(wait))))
 		}
 		return nil, nil
 	}
@@ -112,19 +112,19 @@
 		member: member, sentAt: time.Now(), load: member.Load(now) - 1, hedge: hedge, host: f.pool.Host(member.ID),
 	}
 	if wait, counts := l.state.OverdueAfterMs(now, member); counts {
-		at.lateAfter = millis(wait)
+		at.overdueAfter = millis(wait)
 	}
 	f.guarded.mu.Unlock()
 	return at, nil
 }
 
-// runAttempt carries an attempt out and reports its end to the limiter, then to the lifecycle.
+// runAttempt makes an attempt and reports its end to the limiter, then to the lifecycle.
 func (l *lifecycle) runAttempt(at *upstreamAttempt) {
 	f := l.forwarder
-	defer at.cancel() // what it has brought doesn't depend on its context any more
+	defer at.cancel() // the response no longer depends on the context of the attempt
 	at.attemptOutcome = attemptOutcome{result: balance.NotSent}
-	if at.lateAfter > 0 {
-		late := time.AfterFunc(at.lateAfter, func() {
+	if at.overdueAfter > 0 {
+		late := time.AfterFunc(at.overdueAfter, func() {
 			f.guarded.mu.Lock()
 			defer f.guarded.mu.Unlock()
 			f.guarded.limiter.ObserveOverdue(f.clock.nowMs(), at.member)
@@ -146,7 +146,7 @@
 // logAttempt logs an attempt for `elmspan explain`, which parses the message and its keys.
 func (l *lifecycle) logAttempt(at *upstreamAttempt, tookMs float64) {
 	log := l.forwarder.log
-	if !log.Enabled(context.Background(), slog.LevelDebug) { // the attributes would cost more than the rest of the line
+	if !log.Enabled(context.Background(), slog.LevelDebug) { // avoids computing the attributes
 		return
 	}
 	log.Debug("try", "id", l.request.head.Get("Attempt-Id"), "service", l.request.service,
@@ -154,7 +154,7 @@
 		"took_ms", tookMs, "at", at.load, "hedge", at.hedge)
 }
 
-// hedgeTimer returns a timer that fires when a second server is to be asked as well, nil where none is.
+// hedgeTimer returns a timer that fires when a hedge is to be sent to a second server; nil if none is.
 func (l *lifecycle) hedgeTimer(hasServer bool) *time.Timer {
 	if !hasServer || !l.state.AllowsHedge() {
 		return nil
@@ -168,7 +168,7 @@
 	return time.NewTimer(millis(wait))
 }
 
-// awaitResponse waits for attempts to end, and starts others, until there is a final response.
+// awaitResponse waits for attempts to end, and starts retries and hedges, until there is a final response.
 func (l *lifecycle) awaitResponse(hedge *time.Timer) *response {
 	var hedgeDue <-chan time.Time
 	if hedge != nil {
@@ -177,14 +177,14 @@
 	}
 	for len(l.running) > 0 {
 		select {
-		case at := <-l.ended: // also where the client has left: see request.attemptContext
+		case at := <-l.ended: // a disconnect also ends attempts: see request.attemptContext
 			l.remove(at)
 			if final := l.afterAttempt(at); final != nil {
 				return final
 			}
 		case <-hedgeDue:
 			hedgeDue = nil
-			_, _ = l.startAttempt(true) // without a server for it, the first attempt goes on alone
+			_, _ = l.startAttempt(true) // if no server is available, only the first attempt continues
 		}
 	}
 	if l.failure != nil {
@@ -192,28 +192,29 @@
 		l.failure = nil
 		return final
 	}
-	return l.ownResponse()
+	return l.gatewayResponse()
 }
 
-// ownResponse is the gateway's own response where no server's is of use.
-func (l *lifecycle) ownResponse() *response {
+// gatewayResponse returns the gateway's response to a request for which no server's response can be passed on.
+func (l *lifecycle) gatewayResponse() *response {
 	switch l.state.FinalStatus(l.forwarder.clock.nowMs()) {
 	case 503:
-		return allRefused.response(retryAfterRefused)
+		return allServersRejected.response(retryAfterRefused)
 	case 504:
 		return deadlineExceeded.response(0)
 	}
-	return noAnswer.response(0)
+	return noUsableResponse.response(0)
 }
 
-// afterAttempt goes on after an attempt has ended. A response that is returned is final.
+// afterAttempt handles the end of an attempt: it passes on the response, retries or waits for other attempts. A non-nil
+// response is final.
 func (l *lifecycle) afterAttempt(at *upstreamAttempt) (final *response) {
 	next := l.state.FinishAttempt(at.result, at.mayHaveRun, at.response != nil, l.request.started)
 	if next == limiter.Deliver {
-		l.noteDownloadLength(at.response)
+		l.reportDownloadLength(at.response)
 		return at.response
 	}
-	if at.response != nil { // a failure of the server's: another may do better
+	if at.response != nil { // the server failed: another may succeed
 		if l.failure != nil {
 			l.failure.release()
 		}
@@ -225,21 +226,21 @@
 		}
 	}
 	if len(l.running) > 0 && l.failure != nil && l.failure.rest != nil {
-		// Its rest would occupy a server meanwhile, and not come after its time.
+		// Holding the unread rest would occupy the server meanwhile, and it can't be read after the deadline.
 		l.failure.release()
 		l.failure = serverFailed.response(0)
 	}
 	return nil
 }
 
-// noteDownloadLength passes the length of a download to the limiter, once its head is here.
-func (l *lifecycle) noteDownloadLength(resp *response) {
+// reportDownloadLength passes the length of a download to the limiter once the response head was received.
+func (l *lifecycle) reportDownloadLength(resp *response) {
 	if !l.request.isDownload() {
 		return
 	}
 	f := l.forwarder
 	length := resp.length
-	if l.request.head.Method == "HEAD" { // which has no body
+	if l.request.head.Method == "HEAD" { // no body follows
 		length = 0
 	}
 	f.guarded.mu.Lock()
@@ -248,7 +249,7 @@
 	f.guarded.mu.Unlock()
 }
 
-// remove takes an attempt that has ended off the running ones.
+// remove removes an ended attempt from the running ones.
 func (l *lifecycle) remove(at *upstreamAttempt) {
 	for i, other := range l.running {
 		if other == at {
@@ -258,7 +259,7 @@
 	}
 }
 
-// abandon cancels the attempts that still run, and releases what they bring.
+// abandon cancels the running attempts and releases their responses.
 func (l *lifecycle) abandon() {
 	if l.failure != nil {
 		l.failure.release()
@@ -267,7 +268,7 @@
 		at.cancel()
 	}
 	if n := len(l.running); n > 0 {
-		go func() { // each one ends at once, as its connection is closed
+		go func() { // each ends at once, because its connection is closed
 			for range n {
 				if at := <-l.ended; at.response != nil {
 					at.response.release()
--- a/dataplane/link/pacer.go
+++ b/dataplane/link/pacer.go
@@ -1,12 +1,10 @@
-// Package link shares the machine's network link between long bodies and all else.
+// Package link shares the bandwidth of the machine's network link between long bodies and other traffic.
 //
-// A body of 90 KB takes a link of 5 Mbit/s for a seventh of a second. Whatever is written
-// behind it waits as long, and so do requests that arrive while a server sends such a body
-// as fast as it can. So long bodies are written in chunks of [Quantum] bytes, each body in
-// its turn, no faster than most of the link ([Pacer.Wait]). Heads, short responses and
-// gossip messages are written at once and only counted ([Pacer.Record]). Socket buffers are
-// small ([Pacer.Control]), so that data waits in the process, where it can be put in order,
-// and not on the way.
+// A body of 90 KB occupies a link of 5 Mbit/s for a seventh of a second. Everything written after it waits that long,
+// and so do requests that arrive while a server sends such a body at full speed. Long bodies are therefore written in
+// pieces of [Quantum] bytes, in turns, at a rate that leaves part of the link free ([Pacer.Wait]). Heads, short
+// responses and gossip messages are written at once and only counted ([Pacer.Record]). Socket buffers are small
+// ([Pacer.Control]), so that data is queued in the process, where it can be scheduled, and not in the network stack.
 package link
 
 import (
@@ -16,27 +14,27 @@
 )
 
 const (
-	// Quantum is how many bytes of a long body are written at a time.
+	// Quantum is the number of bytes of a long body written at a time.
 	Quantum = 8 << 10
-	// maxBurst is how much may be written at once after a pause, in time on the link.
+	// maxBurst is the amount of data that may be written at once after a pause, as transmission time on the link.
 	maxBurst = 20 * time.Millisecond
 )
 
-// Pacer paces what one machine writes to its link. A nil Pacer does nothing: the link's
-// speed is not known. It is safe for concurrent use.
+// Pacer paces the writes of one machine to its link. A nil Pacer, for a link of unknown speed, does nothing. It is safe
+// for concurrent use.
 type Pacer struct {
-	// Set by [New] and not changed.
-	bulkBytesPerS float64          // that long bodies may use, together with all else
-	bytesPerS     float64          // that the link carries
-	now           func() time.Time // a test's clock
+	// Immutable after [New].
+	bulkBytesPerS float64          // rate at which long bodies are paced; other traffic counts against it
+	bytesPerS     float64          // speed of the link
+	now           func() time.Time // replaced in tests
 
 	mu        sync.Mutex
-	drainedAt time.Time // guarded by mu: when all that was recorded has left
+	drainedAt time.Time // guarded by mu: when all recorded data has been sent
 }
 
-// New returns the pacer of a link of so many Mbit/s. fill is the part of it, from 0 to 1,
-// that may be in use when a long body is written. It returns nil for 0 Mbit/s or less: the
-// link's speed is not known, and nothing is paced.
+// New returns a pacer for a link of mbps Mbit/s. fill is the fraction of the link, from 0 to 1, up to which long bodies
+// may use it, including other traffic. New returns nil, and nothing is paced, if mbps is 0 or less, which means that
+// the speed is unknown.
 func New(mbps, fill float64) *Pacer {
 	if mbps <= 0 {
 		return nil
@@ -44,8 +42,8 @@
 	return &Pacer{bulkBytesPerS: mbps * fill * 1e6 / 8, bytesPerS: mbps * 1e6 / 8, now: time.Now}
 }
 
-// reserve takes the next turn on the link for some bytes and returns how long to wait
-// before they may be written; 0 or less: not at all.
+// reserve reserves link time for bytes and returns how long to wait before writing them; 0 or less means that they may
+// be written at once.
 func (p *Pacer) reserve(bytes int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,16 +56,15 @@
 	return wait
 }
 
-// Record counts bytes that are written at once, without a turn.
+// Record counts bytes that are written at once, without waiting.
 func (p *Pacer) Record(bytes int) {
 	if p != nil {
 		p.reserve(bytes)
 	}
 }
 
-// Wait returns when it is a long body's turn to write so many bytes, [Quantum] at most.
-// Those who wait take turns in the order of their calls. The error is the cause of the
-// context's end; the turn is used up then too.
+// Wait waits until a long body may write a piece of the given size, at most [Quantum] bytes. Callers are served in the
+// order of their calls. If the context ends first, Wait returns the cause, and the reserved link time is lost.
 func (p *Pacer) Wait(ctx context.Context, bytes int) error {
 	if p == nil {
 		return nil
@@ -86,7 +83,7 @@
 	}
 }
 
-// Backlog is how long the link takes to carry what was recorded; 0 when it is idle.
+// Backlog returns the time that the link needs to send the data recorded so far; 0 if it is idle.
 func (p *Pacer) Backlog() time.Duration {
 	if p == nil {
 		return 0
@@ -96,8 +93,8 @@
 	return max(0, p.drainedAt.Sub(p.now()))
 }
 
-// BulkBytesPerS is how many bytes a second long bodies may use; 0 where the link is so
-// fast, or so little is known of it, that they need no plan.
+// BulkBytesPerS returns the rate for long bodies in bytes per second; 0 if they need no scheduling because the link is
+// fast or its speed is unknown.
 func (p *Pacer) BulkBytesPerS() float64 {
 	if p.SocketBuffer() == 0 {
 		return 0
--- a/dataplane/link/socket.go
+++ b/dataplane/link/socket.go
@@ -6,17 +6,14 @@
 )
 
 const (
-	// A socket buffer holds as much as the link carries in socketBufferTime, and
-	// minSocketBuffer bytes at least.
+	// A socket buffer holds the data that the link carries in socketBufferTime, but at least minSocketBuffer bytes.
 	socketBufferTime = 25 * time.Millisecond
 	minSocketBuffer  = 8 << 10
-	// fastLink is the speed in bytes a second (80 Mbit/s) from which the buffers are left
-	// to the system.
+	// fastLink is the link speed in bytes per second (80 Mbit/s) from which the system's default buffers are used.
 	fastLink = 80e6 / 8
 )
 
-// SocketBuffer is how many bytes a socket buffer should hold; 0: as many as the system
-// likes.
+// SocketBuffer returns the size of socket buffers in bytes; 0 means the system's default.
 func (p *Pacer) SocketBuffer() int {
 	if p == nil || p.bytesPerS >= fastLink {
 		return 0
@@ -24,16 +21,15 @@
 	return max(minSocketBuffer, int(p.bytesPerS*socketBufferTime.Seconds()))
 }
 
-// Control sets a socket's buffers before it connects or listens, for [net.Dialer] and
-// [net.ListenConfig]: the receive buffer, so that whoever sends to it puts little on the
-// link at a time, and the send buffer.
+// Control sets the buffer sizes of a socket before it connects or listens, for [net.Dialer] and [net.ListenConfig]. A
+// small receive buffer limits how much the peer can have in transit on the link.
 func (p *Pacer) Control(_, _ string, c syscall.RawConn) error {
 	size := p.SocketBuffer()
 	if size == 0 {
 		return nil
 	}
 	return c.Control(func(fd uintptr) {
-		// Where the system refuses, the socket serves with the buffers that it has.
+		// If the system refuses, the socket works with its default buffers.
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, size)
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, size)
 	})
--- a/dataplane/listener.go
+++ b/dataplane/listener.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// openAfterTerm is how long connections are still accepted after SIGTERM: by then the platform has noticed that
-	// this gateway is not ready.
-	openAfterTerm = 2600 * time.Millisecond
-	// graceReserve is left of the grace period for what follows the drain.
-	graceReserve = 700 * time.Millisecond
-	// drainPoll is how often a drain looks whether connections are left.
-	drainPoll = 20 * time.Millisecond
-	// acceptBackoff is the pause after a failed accept, when descriptors have run out for example.
+	// acceptAfterTerm is how long connections are still accepted after SIGTERM. Within this time the platform detects
+	// that this gateway is not ready and stops sending new connections.
+	acceptAfterTerm = 2600 * time.Millisecond
+	// shutdownReserve is the part of the grace period kept for the shutdown steps after the drain.
+	shutdownReserve = 700 * time.Millisecond
+	// drainPollInterval is how often a drain checks whether connections are left.
+	drainPollInterval = 20 * time.Millisecond
+	// acceptBackoff is the pause after a failed accept, for example when file descriptors have run out.
 	acceptBackoff = 5 * time.Millisecond
 
 	defaultWriteTimeout = 10 * time.Second
 	defaultLinger       = 500 * time.Millisecond
 )
 
-// clientListener accepts connections of clients and drains them.
+// clientListener accepts client connections and drains them.
 type clientListener struct {
 	log       *slog.Logger
 	metrics   *telemetry.Metrics
@@ -39,10 +39,10 @@
 	forwarder *forwarder
 	tasks     *sync.WaitGroup
 
-	// Immutable after New; tests change them before they accept.
-	openFor      time.Duration // how long connections are accepted after SIGTERM
-	linger       time.Duration // how long a closed connection is read on, so that the client gets its last response
-	writeTimeout time.Duration // how long a client may take to be sent a response
+	// Immutable once accept runs; tests change them before that.
+	acceptFor    time.Duration // how long connections are accepted after SIGTERM
+	linger       time.Duration // how long input is discarded after the final response, so that the client receives it
+	writeTimeout time.Duration // for writing a response to the client
 
 	tcp net.Listener
 
@@ -50,7 +50,7 @@
 	conns map[*clientConn]struct{} // guarded by mu
 }
 
-// listen opens the listener for clients. Accepted connections inherit the socket options of the listener.
+// listen opens the listener for client connections, which inherit its socket options.
 func (l *clientListener) listen(address string) error {
 	config := net.ListenConfig{Control: l.link.Control, KeepAlive: -1}
 	var err error
@@ -79,41 +79,42 @@
 	}
 }
 
-// remove forgets a connection that has ended.
+// remove removes an ended connection from the set.
 func (l *clientListener) remove(c *clientConn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 }
 
-// count returns how many connections there are.
+// count returns the number of open connections.
 func (l *clientListener) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// drain leaves in this order: not ready any more, but still accepting until the platform has noticed; then no new
-// connections, while responses say that theirs closes; what is left at the end of the grace period is closed.
+// drain shuts the listener down in steps: it reports not ready but still accepts until the platform has detected that;
+// then it accepts no new connections, while responses announce that their connections close; at the end of the grace
+// period it closes the remaining connections.
 func (l *clientListener) drain(grace time.Duration) {
-	begun := time.Now()
+	start := time.Now()
 	l.readiness.draining.Store(true)
 	l.log.Info("draining", "in_flight", l.forwarder.inFlight.Load())
-	time.Sleep(l.openFor)
-	_ = l.tcp.Close() // accept ends by it
-	end := begun.Add(grace - graceReserve)
+	time.Sleep(l.acceptFor)
+	_ = l.tcp.Close() // makes accept return
+	end := start.Add(grace - shutdownReserve)
 	for time.Now().Before(end) {
 		l.wakeIdle()
 		if l.count() == 0 {
 			break
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	l.closeAll()
-	l.log.Info("drained", "after_ms", time.Since(begun).Milliseconds(), "in_flight", l.forwarder.inFlight.Load())
+	l.log.Info("drained", "after_ms", time.Since(start).Milliseconds(), "in_flight", l.forwarder.inFlight.Load())
 }
 
-// wakeIdle ends connections that wait for a request.
+// wakeIdle closes the connections that wait for a request.
 func (l *clientListener) wakeIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,11 +123,11 @@
 	}
 }
 
-// closeAll closes the connections that are left.
+// closeAll closes the remaining connections.
 func (l *clientListener) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		_ = c.nc.Close() // its time is up
+		_ = c.nc.Close() // the grace period is over
 	}
 }
--- a/dataplane/metrics.go
+++ b/dataplane/metrics.go
@@ -9,7 +9,7 @@
 	"example.org/elmspan/telemetry"
 )
 
-// registerGauges has the metrics read the gateway's state whenever they are collected.
+// registerGauges registers gauges that read the gateway's state at each collection.
 func (g *Gateway) registerGauges() {
 	g.metrics.Gauge("elmspan_ready", func() float64 {
 		if g.Ready() {
@@ -22,7 +22,7 @@
 	g.metrics.Gauge("elmspan_lease_left_seconds", func() float64 { return g.lease.remaining().Seconds() })
 	g.metrics.Gauge("elmspan_client_connections", func() float64 { return float64(g.listener.count()) })
 
-	locked := func(name string, read func() float64) {
+	lockedGauge := func(name string, read func() float64) {
 		g.metrics.Gauge(name, func() float64 {
 			g.guarded.mu.Lock()
 			defer g.guarded.mu.Unlock()
@@ -30,17 +30,17 @@
 		})
 	}
 	l := g.guarded.limiter
-	locked("elmspan_quota_part", func() float64 { return l.QuotaShare(g.clock.nowMs()) })
-	g.registerQuotaGauges(locked)
-	locked("elmspan_dark_zones", func() float64 { return float64(len(l.UnreachableZones(g.clock.nowMs()))) })
-	locked("elmspan_peers", func() float64 { return float64(l.PeerCount()) })
-	locked("elmspan_peers_told", func() float64 { return float64(l.GossipRecipients()) })
-	locked("elmspan_regroups_total", func() float64 { return float64(g.peers.regroups) })
-	locked("elmspan_servers", func() float64 { return float64(len(l.Members())) })
+	lockedGauge("elmspan_quota_part", func() float64 { return l.QuotaShare(g.clock.nowMs()) })
+	g.registerQuotaGauges(lockedGauge)
+	lockedGauge("elmspan_dark_zones", func() float64 { return float64(len(l.UnreachableZones(g.clock.nowMs()))) })
+	lockedGauge("elmspan_peers", func() float64 { return float64(l.PeerCount()) })
+	lockedGauge("elmspan_peers_told", func() float64 { return float64(l.GossipRecipients()) })
+	lockedGauge("elmspan_regroups_total", func() float64 { return float64(g.peers.regroups) })
+	lockedGauge("elmspan_servers", func() float64 { return float64(len(l.Members())) })
 }
 
-// registerQuotaGauges shows what was decided on quotas, and how late it is known what peers decided.
-func (g *Gateway) registerQuotaGauges(locked func(name string, read func() float64)) {
+// registerQuotaGauges registers the quota counters, and the gauge of how late decisions of peers become known here.
+func (g *Gateway) registerQuotaGauges(lockedGauge func(name string, read func() float64)) {
 	l := g.guarded.limiter
 	for name, read := range map[string]func(quota.Counters) float64{
 		"elmspan_quota_admitted_total":       func(c quota.Counters) float64 { return float64(c.Admitted) },
@@ -50,14 +50,14 @@
 		"elmspan_quota_forgiven_units_total": func(c quota.Counters) float64 { return c.Forgiven },
 		"elmspan_quota_inherited_total":      func(c quota.Counters) float64 { return float64(c.Inherited) },
 	} {
-		locked(name, func() float64 { return read(l.QuotaCounters()) })
+		lockedGauge(name, func() float64 { return read(l.QuotaCounters()) })
 	}
-	locked("elmspan_gossip_lateness_seconds", func() float64 {
+	lockedGauge("elmspan_gossip_lateness_seconds", func() float64 {
 		return millis(l.GossipLatenessMs(g.clock.nowMs())).Seconds()
 	})
 }
 
-// observeResponse counts a response and the time it took. Without metrics it costs a comparison.
+// observeResponse records a response and its duration. Without metrics it costs only a comparison.
 func observeResponse(metrics *telemetry.Metrics, r *request, resp *response) {
 	if metrics == nil {
 		return
@@ -78,14 +78,14 @@
 	}
 }
 
-// resultNames are the results of attempts in metrics and in the log that `elmspan explain` reads.
+// resultNames maps the results of attempts to their names in metrics and in the log that `elmspan explain` reads.
 var resultNames = map[balance.Result]string{
 	balance.Success: "good", balance.Rejected: "full", balance.Failure: "failed", balance.NotSent: "unsent",
 	balance.Cancelled: "given_up", balance.Replaced: "moved", balance.HedgeLost: "beaten", balance.ServerError: "erred",
 	balance.ClientDisconnected: "client_gone",
 }
 
-// observeAttempt counts an attempt at a server. Without metrics it costs a comparison.
+// observeAttempt records an attempt at a server and its duration. Without metrics it costs only a comparison.
 func observeAttempt(metrics *telemetry.Metrics, service string, at *upstreamAttempt) {
 	if metrics == nil {
 		return
--- a/dataplane/peers.go
+++ b/dataplane/peers.go
@@ -13,25 +13,25 @@
 	"example.org/elmspan/membership"
 )
 
-// peer is another gateway, as gossip reaches it.
+// peer is another gateway that takes part in gossip.
 type peer struct {
 	addr netip.AddrPort
 	zone string
 }
 
-// peerTable holds the other gateways, by the hashes of their names.
+// peerTable holds the other gateways by the hashes of their names.
 type peerTable struct {
 	self    string // this gateway's name
 	guarded *guardedLimiter
 
-	known atomic.Bool // the control side has named other processes
+	known atomic.Bool // records of other processes have been received
 
 	byID     map[uint64]peer // guarded by guardedLimiter.mu
-	regroups int             // guarded by guardedLimiter.mu; how often the limiter was given a new set of peers
+	regroups int             // guarded by guardedLimiter.mu; how often the set of peers or their zones changed
 }
 
-// apply takes in the processes of which something has changed. One that only started again, at the same address or
-// another, is the same peer: the replica groups and the subsets of servers stay as they are.
+// apply updates the table from processes whose records have changed. A restarted process, at the same address or a new
+// one, remains the same peer: the replica groups and the subsets of servers do not change.
 func (t *peerTable) apply(changed []api.Peer) {
 	t.guarded.mu.Lock()
 	defer t.guarded.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// applyOne takes in one process and reports whether the set of peers or their zones changed. Called under
+// applyOne updates the table from one process and reports whether the set of peers or their zones changed. Called under
 // guardedLimiter.mu.
 func (t *peerTable) applyOne(p *api.Peer) bool {
 	id := xxhash.Sum64String(p.Name)
@@ -62,7 +62,8 @@
 	return !had || before.zone != p.Zone
 }
 
-// regroup gives the limiter the present set of peers. Called under guardedLimiter.mu.
+// regroup passes the current set of peers to the limiter, which forms new replica groups. Called under
+// guardedLimiter.mu.
 func (t *peerTable) regroup() {
 	members := make([]quota.Member, 0, len(t.byID))
 	for id, p := range t.byID {
--- a/dataplane/pipeline.go
+++ b/dataplane/pipeline.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// pipeline bounds the requests of one connection that are in flight at once. It belongs to the goroutine that reads
-// the connection.
+// pipeline limits the requests of one connection that are processed concurrently. Only the goroutine that reads the
+// connection uses it.
 type pipeline struct {
-	slots     chan struct{} // holds one for each request in flight
+	slots     chan struct{} // holds one element per request in flight
 	responses sync.WaitGroup
 }
 
 func newPipeline() *pipeline { return &pipeline{slots: make(chan struct{}, maxPipelined)} }
 
-// acquireIfFree takes a slot for a request, and reports whether one was free.
+// acquireIfFree acquires a slot if one is free, and reports whether it did.
 func (p *pipeline) acquireIfFree() bool {
 	select {
 	case p.slots <- struct{}{}:
@@ -21,10 +21,10 @@
 	}
 }
 
-// acquire takes a slot for a request, once one is free.
+// acquire waits for a free slot and acquires it.
 func (p *pipeline) acquire() { p.slots <- struct{}{} }
 
-// run answers a request that has a slot in a goroutine of its own.
+// run calls answer in a new goroutine and then releases the slot, which the caller has acquired.
 func (p *pipeline) run(answer func()) {
 	p.responses.Go(func() {
 		answer()
--- a/dataplane/readiness.go
+++ b/dataplane/readiness.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// aloneAfter is when a gateway that knows of no peer is ready without: there is none.
-	aloneAfter = 2500 * time.Millisecond
+	// noPeersGrace is the time since the start after which a gateway that knows of no other process becomes ready
+	// without peers, on the assumption that there are none.
+	noPeersGrace = 2500 * time.Millisecond
 
 	probeHeaderTimeout = 2 * time.Second
 	probeIdleTimeout   = 5 * time.Second
 )
 
-// readiness decides whether new connections are wanted and answers the platform's probe: 200 when ready, 503 when not.
+// readiness decides whether the gateway should receive new connections, and answers the platform's probe: 200 when
+// ready, 503 when not.
 type readiness struct {
 	clock     clock
 	router    *router
@@ -31,7 +33,7 @@
 	listener net.Listener
 }
 
-// listen opens the probe's listener.
+// listen opens the listener for probes.
 func (r *readiness) listen(address string, log *slog.Logger) error {
 	var err error
 	if r.listener, err = net.Listen("tcp", address); err != nil {
@@ -51,18 +53,18 @@
 	_ = r.server.Serve(r.listener) // ends when the server is closed
 }
 
-// close ends the probe's server, at the end of a drain.
+// close closes the probe server at the end of a drain.
 func (r *readiness) close() {
-	_ = r.server.Close() // the process ends: nothing is left to save
+	_ = r.server.Close() // the process is about to exit
 }
 
-// ready reports whether new connections are wanted.
+// ready reports whether the gateway should receive new connections.
 func (r *readiness) ready() bool { return !r.draining.Load() && r.canServe() }
 
-// canServe reports whether this gateway knows all that it needs: a configuration, servers, a lease and its peers.
+// canServe reports whether this gateway has all that it needs: a configuration, servers, a lease and its peers.
 func (r *readiness) canServe() bool {
 	return r.router.current() != nil && r.endpoints.currentVersion() != 0 && r.lease.valid() &&
-		(r.peers.known.Load() || r.clock.now() > aloneAfter)
+		(r.peers.known.Load() || r.clock.now() > noPeersGrace)
 }
 
 // ServeHTTP answers a probe.
--- a/dataplane/request.go
+++ b/dataplane/request.go
@@ -13,38 +13,39 @@
 )
 
 const (
-	maxHeldBody = 64 << 10 // longer bodies are streamed: they can be sent to one server only
+	maxHeldBody = 64 << 10 // longer bodies are streamed, so only one server can be tried
 	minBudget   = time.Millisecond
 	maxBudget   = 10 * time.Minute
-	// retryAfterUnready is when to come back to a gateway that lacks a lease or a configuration: on the ordinary path
-	// it takes no longer.
+	// retryAfterUnready is the Retry-After of a gateway without a lease or a configuration. A start-up without faults
+	// obtains both within this time.
 	retryAfterUnready = 200 * time.Millisecond
 )
 
-// singleFields are the header fields that may stand in a request once only: two readers could choose differently.
+// singleFields are the header fields that a request may contain only once: of several values, gateway and server could
+// use different ones.
 var singleFields = [...]string{"Attempt-Id", "Time-Budget-Ms", "Authorization"}
 
-// request is one attempt of a client, as read.
+// request is a client's request as read from the connection.
 type request struct {
-	ctx         context.Context // ends when the client has left; see clientConn.ctx
+	ctx         context.Context // cancelled when the client disconnects; see clientConn.ctx
 	head        *h1.Head
 	route       *route
-	tenant      *tenant // nil: of nobody
+	tenant      *tenant // nil: no tenant, as keys are not required or the route is anonymous
 	service     string
-	keyRequired bool // the configuration has keys: they are not passed on
+	keyRequired bool // requests carry API keys, which are not forwarded
 	arrived     time.Time
 	deadline    time.Time
-	body        []byte        // held, in full; or the first bytes of a stream
-	stream      *h1.Body      // or too long to be held
-	length      int64         // of the stream; h1.Chunked where it isn't known
-	started     bool          // a part of the stream was sent to a server
-	bodyRead    chan struct{} // closed when the stream was read whole
+	body        []byte        // the complete body, or the first bytes of a streamed one
+	stream      *h1.Body      // the body, or the rest of it, if it is too long to buffer; else nil
+	length      int64         // of the streamed body; h1.Chunked if unknown
+	started     bool          // the streamed body may have been sent to a server in part
+	bodyRead    chan struct{} // closed when the streamed body was read completely
 	lifecycle   *limiter.RequestState
 }
 
-// prepare validates a request, finds its route and tenant, sets its deadline and reads its body. A response that is
-// returned refuses the request. What is written before the response waits for mine, the request's turn.
-func (c *clientConn) prepare(head *h1.Head, arrived time.Time, mine <-chan struct{}) (*request, *response) {
+// prepare validates a request, finds its route and tenant, sets its deadline and reads its body. A non-nil response
+// rejects the request. A 100 Continue waits for turn, like the response itself.
+func (c *clientConn) prepare(head *h1.Head, arrived time.Time, turn <-chan struct{}) (*request, *response) {
 	r := &request{ctx: c.ctx, head: head, arrived: arrived}
 	framing, refusal := validateHead(head)
 	if refusal != nil {
@@ -61,19 +62,19 @@
 	if framing > s.maxBody {
 		return r, refuseMalformed(413, "the body is too long")
 	}
-	c.sendContinue(head, mine)
+	c.sendContinue(head, turn)
 	c.setReadDeadline(r.deadline)
 	return r, r.readBody(h1.NewBody(c.in, framing), framing)
 }
 
-// validateHead checks what must hold of each request and returns how its body is framed.
+// validateHead checks the header rules that apply to all requests and returns the framing of the body.
 func validateHead(head *h1.Head) (framing int64, refusal *response) {
 	framing, err := head.RequestFraming()
 	if err != nil {
 		var malformed *h1.Error
 		if errors.As(err, &malformed) {
 			refusal = refuseMalformed(malformed.Status, malformed.Reason)
-			refusal.closes = true // where the next request begins is not known
+			refusal.closes = true // the start of the next request is unknown
 			return 0, refusal
 		}
 		return 0, refuseMalformed(400, err.Error())
@@ -89,8 +90,8 @@
 	return framing, nil
 }
 
-// resolve finds the request's route and, where keys are required, its tenant. The lease comes first: without one
-// the configuration may be out of date, and nothing is rejected or served by it.
+// resolve finds the request's route and, if keys are required, its tenant. It checks the lease first: without one the
+// configuration may be out of date, and must not be used to serve or reject requests.
 func (r *request) resolve(s *snapshot, l *lease) (refusal *response) {
 	if s == nil {
 		return noConfig.response(retryAfterUnready)
@@ -114,12 +115,13 @@
 	return nil
 }
 
-// setDeadline sets the deadline: the route's timeout, or the client's time budget where that is shorter.
+// setDeadline sets the deadline: the arrival time plus the route's timeout or the client's time budget, whichever is
+// shorter.
 func (r *request) setDeadline() (refusal *response) {
 	budget := r.route.timeout
 	if text := r.head.Get("Time-Budget-Ms"); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(ms > 0) || ms > inMs(maxBudget) { // NaN is not above 0
+		if err != nil || !(ms > 0) || ms > inMs(maxBudget) { // !(ms > 0) also rejects NaN
 			return refuseMalformed(400, "Time-Budget-Ms can't be read")
 		}
 		budget = min(budget, millis(ms))
@@ -128,15 +130,16 @@
 	return nil
 }
 
-// sendContinue asks a client that waits for it to send the body, never in the middle of a response before.
-func (c *clientConn) sendContinue(head *h1.Head, mine <-chan struct{}) {
+// sendContinue sends 100 Continue to a client that expects it, after all earlier responses.
+func (c *clientConn) sendContinue(head *h1.Head, turn <-chan struct{}) {
 	if head.HasToken("Expect", "100-continue") && !head.HTTP10 && c.in.Buffered() == 0 {
-		c.await(mine)
-		_, _ = io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n") // where it fails, reading the body does too
+		c.await(turn)
+		_, _ = io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n") // if it fails, reading the body fails too
 	}
 }
 
-// readBody reads the body where it is short enough to be held, so that another server can be sent it too.
+// readBody buffers a body that is short enough, so that a retry can send it to another server. A longer one is
+// streamed.
 func (r *request) readBody(body *h1.Body, framing int64) (refusal *response) {
 	if framing > maxHeldBody {
 		r.streamBody(body, framing)
@@ -159,16 +162,17 @@
 	return refuseMalformed(408, "the body did not come in time")
 }
 
-// streamBody has the body, or what follows on the bytes that are held, sent on as it comes.
+// streamBody marks the body, or the rest of it after the buffered bytes, to be forwarded as it is received.
 func (r *request) streamBody(body *h1.Body, length int64) {
 	r.stream, r.length, r.bodyRead = body, length, make(chan struct{})
 }
 
-// clientLeft reports whether the client was seen to have left.
-func (r *request) clientLeft() bool { return r.ctx.Err() != nil }
+// disconnected reports whether the client is known to have disconnected.
+func (r *request) disconnected() bool { return r.ctx.Err() != nil }
 
-// attemptContext is the context that attempts at servers, and the transfer of what they bring, depend on. It ends when
-// the client has left, unless the request must not run twice: nobody could tell then whether it was done.
+// attemptContext returns the context of attempts at servers and of the transfer of their responses. It is cancelled
+// when the client disconnects, unless the request is not idempotent: a cancelled attempt would leave it unknown whether
+// the server executed the request.
 func (r *request) attemptContext() context.Context {
 	if r.route != nil && r.route.IsIdempotent() {
 		return r.ctx
@@ -176,11 +180,12 @@
 	return context.WithoutCancel(r.ctx)
 }
 
-// skipBody reads past the body of a refused request, if it is short: the connection can go on then.
+// skipBody discards the body of a rejected request if it is short, so that the connection can be reused. If it is not,
+// the response closes the connection.
 func (c *clientConn) skipBody(r *request, framing int64, refusal *response) {
 	switch {
 	case framing == 0:
-	case r.head.HasToken("Expect", "100-continue") && c.in.Buffered() == 0: // it may never come
+	case r.head.HasToken("Expect", "100-continue") && c.in.Buffered() == 0: // the client may never send it
 		refusal.closes = true
 	default:
 		c.setReadDeadline(time.Now().Add(c.listener.linger))
--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -19,23 +19,23 @@
 
 type conn = connpool.Conn[string]
 
-// attemptOutcome is how an attempt at a server ended.
+// attemptOutcome is the outcome of an attempt at a server.
 type attemptOutcome struct {
 	result     balance.Result
 	mayHaveRun bool      // the server may have executed the request
-	response   *response // what its client can be sent, if anything
+	response   *response // for the client; nil if there is none to pass on
 	reusable   bool      // the connection may carry another request
 }
 
-// attempt sends a request to one server and reads its response. On a kept connection that turns out dead before a byte
-// was written, it goes on with another.
+// attempt sends a request to one server and reads its response. If a kept-alive connection turns out to be dead before
+// any byte was written, it tries another connection.
 func (f *forwarder) attempt(r *request, at *upstreamAttempt, host *connpool.Host[string]) attemptOutcome {
 	for {
 		c, kept, failure := f.connect(r, at, host)
 		if c == nil {
 			return attemptOutcome{result: failure}
 		}
-		if !f.pool.Available(host) { // the server went while we connected
+		if !f.pool.Available(host) { // the server was removed while the connection was made
 			c.Close()
 			return attemptOutcome{result: balance.Replaced}
 		}
@@ -47,7 +47,7 @@
 			}
 			return attemptOutcome{result: r.cancelledResult(), mayHaveRun: true}
 		}
-		// Only now is it certain that a cancellation closes no connection that another request has.
+		// The cancellation can no longer close the connection, so another request may use it.
 		switch streams := o.response != nil && o.response.rest != nil; {
 		case o.reusable:
 			f.pool.Put(c)
@@ -61,16 +61,17 @@
 	}
 }
 
-// cancelledResult is how an attempt ended that was cancelled.
+// cancelledResult returns the result of a cancelled attempt.
 func (r *request) cancelledResult() balance.Result {
-	if r.clientLeft() {
+	if r.disconnected() {
 		return balance.ClientDisconnected
 	}
 	return balance.HedgeLost
 }
 
-// connect takes a kept connection to a server, or makes a new one. A request that must not run twice gets a kept one
-// only if it was used a short time ago. Where there is none, it returns nil and how the attempt ended.
+// connect takes a kept-alive connection to a server, or opens a new one. A non-idempotent request gets a kept-alive
+// connection only if it was used recently. If no connection can be had, c is nil and failure is the result of the
+// attempt.
 func (f *forwarder) connect(r *request, at *upstreamAttempt, host *connpool.Host[string]) (
 	c *conn, kept bool, failure balance.Result,
 ) {
@@ -96,8 +97,8 @@
 	return nil, false, balance.NotSent
 }
 
-// roundTrip writes the request and reads the response. The connection is its caller's, or the response's where that is
-// not read whole.
+// roundTrip writes the request and reads the response. The caller keeps ownership of the connection, except that a
+// response which was not read completely owns it.
 func (f *forwarder) roundTrip(r *request, m *balance.Member, c *conn) attemptOutcome {
 	_ = c.SetDeadline(r.deadline) // fails on a closed connection, as the write then does
 	if c.Used && !c.Reusable() {
@@ -115,21 +116,21 @@
 		r.started = true
 		err = r.streamTo(c, f.router.current().maxBody, f.link)
 		var fault *h1.Error
-		if errors.As(err, &fault) { // the client's
+		if errors.As(err, &fault) { // in the client's body
 			e.Written, e.Response = attempt.PartlyWritten, attempt.RequestAborted
 			return f.classify(e, abortedBody(fault))
 		}
 	}
-	if err != nil { // the response may be there all the same: a server need not read all that it refuses
+	if err != nil { // still read the response: a server may reject a request without reading all of it
 		e.Written = attempt.PartlyWritten
 	}
-	head, err := f.readOwnHead(c.Reader, r.head, &e.StrayResponses)
+	head, err := f.readMatchingHead(c.Reader, r.head, &e.StrayResponses)
 	c.RecordExchange(age, c.ReadErr() != nil)
-	if c.WasStale(age) && time.Since(sent) < forgottenWithin {
-		f.noteForgotten(m.ID, age)
+	if c.WasStale(age) && time.Since(sent) < staleResetWindow {
+		f.recordStaleConn(m.ID, age)
 	}
 	if e.StrayResponses > 0 {
-		f.noteUnexpected(m.ID, e.StrayResponses, err)
+		f.recordUnexpected(m.ID, e.StrayResponses, err)
 	}
 	if err != nil {
 		return f.classify(e, nil)
@@ -138,12 +139,12 @@
 	return f.readResponse(c, e, r.head.Method, head)
 }
 
-// abortedBody is the response to a client whose streamed body is malformed or breaks off.
+// abortedBody returns the response to a client whose streamed body is malformed or truncated.
 func abortedBody(fault *h1.Error) *response {
 	return &response{status: fault.Status, reason: malformedCode, text: fault.Reason, closes: true}
 }
 
-// writeRequest writes the head for a server, with a body that is held. It returns how many bytes were written.
+// writeRequest writes the request head and a buffered body. It returns the number of bytes written.
 func (f *forwarder) writeRequest(r *request, member string, c *conn) (int, error) {
 	b := bufferPool.Get().(*bytes.Buffer)
 	defer bufferPool.Put(b)
@@ -153,10 +154,10 @@
 	return c.Write(b.Bytes())
 }
 
-// readResponse reads the body behind the head of a response, as far as that must be read before a byte of it goes out.
+// readResponse reads as much of the response body as must be buffered before any of it is sent to the client.
 func (f *forwarder) readResponse(c *conn, e attempt.Evidence, method string, head *h1.Head) attemptOutcome {
 	framing, err := head.ResponseFraming(method)
-	if err != nil { // no response that two would read alike
+	if err != nil { // ambiguous framing: the client could read another response
 		return f.classify(e, nil)
 	}
 	e.Response, e.Status, e.NotExecuted = attempt.Truncated, head.Status, head.Get("Not-Executed") != ""
@@ -178,15 +179,15 @@
 		}
 	}
 	e.Response = attempt.Streaming
-	resp.rest, resp.free, resp.closeUpstream = body, f.releaseFunc(c, e), c.Close
+	resp.rest, resp.releaseConn, resp.closeUpstream = body, f.releaseFunc(c, e), c.Close
 	return f.classify(e, resp)
 }
 
-// completeResponse is the outcome of an attempt whose response was read whole.
+// completeResponse returns the outcome of an attempt whose response was read completely.
 func (f *forwarder) completeResponse(c *conn, e attempt.Evidence, resp *response) attemptOutcome {
 	resp.length = int64(len(resp.body))
-	if e.HeadRequest { // what GET would have is stated all the same
-		resp.length, _ = resp.head.ResponseFraming("GET") // an error was met before
+	if e.HeadRequest { // a response to HEAD states the length that GET would have
+		resp.length, _ = resp.head.ResponseFraming("GET") // readResponse has checked the framing
 	}
 	e.Response, e.TrailingBytes = attempt.Complete, c.Reader.Buffered()
 	o := f.classify(e, resp)
@@ -194,8 +195,8 @@
 	return o
 }
 
-// releaseFunc returns what lets go of the connection of a response that has begun. (It is a function of its own so
-// that the evidence on all other responses stays on the stack.)
+// releaseFunc returns the function that releases the connection of a streamed response. (It is separate so that the
+// evidence on all other responses stays on the stack.)
 func (f *forwarder) releaseFunc(c *conn, e attempt.Evidence) func(whole bool) {
 	return func(whole bool) {
 		if e.Response, e.TrailingBytes = attempt.Complete, c.Reader.Buffered(); whole && f.rules.Reusable(e) {
@@ -206,7 +207,8 @@
 	}
 }
 
-// classify is how an attempt ended, by what was seen of it and the response that it brought.
+// classify returns the outcome of an attempt from the evidence on it. resp is the server's response, or the error
+// response to a client whose body is malformed; nil if there is none.
 func (f *forwarder) classify(e attempt.Evidence, resp *response) attemptOutcome {
 	v := f.rules.Classify(e)
 	o := attemptOutcome{result: v.Result, mayHaveRun: v.MayHaveRun}
@@ -219,17 +221,17 @@
 	return o
 }
 
-// maxUnexpectedBody bounds how much is read past of a response to another request.
+// maxUnexpectedBody is the longest body, in bytes, that is skipped of a response to another request.
 const maxUnexpectedBody = 1 << 20
 
-// errUnexpectedResponse ends the reading of a connection whose bytes can't be attributed to this request.
-var errUnexpectedResponse = errors.New("the response is not to this request")
+// errUnexpectedResponse is returned if the bytes on a connection can't be attributed to this request.
+var errUnexpectedResponse = errors.New("response does not belong to this request")
 
-// readOwnHead reads the head of the response to a request: the one with its id. A server that has stuttered sends a
-// second response to an earlier request where the next one is due. Its id shows it, and the request's own response
-// stands behind it. A response without an id could be anybody's: nothing that follows can be trusted. It counts the
-// responses that were not this request's.
-func (f *forwarder) readOwnHead(in *bufio.Reader, requestHead *h1.Head, unexpected *int) (*h1.Head, error) {
+// readMatchingHead reads the head of the response whose Attempt-Id is that of the request. A faulty server may send a
+// duplicate response to an earlier request first. Its id identifies the duplicate, which is skipped: the expected
+// response follows it. A response without an id can't be attributed to any request, so nothing after it on the
+// connection can be trusted. unexpected counts the responses that did not match.
+func (f *forwarder) readMatchingHead(in *bufio.Reader, requestHead *h1.Head, unexpected *int) (*h1.Head, error) {
 	for {
 		h, err := h1.ReadResponse(in, maxResponseHead)
 		if err != nil {
@@ -252,22 +254,23 @@
 	}
 }
 
-// forgottenWithin is how soon a reset comes from a server that has forgotten a connection: before it could have worked
-// on the request.
-const forgottenWithin = 50 * time.Millisecond
+// staleResetWindow is the time within which a server resets a connection that it had already dropped. A later reset may
+// come from a server that has begun to process the request.
+const staleResetWindow = 50 * time.Millisecond
 
-// noteForgotten notes that a server had forgotten a kept connection of an age group, and has gossip spread it.
-func (f *forwarder) noteForgotten(server string, age int) {
+// recordStaleConn records that a server had dropped a kept-alive connection of an idle-age group, and reports it to the
+// peers by gossip.
+func (f *forwarder) recordStaleConn(server string, age int) {
 	f.pool.RecordStale(age, connpool.Self)
 	f.guarded.mu.Lock()
 	f.guarded.limiter.ReportStaleConnection(f.clock.nowMs(), age)
 	f.guarded.mu.Unlock()
-	f.log.Debug("kept connection was forgotten by the server", "server", server, "age_group", age)
+	f.log.Debug("kept-alive connection was dropped by the server", "server", server, "age_group", age)
 	f.metrics.Count("elmspan_forgotten_connections_total", 1)
 }
 
-// noteUnexpected notes responses that belonged to no request.
-func (f *forwarder) noteUnexpected(server string, n int, err error) {
-	f.log.Debug("unexpected responses", "server", server, "count", n, "own_found", err == nil)
+// recordUnexpected logs and counts responses that did not match the request.
+func (f *forwarder) recordUnexpected(server string, n int, err error) {
+	f.log.Debug("received responses to other requests", "server", server, "count", n, "own_found", err == nil)
 	f.metrics.Count("elmspan_stray_answers_total", n)
 }
--- a/dataplane/router.go
+++ b/dataplane/router.go
@@ -8,18 +8,18 @@
 	"example.org/elmspan/versioned"
 )
 
-// router holds the configuration in force. Readers take the snapshot once and use it for the whole request; a change
-// makes a new snapshot and swaps the pointer. Changes come from one goroutine.
+// router holds the current configuration. A request loads the snapshot once and uses it throughout; a change builds a
+// new snapshot and swaps the pointer. Only one goroutine at a time makes changes.
 type router struct {
 	log      *slog.Logger
 	guarded  *guardedLimiter
 	snapshot atomic.Pointer[snapshot] // nil before the first configuration
 }
 
-// current returns the snapshot in force, nil before the first.
+// current returns the current snapshot, nil before the first configuration.
 func (r *router) current() *snapshot { return r.snapshot.Load() }
 
-// revision returns the revision in force, 0 before the first.
+// revision returns the current revision, 0 before the first configuration.
 func (r *router) revision() uint64 {
 	if s := r.current(); s != nil {
 		return s.revision
@@ -27,10 +27,11 @@
 	return 0
 }
 
-// apply takes over a delta of the configuration. Nothing of it holds where it doesn't fit the revision in force. The
-// quotas change before the snapshot is swapped, so that each tenant that a request can find has its plan.
+// apply applies a delta to the configuration. If the delta does not fit the current revision, apply changes nothing and
+// returns an error. It changes the quotas before it swaps the snapshot, so that every tenant that a request can find
+// has its plan.
 func (r *router) apply(delta *versioned.DeltaReader) error {
-	begun := time.Now()
+	start := time.Now()
 	next, plans, err := r.current().with(delta)
 	if err != nil {
 		return err
@@ -40,6 +41,6 @@
 	r.guarded.mu.Unlock()
 	r.snapshot.Store(next)
 	r.log.Info("configuration applied", "revision", next.revision, "from", delta.From, "rows", delta.RowCount,
-		"total_rows", next.checksums.Len(), "tenants", next.tenants.Len(), "took_ms", time.Since(begun).Milliseconds())
+		"total_rows", next.checksums.Len(), "tenants", next.tenants.Len(), "took_ms", time.Since(start).Milliseconds())
 	return nil
 }
--- a/dataplane/snapshot.go
+++ b/dataplane/snapshot.go
@@ -10,7 +10,7 @@
 	"example.org/elmspan/internal/persistentmap"
 )
 
-// Limits of requests where the configuration sets none.
+// Request limits if the configuration sets none.
 const (
 	defaultMaxHead     = 16 << 10
 	defaultMaxBody     = 64 << 20
@@ -18,42 +18,41 @@
 	defaultIdleTimeout = 15 * time.Second
 )
 
-// keyHash is what is kept of a tenant's key.
+// keyHash is the hash of a tenant's API key. The key itself is not stored.
 type keyHash = [sha256.Size]byte
 
-// hashKey returns the hash of a key.
 func hashKey(key string) keyHash { return sha256.Sum256([]byte(key)) }
 
-// snapshot is one version of the configuration, ready for look-ups. It is immutable. The next one shares with it all
-// that stays as it is, so that a change costs what changed, not what there is.
+// snapshot is one version of the configuration, indexed for look-ups. It is immutable. Snapshots share their unchanged
+// parts, so that the cost of a change depends on the size of the change and not of the configuration.
 type snapshot struct {
 	revision    uint64
-	checksum    uint64                            // over all rows; see versioned.RowChecksum
-	checksums   persistentmap.Map[string, uint64] // of each row, by its key
+	checksum    uint64                            // of all rows; see versioned.RowChecksum
+	checksums   persistentmap.Map[string, uint64] // of each row, by row key
 	hosts       persistentmap.Map[string, *host]  // by name, in lower case
 	keys        persistentmap.Map[keyHash, *tenant]
 	tenants     persistentmap.Map[string, *tenant] // by name
-	maxHead     int                                // bytes of a request's head
-	maxBody     int64                              // bytes of a request's body
-	headTimeout time.Duration                      // for a request's head, from its first byte
-	idleTimeout time.Duration                      // between two requests of a connection
+	maxHead     int                                // bytes of a request head
+	maxBody     int64                              // bytes of a request body
+	headTimeout time.Duration                      // for reading a request head, from its first byte
+	idleTimeout time.Duration                      // between two requests on a connection
 }
 
 // host holds the routes of one host.
 type host struct {
-	routes  map[string]*route // by prefix
-	lengths []int             // of the prefixes, the longest first, each once
+	routes  map[string]*route // by path prefix
+	lengths []int             // distinct lengths of the prefixes, the longest first
 }
 
-// route is a route of the configuration with what is derived from it.
+// route is a route of the configuration with derived values.
 type route struct {
 	api.Route
 	timeout       time.Duration
 	latencyTarget time.Duration // 0: none
-	totalWeight   float64       // of the traffic split
+	totalWeight   float64       // sum of the weights of the traffic split
 }
 
-// tenant is a tenant of the configuration. Its quota is the limiter's.
+// tenant is a tenant of the configuration. The limiter holds its quota.
 type tenant struct {
 	name string
 	id   uint64
@@ -68,7 +67,7 @@
 	return x
 }
 
-// setLimits takes over limits of requests, with the defaults where they are 0. Called before the snapshot is shared.
+// setLimits sets the request limits, with defaults for those that are 0. Called before the snapshot is shared.
 func (s *snapshot) setLimits(l *api.RequestLimits) {
 	s.maxHead = cmp.Or(int(l.MaxHeaderBytes), defaultMaxHead)
 	s.maxBody = cmp.Or(l.MaxBodyBytes, defaultMaxBody)
@@ -76,12 +75,12 @@
 	s.idleTimeout = cmp.Or(millis(l.IdleTimeoutMs), defaultIdleTimeout)
 }
 
-// keysRequired reports whether requests need a tenant's key: where there are tenants.
+// keysRequired reports whether requests need an API key, which is so if there are tenants.
 func (s *snapshot) keysRequired() bool { return s.tenants.Len() > 0 }
 
-// route returns the route of a host and path, nil where none fits: the one whose
-// prefix is the longest. It costs a look-up for each length of the host's
-// prefixes, however many routes there are, and makes no garbage.
+// route returns the route with the longest prefix that matches a host and path, nil if none matches. It makes one
+// look-up for each distinct prefix length of the host, however many routes there are, and does not allocate
+// if the name is in lower case.
 func (s *snapshot) route(name, path string) *route {
 	h, ok := s.hosts.Get(strings.ToLower(name))
 	if !ok {
@@ -103,7 +102,7 @@
 	return nil
 }
 
-// pickService picks one of a route's services by their weights, from a draw in [0, 1).
+// pickService picks one of a route's services in proportion to their weights, by a random number in [0, 1).
 func (r *route) pickService(draw float64) string {
 	if len(r.TrafficSplit) == 0 {
 		return r.Upstream
--- a/dataplane/snapshotedit.go
+++ b/dataplane/snapshotedit.go
@@ -13,23 +13,23 @@
 	"example.org/elmspan/versioned"
 )
 
-// planChanges is what a delta of the configuration changes in the tenants' quotas, by their ids.
+// planChanges are the changes to tenants' quotas made by a delta of the configuration, by tenant ID.
 type planChanges struct {
 	put  map[uint64]quota.Plan
 	drop []uint64
 }
 
-// with returns the snapshot that a delta makes of this one (nil: of none), and what changes in the quotas. This
-// snapshot stays as it is.
+// with returns a new snapshot with a delta applied, and the changes to quotas. s is not modified; it is nil before the
+// first configuration.
 func (s *snapshot) with(r *versioned.DeltaReader) (*snapshot, *planChanges, error) {
 	plans := &planChanges{put: map[uint64]quota.Plan{}}
 	switch {
 	case s != nil && r.To <= s.revision:
-		return nil, nil, fmt.Errorf("version %d is not above %d", r.To, s.revision)
+		return nil, nil, fmt.Errorf("configuration revision %d is not newer than current revision %d", r.To, s.revision)
 	case r.From != 0 && (s == nil || r.From != s.revision):
-		return nil, nil, fmt.Errorf("a delta on version %d", r.From)
+		return nil, nil, fmt.Errorf("configuration delta is based on revision %d, not the current revision", r.From)
 	}
-	if s != nil && r.From == 0 { // the whole configuration: tenants that it does not name are gone
+	if s != nil && r.From == 0 { // a full configuration: tenants missing from it are removed
 		for _, t := range s.tenants.All {
 			plans.drop = append(plans.drop, t.id)
 		}
@@ -45,36 +45,36 @@
 	if e.checksum != r.Checksum {
 		return nil, nil, versioned.ErrChecksum
 	}
-	plans.drop = slices.DeleteFunc(plans.drop, func(id uint64) bool { _, is := plans.put[id]; return is })
-	return e.done(r.To), plans, nil
+	plans.drop = slices.DeleteFunc(plans.drop, func(id uint64) bool { _, ok := plans.put[id]; return ok })
+	return e.build(r.To), plans, nil
 }
 
-// snapshotEdit is a snapshot in the making. Its own maps hide those of the snapshot until it is done.
+// snapshotEdit builds a snapshot. Until build, its map builders shadow the maps of the embedded snapshot.
 type snapshotEdit struct {
 	*snapshot
-	checksums *persistentmap.Builder[string, uint64]
-	hosts     *persistentmap.Builder[string, *host]
-	keys      *persistentmap.Builder[keyHash, *tenant]
-	tenants   *persistentmap.Builder[string, *tenant]
-	plans     *planChanges
-	ownHosts  map[string]bool // hosts that were copied for this edit: they may be changed
+	checksums   *persistentmap.Builder[string, uint64]
+	hosts       *persistentmap.Builder[string, *host]
+	keys        *persistentmap.Builder[keyHash, *tenant]
+	tenants     *persistentmap.Builder[string, *tenant]
+	plans       *planChanges
+	copiedHosts map[string]bool // hosts that were copied for this edit and may be modified
 }
 
 func newSnapshotEdit(s *snapshot, plans *planChanges) *snapshotEdit {
 	next := *s
 	return &snapshotEdit{
-		snapshot:  &next,
-		checksums: s.checksums.Builder(),
-		hosts:     s.hosts.Builder(),
-		keys:      s.keys.Builder(),
-		tenants:   s.tenants.Builder(),
-		plans:     plans,
-		ownHosts:  map[string]bool{},
+		snapshot:    &next,
+		checksums:   s.checksums.Builder(),
+		hosts:       s.hosts.Builder(),
+		keys:        s.keys.Builder(),
+		tenants:     s.tenants.Builder(),
+		plans:       plans,
+		copiedHosts: map[string]bool{},
 	}
 }
 
-// done returns the snapshot, which is immutable from here on.
-func (e *snapshotEdit) done(revision uint64) *snapshot {
+// build returns the snapshot, which is immutable from then on.
+func (e *snapshotEdit) build(revision uint64) *snapshot {
 	next := e.snapshot
 	next.revision = revision
 	next.checksums, next.hosts = e.checksums.Map(), e.hosts.Map()
@@ -126,11 +126,11 @@
 	return nil
 }
 
-// editHost returns a host that this edit may change, by its name in lower case: a copy where the snapshots before have
-// it too.
-func (e *snapshotEdit) editHost(name string) *host {
+// mutableHost returns a host that this edit may modify, by its name in lower case. It copies a host that earlier
+// snapshots share.
+func (e *snapshotEdit) mutableHost(name string) *host {
 	before, had := e.hosts.Get(name)
-	if e.ownHosts[name] {
+	if e.copiedHosts[name] {
 		return before
 	}
 	h := &host{routes: map[string]*route{}}
@@ -140,28 +140,28 @@
 		}
 		h.lengths = slices.Clone(before.lengths)
 	}
-	e.ownHosts[name] = true
+	e.copiedHosts[name] = true
 	e.hosts.Put(name, h)
 	return h
 }
 
 // putRoute adds or replaces a route.
 func (e *snapshotEdit) putRoute(r *api.Route) {
-	h := e.editHost(strings.ToLower(r.Host))
+	h := e.mutableHost(strings.ToLower(r.Host))
 	h.routes[r.Prefix] = newRoute(r)
-	if at, is := h.findLength(len(r.Prefix)); !is {
+	if at, found := h.findLength(len(r.Prefix)); !found {
 		h.lengths = slices.Insert(h.lengths, at, len(r.Prefix))
 	}
 }
 
-// removeRoute removes a route, and its host with the last one.
+// removeRoute removes a route, and its host if no route is left.
 func (e *snapshotEdit) removeRoute(r *api.Route) {
 	name := strings.ToLower(r.Host)
-	h := e.editHost(name)
+	h := e.mutableHost(name)
 	delete(h.routes, r.Prefix)
 	if len(h.routes) == 0 {
 		e.hosts.Delete(name)
-		delete(e.ownHosts, name)
+		delete(e.copiedHosts, name)
 		return
 	}
 	for prefix := range h.routes {
@@ -169,22 +169,22 @@
 			return
 		}
 	}
-	if at, is := h.findLength(len(r.Prefix)); is {
+	if at, found := h.findLength(len(r.Prefix)); found {
 		h.lengths = slices.Delete(h.lengths, at, at+1)
 	}
 }
 
-// findLength returns where a length stands among those of the prefixes, or would stand.
-func (h *host) findLength(length int) (at int, is bool) {
+// findLength returns the index of a length among the prefix lengths, or the index at which to insert it.
+func (h *host) findLength(length int) (at int, found bool) {
 	return slices.BinarySearchFunc(h.lengths, length, func(a, b int) int { return b - a })
 }
 
-// applyTenant adds, replaces or removes a tenant with its keys and its plan.
+// applyTenant adds, replaces or removes a tenant with its API keys and quota plan.
 func (e *snapshotEdit) applyTenant(t *api.Tenant, removed bool) {
 	id := quota.TenantID(t.Name)
 	if before, had := e.tenants.Get(t.Name); had {
 		for _, k := range before.keys {
-			if owner, is := e.keys.Get(k); is && owner.id == id { // the key may have gone to another tenant
+			if owner, ok := e.keys.Get(k); ok && owner.id == id { // the key may have moved to another tenant
 				e.keys.Delete(k)
 			}
 		}
--- a/dataplane/status.go
+++ b/dataplane/status.go
@@ -1,28 +1,28 @@
 package dataplane
 
-// Status is what a gateway shows of itself. The names of the fields are part of the output of `elmspan status`.
+// Status is the state that a gateway reports. The field names are part of the output of `elmspan status`.
 type Status struct {
 	Ready, Draining bool
 	Revision        uint64 // of the configuration; 0: none
-	LeaseLeftMs     int64  // below 0: the lease has run out
+	LeaseLeftMs     int64  // negative: the lease has expired
 	InHand          int64  // requests in flight
-	Connections     int    // of clients
-	// QuotaPart is the share of each quota that this gateway may use: 1 where it receives from all peers, and they
+	Connections     int    // client connections
+	// QuotaPart is the share of each quota that this gateway may use: 1 if it receives gossip from all peers, and they
 	// from each other.
 	QuotaPart float64
-	DarkZones []string `json:",omitempty"` // zones in outage, whose servers are passed over
+	DarkZones []string `json:",omitempty"` // zones in outage, whose servers are not used
 	Peers     int      // other gateways
 	Servers   []ServerStatus
 }
 
-// ServerStatus is how a gateway sees a server.
+// ServerStatus is a gateway's view of a server.
 type ServerStatus struct {
 	ID, Service, Zone, State string
-	Out                      int     // this gateway's requests in flight to it
-	Load                     float64 // all gateways' requests, as gossiped
+	Out                      int     // requests in flight from this gateway
+	Load                     float64 // requests in flight from all gateways, as known by gossip
 }
 
-// Status returns what this gateway knows at the moment.
+// Status returns the current state of the gateway.
 func (g *Gateway) Status() Status {
 	s := Status{
 		Ready:       g.Ready(),
--- a/dataplane/upstreamrequest.go
+++ b/dataplane/upstreamrequest.go
@@ -13,7 +13,7 @@
 	"example.org/elmspan/dataplane/link"
 )
 
-// writeHead writes the head of a request as a server gets it, with a body that is held.
+// writeHead writes the head of the request to a server, and a buffered body.
 func (r *request) writeHead(b *bytes.Buffer, member string) {
 	b.WriteString(r.head.Method)
 	b.WriteByte(' ')
@@ -45,14 +45,14 @@
 	}
 }
 
-// isSetByGateway reports whether the gateway sets a field itself, whatever a client sent.
+// isSetByGateway reports whether a client's field is not forwarded because the gateway sets or handles it itself.
 func isSetByGateway(name string) bool {
 	return strings.EqualFold(name, "Time-Budget-Ms") || strings.EqualFold(name, "Target-Member") ||
 		strings.EqualFold(name, "Tenant-Name") || strings.EqualFold(name, "Expect")
 }
 
-// streamTo sends a body that is too long to be held, of maxBody bytes at most. What the client does wrong meanwhile is
-// an [h1.Error].
+// streamTo forwards a streamed body of at most maxBody bytes. An error in the client's body is returned as an
+// [h1.Error].
 func (r *request) streamTo(w io.Writer, maxBody int64, l *link.Pacer) error {
 	s := bodyStream{ctx: r.attemptContext(), w: w, link: l, chunked: r.length < 0, maxBody: maxBody}
 	p := copyBufferPool.Get().(*[]byte)
@@ -63,7 +63,7 @@
 			return err
 		}
 	}
-	defer r.noteBodyRead()
+	defer r.closeBodyRead()
 	for !r.stream.Done() {
 		n, err := r.stream.Read(buf)
 		if n > 0 {
@@ -80,14 +80,15 @@
 	return s.end()
 }
 
-// noteBodyRead notes whether the stream was read whole. It is sent once only, so that this is called once.
-func (r *request) noteBodyRead() {
+// closeBodyRead closes bodyRead if the body was read completely. A streamed body is sent once only, so this is called
+// once only.
+func (r *request) closeBodyRead() {
 	if r.stream.Done() {
 		close(r.bodyRead)
 	}
 }
 
-// bodyFault returns what is wrong with a client's body, by the error of reading it; nil at its end.
+// bodyFault converts an error from reading a client's body to an [h1.Error]. It returns nil at the end of the body.
 func bodyFault(err error) error {
 	if errors.As(err, new(*h1.Error)) {
 		return err
@@ -95,12 +96,12 @@
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
-	return &h1.Error{Status: 400, Reason: "the body breaks off"} // its server never has the whole
+	return &h1.Error{Status: 400, Reason: "the body breaks off"} // the server can't receive the complete body
 }
 
-// bodyStream writes a body to a server piece by piece, each when it is its turn on the link.
+// bodyStream writes a body to a server in pieces; the pacer schedules each on the link.
 type bodyStream struct {
-	ctx     context.Context // ends the wait for the link
+	ctx     context.Context // cancels the wait for the link
 	w       io.Writer
 	link    *link.Pacer
 	chunked bool
@@ -108,7 +109,7 @@
 	sent    int64
 }
 
-// write sends the next bytes.
+// write writes the next piece of the body.
 func (s *bodyStream) write(data []byte) error {
 	if s.sent += int64(len(data)); s.sent > s.maxBody {
 		return &h1.Error{Status: 413, Reason: "the body is too long"}
@@ -126,7 +127,7 @@
 	return err
 }
 
-// end sends what marks the body as whole.
+// end writes the last chunk of a chunked body.
 func (s *bodyStream) end() error {
 	if !s.chunked {
 		return nil
