--- a/dataplane/clientconn.go
+++ b/dataplane/clientconn.go
@@ -34,7 +34,7 @@
 	mu           sync.Mutex
 	requestsRead int  // guarded by mu
 	idle         bool // guarded by mu; the connection waits for the first byte of a request
-	closing      bool // guarded by mu; no further response is written
+	closing      bool // guarded by mu; no response follows the current one
 	lastWritten  bool // guarded by mu; the final response was written completely
 	watchOver    bool // guarded by mu; see watchWhile
 }
--- a/dataplane/clock.go
+++ b/dataplane/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clock measures the time since the process started, on the monotonic clock: changes of the wall clock
-// have no effect.
+// clock measures the time since the process started, on the monotonic clock: changes of the wall clock have no
+// effect.
 type clock struct{ start time.Time }
 
 // now returns the time since the start.
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -153,9 +153,9 @@
 	if err := g.readiness.listen(cfg.Listeners.Ready, g.log); err != nil {
 		return errors.Join(err, g.listener.tcp.Close())
 	}
-	at, err := netip.ParseAddrPort(cfg.InternalAddr())
+	addr, err := netip.ParseAddrPort(cfg.InternalAddr())
 	if err == nil {
-		g.gossip.socket, err = datagram.Listen(at)
+		g.gossip.socket, err = datagram.Listen(addr)
 	}
 	if err != nil {
 		err = fmt.Errorf("internal_port_range: %w", err)
--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -80,16 +80,16 @@
 	if l.request.disconnected() {
 		return false, clientDisconnected.response(0)
 	}
-	at, refusal := l.chooseServer(hedge)
-	if at == nil {
+	a, refusal := l.chooseServer(hedge)
+	if a == nil {
 		return false, refusal
 	}
-	at.ctx, at.cancel = context.WithCancel(l.request.attemptContext())
-	l.running = append(l.running, at)
+	a.ctx, a.cancel = context.WithCancel(l.request.attemptContext())
+	l.running = append(l.running, a)
 	if l.state.AllowsHedge() {
-		go l.runAttempt(at) // ends by the deadline of the request
+		go l.runAttempt(a) // ends by the deadline of the request
 	} else {
-		l.runAttempt(at)
+		l.runAttempt(a)
 	}
 	return true, nil
 }
@@ -108,50 +108,50 @@
 		}
 		return nil, nil
 	}
-	at := &upstreamAttempt{
+	a := &upstreamAttempt{
 		member: member, sentAt: time.Now(), load: member.Load(now) - 1, hedge: hedge, host: f.pool.Host(member.ID),
 	}
 	if wait, counts := l.state.OverdueAfterMs(now, member); counts {
-		at.overdueAfter = millis(wait)
+		a.overdueAfter = millis(wait)
 	}
 	f.guarded.mu.Unlock()
-	return at, nil
+	return a, nil
 }
 
 // runAttempt makes an attempt and reports its end to the limiter, then to the lifecycle.
-func (l *lifecycle) runAttempt(at *upstreamAttempt) {
+func (l *lifecycle) runAttempt(a *upstreamAttempt) {
 	f := l.forwarder
-	defer at.cancel() // the response no longer depends on the context of the attempt
-	at.attemptOutcome = attemptOutcome{result: balance.NotSent}
-	if at.overdueAfter > 0 {
-		late := time.AfterFunc(at.overdueAfter, func() {
+	defer a.cancel() // the response no longer depends on the context of the attempt
+	a.attemptOutcome = attemptOutcome{result: balance.NotSent}
+	if a.overdueAfter > 0 {
+		overdueTimer := time.AfterFunc(a.overdueAfter, func() {
 			f.guarded.mu.Lock()
 			defer f.guarded.mu.Unlock()
-			f.guarded.limiter.ObserveOverdue(f.clock.nowMs(), at.member)
+			f.guarded.limiter.ObserveOverdue(f.clock.nowMs(), a.member)
 		})
-		defer late.Stop()
+		defer overdueTimer.Stop()
 	}
-	if at.host != nil {
-		at.attemptOutcome = f.attempt(l.request, at, at.host)
+	if a.host != nil {
+		a.attemptOutcome = f.attempt(l.request, a, a.host)
 	}
-	tookMs := inMs(time.Since(at.sentAt))
+	elapsedMs := inMs(time.Since(a.sentAt))
 	f.guarded.mu.Lock()
-	f.guarded.limiter.FinishAttempt(f.clock.nowMs(), at.member, at.result, tookMs)
+	f.guarded.limiter.FinishAttempt(f.clock.nowMs(), a.member, a.result, elapsedMs)
 	f.guarded.mu.Unlock()
-	observeAttempt(f.metrics, l.request.service, at)
-	l.logAttempt(at, tookMs)
-	l.ended <- at
+	observeAttempt(f.metrics, l.request.service, a)
+	l.logAttempt(a, elapsedMs)
+	l.ended <- a
 }
 
 // logAttempt logs an attempt for `elmspan explain`, which parses the message and its keys.
-func (l *lifecycle) logAttempt(at *upstreamAttempt, tookMs float64) {
+func (l *lifecycle) logAttempt(a *upstreamAttempt, elapsedMs float64) {
 	log := l.forwarder.log
-	if !log.Enabled(context.Background(), slog.LevelDebug) { // avoids computing the attributes
+	if !log.Enabled(context.Background(), slog.LevelDebug) { // evaluating the attributes costs more than all else
 		return
 	}
 	log.Debug("try", "id", l.request.head.Get("Attempt-Id"), "service", l.request.service,
-		"server", at.member.ID, "zone", at.member.Zone, "result", resultNames[at.result], "ran", at.mayHaveRun,
-		"took_ms", tookMs, "at", at.load, "hedge", at.hedge)
+		"server", a.member.ID, "zone", a.member.Zone, "result", resultNames[a.result], "ran", a.mayHaveRun,
+		"took_ms", elapsedMs, "at", a.load, "hedge", a.hedge)
 }
 
 // hedgeTimer returns a timer that fires when a hedge is to be sent to a second server; nil if none is.
@@ -177,9 +177,9 @@
 	}
 	for len(l.running) > 0 {
 		select {
-		case at := <-l.ended: // a disconnect also ends attempts: see request.attemptContext
-			l.remove(at)
-			if final := l.afterAttempt(at); final != nil {
+		case a := <-l.ended: // a disconnect also ends attempts: see request.attemptContext
+			l.remove(a)
+			if final := l.afterAttempt(a); final != nil {
 				return final
 			}
 		case <-hedgeDue:
@@ -208,17 +208,17 @@
 
 // afterAttempt handles the end of an attempt: it passes on the response, retries or waits for other attempts. A non-nil
 // response is final.
-func (l *lifecycle) afterAttempt(at *upstreamAttempt) (final *response) {
-	next := l.state.FinishAttempt(at.result, at.mayHaveRun, at.response != nil, l.request.started)
+func (l *lifecycle) afterAttempt(a *upstreamAttempt) (final *response) {
+	next := l.state.FinishAttempt(a.result, a.mayHaveRun, a.response != nil, l.request.started)
 	if next == limiter.Deliver {
-		l.reportDownloadLength(at.response)
-		return at.response
+		l.reportDownloadLength(a.response)
+		return a.response
 	}
-	if at.response != nil { // the server failed: another may succeed
+	if a.response != nil { // the server failed: another may succeed
 		if l.failure != nil {
 			l.failure.release()
 		}
-		l.failure = at.response
+		l.failure = a.response
 	}
 	if next == limiter.Retry {
 		if _, refusal := l.startAttempt(false); refusal != nil {
@@ -250,9 +250,9 @@
 }
 
 // remove removes an ended attempt from the running ones.
-func (l *lifecycle) remove(at *upstreamAttempt) {
+func (l *lifecycle) remove(a *upstreamAttempt) {
 	for i, other := range l.running {
-		if other == at {
+		if other == a {
 			l.running = append(l.running[:i], l.running[i+1:]...)
 			return
 		}
@@ -264,14 +264,14 @@
 	if l.failure != nil {
 		l.failure.release()
 	}
-	for _, at := range l.running {
-		at.cancel()
+	for _, a := range l.running {
+		a.cancel()
 	}
 	if n := len(l.running); n > 0 {
 		go func() { // each ends at once, because its connection is closed
 			for range n {
-				if at := <-l.ended; at.response != nil {
-					at.response.release()
+				if a := <-l.ended; a.response != nil {
+					a.response.release()
 				}
 			}
 		}()
--- a/dataplane/metrics.go
+++ b/dataplane/metrics.go
@@ -86,12 +86,12 @@
 }
 
 // observeAttempt records an attempt at a server and its duration. Without metrics it costs only a comparison.
-func observeAttempt(metrics *telemetry.Metrics, service string, at *upstreamAttempt) {
+func observeAttempt(metrics *telemetry.Metrics, service string, a *upstreamAttempt) {
 	if metrics == nil {
 		return
 	}
 	label := telemetry.Label{Name: "service", Value: service}
 	metrics.Count("elmspan_upstream_tries_total", 1, label,
-		telemetry.Label{Name: "result", Value: resultNames[at.result]})
-	metrics.Observe("elmspan_upstream_duration_seconds", time.Since(at.sentAt), label)
+		telemetry.Label{Name: "result", Value: resultNames[a.result]})
+	metrics.Observe("elmspan_upstream_duration_seconds", time.Since(a.sentAt), label)
 }
--- a/dataplane/peers.go
+++ b/dataplane/peers.go
@@ -52,14 +52,14 @@
 // guardedLimiter.mu.
 func (t *peerTable) applyOne(p *api.Peer) bool {
 	id := xxhash.Sum64String(p.Name)
-	before, had := t.byID[id]
+	previous, known := t.byID[id]
 	addr, err := netip.ParseAddrPort(p.Addr)
 	if !p.Edge || p.State == membership.Dead || err != nil {
 		delete(t.byID, id)
-		return had
+		return known
 	}
 	t.byID[id] = peer{addr, p.Zone}
-	return !had || before.zone != p.Zone
+	return !known || previous.zone != p.Zone
 }
 
 // regroup passes the current set of peers to the limiter, which forms new replica groups. Called under
--- a/dataplane/response.go
+++ b/dataplane/response.go
@@ -48,7 +48,7 @@
 
 	releaseConn     func(whole bool) // releases the connection to the server; nil: there is none
 	closeUpstream   func()           // closes that connection, from which rest is read
-	cancelInterrupt func() bool      // undoes interruptOn; nil: it was not called
+	cancelInterrupt func() bool      // undoes interruptOn; nil: nothing to undo
 }
 
 // interruptOn closes the connection to the server when ctx ends, if the rest of the body is still read from it.
--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -29,9 +29,9 @@
 
 // attempt sends a request to one server and reads its response. If a kept-alive connection turns out to be dead before
 // any byte was written, it tries another connection.
-func (f *forwarder) attempt(r *request, at *upstreamAttempt, host *connpool.Host[string]) attemptOutcome {
+func (f *forwarder) attempt(r *request, a *upstreamAttempt, host *connpool.Host[string]) attemptOutcome {
 	for {
-		c, kept, failure := f.connect(r, at, host)
+		c, reused, failure := f.connect(r, a, host)
 		if c == nil {
 			return attemptOutcome{result: failure}
 		}
@@ -39,8 +39,8 @@
 			c.Close()
 			return attemptOutcome{result: balance.Replaced}
 		}
-		cancelClose := context.AfterFunc(at.ctx, c.Close)
-		o := f.roundTrip(r, at.member, c)
+		cancelClose := context.AfterFunc(a.ctx, c.Close)
+		o := f.roundTrip(r, a.member, c)
 		if !cancelClose() { // cancelled: the connection is closed
 			if o.response != nil {
 				o.response.release()
@@ -54,7 +54,7 @@
 		case !streams:
 			c.Close()
 		}
-		if o.result == balance.NotSent && kept {
+		if o.result == balance.NotSent && reused {
 			continue
 		}
 		return o
@@ -72,8 +72,8 @@
 // connect takes a kept-alive connection to a server, or opens a new one. A non-idempotent request gets a kept-alive
 // connection only if it was used recently. If no connection can be had, c is nil and failure is the result of the
 // attempt.
-func (f *forwarder) connect(r *request, at *upstreamAttempt, host *connpool.Host[string]) (
-	c *conn, kept bool, failure balance.Result,
+func (f *forwarder) connect(r *request, a *upstreamAttempt, host *connpool.Host[string]) (
+	c *conn, reused bool, failure balance.Result,
 ) {
 	if r.route.IsIdempotent() {
 		c = f.pool.Get(host)
@@ -83,13 +83,13 @@
 	if c != nil {
 		return c, true, 0
 	}
-	ctx, cancel := context.WithDeadline(at.ctx, r.deadline)
+	ctx, cancel := context.WithDeadline(a.ctx, r.deadline)
 	c, err := f.pool.Connect(ctx, host)
 	cancel()
 	switch {
 	case err == nil:
 		return c, false, 0
-	case at.ctx.Err() != nil:
+	case a.ctx.Err() != nil:
 		return nil, false, balance.Cancelled
 	case !errors.Is(err, connpool.ErrPoolExhausted):
 		f.pool.CloseIdle(host)
--- a/dataplane/snapshot.go
+++ b/dataplane/snapshot.go
@@ -79,8 +79,8 @@
 func (s *snapshot) keysRequired() bool { return s.tenants.Len() > 0 }
 
 // route returns the route with the longest prefix that matches a host and path, nil if none matches. It makes one
-// look-up for each distinct prefix length of the host, however many routes there are, and does not allocate
-// if the name is in lower case.
+// look-up for each distinct prefix length of the host, however many routes there are, and does not allocate if the name
+// is in lower case.
 func (s *snapshot) route(name, path string) *route {
 	h, ok := s.hosts.Get(strings.ToLower(name))
 	if !ok {
--- a/dataplane/snapshotedit.go
+++ b/dataplane/snapshotedit.go
@@ -104,8 +104,8 @@
 	if err != nil {
 		return err
 	}
-	if before, had := e.checksums.Get(row.Key); had {
-		e.checksum ^= before
+	if previous, found := e.checksums.Get(row.Key); found {
+		e.checksum ^= previous
 		e.checksums.Delete(row.Key)
 	}
 	if !x.Removed {
@@ -129,16 +129,16 @@
 // mutableHost returns a host that this edit may modify, by its name in lower case. It copies a host that earlier
 // snapshots share.
 func (e *snapshotEdit) mutableHost(name string) *host {
-	before, had := e.hosts.Get(name)
+	previous, found := e.hosts.Get(name)
 	if e.copiedHosts[name] {
-		return before
+		return previous
 	}
 	h := &host{routes: map[string]*route{}}
-	if had {
-		for prefix, r := range before.routes {
+	if found {
+		for prefix, r := range previous.routes {
 			h.routes[prefix] = r
 		}
-		h.lengths = slices.Clone(before.lengths)
+		h.lengths = slices.Clone(previous.lengths)
 	}
 	e.copiedHosts[name] = true
 	e.hosts.Put(name, h)
@@ -182,8 +182,8 @@
 // applyTenant adds, replaces or removes a tenant with its API keys and quota plan.
 func (e *snapshotEdit) applyTenant(t *api.Tenant, removed bool) {
 	id := quota.TenantID(t.Name)
-	if before, had := e.tenants.Get(t.Name); had {
-		for _, k := range before.keys {
+	if previous, found := e.tenants.Get(t.Name); found {
+		for _, k := range previous.keys {
 			if owner, ok := e.keys.Get(k); ok && owner.id == id { // the key may have moved to another tenant
 				e.keys.Delete(k)
 			}
