--- a/dataplane/fixtures_test.go
+++ b/dataplane/fixtures_test.go
@@ -46,7 +46,7 @@
 				setDeadline(c, time.Now().Add(hangTimeout))
 				in := bufio.NewReader(c)
 				for {
-					h, body, err := h1.ReadWhole(in, 1<<16)
+					h, body, err := h1.ReadFullRequest(in, 1<<16)
 					if err != nil {
 						return
 					}
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.listener.openFor = 0
+	g.listener.acceptFor = 0
 	applyConfig(t, g, &versioned.Table{}, testConfig(timeoutMs, limits))
 	var list []api.Server
 	for i, b := range backends {
