--- a/balancer/node/clients.go
+++ b/balancer/node/clients.go
@@ -122,7 +122,7 @@
 		return
 	}
 	if err == nil && !n.submit(r, ev) {
-		err = &badRequestError{http.StatusConflict, "a request with this X-Request-ID is in flight"}
+		err = &badRequestError{http.StatusConflict, "a request with this X-Request-ID is in hand"}
 	}
 	if err != nil {
 		n.rejectMalformed(w, hr, err)
--- a/balancer/node/parserequest.go
+++ b/balancer/node/parserequest.go
@@ -32,11 +32,11 @@
 func checkFraming(hr *http.Request) error {
 	switch {
 	case !hr.ProtoAtLeast(1, 1):
-		return &badRequestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is required"}
+		return &badRequestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed"}
 	case len(hr.TransferEncoding) > 0:
-		return &badRequestError{http.StatusLengthRequired, "Content-Length is required, Transfer-Encoding unsupported"}
+		return &badRequestError{http.StatusLengthRequired, "Content-Length is needed, and no Transfer-Encoding"}
 	case hr.ContentLength > maxBody:
-		return &badRequestError{http.StatusRequestEntityTooLarge, "request body too large"}
+		return &badRequestError{http.StatusRequestEntityTooLarge, "the body is too long"}
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 func parseRequestID(h http.Header) (string, error) {
 	for _, name := range singleHeaders {
 		if len(h[name]) > 1 {
-			return "", badRequestf("duplicate header %s", name)
+			return "", badRequestf("%s stands there more than once", name)
 		}
 	}
 	id := h.Get("X-Request-ID")
@@ -105,7 +105,7 @@
 		return "", badRequestf("X-Request-ID is missing or too long")
 	}
 	if !printable(id) {
-		return "", badRequestf("invalid X-Request-ID %q", id)
+		return "", badRequestf("X-Request-ID %q", id)
 	}
 	return id, nil
 }
@@ -114,11 +114,11 @@
 func parseCustomer(hr *http.Request) (uint64, error) {
 	key := hr.URL.Query()["key"]
 	if len(key) != 1 || len(key[0]) != 16 {
-		return 0, badRequestf("the query must have one key of 16 hex digits")
+		return 0, badRequestf("the query needs one key of 16 hex digits")
 	}
 	customer, err := strconv.ParseUint(key[0], 16, 64)
 	if err != nil || customer >= 1<<33 {
-		return 0, badRequestf("invalid key %q", key[0])
+		return 0, badRequestf("key %q", key[0])
 	}
 	return customer, nil
 }
@@ -131,7 +131,7 @@
 		target = hr.URL.RequestURI()
 	}
 	if !printable(target) {
-		return "", badRequestf("the path or query has unescaped characters")
+		return "", badRequestf("the path or query holds what has to be escaped")
 	}
 	return target, nil
 }
@@ -155,13 +155,13 @@
 	}
 	switch {
 	case hr.Method != want:
-		return &badRequestError{http.StatusMethodNotAllowed, "requests of this class must use " + want}
+		return &badRequestError{http.StatusMethodNotAllowed, "this class goes by " + want}
 	case idempotency == balancer.Safe && hr.ContentLength != 0:
-		return badRequestf("requests of this class must not have a body")
+		return badRequestf("this class has no body")
 	case idempotency == balancer.Keyed && (key == "" || len(key) > maxIDLength || !printable(key)):
-		return badRequestf("Idempotency-Key is missing, too long or not visible ASCII")
+		return badRequestf("Idempotency-Key is missing, too long or not plain")
 	case idempotency != balancer.Keyed && key != "": // a server would treat it as a request of another class
-		return badRequestf("requests of this class must not have an Idempotency-Key")
+		return badRequestf("this class has no Idempotency-Key")
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 	}
 	v, err := strconv.ParseFloat(number, 64)
 	if !ok || err != nil || !(v > 0) || v*float64(unit) > math.MaxInt64/2 {
-		return 0, badRequestf("invalid X-Timeout %q", text)
+		return 0, badRequestf("X-Timeout %q", text)
 	}
 	return time.Duration(v * float64(unit)), nil
 }
@@ -190,7 +190,7 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			return badRequestf("invalid Quota-Info %q", text)
+			return badRequestf("Quota-Info %q", text)
 		}
 		ok := true
 		switch name {
@@ -205,11 +205,11 @@
 			ev.FirstLimiter, hasFirst = int(v), true
 		}
 		if !ok {
-			return badRequestf("invalid Quota-Info %q", text)
+			return badRequestf("Quota-Info %q", text)
 		}
 	}
 	if !hasUnits || !hasSpread || !hasFirst {
-		return badRequestf("Quota-Info %q must have units, spread and first", text)
+		return badRequestf("Quota-Info %q needs units, spread and first", text)
 	}
 	return nil
 }
@@ -236,7 +236,7 @@
 	}
 	r.body = make([]byte, hr.ContentLength) // checkFraming limits it to maxBody
 	if _, err := io.ReadFull(hr.Body, r.body); err != nil {
-		return &badRequestError{http.StatusRequestTimeout, "request body did not arrive in time"}
+		return &badRequestError{http.StatusRequestTimeout, "the body did not come"}
 	}
 	if err := ctl.SetReadDeadline(time.Time{}); err != nil {
 		return fmt.Errorf("setting the read deadline: %w", err)
