--- a/controlplane/core_test.go
+++ b/controlplane/core_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestOneOfTwoChangesOnTheSameBaseIsApplied(t *testing.T) {
+func TestOneOfConcurrentChangesOnTheSameBaseIsApplied(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		const operators = 4
 		c := newCluster(t)
--- a/controlplane/history_test.go
+++ b/controlplane/history_test.go
@@ -102,7 +102,7 @@
 
 // Simulates hundreds of changes under all of these faults. At the end, every applied command is
 // acknowledged when it is retried.
-func TestCommandsOfADayAreAcknowledgedWhenRetried(t *testing.T) {
+func TestHundredsOfCommandsAreAcknowledgedWhenRetried(t *testing.T) {
 	t.Parallel()
 	config := largeSim
 	config.steps = 50_000 // 42 min of simulated time
--- a/controlplane/slow_links_test.go
+++ b/controlplane/slow_links_test.go
@@ -201,7 +201,7 @@
 
 // A member reconnects after a long partition without an election: the leader stays, and the member is
 // sent the missed entries from the log or, if it missed more, a snapshot.
-func TestMemberBackFromACutCausesNoElection(t *testing.T) {
+func TestReconnectedMemberCausesNoElection(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ missed, snapshots int }{
 		{missed: 20, snapshots: 0},
--- a/controlplane/transport_test.go
+++ b/controlplane/transport_test.go
@@ -120,7 +120,7 @@
 
 // If the receiver restarts between two chunks, the call fails and the next one sends the whole
 // message.
-func TestMemberThatRestartsBetweenChunksGetsWholeMessage(t *testing.T) {
+func TestMemberThatRestartsBetweenChunksGetsAllChunksAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		r := &receiver{restarts: true}
 		send := newSender(t, r)
--- a/controlplane/unreadable_state_test.go
+++ b/controlplane/unreadable_state_test.go
@@ -182,7 +182,7 @@
 
 // Installing a snapshot wakes limiters that wait for changes, and ends calls whose entries it
 // includes. Their results are unknown, so clients retry them at another member.
-func TestInstalledSnapshotWakesThoseWhoWait(t *testing.T) {
+func TestInstalledSnapshotWakesWatchesAndEndsCalls(t *testing.T) {
 	t.Parallel()
 	core, _ := mustOpenMember(t)
 	call := &pendingCall{index: 7, term: 1}
