--- a/controlplane/bubble_test.go
+++ b/controlplane/bubble_test.go
@@ -38,7 +38,8 @@
 }
 
 // memoryDir returns a temporary directory, in memory where /dev/shm exists (Linux), so that tests
-// don't wait for disk writes of other programs. It can't test what a power failure loses.
+// don't wait for disk writes of other programs. Tests that use it can't show what a power failure
+// would lose.
 func memoryDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "elmspan-test-")
--- a/controlplane/chunks_test.go
+++ b/controlplane/chunks_test.go
@@ -35,14 +35,14 @@
 		{"damaged", &api.MessageChunk{Offset: 20, Size: len(body), Checksum: sum, Data: make([]byte, 7)}, 0, false},
 		{"whole message in one chunk", chunk(0, 27), 27, true},
 		{"message too large", &api.MessageChunk{Size: maxChunkedBytes + 1, Checksum: 1, Data: body}, 0, false},
-		{"size below that of the chunk", &api.MessageChunk{Size: 3, Checksum: 1, Data: body}, 0, false},
+		{"message size below that of the chunk", &api.MessageChunk{Size: 3, Checksum: 1, Data: body}, 0, false},
 	} {
 		held, complete := r.add(c.chunk)
 		if held != c.held || (complete != nil) != c.complete {
 			t.Errorf("%s: %d bytes held, message %q", c.name, held, complete)
 		}
 		if complete != nil && !bytes.Equal(complete, body) {
-			t.Errorf("%s: %q", c.name, complete)
+			t.Errorf("%s: reassembled to %q", c.name, complete)
 		}
 	}
 }
--- a/controlplane/cluster_test.go
+++ b/controlplane/cluster_test.go
@@ -140,7 +140,7 @@
 	deadline := time.Now().Add(c.timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Fatal("timed out: " + what)
+			c.t.Fatal("timed out waiting for: " + what)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/controlplane/core_test.go
+++ b/controlplane/core_test.go
@@ -180,7 +180,7 @@
 		// Each call is made once and directly, so that retries of a client are not counted.
 		r, err := api.CallReplace(ctx, conn, &api.ReplaceRequest{Base: 1, Config: config})
 		if err != nil || r.Status != http.StatusOK {
-			t.Fatalf("%+v, %v", r, err)
+			t.Fatalf("replace: %+v, %v", r, err)
 		}
 		r, err = api.CallGet(ctx, conn, &api.GetRequest{})
 		if err != nil || r.Status != http.StatusOK || !bytes.Equal(r.Config, config) {
--- a/controlplane/core_under_faults_test.go
+++ b/controlplane/core_under_faults_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-var coreSeeds = flag.Uint64("core.seeds", 24, "seeds for TestCoresAreDurableAndLinearizableUnderFaults")
+var coreSeeds = flag.Uint64("core.seeds", 24, "seed count for TestCoresAreDurableAndLinearizableUnderFaults")
 
 // Runs clusters of three and five real cores. Four operators pick the same revisions and retry each
-// command until it is answered. Injected faults: writes of up to 2 s, full, lost and corrupt disks,
-// one-way and two-way partitions, and power failures of one member, a majority or all, in the
+// command until it is answered. Injected faults: disk writes of up to 2 s, full, lost and corrupt
+// disks, one-way and two-way partitions, and power failures of one member, a majority or all, in the
 // middle of a write and right after an acknowledgement. [Core] sends messages while its store
-// writes, but it must not send a vote, term or acknowledgement before that is stored, or report an
+// writes, but it must not send a vote, term or acknowledgement before it is stored, or report an
 // entry as committed that a majority has not stored. The operators' calls must be linearizable.
 func TestCoresAreDurableAndLinearizableUnderFaults(t *testing.T) {
 	t.Parallel()
--- a/controlplane/endpointlist_test.go
+++ b/controlplane/endpointlist_test.go
@@ -39,7 +39,7 @@
 	}
 	since, err := successor.table.DeltaSince(version)
 	if err != nil || since.From != version || len(since.Data) > 200 {
-		t.Errorf("from version %d, %d bytes, %v", since.From, len(since.Data), err)
+		t.Errorf("delta from version %d, %d bytes, %v", since.From, len(since.Data), err)
 	}
 }
 
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -149,7 +149,7 @@
 		t.Errorf("restored into a store that is not empty: %v", err)
 	}
 	if got, err := Inspect(store); err != nil || got.State.Revision != 3 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("restored store: %+v, %v", got, err)
 	}
 }
 
@@ -169,14 +169,14 @@
 	}
 	inspected, err := Inspect(store)
 	if err != nil || inspected.State.Revision != 6 {
-		t.Fatalf("%+v, %v", inspected, err)
+		t.Fatalf("store in the first format: %+v, %v", inspected, err)
 	}
 	s := inspected.State
 	if got := applyReplace(t, s, 6, 8, testConfig(t, 8)); got != OutcomeApplied {
 		t.Fatalf("outcome %d", got)
 	}
 	if got, err := s.Config(); err != nil || !bytes.Equal(got, testConfig(t, 8)) || s.Uncompressed != nil {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("configuration stored in the newest format: %d bytes, %v", len(got), err)
 	}
 }
 
--- a/controlplane/golden_test.go
+++ b/controlplane/golden_test.go
@@ -15,7 +15,8 @@
 
 // The files under testdata/golden were written by the program built from commit f96d826. Members
 // of that version and of this one may run in one cluster and exchange log entries and snapshots, so
-// the contents must decode and encode to the same bytes. The client stores nothing on disk.
+// each file must be decoded, and its content encoded to the same bytes again. There are no files of
+// [Client], which stores nothing on disk.
 
 // readGolden reads a golden file.
 func readGolden(t *testing.T, name string) []byte {
@@ -172,7 +173,7 @@
 	results := decodeAs[[]api.ControlResponse](t, readGolden(t, "results.cbor"))
 	want := results[len(results)-1]
 	if got := s.Apply(readGolden(t, "entry-forgotten.cbor")).result(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("result of the forgotten command: %+v, want %+v", got, want)
 	}
 }
 
--- a/controlplane/history_test.go
+++ b/controlplane/history_test.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-var historySeeds = flag.Uint64("history.seeds", 150, "seeds for each test of histories")
+var historySeeds = flag.Uint64("history.seeds", 150, "seed count for each test of histories")
 
 // forEachSeed runs a simulation for each seed below n, four in parallel, until one fails.
 func forEachSeed(t *testing.T, n uint64, run func(seed uint64) error) {
@@ -41,7 +41,7 @@
 }
 
 // The operators' calls are linearizable under one-way and two-way network partitions and power
-// failures. Regression test for a user report: two changes on the same base version were both
+// failures. Regression test for a user report: two changes on the same base revision were both
 // confirmed during a partition.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	t.Parallel()
@@ -100,8 +100,8 @@
 	}
 }
 
-// Simulates hundreds of changes under all of these faults. At the end, every applied command is
-// acknowledged when it is retried.
+// Simulates hundreds of changes under the faults of TestLargeHistoriesAreConsistent. At the end,
+// every applied command is acknowledged when it is retried.
 func TestHundredsOfCommandsAreAcknowledgedWhenRetried(t *testing.T) {
 	t.Parallel()
 	config := largeSim
@@ -162,7 +162,8 @@
 	}
 }
 
-// requireFaultDetected requires that a check detects an injected fault within 1,000 seeds.
+// requireFaultDetected requires that a check detects a fault planted in all members within 1,000
+// seeds.
 func requireFaultDetected(t *testing.T, config simConfig, fault string, check func(*registerSim) error) {
 	t.Helper()
 	for seed := range uint64(1000) {
--- a/controlplane/join_test.go
+++ b/controlplane/join_test.go
@@ -72,9 +72,9 @@
 }
 
 // Machines that lost their disks know only the seeds. They are added even if the leader is not a
-// seed, so that the cluster tolerates the next failure. Regression test for incident 0021: they asked
-// the seeds but did not contact the leader named in the responses, and the next failure left the
-// cluster without a majority.
+// seed, so that the cluster tolerates the next failure. Regression test for docs/incidents/0021: they
+// called the seeds but not the leader named in the responses, and the next failure left the cluster
+// without a majority.
 func TestEmptyMachinesJoinALeaderThatIsNoSeed(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newClusterOfFive(t)
@@ -113,8 +113,8 @@
 	})
 }
 
-// In one round each address is asked at most once, the process's own address and empty addresses are
-// never asked, and at most maxJoinCalls addresses are asked, whatever the responses contain.
+// In one round each address is called at most once, the process's own address and empty addresses are
+// never called, and at most maxJoinCalls addresses are called, whatever the responses contain.
 func TestJoinCandidates(t *testing.T) {
 	t.Parallel()
 	c := newJoinCandidates("self", []string{"a", "self", "b"}, []string{"b", "c"})
@@ -126,13 +126,13 @@
 	for i := range 2 * maxJoinCalls {
 		c.add(string(rune('A' + i)))
 	}
-	if asked := 4 + len(c.next()); asked != maxJoinCalls {
-		t.Errorf("%d calls in a round", asked)
+	if called := 4 + len(c.next()); called != maxJoinCalls {
+		t.Errorf("%d calls in a round", called)
 	}
 	requireNext(t, c)
 }
 
-// requireNext requires the candidates to be asked next.
+// requireNext requires that the candidates to be called next are the wanted ones.
 func requireNext(t *testing.T, c *joinCandidates, want ...string) {
 	t.Helper()
 	if got := c.next(); !slices.Equal(got, want) {
--- a/controlplane/lost_durability_test.go
+++ b/controlplane/lost_durability_test.go
@@ -33,7 +33,7 @@
 
 // A member that detects at run time that its store is corrupt sends no more votes, acknowledgements
 // or responses, and Run returns the error, so that a new member can replace it. Regression test: Run
-// once continued, with a member that answered nothing.
+// once didn't return, and the member kept running without answering anything.
 func TestCorruptStoreEndsTheMember(t *testing.T) {
 	t.Parallel()
 	corrupt := fmt.Errorf("reopening the store: %w", storage.ErrCorrupt)
@@ -87,15 +87,15 @@
 	return core
 }
 
-// A member that its leader reports to have fewer entries than it acknowledged stops as well: its disk
-// was rolled back to an earlier state. Such a message is accepted only from the leader.
+// A member also stops when its leader reports that its log lacks entries that it had acknowledged: its
+// disk was rolled back to an earlier state. Such a report is accepted only from the leader.
 func TestMemberThatLostAcknowledgedEntriesEnds(t *testing.T) {
 	t.Parallel()
 	core, _ := mustOpenMember(t)
 	deliverFrom(t, core, 2, raft.Message{Kind: raft.AppendEntries, Index: 9, LogTerm: 4, Round: 3})
 	deliverFrom(t, core, 3, raft.Message{Kind: raft.DurabilityLost})
 	if core.host.lostDurability != nil {
-		t.Error("a message from another member than the leader was accepted")
+		t.Error("a report from a member other than the leader was accepted")
 	}
 	deliverFrom(t, core, 2, raft.Message{Kind: raft.DurabilityLost})
 	if err := core.Run(t.Context()); !errors.Is(err, storage.ErrCorrupt) || core.host.stopReason == "" {
--- a/controlplane/memberselector_test.go
+++ b/controlplane/memberselector_test.go
@@ -68,8 +68,8 @@
 	t.Error("the client never watches another member")
 }
 
-// Limiters differ in which member they watch first. When it fails they watch the next one, and each
-// member is reached within the duration of a lease.
+// Limiters differ in which member they watch first. When it fails they watch the next one, so that all
+// members are tried within the duration of a lease, and after preferredRetryAfter they return to it.
 func TestWatchesSpreadOverMembers(t *testing.T) {
 	addrs := []string{"a:1", "b:1", "c:1", "d:1", "e:1"}
 	watchedFirst := map[string]int{}
--- a/controlplane/mixed_versions_test.go
+++ b/controlplane/mixed_versions_test.go
@@ -48,9 +48,9 @@
 	s.Applied = s.Applied[max(0, len(s.Applied)-maxAppliedBeforeDigests):]
 }
 
-// copyBySnapshot encodes a value and decodes it as type T, as when a snapshot is sent to a member of
-// the same or the other version.
-func copyBySnapshot[T any](t *testing.T, from any) *T {
+// transcode encodes a value and decodes it as type T, as when a snapshot or an entry is sent to a
+// member of the same or the other version.
+func transcode[T any](t *testing.T, from any) *T {
 	t.Helper()
 	data, err := cbor.Marshal(from)
 	if err != nil {
@@ -102,7 +102,7 @@
 	m.t.Helper()
 	data, err := encodeReplaceCommand(command.base, command.revision, command.config)
 	if err == nil && m.rng.IntN(2) == 0 {
-		data, err = cbor.Marshal(copyBySnapshot[legacyCommand](m.t, cbor.RawMessage(data)))
+		data, err = cbor.Marshal(transcode[legacyCommand](m.t, cbor.RawMessage(data)))
 	}
 	if err != nil {
 		m.t.Fatal(err)
@@ -145,7 +145,7 @@
 		{m.legacy[1].Revision, m.legacy[1].Compressed},
 	} {
 		if got.revision != want.revision || !bytes.Equal(got.compressed, want.compressed) {
-			m.t.Fatalf("%s: members differ: revision %d and revision %d", m.where, want.revision, got.revision)
+			m.t.Fatalf("%s: configurations differ: revision %d and revision %d", m.where, want.revision, got.revision)
 		}
 	}
 }
@@ -155,13 +155,13 @@
 	m.t.Helper()
 	switch m.rng.IntN(40) {
 	case 0:
-		m.current[1] = copyBySnapshot[State](m.t, m.legacy[0])
+		m.current[1] = transcode[State](m.t, m.legacy[0])
 	case 1:
-		m.legacy[1] = copyBySnapshot[legacyState](m.t, m.current[1])
+		m.legacy[1] = transcode[legacyState](m.t, m.current[1])
 	case 2:
-		m.legacy[0] = copyBySnapshot[legacyState](m.t, m.legacy[1])
+		m.legacy[0] = transcode[legacyState](m.t, m.legacy[1])
 	case 3:
-		m.current[0] = copyBySnapshot[State](m.t, m.current[1])
+		m.current[0] = transcode[State](m.t, m.current[1])
 	}
 }
 
--- a/controlplane/operatorapi_test.go
+++ b/controlplane/operatorapi_test.go
@@ -72,8 +72,8 @@
 }
 
 // When no member of the control plane is reachable, every operator's call is answered with 503 and
-// Retry-After within the one second that operators wait, even if eight calls come at once and wait
-// for each other.
+// Retry-After within the one second that operators wait, even if eight calls overlap and wait for
+// each other.
 func TestOperatorIsAnsweredInTimeWithoutALeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		handler := (&Client{Log: slog.New(slog.DiscardHandler)}).Handler()
--- a/controlplane/register_test.go
+++ b/controlplane/register_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// scriptedSim is a simulation without clients and random faults. The test drives each step.
+// scriptedSim is a simulation without clients or random faults. The test drives each step.
 type scriptedSim struct {
 	*registerSim
 	t *testing.T
@@ -189,8 +189,8 @@
 }
 
 // The entry of a call is truncated and its index reused by the entry of another call. The first call
-// completes at once without a result. After its caller disconnects, the second call is still
-// answered.
+// completes at once without a result. After the caller of the first call has disconnected, the second
+// call is still answered.
 func TestIndexTakenByAnotherEntryEndsTheCall(t *testing.T) {
 	s := newScriptedSim(t, 1)
 	leader := s.awaitLeader()
@@ -203,6 +203,6 @@
 		t.Errorf("first call: %+v", progress)
 	}
 	m.drop(first)
-	// The entry of the first call is still in the log and is committed before it.
+	// The entry of the first call is in fact still in the log, and is committed before the second.
 	s.requireStatus(leader, second, http.StatusPreconditionFailed)
 }
--- a/controlplane/slow_disk_test.go
+++ b/controlplane/slow_disk_test.go
@@ -9,9 +9,9 @@
 	"example.org/elmspan/raft"
 )
 
-// slowDisk is a member whose disk writes block until the test releases them. Its outgoing messages
-// stay in its send queues.
-type slowDisk struct {
+// slowDiskMember is a member whose disk writes block until the test releases them. Its outgoing
+// messages stay in its send queues.
+type slowDiskMember struct {
 	*Core
 	Store
 	t       *testing.T
@@ -21,7 +21,7 @@
 }
 
 // Save blocks until the test releases the write.
-func (d *slowDisk) Save(r raft.Ready) error {
+func (d *slowDiskMember) Save(r raft.Ready) error {
 	select {
 	case d.writing <- struct{}{}:
 	case <-d.done:
@@ -37,10 +37,10 @@
 	return d.Store.Save(r)
 }
 
-func newSlowDisk(t *testing.T) *slowDisk {
+func newSlowDiskMember(t *testing.T) *slowDiskMember {
 	t.Helper()
 	core, store := mustOpenMember(t)
-	d := &slowDisk{
+	d := &slowDiskMember{
 		Core:    core,
 		Store:   store,
 		t:       t,
@@ -63,9 +63,9 @@
 }
 
 // newSlowFollower returns a follower of member 2 whose term is on disk.
-func newSlowFollower(t *testing.T) *slowDisk {
+func newSlowFollower(t *testing.T) *slowDiskMember {
 	t.Helper()
-	d := newSlowDisk(t)
+	d := newSlowDiskMember(t)
 	d.receive(heartbeat(3))
 	d.write()
 	d.takeSent()
@@ -77,13 +77,13 @@
 }
 
 // receive delivers messages from member 2.
-func (d *slowDisk) receive(messages ...raft.Message) {
+func (d *slowDiskMember) receive(messages ...raft.Message) {
 	d.t.Helper()
 	deliverFrom(d.t, d.Core, 2, messages...)
 }
 
 // takeSent removes the messages to member 2 from the send queues and returns them.
-func (d *slowDisk) takeSent() []raft.Message {
+func (d *slowDiskMember) takeSent() []raft.Message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var sent []raft.Message
@@ -96,7 +96,7 @@
 }
 
 // requireNothingSent requires that no message to member 2 is queued.
-func (d *slowDisk) requireNothingSent(when string) {
+func (d *slowDiskMember) requireNothingSent(when string) {
 	d.t.Helper()
 	if sent := d.takeSent(); len(sent) != 0 {
 		d.t.Errorf("sent %s: %+v", when, sent)
@@ -104,22 +104,22 @@
 }
 
 // awaitWrite blocks until a write begins.
-func (d *slowDisk) awaitWrite() { <-d.writing }
+func (d *slowDiskMember) awaitWrite() { <-d.writing }
 
 // endWrite completes a write in progress and waits for all tasks of the member to end.
-func (d *slowDisk) endWrite(result error) {
+func (d *slowDiskMember) endWrite(result error) {
 	d.result <- result
 	d.lifecycle.tasks.Wait()
 }
 
 // write waits for one write and completes it.
-func (d *slowDisk) write() {
+func (d *slowDiskMember) write() {
 	d.awaitWrite()
 	d.endWrite(nil)
 }
 
 // tick runs n ticks as Run does.
-func (d *slowDisk) tick(n int) {
+func (d *slowDiskMember) tick(n int) {
 	for range n {
 		d.mu.Lock()
 		d.host.tick()
@@ -183,14 +183,14 @@
 }
 
 // awaitCandidate runs ticks until the member is a candidate.
-func (d *slowDisk) awaitCandidate() {
+func (d *slowDiskMember) awaitCandidate() {
 	for d.host.node.Role() != raft.Candidate {
 		d.tick(1)
 	}
 }
 
 // becomeLeader makes the member a leader and returns its term.
-func (d *slowDisk) becomeLeader() uint64 {
+func (d *slowDiskMember) becomeLeader() uint64 {
 	d.t.Helper()
 	d.awaitCandidate()
 	term := d.host.node.Term() + 1
@@ -208,7 +208,7 @@
 // steps down, and it participates again once the disk responds.
 func TestLeaderStepsDownWhenItsDiskStalls(t *testing.T) {
 	t.Parallel()
-	d := newSlowDisk(t)
+	d := newSlowDiskMember(t)
 	term := d.becomeLeader()
 	d.awaitWrite() // of the leader's first entry, 6
 	if sent := d.heartbeatsIn(3 * heartbeatTicks); sent < 2 {
@@ -239,7 +239,7 @@
 }
 
 // heartbeatsIn counts the heartbeats to member 2 during a number of ticks.
-func (d *slowDisk) heartbeatsIn(ticks int) int {
+func (d *slowDiskMember) heartbeatsIn(ticks int) int {
 	heartbeats := 0
 	for range ticks / heartbeatTicks {
 		d.tick(heartbeatTicks)
@@ -256,7 +256,7 @@
 // election meanwhile.
 func TestCandidateWaitsForItsVoteToBeStored(t *testing.T) {
 	t.Parallel()
-	d := newSlowDisk(t)
+	d := newSlowDiskMember(t)
 	d.awaitCandidate()
 	d.takeSent()
 	term := d.host.node.Term() + 1
--- a/controlplane/slow_links_test.go
+++ b/controlplane/slow_links_test.go
@@ -9,7 +9,7 @@
 	"example.org/elmspan/raft"
 )
 
-var linkSeeds = flag.Uint64("links.seeds", 30, "seeds for TestMembersConvergeAfterHundredsOfChangesAndRestarts")
+var linkSeeds = flag.Uint64("links.seeds", 30, "seed count for TestMembersConvergeAfterHundredsOfChangesAndRestarts")
 
 // maxHeartbeatGap is the longest time that a member may wait for its leader: below the election
 // timeout.
@@ -60,7 +60,7 @@
 	s.run(2 * time.Second)
 	term := s.leader().Term()
 	s.start(rejoining)
-	s.waitUntil("it knows the leader", time.Second, func() bool { return s.nodes[rejoining].Leader() != 0 })
+	s.waitUntil("the member knows the leader", time.Second, func() bool { return s.nodes[rejoining].Leader() != 0 })
 	preVotes, nextChange := s.preVotes, s.now // the start may have caused pre-votes
 	s.longestGap = 0
 	took := s.waitUntil("the rejoining member has caught up", c.limit, func() bool {
@@ -171,8 +171,8 @@
 }
 
 // Entries of 400 KB, as for 16,000 routes, are sent over links of 1 Mbit/s to all members. Each takes
-// more than 3 s, and no heartbeat waits for more than one chunk of it. When each entry was sent in a
-// single call, 20 changes caused 20 elections.
+// more than 3 s, and no heartbeat waits for more than one chunk of it. Regression test: when each entry
+// was sent in a single call, 20 changes caused 20 elections.
 func TestLargeEntriesOverSlowLinksCauseNoElection(t *testing.T) {
 	t.Parallel()
 	const changes = 20
--- a/controlplane/state_test.go
+++ b/controlplane/state_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// collidingConfigs returns two different texts with the same XXH64 hash: the second block undoes the
-// change that the first block makes to an accumulator.
+// collidingConfigs returns two different byte strings with the same XXH64 hash: their second blocks
+// cancel the difference that their first blocks make in an accumulator.
 func collidingConfigs(t *testing.T) (a, b []byte) {
 	t.Helper()
 	const prime1, prime2 = 11400714785074694791, 14029467366897019727 // constants of XXH64
--- a/controlplane/transport_test.go
+++ b/controlplane/transport_test.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// If the receiver restarts between two chunks, the call fails and the next one sends the whole
-// message.
+// If the receiver restarts between two chunks, sending fails, and the next attempt sends all chunks of
+// the message again.
 func TestMemberThatRestartsBetweenChunksGetsAllChunksAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		r := &receiver{restarts: true}
@@ -167,7 +167,7 @@
 	config := incompressibleConfig(c.t, 5)
 	ctx, cancel := context.WithTimeout(c.t.Context(), c.timeout)
 	defer cancel()
-	c.waitUntil("the configuration is applied", func() bool { // by any leader, with no requirement on the time
+	c.waitUntil("the configuration is applied", func() bool { // by whichever member leads, however long it takes
 		core := c.leader()
 		if core == nil {
 			return false
--- a/controlplane/unreadable_state_test.go
+++ b/controlplane/unreadable_state_test.go
@@ -14,7 +14,7 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// truncatedConfig returns a compressed configuration that is truncated.
+// truncatedConfig returns a truncated configuration in compressed form.
 func truncatedConfig(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	compressed, err := compression.Compress(testConfig(t, revision)[:10])
--- a/controlplane/voterhealth_test.go
+++ b/controlplane/voterhealth_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The leader's status lists a voter that doesn't answer until it is back, so that an unrepaired
-// failure is visible before the next one.
+// The leader's status lists a voter that doesn't respond, until it responds again, so that an
+// unrepaired failure is visible before the next one.
 func TestVotersThatDoNotAnswerAreReported(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newStoppedCluster(t, 3)
--- a/controlplane/watch_test.go
+++ b/controlplane/watch_test.go
@@ -118,7 +118,7 @@
 			config.Revision = base + 1
 			config.Routes[7].TimeoutMs += 100
 			if got := replaceConfig(client, base, encodeConfig(t, config)); got != http.StatusOK {
-				t.Fatalf("revision %d: %d", config.Revision, got)
+				t.Fatalf("revision %d: status %d", config.Revision, got)
 			}
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -164,9 +164,9 @@
 }
 
 // A new leader continues with the server list of its predecessor: a server that the predecessor saw
-// draining doesn't return to service, whatever the platform answers first. Regression test for a
-// user report: a draining machine continued to receive requests after a control process had crashed
-// and restarted immediately.
+// draining doesn't return to service, even if the platform first reports outdated states to the new
+// leader. Regression test for a user report: a draining machine continued to receive requests after a
+// control process had crashed and restarted immediately.
 func TestServerListSurvivesChangeOfLeader(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -269,7 +269,7 @@
 
 // A member that starts with many changes in its log builds a table only for the last one. The time to
 // build a table grows with the configuration, and no watch is answered meanwhile. Regression test:
-// with 240 changes of 900 routes and a table for each applied change, eight of them delayed the first
+// with 240 changes of 900 routes and a table for each applied change, eight tables delayed the first
 // leases by 0.12 s.
 func TestChangesAppliedAtOnceArePublishedOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
