--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -8,7 +8,7 @@
 // Whether a request is retried, rejected or failed depends on its idempotency class and on the
 // result of the attempt.
 func TestRetriesByIdempotencyAndResult(t *testing.T) {
-	const retry, reject, fail = "retry", "reject", "fail"
+	const retry, reject, fail = "retry", "refuse", "fail"
 	for _, c := range []struct {
 		class  int
 		result Result
--- a/dataplane/limiter/limiter_test.go
+++ b/dataplane/limiter/limiter_test.go
@@ -119,7 +119,7 @@
 func TestGroupsShareTheQuota(t *testing.T) {
 	t.Parallel()
 	p := quota.Plan{Rate: 200, Burst: 100}
-	for name, loss := range map[string]float64{"no loss": 0, "10 % message loss": 0.1} {
+	for name, loss := range map[string]float64{"calm": 0, "10 % message loss": 0.1} {
 		f := newFleet(70, p)
 		f.lost = func(_, _ uint64) bool { return f.rng.Float64() < loss }
 		at := f.runOverload(0, 11000)
--- a/dataplane/quota/inherit_test.go
+++ b/dataplane/quota/inherit_test.go
@@ -86,7 +86,7 @@
 	e.ReportUsage(100, nil)
 	got := e.UsageSnapshot(200, false, nil)
 	if len(got) != 1 || got[0].Tenant != 7 || got[0].Units != 1 || got[0].FillLevel == 0 {
-		t.Errorf("snapshot %v, want one unit of tenant 7", got)
+		t.Errorf("%v", got)
 	}
 	for id := range uint64(200) {
 		e.Admit(300, id)
--- a/raft/storage/store_test.go
+++ b/raft/storage/store_test.go
@@ -169,7 +169,7 @@
 	next := raft.HardState{Term: 3, Vote: 8}
 	for range 5 {
 		if err := s.Save(raft.Ready{HardState: &next}); !errors.Is(err, syscall.ENOSPC) {
-			t.Fatalf("Save on a full disk: got error %v, want ENOSPC", err)
+			t.Fatalf("%v", err)
 		}
 	}
 	files := len(d.dirs[storeDir].visible)
@@ -195,7 +195,7 @@
 	}
 	d.failSyncs = 1
 	if err := s.Save(raft.Ready{HardState: &raft.HardState{Term: 9, Vote: 9}}); !errors.Is(err, syscall.EIO) {
-		t.Fatalf("Save with a failing sync: got error %v, want EIO", err)
+		t.Fatalf("%v", err)
 	}
 	closeStore(s) // the process ends, the machine keeps its page cache
 	d.full = true
--- a/raft/storage/upgrade_test.go
+++ b/raft/storage/upgrade_test.go
@@ -88,6 +88,6 @@
 		t.Fatal(err)
 	}
 	if _, err := openStore(d, storeDir); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("got error %v, want ErrCorrupt", err)
+		t.Errorf("%v", err)
 	}
 }
