--- a/process/bootstrap.go
+++ b/process/bootstrap.go
@@ -1,28 +1,29 @@
 package process
 
-// bootstrapDecision decides what a machine with an empty disk is that the settings make a
-// first voter. The setting may be left over from the first start and the disk lost since:
-// then the machine has voted under its first identity, and must not use it again.
+// bootstrapDecision decides whether a machine with an empty disk and bootstrap set may start
+// as an initial voter. The setting may be left over from the first start of the system, and
+// the disk may have been lost since: the machine has then voted under its initial identity
+// and must not use it again.
 //
-// A vote or an acknowledgement counts only within a term, and whoever takes part in a term
-// has it on disk before. So where every other seed answers, after this machine has started
-// with its empty disk, that it has taken part in no term, nothing was agreed on with a vote
-// of this machine, and it may be a first voter. One seed that has taken part is enough to
-// know that this is no first start. What a seed has answered stays true of this machine's
-// past, whatever that seed does next: so machines that start at once all go on, and none
-// waits for another one's decision.
+// A vote or an acknowledgement counts only within a term, and a member persists a term before
+// it takes part in it. If every other seed reports, after this machine has started with an
+// empty disk, that it has taken part in no term, then no decision has relied on a vote of
+// this machine, and it may be an initial voter. A single seed that has taken part in a term
+// rules out a first start. A seed's answer stays valid whatever the seed does afterwards,
+// because it concerns this machine's past. Machines that start at the same time can therefore
+// all proceed without waiting for each other's decisions.
 type bootstrapDecision struct {
-	seeds    []string        // addresses of the other ones
-	answered map[string]bool // those that have taken part in no term, by address
+	seeds    []string        // addresses of the other seeds
+	answered map[string]bool // seeds that have taken part in no term, by address
 }
 
-// bootstrapVerdict is what a machine turns out to be.
+// bootstrapVerdict is the outcome of a bootstrapDecision.
 type bootstrapVerdict uint8
 
 const (
-	undecided  bootstrapVerdict = iota // seeds have not answered yet
-	firstVoter                         // the system's first start
-	newMember                          // the system has run before: the machine joins it
+	undecided    bootstrapVerdict = iota // some seeds have not answered yet
+	initialVoter                         // first start of the system
+	newMember                            // the system has run before; the machine joins it
 )
 
 func newBootstrapDecision(seeds []string, self string) *bootstrapDecision {
@@ -35,9 +36,10 @@
 	return d
 }
 
-// observe takes in the answers of seeds, by address: whether each may have taken part in a
-// term. While one seed has not answered, a first start can't be distinguished from disks that were
-// lost while that one is cut off, however long that lasts. At a first start all are up.
+// observe records the answers of seeds, by address: whether each may have taken part in a
+// term. As long as one seed has not answered, a first start can't be distinguished from the
+// loss of the other disks while that seed is partitioned, so there is no time-out. At a first
+// start all seeds are up.
 func (d *bootstrapDecision) observe(participated map[string]bool) bootstrapVerdict {
 	for seed, has := range participated {
 		if has {
@@ -46,12 +48,12 @@
 		d.answered[seed] = true
 	}
 	if len(d.answered) == len(d.seeds) {
-		return firstVoter
+		return initialVoter
 	}
 	return undecided
 }
 
-// unanswered are the seeds that have not answered yet.
+// unanswered returns the seeds that have not answered yet.
 func (d *bootstrapDecision) unanswered() []string {
 	var out []string
 	for _, s := range d.seeds {
--- a/process/bootstrap_seeds.go
+++ b/process/bootstrap_seeds.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// seedsInterval is the pause between two rounds of calls to the seeds.
-	seedsInterval = 25 * time.Millisecond
-	// seedTimeout is how long one call may take.
+	// seedPollInterval is the pause between two rounds of calls to the seeds.
+	seedPollInterval = 25 * time.Millisecond
+	// seedTimeout limits one round of calls to the seeds.
 	seedTimeout = 400 * time.Millisecond
-	// seedsWarnInterval is how long seeds may be missing between two warnings.
-	seedsWarnInterval = 5 * time.Second
+	// seedWarnInterval is the interval between warnings about seeds that do not answer.
+	seedWarnInterval = 5 * time.Second
 )
 
-// bootstrapRequired reports whether the store is empty and the machine is to be one of
-// several first voters. A first voter that is alone needs to ask nobody.
+// bootstrapRequired reports whether the store is empty and the settings make the machine one
+// of several initial voters. A sole initial voter has no other seeds to ask.
 func (h *memberHost) bootstrapRequired(bootstrap bool) (bool, error) {
 	if !bootstrap || len(h.cfg.Seeds) < 2 || !slices.Contains(h.cfg.Seeds, h.cfg.Addr) {
 		return false, nil
@@ -31,8 +31,8 @@
 	return id == 0, err
 }
 
-// bootstrap calls the seeds until it is decided what this machine is, and starts its member.
-// It returns without one where the context has ended before.
+// bootstrap polls the seeds until it is decided whether this machine is an initial voter, and
+// then starts its member. It starts none if the context ends first.
 func (h *memberHost) bootstrap(ctx context.Context) {
 	verdict := h.decideBootstrap(ctx)
 	if verdict == undecided {
@@ -41,13 +41,13 @@
 	if verdict == newMember {
 		h.log.Warn("bootstrap is set on a machine that is not new to the system, starting as a new member")
 	}
-	if h.retryStartMember(ctx, verdict == firstVoter) {
+	if h.retryStartMember(ctx, verdict == initialVoter) {
 		h.bootstrapping.Store(false)
 	}
 }
 
-// decideBootstrap calls the seeds until there is a verdict. It returns undecided where the
-// context has ended before.
+// decideBootstrap polls the seeds until there is a verdict. It returns undecided if the
+// context ends first.
 func (h *memberHost) decideBootstrap(ctx context.Context) bootstrapVerdict {
 	decision := newBootstrapDecision(h.cfg.Seeds, h.cfg.Addr)
 	start, warned := time.Now(), time.Duration(0)
@@ -59,36 +59,36 @@
 		if verdict != undecided {
 			return verdict
 		}
-		if waited := time.Since(start); waited-warned > seedsWarnInterval {
+		if waited := time.Since(start); waited-warned > seedWarnInterval {
 			warned = waited
 			h.log.Warn("bootstrap waits for seeds that do not answer", "seeds", decision.unanswered())
 		}
-		if !backoff.Sleep(ctx, seedsInterval) {
+		if !backoff.Sleep(ctx, seedPollInterval) {
 			return undecided
 		}
 	}
 }
 
-// retryStartMember starts the member, again and again while the disk fails. It reports false
-// where the context has ended before.
-func (h *memberHost) retryStartMember(ctx context.Context, firstVoter bool) bool {
-	err := h.startMember(firstVoter)
+// retryStartMember starts the member and retries while the disk fails. It returns false if
+// the context ends first.
+func (h *memberHost) retryStartMember(ctx context.Context, initialVoter bool) bool {
+	err := h.startMember(initialVoter)
 	for err != nil {
 		h.log.Error("starting the member failed", "dir", h.dir, "error", err)
 		if !backoff.Sleep(ctx, restartPause) {
 			return false
 		}
 		if errors.Is(err, storage.ErrCorrupt) {
-			err = h.startAnew()
+			err = h.startReplacement()
 		} else {
-			err = h.startMember(firstVoter)
+			err = h.startMember(initialVoter)
 		}
 	}
 	return true
 }
 
-// callSeeds calls seeds at once and returns whether each may have taken part in a term. Those
-// that don't answer in time are left out.
+// callSeeds calls the seeds concurrently and returns, by address, whether each may have taken
+// part in a term. Seeds that don't answer within seedTimeout are omitted.
 func (h *memberHost) callSeeds(ctx context.Context, seeds []string) map[string]bool {
 	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
@@ -105,7 +105,7 @@
 		tasks.Go(func() {
 			r, err := api.CallHistory(ctx, conn)
 			if err != nil {
-				conn.ResetConnectBackoff() // the seed may be about to listen
+				conn.ResetConnectBackoff() // the seed may start to listen at any moment
 				return
 			}
 			mu.Lock()
@@ -117,9 +117,10 @@
 	return participated
 }
 
-// History answers a machine that bootstraps: whether this one's member may have taken part in
-// a term. One that is bootstrapping itself has not, nor has a machine without a member. One
-// that stays out, or whose member is being replaced, may have.
+// History tells a machine that bootstraps whether the member of this one may have taken part
+// in a term. It has not if this machine is bootstrapping itself or is configured without a
+// member. It may have if the machine stays out of the control plane or its member is being
+// replaced.
 func (h *memberHost) History(context.Context, *api.Empty) (*api.HistoryResponse, error) {
 	if h == nil {
 		return &api.HistoryResponse{}, nil
--- a/process/bootstrap_test.go
+++ b/process/bootstrap_test.go
@@ -19,8 +19,8 @@
 		want   bootstrapVerdict
 	}{
 		"nobody answers":                            {[]round{{}}, undecided},
-		"all start":                                 {[]round{{"b": false, "c": false}}, firstVoter},
-		"all start, one after the other":            {[]round{{}, {"b": false}, {"c": false}}, firstVoter},
+		"all start":                                 {[]round{{"b": false, "c": false}}, initialVoter},
+		"all start, one after the other":            {[]round{{}, {"b": false}, {"c": false}}, initialVoter},
 		"one has taken part meanwhile":              {[]round{{"b": false}, {"b": true}}, newMember},
 		"this machine's disk was lost":              {[]round{{"b": true, "c": true}}, newMember},
 		"this machine's disk was lost, one is down": {[]round{{"c": true}}, newMember},
--- a/process/damaged_store_test.go
+++ b/process/damaged_store_test.go
@@ -13,8 +13,8 @@
 // damage changes the files of a member's store.
 type damage func(t *testing.T, dir string)
 
-// onNewest changes the newest of the files that match a pattern.
-func onNewest(pattern string, change func(path string) error) damage {
+// changeNewest changes the newest of the files that match a pattern.
+func changeNewest(pattern string, change func(path string) error) damage {
 	return func(t *testing.T, dir string) {
 		t.Helper()
 		found, err := filepath.Glob(filepath.Join(dir, pattern))
@@ -67,14 +67,14 @@
 // process ends.)
 func TestDamagedStoreStartsAsNewMember(t *testing.T) {
 	t.Parallel()
-	for name, spoil := range map[string]damage{
-		"table flipped":      onNewest("*.ldb", flipBit),
-		"table cut":          onNewest("*.ldb", truncateTo(40)),
-		"table removed":      onNewest("*.ldb", os.Remove),
-		"manifest emptied":   onNewest("MANIFEST-*", truncateTo(0)),
-		"current emptied":    onNewest("CURRENT*", truncateTo(0)),
-		"seal removed":       onNewest("SEAL", os.Remove),
-		"all but seal gone":  onNewest("[0-9CM]*", removeAllBut("SEAL")),
+	for name, corrupt := range map[string]damage{
+		"table flipped":      changeNewest("*.ldb", flipBit),
+		"table cut":          changeNewest("*.ldb", truncateTo(40)),
+		"table removed":      changeNewest("*.ldb", os.Remove),
+		"manifest emptied":   changeNewest("MANIFEST-*", truncateTo(0)),
+		"current emptied":    changeNewest("CURRENT*", truncateTo(0)),
+		"seal removed":       changeNewest("SEAL", os.Remove),
+		"all but seal gone":  changeNewest("[0-9CM]*", removeAllBut("SEAL")),
 		"removal was broken": markLost,
 		"removed, not begun": func(t *testing.T, dir string) {
 			if err := os.RemoveAll(dir); err != nil {
@@ -83,11 +83,11 @@
 			markLost(t, dir)
 		},
 	} {
-		t.Run(name, func(t *testing.T) { testDamagedStore(t, spoil) })
+		t.Run(name, func(t *testing.T) { testDamagedStore(t, corrupt) })
 	}
 }
 
-func testDamagedStore(t *testing.T, spoil damage) {
+func testDamagedStore(t *testing.T, corrupt damage) {
 	m := newMachine(t)
 	m.removeEdgeRole()
 	cfg, err := settings.Read(m.path())
@@ -101,7 +101,7 @@
 	if id := m.memberAtStart(); id != first { // its write-ahead log is a table by now
 		t.Fatalf("the second start: member %x in place of %x", id, first)
 	}
-	spoil(t, filepath.Join(m.dir, memberDir))
+	corrupt(t, filepath.Join(m.dir, memberDir))
 	id := m.memberAtStart()
 	if id == first || id == 0 {
 		t.Errorf("member %x came back under its id", id)
--- a/process/discovery.go
+++ b/process/discovery.go
@@ -13,54 +13,56 @@
 )
 
 const (
-	// The leader's pause between two requests for the platform's server list: in general,
-	// for changingFor after a change, and where a server that is in use was missing from it.
+	// Intervals at which the leader requests the platform's server list: normally, during
+	// changingPeriod after a change, and when a server in use was missing from the last list.
 	leaderInterval   = 2 * time.Second
 	changingInterval = time.Second
 	missingInterval  = 500 * time.Millisecond
-	changingFor      = 6 * time.Second
+	changingPeriod   = 6 * time.Second
 
-	// A limiter without a lease for controlPlaneTimeout asks for itself, no more often than
-	// each ownInterval.
+	// A limiter that has had no lease for controlPlaneTimeout requests the list itself, at
+	// most once every limiterInterval.
 	controlPlaneTimeout = 8 * time.Second
-	ownInterval         = 5 * time.Second
+	limiterInterval     = 5 * time.Second
 
-	// checkInterval is the pause between two looks whether a request is due, and
-	// newLeaderInterval the one while a member has not asked yet: a new leader's first list is
-	// waited for.
+	// checkInterval is the interval between checks whether a request is due.
+	// newLeaderInterval is used while a member has made no request yet, because the system
+	// waits for the first list of a new leader.
 	checkInterval     = 250 * time.Millisecond
 	newLeaderInterval = checkInterval / 8
-	// rateLimitedPause follows a request that the platform refused for its rate, and up to as
-	// much again at random.
+	// rateLimitedPause is the pause after a request that the platform rejected because of its
+	// rate limit. A random pause of up to the same length is added to it.
 	rateLimitedPause = 500 * time.Millisecond
 )
 
-// discoveryRandom makes this goroutine's random numbers differ from others of the same seed.
-const discoveryRandom = 2
+// discoveryRandomStream separates this goroutine's random numbers from those of others with
+// the same seed.
+const discoveryRandomStream = 2
 
-// discoverySchedule decides whether a process asks the platform for the server list now. It is
-// free of I/O and clocks: discoverServers fills it in.
+// discoverySchedule decides when a process requests the server list from the platform. It does
+// no I/O and reads no clock: discoverServers fills in the fields.
 type discoverySchedule struct {
-	leading       bool          // this process's member leads the control plane
-	requested     bool          // a list was asked for since that last changed
-	serverMissing bool          // a server that is in use was missing from the last list
+	leading       bool          // the member in this process leads the control plane
+	requested     bool          // a list was requested since leading last changed
+	serverMissing bool          // a server in use was missing from the last list
 	sinceRequest  time.Duration // since the last request
-	sinceChange   time.Duration // since a list last brought a change
-	sinceLease    time.Duration // since the control plane last answered with a lease
-	configured    bool          // this process carries traffic and has a configuration
-	limiters      int           // in the system
-	pages         int           // of the last list; each is a request
-	ratePerS      float64       // requests a second that the platform takes
+	sinceChange   time.Duration // since a list last differed from the one before
+	sinceLease    time.Duration // since the last response of the control plane with a lease
+	configured    bool          // this process serves clients and has a configuration
+	limiters      int           // limiters in the system
+	pages         int           // pages of the last list; each takes one request
+	ratePerS      float64       // rate limit of the platform in requests per second
 }
 
-// due reports whether to ask now. A leader asks at once, then at its pace. A limiter that
-// has no lease goes on with the list that it has, and learns from its own
-// requests which servers have gone; only when that lasts does it ask for itself, so seldom
-// that all such limiters together stay within half of the platform's rate.
+// due reports whether to request the list now. A leader makes its first request immediately
+// and further ones at the leader's intervals. A limiter without a lease keeps its current list
+// and learns from client requests which servers are gone. Only after controlPlaneTimeout does
+// it request the list itself, at an interval that keeps all such limiters together within half
+// of the platform's rate limit.
 func (s *discoverySchedule) due() bool {
 	if !s.leading {
 		waited := s.sinceLease > controlPlaneTimeout
-		return s.configured && waited && (!s.requested || s.sinceRequest >= s.ownInterval())
+		return s.configured && waited && (!s.requested || s.sinceRequest >= s.limiterInterval())
 	}
 	interval := leaderInterval
 	switch {
@@ -68,21 +70,22 @@
 		return true
 	case s.serverMissing:
 		interval = missingInterval
-	case s.sinceChange < changingFor:
+	case s.sinceChange < changingPeriod:
 		interval = changingInterval
 	}
 	return s.sinceRequest >= interval
 }
 
-// ownInterval is the pause between two requests of a limiter: twice the time in which the
-// platform takes one from each limiter.
-func (s *discoverySchedule) ownInterval() time.Duration {
+// limiterInterval returns the interval between two list requests of a limiter: twice the time
+// that the platform's rate limit needs to serve one list to each limiter.
+func (s *discoverySchedule) limiterInterval() time.Duration {
 	seconds := 2 * float64(s.limiters*max(1, s.pages)) / max(1, s.ratePerS)
-	return max(ownInterval, time.Duration(seconds*float64(time.Second)))
+	return max(limiterInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// pause is how long nothing can become due. A member of the control plane may come to lead at
-// any time. Another process asks after controlPlaneTimeout, and each lease puts that off.
+// pause returns the time until the next check. A member of the control plane may become leader
+// at any time, so it checks often. In any other process no request can be due until
+// controlPlaneTimeout after the last lease.
 func (s *discoverySchedule) pause(member bool) time.Duration {
 	switch {
 	case member && !s.requested:
@@ -93,13 +96,14 @@
 	return max(checkInterval, controlPlaneTimeout-s.sinceLease)
 }
 
-// discoverServers asks the platform for the servers until the context ends: the leader for
-// all, a limiter for itself where it has had no lease for long.
+// discoverServers requests the server list from the platform until the context ends: the
+// leader on behalf of all processes, a limiter for itself after controlPlaneTimeout without a
+// lease.
 func (p *Process) discoverServers(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(p.seed, discoveryRandom))
+	rng := rand.New(rand.NewPCG(p.seed, discoveryRandomStream))
 	schedule := discoverySchedule{pages: 1}
-	var lastRequest, lastChange time.Duration // since the start of the process
-	// Limiters that lost the control plane at the same moment ask at different moments.
+	var lastRequest, lastChange time.Duration // relative to the start of the process
+	// Spreads the requests of limiters that lost the control plane at the same time.
 	spread := backoff.Jitter(controlPlaneTimeout, rng)
 	for ctx.Err() == nil {
 		backoff.Sleep(ctx, schedule.pause(p.member != nil))
@@ -133,8 +137,8 @@
 	}
 }
 
-// requestServers asks the platform once for the whole list. An error is logged here; after one
-// for the platform's rate it waits.
+// requestServers requests the whole list from the platform once. It logs errors, and pauses
+// after one caused by the platform's rate limit.
 func (p *Process) requestServers(
 	ctx context.Context, cloud *settings.Cloud, rng *rand.Rand,
 ) (list []api.Server, pages int, err error) {
--- a/process/discovery_test.go
+++ b/process/discovery_test.go
@@ -52,11 +52,11 @@
 			limiterWith(func(s *discoverySchedule) { s.sinceLease, s.pages = controlPlaneTimeout+1, 1 }), true,
 		},
 		"a limiter that has asked just now": {
-			limiterWith(func(s *discoverySchedule) { s.requested, s.sinceRequest = true, ownInterval-1 }), false,
+			limiterWith(func(s *discoverySchedule) { s.requested, s.sinceRequest = true, limiterInterval-1 }), false,
 		},
 		"a limiter with hundreds of others": {
 			limiterWith(func(s *discoverySchedule) {
-				s.requested, s.sinceRequest, s.limiters, s.pages = true, ownInterval, 300, 6
+				s.requested, s.sinceRequest, s.limiters, s.pages = true, limiterInterval, 300, 6
 			}), false,
 		},
 		"a limiter without a configuration": {
--- a/process/errors.go
+++ b/process/errors.go
@@ -7,10 +7,11 @@
 	"google.golang.org/grpc/status"
 )
 
-// errLocalBusy is returned by callLocal while an earlier call is not answered. The next
-// member is asked instead.
-var errLocalBusy = errors.New("process: the core here has not answered an earlier call yet")
+// errLocalBusy is returned by callLocal while an earlier call is still unanswered. The caller
+// tries the next member.
+var errLocalBusy = errors.New("process: the local member has not answered an earlier call yet")
 
-// errNoMember answers calls of other processes while this one has no member: it is
-// bootstrapping, starting anew, or stays out of the control plane. Callers go to the next one.
-var errNoMember = status.Error(codes.Unavailable, "no member of the core takes part here at the moment")
+// errNoMember is returned to other processes while this one has no active member because it
+// is bootstrapping, is replacing its member, or stays out of the control plane. Callers try
+// the next member.
+var errNoMember = status.Error(codes.Unavailable, "no control plane member is active on this machine")
--- a/process/local_call.go
+++ b/process/local_call.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// callLocal calls the member in this process, and waits for it no longer than until the
-// context ends: the member may be waiting for its disk, and the other members answer
-// meanwhile. The call itself goes on until it returns. busy is set meanwhile, and another
-// call fails with errLocalBusy, so that there is one such goroutine at most.
+// callLocal calls the member in this process and waits for the result until the context ends:
+// the member may be blocked on its disk while other members could answer. The call itself
+// continues in its goroutine until it returns. busy is set for that time, and further calls
+// fail with errLocalBusy, so that there is at most one such goroutine.
 func callLocal[Q, R any](
 	ctx context.Context, busy *atomic.Bool, request *Q,
 	call func(context.Context, *Q) (*R, error),
@@ -20,7 +20,7 @@
 		response *R
 		err      error
 	}
-	results := make(chan result, 1) // with room, so that the goroutine ends though nobody waits
+	results := make(chan result, 1) // buffered, so that the goroutine can end after the caller has given up
 	go func() {
 		response, err := call(ctx, request)
 		busy.Store(false)
--- a/process/member_host.go
+++ b/process/member_host.go
@@ -12,37 +12,39 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// restartPause is the pause between two attempts to start a new member on a disk that fails.
+// restartPause is the pause between two attempts to start a member on a failing disk.
 const restartPause = time.Second
 
-// memberHost holds the Raft member of the control plane in this process. Where what is on
-// the disk turns out to be lost, at the start or while the process runs, a new member takes
-// the place of the old one. Traffic continues meanwhile.
+// memberHost runs the control plane's Raft member in this process. If the member's store is
+// found to be corrupt, at the start or while the process runs, a new member replaces the old
+// one. Client traffic is served meanwhile.
 //
-// The exported methods, core and reasonOut may be called concurrently; open, run and close one
-// after the other. A nil memberHost is a process without a member.
+// The exported methods, core and exclusionReason are safe for concurrent use. open, run and
+// close must be called one after the other. A nil memberHost stands for a process without a
+// member.
 type memberHost struct {
-	dir    string // of the store
+	dir    string // directory of the store
 	cfg    controlplane.CoreConfig
-	client *controlplane.Client // is given the member in this process
+	client *controlplane.Client // receives the local member from setCore
 	log    *slog.Logger
 
-	// wrapStore, where set, is what a member uses in place of its store. For tests.
+	// wrapStore, if set, returns what a member uses in place of its store. For tests.
 	wrapStore func(*storage.Store) controlplane.Store
 
-	// store is the member's; nil before the first and where none could be opened. It belongs
-	// to the goroutine that opens, runs and closes, one after the other.
+	// store is the member's store; nil before the first open and after a failed one. It is
+	// used only by the goroutine that calls open, run and close.
 	store *storage.Store
 
-	current atomic.Pointer[controlplane.Core] // nil: no member takes part now
-	// out is why no member will take part, for operators; nil: one does, or is about to.
-	out atomic.Pointer[string]
-	// bootstrapping: the store is empty, and the seeds are being asked whether this is a
+	current atomic.Pointer[controlplane.Core] // nil: no member is active
+	// exclusion is the reason, for operators, why no member will be active; nil: one is active
+	// or about to be.
+	exclusion atomic.Pointer[string]
+	// bootstrapping is true while the store is empty and the seeds are asked whether this is a
 	// first start. Set by open, cleared by run.
 	bootstrapping atomic.Bool
 }
 
-// core is the member that takes part now; nil while there is none.
+// core returns the active member, or nil if there is none.
 func (h *memberHost) core() *controlplane.Core {
 	if h == nil {
 		return nil
@@ -50,55 +52,57 @@
 	return h.current.Load()
 }
 
-// setCore says which member takes part; nil: none.
+// setCore sets the active member; nil for none.
 func (h *memberHost) setCore(core *controlplane.Core) {
 	h.current.Store(core)
 	h.client.SetLocalCore(core)
 }
 
-// reasonOut is why this process stays out of the control plane though its settings ask for a
-// member; empty where it does not.
-func (h *memberHost) reasonOut() string {
+// exclusionReason returns the reason why this process stays out of the control plane although
+// its settings ask for a member. It is empty if the process does not stay out.
+func (h *memberHost) exclusionReason() string {
 	if h == nil {
 		return ""
 	}
-	if reason := h.out.Load(); reason != nil {
+	if reason := h.exclusion.Load(); reason != nil {
 		return *reason
 	}
 	return ""
 }
 
-// open starts the member on what is on the disk.
+// open opens the store and starts the member.
 //
-// A corrupt store may have lost a vote or an acknowledgement, so its identity is not used
-// again: a new member starts, and never as a first voter. A store in a newer format is left
-// as it is and no member takes part: if the whole control plane were rolled back, starting
-// anew would lose all that is committed.
+// A corrupt store may have lost a vote or an acknowledgement, so its identity is not reused: a
+// new member is started, never as an initial voter. A store in a newer format is left
+// unchanged and no member is started: after a rollback of the whole control plane, replacing
+// the stores would lose everything that is committed.
 func (h *memberHost) open(bootstrap bool) error {
 	err := h.openStore(storage.Open, bootstrap)
 	switch {
 	case errors.Is(err, storage.ErrNewerFormat):
 		reason := err.Error()
-		h.out.Store(&reason)
+		h.exclusion.Store(&reason)
 		h.log.Error("store has a newer format, member stays out", "dir", h.dir, "error", err)
 		return h.close()
 	case errors.Is(err, storage.ErrCorrupt):
 		h.log.Error("store is corrupt, starting as a new member", "dir", h.dir, "error", err)
-		return h.startAnew()
+		return h.startReplacement()
 	}
 	return err
 }
 
-// startAnew starts a new member on an emptied store. It fetches everything from the others.
-func (h *memberHost) startAnew() error {
+// startReplacement resets the store and starts a new member on it. The new member fetches its
+// state from the others.
+func (h *memberHost) startReplacement() error {
 	if err := h.close(); err != nil {
-		h.log.Warn("closing the store failed", "dir", h.dir, "error", err) // it is removed next
+		h.log.Warn("closing the store failed", "dir", h.dir, "error", err) // the store is removed next
 	}
 	return h.openStore(storage.Reset, false)
 }
 
-// openStore opens the store by a function and starts the member on it, unless the machine
-// must be bootstrapped: run does that, as the other machines must be answered meanwhile.
+// openStore opens the store with the given function and starts the member on it, unless the
+// machine must be bootstrapped: run does that, because the internal server must already be
+// answering the other machines.
 func (h *memberHost) openStore(open func(string) (*storage.Store, error), bootstrap bool) error {
 	store, err := open(h.dir)
 	if err != nil {
@@ -114,11 +118,11 @@
 	return h.startMember(bootstrap)
 }
 
-// startMember starts a member on the open store. A first voter is one of the members that
-// found the system.
-func (h *memberHost) startMember(firstVoter bool) error {
+// startMember starts a member on the open store. initialVoter makes it one of the initial
+// voters of a new system.
+func (h *memberHost) startMember(initialVoter bool) error {
 	cfg := h.cfg
-	cfg.Store, cfg.Bootstrap = h.store, firstVoter
+	cfg.Store, cfg.Bootstrap = h.store, initialVoter
 	if h.wrapStore != nil {
 		cfg.Store = h.wrapStore(h.store)
 	}
@@ -130,8 +134,8 @@
 	return nil
 }
 
-// run has the member take part until the context ends. A member that loses its store is
-// followed by a new one.
+// run runs the member until the context ends. A member whose store becomes corrupt is replaced
+// by a new one.
 func (h *memberHost) run(ctx context.Context) {
 	if h.bootstrapping.Load() {
 		h.bootstrap(ctx)
@@ -142,18 +146,18 @@
 			return
 		}
 		h.log.Error("store became corrupt, continuing as a new member", "dir", h.dir, "error", err)
-		h.setCore(nil) // it answers nobody from here on: it may have lost what it acknowledged
-		if !h.retryStartAnew(ctx) {
+		h.setCore(nil) // it must not answer any more: it may have lost entries that it acknowledged
+		if !h.retryStartReplacement(ctx) {
 			return
 		}
 	}
 }
 
-// retryStartAnew starts a new member, again and again while the disk fails. It reports false
-// where the context has ended before.
-func (h *memberHost) retryStartAnew(ctx context.Context) bool {
+// retryStartReplacement starts a new member and retries while the disk fails. It returns false
+// if the context ends first.
+func (h *memberHost) retryStartReplacement(ctx context.Context) bool {
 	for {
-		err := h.startAnew()
+		err := h.startReplacement()
 		if err == nil {
 			return true
 		}
@@ -164,7 +168,7 @@
 	}
 }
 
-// close closes the store, if there is one.
+// close closes the store if one is open.
 func (h *memberHost) close() error {
 	if h == nil || h.store == nil {
 		return nil
--- a/process/member_host_test.go
+++ b/process/member_host_test.go
@@ -101,13 +101,13 @@
 	}
 }
 
-// lossyStore is a store that is found corrupt once its channel is closed.
-type lossyStore struct {
+// corruptibleStore is a store that is found corrupt once its channel is closed.
+type corruptibleStore struct {
 	*storage.Store
 	lost chan struct{}
 }
 
-func (s *lossyStore) Save(r raft.Ready) error {
+func (s *corruptibleStore) Save(r raft.Ready) error {
 	select {
 	case <-s.lost:
 		return fmt.Errorf("opening it again: %w", storage.ErrCorrupt)
@@ -123,7 +123,7 @@
 func TestStoreLostWhileRunning(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t)
-	disk := &lossyStore{lost: make(chan struct{})}
+	disk := &corruptibleStore{lost: make(chan struct{})}
 	for i := range c.hosts {
 		var wrapStore func(*storage.Store) controlplane.Store
 		if i == 1 {
--- a/process/operator_access.go
+++ b/process/operator_access.go
@@ -12,14 +12,14 @@
 	"example.org/elmspan/settings"
 )
 
-// controlAccess is the access control of the operator interface, as the control table of the
-// tuning file has it: by default only its limits.
+// controlAccess is the access control of the operator interface, configured by the control
+// table of the tuning file. By default it applies only the limits.
 type controlAccess struct {
-	registry    *operators.Registry    // nil: everybody may make every call
+	registry    *operators.Registry    // nil: no authentication, every call is allowed
 	certificate *operators.Certificate // nil: no TLS
 }
 
-// open reads the files that the settings name and returns next behind the access control. The
+// open reads the files named in the tuning and returns next wrapped in the access control. An
 // error begins with the name of the setting.
 func (a *controlAccess) open(t *settings.ControlTuning, next http.Handler, log *slog.Logger) (http.Handler, error) {
 	var err error
@@ -42,7 +42,7 @@
 	return access.Handler(next), nil
 }
 
-// listener is l with TLS where there is a certificate.
+// listener returns l, wrapped in TLS if there is a certificate.
 func (a *controlAccess) listener(l net.Listener) net.Listener {
 	if a.certificate == nil {
 		return l
@@ -50,7 +50,7 @@
 	return tls.NewListener(l, a.certificate.Config())
 }
 
-// reload reads the files again. One that can't be used changes nothing.
+// reload reads the files again. The current contents stay in force if a file is invalid.
 func (a *controlAccess) reload(log *slog.Logger) {
 	a.reloadRegistry(log)
 	if a.certificate == nil {
--- a/process/peers.go
+++ b/process/peers.go
@@ -9,17 +9,17 @@
 	"example.org/elmspan/membership"
 )
 
-// knownPeers are the processes of the system by what they are for. The maps belong to the
+// knownPeers indexes the processes of the system by role. The maps are used only by the
 // goroutine in which [membership.Service] reports changes.
 type knownPeers struct {
-	limiters map[string]bool   // by name, those that left among them until they are dead
-	members  map[string]string // internal addresses of the control plane's machines, by name
+	limiters map[string]bool   // by name; includes leaving ones until they are dead
+	members  map[string]string // internal addresses of the control plane's machines by name
 
-	limiterCount atomic.Int64 // of limiters, 1 at least once a change was reported; read by any goroutine
+	limiterCount atomic.Int64 // number of limiters, at least 1 after the first change; safe for concurrent reads
 }
 
-// update takes in the processes of which something has changed, and reports whether the
-// addresses of the control plane's machines have.
+// update records changed processes and reports whether the addresses of the control plane's
+// machines have changed.
 func (k *knownPeers) update(changed []api.Peer) (membersChanged bool) {
 	for _, peer := range changed {
 		if peer.Edge && peer.State != membership.Dead {
@@ -45,7 +45,7 @@
 	return membersChanged
 }
 
-// memberAddrs are the addresses of the control plane's machines, in the order of their names.
+// memberAddrs returns the addresses of the control plane's machines, sorted by name.
 func (k *knownPeers) memberAddrs() []string {
 	var addrs []string
 	for _, name := range slices.Sorted(maps.Keys(k.members)) {
@@ -54,8 +54,8 @@
 	return addrs
 }
 
-// peersChanged hands the processes of which something has changed to those who need them:
-// the client falls back on the control plane's machines, the gateway has its own view of all.
+// peersChanged passes changed processes on: the client uses the control plane's machines as
+// fallbacks, and the gateway keeps its own view of all processes.
 func (p *Process) peersChanged(changed []api.Peer) {
 	if p.known.update(changed) {
 		p.client.SetFallbacks(p.known.memberAddrs())
@@ -65,9 +65,9 @@
 	}
 }
 
-// knownMemberAddrs are the internal addresses at which members of the control plane may be, for one
-// that was not added yet: those that this process knows of, and the seeds that the settings
-// name now. The settings may have changed since the start.
+// knownMemberAddrs returns internal addresses at which a member that has not been added yet
+// may find the control plane: those of known members, and the seeds in the current settings,
+// which may have changed since the start.
 func (p *Process) knownMemberAddrs() []string {
 	return append(p.client.KnownMembers(), p.settings.Load().SeedAddrs()...)
 }
--- a/process/process.go
+++ b/process/process.go
@@ -227,7 +227,7 @@
 		Zone:    cfg.Zone,
 		StartID: p.seed,
 		Edge:    cfg.Serves(settings.RoleEdge),
-		Core:    p.member != nil && p.member.reasonOut() == "",
+		Core:    p.member != nil && p.member.exclusionReason() == "",
 	}
 	if !self.Edge { // the two processes of a machine have one node name
 		self.Name += "/" + cfg.Role
--- a/process/reload.go
+++ b/process/reload.go
@@ -14,9 +14,9 @@
 const (
 	// settingsInterval is how often the settings file is looked at for changes.
 	settingsInterval = time.Second
-	// filesEvery is how many looks at the settings are between two at keys, operators,
+	// otherFilesEvery is how many looks at the settings are between two at keys, operators,
 	// certificate and tuning.
-	filesEvery = 5
+	otherFilesEvery = 5
 )
 
 // Reload has the settings file and all other files read again soon. It does not block.
@@ -32,7 +32,7 @@
 func (p *Process) followSettings(ctx context.Context) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
-	loaded, looks := p.settingsSum(), 0
+	loaded, looks := p.settingsHash(), 0
 	for {
 		forced := false
 		select {
@@ -42,20 +42,20 @@
 			forced = true
 		case <-ticker.C:
 		}
-		if looks++; forced || looks%filesEvery == 0 {
+		if looks++; forced || looks%otherFilesEvery == 0 {
 			p.reloadKeys()
 			p.controlAccess.reload(p.log)
 			p.reloadLogLevel()
 		}
-		sum := p.settingsSum()
+		sum := p.settingsHash()
 		if (forced || sum != loaded) && p.reloadSettings() {
 			loaded = sum
 		}
 	}
 }
 
-// settingsSum is a hash of the settings file, 0 where it can't be read.
-func (p *Process) settingsSum() uint64 {
+// settingsHash is a hash of the settings file, 0 where it can't be read.
+func (p *Process) settingsHash() uint64 {
 	data, err := os.ReadFile(p.SettingsPath)
 	if err != nil {
 		return 0
--- a/process/run.go
+++ b/process/run.go
@@ -23,7 +23,7 @@
 	background, stopBackground := context.WithCancel(context.Background())
 	tasks := p.startTasks(background)
 	cfg := p.settings.Load()
-	p.log.Info("started", "name", cfg.Name, "core", p.member != nil && p.member.reasonOut() == "",
+	p.log.Info("started", "name", cfg.Name, "core", p.member != nil && p.member.exclusionReason() == "",
 		"internal", cfg.InternalAddr())
 
 	// 1. When the context ends, leadership and vote are handed over and the other processes
--- a/process/status.go
+++ b/process/status.go
@@ -16,12 +16,12 @@
 	Peers   []string                 // "name address state"
 }
 
-// peerStates are the names of the states of a peer, by their number.
-var peerStates = [...]string{"alive", "leaving", "dead"}
+// peerStateNames are the names of the states of a peer, by their number.
+var peerStateNames = [...]string{"alive", "leaving", "dead"}
 
 // status is what the process shows of itself.
 func (p *Process) status() any {
-	s := processStatus{Name: p.settings.Load().Name, CoreOut: p.member.reasonOut()}
+	s := processStatus{Name: p.settings.Load().Name, CoreOut: p.member.exclusionReason()}
 	if p.gateway != nil {
 		limiter := p.gateway.Status()
 		s.Limiter = &limiter
@@ -31,7 +31,7 @@
 		s.Core = &status
 	}
 	for _, peer := range p.peers.Peers() {
-		state := peerStates[min(len(peerStates)-1, int(peer.State))]
+		state := peerStateNames[min(len(peerStateNames)-1, int(peer.State))]
 		s.Peers = append(s.Peers, fmt.Sprintf("%s %s %s", peer.Name, peer.Addr, state))
 	}
 	return s
--- a/process/watch.go
+++ b/process/watch.go
@@ -37,8 +37,8 @@
 	noLeaseRetryPause = 100 * time.Millisecond
 )
 
-// watchRandom makes the watcher's random numbers differ from others of the same seed.
-const watchRandom = 1
+// watchRandomStream makes the watcher's random numbers differ from others of the same seed.
+const watchRandomStream = 1
 
 // watcher keeps the data plane up to date: it asks a member of the control plane for what is
 // newer than the versions that the gateway has, and for a lease. Its fields up to gateway are
@@ -70,7 +70,7 @@
 
 // run watches until the context ends.
 func (w *watcher) run(ctx context.Context) {
-	pauses := backoff.New(minRetryPause, maxRetryPause, rand.New(rand.NewPCG(w.seed, watchRandom)))
+	pauses := backoff.New(minRetryPause, maxRetryPause, rand.New(rand.NewPCG(w.seed, watchRandomStream)))
 	failed := false
 	for ctx.Err() == nil {
 		failed = !w.watchOnce(ctx, failed)
