--- a/process/bootstrap_test.go
+++ b/process/bootstrap_test.go
@@ -9,11 +9,11 @@
 	"example.org/elmspan/controlplane"
 )
 
-// What a machine with an empty disk and bootstrap set turns out to be, by the answers of the
+// The verdict of a machine with an empty disk and bootstrap set for the possible answers of the
 // other seeds.
 func TestBootstrapDecision(t *testing.T) {
 	t.Parallel()
-	type round = map[string]bool // who answers: whether it has taken part
+	type round = map[string]bool // by seed that answers: whether it has taken part in a term
 	for name, c := range map[string]struct {
 		rounds []round
 		want   bootstrapVerdict
@@ -45,9 +45,9 @@
 	}
 }
 
-// What a machine answers of itself: with a member by what that knows; without one nothing that
-// keeps others from a first start; one that stays out of the control plane, or whose member is
-// being replaced, may have taken part.
+// A machine without a member reports that it has taken part in no term, so that it does not
+// prevent a first start of others. One that stays out of the control plane or is replacing its
+// member reports that it may have taken part.
 func TestHistoryWithoutAMember(t *testing.T) {
 	t.Parallel()
 	bootstrapping := &memberHost{}
@@ -56,7 +56,7 @@
 		host *memberHost
 		want bool
 	}{
-		"no member asked for":      {nil, false},
+		"no member configured":     {nil, false},
 		"bootstrapping":            {bootstrapping, false},
 		"out of the control plane": {&memberHost{}, true},
 	} {
@@ -67,10 +67,9 @@
 	}
 }
 
-// A system starts from empty disks with three addresses, in any order. Later a machine, then
-// two at once, come back with empty disks and bootstrap still set: they are new members, never
-// the voters of before, whose votes they don't know. (Before, they came back under their old
-// ids, and two of three would have been a majority that knows nothing of what is committed.)
+// Three machines with empty disks bootstrap a system. Later one machine, then two at once, restart
+// with empty disks and bootstrap still set. They must become new members: if they returned under
+// their old ids, two of three would form a majority without the committed entries.
 func TestBootstrapLeftOn(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t)
@@ -82,7 +81,7 @@
 		id := c.hosts[i].core().Status().ID
 		first := fmt.Sprintf("%x", uint64(controlplane.BootstrapID(c.addrs[i])))
 		if id == first || slices.Contains(before, id) {
-			t.Fatalf("machine %d has lost its disk and is %s again", i, id)
+			t.Fatalf("machine %d has lost its disk and started under its old id %s", i, id)
 		}
 	}
 	before := c.loseDisks(1)
@@ -93,13 +92,13 @@
 	checkNew(0, before)
 	checkNew(1, before)
 	if s := c.hosts[2].core().Status(); s.Revision != 8 {
-		t.Errorf("what is committed is gone: revision %d", s.Revision)
+		t.Errorf("committed configuration lost: revision %d, want 8", s.Revision)
 	}
 }
 
-// A seed that was stopped before it had started a member, and is there again without
-// bootstrap, does not keep the others from a first start: it has taken part in nothing. It
-// joins. (Where each new id counts as one that has taken part, nobody starts.)
+// A seed that was stopped before it had started a member and restarts without bootstrap does not
+// prevent the first start of the others, because it has taken part in no term. It joins them as
+// a new member. If every new id counted as having taken part, no machine would start.
 func TestBootstrapWithASeedThatHasNoHistory(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t)
--- a/process/cluster_test.go
+++ b/process/cluster_test.go
@@ -21,25 +21,25 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// cluster is a control plane of three machines on loopback, each no more than its member's
-// host.
+// cluster is a control plane of three machines on loopback. Each machine consists only of a
+// memberHost and its server.
 type cluster struct {
 	t     *testing.T
 	addrs []string
 	dirs  []string
 	hosts []*memberHost
 	stops []func()
-	// withoutBootstrap is the machine whose settings have bootstrap off; -1: none.
+	// withoutBootstrap is the index of the machine with bootstrap off; -1: none.
 	withoutBootstrap int
 }
 
-// clusters counts them, so that each has an address of its own.
+// clusters counts the clusters, so that each can have its own address.
 var clusters atomic.Int32
 
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{t: t, withoutBootstrap: -1, hosts: make([]*memberHost, 3), stops: make([]func(), 3)}
 	pid := os.Getpid()
-	// An address of no other test, so that ports stay free.
+	// An address that no other test uses, so that the ports stay free.
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+pid>>16%64, pid>>8%256, 251+clusters.Add(1)%4)
 	for _, port := range freePorts(t, ip, 3) {
 		c.addrs = append(c.addrs, fmt.Sprintf("%s:%d", ip, port))
@@ -48,7 +48,7 @@
 	return c
 }
 
-// start starts a machine. wrapStore may be nil.
+// start starts machine i. wrapStore may be nil.
 func (c *cluster) start(i int, wrapStore func(*storage.Store) controlplane.Store) {
 	c.t.Helper()
 	conns, log := api.NewConnPool(nil), slog.New(slog.DiscardHandler)
@@ -74,7 +74,7 @@
 	api.RegisterBootstrap(srv, h)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { _ = srv.Serve(l) }() // returns when it is stopped
+	go func() { _ = srv.Serve(l) }() // returns when the server is stopped
 	go func() { h.run(ctx); close(done) }()
 	c.hosts[i] = h
 	c.stops[i] = sync.OnceFunc(func() {
@@ -82,12 +82,12 @@
 		srv.Stop()
 		<-done
 		conns.Close()
-		_ = h.close() // a store that the test has damaged may fail
+		_ = h.close() // closing a store that the test has damaged may fail
 	})
 	c.t.Cleanup(c.stops[i])
 }
 
-// startAll starts the machines in this order.
+// startAll starts the machines in the given order.
 func (c *cluster) startAll(order ...int) {
 	c.t.Helper()
 	for _, i := range order {
@@ -95,8 +95,8 @@
 	}
 }
 
-// loseDisks stops machines, empties their disks, starts them again and waits until each has a
-// member. It returns the ids of the members before.
+// loseDisks stops machines, deletes their stores, starts them again and waits until each has a
+// member. It returns the ids of their previous members.
 func (c *cluster) loseDisks(machines ...int) (before []string) {
 	c.t.Helper()
 	for _, i := range machines {
@@ -113,14 +113,14 @@
 	return before
 }
 
-// waitUntil waits as long as it takes: the time of the whole test bounds it.
-func (c *cluster) waitUntil(is func() bool) {
-	for !is() {
+// waitUntil waits until the condition holds. It is limited only by the time-out of the test run.
+func (c *cluster) waitUntil(condition func() bool) {
+	for !condition() {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// replaceConfig puts a configuration in force, asked for at machine 2.
+// replaceConfig replaces the configuration through machine 2 and returns the new one.
 func (c *cluster) replaceConfig(base, revision uint64) []byte {
 	c.t.Helper()
 	conf, err := cbor.Marshal(&api.Config{Revision: revision})
@@ -134,7 +134,7 @@
 	return conf
 }
 
-// isVoter reports whether a machine's member is a voter and has a revision.
+// isVoter reports whether a machine's member is a voter and has the given revision.
 func (c *cluster) isVoter(i int, revision uint64) bool {
 	core := c.hosts[i].core()
 	if core == nil {
@@ -144,7 +144,7 @@
 	return s.Revision == revision && slices.Contains(s.Members, fmt.Sprintf("%s %s voter", s.ID, c.addrs[i]))
 }
 
-// waitForVoters waits until all three are voters and have a revision.
+// waitForVoters waits until all three members are voters and have the given revision.
 func (c *cluster) waitForVoters(revision uint64) {
 	c.waitUntil(func() bool { return c.isVoter(0, revision) && c.isVoter(1, revision) && c.isVoter(2, revision) })
 }
--- a/process/damaged_store_test.go
+++ b/process/damaged_store_test.go
@@ -10,10 +10,10 @@
 	"example.org/elmspan/settings"
 )
 
-// damage changes the files of a member's store.
+// damage corrupts the files of a member's store.
 type damage func(t *testing.T, dir string)
 
-// changeNewest changes the newest of the files that match a pattern.
+// changeNewest applies a change to the newest file that matches a pattern.
 func changeNewest(pattern string, change func(path string) error) damage {
 	return func(t *testing.T, dir string) {
 		t.Helper()
@@ -53,7 +53,7 @@
 	}
 }
 
-// markLost leaves the marker of a store that was being removed.
+// markLost writes the marker file of a store whose removal has begun.
 func markLost(t *testing.T, dir string) {
 	t.Helper()
 	if err := os.WriteFile(dir+".lost", nil, 0o600); err != nil {
@@ -61,10 +61,9 @@
 	}
 }
 
-// A process over a damaged store starts, as a new member: whatever the settings say of a first
-// start, never under the id that may have voted. A store that was being removed when the
-// process ended is no exception. (Fails where only goleveldb's own errors count as damage: the
-// process ends.)
+// A process with a damaged store starts as a new member even if bootstrap is set, never under
+// the id that may have voted. The same holds if the process ended while it was removing the
+// store. If only goleveldb's own errors counted as corruption, the process would exit instead.
 func TestDamagedStoreStartsAsNewMember(t *testing.T) {
 	t.Parallel()
 	for name, corrupt := range map[string]damage{
@@ -96,23 +95,23 @@
 	}
 	first := controlplane.BootstrapID(cfg.InternalAddr())
 	if id := m.memberAtStart(); id != first {
-		t.Fatalf("the first start: member %x in place of %x", id, first)
+		t.Fatalf("first start: member id %x, want %x", id, first)
 	}
-	if id := m.memberAtStart(); id != first { // its write-ahead log is a table by now
-		t.Fatalf("the second start: member %x in place of %x", id, first)
+	if id := m.memberAtStart(); id != first { // the write-ahead log has become a table by now
+		t.Fatalf("second start: member id %x, want %x", id, first)
 	}
 	corrupt(t, filepath.Join(m.dir, memberDir))
 	id := m.memberAtStart()
 	if id == first || id == 0 {
-		t.Errorf("member %x came back under its id", id)
+		t.Errorf("member id %x after the damage, want a new one", id)
 	}
 	if next := m.memberAtStart(); next != id {
-		t.Errorf("the new member %x is %x at the next start", id, next)
+		t.Errorf("the id of the new member was %x and is %x after a restart", id, next)
 	}
 }
 
-// memberAtStart opens the machine's process, closes it without a Run, and returns the id of
-// its member.
+// memberAtStart opens the machine's process, closes it without running it, and returns the id
+// of its member.
 func (m *machine) memberAtStart() raft.ID {
 	m.t.Helper()
 	p := m.newProcess()
--- a/process/discovery_test.go
+++ b/process/discovery_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// A leader asks the platform at once, whatever the age of its process, then at its pace,
-// faster while servers come and go. A limiter asks for itself only where it has had no lease
-// for long, and the more seldom the more of them there are. (docs/incidents/0003: a second
-// without servers after a start of all. Fails where the pause counts from the start.)
+// A new leader requests the server list immediately, however long its process has been running,
+// and then at intervals that are shorter while servers change. A limiter requests the list itself
+// only after a long time without a lease, and less often the more limiters there are. Guards
+// against docs/incidents/0003: when the first interval counted from the start of the process, a
+// restart of all processes left the system without servers for a second.
 func TestDiscoverySchedule(t *testing.T) {
 	leaderWith := func(change func(*discoverySchedule)) discoverySchedule {
 		s := discoverySchedule{requested: true, leading: true, sinceChange: time.Hour, ratePerS: 50}
@@ -32,7 +33,7 @@
 		"a leader soon after": {
 			leaderWith(func(s *discoverySchedule) { s.sinceRequest = leaderInterval / 2 }), false,
 		},
-		"a leader at its pace": {
+		"a leader after its interval": {
 			leaderWith(func(s *discoverySchedule) { s.sinceRequest = leaderInterval }), true,
 		},
 		"a leader while servers change": {
@@ -51,7 +52,7 @@
 		"a limiter without one": {
 			limiterWith(func(s *discoverySchedule) { s.sinceLease, s.pages = controlPlaneTimeout+1, 1 }), true,
 		},
-		"a limiter that has asked just now": {
+		"a limiter soon after a request": {
 			limiterWith(func(s *discoverySchedule) { s.requested, s.sinceRequest = true, limiterInterval-1 }), false,
 		},
 		"a limiter with hundreds of others": {
@@ -69,28 +70,29 @@
 	}
 }
 
-// Who is no member of the control plane doesn't look whether a request is due until one can
-// be: while leases come that is a few times a minute, and never later than it would ask.
+// A process without a member of the control plane doesn't check whether a request is due before
+// one can be. While leases arrive it checks only a few times a minute, and it still makes the
+// first request on time after they stop.
 func TestDiscoveryPausesUntilARequestCanBeDue(t *testing.T) {
 	s := discoverySchedule{configured: true, sinceRequest: time.Hour, limiters: 300, pages: 16, ratePerS: 3200}
-	looks, requestAt := 0, time.Duration(0)
+	checks, requestAt := 0, time.Duration(0)
 	for now := time.Duration(0); now < 2*time.Minute; now += s.pause(false) {
 		if now < time.Minute {
-			looks++
+			checks++
 		}
-		lastLease := min(now, time.Minute-1) // one each 1.5 s for a minute
+		lastLease := min(now, time.Minute-1) // a lease every 1.5 s for a minute
 		lastLease -= lastLease % (1500 * time.Millisecond)
 		s.sinceLease = now - lastLease
 		if requestAt == 0 && s.due() {
 			requestAt = now
 		}
 	}
-	if looks > 10 {
-		t.Errorf("%d looks in a minute in which nothing was due", looks)
+	if checks > 10 {
+		t.Errorf("%d checks in a minute in which no request was due", checks)
 	}
 	last := time.Minute - 1500*time.Millisecond
 	if requestAt < last+controlPlaneTimeout || requestAt > time.Minute+controlPlaneTimeout+checkInterval {
-		t.Errorf("the last lease at %v, the request at %v", last, requestAt)
+		t.Errorf("last lease at %v, request at %v", last, requestAt)
 	}
 	for _, c := range []struct {
 		requested bool
@@ -98,7 +100,7 @@
 	}{{false, newLeaderInterval}, {true, checkInterval}} {
 		member := &discoverySchedule{requested: c.requested}
 		if got := member.pause(true); got != c.want {
-			t.Errorf("a member that has asked (%v) looks after %v, want %v", c.requested, got, c.want)
+			t.Errorf("member with requested = %v: pause %v, want %v", c.requested, got, c.want)
 		}
 	}
 }
--- a/process/local_call_test.go
+++ b/process/local_call_test.go
@@ -9,13 +9,14 @@
 	"example.org/elmspan/api"
 )
 
-// A member that waits for its disk delays no caller beyond the end of the call, and at most
-// one call goes on after its end. Once the disk is back the member is asked again.
+// A member that is blocked on its disk does not delay a caller beyond the end of the caller's
+// context, and at most one abandoned call is left running. Once the disk recovers the member is
+// called again.
 func TestStalledMemberDelaysNoCaller(t *testing.T) {
 	t.Parallel()
 	var busy atomic.Bool
 	stalled, entered, calls := make(chan struct{}), make(chan struct{}, 8), atomic.Int32{}
-	// The member ignores the context, as one that waits for a mutex does.
+	// The member ignores the context, like one that waits for a mutex.
 	member := func(context.Context, *api.WatchRequest) (*api.WatchResponse, error) {
 		calls.Add(1)
 		entered <- struct{}{}
@@ -28,24 +29,24 @@
 		cancel()
 	}()
 	if _, err := callLocal(ctx, &busy, &api.WatchRequest{}, member); !errors.Is(err, context.Canceled) {
-		t.Fatalf("a call that is over: %v", err)
+		t.Fatalf("call with a cancelled context: %v", err)
 	}
 	for range 3 {
 		if _, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, member); !errors.Is(err, errLocalBusy) {
-			t.Fatalf("a second call beside one that is not answered: %v", err)
+			t.Fatalf("call during an unanswered one: %v", err)
 		}
 	}
 	if n := calls.Load(); n != 1 {
-		t.Errorf("%d calls at once", n)
+		t.Errorf("%d concurrent calls, want 1", n)
 	}
 	close(stalled)
 	for {
 		n, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, member)
 		if errors.Is(err, errLocalBusy) {
-			continue // the first one is about to end
+			continue // the first call is about to end
 		}
 		if err != nil || !n.Lease {
-			t.Fatalf("once the disk is back: %+v, %v", n, err)
+			t.Fatalf("after the disk has recovered: %+v, %v", n, err)
 		}
 		return
 	}
--- a/process/machine_test.go
+++ b/process/machine_test.go
@@ -22,21 +22,21 @@
 	"example.org/elmspan/settings"
 )
 
-// hangTimeout ends a test that hangs. No result depends on it.
+// hangTimeout ends a test that hangs. No test result depends on its value.
 const hangTimeout = 5 * time.Minute
 
-// machine is one machine on loopback with both roles, a single seed, whose platform lists one
-// server.
+// machine is a machine on loopback with both roles. It is the only seed, and its platform lists
+// one server.
 type machine struct {
 	t                     *testing.T
 	ip, dir               string
 	internalPort          int
-	front, ready, control string // addresses
-	platform              string // address
+	front, ready, control string // listener addresses
+	platform              string // address of the platform's API
 }
 
-// freePorts returns so many ports of an address that nobody listened on a moment ago. The
-// address is one that no other test uses, so that none takes them.
+// freePorts returns n ports of an address that are free at the moment. The address must be one
+// that no other test uses, so that the ports stay free.
 func freePorts(t *testing.T, ip string, n int) []int {
 	t.Helper()
 	var ports []int
@@ -45,13 +45,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer closeAtEnd(t, l) // all are open until the last is chosen, so that they differ
+		defer closeAtEnd(t, l) // all stay open until the last is chosen, so that they differ
 		ports = append(ports, l.Addr().(*net.TCPAddr).Port)
 	}
 	return ports
 }
 
-// closeAtEnd closes what a test has opened and may have been closed by the code under test.
+// closeAtEnd closes c, which the code under test may have closed already.
 func closeAtEnd(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -70,7 +70,7 @@
 	return l
 }
 
-// startUpstream starts a server that gives every request the same answer, and returns its
+// startUpstream starts a server that sends the same response to every request, and returns its
 // address.
 func startUpstream(t *testing.T) string {
 	l := listenLoopback(t)
@@ -86,7 +86,7 @@
 	return l.Addr().String()
 }
 
-// answerAll answers the requests of a connection until it is closed or hangs.
+// answerAll answers the requests of a connection until it is closed or hangTimeout has passed.
 func answerAll(c net.Conn) {
 	defer func() { _ = c.Close() }() // the other end may have closed it
 	if err := c.SetDeadline(time.Now().Add(hangTimeout)); err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// startPlatform starts a platform whose list has one server, and returns its address.
+// startPlatform starts a platform API that lists one server, and returns its address.
 func startPlatform(t *testing.T, upstream string) string {
 	server := api.Server{ID: "i-1", Upstream: "s", Addr: upstream, Zone: "z", Capacity: 4, State: "in_service"}
 	list, err := cbor.Marshal(map[string]any{"members": []api.Server{server}})
@@ -142,7 +142,7 @@
 
 func (m *machine) path() string { return filepath.Join(m.dir, "node.toml") }
 
-// settingsText is the text of a settings file, with gaps for what differs between machines.
+// settingsText is a settings file with placeholders for values that differ between machines.
 const settingsText = `node_name = "n"
 served_roles = ["edge", "control"]
 ip = %q
@@ -176,7 +176,7 @@
 	}
 }
 
-// removeEdgeRole takes the data plane out of the settings.
+// removeEdgeRole removes the role with the data plane from the settings.
 func (m *machine) removeEdgeRole() {
 	m.t.Helper()
 	text, err := os.ReadFile(m.path())
@@ -202,7 +202,7 @@
 	return p
 }
 
-// start runs the machine's process and returns what shuts it down in order.
+// start runs the machine's process. stop shuts it down and waits until it has ended.
 func (m *machine) start() (p *Process, stop func()) {
 	m.t.Helper()
 	p = m.newProcess()
@@ -218,12 +218,12 @@
 				m.t.Error(err)
 			}
 		case <-time.After(hangTimeout):
-			m.t.Fatal("the process does not end")
+			m.t.Fatal("the process does not end after its context was cancelled")
 		}
 	}
 }
 
-// callUntilOK repeats a request until it is answered with status 200, and returns the body.
+// callUntilOK repeats a request until the response has status 200, and returns its body.
 func (m *machine) callUntilOK(method, url string, header http.Header, body []byte) []byte {
 	m.t.Helper()
 	last := ""
@@ -243,7 +243,7 @@
 	return nil
 }
 
-// do makes one request and reads the whole answer.
+// do makes one request and reads the whole response.
 func do(req *http.Request) (status int, body []byte, err error) {
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -253,20 +253,20 @@
 	return resp.StatusCode, body, errors.Join(err, resp.Body.Close())
 }
 
-// get makes a request of a client and returns the server's answer.
+// get makes a client request and returns the body of the server's response.
 func (m *machine) get() []byte {
 	m.t.Helper()
 	header := http.Header{"Authorization": {"Token k"}, "Attempt-Id": {"a"}}
 	return m.callUntilOK("GET", "http://"+m.front+"/x", header, nil)
 }
 
-// replaceConfig puts a configuration in force, by the operator interface.
+// replaceConfig replaces the configuration through the operator interface.
 func (m *machine) replaceConfig(base string, conf []byte) {
 	m.t.Helper()
 	m.callUntilOK("POST", "http://"+m.control+"/v1/Config.Replace", http.Header{"Base-Revision": {base}}, conf)
 }
 
-// getConfig reads the configuration by the operator interface.
+// getConfig reads the configuration through the operator interface.
 func (m *machine) getConfig() []byte {
 	m.t.Helper()
 	return m.callUntilOK("GET", "http://"+m.control+"/v1/Config.Get", nil, nil)
--- a/process/member_host_test.go
+++ b/process/member_host_test.go
@@ -19,20 +19,20 @@
 	"example.org/elmspan/raft/storage"
 )
 
-// writeNewerFormat has a member's store say that a newer program wrote it, in a format that
-// no present one can read.
+// writeNewerFormat marks a member's store as written by a newer program in a format that the
+// current one can't read.
 func writeNewerFormat(t *testing.T, dir string) {
 	t.Helper()
 	text := fmt.Sprintf("elmspan member, format 99, reader 99, sum %016x\n", xxhash.Sum64String(fmt.Sprint(99, 99)))
 	if err := os.WriteFile(filepath.Join(dir, "FORMAT.99"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Truncate(filepath.Join(dir, "SEAL"), 1); err != nil { // in a form that isn't known here
+	if err := os.Truncate(filepath.Join(dir, "SEAL"), 1); err != nil { // a layout unknown to the current program
 		t.Fatal(err)
 	}
 }
 
-// contents are the files of a folder.
+// contents returns the contents of the files in a directory by name.
 func contents(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	out := map[string]string{}
@@ -50,9 +50,10 @@
 	return out
 }
 
-// A machine that is rolled back over a store of a newer format starts no new member: its
-// process serves, stays out of the control plane, says so, and leaves the files as they are.
-// The newer program then goes on with all that was committed. (Before, it removed the store.)
+// A machine that is rolled back while its store has a newer format starts no new member. Its
+// process serves, stays out of the control plane, reports this in its status and leaves the store
+// unchanged, so that the newer program can continue with everything committed. Guards against
+// removing the store.
 func TestRolledBackProcessKeepsTheStore(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t)
@@ -71,20 +72,20 @@
 		t.Fatal(err)
 	}
 	writeNewerFormat(t, dir)
-	was := contents(t, dir)
+	before := contents(t, dir)
 	p, stop = m.start()
 	if p.member.core() != nil || p.client.LocalCore() != nil {
-		t.Error("it takes part in the control plane")
+		t.Error("the process has an active member although its store has a newer format")
 	}
 	text := m.callUntilOK("GET", "http://"+m.control+"/v1/Status", nil, nil)
 	if !bytes.Contains(text, []byte("newer program")) {
-		t.Errorf("its status doesn't say so: %s", text)
+		t.Errorf("the status does not report the newer format: %s", text)
 	}
 	stop()
-	if now := contents(t, dir); !maps.Equal(now, was) {
-		t.Error("files of the newer program were changed")
+	if after := contents(t, dir); !maps.Equal(after, before) {
+		t.Error("the files of the newer format were changed")
 	}
-	// The newer program again.
+	// Restores the format that this program reads, which stands for starting the newer program.
 	err = errors.Join(
 		os.WriteFile(filepath.Join(dir, "SEAL"), seal, 0o600),
 		os.Remove(filepath.Join(dir, "FORMAT.99")))
@@ -94,14 +95,14 @@
 	p, stop = m.start()
 	defer stop()
 	if got := m.getConfig(); !bytes.Equal(got, conf) {
-		t.Error("what was committed is gone")
+		t.Error("the committed configuration is lost")
 	}
-	if now := p.member.core().Status().ID; now != id {
-		t.Errorf("member %s is %s", id, now)
+	if after := p.member.core().Status().ID; after != id {
+		t.Errorf("member id was %s and is %s", id, after)
 	}
 }
 
-// corruptibleStore is a store that is found corrupt once its channel is closed.
+// corruptibleStore is a store whose Save reports corruption once the channel is closed.
 type corruptibleStore struct {
 	*storage.Store
 	lost chan struct{}
@@ -116,10 +117,10 @@
 	}
 }
 
-// A member whose store is found corrupt while the process runs is followed by a new one,
-// without a restart of the process: under another id, without a vote at first, with all that
-// was committed fetched from the others. The next start of the process finds that one.
-// (Before, the member answered nobody until that start.)
+// A member whose store is found corrupt while the process runs is replaced by a new one without
+// a restart of the process. The new member has another id, is not a voter at first and fetches
+// everything committed from the others. It is the one that the next start of the process finds.
+// Guards against a machine that has no active member until its process is restarted.
 func TestStoreLostWhileRunning(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t)
@@ -129,7 +130,7 @@
 		if i == 1 {
 			wrapStore = func(s *storage.Store) controlplane.Store {
 				if disk.Store != nil {
-					return s // of the new member: it loses nothing
+					return s // the new member's store stays intact
 				}
 				disk.Store = s
 				return disk
@@ -141,19 +142,19 @@
 	c.waitUntil(func() bool { return c.hosts[1].core() != nil })
 	old := c.hosts[1].core()
 	close(disk.lost)
-	conf := c.replaceConfig(7, 8) // it can't save this
+	conf := c.replaceConfig(7, 8) // the corrupt store can't save this entry
 	c.waitUntil(func() bool { return c.hosts[1].core() != old && c.isVoter(1, 8) })
 	now := c.hosts[1].core().Status()
 	if s := old.Status(); s.Halted == "" || s.ID == now.ID {
-		t.Errorf("the member that has lost something: %+v", s)
+		t.Errorf("status of the member with the corrupt store: %+v", s)
 	}
 	r := c.hosts[1].client.Get(t.Context(), &api.GetRequest{})
 	if r.Status != http.StatusOK || !bytes.Equal(r.Config, conf) {
-		t.Errorf("its process reads %+v", r)
+		t.Errorf("the process with the new member reads %+v", r)
 	}
 	c.stops[1]()
 	c.start(1, nil)
 	if s := c.hosts[1].core().Status(); s.ID != now.ID {
-		t.Errorf("at the next start member %s is %s", now.ID, s.ID)
+		t.Errorf("member id was %s and is %s after a restart", now.ID, s.ID)
 	}
 }
--- a/process/operator_access_test.go
+++ b/process/operator_access_test.go
@@ -12,8 +12,8 @@
 	"example.org/elmspan/settings"
 )
 
-// A file of the tuning that can't be used ends the start, with the setting's name; where none
-// is named the interface is open.
+// An invalid file named in the tuning fails the start with the name of the setting. If no file is
+// named, the operator interface is open to everyone.
 func TestControlAccess(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad")
 	if err := os.WriteFile(bad, []byte("[[operator]]\nname = \"a\"\n"), 0o600); err != nil {
@@ -36,7 +36,7 @@
 	}
 	w := httptest.NewRecorder()
 	if h.ServeHTTP(w, httptest.NewRequest("POST", "/v1/Config.Replace", nil)); w.Code != 200 {
-		t.Errorf("an open interface answers %d", w.Code)
+		t.Errorf("an open interface answers with status %d, want 200", w.Code)
 	}
-	access.reload(log) // nothing to read: nothing happens
+	access.reload(log) // no files to read: no effect
 }
--- a/process/process.go
+++ b/process/process.go
@@ -1,11 +1,10 @@
-// Package process composes the planes into one process of the system: the data plane where
-// the role serves clients, the operator interface where it serves control, and a Raft member
-// of the control plane where the machine has a disk for it as well.
+// Package process assembles one process of the system: the data plane if its role serves
+// clients, the operator interface if its role serves control, and a Raft member of the control
+// plane if the settings make the machine one.
 //
 // [New] opens everything that the settings name, or fails with an error that names the
-// setting. [Process.Run] serves until its context ends and then shuts down in order. New
-// has the start-up sequence, Run the one of shutting down; both give the reason for the
-// order at each step.
+// setting. [Process.Run] serves until its context ends and then shuts down in order. The
+// start-up and shutdown sequences give the reason for the order of their steps.
 package process
 
 import (
@@ -32,39 +31,38 @@
 )
 
 const (
-	// minVoters are enough for the loss of one machine; each further loss that the settings
-	// ask for needs two more.
+	// minVoters tolerate the loss of one machine. Each further loss to tolerate, as set by
+	// fault_tolerance.machine_failures, needs two more voters.
 	minVoters = 3
-	// memberDir is the folder of the Raft member's store in the data directory.
+	// memberDir is the subdirectory of the data directory with the Raft member's store.
 	memberDir = "log"
 
 	controlHeaderTimeout = 2 * time.Second
 	controlIdleTimeout   = 5 * time.Second
 )
 
-// Options are what a process is started with. SettingsPath, Tuning and Log are needed.
+// Options configures a process. SettingsPath, Tuning and Log are required.
 type Options struct {
-	SettingsPath string           // of the node file
-	TuningPath   string           // of the tuning file, which is read again for log.level; may be empty
-	Tuning       *settings.Tuning // what the tuning file said at the start
+	SettingsPath string           // path of the node file
+	TuningPath   string           // path of the tuning file, read again for log.level; may be empty
+	Tuning       *settings.Tuning // contents of the tuning file at the start
 	Log          *slog.Logger
-	// Level, where set, follows log.level when the tuning file is read again.
+	// Level, if set, is updated from log.level when the tuning file is read again.
 	Level *slog.LevelVar
 }
 
-// Process is one running process. Its fields are set by New and not changed after, but for
-// those that say so.
+// Process is one running process. Its fields are set by New and do not change afterwards unless
+// their comments say so.
 type Process struct {
 	Options
 	log   *slog.Logger
 	start time.Time
-	// seed of all that is drawn at random, a new one at each start; each goroutine has a
-	// source of its own.
+	// seed of all random numbers, drawn anew at each start. Each goroutine has its own source.
 	seed     uint64
-	settings atomic.Pointer[settings.Node] // replaced whole by reloadSettings, never changed
-	reload   chan struct{}                 // a request to read the settings again
+	settings atomic.Pointer[settings.Node] // replaced by reloadSettings; the Node itself is immutable
+	reload   chan struct{}                 // requests to read the settings again
 
-	ring  *keys.Keyring      // nil: the system's own processes speak without TLS
+	ring  *keys.Keyring      // nil: no TLS between the system's processes
 	meter *telemetry.Metrics // nil: no metrics are kept
 
 	conns   *api.ConnPool
@@ -82,8 +80,8 @@
 	internalListener, controlListener, metricsListener net.Listener // nil: not open
 }
 
-// New opens what the settings ask for. An error that has to do with a setting begins with
-// its name. What was opened is closed again after an error.
+// New opens everything that the settings ask for. An error caused by a setting names it. After
+// an error everything is closed again.
 func New(o Options) (*Process, error) {
 	cfg, err := settings.Read(o.SettingsPath)
 	if err != nil {
@@ -104,35 +102,35 @@
 	return p, nil
 }
 
-// open is the start-up sequence. Nothing is answered before Run: connections that come
-// earlier wait at the listeners.
+// open is the start-up sequence. Nothing is answered before Run: earlier connections wait in
+// the backlog of the listeners.
 func (p *Process) open(cfg *settings.Node) error {
 	// Keys first: every connection and every listener between processes uses them.
 	if err := p.openKeyring(); err != nil {
 		return err
 	}
 	p.newClient(cfg)
-	// Metrics before the parts that count in them.
+	// Metrics before the components that update them.
 	if err := p.openMetrics(); err != nil {
 		return err
 	}
-	// The member's store before the heartbeats, which say whether this machine takes part in
-	// the control plane: that depends on what is on the disk.
+	// The member's store before the heartbeats, which announce whether this machine takes part
+	// in the control plane: that depends on the format of the store.
 	if err := p.openMember(cfg); err != nil {
 		return err
 	}
-	// The gateway and the watcher before the heartbeats too, which hand every change of the
-	// peers to the gateway.
+	// The gateway and the watcher before the heartbeats as well, which report every change of
+	// the peers to the gateway.
 	if err := p.openGateway(cfg); err != nil {
 		return err
 	}
 	p.newWatcher()
 	p.newPeers(cfg)
-	// The internal server answers for the member and the heartbeats.
+	// The internal server after the member and the heartbeats, whose services it registers.
 	if err := p.openInternalServer(cfg); err != nil {
 		return err
 	}
-	// The operator interface last: its calls go to all of the above.
+	// The operator interface last: its calls may reach all of the above.
 	return p.openControlServer(cfg)
 }
 
@@ -148,8 +146,8 @@
 	return nil
 }
 
-// newClient makes the connections to other processes and the client of the control plane,
-// which knows the seeds at first.
+// newClient creates the connection pool for other processes and the client of the control
+// plane, which initially knows the seeds.
 func (p *Process) newClient(cfg *settings.Node) {
 	p.conns = api.NewConnPool(p.ring)
 	p.client = &controlplane.Client{Conns: p.conns, Log: p.log, Name: cfg.Name, Status: p.status}
@@ -201,7 +199,7 @@
 		Link:     p.Tuning.Link,
 		Keys:     p.ring,
 		Metrics:  p.meter,
-		// An unknown limiter that sends gossip: an exchange with it makes it known.
+		// Called for gossip from an unknown limiter: a membership exchange makes it known.
 		UnknownPeer: func(addr string) { p.peers.ExchangeWith(addr) },
 	})
 	return err
@@ -229,7 +227,7 @@
 		Edge:    cfg.Serves(settings.RoleEdge),
 		Core:    p.member != nil && p.member.exclusionReason() == "",
 	}
-	if !self.Edge { // the two processes of a machine have one node name
+	if !self.Edge { // the two processes of a machine share one node name
 		self.Name += "/" + cfg.Role
 	}
 	seeds := func() []string { return p.settings.Load().SeedAddrs() }
@@ -242,7 +240,7 @@
 	if p.member != nil {
 		api.RegisterControl(p.internalServer, p.member)
 	}
-	// A machine that bootstraps asks all seeds, and those without a member answer as well.
+	// A machine that bootstraps asks all seeds, so seeds without a member answer as well.
 	api.RegisterBootstrap(p.internalServer, p.member)
 	if p.internalListener, err = api.Listen(context.Background(), cfg.InternalAddr()); err != nil {
 		return fmt.Errorf("internal_port_range: %w", err)
@@ -270,7 +268,7 @@
 	return nil
 }
 
-// closeListeners closes what New has opened and nobody serves.
+// closeListeners closes the listeners and the gateway of a process that has not been run.
 func (p *Process) closeListeners() error {
 	var errs []error
 	for _, l := range []net.Listener{p.internalListener, p.controlListener, p.metricsListener} {
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -13,8 +13,8 @@
 	"example.org/elmspan/settings"
 )
 
-// One process takes a configuration, serves, goes on with its settings while the file is
-// broken, and serves again after a restart from what is on disk alone.
+// A single process accepts a configuration, serves requests, keeps its settings when the file
+// becomes invalid, and after a restart serves again from the state on disk alone.
 func TestOneMachineServesAndRestarts(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t)
@@ -41,7 +41,7 @@
 	p.Reload()
 	m.get()
 	if p.settings.Load().IP != m.ip {
-		t.Error("broken settings were taken over")
+		t.Error("invalid settings were applied")
 	}
 	stop()
 	m.writeSettings(false)
@@ -49,11 +49,12 @@
 	defer stop()
 	m.get()
 	if got := m.getConfig(); string(got) != string(conf) {
-		t.Errorf("%d bytes are read back of %d", len(got), len(conf))
+		t.Errorf("read back a configuration of %d bytes that differs from the %d bytes written", len(got), len(conf))
 	}
 }
 
-// A process that can't be opened leaves no port behind. (Before, the gateway's ports stayed open.)
+// A process that fails to open closes all its listeners. Guards against ports of the gateway that
+// stay open.
 func TestPortsAreFreeAfterAFailedStart(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t)
@@ -68,7 +69,7 @@
 		Log:          slog.New(slog.DiscardHandler),
 	}
 	if _, err := New(options); err == nil || !strings.Contains(err.Error(), "control_port") {
-		t.Fatalf("opened though its control port is taken: %v", err)
+		t.Fatalf("New with the control port in use: %v", err)
 	}
 	for _, addr := range []string{m.front, m.ready} {
 		l, err := net.Listen("tcp", addr)
--- a/process/reload.go
+++ b/process/reload.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// settingsInterval is how often the settings file is looked at for changes.
+	// settingsInterval is how often the settings file is checked for changes.
 	settingsInterval = time.Second
-	// otherFilesEvery is how many looks at the settings are between two at keys, operators,
-	// certificate and tuning.
+	// otherFilesEvery is the number of checks of the settings per check of the keys, the
+	// operators, the certificate and the tuning.
 	otherFilesEvery = 5
 )
 
-// Reload has the settings file and all other files read again soon. It does not block.
+// Reload requests that the settings file and all other files be read again. It does not block.
 func (p *Process) Reload() {
 	select {
 	case p.reload <- struct{}{}:
-	default: // one is asked for already
+	default: // a reload is already pending
 	}
 }
 
-// followSettings reads files again when they have changed, or when Reload was called, until
-// the context ends. A file that can't be used changes nothing.
+// followSettings reads files again when they have changed or Reload was called, until the
+// context ends. The current contents stay in force if a file is invalid.
 func (p *Process) followSettings(ctx context.Context) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
-	loaded, looks := p.settingsHash(), 0
+	loaded, checks := p.settingsHash(), 0
 	for {
 		forced := false
 		select {
@@ -42,7 +42,7 @@
 			forced = true
 		case <-ticker.C:
 		}
-		if looks++; forced || looks%otherFilesEvery == 0 {
+		if checks++; forced || checks%otherFilesEvery == 0 {
 			p.reloadKeys()
 			p.controlAccess.reload(p.log)
 			p.reloadLogLevel()
@@ -54,7 +54,7 @@
 	}
 }
 
-// settingsHash is a hash of the settings file, 0 where it can't be read.
+// settingsHash returns a hash of the settings file, or 0 if it can't be read.
 func (p *Process) settingsHash() uint64 {
 	data, err := os.ReadFile(p.SettingsPath)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return xxhash.Sum64(data)
 }
 
-// reloadSettings reports whether the settings file could be used.
+// reloadSettings reads and applies the settings file. It reports whether the file was valid.
 func (p *Process) reloadSettings() bool {
 	cfg, err := settings.Read(p.SettingsPath)
 	if err != nil {
@@ -90,7 +90,8 @@
 	}
 }
 
-// reloadLogLevel takes over the one setting of the tuning file that may change.
+// reloadLogLevel applies log.level, the only setting of the tuning file that can change while
+// the process runs.
 func (p *Process) reloadLogLevel() {
 	if p.Level == nil || p.TuningPath == "" {
 		return
--- a/process/run.go
+++ b/process/run.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// leaveTimeout is how long after the signal to end a process waits for its member's vote
-	// to be handed over, of the 6 s that it has until it is killed.
+	// leaveTimeout limits how long a process that is shutting down waits until its member's
+	// vote is handed over. The process is killed 6 s after the signal to end.
 	leaveTimeout = 4 * time.Second
-	// shutdownLinger is how long calls that others have made of this process may go on after that.
+	// shutdownLinger is how long calls from others may continue during the shutdown.
 	shutdownLinger = 100 * time.Millisecond
 )
 
@@ -26,33 +26,33 @@
 	p.log.Info("started", "name", cfg.Name, "core", p.member != nil && p.member.exclusionReason() == "",
 		"internal", cfg.InternalAddr())
 
-	// 1. When the context ends, leadership and vote are handed over and the other processes
-	// are informed, while the gateway finishes its requests: the time until the process
-	// is killed is too short for one after the other.
-	left := make(chan struct{})
-	stopLeaving := context.AfterFunc(ctx, func() {
-		defer close(left)
+	// 1. When the context ends, leadership and vote are handed over and the other processes are
+	// notified, while the gateway finishes its requests. The time until the process is killed
+	// is too short to do these one after the other.
+	leaveDone := make(chan struct{})
+	cancelLeave := context.AfterFunc(ctx, func() {
+		defer close(leaveDone)
 		p.leave(background)
 	})
-	defer stopLeaving()
+	defer cancelLeave()
 	p.serveTraffic(ctx)
-	<-left
+	<-leaveDone
 
-	// 2. Calls of operators end before the member stops, which answers them.
+	// 2. Operators' calls end before the member that answers them stops.
 	p.finishControlCalls(background)
-	// 3. The member, heartbeats, watches and reloads end.
+	// 3. The member, the heartbeats, the watches and the reloads stop.
 	stopBackground()
-	// 4. No other process is answered from here on, and none is called.
+	// 4. From here on no calls to or from other processes are possible.
 	p.internalServer.Stop()
 	p.closeControlServer()
 	p.conns.Close()
 	tasks.Wait()
-	// 5. Last the store: nothing writes to it any more.
+	// 5. The store is closed last, when nothing writes to it any more.
 	return p.member.close()
 }
 
-// startTasks starts all that runs beside the traffic. Every task ends once the context has
-// ended and the servers are stopped.
+// startTasks starts the background tasks. All of them end once the context has ended and the
+// servers are stopped.
 func (p *Process) startTasks(ctx context.Context) *sync.WaitGroup {
 	var tasks sync.WaitGroup
 	tasks.Go(p.serveInternal)
@@ -92,8 +92,9 @@
 	}
 }
 
-// serveTraffic serves clients until the context ends and their requests are finished. A
-// process without the data plane waits a moment, in which calls of others end.
+// serveTraffic serves clients until the context has ended and their requests are finished. A
+// process without the data plane waits shutdownLinger after the context has ended, so that
+// calls from others can finish.
 func (p *Process) serveTraffic(ctx context.Context) {
 	if p.gateway != nil {
 		p.gateway.Run(ctx)
@@ -103,8 +104,8 @@
 	time.Sleep(shutdownLinger)
 }
 
-// leave hands leadership and vote over and announces the leaving to the other processes. It
-// returns once the vote is handed over, or after leaveTimeout.
+// leave hands over leadership and vote and announces the departure to the other processes. It
+// returns once the vote is handed over or leaveTimeout has passed.
 func (p *Process) leave(ctx context.Context) {
 	timeout := time.NewTimer(leaveTimeout)
 	defer timeout.Stop()
@@ -125,19 +126,19 @@
 	}
 }
 
-// finishControlCalls lets calls of operators end for a moment.
+// finishControlCalls waits up to shutdownLinger for operators' calls to finish.
 func (p *Process) finishControlCalls(ctx context.Context) {
 	if p.controlServer == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, shutdownLinger)
 	defer cancel()
-	_ = p.controlServer.Shutdown(ctx) // what is left at its end is closed by closeControlServer
+	_ = p.controlServer.Shutdown(ctx) // closeControlServer closes what is left after the time-out
 }
 
-// closeControlServer closes the connections of operators that are still open.
+// closeControlServer closes operators' connections that are still open.
 func (p *Process) closeControlServer() {
 	if p.controlServer != nil {
-		_ = p.controlServer.Close() // the process ends: nothing can be done about an error
+		_ = p.controlServer.Close() // the process is ending: an error can't be handled
 	}
 }
--- a/process/status.go
+++ b/process/status.go
@@ -7,19 +7,19 @@
 	"example.org/elmspan/dataplane"
 )
 
-// processStatus is what /v1/Status shows, as JSON under the names of the fields.
+// processStatus is the response of /v1/Status, encoded as JSON under the field names.
 type processStatus struct {
 	Name    string
 	Limiter *dataplane.Status        `json:",omitempty"` // nil: the role does not serve clients
-	Core    *controlplane.CoreStatus `json:",omitempty"` // nil: no member takes part now
-	CoreOut string                   `json:",omitempty"` // why none does though the settings ask for it
+	Core    *controlplane.CoreStatus `json:",omitempty"` // nil: no member is active
+	CoreOut string                   `json:",omitempty"` // why no member is active although the settings ask for one
 	Peers   []string                 // "name address state"
 }
 
-// peerStateNames are the names of the states of a peer, by their number.
+// peerStateNames has the names of peer states, indexed by state.
 var peerStateNames = [...]string{"alive", "leaving", "dead"}
 
-// status is what the process shows of itself.
+// status returns the processStatus of the process.
 func (p *Process) status() any {
 	s := processStatus{Name: p.settings.Load().Name, CoreOut: p.member.exclusionReason()}
 	if p.gateway != nil {
--- a/process/status_test.go
+++ b/process/status_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The names in /v1/Status are those of earlier releases: operators' scripts read them.
+// The field names in /v1/Status must not change, because operators' scripts read them.
 func TestStatusNames(t *testing.T) {
 	status := processStatus{Name: "n", CoreOut: "a newer program", Peers: []string{"m 10.0.0.1:1 alive"}}
 	got, err := json.Marshal(status)
--- a/process/watch.go
+++ b/process/watch.go
@@ -17,53 +17,57 @@
 )
 
 const (
-	// watchWait is how long a member waits for something new before it answers a watch, and
-	// watchMargin how much later its answer may come.
+	// watchWait is how long a member waits for changes before it answers a watch (long poll).
+	// watchMargin is the additional time allowed for its answer to arrive.
 	watchWait   = 1500 * time.Millisecond
 	watchMargin = 600 * time.Millisecond
-	// urgentTimeout is for a watch that is answered at once, by a process that needs a lease
-	// or a full table: within the rest of a lease each member can be asked.
+	// urgentTimeout is the time-out of a watch that must be answered immediately because the
+	// process needs a lease or a full table. It is short enough that every member can be asked
+	// in the remaining time of a lease.
 	urgentTimeout = 450 * time.Millisecond
-	// connectTimeout is how long an urgent watch waits for a connection. A machine without
-	// power, or one that has not started yet, does not answer at all; it is not waited for as
-	// long as a member that was reached.
+	// connectTimeout is how long an urgent watch waits for a connection. A machine that has no
+	// power or has not started yet does not answer at all, so the limit is lower than for the
+	// answer of a member with a connection.
 	connectTimeout = 120 * time.Millisecond
-	// fetchTimeout is for the chunks of a delta that did not fit into the response.
+	// fetchTimeout limits fetching the chunks of a delta that did not fit into the response.
 	fetchTimeout = 2 * time.Second
-	// minRetryPause and maxRetryPause are between two failed watches, and noLeaseRetryPause
-	// is the longest while there is no lease: nothing can be served meanwhile.
+	// minRetryPause and maxRetryPause bound the pause after a failed watch. Without a lease the
+	// maximum is noLeaseRetryPause, because no requests can be served until there is one.
 	minRetryPause     = 30 * time.Millisecond
 	maxRetryPause     = 400 * time.Millisecond
 	noLeaseRetryPause = 100 * time.Millisecond
 )
 
-// watchRandomStream makes the watcher's random numbers differ from others of the same seed.
+// watchRandomStream separates the watcher's random numbers from those of others with the same
+// seed.
 const watchRandomStream = 1
 
-// watcher keeps the data plane up to date: it asks a member of the control plane for what is
-// newer than the versions that the gateway has, and for a lease. Its fields up to gateway are
-// set before run and not changed.
+// watcher keeps the data plane up to date: it asks a member of the control plane for changes
+// since the gateway's versions, and for a lease. The fields up to gateway are set before run
+// and do not change.
 type watcher struct {
-	name    func() string // of this node
+	name    func() string // returns the name of this node
 	seed    uint64
-	start   time.Time // of the process; times are counted from it
+	start   time.Time // start of the process; times are relative to it
 	log     *slog.Logger
 	conns   *api.ConnPool
 	client  *controlplane.Client
-	member  *memberHost        // nil: none in this process
-	gateway *dataplane.Gateway // nil: no data plane; the member list and the leases are followed alone
+	member  *memberHost        // nil: no member in this process
+	gateway *dataplane.Gateway // nil: no data plane; only the member list and leases are followed
 
-	// lastLease is when a response with a lease last came, since start. Read by any goroutine.
+	// lastLease is the time of the last response with a lease, in nanoseconds since start. Safe
+	// for concurrent reads.
 	lastLease atomic.Int64
 
-	// Of the goroutine in run:
-	needsFull   [2]bool // by table: a delta did not match, the full table is asked for
-	localFailed bool    // the member in this process could not answer the last watch
+	// Used only by the goroutine in run:
+	needsFull   [2]bool // by table: a delta was rejected, so the full table is requested
+	localFailed bool    // the local member failed to answer the last watch
 
-	localBusy atomic.Bool // the member in this process has not answered a call yet
+	localBusy atomic.Bool // the local member has not yet answered a call
 }
 
-// sinceLease is how long ago a response with a lease came, or the process started.
+// sinceLease returns the time since the last response with a lease, or since the process
+// started if there was none.
 func (w *watcher) sinceLease() time.Duration {
 	return time.Since(w.start) - time.Duration(w.lastLease.Load())
 }
@@ -86,17 +90,18 @@
 	}
 }
 
-// watchCall is one watch.
+// watchCall holds the request of one watch and how it is made.
 type watchCall struct {
 	request *api.WatchRequest
-	// leaseStart is what a lease is counted from: no later than when the request is made, so
-	// that it ends here before it ends for the member that granted it.
+	// leaseStart is the time from which a granted lease is counted. It is no later than when
+	// the request is sent, so that the lease expires here before it expires at the member that
+	// granted it.
 	leaseStart time.Duration
-	urgent     bool // an answer is needed at once
+	urgent     bool // an immediate answer is needed
 	timeout    time.Duration
 }
 
-// newWatchCall asks for what is newer than the versions that are here.
+// newWatchCall returns a watch for changes since the local versions.
 func (w *watcher) newWatchCall(urgent bool) watchCall {
 	call := watchCall{
 		request:    &api.WatchRequest{Name: w.name(), WaitMs: watchWait.Milliseconds()},
@@ -121,8 +126,8 @@
 	return call
 }
 
-// watchOnce makes one watch. It reports whether it was answered with a lease and everything in
-// the answer is in force. urgent has it answered at once.
+// watchOnce makes one watch. It reports whether the response had a lease and all its changes
+// are applied. urgent requests an immediate answer.
 func (w *watcher) watchOnce(ctx context.Context, urgent bool) bool {
 	call := w.newWatchCall(urgent)
 	m, ok := w.chooseMember()
@@ -148,14 +153,14 @@
 	if !w.applyResponse(ctx, m, response) {
 		return false
 	}
-	// A lease is for the revision that the member had: only a gateway that has it may use it.
+	// A lease is for the member's revision, so only a gateway that has reached it may use it.
 	if w.gateway.Revision() >= response.Revision {
 		w.gateway.ExtendLease(call.leaseStart + time.Duration(response.LeaseDelayMs)*time.Millisecond)
 	}
 	return true
 }
 
-// call makes the call of a watch. It returns nil where it was not answered.
+// call sends a watch to a member. It returns nil if there is no answer.
 func (w *watcher) call(ctx context.Context, call watchCall, m watchedMember) *api.WatchResponse {
 	if call.urgent && m.conn != nil && !api.WaitReady(ctx, m.conn, connectTimeout) {
 		w.log.Debug("control plane member not reached", "peer", m.addr)
@@ -171,16 +176,16 @@
 	return response
 }
 
-// watchedMember is a member that is asked: the one in this process, or one over the network.
+// watchedMember is a member to which watches are sent, in this process or over the network.
 type watchedMember struct {
-	addr  string           // empty: the one in this process
-	conn  *grpc.ClientConn // nil: the one in this process
+	addr  string           // empty: the local member
+	conn  *grpc.ClientConn // nil: the local member
 	watch func(context.Context, *api.WatchRequest) (*api.WatchResponse, error)
 	fetch func(context.Context, *api.FetchRequest) (*api.Chunk, error)
 }
 
-// chooseMember returns the member to ask: the one in this process, unless it could not answer
-// last time. ok is false where none is known or it can't be called.
+// chooseMember returns the member to ask: the local one, unless it failed to answer the last
+// watch. ok is false if no member is known or no connection to it can be created.
 func (w *watcher) chooseMember() (m watchedMember, ok bool) {
 	if core := w.member.core(); core != nil && !w.localFailed {
 		return watchedMember{
@@ -211,22 +216,24 @@
 	return m, true
 }
 
-// memberFailed has another member asked next. The one in this process is passed over once.
+// memberFailed makes the next watch go to another member. A failed local member is skipped
+// until a watch succeeds or a remote member fails as well.
 func (w *watcher) memberFailed(addr string) {
 	w.localFailed = addr == "" && w.member.core() != nil
 	w.client.WatchMemberFailed(addr)
 }
 
-// applyResponse puts what is new in force: the configuration, then the server list. It
-// reports whether both are.
+// applyResponse applies the changes in a response: first the configuration, then the server
+// list. It reports whether both succeeded.
 func (w *watcher) applyResponse(ctx context.Context, m watchedMember, r *api.WatchResponse) bool {
 	applyServers := func(delta *versioned.DeltaReader) error { return w.gateway.ApplyEndpoints(delta, r.ClockMs) }
 	return w.applyDelta(ctx, m, api.ConfigTable, r.ConfigDelta, w.gateway.ApplyConfig) &&
 		w.applyDelta(ctx, m, api.ServerTable, r.ServersDelta, applyServers)
 }
 
-// applyDelta fetches what is missing of a table's delta and applies it. Where it does not
-// match what is here, the full table is asked for next time.
+// applyDelta fetches the missing chunks of a table's delta and applies it. If the delta is
+// rejected, for instance because its base does not match the local version, the next watch
+// requests the full table.
 func (w *watcher) applyDelta(
 	ctx context.Context, m watchedMember, table uint8, encoded *api.EncodedDelta,
 	apply func(*versioned.DeltaReader) error,
--- a/process/watch_test.go
+++ b/process/watch_test.go
@@ -15,17 +15,17 @@
 	"example.org/elmspan/controlplane"
 )
 
-// After a loss of all, machines of the control plane come back one after the other. A process
-// without a lease asks the next one of them at once, and does not spend the time of a whole
-// call on a machine that does not even accept its connection. (Fails where the connection is
-// waited for as long as the answer: each such call took urgentTimeout.)
+// After an outage of the whole control plane its machines restart one after the other. A process
+// without a lease tries the next machine promptly instead of spending a whole call time-out on one
+// to which no connection can be established. Guards against waiting as long for the connection as
+// for the answer, urgentTimeout per call.
 func TestUnresponsiveMemberIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := slog.New(slog.DiscardHandler)
-		dial := func(context.Context, string) (net.Conn, error) { // accepted, kept open, never answered
-			here, there := net.Pipe()
-			go func() { _, _ = io.Copy(io.Discard, there) }() // ends when the connection is closed
-			return here, nil
+		dial := func(context.Context, string) (net.Conn, error) { // stays open without an answer
+			local, remote := net.Pipe()
+			go func() { _, _ = io.Copy(io.Discard, remote) }() // returns when the connection is closed
+			return local, nil
 		}
 		conns := api.NewConnPool(nil, grpc.WithContextDialer(dial))
 		defer conns.Close()
@@ -40,10 +40,10 @@
 		for range 4 {
 			start := time.Now()
 			if w.watchOnce(t.Context(), true) {
-				t.Fatal("a lease from nobody")
+				t.Fatal("got a lease although no member answers")
 			}
 			if took := time.Since(start); took >= urgentTimeout || took > connectTimeout {
-				t.Errorf("a machine that does not answer was waited for %v", took)
+				t.Errorf("waited %v for a machine that does not answer", took)
 			}
 		}
 	})
