--- a/process/bootstrap_test.go
+++ b/process/bootstrap_test.go
@@ -18,18 +18,18 @@
 		rounds []round
 		want   bootstrapVerdict
 	}{
-		"nobody answers":                            {[]round{{}}, undecided},
+		"no seed answers":                           {[]round{{}}, undecided},
 		"all start":                                 {[]round{{"b": false, "c": false}}, initialVoter},
-		"all start, one after the other":            {[]round{{}, {"b": false}, {"c": false}}, initialVoter},
-		"one has taken part meanwhile":              {[]round{{"b": false}, {"b": true}}, newMember},
+		"all start, one after another":              {[]round{{}, {"b": false}, {"c": false}}, initialVoter},
+		"one has taken part in between":             {[]round{{"b": false}, {"b": true}}, newMember},
 		"this machine's disk was lost":              {[]round{{"b": true, "c": true}}, newMember},
 		"this machine's disk was lost, one is down": {[]round{{"c": true}}, newMember},
 		"two disks were lost":                       {[]round{{"b": false, "c": true}}, newMember},
-		"two disks were lost, the third is cut off": {[]round{{"b": false}, {"b": false}, {"b": false}}, undecided},
-		"two disks were lost, the third comes back": {
+		"two disks were lost, third unreachable":    {[]round{{"b": false}, {"b": false}, {"b": false}}, undecided},
+		"two disks were lost, third reachable again": {
 			[]round{{"b": false}, {"b": false}, {"b": false, "c": true}}, newMember,
 		},
-		"the third has answered another one of them": {[]round{{"b": false}, {"b": true}}, newMember},
+		"another machine has joined in between": {[]round{{"b": false}, {"b": true}}, newMember},
 	} {
 		decision := newBootstrapDecision([]string{"a", "b", "c"}, "a")
 		var got bootstrapVerdict
--- a/process/damaged_store_test.go
+++ b/process/damaged_store_test.go
@@ -67,15 +67,15 @@
 func TestDamagedStoreStartsAsNewMember(t *testing.T) {
 	t.Parallel()
 	for name, corrupt := range map[string]damage{
-		"table flipped":      changeNewest("*.ldb", flipBit),
-		"table cut":          changeNewest("*.ldb", truncateTo(40)),
-		"table removed":      changeNewest("*.ldb", os.Remove),
-		"manifest emptied":   changeNewest("MANIFEST-*", truncateTo(0)),
-		"current emptied":    changeNewest("CURRENT*", truncateTo(0)),
-		"seal removed":       changeNewest("SEAL", os.Remove),
-		"all but seal gone":  changeNewest("[0-9CM]*", removeAllBut("SEAL")),
-		"removal was broken": markLost,
-		"removed, not begun": func(t *testing.T, dir string) {
+		"table bit flipped":    changeNewest("*.ldb", flipBit),
+		"table truncated":      changeNewest("*.ldb", truncateTo(40)),
+		"table removed":        changeNewest("*.ldb", os.Remove),
+		"manifest emptied":     changeNewest("MANIFEST-*", truncateTo(0)),
+		"current emptied":      changeNewest("CURRENT*", truncateTo(0)),
+		"seal removed":         changeNewest("SEAL", os.Remove),
+		"all but seal removed": changeNewest("[0-9CM]*", removeAllBut("SEAL")),
+		"removal interrupted":  markLost,
+		"removed, not recreated": func(t *testing.T, dir string) {
 			if err := os.RemoveAll(dir); err != nil {
 				t.Fatal(err)
 			}
--- a/process/discovery.go
+++ b/process/discovery.go
@@ -104,7 +104,7 @@
 	schedule := discoverySchedule{pages: 1}
 	var lastRequest, lastChange time.Duration // relative to the start of the process
 	// Spreads the requests of limiters that lost the control plane at the same time.
-	spread := backoff.Jitter(controlPlaneTimeout, rng)
+	jitter := backoff.Jitter(controlPlaneTimeout, rng)
 	for ctx.Err() == nil {
 		backoff.Sleep(ctx, schedule.pause(p.member != nil))
 		core := p.member.core()
@@ -113,7 +113,7 @@
 			schedule.leading, schedule.requested, schedule.serverMissing = leading, false, false
 		}
 		schedule.sinceRequest, schedule.sinceChange = now-lastRequest, now-lastChange
-		schedule.sinceLease = p.watcher.sinceLease() - spread
+		schedule.sinceLease = p.watcher.sinceLease() - jitter
 		schedule.configured = p.gateway != nil && p.gateway.Revision() != 0
 		schedule.limiters, schedule.ratePerS = int(p.known.limiterCount.Load()), cfg.Cloud.RatePerS
 		if !schedule.due() {
--- a/process/process.go
+++ b/process/process.go
@@ -80,8 +80,8 @@
 	internalListener, controlListener, metricsListener net.Listener // nil: not open
 }
 
-// New opens everything that the settings ask for. An error caused by a setting names it. After
-// an error everything is closed again.
+// New opens everything that the settings ask for. An error caused by a setting begins with its
+// name. After an error everything is closed again.
 func New(o Options) (*Process, error) {
 	cfg, err := settings.Read(o.SettingsPath)
 	if err != nil {
