--- a/dataplane/clientconn_test.go
+++ b/dataplane/clientconn_test.go
@@ -18,36 +18,36 @@
 	"example.org/elmspan/settings"
 )
 
-// The last answer on a connection is not lost to a reset because its client was still
-// sending: what comes is read past until the client has closed, or for a moment.
+// The last response on a connection is not lost to a TCP reset while the client is still sending: the gateway discards
+// what arrives until the client closes or the linger time has passed.
 func TestLastResponseIsNotLostToAReset(t *testing.T) {
 	t.Parallel()
-	g := newGateway(t, newBackend(t, good("yes")))
+	g := newGateway(t, newBackend(t, respondOK("yes")))
 	g.listener.linger = hangTimeout
 	c := dial(t, g)
 	c.send("POST /once/", "Content-Length: 9999999\r\n", strings.Repeat("b", 64<<10))
-	if h := c.want(413, ""); !h.ClosesConnection() {
-		t.Errorf("%+v does not say that the connection closes", h)
+	if h := c.expect(413, ""); !h.ClosesConnection() {
+		t.Errorf("%+v has no Connection: close", h)
 	}
 	if _, err := c.in.ReadByte(); err != io.EOF {
-		t.Errorf("the connection ends with %v", err)
+		t.Errorf("reading past the response returned %v, want EOF", err)
 	}
 	for range 8 {
 		if _, err := io.WriteString(c, strings.Repeat("b", 64<<10)); err != nil {
-			t.Fatalf("sending on meets %v", err)
+			t.Fatalf("sending after the response failed: %v", err)
 		}
 	}
 	closeConn(c)
 	waitForNoConns(t, g)
 }
 
-// A client of HTTP/1.0 knows no chunks: it gets the body as it is, up to the end of the
-// connection, which is a reset where the body breaks off.
+// An HTTP/1.0 client does not understand chunked encoding: it gets the plain body, delimited by the close of the
+// connection, or by a reset if the body is truncated.
 func TestHTTP10ClientGetsTheBodyUntilClose(t *testing.T) {
 	t.Parallel()
 	const body = "in two chunks"
 	b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
-		write(w, answerHead("200 OK", "a1", sealed("a1")+"Transfer-Encoding: chunked\r\n"))
+		write(w, responseHead("200 OK", "a1", sealField("a1")+"Transfer-Encoding: chunked\r\n"))
 		writef(w, "3\r\n%s\r\n%x\r\n%s\r\n", body[:3], len(body)-3, body[3:])
 		if h.Target == "/get/cut" {
 			return false
@@ -55,7 +55,7 @@
 		write(w, "0\r\n\r\n")
 		return true
 	})
-	g := newGatewayOf(t, settings.Timing{GraceS: 3}, b)
+	g := newGatewayWithTiming(t, settings.Timing{GraceS: 3}, b)
 	for target, breaks := range map[string]bool{"/get/whole": false, "/get/cut": true} {
 		c := dial(t, g)
 		writef(c, "GET %s HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\n", target)
@@ -73,12 +73,11 @@
 	}
 }
 
-// Nor does it know answers that only announce another: one would be taken for its own
-// (RFC 9110, 15.2).
+// An HTTP/1.0 client does not understand interim responses and would take one for the final response (RFC 9110, 15.2).
 func TestHTTP10ClientGetsNoInterimResponse(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		g := newGatewayOf(t, settings.Timing{GraceS: 3}, newBackend(t, good("yes")))
+		g := newGatewayWithTiming(t, settings.Timing{GraceS: 3}, newBackend(t, respondOK("yes")))
 		c := dial(t, g)
 		write(c, "POST /once/ HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n",
 			"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
@@ -90,7 +89,7 @@
 	})
 }
 
-// An answer to HEAD says of the body what its server says, and has none.
+// A response to HEAD has the framing fields that the server sent, and no body.
 func TestHeadResponseHasTheLengthOfGet(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
@@ -119,43 +118,44 @@
 	})
 }
 
-// answerFirst is what becomes of the first of several pipelined requests. It reports whether the connection goes on.
-var answerFirst = map[string]func(w io.Writer, id string) bool{
+// firstResponses are the ways in which the server responds to the first of several pipelined requests. Each function
+// reports whether the server keeps the connection open.
+var firstResponses = map[string]func(w io.Writer, id string) bool{
 	"slow": func(w io.Writer, id string) bool {
-		write(w, answerHead("200 OK", id, sealed(id)+sized(len(ownBody(id)))), ownBody(id))
+		write(w, responseHead("200 OK", id, sealField(id)+lengthField(len(expectedBody(id)))), expectedBody(id))
 		return true
 	},
 	"refused": func(w io.Writer, id string) bool {
-		write(w, answerHead("503 x", id, "Not-Executed: full\r\n"+sized(0)))
+		write(w, responseHead("503 x", id, "Not-Executed: full\r\n"+lengthField(0)))
 		return true
 	},
 	"failed": func(w io.Writer, id string) bool {
-		write(w, answerHead("500 x", id, sized(4)), "fail")
+		write(w, responseHead("500 x", id, lengthField(4)), "fail")
 		return true
 	},
 	"closed": func(io.Writer, string) bool { return false },
 	"truncated": func(w io.Writer, id string) bool {
-		write(w, answerHead("200 OK", id, sealed(id)+sized(2*maxHeldResponse)), "cut")
+		write(w, responseHead("200 OK", id, sealField(id)+lengthField(2*maxHeldResponse)), "cut")
 		return false
 	},
 }
 
-// Requests that are pipelined are answered in their order, each with its own id, whether the first is slow, refused or
-// fails; where its response is truncated, nothing follows.
+// Pipelined requests are answered in order, each with its own id, whether the first is slow, rejected or fails. If the
+// first response is truncated, no other follows.
 func TestPipelinedResponsesKeepOrderBehindAFailure(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		want := map[string]int{"slow": 200, "refused": 503, "failed": 500, "closed": 502}
-		for first, answer := range answerFirst {
+		for first, answer := range firstResponses {
 			others := make(chan struct{})
 			var done atomic.Int64
 			b := newBackend(t, func(w io.Writer, h *h1.Head, _ []byte) bool {
 				id := h.Get("Attempt-Id")
 				if id == "0" {
-					<-others // the others were answered before
+					<-others // wait until the other requests have been answered
 					return answer(w, id)
 				}
-				write(w, answerHead("200 OK", id, sealed(id)+sized(len(ownBody(id)))), ownBody(id))
+				write(w, responseHead("200 OK", id, sealField(id)+lengthField(len(expectedBody(id)))), expectedBody(id))
 				if done.Add(1) == 3 {
 					close(others)
 				}
@@ -164,20 +164,20 @@
 			c := dial(t, newGateway(t, b))
 			c.pipeline(4)
 			if first == "truncated" {
-				if h, _, err := c.answer(); err == nil {
+				if h, _, err := c.readResponse(); err == nil {
 					t.Errorf("truncated: the first response is %+v", h)
 				}
 				continue
 			}
-			c.wantPipelined(first, 0, want[first])
+			c.expectPipelined(first, 0, want[first])
 			for id := 1; id < 4; id++ {
-				c.wantPipelined(first, id, 200)
+				c.expectPipelined(first, id, 200)
 			}
 		}
 	})
 }
 
-// pipeline sends n requests at once.
+// pipeline sends n requests in a single write.
 func (c *client) pipeline(n int) {
 	var all strings.Builder
 	for id := range n {
@@ -186,34 +186,34 @@
 	write(c, all.String())
 }
 
-// wantPipelined reads the next response, which must be the one to a request.
-func (c *client) wantPipelined(name string, request, status int) {
+// expectPipelined reads the next response and checks that it belongs to the given request.
+func (c *client) expectPipelined(name string, request, status int) {
 	c.t.Helper()
 	id := fmt.Sprint(request)
-	h, got, err := c.answer()
-	if err != nil || h.Status != status || h.Get("Attempt-Id") != id || status == 200 && got != ownBody(id) {
-		c.t.Errorf("%s: the response %s is %+v %q, %v; want %d", name, id, h, got, err, status)
+	h, got, err := c.readResponse()
+	if err != nil || h.Status != status || h.Get("Attempt-Id") != id || status == 200 && got != expectedBody(id) {
+		c.t.Errorf("%s: response %s: got %+v %q, %v; want status %d", name, id, h, got, err, status)
 	}
 }
 
-// Many clients at once, some of whom reset their connection in the middle or close half
-// of it, before servers that do everything: each answer is to its own request, each
-// filing runs once at most, and what is refused has not run. Who has closed half counts as
-// gone: it need not be answered, but its connection ends within the time of its requests.
+// Many concurrent clients, some of which reset or half-close their connection early, send requests to servers with
+// randomly chosen behaviors. Each response belongs to its own request, a non-idempotent request runs at most once, and
+// a rejected request has not run. A client that has half-closed its connection counts as disconnected: it may get no
+// response, but its connection is closed within the time budget of its requests.
 func TestResponsesStayWithTheirClients(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		const clients, rounds = 6, 60
-		s := newStage(t, attempt.DefaultRules())
-		s.renew()
+		s := newHarness(t, attempt.DefaultRules())
+		s.replaceServers()
 		var mu sync.Mutex
-		broken := func(format string, args ...any) {
+		violated := func(format string, args ...any) {
 			mu.Lock()
 			defer mu.Unlock()
-			s.broken(format, args...)
+			s.violated(format, args...)
 		}
 		var wg sync.WaitGroup
-		var refused sync.Map // scripts of what was refused
+		var refused sync.Map // status by id of the requests that were rejected
 		var answers atomic.Int64
 		for n := range clients {
 			wg.Go(func() {
@@ -221,26 +221,26 @@
 				for round := range rounds {
 					if n == 0 && round%10 == 9 {
 						mu.Lock()
-						s.renew()
+						s.replaceServers()
 						mu.Unlock()
 					}
 					nc, err := dialOn(t, s.g.listener.tcp.Addr().String())
 					if err != nil {
-						broken("%v", err)
+						violated("%v", err)
 						return
 					}
 					c := &client{t, nc, nil}
 					setDeadline(c, time.Now().Add(hangTimeout))
 					name := fmt.Sprintf("c%d-%d", n, round)
-					talk := conversation{stage: s, client: c, name: name, rng: rng, broken: broken}
+					talk := conversation{harness: s, client: c, name: name, rng: rng, violated: violated}
 					answers.Add(talk.run(&refused))
 					closeConn(nc)
 				}
 			})
 		}
 		wg.Wait()
-		if s.fault != "" {
-			t.Error(s.fault)
+		if s.violation != "" {
+			t.Error(s.violation)
 		}
 		s.scripts.Range(func(id, sc any) bool {
 			if runs := sc.(*script).runs.Load(); runs > 1 && strings.HasSuffix(id.(string), "-once") {
@@ -251,32 +251,32 @@
 		refused.Range(func(id, status any) bool {
 			sc, _ := s.scripts.Load(id)
 			if sc.(*script).runs.Load() > 0 {
-				t.Errorf("%v is answered %v, but it ran", id, status)
+				t.Errorf("%v got status %v, but it ran", id, status)
 			}
 			return true
 		})
 		if answers.Load() < clients*rounds/2 {
-			t.Errorf("only %d answers came", answers.Load())
+			t.Errorf("only %d responses received", answers.Load())
 		}
 	})
 }
 
-// conversation is one connection of a client with up to four pipelined requests.
+// conversation is a client connection with up to four pipelined requests.
 type conversation struct {
-	*stage
-	client    *client
-	name      string
-	rng       *rand.Rand
-	broken    func(format string, args ...any)
-	ids       []string
-	truncates bool // a response may end early
-	left      bool // the client has closed its connection in one direction
+	*harness
+	client     *client
+	name       string
+	rng        *rand.Rand
+	violated   func(format string, args ...any)
+	ids        []string
+	truncates  bool // a response may be truncated
+	halfClosed bool // the client has closed its sending side
 }
 
 const conversationBudget = 300 * time.Millisecond
 
-// run sends the requests and reads their responses, unless the client goes away. It returns how many responses came,
-// and notes those that say that a request has not run.
+// run sends the requests and reads their responses, unless the client disconnects. It returns the number of responses
+// received, and adds to refused those whose status says that the request has not run.
 func (v *conversation) run(refused *sync.Map) (answers int64) {
 	var all strings.Builder
 	for i := range 1 + v.rng.IntN(4) {
@@ -288,18 +288,18 @@
 	sent := time.Now()
 	write(c, all.String())
 	switch v.rng.IntN(5) {
-	case 0: // goes away in the middle
+	case 0: // reset the connection while requests are in flight
 		resetOnClose(c.Conn)
 		if v.rng.IntN(2) == 0 {
-			_, _ = c.in.ReadByte() // whether a response has come by then or not
+			_, _ = c.in.ReadByte() // reset after the first byte of a response, if there is one
 		}
 		return 0
 	case 1:
-		v.left = true
+		v.halfClosed = true
 		closeWrite(c.Conn)
 	}
 	for _, id := range v.ids {
-		h, got, err := c.answer()
+		h, got, err := c.readResponse()
 		if h == nil || err != nil {
 			v.checkEnd(id, err, time.Since(sent))
 			return answers
@@ -316,26 +316,26 @@
 	return answers
 }
 
-// checkEnd holds the end of a connection on which a response is due against the invariants.
+// checkEnd checks the invariants for a connection that ended before the response to a request.
 func (v *conversation) checkEnd(id string, err error, after time.Duration) {
 	switch {
-	case v.left:
+	case v.halfClosed:
 		if after > conversationBudget {
-			v.broken("%s: its client has left, and the connection goes on for %v", id, after)
+			v.violated("%s: connection stayed open for %v although its client had disconnected", id, after)
 		}
-	case !v.truncates && after < conversationBudget: // later it was cut off because its time was up, as it must be
-		v.broken("%s: %v", id, err)
+	case !v.truncates && after < conversationBudget: // after the time budget, the gateway must abort the request
+		v.violated("%s: connection ended early: %v", id, err)
 	}
 }
 
-// request draws what servers do with the next request, and returns it.
+// request chooses at random how servers behave on the next request, and returns the text of the request.
 func (v *conversation) request(i int) string {
 	sc := &script{}
-	for k := range sc.moves {
-		if sc.moves[k] = &moves[v.rng.IntN(len(moves))]; v.rng.IntN(2) == 0 {
-			sc.moves[k] = &fine
+	for k := range sc.behaviors {
+		if sc.behaviors[k] = &behaviors[v.rng.IntN(len(behaviors))]; v.rng.IntN(2) == 0 {
+			sc.behaviors[k] = &normalResponse
 		}
-		v.truncates = v.truncates || sc.moves[k].breaks
+		v.truncates = v.truncates || sc.behaviors[k].truncates
 	}
 	id, line, body := fmt.Sprintf("%s-%d-get", v.name, i), "GET /get/ HTTP/1.1\r\n", ""
 	if v.rng.IntN(3) == 0 {
@@ -348,46 +348,45 @@
 		line, id, conversationBudget.Milliseconds(), body)
 }
 
-// check holds a response against the invariants.
+// check checks a response against the invariants.
 func (v *conversation) check(id string, h *h1.Head, got string) {
-	own := got == ownBody(id) || got == longBody(id) || h.Status == 204
+	own := got == expectedBody(id) || got == longResponseBody(id) || h.Status == 204
 	switch {
 	case h.Get("Attempt-Id") != id:
-		v.broken("the response to %s is that to %s", id, h.Get("Attempt-Id"))
+		v.violated("request %s got the response to %s", id, h.Get("Attempt-Id"))
 	case h.Status/100 == 2 && (!own || h.Get("Server-Seal") != "seal-"+id):
-		v.broken("%s: %+v with %.60q", id, h, got)
+		v.violated("%s: wrong body or seal: %+v with %.60q", id, h, got)
 	case h.Get("Failed") != "" && got != "fail:"+id && !own:
-		v.broken("%s: %d with %.60q", id, h.Status, got)
-	case strings.Contains(got, secret):
-		v.broken("%s: someone else's bytes", id)
+		v.violated("%s: wrong body of a failure, status %d: %.60q", id, h.Status, got)
+	case strings.Contains(got, foreignBody):
+		v.violated("%s: body has bytes of another response", id)
 	}
 }
 
-// A long answer may take as long as its request: it is not cut off because it takes
-// longer than a short one may.
+// A long response may take until the deadline of its request: the write timeout for short responses does not apply.
 func TestLongResponseMayTakeTheTimeOfItsRequest(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		long := strings.Repeat("x", 2*maxHeldResponse)
-		g := newGateway(t, newBackend(t, good(long)))
+		g := newGateway(t, newBackend(t, respondOK(long)))
 		g.listener.writeTimeout = 0
 		c := dial(t, g)
 		c.send("GET /get/", "", "")
-		c.want(200, long)
+		c.expect(200, long)
 	})
 }
 
-// Who asks before it sends a body, and is turned away, is refused at once: the body may
-// never come.
+// A request with Expect: 100-continue that is rejected gets its response at once, because the client may never send
+// the body.
 func TestRefusedBeforeTheBodyIsSent(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		g := newGateway(t, newBackend(t, good("yes")))
+		g := newGateway(t, newBackend(t, respondOK("yes")))
 		g.listener.linger = 2 * hangTimeout
 		c := dial(t, g)
 		c.send("POST /none/", "Content-Length: 4\r\nExpect: 100-continue\r\n", "")
-		if h := c.want(404, ""); !h.ClosesConnection() {
-			t.Errorf("%+v: whether a body follows can't be told", h)
+		if h := c.expect(404, ""); !h.ClosesConnection() {
+			t.Errorf("%+v: no Connection: close although the client may still send the body", h)
 		}
 		closeConn(c)
 	})
--- a/dataplane/delta_test.go
+++ b/dataplane/delta_test.go
@@ -10,8 +10,8 @@
 	"example.org/elmspan/versioned"
 )
 
-// rowsOf are the rows of a configuration.
-func rowsOf(t testing.TB, c *api.Config) map[string][]byte {
+// configRows returns the table rows of a configuration.
+func configRows(t testing.TB, c *api.Config) map[string][]byte {
 	t.Helper()
 	data, err := cbor.Marshal(c)
 	if err != nil {
@@ -27,7 +27,8 @@
 	return split.Rows
 }
 
-func since(t testing.TB, table *versioned.Table, from uint64) *versioned.DeltaReader {
+// openDelta returns a reader of the changes to a table after a version.
+func openDelta(t testing.TB, table *versioned.Table, from uint64) *versioned.DeltaReader {
 	t.Helper()
 	b, err := table.DeltaSince(from)
 	if err != nil {
@@ -40,16 +41,16 @@
 	return r
 }
 
-// applyConfig has a gateway take over a configuration, as what changed in a table.
+// applyConfig applies a configuration to a gateway as a delta of a table.
 func applyConfig(t testing.TB, g *Gateway, table *versioned.Table, c *api.Config) {
 	t.Helper()
-	table.Replace(c.Revision, rowsOf(t, c))
-	if err := g.ApplyConfig(since(t, table, g.Revision())); err != nil {
+	table.Replace(c.Revision, configRows(t, c))
+	if err := g.ApplyConfig(openDelta(t, table, g.Revision())); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// applyServers has a gateway take over a list of servers, likewise.
+// applyServers applies a server list to a gateway as a delta of a table.
 func applyServers(t testing.TB, g *Gateway, table *versioned.Table, version uint64, list []api.Server) {
 	t.Helper()
 	rows := map[string][]byte{}
@@ -61,13 +62,13 @@
 		rows[s.ID] = row
 	}
 	table.Replace(version, rows)
-	if err := g.ApplyEndpoints(since(t, table, g.EndpointsVersion()), 0); err != nil {
+	if err := g.ApplyEndpoints(openDelta(t, table, g.EndpointsVersion()), 0); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// configOf is a configuration with routes, a few of which share a host.
-func configOf(revision uint64, routes int) *api.Config {
+// configWithRoutes returns a configuration with a number of routes, four per host.
+func configWithRoutes(revision uint64, routes int) *api.Config {
 	c := &api.Config{Revision: revision, Upstreams: []api.Upstream{{Name: "a"}, {Name: "b"}},
 		Tenants: []api.Tenant{{Name: "t", Keys: []string{"k"}, Rate: 10, Burst: 10}}}
 	for i := range routes {
--- a/dataplane/disconnect_test.go
+++ b/dataplane/disconnect_test.go
@@ -15,37 +15,39 @@
 	"example.org/elmspan/settings"
 )
 
-// disconnectBound is how long servers may go on for a client that has left (docs/incidents/0023).
+// disconnectBound is how long a server may continue with a request after its client has disconnected
+// (docs/incidents/0023).
 const disconnectBound = 500 * time.Millisecond
 
-// warmTarget is answered at once: so the gateway learns what is usual, and hedges what takes longer.
+// warmTarget is answered within 1 ms, so that the gateway's latency estimate is low and it hedges slower requests.
 const warmTarget = "/get/warm"
 
-// holdingServers are servers that never answer: each holds its requests until the gateway closes the connection.
-type holdingServers struct {
-	arrived atomic.Int64 // requests that have come to one of them
-	held    atomic.Int64 // and are still held
-	begin   string       // what they send of a response before they fall silent
+// hangingServers are servers that never complete a response: each holds its requests until the gateway closes the
+// connection.
+type hangingServers struct {
+	arrived         atomic.Int64 // requests received by any of them
+	held            atomic.Int64 // requests that are still held
+	partialResponse string       // part of a response, sent before they hang
 }
 
-// server returns one of them.
-func (s *holdingServers) server(t testing.TB) *backend {
+// server starts one of them.
+func (s *hangingServers) server(t testing.TB) *backend {
 	return newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 		if h.Target == warmTarget {
 			time.Sleep(time.Millisecond)
-			return good("yes")(w, h, body)
+			return respondOK("yes")(w, h, body)
 		}
 		s.arrived.Add(1)
 		s.held.Add(1)
 		defer s.held.Add(-1)
-		write(w, s.begin)
+		write(w, s.partialResponse)
 		_, _ = io.Copy(io.Discard, w.(net.Conn)) // until the gateway closes the connection
 		return false
 	})
 }
 
-// await waits until so many requests are held.
-func (s *holdingServers) await(t testing.TB, n int64) {
+// waitForHeld waits until n requests are held.
+func (s *hangingServers) waitForHeld(t testing.TB, n int64) {
 	t.Helper()
 	for end := time.Now().Add(hangTimeout); s.held.Load() != n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -54,17 +56,17 @@
 	}
 }
 
-// disconnectCase is a situation in which a client leaves.
+// disconnectCase is a situation in which a client disconnects.
 type disconnectCase struct {
-	name    string
-	begin   string // of the response that a server has sent when the client leaves
-	send    func(c *client)
-	held    int64 // requests that servers hold by then
-	prepare func(t testing.TB, g *Gateway, c *client)
-	leave   func(c *client)
+	name            string
+	partialResponse string // what the server has sent of the response when the client disconnects
+	send            func(c *client)
+	held            int64 // requests held by servers when the client disconnects
+	prepare         func(t testing.TB, g *Gateway, c *client)
+	leave           func(c *client)
 }
 
-// disconnectCases are those of requests that may run more than once.
+// disconnectCases are the cases for idempotent requests.
 var disconnectCases = []disconnectCase{
 	{name: "kept connection", send: func(c *client) { c.send("GET /get/", "", "") }, held: 1},
 	{name: "request that closes the connection", held: 1, send: func(c *client) {
@@ -85,7 +87,8 @@
 		c.send("POST /get/", "Content-Length: "+strconv.Itoa(2*maxHeldBody)+"\r\n", strings.Repeat("b", 2*maxHeldBody))
 	}},
 	{name: "long response", held: 1, send: func(c *client) { c.send("GET /get/", "", "") },
-		begin: answerHead("200 OK", "a1", sealed("a1")+sized(2*maxHeldResponse)) + strings.Repeat("x", maxHeldResponse),
+		partialResponse: responseHead("200 OK", "a1", sealField("a1")+lengthField(2*maxHeldResponse)) +
+			strings.Repeat("x", maxHeldResponse),
 		prepare: func(t testing.TB, _ *Gateway, c *client) {
 			if h, err := h1.ReadResponse(c.in, 1<<16); err != nil || h.Status != 200 {
 				t.Fatalf("%+v, %v", h, err)
@@ -100,23 +103,24 @@
 	{name: "hedge", held: 2, send: func(c *client) {
 		for range 10 {
 			c.send("GET "+warmTarget, "", "")
-			c.want(200, "yes")
+			c.expect(200, "yes")
 		}
 		c.send("GET /get/", "", "")
 	}},
 }
 
-// Work that may be repeated is given up at its server as soon as its client has left, whatever its request waits for.
+// An idempotent request is cancelled at its server as soon as its client disconnects, in whatever state the request
+// is.
 func TestRepeatableWorkEndsWhenItsClientLeaves(t *testing.T) {
 	t.Parallel()
 	for _, k := range disconnectCases {
 		t.Run(k.name, func(t *testing.T) {
 			inFakeTime(t, func(t testing.TB) {
-				servers := &holdingServers{begin: k.begin}
+				servers := &hangingServers{partialResponse: k.partialResponse}
 				g := newGateway(t, servers.server(t), servers.server(t))
 				c := dial(t, g)
 				k.send(c)
-				servers.await(t, k.held)
+				servers.waitForHeld(t, k.held)
 				if k.prepare != nil {
 					k.prepare(t, g, c)
 				}
@@ -127,33 +131,33 @@
 				k.leave(c)
 				time.Sleep(disconnectBound)
 				if held := servers.held.Load(); held != 0 {
-					t.Errorf("%d requests are still held %v after their client left", held, disconnectBound)
+					t.Errorf("%d requests are still held %v after their client disconnected", held, disconnectBound)
 				}
 				if n := servers.arrived.Load() - before; n != 0 {
-					t.Errorf("%d requests came to a server after their client left", n)
+					t.Errorf("%d requests reached a server after their client disconnected", n)
 				}
 			})
 		})
 	}
 }
 
-// Nothing more is sent for a client that has left: neither a retry after a refusal, nor a request that waits for its
-// turn or for the link.
+// After its client has disconnected, a request is not sent to a server any more: no retry follows a rejection, and a
+// request that waits for an earlier pipelined request or for link bandwidth is dropped.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	t.Parallel()
 	for name, k := range map[string]struct {
-		send    func(c, other *client)
-		arrives int64 // at servers, in all
-		goesOn  int64 // requests that are in flight a moment later: a filing at its server, or the other client's
+		send     func(c, other *client)
+		arrivals int64 // requests that reach servers in total
+		inFlight int64 // in flight shortly after: a non-idempotent request at its server, or the other client's
 	}{
-		"retry": {arrives: 1, goesOn: 1, send: func(c, _ *client) {
+		"retry": {arrivals: 1, inFlight: 1, send: func(c, _ *client) {
 			c.send("POST /once/", "Content-Length: 4\r\n", "body")
 		}},
-		"turn": {arrives: 1, goesOn: 0, send: func(c, _ *client) {
+		"turn": {arrivals: 1, inFlight: 0, send: func(c, _ *client) {
 			c.send("GET /get/", "", "")
 			c.send("POST /once/", "Content-Length: 4\r\n", "body")
 		}},
-		"link": {arrives: 0, goesOn: 1, send: func(c, other *client) {
+		"link": {arrivals: 0, inFlight: 1, send: func(c, other *client) {
 			writef(other, "GET /bulk/ HTTP/1.1\r\nHost: h\r\nAttempt-Id: other\r\nAuthorization: Token k\r\n\r\n")
 			time.Sleep(disconnectBound / 10)
 			c.send("GET /bulk/", "", "")
@@ -167,31 +171,31 @@
 						arrived.Add(1)
 					}
 					time.Sleep(2 * disconnectBound)
-					write(w, answerHead("503 x", h.Get("Attempt-Id"), "Not-Executed: full\r\n"+sized(0)))
+					write(w, responseHead("503 x", h.Get("Attempt-Id"), "Not-Executed: full\r\n"+lengthField(0)))
 					return true
 				}
-				node := nodeOf("n")
-				node.Timing, node.Limits.LinkMbps = settings.Timing{GraceS: 3}, 5 // one download fills it
-				g := newGatewayOn(t, node, newBackend(t, busy), newBackend(t, busy))
+				node := testNode("n")
+				node.Timing, node.Limits.LinkMbps = settings.Timing{GraceS: 3}, 5 // a single download uses all of it
+				g := newGatewayWithSettings(t, node, newBackend(t, busy), newBackend(t, busy))
 				c := dial(t, g)
 				k.send(c, dial(t, g))
 				time.Sleep(disconnectBound / 10)
 				closeConn(c.Conn)
-				time.Sleep(disconnectBound / 10) // before the link is free
-				if n := g.forwarder.inFlight.Load(); n != k.goesOn {
-					t.Errorf("%d requests are in flight, want %d", n, k.goesOn)
+				time.Sleep(disconnectBound / 10) // while the link is still busy
+				if n := g.forwarder.inFlight.Load(); n != k.inFlight {
+					t.Errorf("%d requests are in flight, want %d", n, k.inFlight)
 				}
 				time.Sleep(10 * disconnectBound)
-				if n := arrived.Load(); n != k.arrives {
-					t.Errorf("%d requests came to servers, want %d", n, k.arrives)
+				if n := arrived.Load(); n != k.arrivals {
+					t.Errorf("%d requests reached servers, want %d", n, k.arrivals)
 				}
 			})
 		})
 	}
 }
 
-// What must not run twice is not broken off once a server has it: whether it was done could not be told. A client that
-// has closed its connection in one direction only still gets the response.
+// A non-idempotent request is not cancelled once a server has received it, because it would be unknown whether it ran.
+// A client that has only closed its sending side still gets the response.
 func TestNonIdempotentWorkIsNotBrokenOff(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(net.Conn){
@@ -204,10 +208,11 @@
 				b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 					close(begun)
 					conn := w.(net.Conn)
-					_ = conn.SetReadDeadline(time.Now().Add(2 * disconnectBound)) // the read below shows a failure
+					_ = conn.SetReadDeadline(time.Now().Add(2 * disconnectBound)) // a failure shows in the read below
 					_, err := conn.Read(make([]byte, 1))
 					done <- err
-					write(w, answerHead("200 OK", h.Get("Attempt-Id"), sealed("a1")+sized(len(body))), string(body))
+					write(w, responseHead("200 OK", h.Get("Attempt-Id"), sealField("a1")+lengthField(len(body))),
+						string(body))
 					return true
 				})
 				c := dial(t, newGateway(t, b))
@@ -215,10 +220,10 @@
 				<-begun
 				leave(c.Conn)
 				if err := <-done; !errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("the server meets %v during its work", err)
+					t.Errorf("server read %v while it handled the request, want a deadline error", err)
 				}
 				if name == "half closed" {
-					c.want(200, "body")
+					c.expect(200, "body")
 				}
 			})
 		})
--- a/dataplane/drain_test.go
+++ b/dataplane/drain_test.go
@@ -9,8 +9,8 @@
 	"example.org/elmspan/settings"
 )
 
-// A request that is sent while connections are still accepted after SIGTERM is answered, also where its server works
-// until the last sixth of the grace period begins.
+// A request that is sent while the gateway still accepts connections after SIGTERM is answered, even if its server
+// responds only just before the last sixth of the grace period.
 func TestDrainAnswersUntilTheLastSixthOfTheGracePeriod(t *testing.T) {
 	t.Parallel()
 	const grace = 6 * time.Second
@@ -24,13 +24,13 @@
 					if h.Target != warmTarget {
 						time.Sleep(time.Until(begun.Add(min(sentAt+2900*time.Millisecond, grace*5/6-time.Millisecond))))
 					}
-					return good("yes")(w, h, body)
+					return respondOK("yes")(w, h, body)
 				})
-				g := newGatewayOf(t, settings.Timing{GraceS: grace.Seconds()}, b)
+				g := newGatewayWithTiming(t, settings.Timing{GraceS: grace.Seconds()}, b)
 				g.listener.openFor = openAfterTerm
 				c := dial(t, g)
 				c.send("GET "+warmTarget, "", "")
-				c.want(200, "yes")
+				c.expect(200, "yes")
 				begun = time.Now()
 				go g.listener.drain(grace)
 				time.Sleep(sentAt)
@@ -38,8 +38,8 @@
 					c = dial(t, g)
 				}
 				c.send("POST /once/", "Content-Length: 4\r\n", "body")
-				if h := c.want(200, "yes"); !h.ClosesConnection() {
-					t.Error("the response does not say that the connection closes")
+				if h := c.expect(200, "yes"); !h.ClosesConnection() {
+					t.Error("response has no Connection: close")
 				}
 			})
 		})
--- a/dataplane/fixtures_test.go
+++ b/dataplane/fixtures_test.go
@@ -20,18 +20,17 @@
 	"example.org/elmspan/versioned"
 )
 
-// hangTimeout is for what hangs. No verdict hangs on it.
+// hangTimeout bounds a test that hangs. No test result depends on its value.
 const hangTimeout = 2 * time.Minute
 
-// backend is a stand-in for a server: it answers each request as a function says.
+// backend is a fake server whose responses are written by a function.
 type backend struct {
-	addr string
-	seen atomic.Int64
-	last atomic.Pointer[h1.Head]
+	addr        string
+	requests    atomic.Int64
+	lastRequest atomic.Pointer[h1.Head]
 }
 
-// newBackend returns a server that hands each request to a function, which
-// writes the answer; false closes the connection.
+// newBackend starts a server that calls answer for each request. It closes the connection if answer returns false.
 func newBackend(t testing.TB, answer func(w io.Writer, h *h1.Head, body []byte) bool) *backend {
 	l := listenOn(t)
 	b := &backend{addr: l.Addr().String()}
@@ -50,8 +49,8 @@
 					if err != nil {
 						return
 					}
-					b.seen.Add(1)
-					b.last.Store(h)
+					b.requests.Add(1)
+					b.lastRequest.Store(h)
 					if !answer(c, h, body) {
 						return
 					}
@@ -62,7 +61,8 @@
 	return b
 }
 
-func good(body string) func(io.Writer, *h1.Head, []byte) bool {
+// respondOK returns a handler that sends a sealed 200 response.
+func respondOK(body string) func(io.Writer, *h1.Head, []byte) bool {
 	return func(w io.Writer, h *h1.Head, _ []byte) bool {
 		writef(w, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s",
 			h.Get("Attempt-Id"), len(body), body)
@@ -70,33 +70,34 @@
 	}
 }
 
-func status(line string) func(io.Writer, *h1.Head, []byte) bool {
+// respondStatus returns a handler that sends a response with a status line and no body.
+func respondStatus(line string) func(io.Writer, *h1.Head, []byte) bool {
 	return func(w io.Writer, h *h1.Head, _ []byte) bool {
 		writef(w, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", line, h.Get("Attempt-Id"))
 		return true
 	}
 }
 
-// newGateway starts a gateway in front of servers, in the order of their names.
+// newGateway starts a gateway for servers, which get the ids i-0, i-1 and so on.
 func newGateway(t testing.TB, backends ...*backend) *Gateway {
 	t.Helper()
-	return newGatewayOf(t, settings.Timing{StrictRevocation: true, RevokeMs: 5000, GraceS: 3}, backends...)
+	return newGatewayWithTiming(t, settings.Timing{StrictRevocation: true, RevokeMs: 5000, GraceS: 3}, backends...)
 }
 
-// newGatewayOf starts a gateway with settings of timing.
-func newGatewayOf(t testing.TB, timing settings.Timing, backends ...*backend) *Gateway {
+// newGatewayWithTiming starts a gateway with the given timing settings.
+func newGatewayWithTiming(t testing.TB, timing settings.Timing, backends ...*backend) *Gateway {
 	t.Helper()
-	node := nodeOf("n")
+	node := testNode("n")
 	node.Timing = timing
-	return newGatewayOn(t, node, backends...)
+	return newGatewayWithSettings(t, node, backends...)
 }
 
-// newGatewayOn starts a gateway with a node's settings.
-func newGatewayOn(t testing.TB, node *settings.Node, backends ...*backend) *Gateway {
+// newGatewayWithSettings starts a gateway with the given node settings.
+func newGatewayWithSettings(t testing.TB, node *settings.Node, backends ...*backend) *Gateway {
 	t.Helper()
 	upstream, timeoutMs := settings.DefaultTuning().Upstream, 3000.0
 	limits := api.RequestLimits{MaxHeaderBytes: 2000, MaxBodyBytes: 1 << 20}
-	if _, fake := t.(inMemory); !fake { // a busy machine's time says nothing: limits are for what hangs
+	if _, fake := t.(memoryTB); !fake { // in real time, a loaded machine may exceed any short timeout
 		upstream.ConnectMs, timeoutMs = inMs(hangTimeout), inMs(hangTimeout)
 		limits.HeaderTimeoutMs, limits.IdleTimeoutMs = inMs(hangTimeout), inMs(2*hangTimeout)
 		node.Timing.RevokeMs *= 1000
@@ -114,11 +115,11 @@
 	applyConfig(t, g, &versioned.Table{}, testConfig(timeoutMs, limits))
 	var list []api.Server
 	for i, b := range backends {
-		list = append(list, serverAt("i-"+strconv.Itoa(i), b.addr))
+		list = append(list, testServer("i-"+strconv.Itoa(i), b.addr))
 	}
 	applyServers(t, g, &versioned.Table{}, 1, list)
 	g.ExtendLease(g.Uptime())
-	if m, ok := t.(inMemory); ok {
+	if m, ok := t.(memoryTB); ok {
 		m.serve(g)
 		return g
 	}
@@ -129,15 +130,15 @@
 	return g
 }
 
-// nodeOf returns the settings of a node on loopback.
-func nodeOf(name string) *settings.Node {
+// testNode returns the settings of a node that listens on the loopback interface.
+func testNode(name string) *settings.Node {
 	return &settings.Node{
 		Name: name, IP: "127.0.0.1", Zone: "z", ServedRoles: []string{"edge", "control"},
 		Listeners: settings.Listeners{Front: "127.0.0.1:0", Ready: "127.0.0.1:0"},
 	}
 }
 
-// testConfig is a configuration with a route of each type and a tenant with a small quota.
+// testConfig returns a configuration with a route of each type and a tenant with a small quota.
 func testConfig(timeoutMs float64, limits api.RequestLimits) *api.Config {
 	route := func(prefix string, kind string, targetMs float64, retries int, anonymous bool) api.Route {
 		return api.Route{
@@ -162,12 +163,12 @@
 	}
 }
 
-// serverAt is a server of the service that testConfig routes to.
-func serverAt(id, addr string) api.Server {
+// testServer returns a server of the upstream that testConfig routes to.
+func testServer(id, addr string) api.Server {
 	return api.Server{ID: id, Upstream: "s", Addr: addr, Zone: "z", Capacity: 20, State: "in_service"}
 }
 
-// client is one connection to the gateway.
+// client is a client connection to the gateway.
 type client struct {
 	t testing.TB
 	net.Conn
@@ -185,11 +186,13 @@
 	return &client{t, c, bufio.NewReader(c)}
 }
 
+// send sends a request of tenant t with the id a1.
 func (c *client) send(line, fields, body string) {
 	writef(c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n%s\r\n%s", line, fields, body)
 }
 
-func (c *client) answer() (*h1.Head, string, error) {
+// readResponse reads the next response with its body.
+func (c *client) readResponse() (*h1.Head, string, error) {
 	h, err := h1.ReadResponse(c.in, 1<<16)
 	if err != nil {
 		return nil, "", err
@@ -202,17 +205,18 @@
 	return h, string(body), err
 }
 
-func (c *client) want(code int, body string) *h1.Head {
+// expect reads the next response and stops the test unless it has the given status and, if not empty, body.
+func (c *client) expect(code int, body string) *h1.Head {
 	c.t.Helper()
-	h, got, err := c.answer()
+	h, got, err := c.readResponse()
 	if err != nil || h.Status != code || body != "" && got != body {
 		c.t.Fatalf("got %+v %q, %v; want %d %q", h, got, err, code, body)
 	}
 	return h
 }
 
-// The following write to, and change, connections whose other end may have gone by then. What a test is about shows in
-// what it reads, so their errors are not looked at.
+// The functions below write to and configure connections whose peer may have closed them already. They ignore errors,
+// because tests check what they read.
 
 // write writes parts to a connection.
 func write(w io.Writer, parts ...string) {
@@ -234,12 +238,12 @@
 	_ = c.SetDeadline(until) // see above
 }
 
-// resetOnClose has the closing of a connection reset it.
+// resetOnClose makes Close send a reset.
 func resetOnClose(c net.Conn) {
 	_ = c.(interface{ SetLinger(sec int) error }).SetLinger(0) // see above
 }
 
-// closeWrite closes a connection in one direction.
+// closeWrite closes the sending side of a connection.
 func closeWrite(c net.Conn) {
 	_ = c.(interface{ CloseWrite() error }).CloseWrite() // see above
 }
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -20,48 +20,48 @@
 	"example.org/elmspan/settings"
 )
 
-// A request goes on with the tenant's name and the member that is meant, and
-// without the key or what the client claims to be.
+// A request is forwarded with the tenant's name and the target member, without the API key, and without the values
+// that the client sent for these fields.
 func TestServerGetsTenantAndTargetButNoKey(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, good("yes"))
+	b := newBackend(t, respondOK("yes"))
 	c := dial(t, newGateway(t, b))
 	c.send("GET /get/x?q=1", "Tenant-Name: evil\r\nTarget-Member: evil\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-On: 2\r\n"+
 		"Time-Budget-Ms: 900\r\n", "")
-	c.want(200, "yes")
-	h := b.last.Load()
+	c.expect(200, "yes")
+	h := b.lastRequest.Load()
 	for name, want := range map[string]string{
 		"Tenant-Name": "t", "Target-Member": "i-0", "Authorization": "", "X-Hop": "", "X-On": "2", "Attempt-Id": "a1",
 	} {
 		if got := h.Get(name); got != want || h.Count(name) > 1 {
-			t.Errorf("%s is %q (%d), want %q", name, got, h.Count(name), want)
+			t.Errorf("server got %s %q (%d times), want %q", name, got, h.Count(name), want)
 		}
 	}
 	if left, err := strconv.Atoi(h.Get("Time-Budget-Ms")); err != nil || left > 900 || h.Target != "/get/x?q=1" {
-		t.Errorf("%d left, %v, target %s", left, err, h.Target)
+		t.Errorf("server got a time budget of %d ms, %v, and target %s", left, err, h.Target)
 	}
 }
 
-// What is turned away, and how; the connection goes on where it can.
+// Each kind of invalid or rejected request gets its status. The connection stays open where the framing allows it.
 func TestRefusedRequests(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		g := newGateway(t, newBackend(t, good("yes")))
+		g := newGateway(t, newBackend(t, respondOK("yes")))
 		c := dial(t, g)
 		c.send("GET /none/", "", "")
-		c.want(404, "")
+		c.expect(404, "")
 		write(c, "GET /get/ HTTP/1.1\r\nHost: h\r\nAuthorization: Token bad\r\n\r\n")
-		c.want(401, "")
+		c.expect(401, "")
 		for range 2 {
 			write(c, "GET /get/ HTTP/1.1\r\nHost: h\r\nAttempt-Id: b\r\nAuthorization: Token few\r\n\r\n")
-			c.want(200, "yes")
+			c.expect(200, "yes")
 		}
 		write(c, "GET /get/ HTTP/1.1\r\nHost: h\r\nAuthorization: Token few\r\n\r\n")
-		if h := c.want(429, ""); h.Get("Retry-After") == "" {
+		if h := c.expect(429, ""); h.Get("Retry-After") == "" {
 			t.Error("no Retry-After")
 		}
 		c.send("POST /once/", "Content-Length: 9999999\r\n", "")
-		c.want(413, "")
+		c.expect(413, "")
 		for text, code := range map[string]int{
 			"POST /once/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n": 400,
 			"GET /get/ HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n":                                           400,
@@ -69,40 +69,40 @@
 		} {
 			c := dial(t, g)
 			write(c, text)
-			c.want(code, "")
+			c.expect(code, "")
 			if _, err := c.in.ReadByte(); err == nil {
-				t.Errorf("%d and the connection goes on", code)
+				t.Errorf("status %d, but the connection stays open", code)
 			}
 		}
 	})
 }
 
-// A request that must not run twice goes to a second server only where the
-// first says that it has not run it; else the client gets 502.
+// A non-idempotent request is sent to a second server only if the first one stated that it did not run it. Otherwise
+// the client gets 502.
 func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		for name, first := range map[string]func(io.Writer, *h1.Head, []byte) bool{
-			"cut":               func(io.Writer, *h1.Head, []byte) bool { return false },
-			"503 without proof": status("503 x"),
-			"429 without proof": status("429 x"),
+			"cut":                      func(io.Writer, *h1.Head, []byte) bool { return false },
+			"503 without Not-Executed": respondStatus("503 x"),
+			"429 without Not-Executed": respondStatus("429 x"),
 			"nonsense": func(w io.Writer, _ *h1.Head, _ []byte) bool {
 				write(w, "nonsense\r\n\r\n")
 				return false
 			},
-			"another's answer": func(w io.Writer, _ *h1.Head, _ []byte) bool {
+			"response with another id": func(w io.Writer, _ *h1.Head, _ []byte) bool {
 				write(w, "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
 				return false
 			},
-			"nobody's answer": func(w io.Writer, _ *h1.Head, _ []byte) bool {
+			"response without an id": func(w io.Writer, _ *h1.Head, _ []byte) bool {
 				write(w, "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n")
 				return true
 			},
-			"nobody's promise": func(w io.Writer, _ *h1.Head, _ []byte) bool {
+			"Not-Executed without an id": func(w io.Writer, _ *h1.Head, _ []byte) bool {
 				write(w, "HTTP/1.1 503 x\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 				return true
 			},
-			"no seal": status("200 OK"),
+			"no seal": respondStatus("200 OK"),
 			"cut short": func(w io.Writer, _ *h1.Head, _ []byte) bool {
 				write(w, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf")
 				return false
@@ -111,29 +111,30 @@
 			a := newBackend(t, first)
 			c := dial(t, newGateway(t, a, newBackend(t, first)))
 			c.send("POST /once/", "Content-Length: 4\r\n", "body")
-			c.want(502, "")
-			if a.seen.Load() > 1 {
-				t.Errorf("%s: ran %d times", name, a.seen.Load())
+			c.expect(502, "")
+			if a.requests.Load() > 1 {
+				t.Errorf("%s: ran %d times", name, a.requests.Load())
 			}
 		}
-		shed := status("503 x\r\nNot-Executed: 1")
+		shed := respondStatus("503 x\r\nNot-Executed: 1")
 		a, b := newBackend(t, shed), newBackend(t, shed)
 		c := dial(t, newGateway(t, a, b))
 		c.send("POST /once/", "Content-Length: 4\r\n", "body")
-		if h := c.want(503, ""); h.Get("Retry-After") == "" || a.seen.Load()+b.seen.Load() != 2 {
-			t.Errorf("%+v, %d and %d", h, a.seen.Load(), b.seen.Load())
+		if h := c.expect(503, ""); h.Get("Retry-After") == "" || a.requests.Load()+b.requests.Load() != 2 {
+			t.Errorf("%+v, servers got %d and %d requests", h, a.requests.Load(), b.requests.Load())
 		}
 	})
 }
 
-// A repeatable request gets over a server that breaks off, spoils or refuses.
+// An idempotent request is retried on another server when the first one closes the connection, fails, rejects the
+// request or truncates its response.
 func TestIdempotentRequestIsRetriedElsewhere(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		for name, first := range map[string]func(io.Writer, *h1.Head, []byte) bool{
 			"cut":   func(io.Writer, *h1.Head, []byte) bool { return false },
-			"500":   status("500 x"),
-			"moved": status("421 x"),
+			"500":   respondStatus("500 x"),
+			"moved": respondStatus("421 x"),
 			"cut short": func(w io.Writer, _ *h1.Head, _ []byte) bool {
 				write(w, "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf")
 				return false
@@ -141,58 +142,57 @@
 		} {
 			var odd atomic.Bool
 			odd.Store(true)
-			either := func(w io.Writer, h *h1.Head, body []byte) bool { // whichever is scriptedRequest first fails
+			either := func(w io.Writer, h *h1.Head, body []byte) bool { // the first server tried fails
 				if odd.Swap(false) {
 					return first(w, h, body)
 				}
-				return good("yes")(w, h, body)
+				return respondOK("yes")(w, h, body)
 			}
 			c := dial(t, newGateway(t, newBackend(t, either), newBackend(t, either)))
-			for range 12 { // further tries are saved up
+			for range 12 { // fills the retry budget
 				c.send("GET /open/", "", "")
-				if _, _, err := c.answer(); err != nil {
+				if _, _, err := c.readResponse(); err != nil {
 					t.Fatalf("%s: %v", name, err)
 				}
 			}
 			odd.Store(true)
 			c.send("GET /get/", "", "")
-			if h, body, err := c.answer(); err != nil || h.Status != 200 || body != "yes" {
+			if h, body, err := c.readResponse(); err != nil || h.Status != 200 || body != "yes" {
 				t.Errorf("%s: %+v %q, %v", name, h, body, err)
 			}
 		}
 	})
 }
 
-// With most servers refusing, further tries stay within what is saved up: also
-// those that a server turned away count.
+// When all servers reject requests, retries stay within the retry budget. A rejected retry counts too.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		shed := status("503 x\r\nNot-Executed: 1")
+		shed := respondStatus("503 x\r\nNot-Executed: 1")
 		var bs []*backend
 		for range 30 {
 			bs = append(bs, newBackend(t, shed))
 		}
-		g := newGatewayOf(t, settings.Timing{GraceS: 3, RetryRatio: 0.1, RetrySlack: 5}, bs...)
+		g := newGatewayWithTiming(t, settings.Timing{GraceS: 3, RetryRatio: 0.1, RetrySlack: 5}, bs...)
 		const n = 200
 		c := dial(t, g)
 		for range n {
 			c.send("GET /get/", "", "")
-			if _, _, err := c.answer(); err != nil {
+			if _, _, err := c.readResponse(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		came := int64(0)
 		for _, b := range bs {
-			came += b.seen.Load()
+			came += b.requests.Load()
 		}
 		if came > n+n/10+5 {
-			t.Errorf("%d arrivals for %d requests, budget 0.1 and 5", came, n)
+			t.Errorf("servers got %d attempts for %d requests, want at most 0.1 retries per request plus 5", came, n)
 		}
 	})
 }
 
-// Requests sent behind each other are worked on at once and answered in order.
+// Pipelined requests are processed concurrently and answered in order.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
@@ -201,20 +201,19 @@
 			if h.Target == "/get/first" {
 				<-release
 			} else {
-				close(release) // the second is at work before the first is done
+				close(release) // the second request is processed while the first is still in flight
 			}
-			return good(h.Target)(w, h, body)
+			return respondOK(h.Target)(w, h, body)
 		})
 		c := dial(t, newGateway(t, b))
 		c.send("GET /get/first", "", "")
 		c.send("GET /get/second", "", "")
-		c.want(200, "/get/first")
-		c.want(200, "/get/second")
+		c.expect(200, "/get/first")
+		c.expect(200, "/get/second")
 	})
 }
 
-// Long bodies pass through in pieces, in both framings, and what breaks off
-// never looks complete.
+// Long bodies are streamed with both kinds of framing, and a truncated body never looks complete.
 func TestLongBodiesAreStreamed(t *testing.T) {
 	t.Parallel()
 	const success = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\n"
@@ -230,44 +229,44 @@
 			writef(w, "%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", success, len(long), long)
 			return false
 		default:
-			return good(string(body))(w, h, nil)
+			return respondOK(string(body))(w, h, nil)
 		}
 		return true
 	})
 	g := newGateway(t, b)
 	c := dial(t, g)
 	c.send("POST /once/", fmt.Sprintf("Content-Length: %d\r\n", len(long)), long)
-	c.want(200, long)
+	c.expect(200, long)
 	c.send("POST /once/", "Transfer-Encoding: chunked\r\n", fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(long), long))
-	c.want(200, long)
+	c.expect(200, long)
 	c.send("GET /get/chunked", "", "")
-	c.want(200, long)
-	over := dial(t, g) // past max_body_bytes, and of no announced length
+	c.expect(200, long)
+	over := dial(t, g) // exceeds max_body_bytes, without a Content-Length
 	over.send("POST /once/", "Transfer-Encoding: chunked\r\n", "")
 	go func() {
 		for range 8 {
 			writef(over, "%x\r\n%s\r\n", len(long), long)
 		}
 	}()
-	over.want(413, "")
+	over.expect(413, "")
 	for _, target := range []string{"/get/short", "/get/cut"} {
 		c := dial(t, g)
 		c.send("GET "+target, "", "")
-		if _, _, err := c.answer(); err == nil {
-			t.Errorf("%s looks complete", target)
+		if _, _, err := c.readResponse(); err == nil {
+			t.Errorf("%s: truncated response looks complete", target)
 		}
 	}
 }
 
-// On SIGTERM the limiter is not ready at once, still takes what comes, and
-// says on the answer that the connection closes; what is in hand is answered.
+// On SIGTERM the limiter reports that it is not ready at once, but still accepts requests and answers those in flight.
+// Each response has Connection: close.
 func TestDrainAnswersWhatIsInFlight(t *testing.T) {
 	t.Parallel()
 	release, at := make(chan struct{}), make(chan struct{}, 4)
 	b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 		at <- struct{}{}
 		<-release
-		return good("yes")(w, h, body)
+		return respondOK("yes")(w, h, body)
 	})
 	g := newGateway(t, b)
 	ctx, stop := context.WithCancel(context.Background())
@@ -276,21 +275,22 @@
 	<-at
 	go func() { <-ctx.Done(); g.readiness.draining.Store(true); close(release) }()
 	stop()
-	if h := c.want(200, "yes"); !h.ClosesConnection() {
-		t.Error("the answer does not say that the connection closes")
+	if h := c.expect(200, "yes"); !h.ClosesConnection() {
+		t.Error("response has no Connection: close")
 	}
 	if g.Ready() {
-		t.Error("still ready")
+		t.Error("gateway still reports ready while draining")
 	}
 	c = dial(t, g)
 	c.send("GET /get/", "", "")
-	c.want(200, "yes")
+	c.expect(200, "yes")
 }
 
-// newIdleGateway returns a gateway that listens and is not run. unknownPeer gets the address of each message's sender.
+// newIdleGateway returns a gateway whose sockets are open but which does not run. unknownPeer is called with the
+// address of the sender of each message.
 func newIdleGateway(t *testing.T, unknownPeer func(addr string)) *Gateway {
 	t.Helper()
-	node := nodeOf("a")
+	node := testNode("a")
 	node.InternalPorts, node.Limits.MaxFDs = []int{0, 0}, 1000
 	g, err := New(node, Options{
 		Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: settings.DefaultTuning().Upstream,
@@ -307,8 +307,8 @@
 	return g
 }
 
-// Gossip messages wait for the tick, all that have come are received at one, and none wakes the
-// process by itself.
+// Gossip messages stay in the socket buffer until the next tick, which receives all of them. The arrival of a message
+// does not wake the process.
 func TestGossipIsReceivedAtATick(t *testing.T) {
 	const sent = 40
 	received := 0
@@ -330,8 +330,8 @@
 	}
 }
 
-// A request takes in what peers have sent before it is charged to a quota, where the gossip loop is late, as in one
-// that stood still. As long as the loop is on time it does not.
+// If the gossip loop is late, for example after the process was suspended, a request receives the pending gossip
+// before it is charged to a quota. It does not while the loop is on time.
 func TestLateGossipIsTakenInBeforeARequestIsAdmitted(t *testing.T) {
 	received := 0
 	g := newIdleGateway(t, func(string) { received++ })
@@ -344,7 +344,7 @@
 	}
 	for _, c := range []struct {
 		name       string
-		receivedAt time.Duration // when the loop took messages in; 0: it doesn't run
+		receivedAt time.Duration // when the loop last received messages; 0 if it doesn't run
 		want       int
 	}{
 		{"the loop doesn't run", 0, 0},
@@ -353,14 +353,13 @@
 	} {
 		g.gossip.receivedAt.Store(int64(c.receivedAt))
 		if g.gossip.catchUp(); received != c.want {
-			t.Errorf("%s: %d messages taken in, want %d", c.name, received, c.want)
+			t.Errorf("%s: %d messages received, want %d", c.name, received, c.want)
 		}
 	}
 }
 
-// Of 300 limiters one that starts again, at another address too, costs its own row: the
-// others are not looked at, and the limiter's groups stay. One that comes, goes or moves
-// to another zone has them formed anew.
+// When one of 300 limiters restarts, even at another address, only its own entry is updated: there are no
+// allocations, and the limiter's groups stay. Groups are rebuilt when a limiter joins, leaves or changes its zone.
 func TestRestartedPeerIsTheSamePeer(t *testing.T) {
 	g := newGateway(t)
 	var all []api.Peer
@@ -379,16 +378,16 @@
 	restarted := []api.Peer{all[7]}
 	restarted[0].StartID, restarted[0].Incarnation, restarted[0].Addr = 2, 2, "127.0.0.1:9999"
 	if n := testing.AllocsPerRun(100, func() { g.ApplyPeers(restarted) }); n != 0 {
-		t.Errorf("a limiter that starts again costs %v allocations", n)
+		t.Errorf("update for a restarted limiter takes %v allocations, want 0", n)
 	}
 	restarted[0].State = membership.Leaving
 	g.ApplyPeers(restarted)
 	if n, others := regroups(); n != 1 || others != 300 {
-		t.Errorf("told %d times of %d", n, others)
+		t.Errorf("%d regroups with %d peers, want 1 with 300", n, others)
 	}
 	g.guarded.mu.Lock()
 	if at := g.peers.byID[xxhash.Sum64String(restarted[0].Name)].addr.String(); at != restarted[0].Addr {
-		t.Errorf("words go to %s", at)
+		t.Errorf("gossip is sent to the old address %s", at)
 	}
 	g.guarded.mu.Unlock()
 	for i, change := range []func(p *api.Peer){
@@ -404,7 +403,7 @@
 			want--
 		}
 		if n, others := regroups(); n != 2+i || others != want {
-			t.Errorf("change %d: told %d times of %d", i, n, others)
+			t.Errorf("change %d: %d regroups with %d peers", i, n, others)
 		}
 	}
 }
--- a/dataplane/isolation_test.go
+++ b/dataplane/isolation_test.go
@@ -15,21 +15,21 @@
 	"example.org/elmspan/dataplane/h1"
 )
 
-// failureBody is the body of a server's failure.
+// failureBody is the body of a server's error response.
 type failureBody struct {
 	framing, body string
 	truncated     bool
 }
 
-// longFailure is longer than what is held.
+// longFailure is longer than the gateway buffers.
 var longFailure = strings.Repeat("0123456789abcdef", 4000)
 
 var failureBodies = map[string]failureBody{
-	"short of its length": {framing: "Content-Length: 30", body: "half", truncated: true},
-	"within a chunk":      {framing: "Transfer-Encoding: chunked", body: "9\r\nhalf", truncated: true},
-	"between chunks":      {framing: "Transfer-Encoding: chunked", body: "4\r\nhalf\r\n", truncated: true},
-	"no chunk":            {framing: "Transfer-Encoding: chunked", body: "no chunk\r\n", truncated: true},
-	"long, short of its end": {
+	"shorter than its length": {framing: "Content-Length: 30", body: "half", truncated: true},
+	"within a chunk":          {framing: "Transfer-Encoding: chunked", body: "9\r\nhalf", truncated: true},
+	"between chunks":          {framing: "Transfer-Encoding: chunked", body: "4\r\nhalf\r\n", truncated: true},
+	"malformed chunk":         {framing: "Transfer-Encoding: chunked", body: "no chunk\r\n", truncated: true},
+	"long, truncated": {
 		framing: fmt.Sprintf("Content-Length: %d", len(longFailure)+9), body: longFailure, truncated: true,
 	},
 	"long": {framing: fmt.Sprintf("Content-Length: %d", len(longFailure)), body: longFailure},
@@ -39,8 +39,9 @@
 	},
 }
 
-// A server's failure that is truncated is not passed on as if it were whole, and takes nothing of the response behind
-// it: the client's next response is its own from its first byte. One that is whole goes back whole, however long.
+// A truncated error response is not forwarded as if it were complete, and no byte of the next response is taken for
+// the rest of it: the client's next response starts at its first byte. A complete error response of any length is
+// forwarded completely.
 func TestTruncatedFailureIsNotPassedOnAsWhole(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
@@ -52,58 +53,58 @@
 	})
 }
 
-// test has a request fail so, with another one pipelined behind it.
+// test sends a request that fails with the body, with another request pipelined after it.
 func (c *failureBody) test(t testing.TB, name, status string) {
 	t.Helper()
 	b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 		if h.Target != "/once/" {
-			return good("the next one's")(w, h, body)
+			return respondOK("the next one's")(w, h, body)
 		}
 		writef(w, "HTTP/1.1 %s\r\nAttempt-Id: %s\r\n%s\r\n\r\n%s", status, h.Get("Attempt-Id"), c.framing, c.body)
 		return !c.truncated
 	})
 	k := dial(t, newGateway(t, b))
 	k.send("POST /once/", "Content-Length: 4\r\n", "body")
-	k.send("GET /get/", "", "") // what would be taken for the rest
-	h, got, err := k.answer()
+	k.send("GET /get/", "", "") // its response could be taken for the rest of the first
+	h, got, err := k.readResponse()
 	switch {
 	case !c.truncated && (err != nil || !strings.HasPrefix(status, fmt.Sprint(h.Status)) || got != longFailure):
-		t.Errorf("%s: %+v, %d bytes, %v; want the server's", name, h, len(got), err)
+		t.Errorf("%s: %+v, %d bytes, %v; want the server's response", name, h, len(got), err)
 	case c.truncated && err == nil && h.Status != 502:
-		t.Errorf("%s: %+v %.40q looks complete", name, h, got)
+		t.Errorf("%s: truncated response looks complete: %+v %.40q", name, h, got)
 	case strings.Contains(got, "HTTP/1.1"):
-		t.Errorf("%s: the response behind it is taken for the rest", name)
+		t.Errorf("%s: the next response was taken for the rest of the body", name)
 	}
-	if err != nil { // visibly incomplete: the connection has ended with it
+	if err != nil { // visibly truncated: the connection must be closed
 		if _, err := k.in.ReadByte(); err == nil {
-			t.Errorf("%s: something follows", name)
+			t.Errorf("%s: more bytes follow a truncated response", name)
 		}
 		return
 	}
-	if h, got, err := k.answer(); err != nil || h.Status != 200 || got != "the next one's" {
-		t.Errorf("%s: the next one: %+v %q, %v", name, h, got, err)
+	if h, got, err := k.readResponse(); err != nil || h.Status != 200 || got != "the next one's" {
+		t.Errorf("%s: next response: %+v %q, %v", name, h, got, err)
 	}
 }
 
-// givenUp is a connection that calls back when its deadline is taken off, as is done
-// when it is put back into the pool.
-type givenUp struct {
+// poolReturnConn is a connection that calls onReturn when its deadline is cleared, which happens when it is returned
+// to the pool.
+type poolReturnConn struct {
 	*net.TCPConn
-	put func()
+	onReturn func()
 }
 
-func (c givenUp) SetDeadline(t time.Time) error {
+func (c poolReturnConn) SetDeadline(t time.Time) error {
 	if t.IsZero() {
-		c.put()
+		c.onReturn()
 	}
 	return c.TCPConn.SetDeadline(t)
 }
 
-// A try that is given up just after its answer came closes no connection that the pool
-// has taken back: whoever takes it next may have sent a filing on it.
+// An attempt that is cancelled just after its response arrived does not close a connection that is already back in the
+// pool: its next user may have sent a non-idempotent request on it.
 func TestCancellationClosesNoConnectionOfAnother(t *testing.T) {
 	t.Parallel()
-	g := newGateway(t, newBackend(t, good("own")))
+	g := newGateway(t, newBackend(t, respondOK("own")))
 	host := g.forwarder.pool.Host("i-0")
 	c, err := g.forwarder.pool.Connect(context.Background(), host)
 	if err != nil {
@@ -112,7 +113,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	tcp := c.Conn.(*net.TCPConn)
 	g.forwarder.pool.Put(c)
-	c.Conn = givenUp{tcp, cancel}
+	c.Conn = poolReturnConn{tcp, cancel}
 	fields := []h1.Field{{Name: "Host", Value: "h"}, {Name: "Attempt-Id", Value: "a1"}}
 	r := &request{
 		ctx:      context.Background(),
@@ -125,20 +126,19 @@
 	g.guarded.mu.Unlock()
 	o := g.forwarder.attempt(r, &upstreamAttempt{member: m, ctx: ctx, cancel: cancel, host: host}, host)
 	if ctx.Err() == nil {
-		t.Fatal("the connection was not put back")
+		t.Fatal("connection was not returned to the pool")
 	}
 	if o.result != balance.Success || g.forwarder.pool.IdleConns("i-0") != 1 || g.forwarder.pool.OpenConns() != 1 {
 		t.Errorf("result %d, %d idle, %d open; want a response and its connection kept",
 			o.result, g.forwarder.pool.IdleConns("i-0"), g.forwarder.pool.OpenConns())
 	}
 	if g.forwarder.pool.Get(host) != c {
-		t.Error("the connection that was put back is closed")
+		t.Error("connection returned to the pool is closed")
 	}
 }
 
-// A request that must not run twice is sent on only when its turn to be answered has
-// come: if the connection ends with an answer before, it counts as not read, and its
-// client sends it again.
+// A pipelined non-idempotent request is forwarded only when the responses before it are complete. If one of them ends
+// the connection, the client treats the request as not received and sends it again.
 func TestNonIdempotentRequestWaitsForItsTurn(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
@@ -147,9 +147,9 @@
 		b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 			if h.Target == "/once/" {
 				filed.Add(1)
-				return good("filed")(w, h, body)
+				return respondOK("filed")(w, h, body)
 			}
-			write(w, answerHead("200 OK", "a1", sealed("a1")+sized(2*maxHeldResponse)))
+			write(w, responseHead("200 OK", "a1", sealField("a1")+lengthField(2*maxHeldResponse)))
 			write(w, strings.Repeat("x", maxHeldResponse))
 			close(begun)
 			<-breakOff
@@ -162,20 +162,20 @@
 		c.send("POST /once/", "Content-Length: 4\r\n", "body")
 		waitForRequests(t, g, 2)
 		close(breakOff)
-		if h, _, err := c.answer(); err == nil {
-			t.Errorf("%+v looks complete", h)
+		if h, _, err := c.readResponse(); err == nil {
+			t.Errorf("truncated response looks complete: %+v", h)
 		}
 		waitForNoConns(t, g)
 		if n := filed.Load(); n != 0 {
-			t.Errorf("ran %d times behind an answer that ended the connection", n)
+			t.Errorf("request ran %d times after a response that ended the connection", n)
 		}
 	})
 }
 
-// waitForRequests waits until a gateway's only connection has had so many requests.
+// waitForRequests waits until a gateway has read n requests from its only client connection.
 func waitForRequests(t testing.TB, g *Gateway, n int) {
 	t.Helper()
-	wait(t, func() bool {
+	waitUntil(t, func() bool {
 		for c := range g.listener.conns {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -185,29 +185,29 @@
 	}, g)
 }
 
-// waitForNoConns waits until a gateway has no connection of clients.
+// waitForNoConns waits until a gateway has no client connections.
 func waitForNoConns(t testing.TB, g *Gateway) {
 	t.Helper()
-	wait(t, func() bool { return len(g.listener.conns) == 0 }, g)
+	waitUntil(t, func() bool { return len(g.listener.conns) == 0 }, g)
 }
 
-// wait waits until something holds, which is scriptedRequest under the listener's mutex.
-func wait(t testing.TB, holds func() bool, g *Gateway) {
+// waitUntil waits until a condition is true. It evaluates the condition with the listener's mutex held.
+func waitUntil(t testing.TB, condition func() bool, g *Gateway) {
 	t.Helper()
 	for end := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
 		g.listener.mu.Lock()
-		ok := holds()
+		ok := condition()
 		g.listener.mu.Unlock()
 		if ok {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("it never came to that")
+			t.Fatal("timed out waiting for a condition")
 		}
 	}
 }
 
-// What announces that a body is welcome does not stand inside another answer.
+// A 100 Continue response is not sent in the middle of the response to an earlier pipelined request.
 func TestContinueWaitsForItsTurn(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
@@ -216,9 +216,9 @@
 		begun, goOn := make(chan struct{}), make(chan struct{})
 		b := newBackend(t, func(w io.Writer, h *h1.Head, got []byte) bool {
 			if h.Target == "/once/" {
-				return good(string(got))(w, h, nil)
+				return respondOK(string(got))(w, h, nil)
 			}
-			write(w, answerHead("200 OK", "a1", sealed("a1")+sized(n)), body[:n/2])
+			write(w, responseHead("200 OK", "a1", sealField("a1")+lengthField(n)), body[:n/2])
 			close(begun)
 			<-goOn
 			write(w, body[n/2:])
@@ -236,7 +236,7 @@
 		close(goOn)
 		got := make([]byte, n)
 		if _, err := io.ReadFull(c.in, got); err != nil || string(got) != body {
-			t.Errorf("the first body holds what is not its own: %v", err)
+			t.Errorf("first response has a wrong body: %v", err)
 		}
 		if line, err := c.in.ReadString('\n'); err != nil || line != "HTTP/1.1 100 Continue\r\n" {
 			t.Fatalf("%q, %v", line, err)
@@ -245,27 +245,26 @@
 			t.Fatal(err)
 		}
 		write(c, "body")
-		c.want(200, "body")
+		c.expect(200, "body")
 	})
 }
 
-// A request without an id is not sent: its answer could not be distinguished from another's.
+// A request without an id is not forwarded, because its response could not be told from that to another request.
 func TestRequestWithoutIDIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		b := newBackend(t, good("yes"))
+		b := newBackend(t, respondOK("yes"))
 		c := dial(t, newGateway(t, b))
 		write(c, "POST /once/ HTTP/1.1\r\nHost: h\r\nAuthorization: Token k\r\nContent-Length: 4\r\n\r\nbody")
-		c.want(400, "")
-		if n := b.seen.Load(); n != 0 {
-			t.Errorf("it was sent %d times", n)
+		c.expect(400, "")
+		if n := b.requests.Load(); n != 0 {
+			t.Errorf("request was forwarded %d times", n)
 		}
 	})
 }
 
-// Fields that are for the server stay, also where a client or a server calls them its
-// connection's own: without Host or the id a request is another one, without id or
-// seal an answer is nobody's (RFC 9110, 7.6.1).
+// End-to-end fields are forwarded even if the client or server lists them in Connection (RFC 9110, 7.6.1): without
+// Host or id, a request would be a different one, and without id or seal, a response could not be attributed.
 func TestEndToEndFieldsArePassedOn(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
@@ -276,18 +275,18 @@
 		})
 		c := dial(t, newGateway(t, b))
 		c.send("GET /get/", "Connection: Host, Attempt-Id, Y\r\nY: 1\r\n", "")
-		h := c.want(200, "")
+		h := c.expect(200, "")
 		if h.Get("Server-Seal") != "s" || h.Get("Attempt-Id") != "a1" || h.Get("X") != "" {
-			t.Errorf("the client gets %+v", h)
+			t.Errorf("client got %+v", h)
 		}
-		if got := b.last.Load(); got.Get("Host") != "h" || got.Get("Attempt-Id") != "a1" || got.Get("Y") != "" {
-			t.Errorf("the server gets %+v", got)
+		if got := b.lastRequest.Load(); got.Get("Host") != "h" || got.Get("Attempt-Id") != "a1" || got.Get("Y") != "" {
+			t.Errorf("server got %+v", got)
 		}
 	})
 }
 
-// What a server says before it has had the whole body counts: that it has not run the
-// request is the one thing that lets a filing be sent again.
+// A response that arrives before the server has read the whole body is used: only a statement that the request did not
+// run allows a non-idempotent request to be retried.
 func TestResponseBeforeTheWholeBodyCounts(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -303,24 +302,24 @@
 			}
 			h, err := h1.ReadRequest(bufio.NewReader(c), 1<<16)
 			if err == nil {
-				fields := "Not-Executed: full\r\nConnection: close\r\n" + sized(0)
-				write(c, answerHead("503 x", h.Get("Attempt-Id"), fields))
+				fields := "Not-Executed: full\r\nConnection: close\r\n" + lengthField(0)
+				write(c, responseHead("503 x", h.Get("Attempt-Id"), fields))
 			}
-			closeConn(c) // with what it has not read: a reset
+			closeConn(c) // unread data makes this a reset
 		}
 	}()
 	c := dial(t, newGateway(t, &backend{addr: l.Addr().String()}))
 	const long = 1 << 20
 	go c.send("POST /once/", fmt.Sprintf("Content-Length: %d\r\n", long), strings.Repeat("x", long))
-	if h := c.want(503, ""); h.Get("Retry-After") == "" {
-		t.Error("it is not said when to come back")
+	if h := c.expect(503, ""); h.Get("Retry-After") == "" {
+		t.Error("no Retry-After")
 	}
 }
 
-// BenchmarkForward is one small GET through the gateway, on kept connections, with its
-// client and its server in the same process.
+// BenchmarkForward measures a small GET through the gateway on kept-alive connections, with the client and the server
+// in the same process.
 func BenchmarkForward(b *testing.B) {
-	server := newBackend(b, good("a small answer"))
+	server := newBackend(b, respondOK("a small answer"))
 	g := newGateway(b, server)
 	c := dial(b, g)
 	request := []byte("GET /get/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a1\r\nAuthorization: Token k\r\n\r\n")
@@ -330,7 +329,7 @@
 		if _, err := c.Write(request); err != nil {
 			b.Fatal(err)
 		}
-		if h, _, err := c.answer(); err != nil || h.Status != 200 {
+		if h, _, err := c.readResponse(); err != nil || h.Status != 200 {
 			b.Fatal(h, err)
 		}
 	}
--- a/dataplane/lease_test.go
+++ b/dataplane/lease_test.go
@@ -2,11 +2,10 @@
 
 import "testing"
 
-// Without a lease nobody has confirmed the configuration lately: a route may have been added,
-// moved or removed since. The gateway then answers nothing from it, neither a rejection nor a
-// response of a server, whether the request needs a key or not, and says when to come back.
-// (Found by incidents 0021 and 0022: it answered 404 for a route that was added meanwhile, and
-// sent requests without a key to the server of a route that was removed.)
+// Without a lease, the configuration may be stale: a route may have been added, changed or removed since. The gateway
+// then rejects every request with 503 and Retry-After, whether or not the request needs a key. It used to answer 404
+// for a route that had been added meanwhile, and to forward anonymous requests to the server of a route that had been
+// removed (incidents 0021 and 0022).
 func TestNothingIsAnsweredFromAConfigurationWithoutALease(t *testing.T) {
 	t.Parallel()
 	for name, request := range map[string]string{
@@ -20,16 +19,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			inFakeTime(t, func(t testing.TB) {
-				server := newBackend(t, good("yes"))
+				server := newBackend(t, respondOK("yes"))
 				g := newGateway(t, server)
 				g.lease.expiresAt.Store(0)
 				c := dial(t, g)
 				write(c, request)
-				if h := c.want(503, ""); h.Get("Retry-After") == "" {
+				if h := c.expect(503, ""); h.Get("Retry-After") == "" {
 					t.Error("no Retry-After")
 				}
-				if ran := server.seen.Load(); ran != 0 {
-					t.Errorf("a server was sent %d requests", ran)
+				if ran := server.requests.Load(); ran != 0 {
+					t.Errorf("server got %d requests, want none", ran)
 				}
 			})
 		})
--- a/dataplane/memoryconn_test.go
+++ b/dataplane/memoryconn_test.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// end is an end of a connection, of TCP or in memory.
-type end interface {
+// connEnd is an end of a connection, either TCP or in memory.
+type connEnd interface {
 	net.Conn
 	CloseWrite() error
 	SetLinger(sec int) error
 }
 
-// endBehaviors are what the far end of a connection does, and the error that the near one sees.
+// endBehaviors are actions on the ends of a connection, and the error that results at the near end.
 var endBehaviors = map[string]struct {
-	do   func(near, far end) error
+	do   func(near, far connEnd) error
 	want error
 }{
-	"closes": {func(near, far end) error {
+	"closes": {func(near, far connEnd) error {
 		write(far, "bytes")
 		closeConn(far)
 		got, err := io.ReadAll(near)
@@ -32,7 +32,7 @@
 		}
 		return err
 	}, nil},
-	"closes one direction": {func(near, far end) error {
+	"closes its sending side": {func(near, far connEnd) error {
 		closeWrite(far)
 		if _, err := io.ReadAll(near); err != nil {
 			return err
@@ -45,22 +45,22 @@
 		}
 		return err
 	}, nil},
-	"resets": {func(near, far end) error {
+	"resets": {func(near, far connEnd) error {
 		resetOnClose(far)
 		closeConn(far)
 		_, err := near.Read(make([]byte, 1))
 		return err
 	}, syscall.ECONNRESET},
-	"closes without reading": {func(near, far end) error {
+	"closes without reading": {func(near, far connEnd) error {
 		write(near, "unread")
-		if _, err := io.ReadFull(far, make([]byte, 1)); err != nil { // it has come
+		if _, err := io.ReadFull(far, make([]byte, 1)); err != nil { // all of it has arrived
 			return err
 		}
 		closeConn(far)
 		_, err := near.Read(make([]byte, 1))
 		return err
 	}, syscall.ECONNRESET},
-	"is gone when written to": {func(near, far end) error {
+	"has closed before a write": {func(near, far connEnd) error {
 		closeConn(far)
 		if n, err := io.WriteString(near, "taken"); n != 5 || err != nil {
 			return fmt.Errorf("%d bytes: %w", n, err)
@@ -72,17 +72,17 @@
 			time.Sleep(time.Millisecond)
 		}
 	}, nil},
-	"is written to behind its own end": {func(near, _ end) error {
+	"gets a write after CloseWrite": {func(near, _ connEnd) error {
 		closeWrite(near)
 		_, err := io.WriteString(near, "x")
 		return err
 	}, syscall.EPIPE},
-	"is silent": {func(near, _ end) error {
+	"is silent": {func(near, _ connEnd) error {
 		setDeadline(near, time.Now().Add(time.Millisecond))
 		_, err := near.Read(make([]byte, 1))
 		return err
 	}, os.ErrDeadlineExceeded},
-	"does not read": {func(near, _ end) error {
+	"does not read": {func(near, _ connEnd) error {
 		setDeadline(near, time.Now().Add(time.Millisecond))
 		for {
 			if _, err := near.Write(make([]byte, 1<<16)); err != nil {
@@ -90,14 +90,14 @@
 			}
 		}
 	}, os.ErrDeadlineExceeded},
-	"is closed here": {func(near, _ end) error {
+	"is closed locally": {func(near, _ connEnd) error {
 		closeConn(near)
 		_, err := near.Read(make([]byte, 1))
 		return err
 	}, net.ErrClosed},
 }
 
-// What the network in memory does is what sockets do, as far as the gateway sees it.
+// The in-memory network behaves like sockets as far as the gateway can observe.
 func TestMemoryNetworkBehavesLikeSockets(t *testing.T) {
 	t.Parallel()
 	for name, c := range endBehaviors {
@@ -113,8 +113,8 @@
 			}
 			setDeadline(near, time.Now().Add(hangTimeout))
 			setDeadline(far, time.Now().Add(hangTimeout))
-			if err := c.do(near.(end), far.(end)); !errors.Is(err, c.want) {
-				_, fake := t.(inMemory)
+			if err := c.do(near.(connEnd), far.(connEnd)); !errors.Is(err, c.want) {
+				_, fake := t.(memoryTB)
 				t.Errorf("%s, in memory %v: %v, want %v", name, fake, err, c.want)
 			}
 			closeConn(near)
--- a/dataplane/memorynet_test.go
+++ b/dataplane/memorynet_test.go
@@ -14,19 +14,18 @@
 	"time"
 )
 
-// memory is a network in memory whose connections do what TCP's do: they hold some
-// bytes, are closed in one direction, reset, and have deadlines. Nothing on it waits
-// for the machine, so that in a bubble of synctest time passes only where all wait
-// for it: what takes how long is the same on each machine, however busy.
-type memory struct {
+// memoryNetwork is an in-memory network whose connections behave like TCP: they buffer a limited number of bytes, can
+// be half-closed and reset, and have deadlines. It does no system I/O, so in a synctest bubble time advances only
+// while all goroutines are blocked: durations don't depend on the machine or its load.
+type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memListener
-	conns     []net.Conn // all that there were
+	conns     []net.Conn // all connections ever made
 }
 
-// end closes all connections, and has what still sleeps wake up: time passes no more
-// once the test has ended.
-func (m *memory) end() {
+// closeAll closes all connections and then sleeps, so that goroutines that are still sleeping wake up: fake time does
+// not advance after the test has ended.
+func (m *memoryNetwork) closeAll() {
 	m.mu.Lock()
 	for _, c := range m.conns {
 		closeConn(c)
@@ -35,25 +34,25 @@
 	time.Sleep(time.Hour)
 }
 
-// inMemory is a test in a bubble of its own, whose helpers use a network in memory.
-type inMemory struct {
+// memoryTB is a test in its own synctest bubble, whose helpers use an in-memory network.
+type memoryTB struct {
 	testing.TB
-	net *memory
+	net *memoryNetwork
 }
 
-// inFakeTime runs a test in fake time, on a network in memory.
+// inFakeTime runs a test in fake time, on an in-memory network.
 func inFakeTime(t *testing.T, test func(t testing.TB)) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memory{listeners: map[string]*memListener{}}
-		t.Cleanup(m.end)
-		test(inMemory{t, m})
+		m := &memoryNetwork{listeners: map[string]*memListener{}}
+		t.Cleanup(m.closeAll)
+		test(memoryTB{t, m})
 	})
 }
 
 // listenOn returns a listener on the network of a test.
 func listenOn(t testing.TB) net.Listener {
 	t.Helper()
-	if m, ok := t.(inMemory); ok {
+	if m, ok := t.(memoryTB); ok {
 		return m.net.listen(t)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,25 +65,25 @@
 
 // dialOn connects on the network of a test.
 func dialOn(t testing.TB, addr string) (net.Conn, error) {
-	if m, ok := t.(inMemory); ok {
+	if m, ok := t.(memoryTB); ok {
 		return m.net.dial(t.Context(), "tcp", addr)
 	}
 	return net.Dial("tcp", addr)
 }
 
-func (m *memory) listen(t testing.TB) net.Listener {
+func (m *memoryNetwork) listen(t testing.TB) net.Listener {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l := &memListener{
-		m: m, at: memAddr(fmt.Sprintf("192.0.2.%d:80", len(m.listeners)+1)),
-		come: make(chan net.Conn, 64), closed: make(chan struct{}),
+		network: m, addr: memAddr(fmt.Sprintf("192.0.2.%d:80", len(m.listeners)+1)),
+		incoming: make(chan net.Conn, 64), closed: make(chan struct{}),
 	}
-	m.listeners[string(l.at)] = l
+	m.listeners[string(l.addr)] = l
 	t.Cleanup(func() { closeConn(l) })
 	return l
 }
 
-func (m *memory) dial(ctx context.Context, _, addr string) (net.Conn, error) {
+func (m *memoryNetwork) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	m.mu.Lock()
 	l := m.listeners[addr]
 	m.mu.Unlock()
@@ -94,22 +93,22 @@
 	if l == nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	a, b := newWire(l.at)
+	a, b := newMemConnPair(l.addr)
 	m.mu.Lock()
 	m.conns = append(m.conns, a, b)
 	m.mu.Unlock()
 	select {
 	case <-l.closed:
 		return nil, syscall.ECONNREFUSED
-	case l.come <- b:
+	case l.incoming <- b:
 		return a, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// serve has a gateway serve on the network in memory alone, until the test ends.
-func (m inMemory) serve(g *Gateway) {
+// serve makes a gateway serve on the in-memory network only, until the test ends.
+func (m memoryTB) serve(g *Gateway) {
 	if err := errors.Join(g.listener.tcp.Close(), g.readiness.listener.Close(), g.gossip.socket.Close()); err != nil {
 		m.Fatal(err)
 	}
@@ -131,16 +130,16 @@
 func (a memAddr) String() string { return string(a) }
 
 type memListener struct {
-	m      *memory
-	at     memAddr
-	come   chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	network  *memoryNetwork
+	addr     memAddr
+	incoming chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
 func (l *memListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.come:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -152,37 +151,37 @@
 	return nil
 }
 
-func (l *memListener) Addr() net.Addr { return l.at }
+func (l *memListener) Addr() net.Addr { return l.addr }
 
-// memRoom is how many bytes stand on the way of a connection in one direction.
-const memRoom = 64 << 10
+// memBufferSize is how many bytes a connection buffers in each direction.
+const memBufferSize = 64 << 10
 
-// memConn is one end of a connection.
+// memConn is one end of an in-memory connection.
 type memConn struct {
-	mu      *sync.Mutex // of both ends
-	changed *sync.Cond  // of both ends
+	mu      *sync.Mutex // shared by both ends
+	changed *sync.Cond  // shared by both ends
 	peer    *memConn
-	at      memAddr
-
-	in              []byte // has come and was not read
-	ended           bool   // nothing comes behind it
-	reset           bool   // what was in is read, then the reset is met
-	closed          bool
-	shut            bool // for writing
-	abort           bool // Close resets
-	readBy, writeBy time.Time
+	addr    memAddr
+
+	received                    []byte // received and not read yet
+	eof                         bool   // the peer sends nothing more
+	reset                       bool   // reads return the bytes received, then the reset
+	closed                      bool
+	writeClosed                 bool // CloseWrite was called
+	resetOnClose                bool // Close sends a reset
+	readDeadline, writeDeadline time.Time
 }
 
-func newWire(at memAddr) (a, b *memConn) {
+func newMemConnPair(addr memAddr) (a, b *memConn) {
 	mu := new(sync.Mutex)
 	cond := sync.NewCond(mu)
-	a, b = &memConn{mu: mu, changed: cond, at: at}, &memConn{mu: mu, changed: cond, at: at}
+	a, b = &memConn{mu: mu, changed: cond, addr: addr}, &memConn{mu: mu, changed: cond, addr: addr}
 	a.peer, b.peer = b, a
 	return a, b
 }
 
-// await waits for a change until some time. Called under the mutex.
-func (c *memConn) await(until time.Time) {
+// waitForChange waits for a change, or until a deadline unless it is zero. The mutex must be held.
+func (c *memConn) waitForChange(until time.Time) {
 	if !until.IsZero() {
 		t := time.AfterFunc(time.Until(until), func() {
 			c.mu.Lock()
@@ -194,7 +193,7 @@
 	c.changed.Wait()
 }
 
-func past(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
+func deadlinePassed(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
 
 func (c *memConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
@@ -203,19 +202,19 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case past(c.readBy):
+		case deadlinePassed(c.readDeadline):
 			return 0, os.ErrDeadlineExceeded
-		case len(c.in) > 0:
-			n := copy(b, c.in)
-			c.in = c.in[n:]
+		case len(c.received) > 0:
+			n := copy(b, c.received)
+			c.received = c.received[n:]
 			c.changed.Broadcast()
 			return n, nil
 		case c.reset:
 			return 0, syscall.ECONNRESET
-		case c.ended:
+		case c.eof:
 			return 0, io.EOF
 		}
-		c.await(c.readBy)
+		c.waitForChange(c.readDeadline)
 	}
 }
 
@@ -226,27 +225,27 @@
 		switch {
 		case c.closed:
 			return n, net.ErrClosed
-		case past(c.writeBy):
+		case deadlinePassed(c.writeDeadline):
 			return n, os.ErrDeadlineExceeded
-		case c.shut:
+		case c.writeClosed:
 			return n, syscall.EPIPE
 		case c.reset:
 			return n, syscall.ECONNRESET
-		case c.peer.closed: // it takes the bytes, and answers them with a reset
+		case c.peer.closed: // the peer accepts the bytes and responds with a reset
 			c.reset = true
 			c.changed.Broadcast()
 			return len(b), nil
 		}
-		if room := memRoom - len(c.peer.in); room > 0 {
+		if room := memBufferSize - len(c.peer.received); room > 0 {
 			part := b[n:min(len(b), n+room)]
-			c.peer.in = append(c.peer.in, part...)
+			c.peer.received = append(c.peer.received, part...)
 			n += len(part)
 			c.changed.Broadcast()
 		}
 		if n == len(b) {
 			return n, nil
 		}
-		c.await(c.writeBy)
+		c.waitForChange(c.writeDeadline)
 	}
 }
 
@@ -257,10 +256,10 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	if c.abort || len(c.in) > 0 { // what was not read is answered with a reset
+	if c.resetOnClose || len(c.received) > 0 { // unread data makes Close send a reset
 		c.peer.reset = true
 	}
-	c.peer.ended = true
+	c.peer.eof = true
 	c.changed.Broadcast()
 	return nil
 }
@@ -268,48 +267,48 @@
 func (c *memConn) CloseWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shut, c.peer.ended = true, true
+	c.writeClosed, c.peer.eof = true, true
 	c.changed.Broadcast()
 	return nil
 }
 
-// SetLinger has Close reset the connection.
+// SetLinger makes Close reset the connection.
 func (c *memConn) SetLinger(int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.abort = true
+	c.resetOnClose = true
 	return nil
 }
 
-func (c *memConn) LocalAddr() net.Addr  { return c.at }
-func (c *memConn) RemoteAddr() net.Addr { return c.at }
+func (c *memConn) LocalAddr() net.Addr  { return c.addr }
+func (c *memConn) RemoteAddr() net.Addr { return c.addr }
 
 func (c *memConn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-func (c *memConn) SetReadDeadline(t time.Time) error  { return c.setBy(&c.readBy, t) }
-func (c *memConn) SetWriteDeadline(t time.Time) error { return c.setBy(&c.writeBy, t) }
+func (c *memConn) SetReadDeadline(t time.Time) error  { return c.setDeadline(&c.readDeadline, t) }
+func (c *memConn) SetWriteDeadline(t time.Time) error { return c.setDeadline(&c.writeDeadline, t) }
 
-func (c *memConn) setBy(by *time.Time, t time.Time) error {
+func (c *memConn) setDeadline(deadline *time.Time, t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return net.ErrClosed
 	}
-	*by = t
+	*deadline = t
 	c.changed.Broadcast()
 	return nil
 }
 
-// SyscallConn shows those who look at the socket itself one that is as quiet: on which
-// nothing has come, or none at all.
-func (c *memConn) SyscallConn() (syscall.RawConn, error) { return memRaw{c}, nil }
+// SyscallConn serves callers that check the socket itself for pending data: they get a socket without any, or an
+// invalid descriptor if the connection has unread data or has ended.
+func (c *memConn) SyscallConn() (syscall.RawConn, error) { return memRawConn{c}, nil }
 
-type memRaw struct{ c *memConn }
+type memRawConn struct{ c *memConn }
 
-// quietSocket is a socket to which nobody can send.
-var quietSocket = sync.OnceValue(func() int {
+// idleSocket returns a socket that never receives data.
+var idleSocket = sync.OnceValue(func() int {
 	fd, err := syscall.Socket(syscall.AF_UNIX, syscall.SOCK_DGRAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		panic(err)
@@ -317,21 +316,21 @@
 	return fd
 })
 
-func (r memRaw) Read(f func(fd uintptr) bool) error {
+func (r memRawConn) Read(f func(fd uintptr) bool) error {
 	r.c.mu.Lock()
 	defer r.c.mu.Unlock()
 	switch {
 	case r.c.closed:
 		return net.ErrClosed
-	case past(r.c.readBy):
+	case deadlinePassed(r.c.readDeadline):
 		return os.ErrDeadlineExceeded
-	case len(r.c.in) > 0 || r.c.ended || r.c.reset:
+	case len(r.c.received) > 0 || r.c.eof || r.c.reset:
 		f(^uintptr(0))
 	default:
-		f(uintptr(quietSocket()))
+		f(uintptr(idleSocket()))
 	}
 	return nil
 }
 
-func (memRaw) Control(func(fd uintptr)) error    { return errors.ErrUnsupported }
-func (memRaw) Write(func(fd uintptr) bool) error { return errors.ErrUnsupported }
+func (memRawConn) Control(func(fd uintptr)) error    { return errors.ErrUnsupported }
+func (memRawConn) Write(func(fd uintptr) bool) error { return errors.ErrUnsupported }
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -12,87 +12,89 @@
 	"example.org/elmspan/dataplane/h1"
 )
 
-// The gateway is put before three servers that do, with the request of each id, what a
-// script says: everything that a server can do at each moment of a try, in each order
-// of two, on fresh and kept connections, for each kind of request. What then reached
-// clients and what ran is checked against the invariants.
+// These tests run a gateway with three servers that follow a script for each request id. They cover all ordered pairs
+// of server behaviors, on new and kept-alive connections and for each kind of request. The responses that clients
+// received and the requests that ran are checked against the invariants.
 
-// playRun is a run through all moves with all others as second ones.
-type playRun struct {
-	*stage
-	kind    string // of the requests
-	kept    bool   // whether connections are kept
-	once    bool   // requests of the kind must not run twice
-	refused bool   // the servers that there are may all be kept off for what they did
-	seconds int    // requests that came to a second server
+// behaviorRun is a run through all ordered pairs of behaviors.
+type behaviorRun struct {
+	*harness
+	kind            string // of the requests
+	kept            bool   // connections are kept alive between requests
+	nonIdempotent   bool   // requests of the kind are not idempotent
+	needsNewServers bool   // all current servers may be excluded because of earlier failures
+	secondAttempts  int    // requests that reached a second server
 }
 
-// play goes through all moves with all others as second ones, and returns the first invariant that was broken, with
-// how many requests came to a second server.
-func play(t testing.TB, rules attempt.Rules, kind string, kept bool, moves []move) (fault string, seconds int) {
-	p := &playRun{
-		stage: newStage(t, rules), kind: kind, kept: kept, once: kind != "get" && kind != "head", refused: true,
+// runBehaviorPairs runs all ordered pairs of behaviors. It returns the first violation of an invariant and the number
+// of requests that reached a second server.
+func runBehaviorPairs(
+	t testing.TB, rules attempt.Rules, kind string, kept bool, behaviors []behavior,
+) (violation string, secondAttempts int) {
+	p := &behaviorRun{
+		harness: newHarness(t, rules), kind: kind, kept: kept,
+		nonIdempotent: kind != "get" && kind != "head", needsNewServers: true,
 	}
-	if _, fake := t.(inMemory); !fake {
-		p.recordTimeUp()
+	if _, fake := t.(memoryTB); !fake {
+		p.recordDeadlineExceeded()
 	}
-	for i := range moves {
-		for j := range moves {
-			if p.once && moves[i].runs && j%8 != i%8 { // where no second one is met, some are enough
+	for i := range behaviors {
+		for j := range behaviors {
+			if p.nonIdempotent && behaviors[i].runs && j%8 != i%8 { // reaches no second server: test a sample
 				continue
 			}
-			p.step(&moves[i], &moves[j])
-			if p.fault != "" {
-				return p.fault, p.seconds
+			p.runPair(&behaviors[i], &behaviors[j])
+			if p.violation != "" {
+				return p.violation, p.secondAttempts
 			}
 		}
 	}
-	return "", p.seconds
+	return "", p.secondAttempts
 }
 
-// step sends a request whose servers do the two moves, then another that they answer.
-func (p *playRun) step(first, second *move) {
+// runPair sends a request whose first two servers show the two behaviors, then one that is answered normally.
+func (p *behaviorRun) runPair(first, second *behavior) {
 	p.setUp()
 	status, sc := p.request(p.kind, first, second)
-	if sc.arrivals.Load() == 0 && status == 503 { // the servers that there are now are kept off too
-		p.renew()
+	if sc.arrivals.Load() == 0 && status == 503 { // all current servers were excluded
+		p.replaceServers()
 		status, sc = p.request(p.kind, first, second)
 	}
 	if sc.arrivals.Load() > 1 {
-		p.seconds++
+		p.secondAttempts++
 	}
 	if sc.arrivals.Load() == 0 && !endsByDeadline(first, second) {
-		p.broken("%s, %s, then %s: it came to no server: %d", p.kind, first.name, second.name, status)
+		p.violated("%s, %s, then %s: request reached no server: status %d", p.kind, first.name, second.name, status)
 	}
 	what := fmt.Sprintf("%s, kept %v, %s, then %s", p.kind, p.kept, first.name, second.name)
-	// Whatever stands on connections now, the next filing gets its own answer.
-	next, nextScript := p.request("once", &fine, &fine)
-	p.refused = next == 503
-	mayFail := next == 502 && (first.crosses || second.crosses)
-	if next != 200 && !p.refused && !mayFail {
-		p.broken("%s: the next filing is answered %d", what, next)
+	// Whatever is left on connections, the next non-idempotent request gets its own response.
+	next, nextScript := p.request("once", &normalResponse, &normalResponse)
+	p.needsNewServers = next == 503
+	mayFail := next == 502 && (first.racesNext || second.racesNext)
+	if next != 200 && !p.needsNewServers && !mayFail {
+		p.violated("%s: next non-idempotent request got status %d", what, next)
 	}
-	p.checkRuns(what, p.once, status, sc)
-	p.checkRuns(what+", the next one", true, next, nextScript)
+	p.checkRuns(what, p.nonIdempotent, status, sc)
+	p.checkRuns(what+", next request", true, next, nextScript)
 }
 
-// setUp puts servers and connections in place for a step.
-func (p *playRun) setUp() {
-	if !p.kept || p.refused {
-		p.renew()
+// setUp prepares servers and connections for a pair.
+func (p *behaviorRun) setUp() {
+	if !p.kept || p.needsNewServers {
+		p.replaceServers()
 	}
-	if p.kept && p.refused {
-		p.warm()
+	if p.kept && p.needsNewServers {
+		p.warmUp()
 	}
-	if _, fake := p.t.(inMemory); fake {
-		time.Sleep(20 * time.Millisecond) // servers that failed are scriptedRequest again
+	if _, fake := p.t.(memoryTB); fake {
+		time.Sleep(20 * time.Millisecond) // long enough for failed servers to be tried again
 	}
 }
 
-// Whatever servers do, in each order of two, with each kind of request, on kept and on
-// fresh connections: what must not run twice runs once at most, what is answered 408,
-// 421, 429 or 503 has not run, each answer is to its request and the server's or our
-// own, what ends early shows it, and no byte of another's answer is ever seen.
+// For all ordered pairs of server behaviors, with each kind of request, on kept-alive and new connections: a
+// non-idempotent request runs at most once; a request answered with 408, 421, 429 or 503 has not run; each response
+// belongs to its request and comes from the server or the gateway itself; a truncated response is visibly truncated;
+// and no byte of another response reaches the client.
 func TestInvariantsHoldWhateverServersDo(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"get", "head", "once", "chunks", "long"} {
@@ -100,14 +102,14 @@
 			t.Run(fmt.Sprintf("%s kept=%v", kind, kept), func(t *testing.T) {
 				t.Parallel()
 				inFakeTime(t, func(t testing.TB) {
-					fault, seconds := play(t, attempt.DefaultRules(), kind, kept, moves)
-					if fault != "" {
-						t.Error(fault)
+					violation, secondAttempts := runBehaviorPairs(t, attempt.DefaultRules(), kind, kept, behaviors)
+					if violation != "" {
+						t.Error(violation)
 					}
-					// A long body can't be sent to a second one.
+					// A long body can't be sent to a second server.
 					minimum := map[string]int{"get": 1200, "head": 1200, "once": 200, "chunks": 200}
-					if seconds < minimum[kind] {
-						t.Errorf("only %d requests came to a second server", seconds)
+					if secondAttempts < minimum[kind] {
+						t.Errorf("only %d requests reached a second server", secondAttempts)
 					}
 				})
 			})
@@ -115,17 +117,17 @@
 	}
 }
 
-// In fake time no answer takes any, so none may end early because the time is up.
-// On sockets, where a machine may be as slow as it likes, one may: but only where the
-// gateway itself met the end of the request's time while it read from the server.
+// In fake time responses take no time, so none may be truncated by its deadline. On real sockets a loaded machine can
+// be arbitrarily slow, so a response may be truncated, but only if the gateway exceeded the deadline of the request
+// while it read from the server.
 func TestInvariantsHoldOnSockets(t *testing.T) {
 	t.Parallel()
-	var some []move
-	for _, m := range moves {
+	var some []behavior
+	for _, m := range behaviors {
 		switch m.name {
-		case "answers", "resets", "closes", "refuses before the body", "part of a body, silent",
+		case "answers", "resets", "closes", "rejects before the body", "part of a body, silent",
 			"long", "long, resets", "a long failure",
-			"503, not executed", "nobody's behind", "closes behind its answer", "resets behind its answer":
+			"503, not executed", "response without an id after", "closes after its response", "resets after its response":
 			some = append(some, m)
 		}
 	}
@@ -133,17 +135,16 @@
 		for _, kept := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s kept=%v", kind, kept), func(t *testing.T) {
 				t.Parallel()
-				if fault, _ := play(t, attempt.DefaultRules(), kind, kept, some); fault != "" {
-					t.Error(fault)
+				if violation, _ := runBehaviorPairs(t, attempt.DefaultRules(), kind, kept, some); violation != "" {
+					t.Error(violation)
 				}
 			})
 		}
 	}
 }
 
-// A long answer whose server takes its time is cut off when the request's is up, at
-// that moment and visibly, and is whole where it comes before. A server's failure is no
-// different.
+// A long response from a slow server is truncated visibly and exactly at the deadline of the request, and is complete
+// if it arrives before. The same applies to error responses.
 func TestDeadlineCutsALongResponse(t *testing.T) {
 	t.Parallel()
 	const budget = 40 * time.Millisecond
@@ -153,7 +154,8 @@
 				inFakeTime(t, func(t testing.TB) {
 					long := strings.Repeat("x", 2*maxHeldResponse)
 					c := dial(t, newGateway(t, newBackend(t, func(w io.Writer, _ *h1.Head, _ []byte) bool {
-						write(w, answerHead(status, "a1", sealed("a1")+sized(len(long)))+long[:maxHeldResponse+9])
+						write(w, responseHead(status, "a1", sealField("a1")+lengthField(len(long)))+
+							long[:maxHeldResponse+9])
 						time.Sleep(takes)
 						write(w, long[maxHeldResponse+9:])
 						return true
@@ -164,7 +166,7 @@
 					} else {
 						c.send("POST /once/", "Time-Budget-Ms: 40\r\nContent-Length: 4\r\n", "body")
 					}
-					h, got, err := c.answer()
+					h, got, err := c.readResponse()
 					took := time.Since(sent)
 					if h == nil || !strings.HasPrefix(status, fmt.Sprint(h.Status)) ||
 						h.Get("Server-Seal") == "" || !strings.HasPrefix(long, got) {
@@ -180,7 +182,7 @@
 	}
 }
 
-// Faults that are put in on purpose are found by the same run.
+// Deliberately broken rules are detected by the same checks.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	t.Parallel()
 	with := func(change func(*attempt.Rules)) attempt.Rules {
@@ -205,65 +207,65 @@
 	}{
 		"ids are not compared": {with(func(r *attempt.Rules) {
 			r.OwnerOf = func(string, int, string) attempt.ResponseOwner { return attempt.ThisRequest }
-		}), "get", "the answer is to"},
-		"a connection with bytes behind an answer is used again": {with(func(r *attempt.Rules) {
+		}), "get", "response belongs to"},
+		"a connection with trailing bytes is reused": {with(func(r *attempt.Rules) {
 			r.Reusable = func(e attempt.Evidence) bool { e.TrailingBytes = 0; return e.Reusable() }
-		}), "once", "the next filing is answered 502"},
-		"a reset after bytes is taken for unsent": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
+		}), "once", "next non-idempotent request got status 502"},
+		"a reset after sending is taken for not sent": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
 			return attempt.Classification{Result: balance.NotSent}, e.Response == attempt.NoResponse
 		}), "once", "ran 2 times"},
-		"a bare 503 is passed on": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
+		"a bare 503 is forwarded": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
 			passedOn := attempt.Classification{
 				Result: balance.Failure, MayHaveRun: true, Response: attempt.ServerResponse,
 			}
 			return passedOn, e.Status == 503 && !e.NotExecuted && e.Response == attempt.Complete
-		}), "once", "answered 503, but it ran"},
+		}), "once", "got status 503, but it ran"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var fault string
-			inFakeTime(t, func(t testing.TB) { fault, _ = play(t, c.rules, c.kind, true, moves) })
-			if !strings.Contains(fault, c.want) {
-				t.Errorf("found %q, want %q", fault, c.want)
+			var violation string
+			inFakeTime(t, func(t testing.TB) { violation, _ = runBehaviorPairs(t, c.rules, c.kind, true, behaviors) })
+			if !strings.Contains(violation, c.want) {
+				t.Errorf("got violation %q, want %q", violation, c.want)
 			}
 		})
 	}
 }
 
-// Of two servers that have a request at once, the slower one's answer is nobody's: it
-// comes on a connection that is closed by then, and the next requests get their own.
+// After a hedged request, the response of the slower server reaches no client: its connection is closed by then, and
+// later requests get their own responses.
 func TestLateResponseOfTheSlowerAttemptIsDropped(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		s := newStage(t, attempt.DefaultRules())
-		s.renew()
-		for range 10 { // what is usual is learnt
-			s.warm()
+		s := newHarness(t, attempt.DefaultRules())
+		s.replaceServers()
+		for range 10 { // the gateway learns the usual latency
+			s.warmUp()
 		}
 		answered, late := make(chan struct{}), make(chan error, 1)
-		slow := move{name: "answers late", runs: true, do: func(a *scriptedRequest) bool {
+		slow := behavior{name: "answers late", runs: true, do: func(a *scriptedRequest) bool {
 			<-answered
-			a.say(strings.ReplaceAll(a.whole(), "own:", "not:")) // as long: nothing else speaks against the connection
-			_, err := a.in.ReadByte()                            // the connection has ended, whatever was sent on it
+			a.send(strings.ReplaceAll(a.success(), "own:", "not:")) // same length: only the content differs
+			_, err := a.in.ReadByte()                               // the gateway has closed the connection
 			late <- err
 			return false
 		}}
-		status, sc := s.request("get", &slow, &fine)
+		status, sc := s.request("get", &slow, &normalResponse)
 		close(answered)
 		if status != 200 || sc.arrivals.Load() != 2 {
-			t.Fatalf("answered %d, %d servers had it", status, sc.arrivals.Load())
+			t.Fatalf("status %d, request reached %d servers", status, sc.arrivals.Load())
 		}
 		begun := time.Now()
 		if err := <-late; err == nil || time.Since(begun) > 0 {
-			t.Errorf("the connection of the slower one goes on: %v after %v", err, time.Since(begun))
+			t.Errorf("connection of the slower server was not closed at once: %v after %v", err, time.Since(begun))
 		}
 		for range 10 {
-			if status, sc := s.request("once", &fine, &fine); status != 200 || sc.runs.Load() != 1 {
-				t.Errorf("the next one is answered %d, ran %d times", status, sc.runs.Load())
+			if status, sc := s.request("once", &normalResponse, &normalResponse); status != 200 || sc.runs.Load() != 1 {
+				t.Errorf("later request got status %d, ran %d times", status, sc.runs.Load())
 			}
 		}
-		if s.fault != "" {
-			t.Error(s.fault)
+		if s.violation != "" {
+			t.Error(s.violation)
 		}
 	})
 }
--- a/dataplane/scriptedserver_test.go
+++ b/dataplane/scriptedserver_test.go
@@ -11,13 +11,13 @@
 	"example.org/elmspan/dataplane/h1"
 )
 
-// scriptedRequest is a request as a scripted server has it.
+// scriptedRequest is a request that a scripted server has received.
 type scriptedRequest struct {
 	net.Conn
 	in   *bufio.Reader
 	head *h1.Head
 	id   string
-	prev string // id of the request before on the connection, or an unknown one
+	prev string // id of the previous request on the connection, or an unknown id
 }
 
 func (a *scriptedRequest) reset() bool {
@@ -25,227 +25,238 @@
 	return false
 }
 
-func (a *scriptedRequest) say(parts ...string) { write(a, strings.Join(parts, "")) }
+func (a *scriptedRequest) send(parts ...string) { write(a, strings.Join(parts, "")) }
 
-// wait waits until the gateway gives the connection up.
-func (a *scriptedRequest) wait() bool {
-	_, _ = io.Copy(io.Discard, a.in) // it ends with the connection, in whatever way
+// waitForClose waits until the gateway closes the connection.
+func (a *scriptedRequest) waitForClose() bool {
+	_, _ = io.Copy(io.Discard, a.in) // returns when the connection ends, for whatever reason
 	return false
 }
 
-func answerHead(status, id, fields string) string {
+// responseHead returns the head of a response, with fields as complete lines.
+func responseHead(status, id, fields string) string {
 	return "HTTP/1.1 " + status + "\r\nAttempt-Id: " + id + "\r\n" + fields + "\r\n"
 }
 
-func sized(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
+func lengthField(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
 
-func sealed(id string) string { return "Server-Seal: seal-" + id + "\r\n" }
+func sealField(id string) string { return "Server-Seal: seal-" + id + "\r\n" }
 
-func ownBody(id string) string { return "own:" + id }
+func expectedBody(id string) string { return "own:" + id }
 
-func longBody(id string) string {
+func longResponseBody(id string) string {
 	return strings.Repeat(id+"|", 2*maxHeldResponse/(len(id)+1))
 }
 
-// body is a body, unless the request is one that has none in its answer.
-func (a *scriptedRequest) body(s string) string {
+// bodyUnlessHead returns a body, or an empty one if the request is a HEAD.
+func (a *scriptedRequest) bodyUnlessHead(s string) string {
 	if a.head.Method == "HEAD" {
 		return ""
 	}
 	return s
 }
 
-func (a *scriptedRequest) whole() string {
-	b := ownBody(a.id)
-	return answerHead("200 OK", a.id, sealed(a.id)+sized(len(b))) + a.body(b)
+func (a *scriptedRequest) success() string {
+	b := expectedBody(a.id)
+	return responseHead("200 OK", a.id, sealField(a.id)+lengthField(len(b))) + a.bodyUnlessHead(b)
 }
 
 func (a *scriptedRequest) failure(status, fields string) string {
 	b := "fail:" + a.id
-	return answerHead(status, a.id, "Failed: 1\r\n"+fields+sized(len(b))) + a.body(b)
+	return responseHead(status, a.id, "Failed: 1\r\n"+fields+lengthField(len(b))) + a.bodyUnlessHead(b)
 }
 
-const secret = "SOMEONE-ELSES"
+// foreignBody is the body of responses that belong to another request or to none.
+const foreignBody = "SOMEONE-ELSES"
 
 func responseTo(id string) string {
-	return answerHead("200 OK", id, sealed(id)+sized(len(secret))) + secret
+	return responseHead("200 OK", id, sealField(id)+lengthField(len(foreignBody))) + foreignBody
 }
 
-var nobodysAnswer = "HTTP/1.1 200 OK\r\nServer-Seal: x\r\n" + sized(len(secret)) + "\r\n" + secret
+var responseWithoutID = "HTTP/1.1 200 OK\r\nServer-Seal: x\r\n" + lengthField(len(foreignBody)) + "\r\n" + foreignBody
 
-// move is what a server does with a request. It returns whether the connection goes on.
-type move struct {
-	name    string
-	runs    bool // it has begun work on it
-	early   bool // before it has read the body
-	breaks  bool // an answer may end before its end, visibly
-	crosses bool // what it sends later may meet the next request on its way
-	do      func(a *scriptedRequest) bool
+// behavior is what a server does with a request. do reports whether the server keeps the connection open.
+type behavior struct {
+	name       string
+	runs       bool // the server has started to execute the request
+	beforeBody bool // acts before it has read the body
+	truncates  bool // the response may be visibly truncated
+	racesNext  bool // what it does after the response may race with the next request
+	do         func(a *scriptedRequest) bool
 }
 
-var fine = move{name: "answers", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole()); return true }}
+var normalResponse = behavior{name: "answers", runs: true, do: func(a *scriptedRequest) bool {
+	a.send(a.success())
+	return true
+}}
 
-// moves are all that a server can do.
-var moves = []move{
-	fine,
-	{name: "resets before the body", early: true, do: (*scriptedRequest).reset},
-	{name: "closes before the body", early: true, do: func(*scriptedRequest) bool { return false }},
-	{name: "refuses before the body", early: true, do: func(a *scriptedRequest) bool {
-		a.say(a.failure("503 x", "Not-Executed: full\r\nConnection: close\r\n"))
+// behaviors are all behaviors of servers.
+var behaviors = []behavior{
+	normalResponse,
+	{name: "resets before the body", beforeBody: true, do: (*scriptedRequest).reset},
+	{name: "closes before the body", beforeBody: true, do: func(*scriptedRequest) bool { return false }},
+	{name: "rejects before the body", beforeBody: true, do: func(a *scriptedRequest) bool {
+		a.send(a.failure("503 x", "Not-Executed: full\r\nConnection: close\r\n"))
 		return false
 	}},
 	{name: "resets", runs: true, do: (*scriptedRequest).reset},
 	{name: "closes", runs: true, do: func(*scriptedRequest) bool { return false }},
-	{name: "is silent", runs: true, do: (*scriptedRequest).wait},
-	{name: "says nonsense", runs: true, do: func(a *scriptedRequest) bool { a.say(secret, "\r\n\r\n"); return false }},
+	{name: "is silent", runs: true, do: (*scriptedRequest).waitForClose},
+	{name: "sends a malformed response", runs: true, do: func(a *scriptedRequest) bool {
+		a.send(foreignBody, "\r\n\r\n")
+		return false
+	}},
 	{name: "part of a head, closes", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(a.whole()[:30])
+		a.send(a.success()[:30])
 		return false
 	}},
 	{name: "part of a head, silent", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(a.whole()[:30])
-		return a.wait()
+		a.send(a.success()[:30])
+		return a.waitForClose()
 	}},
 	{name: "part of a body, closes", runs: true, do: func(a *scriptedRequest) bool {
-		w := a.whole()
-		a.say(w[:len(w)-3])
+		w := a.success()
+		a.send(w[:len(w)-3])
 		return false
 	}},
 	{name: "part of a body, silent", runs: true, do: func(a *scriptedRequest) bool {
-		w := a.whole()
-		a.say(w[:len(w)-3])
-		return a.wait()
+		w := a.success()
+		a.send(w[:len(w)-3])
+		return a.waitForClose()
 	}},
 	{name: "in chunks", runs: true, do: func(a *scriptedRequest) bool {
-		b := ownBody(a.id)
-		head := answerHead("200 OK", a.id, sealed(a.id)+"Transfer-Encoding: chunked\r\n")
-		a.say(head, a.body(fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(b), b)))
+		b := expectedBody(a.id)
+		head := responseHead("200 OK", a.id, sealField(a.id)+"Transfer-Encoding: chunked\r\n")
+		a.send(head, a.bodyUnlessHead(fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(b), b)))
 		return true
 	}},
-	{name: "in chunks, no last one", runs: true, breaks: true, do: func(a *scriptedRequest) bool {
-		b := ownBody(a.id)
-		head := answerHead("200 OK", a.id, sealed(a.id)+"Transfer-Encoding: chunked\r\n")
-		a.say(head, fmt.Sprintf("%x\r\n%s\r\n", len(b), b))
+	{name: "in chunks, no last chunk", runs: true, truncates: true, do: func(a *scriptedRequest) bool {
+		b := expectedBody(a.id)
+		head := responseHead("200 OK", a.id, sealField(a.id)+"Transfer-Encoding: chunked\r\n")
+		a.send(head, fmt.Sprintf("%x\r\n%s\r\n", len(b), b))
 		return false
 	}},
 	{name: "long", runs: true, do: func(a *scriptedRequest) bool {
-		b := longBody(a.id)
-		a.say(answerHead("200 OK", a.id, sealed(a.id)+sized(len(b))), a.body(b))
+		b := longResponseBody(a.id)
+		a.send(responseHead("200 OK", a.id, sealField(a.id)+lengthField(len(b))), a.bodyUnlessHead(b))
 		return true
 	}},
-	{name: "long, resets", runs: true, breaks: true, do: func(a *scriptedRequest) bool {
-		b := longBody(a.id)
-		a.say(answerHead("200 OK", a.id, sealed(a.id)+sized(len(b))), a.body(b[:len(b)-9]))
+	{name: "long, resets", runs: true, truncates: true, do: func(a *scriptedRequest) bool {
+		b := longResponseBody(a.id)
+		a.send(responseHead("200 OK", a.id, sealField(a.id)+lengthField(len(b))), a.bodyUnlessHead(b[:len(b)-9]))
 		return a.reset()
 	}},
-	{name: "a failure, cut short", runs: true, do: func(a *scriptedRequest) bool {
+	{name: "a failure, truncated", runs: true, do: func(a *scriptedRequest) bool {
 		w := a.failure("500 x", "")
-		a.say(w[:len(w)-3])
+		a.send(w[:len(w)-3])
 		return false
 	}},
-	{name: "not found, cut short", runs: true, do: func(a *scriptedRequest) bool {
+	{name: "not found, truncated", runs: true, do: func(a *scriptedRequest) bool {
 		w := a.failure("404 x", "")
-		a.say(w[:len(w)-3])
+		a.send(w[:len(w)-3])
 		return false
 	}},
 	{name: "a long failure", runs: true, do: func(a *scriptedRequest) bool {
-		b := longBody(a.id)
-		a.say(answerHead("500 x", a.id, "Failed: 1\r\n"+sized(len(b))), a.body(b))
+		b := longResponseBody(a.id)
+		a.send(responseHead("500 x", a.id, "Failed: 1\r\n"+lengthField(len(b))), a.bodyUnlessHead(b))
 		return true
 	}},
-	{name: "500", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("500 x", "")); return true }},
-	{name: "504", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("504 x", "")); return true }},
-	{name: "404", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("404 x", "")); return true }},
+	{name: "500", runs: true, do: func(a *scriptedRequest) bool { a.send(a.failure("500 x", "")); return true }},
+	{name: "504", runs: true, do: func(a *scriptedRequest) bool { a.send(a.failure("504 x", "")); return true }},
+	{name: "404", runs: true, do: func(a *scriptedRequest) bool { a.send(a.failure("404 x", "")); return true }},
 	{name: "204", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(answerHead("204 x", a.id, sealed(a.id)))
+		a.send(responseHead("204 x", a.id, sealField(a.id)))
 		return true
 	}},
-	{name: "bare 503", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("503 x", "")); return true }},
-	{name: "bare 429", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("429 x", "")); return true }},
-	{name: "bare 408", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("408 x", "")); return true }},
-	{name: "bare 400", runs: true, do: func(a *scriptedRequest) bool { a.say(a.failure("400 x", "")); return true }},
-	{name: "421", do: func(a *scriptedRequest) bool { a.say(a.failure("421 x", "")); return true }},
+	{name: "bare 503", runs: true, do: func(a *scriptedRequest) bool { a.send(a.failure("503 x", "")); return true }},
+	{name: "bare 429", runs: true, do: func(a *scriptedRequest) bool { a.send(a.failure("429 x", "")); return true }},
+	{name: "bare 408", runs: true, do: func(a *scriptedRequest) bool { a.send(a.failure("408 x", "")); return true }},
+	{name: "bare 400", runs: true, do: func(a *scriptedRequest) bool { a.send(a.failure("400 x", "")); return true }},
+	{name: "421", do: func(a *scriptedRequest) bool { a.send(a.failure("421 x", "")); return true }},
 	{name: "503, not executed", do: func(a *scriptedRequest) bool {
-		a.say(a.failure("503 x", "Not-Executed: full\r\n"))
+		a.send(a.failure("503 x", "Not-Executed: full\r\n"))
 		return true
 	}},
 	{name: "429, not executed", do: func(a *scriptedRequest) bool {
-		a.say(a.failure("429 x", "Not-Executed: full\r\n"))
+		a.send(a.failure("429 x", "Not-Executed: full\r\n"))
 		return true
 	}},
 	{name: "500, not executed", do: func(a *scriptedRequest) bool {
-		a.say(a.failure("500 x", "Not-Executed: full\r\n"))
+		a.send(a.failure("500 x", "Not-Executed: full\r\n"))
 		return true
 	}},
 	{name: "400, not executed", do: func(a *scriptedRequest) bool {
-		a.say(a.failure("400 x", "Not-Executed: bad\r\n"))
+		a.send(a.failure("400 x", "Not-Executed: bad\r\n"))
 		return true
 	}},
-	{name: "503, not executed, cut short", do: func(a *scriptedRequest) bool {
+	{name: "503, not executed, truncated", do: func(a *scriptedRequest) bool {
 		w := a.failure("503 x", "Not-Executed: full\r\n")
-		a.say(w[:len(w)-3])
+		a.send(w[:len(w)-3])
 		return false
 	}},
 	{name: "no seal", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(answerHead("200 OK", a.id, sized(2)), a.body("no"))
+		a.send(responseHead("200 OK", a.id, lengthField(2)), a.bodyUnlessHead("no"))
 		return true
 	}},
-	{name: "without an end", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(answerHead("200 OK", a.id, sealed(a.id)), a.body("no end"))
+	{name: "without a length", runs: true, do: func(a *scriptedRequest) bool {
+		a.send(responseHead("200 OK", a.id, sealField(a.id)), a.bodyUnlessHead("no end"))
 		return false
 	}},
-	{name: "announces it", runs: true, do: func(a *scriptedRequest) bool {
-		a.say("HTTP/1.1 103 x\r\nX: 1\r\n\r\n", a.whole())
+	{name: "interim response first", runs: true, do: func(a *scriptedRequest) bool {
+		a.send("HTTP/1.1 103 x\r\nX: 1\r\n\r\n", a.success())
 		return true
 	}},
-	{name: "says that it closes", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(strings.Replace(a.whole(), "\r\n", "\r\nConnection: close\r\n", 1))
+	{name: "sends Connection: close", runs: true, do: func(a *scriptedRequest) bool {
+		a.send(strings.Replace(a.success(), "\r\n", "\r\nConnection: close\r\n", 1))
 		return false
 	}},
-	{name: "another's before", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(responseTo(a.prev), a.whole())
+	{name: "foreign response before", runs: true, do: func(a *scriptedRequest) bool {
+		a.send(responseTo(a.prev), a.success())
 		return true
 	}},
-	{name: "another's instead", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(responseTo(a.prev))
+	{name: "foreign response instead", runs: true, do: func(a *scriptedRequest) bool {
+		a.send(responseTo(a.prev))
 		return false
 	}},
-	{name: "nobody's before", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(nobodysAnswer, a.whole())
+	{name: "response without an id before", runs: true, do: func(a *scriptedRequest) bool {
+		a.send(responseWithoutID, a.success())
+		return true
+	}},
+	{name: "response without an id instead", runs: true, do: func(a *scriptedRequest) bool {
+		a.send(responseWithoutID)
 		return true
 	}},
-	{name: "nobody's instead", runs: true, do: func(a *scriptedRequest) bool { a.say(nobodysAnswer); return true }},
 	{name: "with two ids", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(strings.Replace(a.whole(), "\r\n", "\r\nAttempt-Id: x\r\n", 1))
+		a.send(strings.Replace(a.success(), "\r\n", "\r\nAttempt-Id: x\r\n", 1))
 		return true
 	}},
-	{name: "twice", runs: true, do: func(a *scriptedRequest) bool { a.say(a.whole(), a.whole()); return true }},
-	{name: "nobody's behind", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(a.whole(), nobodysAnswer)
+	{name: "twice", runs: true, do: func(a *scriptedRequest) bool { a.send(a.success(), a.success()); return true }},
+	{name: "response without an id after", runs: true, do: func(a *scriptedRequest) bool {
+		a.send(a.success(), responseWithoutID)
 		return true
 	}},
-	{name: "part of another's behind", runs: true, do: func(a *scriptedRequest) bool {
-		a.say(a.whole(), responseTo("x")[:40])
+	{name: "part of a foreign response after", runs: true, do: func(a *scriptedRequest) bool {
+		a.send(a.success(), responseTo("x")[:40])
 		return true
 	}},
-	{name: "twice, the second late", runs: true, crosses: true, do: func(a *scriptedRequest) bool {
-		a.say(a.whole())
-		a.say(a.whole())
+	{name: "twice, the second late", runs: true, racesNext: true, do: func(a *scriptedRequest) bool {
+		a.send(a.success())
+		a.send(a.success())
 		return true
 	}},
-	{name: "closes behind its answer", runs: true, crosses: true, do: func(a *scriptedRequest) bool {
-		a.say(a.whole())
+	{name: "closes after its response", runs: true, racesNext: true, do: func(a *scriptedRequest) bool {
+		a.send(a.success())
 		return false
 	}},
-	{name: "resets behind its answer", runs: true, crosses: true, do: func(a *scriptedRequest) bool {
-		a.say(a.whole())
+	{name: "resets after its response", runs: true, racesNext: true, do: func(a *scriptedRequest) bool {
+		a.send(a.success())
 		return a.reset()
 	}},
 }
 
-// script is what becomes of one request, and the record of what did.
+// script says how servers treat one request, and counts how often it arrived and ran.
 type script struct {
-	moves    [2]*move // of the first servers that it reaches; the third answers
-	arrivals atomic.Int32
-	runs     atomic.Int32
+	behaviors [2]*behavior // of the first two servers that it reaches; the third responds normally
+	arrivals  atomic.Int32
+	runs      atomic.Int32
 }
--- a/dataplane/snapshot_test.go
+++ b/dataplane/snapshot_test.go
@@ -11,8 +11,8 @@
 	"example.org/elmspan/versioned"
 )
 
-// lookUps returns what a snapshot finds for some hosts, paths and keys.
-func lookUps(s *snapshot) map[string]string {
+// lookupResults returns the results of looking up some hosts, paths and keys in a snapshot.
+func lookupResults(s *snapshot) map[string]string {
 	out := map[string]string{}
 	for i := range 16 {
 		for j := range 5 {
@@ -29,8 +29,8 @@
 	return out
 }
 
-// changeAtRandom makes the next revision of a configuration.
-func changeAtRandom(conf *api.Config, rng *rand.Rand) {
+// mutateConfig turns a configuration into its next revision with a random change.
+func mutateConfig(conf *api.Config, rng *rand.Rand) {
 	conf.Revision += 1 + rng.Uint64N(3)
 	switch rng.IntN(4) {
 	case 0:
@@ -47,7 +47,7 @@
 	}
 }
 
-// A snapshot that was made of deltas is the one that the whole makes, and the snapshots before it stay as they were.
+// A snapshot built from deltas equals the one built from the complete table, and earlier snapshots stay unchanged.
 func TestSnapshotOfDeltasEqualsTheWhole(t *testing.T) {
 	type earlier struct {
 		snapshot *snapshot
@@ -57,64 +57,65 @@
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var table versioned.Table
 		var v *snapshot
-		conf := configOf(1, 12)
+		conf := configWithRoutes(1, 12)
 		var before []earlier
 		for range 12 {
-			changeAtRandom(conf, rng)
-			table.Replace(conf.Revision, rowsOf(t, conf))
+			mutateConfig(conf, rng)
+			table.Replace(conf.Revision, configRows(t, conf))
 			have := uint64(0)
 			if v != nil && rng.IntN(4) > 0 {
 				have = v.revision
 			}
-			next, _, err := v.with(since(t, &table, have))
+			next, _, err := v.with(openDelta(t, &table, have))
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			whole, _, err := (*snapshot)(nil).with(since(t, &table, 0))
+			whole, _, err := (*snapshot)(nil).with(openDelta(t, &table, 0))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if next.checksum != whole.checksum || next.hosts.Len() != whole.hosts.Len() {
-				t.Fatalf("seed %d: by delta %d hosts, the whole %d", seed, next.hosts.Len(), whole.hosts.Len())
+				t.Fatalf("seed %d: %d hosts from deltas, %d from the complete table, or different checksums",
+					seed, next.hosts.Len(), whole.hosts.Len())
 			}
-			if a, b := lookUps(next), lookUps(whole); !maps.Equal(a, b) {
-				t.Fatalf("seed %d: by delta %v, the whole %v", seed, a, b)
+			if a, b := lookupResults(next), lookupResults(whole); !maps.Equal(a, b) {
+				t.Fatalf("seed %d: lookups give %v from deltas, %v from the complete table", seed, a, b)
 			}
 			for _, e := range before {
-				if got := lookUps(e.snapshot); !maps.Equal(got, e.finds) {
-					t.Fatalf("seed %d: a version before changed to %v from %v", seed, got, e.finds)
+				if got := lookupResults(e.snapshot); !maps.Equal(got, e.finds) {
+					t.Fatalf("seed %d: lookups in an earlier snapshot changed to %v from %v", seed, got, e.finds)
 				}
 			}
-			v, before = next, append(before, earlier{next, lookUps(next)})
+			v, before = next, append(before, earlier{next, lookupResults(next)})
 		}
 	}
 }
 
-// No part of a delta that does not fit is taken.
+// A delta of another table, or one that is based on another version, is rejected as a whole.
 func TestDeltaThatDoesNotFitIsRejected(t *testing.T) {
 	var a, b versioned.Table
-	a.Replace(1, rowsOf(t, configOf(1, 3)))
-	b.Replace(1, rowsOf(t, configOf(1, 4)))
-	v, _, err := (*snapshot)(nil).with(since(t, &a, 0))
+	a.Replace(1, configRows(t, configWithRoutes(1, 3)))
+	b.Replace(1, configRows(t, configWithRoutes(1, 4)))
+	v, _, err := (*snapshot)(nil).with(openDelta(t, &a, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Replace(2, rowsOf(t, configOf(2, 5)))
-	if _, _, err := v.with(since(t, &b, 1)); err == nil {
-		t.Error("one of another table was taken")
+	b.Replace(2, configRows(t, configWithRoutes(2, 5)))
+	if _, _, err := v.with(openDelta(t, &b, 1)); err == nil {
+		t.Error("delta of another table was accepted")
 	}
-	a.Replace(3, rowsOf(t, configOf(3, 3)))
-	a.Replace(4, rowsOf(t, configOf(4, 2)))
-	if _, _, err := v.with(since(t, &a, 3)); err == nil {
-		t.Error("one on a version that is not held was taken")
+	a.Replace(3, configRows(t, configWithRoutes(3, 3)))
+	a.Replace(4, configRows(t, configWithRoutes(4, 2)))
+	if _, _, err := v.with(openDelta(t, &a, 3)); err == nil {
+		t.Error("delta based on another version was accepted")
 	}
-	if next, _, err := v.with(since(t, &a, 1)); err != nil || next.hosts.Len() != 1 {
-		t.Errorf("the right one: %v", err)
+	if next, _, err := v.with(openDelta(t, &a, 1)); err != nil || next.hosts.Len() != 1 {
+		t.Errorf("delta based on the current version: %v", err)
 	}
 }
 
-// What was seen draining here gets nothing again, whoever says otherwise: a new leader
-// that knows less, or this limiter's own question to the platform.
+// A server that this limiter has seen draining stays out of service, even if a new leader with an older server list
+// or the limiter's own query of the cloud API reports it in service.
 func TestDrainingStaysDraining(t *testing.T) {
 	g := newGateway(t)
 	list := []api.Server{{ID: "a", Upstream: "s", Addr: "127.0.0.1:1", Zone: "z", Capacity: 1, State: api.InService},
@@ -132,28 +133,28 @@
 	applyServers(t, g, &first, 10, list)
 	applyServers(t, g, &first, 11, drained)
 	const want = "a:draining b:in_service "
-	applyServers(t, g, &second, 1<<32, list) // of a new leader, from an older answer of the platform
+	applyServers(t, g, &second, 1<<32, list) // from a new leader that has an older response of the cloud API
 	if got := seen(); got != want {
-		t.Errorf("told by another leader: %s", got)
+		t.Errorf("after a list from another leader: %s", got)
 	}
 	g.MergeDiscovered(list)
 	if got := seen(); got != want {
-		t.Errorf("by its own question: %s", got)
+		t.Errorf("after the limiter's own query: %s", got)
 	}
 	applyServers(t, g, &second, 1<<32+1, list[1:])
 	applyServers(t, g, &second, 1<<32+2, list)
 	if got := seen(); got != "b:in_service " {
-		t.Errorf("after it had gone: %s", got)
+		t.Errorf("after the server had been removed: %s", got)
 	}
 }
 
-// BenchmarkRoute looks a route up among few and many.
+// BenchmarkRoute measures the lookup of a route in tables of different sizes.
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{10, 1600, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var table versioned.Table
-			table.Replace(1, rowsOf(b, configOf(1, n)))
-			v, _, err := (*snapshot)(nil).with(since(b, &table, 0))
+			table.Replace(1, configRows(b, configWithRoutes(1, n)))
+			v, _, err := (*snapshot)(nil).with(openDelta(b, &table, 0))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -168,19 +169,19 @@
 	}
 }
 
-// BenchmarkOneChange takes over a change of one route among few and many.
+// BenchmarkOneChange measures applying a change of one route to tables of different sizes.
 func BenchmarkOneChange(b *testing.B) {
 	for _, n := range []int{10, 1600, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var table versioned.Table
-			c := configOf(1, n)
-			table.Replace(1, rowsOf(b, c))
-			v, _, err := (*snapshot)(nil).with(since(b, &table, 0))
+			c := configWithRoutes(1, n)
+			table.Replace(1, configRows(b, c))
+			v, _, err := (*snapshot)(nil).with(openDelta(b, &table, 0))
 			if err != nil {
 				b.Fatal(err)
 			}
 			c.Revision, c.Routes[0].Upstream = 2, "b"
-			table.Replace(2, rowsOf(b, c))
+			table.Replace(2, configRows(b, c))
 			blob, err := table.DeltaSince(1)
 			if err != nil {
 				b.Fatal(err)
--- a/dataplane/stage_test.go
+++ b/dataplane/stage_test.go
@@ -24,20 +24,21 @@
 	"example.org/elmspan/versioned"
 )
 
-// stage is a gateway before scripted servers, with one client.
-type stage struct {
-	t       testing.TB
-	g       *Gateway
-	scripts sync.Map // by id
-	timeUp  sync.Map // ids of requests whose time was up in the middle of a long answer
-	table   versioned.Table
-	servers []*backend
-	n       int
-	c       *client
-	fault   string // the first invariant that was broken
+// harness is a gateway with scripted servers and one client.
+type harness struct {
+	t                testing.TB
+	g                *Gateway
+	scripts          sync.Map // by id
+	deadlineExceeded sync.Map // ids of requests whose deadline passed during a long response
+	table            versioned.Table
+	servers          []*backend
+	n                int
+	c                *client
+	violation        string // the first violation of an invariant
 }
 
-func (s *stage) serve(c net.Conn) {
+// serve handles a connection to a server according to the scripts of its requests.
+func (s *harness) serve(c net.Conn) {
 	defer closeConn(c)
 	a := &scriptedRequest{Conn: c, in: bufio.NewReader(c), id: "stranger"}
 	for {
@@ -51,14 +52,14 @@
 		if !ok {
 			return
 		}
-		sc, m := known.(*script), &fine
-		if i := int(sc.arrivals.Add(1)) - 1; i < len(sc.moves) {
-			m = sc.moves[i]
+		sc, m := known.(*script), &normalResponse
+		if i := int(sc.arrivals.Add(1)) - 1; i < len(sc.behaviors) {
+			m = sc.behaviors[i]
 		}
 		if m.runs {
 			sc.runs.Add(1)
 		}
-		if !m.early {
+		if !m.beforeBody {
 			n, err := a.head.RequestFraming()
 			if err != nil {
 				return
@@ -67,7 +68,7 @@
 				return
 			}
 		}
-		if !m.early {
+		if !m.beforeBody {
 			s.work()
 		}
 		if !m.do(a) {
@@ -76,16 +77,16 @@
 	}
 }
 
-// work takes a moment of fake time, so that what is usual is learnt: a second server is
-// tried beside one that takes longer.
-func (s *stage) work() {
-	if _, fake := s.t.(inMemory); fake {
+// work takes 1 ms of fake time, so that the gateway learns a usual latency and hedges requests that take longer.
+func (s *harness) work() {
+	if _, fake := s.t.(memoryTB); fake {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func newStage(t testing.TB, rules attempt.Rules) *stage {
-	s := &stage{t: t}
+// newHarness starts a gateway that uses the given rules, with three scripted servers.
+func newHarness(t testing.TB, rules attempt.Rules) *harness {
+	s := &harness{t: t}
 	for range 3 {
 		l := listenOn(t)
 		go func() {
@@ -99,45 +100,45 @@
 		}()
 		s.servers = append(s.servers, &backend{addr: l.Addr().String()})
 	}
-	s.g = newGatewayOf(t, settings.Timing{GraceS: 3}, s.servers...)
+	s.g = newGatewayWithTiming(t, settings.Timing{GraceS: 3}, s.servers...)
 	s.g.forwarder.rules = rules
 	return s
 }
 
-// renew puts new instances of the servers in place of those before: nothing speaks against
-// them, and no connection leads to them.
-func (s *stage) renew() {
+// replaceServers replaces the servers by new instances, which have no recorded failures and no open connections.
+func (s *harness) replaceServers() {
 	version := s.g.EndpointsVersion() + 1
 	var list []api.Server
 	for i, b := range s.servers {
-		list = append(list, serverAt(fmt.Sprintf("i-%d-%d", i, version), b.addr))
+		list = append(list, testServer(fmt.Sprintf("i-%d-%d", i, version), b.addr))
 	}
 	applyServers(s.t, s.g, &s.table, version, list)
 }
 
-// warm has connections kept, as many as come by themselves.
-func (s *stage) warm() {
+// warmUp sends requests so that the gateway opens connections to servers and keeps them alive.
+func (s *harness) warmUp() {
 	for range 4 {
-		s.request("get", &fine, &fine)
+		s.request("get", &normalResponse, &normalResponse)
 	}
 }
 
-func (s *stage) broken(format string, args ...any) {
-	if s.fault == "" {
-		s.fault = fmt.Sprintf(format, args...)
+// violated records the violation of an invariant, unless there is an earlier one.
+func (s *harness) violated(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// clientRequest is a request of a kind, as its client sends it.
+// clientRequest is a request as its client sends it.
 type clientRequest struct{ method, line, fields, body string }
 
-// requestOf returns the request of a kind.
-func requestOf(kind string) clientRequest {
+// newClientRequest returns the request of a kind.
+func newClientRequest(kind string) clientRequest {
 	switch kind {
 	case "head":
 		return clientRequest{method: "HEAD", line: "HEAD /get/"}
 	case "once":
-		return clientRequest{method: "POST", line: "POST /once/", fields: sized(4), body: "body"}
+		return clientRequest{method: "POST", line: "POST /once/", fields: lengthField(4), body: "body"}
 	case "chunks":
 		return clientRequest{
 			method: "POST", line: "POST /once/", fields: "Transfer-Encoding: chunked\r\n",
@@ -145,16 +146,16 @@
 		}
 	case "long":
 		body := strings.Repeat("b", 2*maxHeldBody)
-		return clientRequest{method: "POST", line: "POST /once/", fields: sized(len(body)), body: body}
+		return clientRequest{method: "POST", line: "POST /once/", fields: lengthField(len(body)), body: body}
 	}
 	return clientRequest{method: "GET", line: "GET /get/"}
 }
 
-// request sends one request and holds its response against the invariants.
-func (s *stage) request(kind string, first, second *move) (status int, sc *script) {
+// request sends a request and checks its response against the invariants.
+func (s *harness) request(kind string, first, second *behavior) (status int, sc *script) {
 	s.n++
 	id := fmt.Sprintf("%s-%d", kind, s.n)
-	sc = &script{moves: [2]*move{first, second}}
+	sc = &script{behaviors: [2]*behavior{first, second}}
 	s.scripts.Store(id, sc)
 	s.saveRetries()
 	if s.c == nil {
@@ -165,14 +166,14 @@
 	if endsByDeadline(first, second) {
 		budget = "Time-Budget-Ms: 40\r\n"
 	}
-	r := requestOf(kind)
+	r := newClientRequest(kind)
 	writef(s.c, "%s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nAuthorization: Token k\r\n%s%s\r\n%s",
 		r.line, id, budget, r.fields, r.body)
 	what := fmt.Sprintf("%s, %s, then %s", kind, first.name, second.name)
 	h, err := h1.ReadResponse(s.c.in, 1<<16)
 	if err != nil {
-		s.broken("%s: no answer: %v", what, err)
-		s.hangUp()
+		s.violated("%s: no response: %v", what, err)
+		s.closeClient()
 		return 0, sc
 	}
 	framing, err := h.ResponseFraming(r.method)
@@ -180,20 +181,20 @@
 	if err == nil {
 		got, err = io.ReadAll(h1.NewBody(s.c.in, framing))
 	}
-	if _, up := s.timeUp.Load(id); err != nil && !first.breaks && !second.breaks && !up {
-		s.broken("%s: %d ends early: %v", what, h.Status, err)
+	if _, up := s.deadlineExceeded.Load(id); err != nil && !first.truncates && !second.truncates && !up {
+		s.violated("%s: response of status %d is truncated: %v", what, h.Status, err)
 	}
 	s.checkResponse(what, &receivedResponse{
 		id: id, method: r.method, head: h, body: string(got), truncated: err != nil, runs: sc.runs.Load(),
 	})
 	if err != nil || h.ClosesConnection() {
-		s.hangUp()
+		s.closeClient()
 	}
 	return h.Status, sc
 }
 
-// saveRetries has the gateway save up for further attempts.
-func (s *stage) saveRetries() {
+// saveRetries fills the gateway's retry budget.
+func (s *harness) saveRetries() {
 	s.g.guarded.mu.Lock()
 	defer s.g.guarded.mu.Unlock()
 	for range 8 {
@@ -201,80 +202,82 @@
 	}
 }
 
-// receivedResponse is what a client got.
+// receivedResponse is a response that a client received.
 type receivedResponse struct {
 	id, method string // of its request
 	head       *h1.Head
 	body       string
-	truncated  bool  // it ended early, visibly
+	truncated  bool  // visibly truncated
 	runs       int32 // how often its request ran
 }
 
-// matches reports whether the body is the given one, as far as it came.
+// matches reports whether the body equals the given one, or a prefix of it if the response is truncated.
 func (r *receivedResponse) matches(body string) bool {
 	return r.body == body || r.truncated && strings.HasPrefix(body, r.body) ||
 		r.method == "HEAD" && r.body == "" || r.head.Status == 204
 }
 
-// isServers reports whether a server gave the response.
+// isServers reports whether the response comes from a server rather than from the gateway.
 func (r *receivedResponse) isServers() bool {
 	return r.head.Get("Server-Seal") != "" || r.head.Get("Failed") != ""
 }
 
-// isGenuineSuccess reports whether a success is the one of a server that ran the request.
+// isGenuineSuccess reports whether a success comes from a server that ran the request.
 func (r *receivedResponse) isGenuineSuccess() bool {
 	return r.head.Get("Server-Seal") == "seal-"+r.id && r.head.Get("Failed") == "" && r.runs > 0
 }
 
-// checkResponse holds a response against the invariants.
-func (s *stage) checkResponse(what string, r *receivedResponse) {
-	own := ownBody(r.id)
+// checkResponse checks a response against the invariants.
+func (s *harness) checkResponse(what string, r *receivedResponse) {
+	own := expectedBody(r.id)
 	if r.head.Get("Failed") != "" {
 		own = "fail:" + r.id
 	}
 	switch {
 	case r.head.Get("Attempt-Id") != r.id || r.head.Count("Attempt-Id") != 1:
-		s.broken("%s: the answer is to %q", what, r.head.Get("Attempt-Id"))
-	case strings.Contains(r.body, secret):
-		s.broken("%s: someone else's bytes: %q", what, r.body)
+		s.violated("%s: response belongs to %q", what, r.head.Get("Attempt-Id"))
+	case strings.Contains(r.body, foreignBody):
+		s.violated("%s: body has bytes of another response: %q", what, r.body)
 	case r.head.Status/100 == 2 && !r.isGenuineSuccess():
-		s.broken("%s: a success that is not the server's: %+v", what, r.head)
-	case r.isServers() && !r.matches(own) && !r.matches(longBody(r.id)):
-		s.broken("%s: %d with %.60q", what, r.head.Status, r.body)
+		s.violated("%s: success without a valid seal, or without a run: %+v", what, r.head)
+	case r.isServers() && !r.matches(own) && !r.matches(longResponseBody(r.id)):
+		s.violated("%s: wrong body with status %d: %.60q", what, r.head.Status, r.body)
 	}
 }
 
-// endsByDeadline reports whether one of the moves ends with the request's time.
-func endsByDeadline(ms ...*move) bool {
-	return slices.ContainsFunc(ms, func(m *move) bool { return strings.Contains(m.name, "silent") })
+// endsByDeadline reports whether one of the behaviors lasts until the deadline of the request.
+func endsByDeadline(ms ...*behavior) bool {
+	return slices.ContainsFunc(ms, func(m *behavior) bool { return strings.Contains(m.name, "silent") })
 }
 
-func (s *stage) hangUp() {
+// closeClient closes the client's connection. The next request opens another one.
+func (s *harness) closeClient() {
 	closeConn(s.c)
 	s.c = nil
 }
 
-// checkRuns checks a request's record against its status, once nothing of it is under way.
-func (s *stage) checkRuns(what string, once bool, status int, sc *script) {
+// checkRuns checks how often a request ran against its status, when no attempt of it is in flight.
+func (s *harness) checkRuns(what string, once bool, status int, sc *script) {
 	runs := sc.runs.Load()
 	switch {
 	case once && runs > 1:
-		s.broken("%s: ran %d times", what, runs)
+		s.violated("%s: ran %d times", what, runs)
 	case runs > 0 && (status == 408 || status == 421 || status == 429 || status == 503):
-		s.broken("%s: answered %d, but it ran", what, status)
+		s.violated("%s: got status %d, but it ran", what, status)
 	}
 }
 
-// recorded is a connection of the gateway to a server that records the requests whose
-// time was up while the gateway read an answer to them that it passed on already.
-type recorded struct {
+// recordingConn is a connection of the gateway to a server. It records the requests whose deadline passed while the
+// gateway read a long response, which it forwards before the response is complete.
+type recordingConn struct {
 	net.Conn
-	s    *stage
-	id   string // of the request on it
-	long bool   // so is the answer: it is passed on before it is whole
+	s    *harness
+	id   string // of the current request
+	long bool   // the response is too long to be buffered
 }
 
-func (s *stage) recordTimeUp() {
+// recordDeadlineExceeded makes the gateway use recordingConns.
+func (s *harness) recordDeadlineExceeded() {
 	dial := s.g.forwarder.pool.Dial
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
@@ -284,32 +287,34 @@
 		if err != nil {
 			return nil, err
 		}
-		return &recorded{Conn: c, s: s}, nil
+		return &recordingConn{Conn: c, s: s}, nil
 	}
 }
 
 var (
-	idField     = regexp.MustCompile(`\r\nAttempt-Id: (\S+)\r\n`)
-	lengthField = regexp.MustCompile(`\r\nContent-Length: (\d+)\r\n`)
+	attemptIDField     = regexp.MustCompile(`\r\nAttempt-Id: (\S+)\r\n`)
+	contentLengthField = regexp.MustCompile(`\r\nContent-Length: (\d+)\r\n`)
 )
 
-func (c *recorded) Write(b []byte) (int, error) {
-	if m := idField.FindSubmatch(b); m != nil {
+func (c *recordingConn) Write(b []byte) (int, error) {
+	if m := attemptIDField.FindSubmatch(b); m != nil {
 		c.id, c.long = string(m[1]), false
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *recorded) Read(b []byte) (int, error) {
+func (c *recordingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if m := lengthField.FindSubmatch(b[:n]); m != nil {
+	if m := contentLengthField.FindSubmatch(b[:n]); m != nil {
 		length, _ := strconv.Atoi(string(m[1]))
 		c.long = c.long || length > maxHeldResponse
 	}
 	if c.long && errors.Is(err, os.ErrDeadlineExceeded) {
-		c.s.timeUp.Store(c.id, true)
+		c.s.deadlineExceeded.Store(c.id, true)
 	}
 	return n, err
 }
 
-func (c *recorded) SyscallConn() (syscall.RawConn, error) { return c.Conn.(syscall.Conn).SyscallConn() }
+func (c *recordingConn) SyscallConn() (syscall.RawConn, error) {
+	return c.Conn.(syscall.Conn).SyscallConn()
+}
--- a/dataplane/staleconn_test.go
+++ b/dataplane/staleconn_test.go
@@ -9,14 +9,14 @@
 	"example.org/elmspan/dataplane/h1"
 )
 
-// A server forgets connections that rested: the next bytes on one meet a reset. The
-// first filing that meets it is answered 502, as it may have run. Once another
-// limiter has met it too, filings go out on new connections, and none is lost. (Found on days with idle_race: 228 of
-// 14,235 filings, as each limiter had to learn it by several.)
+// A server drops idle connections without closing them, so the next request on one is reset. The first non-idempotent
+// request affected gets 502, as it may have run. Once another limiter has reported the same, such requests use new
+// connections and none fails. When each limiter had to learn this from several failures of its own, 228 of 14,235
+// non-idempotent requests failed in simulated days with idle_race.
 func TestStaleConnectionsAreAvoided(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		const rest = 60 * time.Millisecond // more than the youngest group's, and so old enough to be forgotten
+		const rest = 60 * time.Millisecond // above the youngest group's, so that the server drops the connection
 		l := listenOn(t)
 		var forgets atomic.Bool
 		go func() {
@@ -38,7 +38,7 @@
 							return
 						}
 						h, body, err := h1.ReadWhole(in, 1<<16)
-						if err != nil || !good("filed")(c, h, body) {
+						if err != nil || !respondOK("filed")(c, h, body) {
 							return
 						}
 					}
@@ -52,7 +52,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			k.send("POST /once/", "Content-Length: 4\r\n", "body")
-			h, _, err := k.answer()
+			h, _, err := k.readResponse()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,12 +61,12 @@
 		file()
 		forgets.Store(true)
 		if status := file(); status != 502 {
-			t.Errorf("the first is answered %d", status)
+			t.Errorf("first request on a dropped connection got status %d, want 502", status)
 		}
 		g.forwarder.pool.RecordStale(2, 7)
 		for range 6 {
 			if status := file(); status != 200 {
-				t.Errorf("a later one is answered %d", status)
+				t.Errorf("later request got status %d, want 200", status)
 			}
 		}
 	})
--- a/dataplane/trafficsplit_test.go
+++ b/dataplane/trafficsplit_test.go
@@ -7,10 +7,10 @@
 	"example.org/elmspan/api"
 )
 
-// The parts of a traffic split get their share of the requests, and one without a weight gets none.
+// Each upstream of a traffic split gets its share of the requests, and one with weight 0 gets none.
 func TestTrafficSplitFollowsItsWeights(t *testing.T) {
 	t.Parallel()
-	g := newGateway(t, newBackend(t, good("yes")))
+	g := newGateway(t, newBackend(t, respondOK("yes")))
 	weights := map[string]float64{"a": 0.7, "b": 0.25, "c": 0.05, "none": 0}
 	r := &route{totalWeight: 0}
 	for _, name := range []string{"none", "a", "b", "c"} {
