--- a/dataplane/clientconn_test.go
+++ b/dataplane/clientconn_test.go
@@ -56,7 +56,7 @@
 		return true
 	})
 	g := newGatewayWithTiming(t, settings.Timing{GraceS: 3}, b)
-	for target, breaks := range map[string]bool{"/get/whole": false, "/get/cut": true} {
+	for target, truncated := range map[string]bool{"/get/whole": false, "/get/cut": true} {
 		c := dial(t, g)
 		writef(c, "GET %s HTTP/1.0\r\nHost: h\r\nAttempt-Id: a1\r\n", target)
 		write(c, "Authorization: Token k\r\nConnection: keep-alive\r\n\r\n")
@@ -65,9 +65,9 @@
 			t.Fatal(err)
 		}
 		got, err := io.ReadAll(c.in)
-		whole := err == nil && string(got) == body
+		complete := err == nil && string(got) == body
 		reset := errors.Is(err, syscall.ECONNRESET) && strings.HasPrefix(body, string(got))
-		if h.Get("Transfer-Encoding") != "" || !h.ClosesConnection() || !breaks && !whole || breaks && !reset {
+		if h.Get("Transfer-Encoding") != "" || !h.ClosesConnection() || !truncated && !complete || truncated && !reset {
 			t.Errorf("%s: %+v %q, %v", target, h, got, err)
 		}
 	}
@@ -213,8 +213,8 @@
 			s.violated(format, args...)
 		}
 		var wg sync.WaitGroup
-		var refused sync.Map // status by id of the requests that were rejected
-		var answers atomic.Int64
+		var rejected sync.Map // status by id of the requests that were rejected
+		var responses atomic.Int64
 		for n := range clients {
 			wg.Go(func() {
 				rng := rand.New(rand.NewPCG(uint64(n), 1))
@@ -232,8 +232,8 @@
 					c := &client{t, nc, nil}
 					setDeadline(c, time.Now().Add(hangTimeout))
 					name := fmt.Sprintf("c%d-%d", n, round)
-					talk := conversation{harness: s, client: c, name: name, rng: rng, violated: violated}
-					answers.Add(talk.run(&refused))
+					conv := conversation{harness: s, client: c, name: name, rng: rng, violated: violated}
+					responses.Add(conv.run(&rejected))
 					closeConn(nc)
 				}
 			})
@@ -248,15 +248,15 @@
 			}
 			return true
 		})
-		refused.Range(func(id, status any) bool {
+		rejected.Range(func(id, status any) bool {
 			sc, _ := s.scripts.Load(id)
 			if sc.(*script).runs.Load() > 0 {
 				t.Errorf("%v got status %v, but it ran", id, status)
 			}
 			return true
 		})
-		if answers.Load() < clients*rounds/2 {
-			t.Errorf("only %d responses received", answers.Load())
+		if responses.Load() < clients*rounds/2 {
+			t.Errorf("only %d responses received", responses.Load())
 		}
 	})
 }
@@ -276,8 +276,8 @@
 const conversationBudget = 300 * time.Millisecond
 
 // run sends the requests and reads their responses, unless the client disconnects. It returns the number of responses
-// received, and adds to refused those whose status says that the request has not run.
-func (v *conversation) run(refused *sync.Map) (answers int64) {
+// received, and adds to rejected those whose status says that the request has not run.
+func (v *conversation) run(rejected *sync.Map) (responses int64) {
 	var all strings.Builder
 	for i := range 1 + v.rng.IntN(4) {
 		all.WriteString(v.request(i))
@@ -302,18 +302,18 @@
 		h, got, err := c.readResponse()
 		if h == nil || err != nil {
 			v.checkEnd(id, err, time.Since(sent))
-			return answers
+			return responses
 		}
-		answers++
+		responses++
 		v.check(id, h, got)
 		if h.Status == 503 || h.Status == 429 || h.Status == 408 || h.Status == 421 {
-			refused.Store(id, h.Status)
+			rejected.Store(id, h.Status)
 		}
 		if h.ClosesConnection() {
-			return answers
+			return responses
 		}
 	}
-	return answers
+	return responses
 }
 
 // checkEnd checks the invariants for a connection that ended before the response to a request.
--- a/dataplane/disconnect_test.go
+++ b/dataplane/disconnect_test.go
@@ -63,7 +63,7 @@
 	send            func(c *client)
 	held            int64 // requests held by servers when the client disconnects
 	prepare         func(t testing.TB, g *Gateway, c *client)
-	leave           func(c *client)
+	disconnect      func(c *client)
 }
 
 // disconnectCases are the cases for idempotent requests.
@@ -72,7 +72,7 @@
 	{name: "request that closes the connection", held: 1, send: func(c *client) {
 		c.send("GET /get/", "Connection: close\r\n", "")
 	}},
-	{name: "reset", send: func(c *client) { c.send("GET /get/", "", "") }, held: 1, leave: func(c *client) {
+	{name: "reset", send: func(c *client) { c.send("GET /get/", "", "") }, held: 1, disconnect: func(c *client) {
 		resetOnClose(c.Conn)
 		closeConn(c.Conn)
 	}},
@@ -124,11 +124,11 @@
 				if k.prepare != nil {
 					k.prepare(t, g, c)
 				}
-				if k.leave == nil {
-					k.leave = func(c *client) { closeConn(c.Conn) }
+				if k.disconnect == nil {
+					k.disconnect = func(c *client) { closeConn(c.Conn) }
 				}
 				before := servers.arrived.Load()
-				k.leave(c)
+				k.disconnect(c)
 				time.Sleep(disconnectBound)
 				if held := servers.held.Load(); held != 0 {
 					t.Errorf("%d requests are still held %v after their client disconnected", held, disconnectBound)
@@ -198,15 +198,15 @@
 // A client that has only closed its sending side still gets the response.
 func TestNonIdempotentWorkIsNotBrokenOff(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]func(net.Conn){
+	for name, disconnect := range map[string]func(net.Conn){
 		"closed":      func(c net.Conn) { closeConn(c) },
 		"half closed": closeWrite,
 	} {
 		t.Run(name, func(t *testing.T) {
 			inFakeTime(t, func(t testing.TB) {
-				begun, done := make(chan struct{}), make(chan error, 1)
+				started, done := make(chan struct{}), make(chan error, 1)
 				b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
-					close(begun)
+					close(started)
 					conn := w.(net.Conn)
 					_ = conn.SetReadDeadline(time.Now().Add(2 * disconnectBound)) // a failure shows in the read below
 					_, err := conn.Read(make([]byte, 1))
@@ -217,8 +217,8 @@
 				})
 				c := dial(t, newGateway(t, b))
 				c.send("POST /once/", "Content-Length: 4\r\n", "body")
-				<-begun
-				leave(c.Conn)
+				<-started
+				disconnect(c.Conn)
 				if err := <-done; !errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("server read %v while it handled the request, want a deadline error", err)
 				}
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -140,22 +140,22 @@
 				return false
 			},
 		} {
-			var odd atomic.Bool
-			odd.Store(true)
-			either := func(w io.Writer, h *h1.Head, body []byte) bool { // the first server tried fails
-				if odd.Swap(false) {
+			var failNext atomic.Bool
+			failNext.Store(true)
+			handler := func(w io.Writer, h *h1.Head, body []byte) bool { // the first server tried fails
+				if failNext.Swap(false) {
 					return first(w, h, body)
 				}
 				return respondOK("yes")(w, h, body)
 			}
-			c := dial(t, newGateway(t, newBackend(t, either), newBackend(t, either)))
+			c := dial(t, newGateway(t, newBackend(t, handler), newBackend(t, handler)))
 			for range 12 { // fills the retry budget
 				c.send("GET /open/", "", "")
 				if _, _, err := c.readResponse(); err != nil {
 					t.Fatalf("%s: %v", name, err)
 				}
 			}
-			odd.Store(true)
+			failNext.Store(true)
 			c.send("GET /get/", "", "")
 			if h, body, err := c.readResponse(); err != nil || h.Status != 200 || body != "yes" {
 				t.Errorf("%s: %+v %q, %v", name, h, body, err)
@@ -182,12 +182,12 @@
 				t.Fatal(err)
 			}
 		}
-		came := int64(0)
+		attempts := int64(0)
 		for _, b := range bs {
-			came += b.requests.Load()
+			attempts += b.requests.Load()
 		}
-		if came > n+n/10+5 {
-			t.Errorf("servers got %d attempts for %d requests, want at most 0.1 retries per request plus 5", came, n)
+		if attempts > n+n/10+5 {
+			t.Errorf("servers got %d attempts for %d requests, want at most 0.1 retries per request plus 5", attempts, n)
 		}
 	})
 }
--- a/dataplane/isolation_test.go
+++ b/dataplane/isolation_test.go
@@ -142,31 +142,31 @@
 func TestNonIdempotentRequestWaitsForItsTurn(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		begun, breakOff := make(chan struct{}), make(chan struct{})
-		var filed atomic.Int64
+		started, truncate := make(chan struct{}), make(chan struct{})
+		var runs atomic.Int64
 		b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 			if h.Target == "/once/" {
-				filed.Add(1)
+				runs.Add(1)
 				return respondOK("filed")(w, h, body)
 			}
 			write(w, responseHead("200 OK", "a1", sealField("a1")+lengthField(2*maxHeldResponse)))
 			write(w, strings.Repeat("x", maxHeldResponse))
-			close(begun)
-			<-breakOff
+			close(started)
+			<-truncate
 			return false
 		})
 		g := newGateway(t, b)
 		c := dial(t, g)
 		c.send("GET /get/", "", "")
-		<-begun
+		<-started
 		c.send("POST /once/", "Content-Length: 4\r\n", "body")
 		waitForRequests(t, g, 2)
-		close(breakOff)
+		close(truncate)
 		if h, _, err := c.readResponse(); err == nil {
 			t.Errorf("truncated response looks complete: %+v", h)
 		}
 		waitForNoConns(t, g)
-		if n := filed.Load(); n != 0 {
+		if n := runs.Load(); n != 0 {
 			t.Errorf("request ran %d times after a response that ended the connection", n)
 		}
 	})
@@ -213,27 +213,27 @@
 	inFakeTime(t, func(t testing.TB) {
 		const n = 2 * maxHeldResponse
 		body := strings.Repeat("x", n)
-		begun, goOn := make(chan struct{}), make(chan struct{})
+		started, resume := make(chan struct{}), make(chan struct{})
 		b := newBackend(t, func(w io.Writer, h *h1.Head, got []byte) bool {
 			if h.Target == "/once/" {
 				return respondOK(string(got))(w, h, nil)
 			}
 			write(w, responseHead("200 OK", "a1", sealField("a1")+lengthField(n)), body[:n/2])
-			close(begun)
-			<-goOn
+			close(started)
+			<-resume
 			write(w, body[n/2:])
 			return true
 		})
 		g := newGateway(t, b)
 		c := dial(t, g)
 		c.send("GET /get/", "", "")
-		<-begun
+		<-started
 		if h, err := h1.ReadResponse(c.in, 1<<16); err != nil || h.Status != 200 {
 			t.Fatalf("%+v, %v", h, err)
 		}
 		c.send("POST /once/", "Content-Length: 4\r\nExpect: 100-continue\r\n", "")
 		waitForRequests(t, g, 2)
-		close(goOn)
+		close(resume)
 		got := make([]byte, n)
 		if _, err := io.ReadFull(c.in, got); err != nil || string(got) != body {
 			t.Errorf("first response has a wrong body: %v", err)
--- a/dataplane/memoryconn_test.go
+++ b/dataplane/memoryconn_test.go
@@ -53,7 +53,7 @@
 	}, syscall.ECONNRESET},
 	"closes without reading": {func(near, far connEnd) error {
 		write(near, "unread")
-		if _, err := io.ReadFull(far, make([]byte, 1)); err != nil { // all of it has arrived
+		if _, err := io.ReadFull(far, make([]byte, 1)); err != nil { // the data has arrived
 			return err
 		}
 		closeConn(far)
--- a/dataplane/memorynet_test.go
+++ b/dataplane/memorynet_test.go
@@ -15,8 +15,8 @@
 )
 
 // memoryNetwork is an in-memory network whose connections behave like TCP: they buffer a limited number of bytes, can
-// be half-closed and reset, and have deadlines. It does no system I/O, so in a synctest bubble time advances only
-// while all goroutines are blocked: durations don't depend on the machine or its load.
+// be half-closed and reset, and have deadlines. Its operations never wait for the operating system, so in a synctest
+// bubble time advances only while all goroutines are blocked: durations don't depend on the machine or its load.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memListener
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -127,7 +127,8 @@
 		switch m.name {
 		case "answers", "resets", "closes", "rejects before the body", "part of a body, silent",
 			"long", "long, resets", "a long failure",
-			"503, not executed", "response without an id after", "closes after its response", "resets after its response":
+			"503, not executed", "response without an id after", "closes after its response",
+			"resets after its response":
 			some = append(some, m)
 		}
 	}
@@ -190,10 +191,10 @@
 		change(&r)
 		return r
 	}
-	judged := func(change func(attempt.Evidence) (attempt.Classification, bool)) attempt.Rules {
+	classifier := func(change func(attempt.Evidence) (attempt.Classification, bool)) attempt.Rules {
 		return with(func(r *attempt.Rules) {
 			r.Classify = func(e attempt.Evidence) attempt.Classification {
-				if v, turned := change(e); turned {
+				if v, replaced := change(e); replaced {
 					return v
 				}
 				return attempt.Classify(e)
@@ -211,10 +212,10 @@
 		"a connection with trailing bytes is reused": {with(func(r *attempt.Rules) {
 			r.Reusable = func(e attempt.Evidence) bool { e.TrailingBytes = 0; return e.Reusable() }
 		}), "once", "next non-idempotent request got status 502"},
-		"a reset after sending is taken for not sent": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
+		"a reset after sending is taken for not sent": {classifier(func(e attempt.Evidence) (attempt.Classification, bool) {
 			return attempt.Classification{Result: balance.NotSent}, e.Response == attempt.NoResponse
 		}), "once", "ran 2 times"},
-		"a bare 503 is forwarded": {judged(func(e attempt.Evidence) (attempt.Classification, bool) {
+		"a bare 503 is forwarded": {classifier(func(e attempt.Evidence) (attempt.Classification, bool) {
 			passedOn := attempt.Classification{
 				Result: balance.Failure, MayHaveRun: true, Response: attempt.ServerResponse,
 			}
--- a/dataplane/scriptedserver_test.go
+++ b/dataplane/scriptedserver_test.go
@@ -69,7 +69,7 @@
 // foreignBody is the body of responses that belong to another request or to none.
 const foreignBody = "SOMEONE-ELSES"
 
-func responseTo(id string) string {
+func foreignResponse(id string) string {
 	return responseHead("200 OK", id, sealField(id)+lengthField(len(foreignBody))) + foreignBody
 }
 
@@ -211,11 +211,11 @@
 		return false
 	}},
 	{name: "foreign response before", runs: true, do: func(a *scriptedRequest) bool {
-		a.send(responseTo(a.prev), a.success())
+		a.send(foreignResponse(a.prev), a.success())
 		return true
 	}},
 	{name: "foreign response instead", runs: true, do: func(a *scriptedRequest) bool {
-		a.send(responseTo(a.prev))
+		a.send(foreignResponse(a.prev))
 		return false
 	}},
 	{name: "response without an id before", runs: true, do: func(a *scriptedRequest) bool {
@@ -236,7 +236,7 @@
 		return true
 	}},
 	{name: "part of a foreign response after", runs: true, do: func(a *scriptedRequest) bool {
-		a.send(a.success(), responseTo("x")[:40])
+		a.send(a.success(), foreignResponse("x")[:40])
 		return true
 	}},
 	{name: "twice, the second late", runs: true, racesNext: true, do: func(a *scriptedRequest) bool {
--- a/dataplane/snapshot_test.go
+++ b/dataplane/snapshot_test.go
@@ -51,14 +51,14 @@
 func TestSnapshotOfDeltasEqualsTheWhole(t *testing.T) {
 	type earlier struct {
 		snapshot *snapshot
-		finds    map[string]string
+		lookups  map[string]string
 	}
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var table versioned.Table
 		var v *snapshot
 		conf := configWithRoutes(1, 12)
-		var before []earlier
+		var history []earlier
 		for range 12 {
 			mutateConfig(conf, rng)
 			table.Replace(conf.Revision, configRows(t, conf))
@@ -70,23 +70,23 @@
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			whole, _, err := (*snapshot)(nil).with(openDelta(t, &table, 0))
+			complete, _, err := (*snapshot)(nil).with(openDelta(t, &table, 0))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if next.checksum != whole.checksum || next.hosts.Len() != whole.hosts.Len() {
+			if next.checksum != complete.checksum || next.hosts.Len() != complete.hosts.Len() {
 				t.Fatalf("seed %d: %d hosts from deltas, %d from the complete table, or different checksums",
-					seed, next.hosts.Len(), whole.hosts.Len())
+					seed, next.hosts.Len(), complete.hosts.Len())
 			}
-			if a, b := lookupResults(next), lookupResults(whole); !maps.Equal(a, b) {
+			if a, b := lookupResults(next), lookupResults(complete); !maps.Equal(a, b) {
 				t.Fatalf("seed %d: lookups give %v from deltas, %v from the complete table", seed, a, b)
 			}
-			for _, e := range before {
-				if got := lookupResults(e.snapshot); !maps.Equal(got, e.finds) {
-					t.Fatalf("seed %d: lookups in an earlier snapshot changed to %v from %v", seed, got, e.finds)
+			for _, e := range history {
+				if got := lookupResults(e.snapshot); !maps.Equal(got, e.lookups) {
+					t.Fatalf("seed %d: lookups in an earlier snapshot changed to %v from %v", seed, got, e.lookups)
 				}
 			}
-			v, before = next, append(before, earlier{next, lookupResults(next)})
+			v, history = next, append(history, earlier{next, lookupResults(next)})
 		}
 	}
 }
--- a/dataplane/stage_test.go
+++ b/dataplane/stage_test.go
@@ -257,10 +257,10 @@
 }
 
 // checkRuns checks how often a request ran against its status, when no attempt of it is in flight.
-func (s *harness) checkRuns(what string, once bool, status int, sc *script) {
+func (s *harness) checkRuns(what string, nonIdempotent bool, status int, sc *script) {
 	runs := sc.runs.Load()
 	switch {
-	case once && runs > 1:
+	case nonIdempotent && runs > 1:
 		s.violated("%s: ran %d times", what, runs)
 	case runs > 0 && (status == 408 || status == 421 || status == 429 || status == 503):
 		s.violated("%s: got status %d, but it ran", what, status)
--- a/dataplane/staleconn_test.go
+++ b/dataplane/staleconn_test.go
@@ -16,9 +16,9 @@
 func TestStaleConnectionsAreAvoided(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		const rest = 60 * time.Millisecond // above the youngest group's, so that the server drops the connection
+		const idleTime = 60 * time.Millisecond // longer than the youngest age group, so that the server drops the connection
 		l := listenOn(t)
-		var forgets atomic.Bool
+		var dropsIdle atomic.Bool
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -33,7 +33,7 @@
 						if _, err := in.Peek(1); err != nil {
 							return
 						}
-						if !first && forgets.Load() {
+						if !first && dropsIdle.Load() {
 							resetOnClose(c)
 							return
 						}
@@ -46,26 +46,26 @@
 			}
 		}()
 		g := newGateway(t, &backend{addr: l.Addr().String()})
-		k := dial(t, g)
-		file := func() int {
-			for g.forwarder.pool.IdleConns("i-0") > 0 && g.forwarder.pool.IdleTime("i-0") < rest {
+		c := dial(t, g)
+		post := func() int {
+			for g.forwarder.pool.IdleConns("i-0") > 0 && g.forwarder.pool.IdleTime("i-0") < idleTime {
 				time.Sleep(time.Millisecond)
 			}
-			k.send("POST /once/", "Content-Length: 4\r\n", "body")
-			h, _, err := k.readResponse()
+			c.send("POST /once/", "Content-Length: 4\r\n", "body")
+			h, _, err := c.readResponse()
 			if err != nil {
 				t.Fatal(err)
 			}
 			return h.Status
 		}
-		file()
-		forgets.Store(true)
-		if status := file(); status != 502 {
+		post()
+		dropsIdle.Store(true)
+		if status := post(); status != 502 {
 			t.Errorf("first request on a dropped connection got status %d, want 502", status)
 		}
 		g.forwarder.pool.RecordStale(2, 7)
 		for range 6 {
-			if status := file(); status != 200 {
+			if status := post(); status != 200 {
 				t.Errorf("later request got status %d, want 200", status)
 			}
 		}
