--- a/dataplane/clientconn_test.go
+++ b/dataplane/clientconn_test.go
@@ -84,7 +84,7 @@
 		waitForRequests(t, g, 1)
 		write(c, "body")
 		if line, err := c.in.ReadString('\n'); err != nil || line != "HTTP/1.1 200 OK\r\n" {
-			t.Errorf("%q, %v", line, err)
+			t.Errorf("first line is %q, %v; want the final response", line, err)
 		}
 	})
 }
@@ -207,10 +207,10 @@
 		s := newHarness(t, attempt.DefaultRules())
 		s.replaceServers()
 		var mu sync.Mutex
-		violated := func(format string, args ...any) {
+		report := func(format string, args ...any) {
 			mu.Lock()
 			defer mu.Unlock()
-			s.violated(format, args...)
+			s.report(format, args...)
 		}
 		var wg sync.WaitGroup
 		var rejected sync.Map // status by id of the requests that were rejected
@@ -226,13 +226,13 @@
 					}
 					nc, err := dialOn(t, s.g.listener.tcp.Addr().String())
 					if err != nil {
-						violated("%v", err)
+						report("%v", err)
 						return
 					}
 					c := &client{t, nc, nil}
 					setDeadline(c, time.Now().Add(hangTimeout))
 					name := fmt.Sprintf("c%d-%d", n, round)
-					conv := conversation{harness: s, client: c, name: name, rng: rng, violated: violated}
+					conv := conversation{harness: s, client: c, name: name, rng: rng, report: report}
 					responses.Add(conv.run(&rejected))
 					closeConn(nc)
 				}
@@ -267,7 +267,7 @@
 	client     *client
 	name       string
 	rng        *rand.Rand
-	violated   func(format string, args ...any)
+	report     func(format string, args ...any)
 	ids        []string
 	truncates  bool // a response may be truncated
 	halfClosed bool // the client has closed its sending side
@@ -321,10 +321,10 @@
 	switch {
 	case v.halfClosed:
 		if after > conversationBudget {
-			v.violated("%s: connection stayed open for %v although its client had disconnected", id, after)
+			v.report("%s: connection stayed open for %v although its client had disconnected", id, after)
 		}
 	case !v.truncates && after < conversationBudget: // after the time budget, the gateway must abort the request
-		v.violated("%s: connection ended early: %v", id, err)
+		v.report("%s: connection ended early: %v", id, err)
 	}
 }
 
@@ -353,13 +353,13 @@
 	own := got == expectedBody(id) || got == longResponseBody(id) || h.Status == 204
 	switch {
 	case h.Get("Attempt-Id") != id:
-		v.violated("request %s got the response to %s", id, h.Get("Attempt-Id"))
+		v.report("request %s got the response to %s", id, h.Get("Attempt-Id"))
 	case h.Status/100 == 2 && (!own || h.Get("Server-Seal") != "seal-"+id):
-		v.violated("%s: wrong body or seal: %+v with %.60q", id, h, got)
+		v.report("%s: wrong body or seal: %+v with %.60q", id, h, got)
 	case h.Get("Failed") != "" && got != "fail:"+id && !own:
-		v.violated("%s: wrong body of a failure, status %d: %.60q", id, h.Status, got)
+		v.report("%s: wrong body of a failure, status %d: %.60q", id, h.Status, got)
 	case strings.Contains(got, foreignBody):
-		v.violated("%s: body has bytes of another response", id)
+		v.report("%s: body has bytes of another response", id)
 	}
 }
 
--- a/dataplane/disconnect_test.go
+++ b/dataplane/disconnect_test.go
@@ -91,7 +91,7 @@
 			strings.Repeat("x", maxHeldResponse),
 		prepare: func(t testing.TB, _ *Gateway, c *client) {
 			if h, err := h1.ReadResponse(c.in, 1<<16); err != nil || h.Status != 200 {
-				t.Fatalf("%+v, %v", h, err)
+				t.Fatalf("response head: %+v, %v", h, err)
 			}
 		}},
 	{name: "drain", send: func(c *client) { c.send("GET /get/", "", "") }, held: 1,
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -142,7 +142,7 @@
 		} {
 			var failNext atomic.Bool
 			failNext.Store(true)
-			handler := func(w io.Writer, h *h1.Head, body []byte) bool { // the first server tried fails
+			handler := func(w io.Writer, h *h1.Head, body []byte) bool { // whichever server is tried first fails
 				if failNext.Swap(false) {
 					return first(w, h, body)
 				}
@@ -158,7 +158,7 @@
 			failNext.Store(true)
 			c.send("GET /get/", "", "")
 			if h, body, err := c.readResponse(); err != nil || h.Status != 200 || body != "yes" {
-				t.Errorf("%s: %+v %q, %v", name, h, body, err)
+				t.Errorf("%s: got %+v %q, %v; want the response of the second server", name, h, body, err)
 			}
 		}
 	})
@@ -187,7 +187,7 @@
 			attempts += b.requests.Load()
 		}
 		if attempts > n+n/10+5 {
-			t.Errorf("servers got %d attempts for %d requests, want at most 0.1 retries per request plus 5", attempts, n)
+			t.Errorf("servers got %d attempts for %d requests, want at most 0.1 retries each plus 5", attempts, n)
 		}
 	})
 }
--- a/dataplane/isolation_test.go
+++ b/dataplane/isolation_test.go
@@ -229,7 +229,7 @@
 		c.send("GET /get/", "", "")
 		<-started
 		if h, err := h1.ReadResponse(c.in, 1<<16); err != nil || h.Status != 200 {
-			t.Fatalf("%+v, %v", h, err)
+			t.Fatalf("response head: %+v, %v", h, err)
 		}
 		c.send("POST /once/", "Content-Length: 4\r\nExpect: 100-continue\r\n", "")
 		waitForRequests(t, g, 2)
@@ -239,7 +239,7 @@
 			t.Errorf("first response has a wrong body: %v", err)
 		}
 		if line, err := c.in.ReadString('\n'); err != nil || line != "HTTP/1.1 100 Continue\r\n" {
-			t.Fatalf("%q, %v", line, err)
+			t.Fatalf("got %q, %v; want 100 Continue", line, err)
 		}
 		if _, err := c.in.ReadString('\n'); err != nil {
 			t.Fatal(err)
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -64,7 +64,7 @@
 		p.secondAttempts++
 	}
 	if sc.arrivals.Load() == 0 && !endsByDeadline(first, second) {
-		p.violated("%s, %s, then %s: request reached no server: status %d", p.kind, first.name, second.name, status)
+		p.report("%s, %s, then %s: request reached no server: status %d", p.kind, first.name, second.name, status)
 	}
 	what := fmt.Sprintf("%s, kept %v, %s, then %s", p.kind, p.kept, first.name, second.name)
 	// Whatever is left on connections, the next non-idempotent request gets its own response.
@@ -72,7 +72,7 @@
 	p.needsNewServers = next == 503
 	mayFail := next == 502 && (first.racesNext || second.racesNext)
 	if next != 200 && !p.needsNewServers && !mayFail {
-		p.violated("%s: next non-idempotent request got status %d", what, next)
+		p.report("%s: next non-idempotent request got status %d", what, next)
 	}
 	p.checkRuns(what, p.nonIdempotent, status, sc)
 	p.checkRuns(what+", next request", true, next, nextScript)
@@ -191,7 +191,7 @@
 		change(&r)
 		return r
 	}
-	classifier := func(change func(attempt.Evidence) (attempt.Classification, bool)) attempt.Rules {
+	classify := func(change func(attempt.Evidence) (attempt.Classification, bool)) attempt.Rules {
 		return with(func(r *attempt.Rules) {
 			r.Classify = func(e attempt.Evidence) attempt.Classification {
 				if v, replaced := change(e); replaced {
@@ -212,10 +212,10 @@
 		"a connection with trailing bytes is reused": {with(func(r *attempt.Rules) {
 			r.Reusable = func(e attempt.Evidence) bool { e.TrailingBytes = 0; return e.Reusable() }
 		}), "once", "next non-idempotent request got status 502"},
-		"a reset after sending is taken for not sent": {classifier(func(e attempt.Evidence) (attempt.Classification, bool) {
+		"a reset is classified as not sent": {classify(func(e attempt.Evidence) (attempt.Classification, bool) {
 			return attempt.Classification{Result: balance.NotSent}, e.Response == attempt.NoResponse
 		}), "once", "ran 2 times"},
-		"a bare 503 is forwarded": {classifier(func(e attempt.Evidence) (attempt.Classification, bool) {
+		"a bare 503 is forwarded": {classify(func(e attempt.Evidence) (attempt.Classification, bool) {
 			passedOn := attempt.Classification{
 				Result: balance.Failure, MayHaveRun: true, Response: attempt.ServerResponse,
 			}
--- a/dataplane/stage_test.go
+++ b/dataplane/stage_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// violated records the violation of an invariant, unless there is an earlier one.
-func (s *harness) violated(format string, args ...any) {
+// report records the violation of an invariant, unless there is an earlier one.
+func (s *harness) report(format string, args ...any) {
 	if s.violation == "" {
 		s.violation = fmt.Sprintf(format, args...)
 	}
@@ -132,7 +132,7 @@
 // clientRequest is a request as its client sends it.
 type clientRequest struct{ method, line, fields, body string }
 
-// newClientRequest returns the request of a kind.
+// newClientRequest returns a request of the given kind.
 func newClientRequest(kind string) clientRequest {
 	switch kind {
 	case "head":
@@ -172,7 +172,7 @@
 	what := fmt.Sprintf("%s, %s, then %s", kind, first.name, second.name)
 	h, err := h1.ReadResponse(s.c.in, 1<<16)
 	if err != nil {
-		s.violated("%s: no response: %v", what, err)
+		s.report("%s: no response: %v", what, err)
 		s.closeClient()
 		return 0, sc
 	}
@@ -182,7 +182,7 @@
 		got, err = io.ReadAll(h1.NewBody(s.c.in, framing))
 	}
 	if _, up := s.deadlineExceeded.Load(id); err != nil && !first.truncates && !second.truncates && !up {
-		s.violated("%s: response of status %d is truncated: %v", what, h.Status, err)
+		s.report("%s: response of status %d is truncated: %v", what, h.Status, err)
 	}
 	s.checkResponse(what, &receivedResponse{
 		id: id, method: r.method, head: h, body: string(got), truncated: err != nil, runs: sc.runs.Load(),
@@ -235,13 +235,13 @@
 	}
 	switch {
 	case r.head.Get("Attempt-Id") != r.id || r.head.Count("Attempt-Id") != 1:
-		s.violated("%s: response belongs to %q", what, r.head.Get("Attempt-Id"))
+		s.report("%s: response belongs to %q", what, r.head.Get("Attempt-Id"))
 	case strings.Contains(r.body, foreignBody):
-		s.violated("%s: body has bytes of another response: %q", what, r.body)
+		s.report("%s: body has bytes of another response: %q", what, r.body)
 	case r.head.Status/100 == 2 && !r.isGenuineSuccess():
-		s.violated("%s: success without a valid seal, or without a run: %+v", what, r.head)
+		s.report("%s: success without a valid seal, or without a run: %+v", what, r.head)
 	case r.isServers() && !r.matches(own) && !r.matches(longResponseBody(r.id)):
-		s.violated("%s: wrong body with status %d: %.60q", what, r.head.Status, r.body)
+		s.report("%s: wrong body with status %d: %.60q", what, r.head.Status, r.body)
 	}
 }
 
@@ -261,9 +261,9 @@
 	runs := sc.runs.Load()
 	switch {
 	case nonIdempotent && runs > 1:
-		s.violated("%s: ran %d times", what, runs)
+		s.report("%s: ran %d times", what, runs)
 	case runs > 0 && (status == 408 || status == 421 || status == 429 || status == 503):
-		s.violated("%s: got status %d, but it ran", what, status)
+		s.report("%s: got status %d, but it ran", what, status)
 	}
 }
 
--- a/dataplane/staleconn_test.go
+++ b/dataplane/staleconn_test.go
@@ -16,7 +16,8 @@
 func TestStaleConnectionsAreAvoided(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		const idleTime = 60 * time.Millisecond // longer than the youngest age group, so that the server drops the connection
+		// Longer than the youngest age group of idle connections, so that the server drops the connection.
+		const idleTime = 60 * time.Millisecond
 		l := listenOn(t)
 		var dropsIdle atomic.Bool
 		go func() {
