--- a/dataplane/clientconn.go
+++ b/dataplane/clientconn.go
@@ -36,7 +36,7 @@
 	idle         bool // guarded by mu; the connection waits for the first byte of a request
 	closing      bool // guarded by mu; no response follows the current one
 	lastWritten  bool // guarded by mu; the final response was written completely
-	watchOver    bool // guarded by mu; see watchWhile
+	watchDone    bool // guarded by mu; see watchWhile
 }
 
 func newClientConn(l *clientListener, nc net.Conn) *clientConn {
@@ -54,8 +54,8 @@
 	}
 }
 
-// serve reads and answers requests until the connection ends. While it waits for anything else it keeps reading ahead,
-// so that a disconnect of the client is detected.
+// serve reads and answers requests until the connection ends. While it waits for a response or a slot of the pipeline,
+// it reads ahead, so that a disconnect of the client is detected.
 func (c *clientConn) serve() {
 	c.in = readerPool.Get().(*bufio.Reader)
 	c.in.Reset(&disconnectReader{c.nc, c.disconnect})
@@ -66,7 +66,7 @@
 	for first := true; ; first = false {
 		head, err := c.readHead(first)
 		if err != nil {
-			c.refuseMalformed(err, nextTurn)
+			c.answerMalformed(err, nextTurn)
 			return
 		}
 		arrived := time.Now()
@@ -200,8 +200,8 @@
 	return err
 }
 
-// refuseMalformed answers a malformed request head after all earlier responses, and ends the connection.
-func (c *clientConn) refuseMalformed(err error, turn <-chan struct{}) {
+// answerMalformed answers a malformed request head after all earlier responses, and ends the connection.
+func (c *clientConn) answerMalformed(err error, turn <-chan struct{}) {
 	var malformed *h1.Error
 	if !errors.As(err, &malformed) {
 		return
--- a/dataplane/disconnect.go
+++ b/dataplane/disconnect.go
@@ -60,7 +60,7 @@
 func (c *clientConn) beginWatch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watchOver = false
+	c.watchDone = false
 	c.setReadDeadline(time.Time{})
 }
 
@@ -68,7 +68,7 @@
 func (c *clientConn) endWatch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watchOver = true
+	c.watchDone = true
 	c.setReadDeadline(pastDeadline)
 }
 
@@ -89,8 +89,8 @@
 func (c *clientConn) watchEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.watchOver {
+	if !c.watchDone {
 		c.setReadDeadline(time.Time{})
 	}
-	return c.watchOver
+	return c.watchDone
 }
--- a/dataplane/endpoints.go
+++ b/dataplane/endpoints.go
@@ -41,8 +41,8 @@
 	checksum  uint64            // of all rows of the resulting list
 }
 
-// apply applies a delta to the list. clockMs is the present time on the clock of the list. If the delta does not fit
-// the current version, apply changes nothing and returns an error.
+// apply applies a delta to the list. clockMs is the present time on the clock to which the times in the list refer. If
+// the delta does not fit the current version, apply changes nothing and returns an error.
 func (e *endpointList) apply(r *versioned.DeltaReader, clockMs float64) error {
 	e.guarded.mu.Lock()
 	defer e.guarded.mu.Unlock()
@@ -161,7 +161,7 @@
 	for id := range before {
 		removed = append(removed, id)
 	}
-	e.version = max(e.version, 1)
+	e.version = max(e.version, 1) // there is a list now, even if no delta was ever applied
 	e.update(put, removed)
 }
 
--- a/dataplane/forwarder.go
+++ b/dataplane/forwarder.go
@@ -32,7 +32,7 @@
 	pool    *connpool.Pool[string]
 	link    *link.Pacer
 	gossip  *gossipHost
-	rules   attempt.Rules // immutable after New; tests inject faults into it
+	rules   attempt.Rules // immutable once requests are served; tests change it before that to inject faults
 
 	inFlight atomic.Int64 // requests being forwarded
 
@@ -57,11 +57,11 @@
 	if refusal = run.waitForLink(); refusal != nil {
 		return refusal
 	}
-	hasServer, refusal := run.startAttempt(false)
+	started, refusal := run.startAttempt(false)
 	if refusal != nil {
 		return refusal
 	}
-	return run.awaitResponse(run.hedgeTimer(hasServer))
+	return run.awaitResponse(run.hedgeTimer(started))
 }
 
 // begin charges the tenant's quota and starts the request's lifecycle, in one critical section.
@@ -93,16 +93,16 @@
 		DeadlineMs:  f.clock.sinceStartMs(r.deadline),
 		TargetMs:    inMs(r.route.latencyTarget),
 	})
-	r.lifecycle = run.state
+	r.state = run.state
 	f.guarded.mu.Unlock()
 	return run, nil
 }
 
-// finish ends the lifecycle of a request after its response was written, or writing it failed.
+// finish releases the slot of a download on the link after its response was written, or writing it failed.
 func (f *forwarder) finish(r *request) {
-	if r.lifecycle != nil && r.isDownload() {
+	if r.state != nil && r.isDownload() {
 		f.guarded.mu.Lock()
-		r.lifecycle.Finish()
+		r.state.Finish()
 		f.startDownloads()
 		f.guarded.mu.Unlock()
 	}
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -27,7 +27,7 @@
 
 const (
 	// reservedFDs is the number of file descriptors reserved for everything but connections to clients and to servers.
-	// Each of these may use half of the others.
+	// Connections to servers may use half of the rest; the other half is left to connections to clients.
 	reservedFDs = 300
 	defaultFDs  = 1024 // assumed limit if the settings state none
 
@@ -69,19 +69,19 @@
 	tasks sync.WaitGroup // the goroutines that Run starts and those of client connections
 }
 
-// New returns a gateway with open listeners. It is not ready before it has a configuration, servers and, under strict
-// key revocation, a lease.
+// New returns a gateway with open listeners. It becomes ready once it has a configuration, servers, its peers (or finds
+// none within noPeersGrace) and, under strict key revocation, a lease.
 func New(cfg *settings.Node, o Options) (*Gateway, error) {
 	g := &Gateway{node: cfg, log: o.Log, metrics: o.Metrics, clock: clock{time.Now()}}
 	incarnation := rand.Uint64()
 	self := xxhash.Sum64String(cfg.Name)
-	downlink := link.New(cfg.Limits.LinkMbps, o.Link.Fill)
+	pacer := link.New(cfg.Limits.LinkMbps, o.Link.Fill)
 	g.guarded = &guardedLimiter{
 		clock:   g.clock,
 		rng:     rand.New(rand.NewPCG(o.Seed, rngStream)),
-		limiter: limiter.New(0, limiterConfig(cfg, o, self, incarnation, downlink)),
+		limiter: limiter.New(0, limiterConfig(cfg, o, self, incarnation, pacer)),
 	}
-	pool := newPool(cfg, o.Upstream, downlink)
+	pool := newPool(cfg, o.Upstream, pacer)
 	g.router = router{log: o.Log, guarded: g.guarded}
 	g.lease = lease{clock: g.clock}
 	if cfg.Timing.StrictRevocation {
@@ -94,16 +94,16 @@
 	}
 	g.forwarder = forwarder{
 		log: o.Log, metrics: o.Metrics, clock: g.clock, guarded: g.guarded, router: &g.router, pool: pool,
-		link: downlink, gossip: &g.gossip, rules: attempt.DefaultRules(),
+		link: pacer, gossip: &g.gossip, rules: attempt.DefaultRules(),
 		waiting: map[*limiter.RequestState]chan struct{}{},
 	}
 	g.listener = clientListener{
-		log: o.Log, metrics: o.Metrics, link: downlink, router: &g.router, lease: &g.lease, readiness: &g.readiness,
+		log: o.Log, metrics: o.Metrics, link: pacer, router: &g.router, lease: &g.lease, readiness: &g.readiness,
 		forwarder: &g.forwarder, tasks: &g.tasks, conns: map[*clientConn]struct{}{},
 		acceptFor: acceptAfterTerm, linger: defaultLinger, writeTimeout: defaultWriteTimeout,
 	}
 	g.gossip = gossipHost{
-		log: o.Log, metrics: o.Metrics, guarded: g.guarded, peers: &g.peers, pool: pool, link: downlink,
+		log: o.Log, metrics: o.Metrics, guarded: g.guarded, peers: &g.peers, pool: pool, link: pacer,
 		keyring: o.Keys, self: self, incarnation: incarnation, unknownPeer: o.UnknownPeer,
 	}
 	if err := g.listen(cfg); err != nil {
@@ -124,12 +124,12 @@
 }
 
 // limiterConfig returns the configuration of the limiter's state machine.
-func limiterConfig(cfg *settings.Node, o Options, self, incarnation uint64, downlink *link.Pacer) limiter.Config {
+func limiterConfig(cfg *settings.Node, o Options, self, incarnation uint64, pacer *link.Pacer) limiter.Config {
 	return limiter.Config{
 		Self: self, Incarnation: incarnation, Zone: cfg.Zone, Seed: o.Seed,
 		RetryRatio: cfg.Timing.RetryRatio, RetrySlack: cfg.Timing.RetrySlack,
 		QuotaWindowS:       cfg.Timing.QuotaWindowS,
-		LinkBytesPerSecond: downlink.BulkBytesPerS(),
+		LinkBytesPerSecond: pacer.BulkBytesPerS(),
 		GossipBudget:       gossipCapacity(cfg, o).Budget(),
 	}
 }
@@ -203,8 +203,8 @@
 // Revision returns the revision of the current configuration, 0 if there is none.
 func (g *Gateway) Revision() uint64 { return g.router.revision() }
 
-// ApplyEndpoints applies a delta to the server list. clockMs is the present time on the clock of the list. Servers that
-// this gateway has seen draining or removed stay so.
+// ApplyEndpoints applies a delta to the server list. clockMs is the present time on the clock to which the times in the
+// list refer. Servers that this gateway has seen draining or removed stay so.
 func (g *Gateway) ApplyEndpoints(delta *versioned.DeltaReader, clockMs float64) error {
 	return g.endpoints.apply(delta, clockMs)
 }
--- a/dataplane/gossip.go
+++ b/dataplane/gossip.go
@@ -20,7 +20,7 @@
 	// maxReceivedPerTick is the maximum number of messages received at a tick, so that a flood of messages does not
 	// keep the gateway from sending.
 	maxReceivedPerTick = 512
-	// maxReceiveInterval is the maximum time since messages were last received when a request is charged to a quota.
+	// maxReceiveInterval is the maximum time since the last call of receiveAll when a request is charged to a quota.
 	maxReceiveInterval = 50 * time.Millisecond
 )
 
@@ -40,7 +40,7 @@
 	socketMu   sync.Mutex       // taken before guardedLimiter.mu
 	socket     *datagram.Socket // guarded by socketMu once run has started
 	receiver   *gossipReceiver  // guarded by socketMu
-	receivedAt atomic.Int64     // when messages were last received, in ns since the start; 0: run is not running
+	receivedAt atomic.Int64     // time of the last receiveAll, in ns since the start; 0: run is not running
 }
 
 // run receives and sends messages at each tick, until the context ends. Messages that arrive between two ticks wait for
@@ -117,9 +117,9 @@
 }
 
 // send sends one message without blocking. Called under guardedLimiter.mu.
-func (s *gossipSender) send(to uint64, w *gossip.Message) {
+func (s *gossipSender) send(to uint64, m *gossip.Message) {
 	h := s.host
-	s.plain = w.Append(s.plain[:0])
+	s.plain = m.Append(s.plain[:0])
 	data := s.plain
 	if s.sealer != nil {
 		var err error
--- a/dataplane/h1/head.go
+++ b/dataplane/h1/head.go
@@ -14,7 +14,7 @@
 // Error describes a malformed or unsupported message from the peer. Callers match it with [errors.As]. Its text is sent
 // to clients unchanged.
 type Error struct {
-	Status int    // status code of the response
+	Status int    // status code of the error response to the client
 	Reason string // plain text
 }
 
--- a/dataplane/lease.go
+++ b/dataplane/lease.go
@@ -26,5 +26,5 @@
 	l.expiresAt.Store(max(l.expiresAt.Load(), int64(requestedAt+l.duration)))
 }
 
-// remaining returns the time until the lease expires; negative if it has expired.
+// remaining returns the time until the lease expires; negative if it has expired or if no lease is needed.
 func (l *lease) remaining() time.Duration { return time.Duration(l.expiresAt.Load()) - l.clock.now() }
--- a/dataplane/lifecycle.go
+++ b/dataplane/lifecycle.go
@@ -146,7 +146,7 @@
 // logAttempt logs an attempt for `elmspan explain`, which parses the message and its keys.
 func (l *lifecycle) logAttempt(a *upstreamAttempt, elapsedMs float64) {
 	log := l.forwarder.log
-	if !log.Enabled(context.Background(), slog.LevelDebug) { // evaluating the attributes costs more than all else
+	if !log.Enabled(context.Background(), slog.LevelDebug) { // evaluating the attributes is the expensive part
 		return
 	}
 	log.Debug("try", "id", l.request.head.Get("Attempt-Id"), "service", l.request.service,
@@ -154,9 +154,10 @@
 		"took_ms", elapsedMs, "at", a.load, "hedge", a.hedge)
 }
 
-// hedgeTimer returns a timer that fires when a hedge is to be sent to a second server; nil if none is.
-func (l *lifecycle) hedgeTimer(hasServer bool) *time.Timer {
-	if !hasServer || !l.state.AllowsHedge() {
+// hedgeTimer returns a timer that fires when a hedge is to be sent to a second server; nil if none is to be sent.
+// started reports whether the first attempt found a server.
+func (l *lifecycle) hedgeTimer(started bool) *time.Timer {
+	if !started || !l.state.AllowsHedge() {
 		return nil
 	}
 	l.forwarder.guarded.mu.Lock()
@@ -209,7 +210,7 @@
 // afterAttempt handles the end of an attempt: it passes on the response, retries or waits for other attempts. A non-nil
 // response is final.
 func (l *lifecycle) afterAttempt(a *upstreamAttempt) (final *response) {
-	next := l.state.FinishAttempt(a.result, a.mayHaveRun, a.response != nil, l.request.started)
+	next := l.state.FinishAttempt(a.result, a.mayHaveRun, a.response != nil, l.request.streamStarted)
 	if next == limiter.Deliver {
 		l.reportDownloadLength(a.response)
 		return a.response
--- a/dataplane/link/pacer.go
+++ b/dataplane/link/pacer.go
@@ -16,7 +16,8 @@
 const (
 	// Quantum is the number of bytes of a long body written at a time.
 	Quantum = 8 << 10
-	// maxBurst is the amount of data that may be written at once after a pause, as transmission time on the link.
+	// maxBurst is the amount of data that may be written at once after a pause, as the time that it takes at the rate
+	// for long bodies.
 	maxBurst = 20 * time.Millisecond
 )
 
@@ -29,12 +30,12 @@
 	now           func() time.Time // replaced in tests
 
 	mu        sync.Mutex
-	drainedAt time.Time // guarded by mu: when all recorded data has been sent
+	drainedAt time.Time // guarded by mu; when all recorded data has been sent at bulkBytesPerS
 }
 
-// New returns a pacer for a link of mbps Mbit/s. fill is the fraction of the link, from 0 to 1, up to which long bodies
-// may use it, including other traffic. New returns nil, and nothing is paced, if mbps is 0 or less, which means that
-// the speed is unknown.
+// New returns a pacer for a link of mbps Mbit/s. fill, from 0 to 1, is the fraction of the link's speed that all
+// traffic together may use before long bodies wait. New returns nil, and nothing is paced, if mbps is 0 or less, which
+// means that the speed is unknown.
 func New(mbps, fill float64) *Pacer {
 	if mbps <= 0 {
 		return nil
@@ -83,7 +84,8 @@
 	}
 }
 
-// Backlog returns the time that the link needs to send the data recorded so far; 0 if it is idle.
+// Backlog returns the time that sending the data recorded so far takes at the rate for long bodies; 0 if all of it has
+// been sent.
 func (p *Pacer) Backlog() time.Duration {
 	if p == nil {
 		return 0
--- a/dataplane/metrics.go
+++ b/dataplane/metrics.go
@@ -39,7 +39,7 @@
 	lockedGauge("elmspan_servers", func() float64 { return float64(len(l.Members())) })
 }
 
-// registerQuotaGauges registers the quota counters, and the gauge of how late decisions of peers become known here.
+// registerQuotaGauges registers the quota counters and the gauge of the delay of peers' gossip messages.
 func (g *Gateway) registerQuotaGauges(lockedGauge func(name string, read func() float64)) {
 	l := g.guarded.limiter
 	for name, read := range map[string]func(quota.Counters) float64{
--- a/dataplane/refusal.go
+++ b/dataplane/refusal.go
@@ -40,8 +40,8 @@
 	return &response{status: r.status, reason: r.code, text: r.text, retryAfter: retryAfter}
 }
 
-// refuseMalformed returns the response to a request that is malformed or exceeds the limits. It closes the connection
-// if the rest of the request may still arrive.
+// refuseMalformed returns the response to a request that is malformed or exceeds the limits. The response closes the
+// connection if the rest of the request may still arrive.
 func refuseMalformed(status int, text string) *response {
 	closes := status == 400 || status == 408 || status == 413
 	return &response{status: status, reason: malformedCode, text: text, closes: closes}
--- a/dataplane/request.go
+++ b/dataplane/request.go
@@ -27,20 +27,20 @@
 
 // request is a client's request as read from the connection.
 type request struct {
-	ctx         context.Context // cancelled when the client disconnects; see clientConn.ctx
-	head        *h1.Head
-	route       *route
-	tenant      *tenant // nil: no tenant, as keys are not required or the route is anonymous
-	service     string
-	keyRequired bool // requests carry API keys, which are not forwarded
-	arrived     time.Time
-	deadline    time.Time
-	body        []byte        // the complete body, or the first bytes of a streamed one
-	stream      *h1.Body      // the body, or the rest of it, if it is too long to buffer; else nil
-	length      int64         // of the streamed body; h1.Chunked if unknown
-	started     bool          // the streamed body may have been sent to a server in part
-	bodyRead    chan struct{} // closed when the streamed body was read completely
-	lifecycle   *limiter.RequestState
+	ctx           context.Context // cancelled when the client disconnects; see clientConn.ctx
+	head          *h1.Head
+	route         *route
+	tenant        *tenant // nil: no tenant, as keys are not required or the route is anonymous
+	service       string
+	keyRequired   bool // requests carry API keys, which are not forwarded
+	arrived       time.Time
+	deadline      time.Time
+	body          []byte        // the complete body, or the first bytes of a streamed one
+	stream        *h1.Body      // the body, or the rest of it, if it is too long to buffer; else nil
+	length        int64         // of the streamed body; h1.Chunked if unknown
+	streamStarted bool          // the streamed body may have been sent to a server in part
+	bodyRead      chan struct{} // closed when the streamed body was read completely
+	state         *limiter.RequestState
 }
 
 // prepare validates a request, finds its route and tenant, sets its deadline and reads its body. A non-nil response
--- a/dataplane/response.go
+++ b/dataplane/response.go
@@ -76,8 +76,9 @@
 }
 
 // writeTo writes the response. After an error the client can tell that it is truncated: the stated length is not
-// reached or the last chunk is missing. requestHead is nil if the request head was malformed. Cancelling the context
-// ends the wait for the link.
+// reached or the last chunk is missing. If the response has neither, the caller must reset the connection; see
+// clientConn.abort. requestHead is nil if the request head was malformed. Cancelling the context ends the wait for the
+// link.
 func (resp *response) writeTo(ctx context.Context, w io.Writer, requestHead *h1.Head, l *link.Pacer) error {
 	b := bufferPool.Get().(*bytes.Buffer)
 	defer bufferPool.Put(b)
--- a/dataplane/roundtrip.go
+++ b/dataplane/roundtrip.go
@@ -104,16 +104,16 @@
 	if c.Used && !c.Reusable() {
 		return attemptOutcome{result: balance.NotSent}
 	}
-	age, sent := c.IdleGroup(), time.Now()
-	c.BeginExchange(math.MaxInt)
+	idleGroup, sent := c.IdleGroup(), time.Now()
+	c.BeginExchange(math.MaxInt) // no limit: long responses are streamed
 	e := attempt.Evidence{Written: attempt.FullyWritten, HeadRequest: r.head.Method == "HEAD"}
 	n, err := f.writeRequest(r, m.ID, c)
 	if err != nil && n == 0 {
-		c.RecordExchange(age, true)
+		c.RecordExchange(idleGroup, true)
 		return attemptOutcome{result: f.rules.Classify(attempt.Evidence{Written: attempt.NotWritten}).Result}
 	}
 	if err == nil && r.stream != nil {
-		r.started = true
+		r.streamStarted = true
 		err = r.streamTo(c, f.router.current().maxBody, f.link)
 		var fault *h1.Error
 		if errors.As(err, &fault) { // in the client's body
@@ -125,12 +125,12 @@
 		e.Written = attempt.PartlyWritten
 	}
 	head, err := f.readMatchingHead(c.Reader, r.head, &e.StrayResponses)
-	c.RecordExchange(age, c.ReadErr() != nil)
-	if c.WasStale(age) && time.Since(sent) < staleResetWindow {
-		f.recordStaleConn(m.ID, age)
+	c.RecordExchange(idleGroup, c.ReadErr() != nil)
+	if c.WasStale(idleGroup) && time.Since(sent) < staleResetWindow {
+		f.recordStaleConn(m.ID, idleGroup)
 	}
 	if e.StrayResponses > 0 {
-		f.recordUnexpected(m.ID, e.StrayResponses, err)
+		f.recordStray(m.ID, e.StrayResponses, err)
 	}
 	if err != nil {
 		return f.classify(e, nil)
@@ -221,17 +221,17 @@
 	return o
 }
 
-// maxUnexpectedBody is the longest body, in bytes, that is skipped of a response to another request.
-const maxUnexpectedBody = 1 << 20
+// maxStrayBody is the longest body, in bytes, that is skipped of a response to another request.
+const maxStrayBody = 1 << 20
 
-// errUnexpectedResponse is returned if the bytes on a connection can't be attributed to this request.
-var errUnexpectedResponse = errors.New("response does not belong to this request")
+// errStrayResponse is returned if the bytes on a connection can't be attributed to this request.
+var errStrayResponse = errors.New("response does not belong to this request")
 
 // readMatchingHead reads the head of the response whose Attempt-Id is that of the request. A faulty server may send a
 // duplicate response to an earlier request first. Its id identifies the duplicate, which is skipped: the expected
 // response follows it. A response without an id can't be attributed to any request, so nothing after it on the
-// connection can be trusted. unexpected counts the responses that did not match.
-func (f *forwarder) readMatchingHead(in *bufio.Reader, requestHead *h1.Head, unexpected *int) (*h1.Head, error) {
+// connection can be trusted. stray counts the responses that did not match.
+func (f *forwarder) readMatchingHead(in *bufio.Reader, requestHead *h1.Head, stray *int) (*h1.Head, error) {
 	for {
 		h, err := h1.ReadResponse(in, maxResponseHead)
 		if err != nil {
@@ -241,15 +241,15 @@
 		if owner == attempt.ThisRequest {
 			return h, nil
 		}
-		*unexpected++
+		*stray++
 		framing, err := h.ResponseFraming("GET")
-		bounded := err == nil && framing != h1.UntilClose && framing <= maxUnexpectedBody
-		if !attempt.ShouldSkip(owner, *unexpected, bounded) {
-			return nil, errUnexpectedResponse
+		bounded := err == nil && framing != h1.UntilClose && framing <= maxStrayBody
+		if !attempt.ShouldSkip(owner, *stray, bounded) {
+			return nil, errStrayResponse
 		}
 		body := h1.NewBody(in, framing)
-		if _, err := io.Copy(io.Discard, io.LimitReader(body, maxUnexpectedBody)); err != nil || !body.Done() {
-			return nil, errUnexpectedResponse
+		if _, err := io.Copy(io.Discard, io.LimitReader(body, maxStrayBody)); err != nil || !body.Done() {
+			return nil, errStrayResponse
 		}
 	}
 }
@@ -260,17 +260,17 @@
 
 // recordStaleConn records that a server had dropped a kept-alive connection of an idle-age group, and reports it to the
 // peers by gossip.
-func (f *forwarder) recordStaleConn(server string, age int) {
-	f.pool.RecordStale(age, connpool.Self)
+func (f *forwarder) recordStaleConn(server string, idleGroup int) {
+	f.pool.RecordStale(idleGroup, connpool.Self)
 	f.guarded.mu.Lock()
-	f.guarded.limiter.ReportStaleConnection(f.clock.nowMs(), age)
+	f.guarded.limiter.ReportStaleConnection(f.clock.nowMs(), idleGroup)
 	f.guarded.mu.Unlock()
-	f.log.Debug("kept-alive connection was dropped by the server", "server", server, "age_group", age)
+	f.log.Debug("kept-alive connection was dropped by the server", "server", server, "age_group", idleGroup)
 	f.metrics.Count("elmspan_forgotten_connections_total", 1)
 }
 
-// recordUnexpected logs and counts responses that did not match the request.
-func (f *forwarder) recordUnexpected(server string, n int, err error) {
+// recordStray logs and counts responses that did not match the request.
+func (f *forwarder) recordStray(server string, n int, err error) {
 	f.log.Debug("received responses to other requests", "server", server, "count", n, "own_found", err == nil)
 	f.metrics.Count("elmspan_stray_answers_total", n)
 }
--- a/dataplane/status.go
+++ b/dataplane/status.go
@@ -4,7 +4,7 @@
 type Status struct {
 	Ready, Draining bool
 	Revision        uint64 // of the configuration; 0: none
-	LeaseLeftMs     int64  // negative: the lease has expired
+	LeaseLeftMs     int64  // negative: the lease has expired, or none is needed
 	InHand          int64  // requests in flight
 	Connections     int    // client connections
 	// QuotaPart is the share of each quota that this gateway may use: 1 if it receives gossip from all peers, and they
