--- a/versioned/delta.go
+++ b/versioned/delta.go
@@ -14,7 +14,7 @@
 	"example.org/elmspan/internal/compression"
 )
 
-// Bounds on a delta that is decoded.
+// Limits on a decoded delta. They limit the memory that a malformed delta can take up.
 const (
 	maxRows              = 1 << 20
 	maxDecompressedBytes = 64 << 20
@@ -23,29 +23,29 @@
 	maxMapPairs          = 1 << 16
 )
 
-// DeltaHeader begins an encoded delta.
+// DeltaHeader is the first item of an encoded delta.
 type DeltaHeader struct {
-	// From is the version that the delta builds on. 0: none, the table is complete.
+	// From is the base version, or 0 if the delta contains the complete table.
 	From uint64 `cbor:"1,keyasint"`
-	// To is the version that it leads to.
+	// To is the version that applying the delta produces.
 	To uint64 `cbor:"2,keyasint"`
-	// Checksum is over the rows of version To: the exclusive or of their [RowChecksum].
+	// Checksum is the table checksum of version To: the XOR of the [RowChecksum] of all rows.
 	Checksum uint64 `cbor:"3,keyasint"`
 	// RowCount is the number of rows that follow.
 	RowCount int `cbor:"4,keyasint"`
 }
 
-// Row is one row of a delta. Without a value it is a tombstone: the row was removed.
+// Row is one row of a delta. A row without a value is a tombstone: the key was removed.
 type Row struct {
 	Key   string          `cbor:"1,keyasint"`
 	Value cbor.RawMessage `cbor:"2,keyasint,omitempty"`
 }
 
-// RowChecksum is a row's part of the checksum over a table, which is the exclusive or of all
-// of them. A receiver that applies deltas row by row keeps the sum up to date by them.
+// RowChecksum returns the checksum of one row. The checksum of a table is the XOR of its row
+// checksums, so a receiver that applies deltas row by row can update it incrementally.
 func RowChecksum(key string, value []byte) uint64 {
 	h := xxhash.New()
-	// A digest's writes never fail.
+	// Writes to a Digest never return an error.
 	_, _ = h.WriteString(key)
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write(value)
@@ -57,7 +57,7 @@
 	var b bytes.Buffer
 	e := cbor.NewEncoder(&b)
 	if err := e.Encode(header); err != nil {
-		return nil, fmt.Errorf("versioned: encoding a header: %w", err)
+		return nil, fmt.Errorf("versioned: encoding delta header: %w", err)
 	}
 	for r := range rows {
 		if err := e.Encode(r); err != nil {
@@ -75,7 +75,7 @@
 type DeltaReader struct {
 	DeltaHeader
 	dec  *cbor.Decoder
-	left int // rows that have not been read
+	left int // rows not yet read
 }
 
 var decMode = func() cbor.DecMode {
@@ -85,13 +85,13 @@
 		MaxMapPairs:      maxMapPairs,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // cannot happen: the options are constants
 	}
 	return m
 }()
 
 // OpenDelta decodes the header of an encoded delta. The rows are read with
-// [DeltaReader.Next] or [DeltaReader.ApplyTo]. The error is [ErrMalformed].
+// [DeltaReader.Next] or [DeltaReader.ApplyTo]. Errors wrap [ErrMalformed].
 func OpenDelta(data []byte) (*DeltaReader, error) {
 	decompressed, err := compression.NewReader(data, maxDecompressedBytes)
 	if err != nil {
@@ -102,14 +102,14 @@
 		return nil, fmt.Errorf("%w: header: %w", ErrMalformed, err)
 	}
 	if r.RowCount < 0 || r.RowCount > maxRows {
-		return nil, fmt.Errorf("%w: %d rows", ErrMalformed, r.RowCount)
+		return nil, fmt.Errorf("%w: row count %d out of range", ErrMalformed, r.RowCount)
 	}
 	r.left = r.RowCount
 	return r, nil
 }
 
-// Next returns the next row, which is the caller's. The error is [io.EOF] after the last row,
-// else [ErrMalformed].
+// Next returns the next row, which the caller may keep and modify. It returns [io.EOF] after
+// the last row; any other error wraps [ErrMalformed].
 func (r *DeltaReader) Next() (Row, error) {
 	if r.left == 0 {
 		return Row{}, io.EOF
@@ -122,21 +122,21 @@
 	return row, nil
 }
 
-// malformedRow hides the cause: [io.EOF] of a delta that is cut short is not the end of its
-// rows.
+// malformedRow does not wrap the cause: the [io.EOF] of a truncated delta must not be mistaken
+// for the end of its rows.
 func malformedRow(cause error) error {
 	return fmt.Errorf("%w: row: %s", ErrMalformed, cause.Error())
 }
 
-// ApplyTo returns the rows of version To, given those of the receiver's version. The rows
-// given stay as they are. Nothing is returned unless all of the delta fits: the error is
-// [ErrVersion], [ErrMalformed] or [ErrChecksum].
+// ApplyTo returns the rows of version To, given the receiver's version and its rows, which are
+// not modified. On any error it returns no rows; the error is or wraps [ErrVersion],
+// [ErrMalformed] or [ErrChecksum].
 func (r *DeltaReader) ApplyTo(version uint64, rows map[string][]byte) (map[string][]byte, error) {
 	if r.To <= version {
-		return nil, fmt.Errorf("%w: version %d is not above %d", ErrVersion, r.To, version)
+		return nil, fmt.Errorf("%w: target version %d is not newer than %d", ErrVersion, r.To, version)
 	}
 	if r.From != 0 && r.From != version {
-		return nil, fmt.Errorf("%w: it builds on %d, not on %d", ErrVersion, r.From, version)
+		return nil, fmt.Errorf("%w: base version is %d, receiver has %d", ErrVersion, r.From, version)
 	}
 	var out map[string][]byte
 	if r.From != 0 {
--- a/versioned/delta_test.go
+++ b/versioned/delta_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Any input is decoded or rejected; reading it ends.
+// OpenDelta and Next must accept or reject any input without panicking or hanging.
 func FuzzOpen(f *testing.F) {
 	var table Table
 	table.Replace(1, map[string][]byte{"a": value(f, 1)})
@@ -30,7 +30,7 @@
 	})
 }
 
-// A delta that is cut short is malformed: its end is not taken for that of its rows.
+// A truncated delta is malformed: the end of the data is not mistaken for the end of the rows.
 func TestIncompleteDeltaIsMalformed(t *testing.T) {
 	var table Table
 	table.Replace(1, map[string][]byte{"a": value(t, 1), "b": value(t, 2)})
@@ -49,7 +49,7 @@
 	}
 }
 
-// A delta is rejected by its version or its checksum where it does not fit.
+// A delta for another version or for other rows is rejected by its version or its checksum.
 func TestDeltaThatDoesNotFit(t *testing.T) {
 	var table Table
 	first := map[string][]byte{"a": value(t, 1)}
@@ -66,8 +66,8 @@
 		want    error
 	}{
 		{"fits", 1, first, nil},
-		{"builds on another version", 2, first, ErrVersion},
-		{"leads to the same version", 3, first, ErrVersion},
+		{"has another base version", 2, first, ErrVersion},
+		{"has the receiver's version as its target", 3, first, ErrVersion},
 		{"other rows", 1, map[string][]byte{"b": value(t, 1)}, ErrChecksum},
 	} {
 		r, err := OpenDelta(d.Data)
--- a/versioned/diff.go
+++ b/versioned/diff.go
@@ -2,17 +2,17 @@
 
 import "bytes"
 
-// RowDiff is how the rows of one version differ from those of the version before.
+// RowDiff is the difference between the rows of two successive versions.
 type RowDiff struct {
 	keys     []string // added, changed or removed
-	checksum uint64   // the exclusive or of the checksums of the rows that come and go
+	checksum uint64   // XOR of the checksums of the old and new rows of these keys
 }
 
-// DiffRows compares the rows of a version with those of the version before. It touches no
-// table, so it may run beside the use of one.
+// DiffRows compares the rows of a version with those of the previous version. It accesses no
+// [Table], so it may run concurrently with the use of one.
 func DiffRows(before, rows map[string][]byte) RowDiff {
 	var d RowDiff
-	removed := len(before) // rows of before that have not been found in rows
+	removed := len(before) // rows of before not yet found in rows
 	for key, value := range rows {
 		old, ok := before[key]
 		if ok {
--- a/versioned/errors.go
+++ b/versioned/errors.go
@@ -3,12 +3,12 @@
 import "errors"
 
 var (
-	// ErrMalformed is returned for bytes that are no encoded delta.
+	// ErrMalformed is returned for data that is not a valid encoded delta.
 	ErrMalformed = errors.New("versioned: malformed delta")
-	// ErrChecksum is returned for a delta that does not lead to the table that its header
-	// describes: the receiver asks for the complete table.
-	ErrChecksum = errors.New("versioned: the checksum of the table differs from the delta's")
-	// ErrVersion is returned for a delta that does not build on the receiver's version, or
-	// that does not lead to a newer one.
-	ErrVersion = errors.New("versioned: the delta does not follow the version")
+	// ErrChecksum is returned if the rows that result from applying a delta do not match the
+	// checksum in its header. The receiver should request the complete table.
+	ErrChecksum = errors.New("versioned: table checksum differs from the checksum in the delta")
+	// ErrVersion is returned for a delta whose base is not the receiver's version, or whose
+	// target is not newer than it.
+	ErrVersion = errors.New("versioned: delta does not apply to the receiver's version")
 )
--- a/versioned/table.go
+++ b/versioned/table.go
@@ -5,79 +5,80 @@
 	"slices"
 )
 
-// Bounds of a table. More history lets receivers that are further behind get a delta in place
-// of the complete table, for memory at the server.
+// Limits of a table's history and cache. A longer history lets receivers that are further
+// behind get a delta instead of the complete table, at the cost of memory on the server.
 const (
-	maxHistory       = 64   // versions whose changes are remembered
-	maxHistoryKeys   = 8192 // keys in all of them
-	maxCurrentDeltas = 16   // encoded deltas that lead to the newest version
-	maxRetiredDeltas = 4    // encoded deltas that lead to earlier versions
+	maxHistory       = 64   // versions whose changed keys are stored
+	maxHistoryKeys   = 8192 // changed keys in all stored versions together
+	maxCurrentDeltas = 16   // cached deltas to the newest version
+	maxRetiredDeltas = 4    // cached deltas to earlier versions
 )
 
-// MaxCachedBytes bounds the encoded deltas that lead to the newest version, and those that
-// lead to earlier ones, in bytes each. One delta is kept whatever its size.
+// MaxCachedBytes is the limit on the total size of the cached deltas to the newest version,
+// and likewise on that of the cached deltas to earlier versions. The latest delta to the newest
+// version is cached whatever its size.
 const MaxCachedBytes = 4 << 20
 
-// Table is the newest version of a table with its recent changes. The zero value is an
+// Table is the newest version of a table with its recent change history. The zero value is an
 // empty table of version 0. It is not safe for concurrent use.
 type Table struct {
 	version     uint64
 	rows        map[string][]byte
-	checksum    uint64         // the exclusive or of the rows' checksums
+	checksum    uint64         // XOR of the row checksums
 	history     []changeSet    // oldest first
-	historyKeys int            // keys in history
-	current     []EncodedDelta // that lead to version
-	retired     []EncodedDelta // that lead to earlier versions, the latest last: receivers may still be fetching them
+	historyKeys int            // total number of keys in history
+	current     []EncodedDelta // cached deltas to the newest version, oldest first
+	retired     []EncodedDelta // cached deltas to earlier versions, oldest first: receivers may still be fetching them
 }
 
-// changeSet has the keys that changed from one version to the next.
+// changeSet is the set of keys that changed from one version to the next.
 type changeSet struct {
 	from uint64
 	keys []string
 }
 
-// EncodedDelta is a delta as it is sent.
+// EncodedDelta is a delta in its wire format.
 type EncodedDelta struct {
-	From, To uint64 // as in the [DeltaHeader]
-	Data     []byte // must not be changed
+	From, To uint64 // as in [DeltaHeader]
+	Data     []byte // must not be modified
 }
 
-// Version is the newest version. 0: there is none yet.
+// Version returns the newest version, or 0 if there is none yet.
 func (t *Table) Version() uint64 { return t.version }
 
-// Len is the number of rows.
+// Len returns the number of rows in the newest version.
 func (t *Table) Len() int { return len(t.rows) }
 
-// Rows returns the rows of the newest version. They must not be changed.
+// Rows returns the rows of the newest version. The caller must not modify them.
 func (t *Table) Rows() map[string][]byte { return t.rows }
 
-// CachedBytes is how many bytes of encoded deltas are kept.
+// CachedBytes returns the total size of the cached deltas.
 func (t *Table) CachedBytes() int { return totalBytes(t.current) + totalBytes(t.retired) }
 
-// Replace sets the rows of a newer version. A version that is not newer is ignored. The rows
-// are the table's from then on.
+// Replace sets the version and rows of the table. It does nothing if version is not newer than
+// the current one. The caller must not modify rows afterwards.
 func (t *Table) Replace(version uint64, rows map[string][]byte) {
 	if version > t.version {
 		t.ReplaceWithDiff(version, rows, DiffRows(t.rows, rows))
 	}
 }
 
-// ReplaceWithDiff is [Table.Replace] for a caller that has compared the rows with
-// [Table.Rows] before, for example without a lock that guards the table.
+// ReplaceWithDiff is [Table.Replace] for a caller that has already compared rows with
+// [Table.Rows] by [DiffRows], for example outside of the lock that guards the table.
 func (t *Table) ReplaceWithDiff(version uint64, rows map[string][]byte, d RowDiff) {
 	if version <= t.version {
 		return
 	}
 	if t.version != 0 {
-		t.remember(changeSet{from: t.version, keys: d.keys})
+		t.appendHistory(changeSet{from: t.version, keys: d.keys})
 	}
 	t.checksum ^= d.checksum
 	t.version, t.rows = version, rows
 	t.retireDeltas()
 }
 
-// remember appends to the history, within its bounds.
-func (t *Table) remember(c changeSet) {
+// appendHistory adds a change set to the history and drops the oldest ones beyond the limits.
+func (t *Table) appendHistory(c changeSet) {
 	t.history = append(t.history, c)
 	t.historyKeys += len(c.keys)
 	for len(t.history) > maxHistory || len(t.history) > 0 && t.historyKeys > maxHistoryKeys {
@@ -86,7 +87,8 @@
 	}
 }
 
-// retireDeltas keeps a few of the deltas to the version that was the newest so far.
+// retireDeltas moves the cached deltas to what is now an earlier version into retired, and
+// evicts the oldest ones beyond the limits.
 func (t *Table) retireDeltas() {
 	t.retired = append(t.retired, t.current...)
 	t.current = nil
@@ -106,9 +108,9 @@
 	return n
 }
 
-// DeltaSince returns the delta from a version to the newest one. Where the changes since then
-// are not in the history, or from is 0, it is the complete table (From is 0). The error is
-// that of an encoder: a row's value is not CBOR.
+// DeltaSince returns the delta from a version to the newest one. If from is 0 or not in the
+// history, the delta contains the complete table and its From is 0. It fails if a row cannot
+// be encoded, which means that its value is not valid CBOR.
 func (t *Table) DeltaSince(from uint64) (EncodedDelta, error) {
 	first := slices.IndexFunc(t.history, func(c changeSet) bool { return c.from == from })
 	if first < 0 || from == 0 {
@@ -127,7 +129,7 @@
 	return d, nil
 }
 
-// encodeSince encodes the rows of the changes, or all rows where from is 0.
+// encodeSince encodes the rows whose keys are in changes, or all rows if from is 0.
 func (t *Table) encodeSince(from uint64, changes []changeSet) ([]byte, error) {
 	keys := map[string]bool{}
 	if from == 0 {
@@ -141,17 +143,17 @@
 		}
 	}
 	header := DeltaHeader{From: from, To: t.version, Checksum: t.checksum, RowCount: len(keys)}
-	sorted := slices.Sorted(maps.Keys(keys)) // similar rows stand together, which compresses better
+	sorted := slices.Sorted(maps.Keys(keys)) // places similar rows next to each other, which compresses better
 	return encodeDelta(header, func(yield func(Row) bool) {
 		for _, k := range sorted {
-			if !yield(Row{Key: k, Value: t.rows[k]}) { // a removed key has no value: a tombstone
+			if !yield(Row{Key: k, Value: t.rows[k]}) { // a removed key has a nil value, which makes a tombstone
 				return
 			}
 		}
 	})
 }
 
-// cache keeps a delta to the newest version, in place of the oldest one if there are too many.
+// cache stores a delta to the newest version and evicts the oldest one if a limit is exceeded.
 func (t *Table) cache(d EncodedDelta) {
 	t.current = append(t.current, d)
 	tooMany := len(t.current) > maxCurrentDeltas
@@ -161,8 +163,9 @@
 	}
 }
 
-// CachedDelta returns a delta that [Table.DeltaSince] returned a short time ago, also one to
-// an earlier version: a receiver fetches it in chunks.
+// CachedDelta returns a delta that [Table.DeltaSince] returned recently, if it is still cached.
+// Deltas to earlier versions are included, since a receiver that fetches a delta in chunks may
+// not be done when a new version arrives.
 func (t *Table) CachedDelta(from, to uint64) (EncodedDelta, bool) {
 	for _, deltas := range [][]EncodedDelta{t.current, t.retired} {
 		for _, d := range deltas {
--- a/versioned/table_test.go
+++ b/versioned/table_test.go
@@ -17,7 +17,7 @@
 	rows    map[string][]byte
 }
 
-// apply applies a delta as a limiter does: completely or not at all.
+// apply applies a delta atomically: completely or not at all.
 func (r *replica) apply(data []byte) error {
 	d, err := OpenDelta(data)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// distribution is a table and its replicas, with deltas on the way that may be lost, late or
-// repeated.
+// distribution is a table and its replicas. Deltas in transit may be lost, delayed or
+// duplicated.
 type distribution struct {
 	t        *rapid.T
 	rng      *rand.Rand
@@ -42,7 +42,7 @@
 	sent     [][]byte
 }
 
-// update makes a new version in which a few rows were added, changed or removed.
+// update replaces the table by a new version with a few rows added, changed or removed.
 func (s *distribution) update() {
 	rows := maps.Clone(s.table.Rows())
 	if rows == nil {
@@ -64,40 +64,41 @@
 	s.table.Replace(s.version, rows)
 }
 
-// send sends a replica the delta from its version; some are lost.
+// send sends a random replica the delta from its version; some deltas are lost.
 func (s *distribution) send() {
 	if s.version == 0 {
 		return
 	}
-	r := s.someReplica()
+	r := s.randomReplica()
 	d, err := s.table.DeltaSince(r.version)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.sent = append(s.sent, d.Data)
-	if s.rng.IntN(3) > 0 && d.To != r.version { // else lost, or nothing new
+	if s.rng.IntN(3) > 0 && d.To != r.version { // otherwise the delta is lost, or has nothing new
 		if err := r.apply(d.Data); err != nil {
 			s.t.Fatal(err)
 		}
 	}
 }
 
-// repeat sends some replica an earlier delta: it is applied completely or not at all.
+// repeat sends a random replica an earlier delta again, which must be applied completely or
+// not at all.
 func (s *distribution) repeat() {
 	if len(s.sent) == 0 {
 		return
 	}
-	r := s.someReplica()
+	r := s.randomReplica()
 	before := r.version
 	data := s.sent[s.rng.IntN(len(s.sent))]
 	if r.apply(data) != nil && r.version != before || r.version < before {
-		s.t.Fatal("half of a delta was applied, or an older one")
+		s.t.Fatal("a delta was applied partially, or the replica went back to an older version")
 	}
 }
 
-func (s *distribution) someReplica() *replica { return &s.replicas[s.rng.IntN(len(s.replicas))] }
+func (s *distribution) randomReplica() *replica { return &s.replicas[s.rng.IntN(len(s.replicas))] }
 
-// catchUp sends each replica what it lacks, and compares it with the table.
+// catchUp sends each replica the delta from its version and compares the result with the table.
 func (s *distribution) catchUp() {
 	if s.version == 0 {
 		return
@@ -112,13 +113,13 @@
 			s.t.Fatal(err)
 		}
 		if !maps.EqualFunc(r.rows, s.table.Rows(), bytes.Equal) {
-			s.t.Fatalf("the replica has %v, the table %v", r.rows, s.table.Rows())
+			s.t.Fatalf("replica has rows %v, table has %v", r.rows, s.table.Rows())
 		}
 	}
 }
 
-// However many deltas are lost, late or repeated, a replica that applies those that it can
-// ends with the complete table: one that misses some asks with the version that it has.
+// A replica that applies every applicable delta converges to the table even if deltas are lost,
+// delayed or duplicated, since each delta is requested from the version that the replica has.
 func TestDeltasEqualTheCompleteTable(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -147,8 +148,8 @@
 	return out
 }
 
-// A change of one row takes a few bytes, whatever the table's size, and is encoded once for
-// all receivers that have the same version.
+// The delta for one changed row takes a few bytes regardless of the size of the table, and is
+// encoded once for all receivers that have the same version.
 func TestDeltaSizeDependsOnChanges(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{100, 10_000} {
@@ -166,18 +167,18 @@
 			t.Fatal(err)
 		}
 		if len(a.Data) > 100 {
-			t.Errorf("%d bytes for one of %d rows", len(a.Data), n)
+			t.Errorf("delta of %d bytes for one changed row of %d", len(a.Data), n)
 		}
 		if b, _ := table.DeltaSince(1); &a.Data[0] != &b.Data[0] {
-			t.Error("encoded twice")
+			t.Error("delta encoded twice for the same version")
 		}
 		if b, err := table.DeltaSince(77); err != nil || b.From != 0 {
-			t.Errorf("a receiver of an unknown version gets a delta from %+v, %v", b.From, err)
+			t.Errorf("delta for an unknown version starts at version %+v (%v), want a complete table", b.From, err)
 		}
 	}
 }
 
-// checkBounds fails where a table keeps more than it may.
+// checkBounds fails the test if a table exceeds one of its limits.
 func checkBounds(t *testing.T, table *Table) {
 	t.Helper()
 	for _, bound := range []struct {
@@ -191,19 +192,19 @@
 		{"bytes of deltas", table.CachedBytes(), 2 * MaxCachedBytes},
 	} {
 		if bound.have > bound.max {
-			t.Fatalf("%d %s, more than %d", bound.have, bound.name, bound.max)
+			t.Fatalf("%d %s, limit %d", bound.have, bound.name, bound.max)
 		}
 	}
 }
 
-// The memory of any number of versions is bounded, and a receiver that is still fetching the
-// delta to the version before gets it.
+// The memory of a table stays bounded over any number of versions, and a receiver that is still
+// fetching a delta to the previous version can complete the transfer.
 func TestTableMemoryIsBounded(t *testing.T) {
 	t.Parallel()
 	var table Table
 	var byKeys, byVersions bool
 	for v := range uint64(150) {
-		n := 300 // so that keys are what bounds it, and later, with few, versions are
+		n := 300 // reaches the limit on keys; the smaller n below reaches the one on versions
 		if v >= 50 {
 			n = 20
 		}
@@ -222,7 +223,7 @@
 		checkBounds(t, &table)
 	}
 	if !byKeys || !byVersions {
-		t.Errorf("a bound was not reached: keys %v, versions %v", byKeys, byVersions)
+		t.Errorf("a limit was not reached: keys %v, versions %v", byKeys, byVersions)
 	}
 	b, err := table.DeltaSince(149)
 	if err != nil {
@@ -230,6 +231,6 @@
 	}
 	table.Replace(2000, map[string][]byte{"a": value(t, 1)})
 	if got, ok := table.CachedDelta(149, 150); !ok || !bytes.Equal(got.Data, b.Data) {
-		t.Error("the delta that is being fetched is gone")
+		t.Error("a delta to the previous version was evicted")
 	}
 }
