--- a/membership/antientropy.go
+++ b/membership/antientropy.go
@@ -10,28 +10,30 @@
 	"example.org/elmspan/api"
 )
 
-// Views that differ are reconciled in one exchange of at most two rounds. The first carries
-// what has changed recently at either side, which is nearly always all. Where that is not
-// enough, the response has a digest of each of the 64 buckets of the view (by the names'
-// hashes), and the second round carries the buckets that differ, both ways. So the bytes
-// depend on what differs, and not on how many processes there are.
+// An exchange reconciles two views that differ in at most two rounds. The first round carries
+// the recent changes of both sides, which is almost always sufficient. The response also has a
+// digest of each of the 64 buckets of the view (processes are assigned to buckets by the hash
+// of their name). If the views still differ, the second round carries the buckets whose digests
+// differ, in both directions. The amount of data thus depends on the differences and not on
+// the number of processes.
 
 const (
-	// recentPeriod is how long a change is sent along with each heartbeat.
+	// recentPeriod is how long a change is piggybacked on every heartbeat.
 	recentPeriod = 3 * time.Second
-	// maxRecentChanges bounds the changes that are sent along. Those beyond it reach the
-	// others by the second round.
+	// maxRecentChanges is the maximum number of changes piggybacked on a heartbeat. Older ones
+	// are reconciled by the second round.
 	maxRecentChanges = 16
-	// bucketCount is part of the wire: HeartbeatRequest.RequestedBuckets has a bit for each.
+	// bucketCount is part of the wire format: HeartbeatRequest.RequestedBuckets has one bit per
+	// bucket.
 	bucketCount = 64
 )
 
-// Heartbeat returns the heartbeat that is due now: the first round of an exchange.
+// Heartbeat returns the heartbeat to send now, which starts the first round of an exchange.
 func (v *View) Heartbeat(now time.Duration) *api.HeartbeatRequest {
 	return &api.HeartbeatRequest{From: v.self, Digest: v.Digest(), Peers: v.recentPeers(now)}
 }
 
-// HandleHeartbeat takes in a heartbeat and returns the response to it.
+// HandleHeartbeat processes a received heartbeat and returns the response to it.
 func (v *View) HandleHeartbeat(now time.Duration, q *api.HeartbeatRequest) *api.HeartbeatResponse {
 	v.RecordHeartbeat(now, q.From)
 	v.Merge(now, q.Peers)
@@ -46,8 +48,8 @@
 	return r
 }
 
-// HandleResponse takes in the response to a heartbeat. It returns the heartbeat of the second
-// round if one is needed, else nil.
+// HandleResponse processes the response to a heartbeat. It returns the heartbeat of the second
+// round, or nil if none is needed.
 func (v *View) HandleResponse(now time.Duration, r *api.HeartbeatResponse) *api.HeartbeatRequest {
 	v.Merge(now, r.Peers)
 	if v.Digest() == r.Digest || len(r.BucketDigests) != bucketCount {
@@ -70,8 +72,7 @@
 	}
 }
 
-// recentPeers returns the other processes of which something has changed recently, the latest
-// first.
+// recentPeers returns the other processes whose entries have changed recently, latest first.
 func (v *View) recentPeers(now time.Duration) []api.Peer {
 	var out []api.Peer
 	seen := map[string]bool{}
@@ -87,7 +88,7 @@
 	return out
 }
 
-// peersInBuckets returns all processes of some buckets, by name.
+// peersInBuckets returns all processes in the buckets of a bit mask, sorted by name.
 func (v *View) peersInBuckets(mask uint64) []api.Peer {
 	var out []api.Peer
 	for _, p := range v.Peers() {
@@ -98,8 +99,8 @@
 	return out
 }
 
-// Digest is equal where two views have the same processes that are not dead, in the same
-// states.
+// Digest returns a hash over the entries of all processes that are not dead. Equal digests mean
+// that two views agree on these processes and their states.
 func (v *View) Digest() uint64 {
 	digest := uint64(0)
 	for _, d := range v.bucketDigests {
@@ -108,7 +109,8 @@
 	return digest
 }
 
-// foldedDigests returns the digests of the buckets in half the bytes.
+// foldedDigests returns the bucket digests folded to 32 bits, which halves their size on the
+// wire.
 func (v *View) foldedDigests() []uint32 {
 	out := make([]uint32, bucketCount)
 	for i, d := range v.bucketDigests {
@@ -117,16 +119,17 @@
 	return out
 }
 
-// bucketOf returns the bucket of a name: the highest bits of its hash.
+// bucketOf returns the bucket of a name, given by the highest bits of its hash.
 func bucketOf(name string) int {
 	const shift = 64 - 6 // 2^6 buckets
 	return int(xxhash.Sum64String(name) >> shift)
 }
 
-// peerDigest is a process's part of the digest of its bucket.
+// peerDigest returns the hash of one entry. The digest of a bucket is the XOR of the hashes of
+// its entries.
 func peerDigest(p api.Peer) uint64 {
 	h := xxhash.New()
-	// A digest's writes never fail.
+	// Writes to a Digest never return an error.
 	_, _ = h.WriteString(p.Name)
 	_, _ = h.WriteString(p.Addr)
 	var b [17]byte
--- a/membership/failure.go
+++ b/membership/failure.go
@@ -9,20 +9,21 @@
 
 const (
 	// failureTimeout is how long a watcher waits for a heartbeat before it declares a process
-	// dead: five intervals. Shorter finds failures sooner and declares more living processes
-	// dead, each of which then has to refute it.
+	// dead: five heartbeat intervals. A shorter timeout detects failures sooner, but declares
+	// more live processes dead, each of which then has to refute that.
 	failureTimeout = 2500 * time.Millisecond
-	// deadRetention is how long a dead process is remembered, so that older statements that
-	// it is alive are overridden. It must be longer than statements travel.
+	// deadRetention is how long the entry of a dead process is kept, so that it overrides older
+	// statements that the process is alive. It must exceed the time for which such statements
+	// still circulate.
 	deadRetention = 60 * time.Second
-	// maxPause is the longest time between two calls of DetectFailures after which heartbeats
-	// are judged. After a longer one this process itself was paused, and has not received
-	// what was sent meanwhile.
+	// maxPause is the longest time between two calls of DetectFailures that is not taken for a
+	// pause of this process. After a pause all failure timeouts restart, as the heartbeats
+	// sent in the meantime have not been received.
 	maxPause = time.Second
 )
 
-// RecordHeartbeat takes in that a process sent a heartbeat, and its statement about itself. It
-// reports whether the view changed.
+// RecordHeartbeat records the receipt of a heartbeat and merges the sender's statement about
+// itself. It reports whether the view changed.
 func (v *View) RecordHeartbeat(now time.Duration, from api.Peer) bool {
 	changed := v.Merge(now, []api.Peer{from})
 	if r := v.peers[from.Name]; r != nil && r.StartID == from.StartID {
@@ -31,9 +32,9 @@
 	return changed
 }
 
-// DetectFailures declares those dead whom this process watches and who have sent no heartbeat
-// in time, and returns their names in order. It also forgets those who have been dead for
-// long. The host calls it at each heartbeat of its own.
+// DetectFailures declares the watched processes dead whose failure timeout has expired, and
+// returns their names in sorted order. It also removes the entries of processes that have been
+// dead for longer than the retention period. The host calls it before it sends its heartbeats.
 func (v *View) DetectFailures(now time.Duration) []string {
 	if v.wasPaused(now) {
 		for _, r := range v.peers {
@@ -47,17 +48,18 @@
 		p.State = Dead
 		v.store(now, p)
 	}
-	v.forgetDead(now)
+	v.removeExpiredDead(now)
 	slices.Sort(failed)
 	return failed
 }
 
+// wasPaused reports whether more than maxPause has passed since the last call of DetectFailures.
 func (v *View) wasPaused(now time.Duration) bool {
 	return v.checkedAt != 0 && now-v.checkedAt > maxPause
 }
 
-// updateWatched finds whom this process watches now, and returns those of them whose
-// heartbeats have failed to come.
+// updateWatched updates the set of processes that this one watches, and returns those of them
+// whose failure timeout has expired.
 func (v *View) updateWatched(now time.Duration) (failed []string) {
 	watched := map[string]bool{}
 	for _, name := range v.watchedBySelf() {
@@ -66,7 +68,7 @@
 			continue
 		}
 		watched[name] = true
-		if !v.watched[name] { // it sends its heartbeats here only from now on
+		if !v.watched[name] { // it has not sent its heartbeats here before
 			r.heartbeatAt = now
 		}
 		if now-r.heartbeatAt > failureTimeout {
@@ -77,15 +79,15 @@
 	return failed
 }
 
-func (v *View) forgetDead(now time.Duration) {
-	if v.dead == 0 {
+func (v *View) removeExpiredDead(now time.Duration) {
+	if v.deadCount == 0 {
 		return
 	}
 	for name, r := range v.peers {
 		if r.State == Dead && now-r.deadAt > deadRetention {
 			v.replaceStatement(&r.Peer, nil)
 			delete(v.peers, name)
-			v.dead--
+			v.deadCount--
 		}
 	}
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -11,11 +11,11 @@
 	return api.Peer{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("10.0.0.", i, ":1"), StartID: uint64(i + 1), Edge: true}
 }
 
-// fleet exchanges heartbeats as Service does, without sockets.
+// fleet is a set of views that exchange heartbeats as Service does, but without a network.
 type fleet struct {
 	views      map[string]*View
 	now        time.Duration
-	statements int // sent in all exchanges
+	statements int // total number sent in all exchanges
 }
 
 func newFleet(n int) *fleet {
@@ -26,7 +26,7 @@
 	return f
 }
 
-// round has every process send its heartbeats once, and returns how many that were.
+// round makes every process send its heartbeats once and returns the number of heartbeats.
 func (f *fleet) round() int {
 	f.now += heartbeatInterval
 	heartbeats := 0
@@ -73,7 +73,7 @@
 	}
 }
 
-// allKnowDead reports whether every view has a process as dead.
+// allKnowDead reports whether a process is dead in every view.
 func (f *fleet) allKnowDead(name string) bool {
 	for _, v := range f.views {
 		if p, _ := v.Peer(name); p.State != Dead {
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -14,8 +14,8 @@
 	"example.org/elmspan/api"
 )
 
-// goldenViews are two views that differ: each has learned of processes that the other does
-// not know, and one of them is leaving.
+// goldenViews returns two views that differ: each has processes that the other does not know,
+// and the process of view b is leaving.
 func goldenViews() (a, b *View, now time.Duration) {
 	now = 10 * time.Second
 	peer := func(i int, state uint8) api.Peer {
@@ -37,19 +37,19 @@
 	return a, b, now
 }
 
-// Two views exchange the same heartbeats, byte for byte, as they did in an earlier
-// version (f96d826): digests, buckets and order included.
+// Two views exchange byte for byte the same messages as in an earlier revision (f96d826),
+// including digests, buckets and order.
 func TestGoldenHeartbeatExchange(t *testing.T) {
 	a, b, now := goldenViews()
 	first := a.Heartbeat(now)
 	response := b.HandleHeartbeat(now, first)
 	second := a.HandleResponse(now, response)
 	if second == nil {
-		t.Fatal("there is no second round")
+		t.Fatal("no second round")
 	}
 	last := b.HandleHeartbeat(now, second)
 	if third := a.HandleResponse(now, last); third != nil {
-		t.Errorf("a third round: %+v", third)
+		t.Errorf("unexpected third round: %+v", third)
 	}
 	if a.Digest() != b.Digest() || len(a.Peers()) != 31 {
 		t.Errorf("the views differ after the exchange; %d processes", len(a.Peers()))
--- a/membership/incarnation.go
+++ b/membership/incarnation.go
@@ -7,7 +7,7 @@
 	"example.org/elmspan/api"
 )
 
-// overrides reports whether statement a about a process holds over statement b.
+// overrides reports whether statement a takes precedence over statement b about the same process.
 func overrides(a, b api.Peer) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -15,13 +15,13 @@
 	if a.State != b.State {
 		return a.State > b.State
 	}
-	// Two starts of a process that chose the same incarnation: all agree on one of them, and
-	// that start, if it has ended, is overridden when the other refutes it.
+	// Two starts of a process may use the same incarnation. The tie-break makes all views agree
+	// on one of them. If that start has ended, the running one refutes its statement.
 	return a.StartID > b.StartID
 }
 
-// Merge takes in the statements of another process. It reports whether any of them changed the
-// view.
+// Merge applies statements received from another process. It reports whether any of them
+// changed the view.
 func (v *View) Merge(now time.Duration, peers []api.Peer) bool {
 	changed := false
 	for _, p := range peers {
@@ -37,8 +37,8 @@
 	return changed
 }
 
-// refute overrides a statement about this process that is wrong: one about an earlier start,
-// or one that declares it leaving or dead.
+// refute overrides a false statement about this process, which is about another start or
+// declares it leaving or dead, by raising the incarnation. It reports whether it had to.
 func (v *View) refute(p api.Peer) bool {
 	if p.Incarnation < v.self.Incarnation {
 		return false
@@ -50,12 +50,13 @@
 	return true
 }
 
+// mergePeer applies a statement about another process. It reports whether the view changed.
 func (v *View) mergePeer(now time.Duration, p api.Peer) bool {
 	r := v.peers[p.Name]
 	switch {
 	case r == nil:
-		// A dead process that is not known here is not learned of: otherwise those who have
-		// forgotten it would learn of it again and again.
+		// Dead processes without an entry are ignored. Otherwise views that have already
+		// removed the entry would get it back from views that have not.
 		if p.State == Dead || len(v.peers) >= maxPeers {
 			return false
 		}
@@ -66,7 +67,7 @@
 	return true
 }
 
-// Leave states that this process is leaving.
+// Leave sets the state of this process to [Leaving].
 func (v *View) Leave() {
 	v.updateSelf(func(self *api.Peer) {
 		self.State = Leaving
@@ -74,14 +75,14 @@
 	})
 }
 
-// updateSelf changes what this process states about itself.
+// updateSelf changes the statement of this process about itself.
 func (v *View) updateSelf(update func(*api.Peer)) {
 	old := v.self
 	update(&v.self)
 	v.replaceStatement(&old, &v.self)
 }
 
-// store replaces what is known of another process.
+// store creates or replaces the entry of another process.
 func (v *View) store(now time.Duration, p api.Peer) {
 	r := v.peers[p.Name]
 	var old *api.Peer
@@ -91,11 +92,11 @@
 	} else {
 		previous := r.Peer
 		old = &previous
-		v.noteTransition(now, r, p)
+		v.updateTimes(now, r, p)
 	}
 	r.Peer = p
 	if p.State == Dead {
-		v.dead++
+		v.deadCount++
 	}
 	v.replaceStatement(old, &r.Peer)
 	v.recent = append(v.recent, change{p.Name, now})
@@ -104,21 +105,22 @@
 	}
 }
 
-// noteTransition sets a record's times for a new statement.
-func (v *View) noteTransition(now time.Duration, r *peerRecord, p api.Peer) {
+// updateTimes updates the times of a record, and the count of dead processes, before a new
+// statement replaces its current one.
+func (v *View) updateTimes(now time.Duration, r *peerRecord, p api.Peer) {
 	if p.State == Dead && r.State != Dead {
 		r.deadAt = now
 	}
 	if p.State != Dead && (r.State == Dead || r.StartID != p.StartID) {
-		r.heartbeatAt = now // it gets the full time-out from now on
+		r.heartbeatAt = now // restart the failure timeout
 	}
 	if r.State == Dead {
-		v.dead--
+		v.deadCount--
 	}
 }
 
-// replaceStatement updates what is derived from statements: the changes, the digests and the
-// ring. nil stands for no statement.
+// replaceStatement updates the state derived from statements (change tracking, digests and
+// ring) when next replaces old. Either may be nil: no statement.
 func (v *View) replaceStatement(old, next *api.Peer) {
 	v.ChangeCount++
 	for _, p := range []*api.Peer{old, next} {
@@ -126,7 +128,7 @@
 			continue
 		}
 		v.changedNames[p.Name] = true
-		if p.State != Dead { // the dead are forgotten at different times, so digests leave them out
+		if p.State != Dead { // digests exclude the dead, whose entries are removed at different times
 			v.bucketDigests[bucketOf(p.Name)] ^= peerDigest(*p)
 		}
 	}
--- a/membership/ring.go
+++ b/membership/ring.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxWatchers is how many processes a process sends its heartbeats to. More watchers detect a
-// failure and spread a change somewhat sooner, and cost as many more messages.
+// maxWatchers is the maximum number of watchers of a process. More watchers detect failures and
+// spread changes somewhat sooner, at a proportional cost in messages.
 const maxWatchers = 4
 
-// ringPosition is the position of a process on the ring.
+// ringPosition is the position of a process on the hash ring, ordered by hash and then by name.
 type ringPosition struct {
 	hash uint64 // of the name
 	name string
@@ -23,7 +23,8 @@
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
 }
 
-// ringIndex returns the index of a name on the ring, or where it would be inserted.
+// ringIndex returns the index of a name in the ring and true, or the index at which to insert it
+// and false.
 func (v *View) ringIndex(name string) (int, bool) {
 	return slices.BinarySearchFunc(v.ring, positionOf(name), ringPosition.compare)
 }
@@ -39,15 +40,16 @@
 	}
 }
 
-// Watchers returns the names of the processes that a process sends its heartbeats to: those 1,
-// 2, 4 and 8 positions after it on the ring, so that a change needs few steps to reach all.
+// Watchers returns the names of the processes that a process sends its heartbeats to. They are
+// 1, 2, 4 and 8 positions after it on the ring, so that a change reaches all processes in few
+// hops.
 func (v *View) Watchers(name string) []string { return v.ringNeighbours(name, 1) }
 
-// watchedBySelf returns the names of the processes that send this one their heartbeats.
+// watchedBySelf returns the names of the processes that send their heartbeats to this one.
 func (v *View) watchedBySelf() []string { return v.ringNeighbours(v.self.Name, -1) }
 
-// ringNeighbours returns the names 1, 2, 4 and 8 positions from a process, in direction 1
-// (after it) or -1 (before it).
+// ringNeighbours returns the names at distances 1, 2, 4 and 8 from a process on the ring, in
+// direction 1 (after it) or -1 (before it).
 func (v *View) ringNeighbours(name string, direction int) []string {
 	i, ok := v.ringIndex(name)
 	n := len(v.ring)
--- a/membership/service.go
+++ b/membership/service.go
@@ -13,43 +13,42 @@
 )
 
 const (
-	// heartbeatInterval is the mean time between heartbeats. Each pause is up to a tenth
-	// shorter or longer, so that processes that began together spread out.
+	// heartbeatInterval is the mean time between heartbeats. Each delay has a jitter of ±10%,
+	// so that processes started at the same time do not stay synchronized.
 	heartbeatInterval = 500 * time.Millisecond
-	// heartbeatTimeout is the deadline of one call.
+	// heartbeatTimeout is the timeout of one heartbeat call.
 	heartbeatTimeout = 450 * time.Millisecond
-	// joinInterval is the time between heartbeats of a process that knows nobody.
+	// joinInterval is the time between heartbeats of a process that knows no peers yet.
 	joinInterval = heartbeatInterval / 5
-	// maxJoinSeeds is how many seeds such a process sends each heartbeat to.
+	// maxJoinSeeds is the maximum number of seeds to which such a process sends each heartbeat.
 	maxJoinSeeds = 3
-	// minExchangeInterval is the shortest time between two calls of ExchangeWith that have an
-	// effect.
+	// minExchangeInterval is the minimum time between exchanges started by ExchangeWith.
 	minExchangeInterval = 100 * time.Millisecond
 )
 
-// Service is the host of a [View]: it sends and answers heartbeats. It implements
-// [api.Membership].
+// Service runs a [View]: it sends and answers heartbeats. It implements [api.Membership] and is
+// safe for concurrent use.
 type Service struct {
 	conns    *api.ConnPool
 	log      *slog.Logger
 	start    time.Time
 	seeds    func() []string // internal addresses
 	onChange func([]api.Peer)
-	tasks    sync.WaitGroup // exchanges
+	tasks    sync.WaitGroup // running exchanges
 
-	mu            sync.Mutex // guards the fields below; held while onChange runs
+	mu            sync.Mutex // guards the fields below; held during calls of onChange
 	rng           *rand.Rand
 	view          *View
-	inFlight      map[string]bool // addresses that an exchange is under way with
-	notifiedCount uint64          // the view's ChangeCount when onChange was last called
-	exchangedAt   time.Duration   // the last call of ExchangeWith that had an effect
-	ctx           context.Context // of Run; nil: it does not run
+	inFlight      map[string]bool // addresses with an exchange in progress
+	notifiedCount uint64          // ChangeCount of the view at the last call of onChange
+	exchangedAt   time.Duration   // time of the last exchange started by ExchangeWith
+	ctx           context.Context // of Run; nil while Run is not active
 }
 
-// New returns a service for the process self. seeds returns the internal addresses through
-// which a process that knows nobody joins. seed makes the jitter repeatable. onChange is
-// called with the processes of which something has changed, self among them, by one call at
-// a time; it must not call the service.
+// New returns a service for the process self. seeds returns the internal addresses that a
+// process without known peers contacts to join. seed seeds the random generator, which makes
+// the jitter reproducible. onChange is called with the changed processes, which may include
+// self. Its calls do not overlap, and it must not call the service.
 func New(self api.Peer, seeds func() []string, conns *api.ConnPool, seed uint64, log *slog.Logger,
 	onChange func([]api.Peer),
 ) *Service {
@@ -65,17 +64,16 @@
 	}
 }
 
-// now is on the clock of the view, above 0.
+// now returns the time since the start, plus 1 ns as the view takes 0 for unset.
 func (s *Service) now() time.Duration { return time.Since(s.start) + time.Nanosecond }
 
-// Run sends heartbeats until the context ends, and returns when no exchange is under way any
-// more.
+// Run sends heartbeats until ctx is done, and returns after all exchanges have completed.
 func (s *Service) Run(ctx context.Context) {
 	s.begin(ctx)
 	defer s.end()
 	for ctx.Err() == nil {
 		s.sendHeartbeats(ctx)
-		backoff.Sleep(ctx, s.pause())
+		backoff.Sleep(ctx, s.nextDelay())
 	}
 }
 
@@ -85,7 +83,7 @@
 	s.ctx = ctx
 }
 
-// end waits for the exchanges. ExchangeWith begins no further one.
+// end waits for the running exchanges. From then on ExchangeWith starts no more.
 func (s *Service) end() {
 	s.mu.Lock()
 	s.ctx = nil
@@ -93,20 +91,20 @@
 	s.tasks.Wait()
 }
 
-// pause returns the time until the next heartbeat.
-func (s *Service) pause() time.Duration {
+// nextDelay returns the time until the next heartbeat.
+func (s *Service) nextDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pause := heartbeatInterval*9/10 + backoff.Jitter(heartbeatInterval/5, s.rng)
+	delay := heartbeatInterval*9/10 + backoff.Jitter(heartbeatInterval/5, s.rng)
 	if len(s.view.peers) == 0 {
 		return joinInterval
 	}
-	return pause
+	return delay
 }
 
-// ExchangeWith begins an exchange with the process at an internal address, which has sent this
-// process a message and may not be known here. Waiting for gossip would take a second. At
-// most one call in 100 ms has an effect.
+// ExchangeWith starts an exchange with the process at an internal address. It is meant for the
+// sender of a message that is not a known peer: learning of it by gossip would take a second.
+// Calls within 100 ms of the last exchange that ExchangeWith started have no effect.
 func (s *Service) ExchangeWith(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,8 +115,8 @@
 	s.startExchange(s.ctx, addr, s.view.Heartbeat(s.now()))
 }
 
-// Leave notifies the watchers that this process is leaving. It does not wait for their responses;
-// Run does.
+// Leave notifies the watchers that this process is leaving. It does not wait for their
+// responses; Run does before it returns.
 func (s *Service) Leave(ctx context.Context) {
 	s.mu.Lock()
 	s.view.Leave()
@@ -126,14 +124,14 @@
 	s.sendHeartbeats(ctx)
 }
 
-// Peers returns all known processes, the dead and self included, by name.
+// Peers returns all known processes, including self and dead ones, sorted by name.
 func (s *Service) Peers() []api.Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view.Peers()
 }
 
-// Heartbeat answers a heartbeat.
+// Heartbeat implements [api.Membership].
 func (s *Service) Heartbeat(_ context.Context, q *api.HeartbeatRequest) (*api.HeartbeatResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +140,8 @@
 	return r, nil
 }
 
-// sendHeartbeats detects failures and begins an exchange with each watcher.
+// sendHeartbeats runs failure detection and starts an exchange with each watcher, or with some
+// seeds if there are no watchers.
 func (s *Service) sendHeartbeats(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +150,7 @@
 	}
 	addrs := s.watcherAddrs()
 	if len(addrs) == 0 {
-		addrs = s.someSeeds()
+		addrs = s.randomSeeds()
 	}
 	heartbeat := s.view.Heartbeat(s.now())
 	for _, addr := range addrs {
@@ -173,14 +172,14 @@
 	return addrs
 }
 
-// someSeeds returns a few seeds, drawn at random. The caller holds mu.
-func (s *Service) someSeeds() []string {
+// randomSeeds returns up to maxJoinSeeds randomly selected seeds. The caller holds mu.
+func (s *Service) randomSeeds() []string {
 	seeds := slices.Clone(s.seeds())
 	s.rng.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	return seeds[:min(maxJoinSeeds, len(seeds))]
 }
 
-// startExchange begins an exchange in a task of its own. The caller holds mu.
+// startExchange runs an exchange in a new goroutine. The caller holds mu.
 func (s *Service) startExchange(ctx context.Context, addr string, heartbeat *api.HeartbeatRequest) {
 	s.inFlight[addr] = true
 	s.tasks.Go(func() {
@@ -191,7 +190,7 @@
 	})
 }
 
-// exchange sends a heartbeat, and the one of the second round where the views differ.
+// exchange sends a heartbeat, and that of the second round if one is needed.
 func (s *Service) exchange(ctx context.Context, addr string, heartbeat *api.HeartbeatRequest) {
 	for heartbeat != nil {
 		response, err := s.call(ctx, addr, heartbeat)
@@ -213,7 +212,7 @@
 	return api.CallHeartbeat(ctx, conn, q)
 }
 
-// handleResponse takes in a response and returns the heartbeat of the second round, if any.
+// handleResponse processes a response and returns the heartbeat of the second round, or nil.
 func (s *Service) handleResponse(r *api.HeartbeatResponse) *api.HeartbeatRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/membership/service_test.go
+++ b/membership/service_test.go
@@ -14,15 +14,16 @@
 	"example.org/elmspan/api"
 )
 
-// A process that sends another one a message is known there at once, and not only when gossip
-// has brought its name; after the end of Run no further exchange begins.
+// ExchangeWith makes two processes known to each other at once, without waiting for gossip.
+// After Run has returned it starts no more exchanges.
 func TestUnknownPeersExchangeAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, testUnknownPeersExchange)
 }
 
-// pipeListener accepts connections in memory: [net.Pipe]'s, as those of gRPC's bufconn begin
-// with timers that are due at once, of which two in a bubble crash Go 1.26's race detector.
+// pipeListener is an in-memory listener based on [net.Pipe]. gRPC's bufconn is not used since
+// its connections start with timers that expire at once, and two of these in a synctest bubble
+// crash the race detector of Go 1.26.
 type pipeListener struct {
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -76,7 +77,7 @@
 		s := New(self, noSeeds, conns, 1, slog.New(slog.DiscardHandler), func([]api.Peer) {})
 		srv := api.NewServer(nil)
 		api.RegisterMembership(srv, s)
-		go func() { _ = srv.Serve(at[addr]) }() // it returns when the server is stopped
+		go func() { _ = srv.Serve(at[addr]) }() // returns when the server is stopped
 		t.Cleanup(srv.Stop)
 		done.Go(func() { s.Run(ctx) })
 		return s
@@ -87,7 +88,7 @@
 	for end := time.Now().Add(heartbeatInterval); !known(); time.Sleep(5 * time.Millisecond) {
 		a.ExchangeWith(addr)
 		if time.Now().After(end) {
-			t.Fatalf("%v and %v", a.Peers(), b.Peers())
+			t.Fatalf("peers of a: %v, peers of b: %v", a.Peers(), b.Peers())
 		}
 	}
 	cancel()
--- a/membership/view.go
+++ b/membership/view.go
@@ -8,49 +8,51 @@
 	"example.org/elmspan/api"
 )
 
-// The states of a process ([api.Peer.State]). Of two statements with the same incarnation the
-// one with the higher state holds.
+// States of a process ([api.Peer.State]). Of two statements with the same incarnation, the one
+// with the higher state takes precedence.
 const (
 	Alive   uint8 = iota
-	Leaving       // it is shutting down, by its own statement
-	Dead          // it was declared dead by a watcher
+	Leaving       // shutting down, as stated by the process itself
+	Dead          // declared dead by a watcher
 )
 
-// maxPeers bounds a view: more processes are not learned of.
+// maxPeers is the maximum number of peers in a view. Statements about further processes are
+// ignored.
 const maxPeers = 4096
 
-// View is what one process knows of the others. It does no I/O and reads no clock: all times
-// are on the host's monotonic clock, from any origin. It is not safe for concurrent use.
+// View is the membership state of one process: its entries for itself and all known peers. It
+// does no I/O and reads no clock. The host passes in the time of a monotonic clock with an
+// arbitrary origin. It is not safe for concurrent use.
 type View struct {
-	// ChangeCount counts the changes to the view. A host compares it to see whether
-	// TakeChanges has anything.
+	// ChangeCount is incremented on every change to the view, so that a host can tell whether
+	// TakeChanges has anything to return.
 	ChangeCount uint64
 
 	self          api.Peer
-	peers         map[string]*peerRecord // by name, without self
-	dead          int                    // peers that are dead
-	ring          []ringPosition         // of those that are not dead, with self, in order
-	bucketDigests [bucketCount]uint64    // of those that are not dead, with self
-	recent        []change               // of peers, oldest first
-	changedNames  map[string]bool        // since the last TakeChanges
-	checkedAt     time.Duration          // the last DetectFailures; 0: none yet
-	watched       map[string]bool        // whose watcher this process was at that time
+	peers         map[string]*peerRecord // by name, excluding self
+	deadCount     int                    // number of dead peers
+	ring          []ringPosition         // processes that are not dead, including self, in ring order
+	bucketDigests [bucketCount]uint64    // over the processes that are not dead, including self
+	recent        []change               // latest changes of peers, oldest first
+	changedNames  map[string]bool        // names of changed processes since the last TakeChanges
+	checkedAt     time.Duration          // time of the last DetectFailures; 0: none yet
+	watched       map[string]bool        // processes watched by this one at that time
 }
 
-// peerRecord is what is known of another process.
+// peerRecord is the entry of another process.
 type peerRecord struct {
 	api.Peer
-	heartbeatAt time.Duration // the last heartbeat, or when its watching began
-	deadAt      time.Duration // when it was learned that it is dead
+	heartbeatAt time.Duration // when the failure timeout last restarted: on a heartbeat, or when watching began
+	deadAt      time.Duration // when this view learned that the process is dead
 }
 
-// change notes that something has changed about a process.
+// change records that the entry of a process changed.
 type change struct {
 	name string
 	at   time.Duration
 }
 
-// NewView returns the view of a process that knows nobody.
+// NewView returns the view of a process that knows no peers yet.
 func NewView(self api.Peer) *View {
 	v := &View{
 		self:         self,
@@ -63,10 +65,10 @@
 	return v
 }
 
-// Self is what this process states about itself.
+// Self returns the statement of this process about itself.
 func (v *View) Self() api.Peer { return v.self }
 
-// Peer returns what is known of a process, self included.
+// Peer returns the entry of a process, which may be self.
 func (v *View) Peer(name string) (api.Peer, bool) {
 	if name == v.self.Name {
 		return v.self, true
@@ -77,7 +79,7 @@
 	return api.Peer{}, false
 }
 
-// Peers returns every known process, the dead and self included, by name.
+// Peers returns all known processes, including self and dead ones, sorted by name.
 func (v *View) Peers() []api.Peer {
 	out := []api.Peer{v.self}
 	for _, r := range v.peers {
@@ -87,9 +89,9 @@
 	return out
 }
 
-// TakeChanges returns the processes of which something has changed since the last call, by
-// name: a copy of the view is kept up to date at the cost of what changed. One that was
-// forgotten is returned as [Dead], with its name alone.
+// TakeChanges returns the processes that have changed since the last call, sorted by name. A
+// copy of the view can thus be updated at a cost proportional to the changes. A process whose
+// entry was removed is returned with only its name and the state [Dead].
 func (v *View) TakeChanges() []api.Peer {
 	var out []api.Peer
 	for name := range v.changedNames {
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -9,8 +9,8 @@
 	"example.org/elmspan/api"
 )
 
-// All know all in a few heartbeats, whatever the size; a process sends as many messages in a
-// fleet of 300 as in one of 16.
+// All processes know each other after a few heartbeats, whatever the size of the fleet. The
+// number of heartbeats per process does not grow with the fleet: it is the same for 16 and 300.
 func TestJoinsSpreadInFewHeartbeats(t *testing.T) {
 	for _, n := range []int{2, 11, 16, 300} {
 		f, rounds, maxHeartbeats := newFleet(n), 0, 0
@@ -26,12 +26,12 @@
 	}
 }
 
-// One change among many costs what changed: each exchange that carries it has statements
-// about a few processes, not about all.
+// The cost of a change does not depend on the size of the fleet: the exchanges that spread it
+// carry statements about a few processes, not about all.
 func TestChangeCostsFewStatements(t *testing.T) {
 	f := newFleet(300)
 	f.converge()
-	f.now += recentPeriod + time.Second // the joins are not recent any more
+	f.now += recentPeriod + time.Second // the joins are no longer recent
 	f.round()
 	f.views["n7"].Leave()
 	f.statements = 0
@@ -41,8 +41,8 @@
 	}
 }
 
-// All learn that a process is dead; one that is wrongly declared dead refutes it; one that
-// starts again under its name replaces the earlier start.
+// All processes learn that a process is dead. When it is started again under the same name, it
+// refutes this, and the new start replaces the earlier one in all views.
 func TestFailureAndRestart(t *testing.T) {
 	f := newFleet(12)
 	f.converge()
@@ -50,7 +50,7 @@
 	rounds := 0
 	for ; !f.allKnowDead("n5"); rounds++ {
 		if rounds > 10 {
-			t.Fatal("the failure is not known after 5 s")
+			t.Fatal("some views do not have the process as dead after 5 s")
 		}
 		f.round()
 	}
@@ -62,16 +62,17 @@
 	f.views["n5"] = NewView(restarted)
 	for i := 0; !f.converged(); i++ {
 		if i > 12 {
-			t.Fatal("the restart is not known")
+			t.Fatal("the views differ after the restart")
 		}
 		f.round()
 	}
 	if p, _ := f.views["n0"].Peer("n5"); p.State != Alive || p.StartID != 77 {
-		t.Errorf("%+v", p)
+		t.Errorf("entry after the restart: %+v", p)
 	}
 }
 
-// All forget a process that has been dead for long, though not at the same moment.
+// All views remove the entry of a process after the retention period, though not at the same
+// time.
 func TestDeadPeersAreForgotten(t *testing.T) {
 	f := newFleet(8)
 	f.converge()
@@ -80,15 +81,15 @@
 		f.round()
 	}
 	for name, v := range f.views {
-		if _, known := v.Peer("n5"); known || v.dead != 0 {
-			t.Errorf("%s remembers it; it counts %d dead", name, v.dead)
+		if _, known := v.Peer("n5"); known || v.deadCount != 0 {
+			t.Errorf("%s still has the entry or counts dead peers (%d)", name, v.deadCount)
 		}
 	}
 }
 
-// A failure changes the ring and gives some processes a new watcher, which has no heartbeat of
-// theirs yet: it waits the full time-out. (Seen on a day with a replaced machine: nine living
-// processes were declared dead.)
+// A failure changes the ring and gives some processes a new watcher, which has not received
+// their heartbeats yet and must wait the full failure timeout. Without that, the replacement of
+// a machine led to nine live processes being declared dead.
 func TestNewWatcherWaitsForHeartbeats(t *testing.T) {
 	f := newFleet(11)
 	f.converge()
@@ -101,27 +102,28 @@
 		for name, v := range f.views {
 			for other := range f.views {
 				if p, _ := v.Peer(other); p.State == Dead {
-					t.Fatalf("%s has %s as dead", name, other)
+					t.Fatalf("%s has live process %s as dead", name, other)
 				}
 			}
 		}
 	}
 }
 
-// A process that was paused has not received what was sent meanwhile, and declares nobody dead.
+// A process that was paused has missed the heartbeats sent in the meantime, and must not declare
+// any process dead.
 func TestPausedProcessDeclaresNobodyDead(t *testing.T) {
 	f := newFleet(6)
 	f.converge()
 	f.now += 10 * time.Second
-	if lost := f.views["n0"].DetectFailures(f.now); len(lost) > 0 {
-		t.Errorf("declared dead: %v", lost)
+	if failed := f.views["n0"].DetectFailures(f.now); len(failed) > 0 {
+		t.Errorf("declared dead: %v", failed)
 	}
 }
 
-// copyOfView is a copy of a view that is kept up to date by its changes.
+// copyOfView is a copy of a view that is updated by the view's changes.
 type copyOfView map[string]api.Peer
 
-// takeChanges applies the changes and returns how many they were.
+// takeChanges applies the changes to the copy and returns their number.
 func (c copyOfView) takeChanges(v *View) int {
 	changes := v.TakeChanges()
 	for _, p := range changes {
@@ -132,22 +134,22 @@
 	return len(changes)
 }
 
-// check fails where the copy differs from the view.
+// check fails the test if the copy differs from the view.
 func (c copyOfView) check(t *testing.T, v *View) {
 	t.Helper()
 	for _, p := range v.Peers() {
 		have, ok := c[p.Name]
 		if ok != (p.State != Dead) || ok && have != p {
-			t.Fatalf("the copy has %v, the view %v", have, p)
+			t.Fatalf("copy has %v, view has %v", have, p)
 		}
 	}
 	if alive := len(v.ring); alive != len(c) {
-		t.Fatalf("%d in the copy, %d in the view", len(c), alive)
+		t.Fatalf("%d processes in the copy, %d in the view", len(c), alive)
 	}
 }
 
-// A copy that is kept by the changes alone equals the view, whoever joined, changed, died and
-// was forgotten meanwhile; and one change is one row, however many processes there are.
+// A copy that is updated only by TakeChanges equals the view while processes join, change, die
+// and are removed. One change yields one entry, however many processes there are.
 func TestChangesKeepACopyEqual(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	v, now := NewView(api.Peer{Name: "self", Addr: "s", StartID: 1}), time.Duration(1)
@@ -156,14 +158,14 @@
 		v.Merge(now, []api.Peer{{Name: fmt.Sprint("p", i), Addr: "a", StartID: 1, Incarnation: 1}})
 	}
 	if n := c.takeChanges(v); n != 301 {
-		t.Errorf("%d rows of 301 processes", n)
+		t.Errorf("%d changes after 301 processes joined", n)
 	}
 	v.Merge(now, []api.Peer{{Name: "p7", Addr: "b", StartID: 2, Incarnation: 2}})
 	if n := c.takeChanges(v); n != 1 || c["p7"].Addr != "b" {
-		t.Errorf("a process that restarted: %d rows, at %s", n, c["p7"].Addr)
+		t.Errorf("after a restart of one process: %d changes, address %s", n, c["p7"].Addr)
 	}
 	if n := c.takeChanges(v); n != 0 {
-		t.Errorf("%d rows without a change", n)
+		t.Errorf("%d changes without a change to the view", n)
 	}
 	for i := range 2000 {
 		now += time.Duration(rng.IntN(200)) * time.Millisecond
