--- a/membership/failure.go
+++ b/membership/failure.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		watched[name] = true
-		if !v.watched[name] { // it has not sent its heartbeats here before
+		if !v.watched[name] { // newly watched: it sends its heartbeats here only from now on
 			r.heartbeatAt = now
 		}
 		if now-r.heartbeatAt > failureTimeout {
