--- a/dataplane/h1/h1_test.go
+++ b/dataplane/h1/h1_test.go
@@ -189,16 +189,16 @@
 		short   bool
 		done    bool
 	}{
-		"shorter than the limit":          {text, 5000, 8000, 5000, false, true},
-		"exactly the limit":               {text, 5000, 5000, 5000, false, true},
-		"longer than the limit":           {text, 5000, 4999, 4999, false, false},
-		"no body":                         {text, 0, 100, 0, false, true},
-		"truncated":                       {text[:4000], 5000, 8000, 4000, true, false},
-		"truncated before the first byte": {"", 5000, 8000, 0, true, false},
-		"chunked":                         {chunked, Chunked, 8000, 5000, false, true},
-		"chunked, longer than the limit":  {chunked, Chunked, 100, 100, false, false},
-		"chunked, truncated":              {chunked[:1000], Chunked, 8000, 994, true, false},
-		"until close":                     {text, UntilClose, 8000, 5000, false, true},
+		"whole":          {text, 5000, 8000, 5000, false, true},
+		"just whole":     {text, 5000, 5000, 5000, false, true},
+		"longer":         {text, 5000, 4999, 4999, false, false},
+		"none":           {text, 0, 100, 0, false, true},
+		"cut":            {text[:4000], 5000, 8000, 4000, true, false},
+		"nothing came":   {"", 5000, 8000, 0, true, false},
+		"chunks":         {chunked, Chunked, 8000, 5000, false, true},
+		"chunks, longer": {chunked, Chunked, 100, 100, false, false},
+		"chunks, cut":    {chunked[:1000], Chunked, 8000, 994, true, false},
+		"till the end":   {text, UntilClose, 8000, 5000, false, true},
 	} {
 		b := NewBody(bufio.NewReader(strings.NewReader(c.in)), c.framing)
 		got, err := b.ReadUpTo(c.limit)
