--- a/process/bootstrap_seeds.go
+++ b/process/bootstrap_seeds.go
@@ -39,7 +39,7 @@
 		return
 	}
 	if verdict == newMember {
-		h.log.Warn("bootstrap is set on a machine that is not new to the system, starting as a new member")
+		h.log.Warn("bootstrap is set but the system has run before, starting as a new member")
 	}
 	if h.retryStartMember(ctx, verdict == initialVoter) {
 		h.bootstrapping.Store(false)
@@ -69,8 +69,8 @@
 	}
 }
 
-// retryStartMember starts the member and retries while the disk fails. It returns false if
-// the context ends first.
+// retryStartMember starts the member and retries while the disk fails. If the store turns out
+// to be corrupt, it starts a replacement instead. It returns false if the context ends first.
 func (h *memberHost) retryStartMember(ctx context.Context, initialVoter bool) bool {
 	err := h.startMember(initialVoter)
 	for err != nil {
@@ -117,9 +117,9 @@
 	return participated
 }
 
-// History tells a machine that bootstraps whether the member of this one may have taken part
-// in a term. It has not if this machine is bootstrapping itself or is configured without a
-// member. It may have if the machine stays out of the control plane or its member is being
+// History reports to a bootstrapping machine whether this machine's member may have taken part
+// in a term. It has not if this machine is itself bootstrapping or is configured without a
+// member. It may have if this machine stays out of the control plane or its member is being
 // replaced.
 func (h *memberHost) History(context.Context, *api.Empty) (*api.HistoryResponse, error) {
 	if h == nil {
--- a/process/bootstrap_test.go
+++ b/process/bootstrap_test.go
@@ -98,7 +98,7 @@
 
 // A seed that was stopped before it had started a member and restarts without bootstrap does not
 // prevent the first start of the others, because it has taken part in no term. It joins them as
-// a new member. If every new id counted as having taken part, no machine would start.
+// a new member. If having a new id alone counted as having taken part, no machine would start.
 func TestBootstrapWithASeedThatHasNoHistory(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t)
--- a/process/cluster_test.go
+++ b/process/cluster_test.go
@@ -129,7 +129,7 @@
 	}
 	r := c.hosts[2].client.Replace(c.t.Context(), &api.ReplaceRequest{Base: base, Config: conf})
 	if r.Status != http.StatusOK {
-		c.t.Fatalf("%d: %+v", revision, r)
+		c.t.Fatalf("replacing the configuration by revision %d: %+v", revision, r)
 	}
 	return conf
 }
--- a/process/discovery.go
+++ b/process/discovery.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// Intervals at which the leader requests the platform's server list: normally, during
+	// Intervals at which the leader requests the cloud platform's server list: normally, during
 	// changingPeriod after a change, and when a server in use was missing from the last list.
 	leaderInterval   = 2 * time.Second
 	changingInterval = time.Second
 	missingInterval  = 500 * time.Millisecond
 	changingPeriod   = 6 * time.Second
 
-	// A limiter that has had no lease for controlPlaneTimeout requests the list itself, at
-	// most once every limiterInterval.
+	// A limiter (a process with the data plane) that has had no lease for controlPlaneTimeout
+	// requests the list itself, at most once every limiterInterval.
 	controlPlaneTimeout = 8 * time.Second
 	limiterInterval     = 5 * time.Second
 
 	// checkInterval is the interval between checks whether a request is due.
-	// newLeaderInterval is used while a member has made no request yet, because the system
-	// waits for the first list of a new leader.
+	// newLeaderInterval is used instead while the member in this process has made no request
+	// since it last became or ceased to be leader, because the system waits for the first list
+	// of a new leader.
 	checkInterval     = 250 * time.Millisecond
 	newLeaderInterval = checkInterval / 8
 	// rateLimitedPause is the pause after a request that the platform rejected because of its
--- a/process/discovery_test.go
+++ b/process/discovery_test.go
@@ -30,7 +30,7 @@
 		"a new leader": {
 			discoverySchedule{leading: true, sinceRequest: 100 * time.Millisecond, ratePerS: 50}, true,
 		},
-		"a leader soon after": {
+		"a leader soon after a request": {
 			leaderWith(func(s *discoverySchedule) { s.sinceRequest = leaderInterval / 2 }), false,
 		},
 		"a leader after its interval": {
@@ -49,7 +49,7 @@
 		"a limiter with a lease": {
 			limiterWith(func(s *discoverySchedule) { s.sinceLease = time.Second }), false,
 		},
-		"a limiter without one": {
+		"a limiter without a lease": {
 			limiterWith(func(s *discoverySchedule) { s.sinceLease, s.pages = controlPlaneTimeout+1, 1 }), true,
 		},
 		"a limiter soon after a request": {
--- a/process/gauges.go
+++ b/process/gauges.go
@@ -6,8 +6,8 @@
 )
 
 // registerGauges registers gauges for the state of the Raft member, which are 0 if there is
-// none, and for the age of the last lease. The functions are called on each scrape, which can
-// happen only after Run has started.
+// none, and for the age of the last lease. The gauges' functions use fields that open sets
+// later: they are called only on a scrape, which can happen only after Run has started.
 func (p *Process) registerGauges() {
 	memberGauge := func(name string, value func(controlplane.CoreStatus) float64) {
 		p.meter.Gauge(name, func() float64 {
--- a/process/local_call_test.go
+++ b/process/local_call_test.go
@@ -15,12 +15,12 @@
 func TestStalledMemberDelaysNoCaller(t *testing.T) {
 	t.Parallel()
 	var busy atomic.Bool
-	stalled, entered, calls := make(chan struct{}), make(chan struct{}, 8), atomic.Int32{}
+	recovered, entered, calls := make(chan struct{}), make(chan struct{}, 8), atomic.Int32{}
 	// The member ignores the context, like one that waits for a mutex.
 	member := func(context.Context, *api.WatchRequest) (*api.WatchResponse, error) {
 		calls.Add(1)
 		entered <- struct{}{}
-		<-stalled
+		<-recovered
 		return &api.WatchResponse{Lease: true}, nil
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -39,14 +39,14 @@
 	if n := calls.Load(); n != 1 {
 		t.Errorf("%d concurrent calls, want 1", n)
 	}
-	close(stalled)
+	close(recovered)
 	for {
-		n, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, member)
+		response, err := callLocal(t.Context(), &busy, &api.WatchRequest{}, member)
 		if errors.Is(err, errLocalBusy) {
 			continue // the first call is about to end
 		}
-		if err != nil || !n.Lease {
-			t.Fatalf("after the disk has recovered: %+v, %v", n, err)
+		if err != nil || !response.Lease {
+			t.Fatalf("after the disk has recovered: %+v, %v", response, err)
 		}
 		return
 	}
--- a/process/member_host.go
+++ b/process/member_host.go
@@ -74,15 +74,15 @@
 //
 // A corrupt store may have lost a vote or an acknowledgement, so its identity is not reused: a
 // new member is started, never as an initial voter. A store in a newer format is left
-// unchanged and no member is started: after a rollback of the whole control plane, replacing
-// the stores would lose everything that is committed.
+// unchanged and no member is started: after a rollback to an older program on all machines of
+// the control plane, replacing the stores would lose everything that is committed.
 func (h *memberHost) open(bootstrap bool) error {
 	err := h.openStore(storage.Open, bootstrap)
 	switch {
 	case errors.Is(err, storage.ErrNewerFormat):
 		reason := err.Error()
 		h.exclusion.Store(&reason)
-		h.log.Error("store has a newer format, member stays out", "dir", h.dir, "error", err)
+		h.log.Error("store has a newer format, no member is started", "dir", h.dir, "error", err)
 		return h.close()
 	case errors.Is(err, storage.ErrCorrupt):
 		h.log.Error("store is corrupt, starting as a new member", "dir", h.dir, "error", err)
--- a/process/member_host_test.go
+++ b/process/member_host_test.go
@@ -111,7 +111,7 @@
 func (s *corruptibleStore) Save(r raft.Ready) error {
 	select {
 	case <-s.lost:
-		return fmt.Errorf("opening it again: %w", storage.ErrCorrupt)
+		return fmt.Errorf("opening the store again: %w", storage.ErrCorrupt)
 	default:
 		return s.Store.Save(r)
 	}
@@ -119,7 +119,7 @@
 
 // A member whose store is found corrupt while the process runs is replaced by a new one without
 // a restart of the process. The new member has another id, is not a voter at first and fetches
-// everything committed from the others. It is the one that the next start of the process finds.
+// everything committed from the others. The next start of the process finds this new member.
 // Guards against a machine that has no active member until its process is restarted.
 func TestStoreLostWhileRunning(t *testing.T) {
 	t.Parallel()
--- a/process/operator_access.go
+++ b/process/operator_access.go
@@ -68,7 +68,7 @@
 	changed, err := a.registry.Reload()
 	switch {
 	case err != nil:
-		log.Warn("operators rejected, the old ones stay in force", "error", err)
+		log.Warn("operators file rejected, the old one stays in force", "error", err)
 	case changed:
 		log.Info("operators reloaded")
 	}
--- a/process/peers.go
+++ b/process/peers.go
@@ -13,13 +13,13 @@
 // goroutine in which [membership.Service] reports changes.
 type knownPeers struct {
 	limiters map[string]bool   // by name; includes leaving ones until they are dead
-	members  map[string]string // internal addresses of the control plane's machines by name
+	members  map[string]string // internal addresses of the control plane's live machines by name
 
 	limiterCount atomic.Int64 // number of limiters, at least 1 after the first change; safe for concurrent reads
 }
 
 // update records changed processes and reports whether the addresses of the control plane's
-// machines have changed.
+// live machines have changed.
 func (k *knownPeers) update(changed []api.Peer) (membersChanged bool) {
 	for _, peer := range changed {
 		if peer.Edge && peer.State != membership.Dead {
@@ -45,7 +45,7 @@
 	return membersChanged
 }
 
-// memberAddrs returns the addresses of the control plane's machines, sorted by name.
+// memberAddrs returns the addresses of the control plane's live machines, sorted by name.
 func (k *knownPeers) memberAddrs() []string {
 	var addrs []string
 	for _, name := range slices.Sorted(maps.Keys(k.members)) {
@@ -54,8 +54,8 @@
 	return addrs
 }
 
-// peersChanged passes changed processes on: the client uses the control plane's machines as
-// fallbacks, and the gateway keeps its own view of all processes.
+// peersChanged passes changed processes on: the client uses the control plane's live machines
+// as fallbacks, and the gateway keeps its own view of all processes.
 func (p *Process) peersChanged(changed []api.Peer) {
 	if p.known.update(changed) {
 		p.client.SetFallbacks(p.known.memberAddrs())
@@ -65,9 +65,9 @@
 	}
 }
 
-// knownMemberAddrs returns internal addresses at which a member that has not been added yet
+// joinAddrs returns internal addresses at which a member that has not been added yet
 // may find the control plane: those of known members, and the seeds in the current settings,
 // which may have changed since the start.
-func (p *Process) knownMemberAddrs() []string {
+func (p *Process) joinAddrs() []string {
 	return append(p.client.KnownMembers(), p.settings.Load().SeedAddrs()...)
 }
--- a/process/process.go
+++ b/process/process.go
@@ -3,8 +3,8 @@
 // plane if the settings make the machine one.
 //
 // [New] opens everything that the settings name, or fails with an error that names the
-// setting. [Process.Run] serves until its context ends and then shuts down in order. The
-// start-up and shutdown sequences give the reason for the order of their steps.
+// setting. [Process.Run] serves until its context ends and then shuts down in order. Comments
+// in Process.open and Process.Run explain the order of the steps.
 package process
 
 import (
@@ -31,7 +31,7 @@
 )
 
 const (
-	// minVoters tolerate the loss of one machine. Each further loss to tolerate, as set by
+	// minVoters voters tolerate the loss of one machine. Each further loss to tolerate, as set by
 	// fault_tolerance.machine_failures, needs two more voters.
 	minVoters = 3
 	// memberDir is the subdirectory of the data directory with the Raft member's store.
@@ -43,7 +43,7 @@
 
 // Options configures a process. SettingsPath, Tuning and Log are required.
 type Options struct {
-	SettingsPath string           // path of the node file
+	SettingsPath string           // path of the settings file
 	TuningPath   string           // path of the tuning file, read again for log.level; may be empty
 	Tuning       *settings.Tuning // contents of the tuning file at the start
 	Log          *slog.Logger
@@ -60,7 +60,7 @@
 	// seed of all random numbers, drawn anew at each start. Each goroutine has its own source.
 	seed     uint64
 	settings atomic.Pointer[settings.Node] // replaced by reloadSettings; the Node itself is immutable
-	reload   chan struct{}                 // requests to read the settings again
+	reload   chan struct{}                 // requests to read the settings and the other files again
 
 	ring  *keys.Keyring      // nil: no TLS between the system's processes
 	meter *telemetry.Metrics // nil: no metrics are kept
@@ -114,19 +114,19 @@
 	if err := p.openMetrics(); err != nil {
 		return err
 	}
-	// The member's store before the heartbeats, which announce whether this machine takes part
-	// in the control plane: that depends on the format of the store.
+	// The member's store before the membership service, which announces whether this machine
+	// takes part in the control plane: that depends on the format of the store.
 	if err := p.openMember(cfg); err != nil {
 		return err
 	}
-	// The gateway and the watcher before the heartbeats as well, which report every change of
-	// the peers to the gateway.
+	// The gateway before the watcher, which updates it, and before the membership service, which
+	// reports every change of the peers to it.
 	if err := p.openGateway(cfg); err != nil {
 		return err
 	}
 	p.newWatcher()
 	p.newPeers(cfg)
-	// The internal server after the member and the heartbeats, whose services it registers.
+	// The internal server after the member and the membership service: it registers both.
 	if err := p.openInternalServer(cfg); err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 			Conns:        p.conns,
 			Log:          p.log,
 			Seed:         p.seed,
-			KnownMembers: p.knownMemberAddrs,
+			KnownMembers: p.joinAddrs,
 		},
 	}
 	return p.member.open(cfg.Bootstrap)
--- a/process/run.go
+++ b/process/run.go
@@ -14,7 +14,8 @@
 	// leaveTimeout limits how long a process that is shutting down waits until its member's
 	// vote is handed over. The process is killed 6 s after the signal to end.
 	leaveTimeout = 4 * time.Second
-	// shutdownLinger is how long calls from others may continue during the shutdown.
+	// shutdownLinger is how long calls from other processes and operators may continue during the
+	// shutdown.
 	shutdownLinger = 100 * time.Millisecond
 )
 
@@ -40,7 +41,7 @@
 
 	// 2. Operators' calls end before the member that answers them stops.
 	p.finishControlCalls(background)
-	// 3. The member, the heartbeats, the watches and the reloads stop.
+	// 3. The member, the membership service, the watches and the reloads stop.
 	stopBackground()
 	// 4. From here on no calls to or from other processes are possible.
 	p.internalServer.Stop()
@@ -94,7 +95,7 @@
 
 // serveTraffic serves clients until the context has ended and their requests are finished. A
 // process without the data plane waits shutdownLinger after the context has ended, so that
-// calls from others can finish.
+// calls from other processes and operators can finish.
 func (p *Process) serveTraffic(ctx context.Context) {
 	if p.gateway != nil {
 		p.gateway.Run(ctx)
--- a/process/watch.go
+++ b/process/watch.go
@@ -93,9 +93,9 @@
 // watchCall holds the request of one watch and how it is made.
 type watchCall struct {
 	request *api.WatchRequest
-	// leaseStart is the time from which a granted lease is counted. It is no later than when
-	// the request is sent, so that the lease expires here before it expires at the member that
-	// granted it.
+	// leaseStart is the time from which a granted lease is counted, on the gateway's clock (see
+	// [dataplane.Gateway.Uptime]). It is no later than when the request is sent, so that the
+	// lease expires here before it expires at the member that granted it.
 	leaseStart time.Duration
 	urgent     bool // an immediate answer is needed
 	timeout    time.Duration
--- a/process/watch_test.go
+++ b/process/watch_test.go
@@ -22,7 +22,7 @@
 func TestUnresponsiveMemberIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := slog.New(slog.DiscardHandler)
-		dial := func(context.Context, string) (net.Conn, error) { // stays open without an answer
+		dial := func(context.Context, string) (net.Conn, error) { // the connection stays open but nothing answers
 			local, remote := net.Pipe()
 			go func() { _, _ = io.Copy(io.Discard, remote) }() // returns when the connection is closed
 			return local, nil
