--- a/process/process_test.go
+++ b/process/process_test.go
@@ -32,7 +32,7 @@
 	p, stop := m.start()
 	m.replaceConfig("0", conf)
 	if got := m.get(); string(got) != "yes" {
-		t.Errorf("response body %q, want yes", got)
+		t.Errorf("%q", got)
 	}
 	m.callUntilOK("GET", "http://"+m.ready+"/v1/readiness", nil, nil)
 	if err := os.WriteFile(m.path(), []byte("ip = 3"), 0o600); err != nil {
