--- a/dataplane/clientconn_test.go
+++ b/dataplane/clientconn_test.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// Many concurrent clients, some of which reset or half-close their connection early, send requests to servers with
+// Concurrent clients, some of which reset or half-close their connection early, send requests to servers with
 // randomly chosen behaviors. Each response belongs to its own request, a non-idempotent request runs at most once, and
 // a rejected request has not run. A client that has half-closed its connection counts as disconnected: it may get no
 // response, but its connection is closed within the time budget of its requests.
@@ -265,12 +265,12 @@
 type conversation struct {
 	*harness
 	client     *client
-	name       string
+	name       string // prefix of the request ids
 	rng        *rand.Rand
-	report     func(format string, args ...any)
-	ids        []string
-	truncates  bool // a response may be truncated
-	halfClosed bool // the client has closed its sending side
+	report     func(format string, args ...any) // harness.report, safe for concurrent use
+	ids        []string                         // of the requests sent
+	truncates  bool                             // a response may be truncated
+	halfClosed bool                             // the client has closed its sending side
 }
 
 const conversationBudget = 300 * time.Millisecond
@@ -328,7 +328,7 @@
 	}
 }
 
-// request chooses at random how servers behave on the next request, and returns the text of the request.
+// request returns the text of the next request. It chooses at random how servers respond to it.
 func (v *conversation) request(i int) string {
 	sc := &script{}
 	for k := range sc.behaviors {
--- a/dataplane/disconnect_test.go
+++ b/dataplane/disconnect_test.go
@@ -22,8 +22,8 @@
 // warmTarget is answered within 1 ms, so that the gateway's latency estimate is low and it hedges slower requests.
 const warmTarget = "/get/warm"
 
-// hangingServers are servers that never complete a response: each holds its requests until the gateway closes the
-// connection.
+// hangingServers are servers that never complete a response, except to requests for warmTarget: each holds its other
+// requests until the gateway closes the connection.
 type hangingServers struct {
 	arrived         atomic.Int64 // requests received by any of them
 	held            atomic.Int64 // requests that are still held
@@ -61,14 +61,14 @@
 	name            string
 	partialResponse string // what the server has sent of the response when the client disconnects
 	send            func(c *client)
-	held            int64 // requests held by servers when the client disconnects
-	prepare         func(t testing.TB, g *Gateway, c *client)
-	disconnect      func(c *client)
+	held            int64                                     // requests held by servers when the client disconnects
+	prepare         func(t testing.TB, g *Gateway, c *client) // called once the requests are held; may be nil
+	disconnect      func(c *client)                           // nil: the client closes its connection
 }
 
 // disconnectCases are the cases for idempotent requests.
 var disconnectCases = []disconnectCase{
-	{name: "kept connection", send: func(c *client) { c.send("GET /get/", "", "") }, held: 1},
+	{name: "kept-alive connection", send: func(c *client) { c.send("GET /get/", "", "") }, held: 1},
 	{name: "request that closes the connection", held: 1, send: func(c *client) {
 		c.send("GET /get/", "Connection: close\r\n", "")
 	}},
@@ -111,7 +111,7 @@
 
 // An idempotent request is cancelled at its server as soon as its client disconnects, in whatever state the request
 // is.
-func TestRepeatableWorkEndsWhenItsClientLeaves(t *testing.T) {
+func TestIdempotentRequestIsCancelledWhenItsClientDisconnects(t *testing.T) {
 	t.Parallel()
 	for _, k := range disconnectCases {
 		t.Run(k.name, func(t *testing.T) {
@@ -147,9 +147,10 @@
 	t.Parallel()
 	for name, k := range map[string]struct {
 		send     func(c, other *client)
-		arrivals int64 // requests that reach servers in total
-		inFlight int64 // in flight shortly after: a non-idempotent request at its server, or the other client's
+		arrivals int64 // requests of the disconnected client that reach a server
+		inFlight int64 // requests of both clients in flight shortly after the disconnection
 	}{
+		// The server is still processing the non-idempotent request when its client disconnects.
 		"retry": {arrivals: 1, inFlight: 1, send: func(c, _ *client) {
 			c.send("POST /once/", "Content-Length: 4\r\n", "body")
 		}},
@@ -157,6 +158,7 @@
 			c.send("GET /get/", "", "")
 			c.send("POST /once/", "Content-Length: 4\r\n", "body")
 		}},
+		// The other client's download uses all of the link's bandwidth.
 		"link": {arrivals: 0, inFlight: 1, send: func(c, other *client) {
 			writef(other, "GET /bulk/ HTTP/1.1\r\nHost: h\r\nAttempt-Id: other\r\nAuthorization: Token k\r\n\r\n")
 			time.Sleep(disconnectBound / 10)
@@ -187,7 +189,7 @@
 				}
 				time.Sleep(10 * disconnectBound)
 				if n := arrived.Load(); n != k.arrivals {
-					t.Errorf("%d requests reached servers, want %d", n, k.arrivals)
+					t.Errorf("%d requests of the disconnected client reached a server, want %d", n, k.arrivals)
 				}
 			})
 		})
@@ -196,7 +198,7 @@
 
 // A non-idempotent request is not cancelled once a server has received it, because it would be unknown whether it ran.
 // A client that has only closed its sending side still gets the response.
-func TestNonIdempotentWorkIsNotBrokenOff(t *testing.T) {
+func TestNonIdempotentRequestIsNotCancelled(t *testing.T) {
 	t.Parallel()
 	for name, disconnect := range map[string]func(net.Conn){
 		"closed":      func(c net.Conn) { closeConn(c) },
--- a/dataplane/drain_test.go
+++ b/dataplane/drain_test.go
@@ -10,19 +10,20 @@
 )
 
 // A request that is sent while the gateway still accepts connections after SIGTERM is answered, even if its server
-// responds only just before the last sixth of the grace period.
+// responds only just before the route's timeout of 3 s, or just before the last sixth of the grace period if that comes
+// first.
 func TestDrainAnswersUntilTheLastSixthOfTheGracePeriod(t *testing.T) {
 	t.Parallel()
 	const grace = 6 * time.Second
 	for name, sentAt := range map[string]time.Duration{
-		"kept connection": 0, "as late as connections are accepted": acceptAfterTerm - 50*time.Millisecond,
+		"kept-alive connection": 0, "as late as connections are accepted": acceptAfterTerm - 50*time.Millisecond,
 	} {
 		t.Run(name, func(t *testing.T) {
 			inFakeTime(t, func(t testing.TB) {
-				begun := time.Now()
+				start := time.Now()
 				b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
 					if h.Target != warmTarget {
-						time.Sleep(time.Until(begun.Add(min(sentAt+2900*time.Millisecond, grace*5/6-time.Millisecond))))
+						time.Sleep(time.Until(start.Add(min(sentAt+2900*time.Millisecond, grace*5/6-time.Millisecond))))
 					}
 					return respondOK("yes")(w, h, body)
 				})
@@ -31,7 +32,7 @@
 				c := dial(t, g)
 				c.send("GET "+warmTarget, "", "")
 				c.expect(200, "yes")
-				begun = time.Now()
+				start = time.Now()
 				go g.listener.drain(grace)
 				time.Sleep(sentAt)
 				if sentAt > 0 {
--- a/dataplane/fixtures_test.go
+++ b/dataplane/fixtures_test.go
@@ -30,8 +30,8 @@
 	lastRequest atomic.Pointer[h1.Head]
 }
 
-// newBackend starts a server that calls answer for each request. It closes the connection if answer returns false.
-func newBackend(t testing.TB, answer func(w io.Writer, h *h1.Head, body []byte) bool) *backend {
+// newBackend starts a server that calls handler for each request. It closes the connection if handler returns false.
+func newBackend(t testing.TB, handler func(w io.Writer, h *h1.Head, body []byte) bool) *backend {
 	l := listenOn(t)
 	b := &backend{addr: l.Addr().String()}
 	go func() {
@@ -51,7 +51,7 @@
 					}
 					b.requests.Add(1)
 					b.lastRequest.Store(h)
-					if !answer(c, h, body) {
+					if !handler(c, h, body) {
 						return
 					}
 				}
@@ -102,7 +102,7 @@
 		limits.HeaderTimeoutMs, limits.IdleTimeoutMs = inMs(hangTimeout), inMs(2*hangTimeout)
 		node.Timing.RevokeMs *= 1000
 	}
-	node.InternalPorts = []int{0, 9}
+	node.InternalPorts = []int{0, 9} // uses the first, as it serves control; 0: any free port
 	options := Options{
 		Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: upstream, Link: settings.DefaultTuning().Link,
 		Metrics: telemetry.New(),
--- a/dataplane/gateway_test.go
+++ b/dataplane/gateway_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if left, err := strconv.Atoi(h.Get("Time-Budget-Ms")); err != nil || left > 900 || h.Target != "/get/x?q=1" {
-		t.Errorf("server got a time budget of %d ms, %v, and target %s", left, err, h.Target)
+		t.Errorf("server got a time budget of %d ms (error %v) and target %s", left, err, h.Target)
 	}
 }
 
@@ -258,13 +258,13 @@
 	}
 }
 
-// On SIGTERM the limiter reports that it is not ready at once, but still accepts requests and answers those in flight.
-// Each response has Connection: close.
+// While the gateway drains, it reports that it is not ready, but still accepts requests and answers those in flight.
+// The responses to requests that were in flight have Connection: close.
 func TestDrainAnswersWhatIsInFlight(t *testing.T) {
 	t.Parallel()
-	release, at := make(chan struct{}), make(chan struct{}, 4)
+	release, arrived := make(chan struct{}), make(chan struct{}, 4)
 	b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
-		at <- struct{}{}
+		arrived <- struct{}{}
 		<-release
 		return respondOK("yes")(w, h, body)
 	})
@@ -272,7 +272,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	c := dial(t, g)
 	c.send("GET /get/", "", "")
-	<-at
+	<-arrived
 	go func() { <-ctx.Done(); g.readiness.draining.Store(true); close(release) }()
 	stop()
 	if h := c.expect(200, "yes"); !h.ClosesConnection() {
@@ -286,8 +286,8 @@
 	c.expect(200, "yes")
 }
 
-// newIdleGateway returns a gateway whose sockets are open but which does not run. unknownPeer is called with the
-// address of the sender of each message.
+// newIdleGateway returns a gateway whose sockets are open but which does not run. It knows no peers, so it calls
+// unknownPeer with the sender's address for each gossip message that it receives.
 func newIdleGateway(t *testing.T, unknownPeer func(addr string)) *Gateway {
 	t.Helper()
 	node := testNode("a")
@@ -330,13 +330,13 @@
 	}
 }
 
-// If the gossip loop is late, for example after the process was suspended, a request receives the pending gossip
-// before it is charged to a quota. It does not while the loop is on time.
+// If the gossip loop is late, for example after the process was suspended, pending gossip messages are received before
+// a request is charged to a quota. While the loop is on time or not running, they stay pending.
 func TestLateGossipIsTakenInBeforeARequestIsAdmitted(t *testing.T) {
 	received := 0
 	g := newIdleGateway(t, func(string) { received++ })
-	const runFor = time.Hour
-	g.guarded.clock = clock{time.Now().Add(-runFor)}
+	const uptime = time.Hour
+	g.guarded.clock = clock{time.Now().Add(-uptime)}
 	g.gossip.receiver = newGossipReceiver(&g.gossip)
 	w := gossip.Message{From: 7, Incarnation: 1}
 	if err := g.gossip.socket.Send(w.Append(nil), g.gossip.socket.Addr()); err != nil {
@@ -344,12 +344,12 @@
 	}
 	for _, c := range []struct {
 		name       string
-		receivedAt time.Duration // when the loop last received messages; 0 if it doesn't run
+		receivedAt time.Duration // when the loop last received messages, since the start; 0 if it doesn't run
 		want       int
 	}{
 		{"the loop doesn't run", 0, 0},
-		{"on time", 2 * runFor, 0},
-		{"late", runFor / 2, 1},
+		{"on time", 2 * uptime, 0}, // in the future, so that a slow machine does not make the loop late
+		{"late", uptime / 2, 1},
 	} {
 		g.gossip.receivedAt.Store(int64(c.receivedAt))
 		if g.gossip.receiveIfOverdue(); received != c.want {
@@ -359,7 +359,7 @@
 }
 
 // When one of 300 limiters restarts, even at another address, only its own entry is updated: there are no
-// allocations, and the limiter's groups stay. Groups are rebuilt when a limiter joins, leaves or changes its zone.
+// allocations, and the replica groups stay. They are formed again when a limiter joins, leaves or changes its zone.
 func TestRestartedPeerIsTheSamePeer(t *testing.T) {
 	g := newGateway(t)
 	var all []api.Peer
@@ -370,7 +370,7 @@
 		})
 	}
 	g.ApplyPeers(all)
-	regroups := func() (n, others int) {
+	regroups := func() (n, peerCount int) {
 		g.guarded.mu.Lock()
 		defer g.guarded.mu.Unlock()
 		return g.peers.regroups, g.guarded.limiter.PeerCount()
@@ -382,8 +382,8 @@
 	}
 	restarted[0].State = membership.Leaving
 	g.ApplyPeers(restarted)
-	if n, others := regroups(); n != 1 || others != 300 {
-		t.Errorf("%d regroups with %d peers, want 1 with 300", n, others)
+	if n, peerCount := regroups(); n != 1 || peerCount != 300 {
+		t.Errorf("%d regroups with %d peers, want 1 with 300", n, peerCount)
 	}
 	g.guarded.mu.Lock()
 	if at := g.peers.byID[xxhash.Sum64String(restarted[0].Name)].addr.String(); at != restarted[0].Addr {
@@ -402,8 +402,8 @@
 		if restarted[0].State == membership.Dead || !restarted[0].Edge {
 			want--
 		}
-		if n, others := regroups(); n != 2+i || others != want {
-			t.Errorf("change %d: %d regroups with %d peers", i, n, others)
+		if n, peerCount := regroups(); n != 2+i || peerCount != want {
+			t.Errorf("change %d: %d regroups with %d peers", i, n, peerCount)
 		}
 	}
 }
--- a/dataplane/isolation_test.go
+++ b/dataplane/isolation_test.go
@@ -21,7 +21,7 @@
 	truncated     bool
 }
 
-// longFailure is longer than the gateway buffers.
+// longFailure is a body that is too long for the gateway to buffer.
 var longFailure = strings.Repeat("0123456789abcdef", 4000)
 
 var failureBodies = map[string]failureBody{
@@ -42,7 +42,7 @@
 // A truncated error response is not forwarded as if it were complete, and no byte of the next response is taken for
 // the rest of it: the client's next response starts at its first byte. A complete error response of any length is
 // forwarded completely.
-func TestTruncatedFailureIsNotPassedOnAsWhole(t *testing.T) {
+func TestTruncatedErrorResponseIsNotForwardedAsComplete(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
 		for _, status := range []string{"500 x", "404 x", "504 x", "501 x"} {
@@ -53,7 +53,7 @@
 	})
 }
 
-// test sends a request that fails with the body, with another request pipelined after it.
+// test sends a request that gets an error response with this body, and pipelines another request after it.
 func (c *failureBody) test(t testing.TB, name, status string) {
 	t.Helper()
 	b := newBackend(t, func(w io.Writer, h *h1.Head, body []byte) bool {
@@ -102,7 +102,7 @@
 
 // An attempt that is cancelled just after its response arrived does not close a connection that is already back in the
 // pool: its next user may have sent a non-idempotent request on it.
-func TestCancellationClosesNoConnectionOfAnother(t *testing.T) {
+func TestCancellationClosesNoConnectionInThePool(t *testing.T) {
 	t.Parallel()
 	g := newGateway(t, newBackend(t, respondOK("own")))
 	host := g.forwarder.pool.Host("i-0")
@@ -263,8 +263,9 @@
 	})
 }
 
-// End-to-end fields are forwarded even if the client or server lists them in Connection (RFC 9110, 7.6.1): without
-// Host or id, a request would be a different one, and without id or seal, a response could not be attributed.
+// End-to-end fields are forwarded even if the client or server lists them in Connection (RFC 9110, 7.6.1): without Host
+// or Attempt-Id, the server would get a different request, and without Attempt-Id or Server-Seal, a response could not
+// be attributed to its request and server.
 func TestEndToEndFieldsArePassedOn(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
@@ -285,8 +286,8 @@
 	})
 }
 
-// A response that arrives before the server has read the whole body is used: only a statement that the request did not
-// run allows a non-idempotent request to be retried.
+// A response that the server sends before it has read the whole body is used, even if sending the rest of the body
+// fails: only its Not-Executed field allows a non-idempotent request to be retried.
 func TestResponseBeforeTheWholeBodyCounts(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/dataplane/memoryconn_test.go
+++ b/dataplane/memoryconn_test.go
@@ -18,7 +18,8 @@
 	SetLinger(sec int) error
 }
 
-// endBehaviors are actions on the ends of a connection, and the error that results at the near end.
+// endBehaviors are actions on the ends of a connection, and the error that results at the near end. The keys say what
+// the far end does, or what is done locally, which means at the near end.
 var endBehaviors = map[string]struct {
 	do   func(near, far connEnd) error
 	want error
@@ -72,7 +73,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}, nil},
-	"gets a write after CloseWrite": {func(near, _ connEnd) error {
+	"is written to locally after CloseWrite": {func(near, _ connEnd) error {
 		closeWrite(near)
 		_, err := io.WriteString(near, "x")
 		return err
--- a/dataplane/memorynet_test.go
+++ b/dataplane/memorynet_test.go
@@ -180,7 +180,8 @@
 	return a, b
 }
 
-// waitForChange waits for a change, or until a deadline unless it is zero. The mutex must be held.
+// waitForChange waits until the state of either end changes, or until a deadline unless it is zero. The mutex must be
+// held.
 func (c *memConn) waitForChange(until time.Time) {
 	if !until.IsZero() {
 		t := time.AfterFunc(time.Until(until), func() {
--- a/dataplane/model_test.go
+++ b/dataplane/model_test.go
@@ -216,10 +216,10 @@
 			return attempt.Classification{Result: balance.NotSent}, e.Response == attempt.NoResponse
 		}), "once", "ran 2 times"},
 		"a bare 503 is forwarded": {classify(func(e attempt.Evidence) (attempt.Classification, bool) {
-			passedOn := attempt.Classification{
+			forwarded := attempt.Classification{
 				Result: balance.Failure, MayHaveRun: true, Response: attempt.ServerResponse,
 			}
-			return passedOn, e.Status == 503 && !e.NotExecuted && e.Response == attempt.Complete
+			return forwarded, e.Status == 503 && !e.NotExecuted && e.Response == attempt.Complete
 		}), "once", "got status 503, but it ran"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -233,8 +233,8 @@
 	}
 }
 
-// After a hedged request, the response of the slower server reaches no client: its connection is closed by then, and
-// later requests get their own responses.
+// After a hedged request, the response of the slower server reaches no client: the gateway closes that server's
+// connection, and later requests get their own responses.
 func TestLateResponseOfTheSlowerAttemptIsDropped(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
--- a/dataplane/scriptedserver_test.go
+++ b/dataplane/scriptedserver_test.go
@@ -20,6 +20,7 @@
 	prev string // id of the previous request on the connection, or an unknown id
 }
 
+// reset resets the connection. Like waitForClose, it returns false, so that it can end a behavior's do function.
 func (a *scriptedRequest) reset() bool {
 	resetOnClose(a.Conn)
 	return false
--- a/dataplane/snapshot_test.go
+++ b/dataplane/snapshot_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-// mutateConfig turns a configuration into its next revision with a random change.
+// mutateConfig makes a random change to a configuration and increases its revision.
 func mutateConfig(conf *api.Config, rng *rand.Rand) {
 	conf.Revision += 1 + rng.Uint64N(3)
 	switch rng.IntN(4) {
@@ -115,7 +115,7 @@
 }
 
 // A server that this limiter has seen draining stays out of service, even if a new leader with an older server list
-// or the limiter's own query of the cloud API reports it in service.
+// or the limiter's own query of the cloud API reports it in service. Once removed, it is not added again.
 func TestDrainingStaysDraining(t *testing.T) {
 	g := newGateway(t)
 	list := []api.Server{{ID: "a", Upstream: "s", Addr: "127.0.0.1:1", Zone: "z", Capacity: 1, State: api.InService},
@@ -144,7 +144,7 @@
 	applyServers(t, g, &second, 1<<32+1, list[1:])
 	applyServers(t, g, &second, 1<<32+2, list)
 	if got := seen(); got != "b:in_service " {
-		t.Errorf("after the server had been removed: %s", got)
+		t.Errorf("after the removed server was listed again: %s", got)
 	}
 }
 
--- a/dataplane/stage_test.go
+++ b/dataplane/stage_test.go
@@ -28,13 +28,13 @@
 type harness struct {
 	t                testing.TB
 	g                *Gateway
-	scripts          sync.Map // by id
+	scripts          sync.Map // by request id
 	deadlineExceeded sync.Map // ids of requests whose deadline passed during a long response
 	table            versioned.Table
 	servers          []*backend
-	n                int
-	c                *client
-	violation        string // the first violation of an invariant
+	n                int     // requests sent by request
+	c                *client // nil: the next request opens a connection
+	violation        string  // the first violation of an invariant
 }
 
 // serve handles a connection to a server according to the scripts of its requests.
@@ -157,7 +157,7 @@
 	id := fmt.Sprintf("%s-%d", kind, s.n)
 	sc = &script{behaviors: [2]*behavior{first, second}}
 	s.scripts.Store(id, sc)
-	s.saveRetries()
+	s.fillRetryBudget()
 	if s.c == nil {
 		s.c = dial(s.t, s.g)
 	}
@@ -181,7 +181,7 @@
 	if err == nil {
 		got, err = io.ReadAll(h1.NewBody(s.c.in, framing))
 	}
-	if _, up := s.deadlineExceeded.Load(id); err != nil && !first.truncates && !second.truncates && !up {
+	if _, late := s.deadlineExceeded.Load(id); err != nil && !first.truncates && !second.truncates && !late {
 		s.report("%s: response of status %d is truncated: %v", what, h.Status, err)
 	}
 	s.checkResponse(what, &receivedResponse{
@@ -193,8 +193,8 @@
 	return h.Status, sc
 }
 
-// saveRetries fills the gateway's retry budget.
-func (s *harness) saveRetries() {
+// fillRetryBudget fills the gateway's retry budget.
+func (s *harness) fillRetryBudget() {
 	s.g.guarded.mu.Lock()
 	defer s.g.guarded.mu.Unlock()
 	for range 8 {
@@ -217,8 +217,8 @@
 		r.method == "HEAD" && r.body == "" || r.head.Status == 204
 }
 
-// isServers reports whether the response comes from a server rather than from the gateway.
-func (r *receivedResponse) isServers() bool {
+// isFromServer reports whether the response comes from a server rather than from the gateway.
+func (r *receivedResponse) isFromServer() bool {
 	return r.head.Get("Server-Seal") != "" || r.head.Get("Failed") != ""
 }
 
@@ -240,7 +240,7 @@
 		s.report("%s: body has bytes of another response: %q", what, r.body)
 	case r.head.Status/100 == 2 && !r.isGenuineSuccess():
 		s.report("%s: success without a valid seal, or without a run: %+v", what, r.head)
-	case r.isServers() && !r.matches(own) && !r.matches(longResponseBody(r.id)):
+	case r.isFromServer() && !r.matches(own) && !r.matches(longResponseBody(r.id)):
 		s.report("%s: wrong body with status %d: %.60q", what, r.head.Status, r.body)
 	}
 }
@@ -256,7 +256,7 @@
 	s.c = nil
 }
 
-// checkRuns checks how often a request ran against its status, when no attempt of it is in flight.
+// checkRuns checks that a request ran no more often than its status and its kind allow. No attempt may be in flight.
 func (s *harness) checkRuns(what string, nonIdempotent bool, status int, sc *script) {
 	runs := sc.runs.Load()
 	switch {
--- a/dataplane/staleconn_test.go
+++ b/dataplane/staleconn_test.go
@@ -16,7 +16,7 @@
 func TestStaleConnectionsAreAvoided(t *testing.T) {
 	t.Parallel()
 	inFakeTime(t, func(t testing.TB) {
-		// Longer than the youngest age group of idle connections, so that the server drops the connection.
+		// In idle-age group 2 of connpool (50 to 100 ms), the group that the other limiter reports below.
 		const idleTime = 60 * time.Millisecond
 		l := listenOn(t)
 		var dropsIdle atomic.Bool
@@ -64,7 +64,7 @@
 		if status := post(); status != 502 {
 			t.Errorf("first request on a dropped connection got status %d, want 502", status)
 		}
-		g.forwarder.pool.RecordStale(2, 7)
+		g.forwarder.pool.RecordStale(2, 7) // as if reported by limiter 7
 		for range 6 {
 			if status := post(); status != 200 {
 				t.Errorf("later request got status %d, want 200", status)
--- a/dataplane/trafficsplit_test.go
+++ b/dataplane/trafficsplit_test.go
@@ -12,7 +12,7 @@
 	t.Parallel()
 	g := newGateway(t, newBackend(t, respondOK("yes")))
 	weights := map[string]float64{"a": 0.7, "b": 0.25, "c": 0.05, "none": 0}
-	r := &route{totalWeight: 0}
+	r := &route{totalWeight: 0} // the weights are relative: they sum to 40
 	for _, name := range []string{"none", "a", "b", "c"} {
 		r.TrafficSplit = append(r.TrafficSplit, api.WeightedUpstream{Upstream: name, Weight: 40 * weights[name]})
 		r.totalWeight += 40 * weights[name]
--- a/dataplane/unexpectedresponse_test.go
+++ b/dataplane/unexpectedresponse_test.go
@@ -26,32 +26,32 @@
 	status        int    // expected status of a non-idempotent request
 }
 
-// interferences returns the ways in which a server may send another response.
+// interferences returns the ways in which a server may send a response that does not belong to the request.
 func interferences() map[string]interference {
 	long := strings.Repeat(otherBody, 4000)
-	of := func(id string) string { return "Attempt-Id: " + id + "\r\n" }
-	other := otherResponse(of("x"), lengthField(len(otherBody)), otherBody)
-	chunked := otherResponse(of("x"), "Transfer-Encoding: chunked\r\n", "16\r\n"+otherBody+"\r\n0\r\n\r\n")
-	twoIDs := otherResponse(of("x")+of("a1"), lengthField(len(otherBody)), otherBody)
-	refusal := "HTTP/1.1 503 x\r\nNot-Executed: 1\r\n" + of("x") + "Content-Length: 0\r\n\r\n"
+	idField := func(id string) string { return "Attempt-Id: " + id + "\r\n" }
+	other := otherResponse(idField("x"), lengthField(len(otherBody)), otherBody)
+	chunked := otherResponse(idField("x"), "Transfer-Encoding: chunked\r\n", "16\r\n"+otherBody+"\r\n0\r\n\r\n")
+	twoIDs := otherResponse(idField("x")+idField("a1"), lengthField(len(otherBody)), otherBody)
+	refusal := "HTTP/1.1 503 x\r\nNot-Executed: 1\r\n" + idField("x") + "Content-Length: 0\r\n\r\n"
 	return map[string]interference{
-		"before own":            {before: other, status: 200},
-		"two before":            {before: strings.Repeat(other, 2), status: 200},
-		"in chunks":             {before: chunked, status: 200},
-		"long":                  {before: otherResponse(of("x"), lengthField(len(long)), long), status: 200},
-		"without an id":         {before: otherResponse("", lengthField(len(otherBody)), otherBody), status: 502},
-		"with two ids":          {before: twoIDs, status: 502},
-		"without an end":        {before: otherResponse(of("x"), "", otherBody), status: 502},
-		"more than the maximum": {before: strings.Repeat(other, attempt.MaxStrayResponses+1), status: 502},
-		"instead of own":        {before: other, closes: true, status: 502},
+		"before the response":     {before: other, status: 200},
+		"two before the response": {before: strings.Repeat(other, 2), status: 200},
+		"in chunks":               {before: chunked, status: 200},
+		"long":                    {before: otherResponse(idField("x"), lengthField(len(long)), long), status: 200},
+		"without an id":           {before: otherResponse("", lengthField(len(otherBody)), otherBody), status: 502},
+		"with two ids":            {before: twoIDs, status: 502},
+		"without an end":          {before: otherResponse(idField("x"), "", otherBody), status: 502},
+		"more than the maximum":   {before: strings.Repeat(other, attempt.MaxStrayResponses+1), status: 502},
+		"instead of the response": {before: other, closes: true, status: 502},
 		"truncated body": {
-			before: otherResponse(of("x"), lengthField(999), otherBody), closes: true, status: 502,
+			before: otherResponse(idField("x"), lengthField(999), otherBody), closes: true, status: 502,
 		},
-		"after own, one segment": {
-			after: otherResponse(of("a1"), lengthField(len(otherBody)), otherBody), status: 200,
+		"after the response, one segment": {
+			after: otherResponse(idField("a1"), lengthField(len(otherBody)), otherBody), status: 200,
 		},
-		"Not-Executed for another": {before: refusal, closes: true, status: 502},
-		"truncated head, own id":   {before: "HTTP/1.1 200 OK\r\n" + of("a1"), closes: true, status: 502},
+		"Not-Executed for another":          {before: refusal, closes: true, status: 502},
+		"truncated head, id of the request": {before: "HTTP/1.1 200 OK\r\n" + idField("a1"), closes: true, status: 502},
 	}
 }
 
