--- a/membership/antientropy.go
+++ b/membership/antientropy.go
@@ -10,12 +10,12 @@
 	"example.org/elmspan/api"
 )
 
-// An exchange reconciles two views that differ in at most two rounds. The first round carries
-// the recent changes of both sides, which is almost always sufficient. The response also has a
+// An exchange reconciles two different views, in at most two rounds. The first round carries
+// the recent changes of both sides, which is almost always sufficient. Its response also has a
 // digest of each of the 64 buckets of the view (processes are assigned to buckets by the hash
-// of their name). If the views still differ, the second round carries the buckets whose digests
-// differ, in both directions. The amount of data thus depends on the differences and not on
-// the number of processes.
+// of their name). If the views still differ, the second round carries the entries in the
+// buckets whose digests differ, in both directions. The amount of data thus depends on the
+// differences and not on the number of processes.
 
 const (
 	// recentPeriod is how long a change is piggybacked on every heartbeat.
--- a/membership/failure.go
+++ b/membership/failure.go
@@ -16,10 +16,10 @@
 	// statements that the process is alive. It must exceed the time for which such statements
 	// still circulate.
 	deadRetention = 60 * time.Second
-	// maxPause is the longest time between two calls of DetectFailures that is not taken for a
-	// pause of this process. After a pause all failure timeouts restart, as the heartbeats
-	// sent in the meantime have not been received.
-	maxPause = time.Second
+	// pauseThreshold is the time between two calls of DetectFailures above which this process
+	// is assumed to have been paused. After a pause all failure timeouts restart, as the
+	// heartbeats sent in the meantime have not been received.
+	pauseThreshold = time.Second
 )
 
 // RecordHeartbeat records the receipt of a heartbeat and merges the sender's statement about
@@ -34,7 +34,7 @@
 
 // DetectFailures declares the watched processes dead whose failure timeout has expired, and
 // returns their names in sorted order. It also removes the entries of processes that have been
-// dead for longer than the retention period. The host calls it before it sends its heartbeats.
+// dead for longer than the retention period. Call it before sending heartbeats.
 func (v *View) DetectFailures(now time.Duration) []string {
 	if v.wasPaused(now) {
 		for _, r := range v.peers {
@@ -53,9 +53,10 @@
 	return failed
 }
 
-// wasPaused reports whether more than maxPause has passed since the last call of DetectFailures.
+// wasPaused reports whether more than pauseThreshold has passed since the last call of
+// DetectFailures.
 func (v *View) wasPaused(now time.Duration) bool {
-	return v.checkedAt != 0 && now-v.checkedAt > maxPause
+	return v.checkedAt != 0 && now-v.checkedAt > pauseThreshold
 }
 
 // updateWatched updates the set of processes that this one watches, and returns those of them
--- a/membership/incarnation.go
+++ b/membership/incarnation.go
@@ -37,8 +37,9 @@
 	return changed
 }
 
-// refute overrides a false statement about this process, which is about another start or
-// declares it leaving or dead, by raising the incarnation. It reports whether it had to.
+// refute raises the incarnation of this process if p is a false statement about it that its own
+// statement does not override already. A statement is false if it is about another start of the
+// process or has a higher state than its own. It reports whether it raised the incarnation.
 func (v *View) refute(p api.Peer) bool {
 	if p.Incarnation < v.self.Incarnation {
 		return false
--- a/membership/service.go
+++ b/membership/service.go
@@ -102,9 +102,10 @@
 	return delay
 }
 
-// ExchangeWith starts an exchange with the process at an internal address. It is meant for the
-// sender of a message that is not a known peer: learning of it by gossip would take a second.
-// Calls within 100 ms of the last exchange that ExchangeWith started have no effect.
+// ExchangeWith starts an exchange with the process at an internal address. It is meant to be
+// called when a message arrives from an address that belongs to no known peer: learning of the
+// sender by gossip would take a second. Calls within 100 ms of the last exchange that
+// ExchangeWith started have no effect.
 func (s *Service) ExchangeWith(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/membership/service_test.go
+++ b/membership/service_test.go
@@ -65,8 +65,8 @@
 func (p *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "memory", Net: "unix"} }
 
 func testUnknownPeersExchange(t *testing.T) {
-	at := map[string]*pipeListener{"10.0.0.1:1": newPipeListener(), "10.0.0.2:1": newPipeListener()}
-	dial := func(ctx context.Context, addr string) (net.Conn, error) { return at[addr].dial(ctx) }
+	listeners := map[string]*pipeListener{"10.0.0.1:1": newPipeListener(), "10.0.0.2:1": newPipeListener()}
+	dial := func(ctx context.Context, addr string) (net.Conn, error) { return listeners[addr].dial(ctx) }
 	conns := api.NewConnPool(nil, grpc.WithContextDialer(dial))
 	defer conns.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,7 +77,7 @@
 		s := New(self, noSeeds, conns, 1, slog.New(slog.DiscardHandler), func([]api.Peer) {})
 		srv := api.NewServer(nil)
 		api.RegisterMembership(srv, s)
-		go func() { _ = srv.Serve(at[addr]) }() // returns when the server is stopped
+		go func() { _ = srv.Serve(listeners[addr]) }() // returns when the server is stopped
 		t.Cleanup(srv.Stop)
 		done.Go(func() { s.Run(ctx) })
 		return s
--- a/membership/view.go
+++ b/membership/view.go
@@ -21,10 +21,10 @@
 const maxPeers = 4096
 
 // View is the membership state of one process: its entries for itself and all known peers. It
-// does no I/O and reads no clock. The host passes in the time of a monotonic clock with an
+// does no I/O and reads no clock. The caller passes in the time of a monotonic clock with an
 // arbitrary origin. It is not safe for concurrent use.
 type View struct {
-	// ChangeCount is incremented on every change to the view, so that a host can tell whether
+	// ChangeCount is incremented on every change to the view, so that the caller can tell whether
 	// TakeChanges has anything to return.
 	ChangeCount uint64
 
@@ -42,7 +42,7 @@
 // peerRecord is the entry of another process.
 type peerRecord struct {
 	api.Peer
-	heartbeatAt time.Duration // when the failure timeout last restarted: on a heartbeat, or when watching began
+	heartbeatAt time.Duration // when the failure timeout last restarted, e.g. on a heartbeat or when watching began
 	deadAt      time.Duration // when this view learned that the process is dead
 }
 
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -10,7 +10,8 @@
 )
 
 // All processes know each other after a few heartbeats, whatever the size of the fleet. The
-// number of heartbeats per process does not grow with the fleet: it is the same for 16 and 300.
+// number of heartbeats that a process sends per round does not grow with the fleet: it is at
+// most maxWatchers for 16 processes and for 300.
 func TestJoinsSpreadInFewHeartbeats(t *testing.T) {
 	for _, n := range []int{2, 11, 16, 300} {
 		f, rounds, maxHeartbeats := newFleet(n), 0, 0
@@ -55,7 +56,7 @@
 		f.round()
 	}
 	if rounds < 5 {
-		t.Errorf("declared dead after %d rounds", rounds)
+		t.Errorf("declared dead after only %d rounds", rounds)
 	}
 	restarted := testPeer(5)
 	restarted.StartID = 77
@@ -67,11 +68,11 @@
 		f.round()
 	}
 	if p, _ := f.views["n0"].Peer("n5"); p.State != Alive || p.StartID != 77 {
-		t.Errorf("%+v", p)
+		t.Errorf("entry after the restart: %+v", p)
 	}
 }
 
-// All views remove the entry of a process after the retention period, though not at the same
+// All views remove the entry of a dead process after the retention period, though not at the same
 // time.
 func TestDeadPeersAreForgotten(t *testing.T) {
 	f := newFleet(8)
@@ -143,8 +144,8 @@
 			t.Fatalf("copy has %v, view has %v", have, p)
 		}
 	}
-	if alive := len(v.ring); alive != len(c) {
-		t.Fatalf("%d processes in the copy, %d in the view", len(c), alive)
+	if onRing := len(v.ring); onRing != len(c) {
+		t.Fatalf("%d processes in the copy, %d on the ring of the view", len(c), onRing)
 	}
 }
 
--- a/versioned/golden_test.go
+++ b/versioned/golden_test.go
@@ -41,7 +41,7 @@
 					t.Fatal(err)
 				}
 				if compressed := data[0] == 1; compressed != (extra > 0) {
-					t.Fatalf("first byte %d", data[0])
+					t.Fatalf("first byte is %d; want 1 only for the compressed deltas", data[0])
 				}
 				r, err := OpenDelta(data)
 				if err != nil {
@@ -55,13 +55,13 @@
 					t.Fatal(err)
 				}
 				if !maps.EqualFunc(rows, second, bytes.Equal) {
-					t.Errorf("%d rows, want %d", len(rows), len(second))
+					t.Errorf("rows differ after applying the delta: %d rows, want %d", len(rows), len(second))
 				}
 				var table Table
 				table.Replace(from, first)
 				table.Replace(to, rows)
 				if b, err := table.DeltaSince(since); err != nil || !bytes.Equal(b.Data, data) {
-					t.Errorf("%d bytes (%v), want %d", len(b.Data), err, len(data))
+					t.Errorf("encoded delta differs: %d bytes (%v), want %d", len(b.Data), err, len(data))
 				}
 			})
 		}
@@ -71,6 +71,6 @@
 // Row checksums enter the checksum in the delta header, so they are part of the wire format.
 func TestGoldenRowChecksum(t *testing.T) {
 	if got, want := RowChecksum("key", []byte("value")), uint64(0x710243b4fb44bb7f); got != want {
-		t.Errorf("%#x, want %#x", got, want)
+		t.Errorf("row checksum is %#x, want %#x", got, want)
 	}
 }
--- a/versioned/table.go
+++ b/versioned/table.go
@@ -15,8 +15,9 @@
 )
 
 // MaxCachedBytes is the limit on the total size of the cached deltas to the newest version,
-// and likewise on that of the cached deltas to earlier versions. The latest delta to the newest
-// version is cached whatever its size.
+// and likewise on that of the cached deltas to earlier versions. A new delta to the newest
+// version is cached whatever its size and evicts at most one other, so the total size of these
+// can exceed the limit.
 const MaxCachedBytes = 4 << 20
 
 // Table is the newest version of a table with its recent change history. The zero value is an
@@ -108,9 +109,9 @@
 	return n
 }
 
-// DeltaSince returns the delta from a version to the newest one. If from is 0 or not in the
-// history, the delta contains the complete table and its From is 0. It fails if a row cannot
-// be encoded, which means that its value is not valid CBOR.
+// DeltaSince returns the delta from a version to the newest one. Unless from is an earlier
+// version that is still in the history, the delta contains the complete table and its From is
+// 0. It fails if a row cannot be encoded, which means that its value is not valid CBOR.
 func (t *Table) DeltaSince(from uint64) (EncodedDelta, error) {
 	first := slices.IndexFunc(t.history, func(c changeSet) bool { return c.from == from })
 	if first < 0 || from == 0 {
@@ -153,7 +154,8 @@
 	})
 }
 
-// cache stores a delta to the newest version and evicts the oldest one if a limit is exceeded.
+// cache stores a delta to the newest version and evicts the oldest such delta if a limit is
+// exceeded.
 func (t *Table) cache(d EncodedDelta) {
 	t.current = append(t.current, d)
 	tooMany := len(t.current) > maxCurrentDeltas
--- a/versioned/table_test.go
+++ b/versioned/table_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// repeat sends a random replica an earlier delta again, which must be applied completely or
-// not at all.
+// repeat delivers an earlier delta, of any replica, to a random one. It must be applied
+// completely or not at all.
 func (s *distribution) repeat() {
 	if len(s.sent) == 0 {
 		return
