--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -68,7 +68,7 @@
 		f.round()
 	}
 	if p, _ := f.views["n0"].Peer("n5"); p.State != Alive || p.StartID != 77 {
-		t.Errorf("entry after the restart: %+v", p)
+		t.Errorf("%+v", p)
 	}
 }
 
