--- a/api/bootstrap.go
+++ b/api/bootstrap.go
@@ -8,23 +8,23 @@
 	"google.golang.org/grpc/status"
 )
 
-// The service and its method, as they are called on the wire.
+// Names of the service and its method on the wire.
 const (
 	bootstrapService = "elmspan.Bootstrap"
 	methodHistory    = "Past"
 )
 
-// Bootstrap is served by each machine that may become a first voter.
+// Bootstrap is served by each machine that may become one of the initial voters of a cluster.
 type Bootstrap interface {
-	// History says what this machine's member knows of an earlier cluster.
+	// History reports whether this machine's member may have been part of an existing cluster.
 	History(context.Context, *Empty) (*HistoryResponse, error)
 }
 
-// HistoryResponse answers a machine that starts with an empty disk.
+// HistoryResponse is the response to a machine that starts with an empty disk.
 type HistoryResponse struct {
-	// MayHaveParticipated: the member in this process may have taken part in a cluster, of
-	// which the caller may have been a voter before it lost its disk. The caller must not
-	// bootstrap a new cluster then.
+	// MayHaveParticipated reports whether the member in this process may have taken part in a
+	// cluster. The caller may have been a voter of that cluster before it lost its disk, so it
+	// must not bootstrap a new one.
 	MayHaveParticipated bool `cbor:"1,keyasint,omitempty"`
 }
 
@@ -37,8 +37,8 @@
 // RegisterBootstrap adds the Bootstrap service to a server.
 func RegisterBootstrap(s *grpc.Server, b Bootstrap) { s.RegisterService(&bootstrapDesc, b) }
 
-// CallHistory calls [Bootstrap.History]. A machine of an earlier version does not have the
-// method: it can't rule out that it has participated, and is reported as such.
+// CallHistory calls [Bootstrap.History]. Machines of an earlier version do not implement the
+// method and can't rule out an existing cluster, so MayHaveParticipated is set for them.
 func CallHistory(ctx context.Context, c *grpc.ClientConn) (*HistoryResponse, error) {
 	r, err := invoke[HistoryResponse](ctx, c, bootstrapService, methodHistory, &Empty{})
 	if status.Code(err) == codes.Unimplemented {
--- a/api/codec.go
+++ b/api/codec.go
@@ -8,7 +8,7 @@
 // codecName is the content subtype of all calls ("application/grpc+cbor").
 const codecName = "cbor"
 
-// Bounds on input that comes from outside the process.
+// Bounds on input from outside the process.
 const (
 	maxNestedLevels  = 16
 	maxArrayElements = 1 << 18
@@ -21,15 +21,15 @@
 // Marshal encodes a message.
 func (codec) Marshal(v any) ([]byte, error) { return cbor.Marshal(v) }
 
-// Unmarshal decodes a message, within the bounds of [Unmarshal].
+// Unmarshal decodes a message within the same bounds as the function [Unmarshal].
 func (codec) Unmarshal(data []byte, v any) error { return strictDecMode.Unmarshal(data, v) }
 
-// Name is the content subtype that selects the codec.
+// Name returns the content subtype that selects the codec.
 func (codec) Name() string { return codecName }
 
 func init() { encoding.RegisterCodec(codec{}) }
 
-// strictDecMode decodes within bounds and rejects duplicate map keys.
+// strictDecMode bounds the size of decoded values and rejects duplicate map keys.
 var strictDecMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -43,6 +43,6 @@
 	return m
 }()
 
-// Unmarshal decodes CBOR that comes from outside: nesting, arrays and maps are bounded,
-// and a map with a duplicate key is an error. So is anything after the first item.
+// Unmarshal decodes CBOR from outside the process. Nesting depth and the sizes of arrays and
+// maps are bounded. Duplicate map keys and data after the first item are errors.
 func Unmarshal(data []byte, v any) error { return strictDecMode.Unmarshal(data, v) }
--- a/api/codec_test.go
+++ b/api/codec_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A message from another process is decoded completely or not at all; one that was decoded
-// can be encoded, and means the same.
+// A message from another process is decoded completely or rejected. A decoded message can be
+// encoded again, and a second round trip gives the same bytes.
 func FuzzMessages(f *testing.F) {
 	c := codec{}
 	for _, v := range []any{
--- a/api/configrows.go
+++ b/api/configrows.go
@@ -7,25 +7,25 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ConfigRows is a configuration encoded as rows. It also remembers the order of the entries:
-// the next configuration usually differs in a few of them, and takes over the rows of the
-// others, compared by their bytes alone. It is immutable once it is built.
+// ConfigRows is a configuration encoded as rows. It also keeps the order of the entries: the
+// next configuration usually differs in a few of them, and reuses the rows of those whose
+// bytes are equal. It is immutable once built.
 type ConfigRows struct {
 	Revision uint64
-	Rows     map[string][]byte // by key; values may be shared with other versions, and must not be changed
+	Rows     map[string][]byte // by key; values may be shared with other versions and must not be modified
 
-	// The entries in the order in which they stood.
+	// The entries of each table, in the operator's order.
 	routes, upstreams, tenants []encodedRow
-	validated                  bool // ValidateConfig has validated all of it
+	validated                  bool // by ValidateConfig, completely
 }
 
-// encodedRow is an entry as the operator sent it, and the key of its row.
+// encodedRow is an entry as the operator sent it, with the key of its row.
 type encodedRow struct {
 	key string
 	raw []byte
 }
 
-// encodedConfig is a configuration whose entries are not decoded.
+// encodedConfig is a configuration whose entries have not been decoded.
 type encodedConfig struct {
 	Revision  uint64            `cbor:"revision"`
 	Routes    []cbor.RawMessage `cbor:"route_table"`
@@ -34,17 +34,16 @@
 	Tenants   []cbor.RawMessage `cbor:"tenant_table"`
 }
 
-// BuildConfigRows encodes a configuration that has been validated as rows. Rows that previous
-// has too are taken over from it; previous may be nil. The error says that the configuration
-// can't be decoded.
+// BuildConfigRows encodes a validated configuration as rows. It reuses the rows that are equal
+// in previous, which may be nil. It returns an error if the configuration can't be decoded.
 func BuildConfigRows(data []byte, previous *ConfigRows) (*ConfigRows, error) {
 	rows, _, err := buildRows(data, previous, false)
 	return rows, err
 }
 
 // ValidateConfig validates a configuration as [ParseConfig] does, with the same errors, and
-// encodes it as rows. Where previous has been validated, only the entries that differ are
-// decoded and validated; it may be nil.
+// encodes it as rows. If previous has been validated, only the entries that differ from it are
+// decoded and validated. previous may be nil.
 func ValidateConfig(data []byte, previous *ConfigRows) (*ConfigRows, error) {
 	if previous != nil && previous.validated {
 		rows, changed, err := buildRows(data, previous, true)
@@ -53,7 +52,7 @@
 			return rows, nil
 		}
 	}
-	// The complete validation names each fault by its position in the configuration.
+	// Only full validation reports each fault with its position in the configuration.
 	if _, err := ParseConfig(data); err != nil {
 		return nil, err
 	}
@@ -64,15 +63,16 @@
 	return rows, err
 }
 
-// validAfter reports whether a configuration is valid given that the previous one is. changed
-// has the entries that differ. False: it is not, or that can't be decided from them alone.
+// validAfter reports whether a configuration is valid, given that previous is valid and that
+// changed contains the entries that differ. It returns false if the configuration is invalid or
+// if the changed entries alone can't decide it.
 func (c *ConfigRows) validAfter(previous *ConfigRows, changed *Config) bool {
 	if len(c.Rows) != len(c.routes)+len(c.upstreams)+len(c.tenants)+c.limitsRows() {
 		return false // two entries have the same key
 	}
 	for _, u := range previous.upstreams {
 		if _, ok := c.Rows[u.key]; !ok {
-			return false // a route that did not change may name it
+			return false // an unchanged route may refer to it
 		}
 	}
 	return changed.Validate() == nil
@@ -85,9 +85,9 @@
 	return 0
 }
 
-// buildRows returns the rows and, where they are to be validated, a configuration with the
-// entries that have to be: the routes that differ from previous, all upstreams (routes name
-// them), and all tenants if one of them differs.
+// buildRows returns the rows and, if validate is set, a configuration with the entries that
+// need validation: the routes that differ from previous, all upstreams (as routes refer to
+// them), and all tenants if any tenant differs.
 func buildRows(data []byte, previous *ConfigRows, validate bool) (*ConfigRows, *Config, error) {
 	var entries encodedConfig
 	if err := Unmarshal(data, &entries); err != nil {
@@ -133,12 +133,12 @@
 	return rows, changed, nil
 }
 
-// decodeTables decodes what is validated as a complete table, into a configuration.
+// decodeTables decodes the tables that are always validated completely into a configuration.
 func (c *ConfigRows) decodeTables(into *Config, tenants bool) (err error) {
 	if into.Upstreams, err = decodeRows[Upstream](c.upstreams); err != nil {
 		return fmt.Errorf("api: upstream_table: %w", err)
 	}
-	if tenants { // a key may be another tenant's
+	if tenants { // an API key must not belong to two tenants
 		if into.Tenants, err = decodeRows[Tenant](c.tenants); err != nil {
 			return fmt.Errorf("api: tenant_table: %w", err)
 		}
@@ -161,8 +161,8 @@
 	return out, nil
 }
 
-// routeKeyOf decodes only what is in a route's key: a member that takes over a committed
-// configuration need not understand the rest.
+// routeKeyOf decodes only the fields of a route's key: a member that applies a committed
+// configuration need not understand the other fields.
 func routeKeyOf(raw []byte) (string, error) {
 	var route struct {
 		Host   string `cbor:"host_match"`
@@ -172,7 +172,7 @@
 	return RouteKey(route.Host, route.Prefix), err
 }
 
-// addRoute decodes a route, appends it and returns the key of its row.
+// addRoute decodes and appends a route, and returns the key of its row.
 func (c *Config) addRoute(raw []byte) (string, error) {
 	var r Route
 	if err := strictDecMode.Unmarshal(raw, &r); err != nil {
@@ -182,7 +182,7 @@
 	return RouteKey(r.Host, r.Prefix), nil
 }
 
-// nameKeyOf decodes only the name of an upstream or a tenant.
+// nameKeyOf returns the row key of an upstream or a tenant. It decodes only the name.
 func nameKeyOf(kind byte, raw []byte) (string, error) {
 	var entry struct {
 		Name string `cbor:"name"`
@@ -191,10 +191,10 @@
 	return string(kind) + entry.Name, err
 }
 
-// takeOver adds the rows of a table's entries and returns them in order. The key of an entry
-// that stands in previous too is taken from there: entries are compared from the beginning
-// and from the end, and those between by their bytes. read returns the key of an entry that
-// previous does not have.
+// takeOver adds the rows of a table's entries and returns them in order. Keys of entries that
+// are also in previous are reused: the common prefix and suffix of both lists are copied, and
+// the entries between them are looked up by their bytes. read returns the key of an entry that
+// is not in previous.
 func (c *ConfigRows) takeOver(
 	entries []cbor.RawMessage, previous []encodedRow, read func(raw []byte) (key string, err error),
 ) ([]encodedRow, error) {
@@ -202,7 +202,7 @@
 	out := make([]encodedRow, len(entries))
 	copy(out, previous[:head])
 	copy(out[len(out)-tail:], previous[len(previous)-tail:])
-	keys := map[string]string{} // of previous between head and tail, by their bytes
+	keys := map[string]string{} // of the previous entries between head and tail, by their bytes
 	for _, p := range previous[head : len(previous)-tail] {
 		keys[string(p.raw)] = p.key
 	}
@@ -222,8 +222,8 @@
 	return out, nil
 }
 
-// commonEnds returns how many entries at the beginning and at the end are those of previous.
-// They do not overlap.
+// commonEnds returns the lengths of the common prefix and the common suffix of entries and
+// previous. They do not overlap.
 func commonEnds(entries []cbor.RawMessage, previous []encodedRow) (head, tail int) {
 	shorter := min(len(entries), len(previous))
 	for head < shorter && bytes.Equal(entries[head], previous[head].raw) {
--- a/api/configrows_test.go
+++ b/api/configrows_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// configChanges are ways to change a configuration, some of which make it invalid.
+// configChanges are random changes of a configuration, some of which make it invalid.
 var configChanges = []func(c *Config, rng *rand.Rand){
-	func(c *Config, rng *rand.Rand) { someRoute(c, rng).Host = fmt.Sprint("H", rng.IntN(14)) }, // may be another's
+	func(c *Config, rng *rand.Rand) { someRoute(c, rng).Host = fmt.Sprint("H", rng.IntN(14)) }, // may be a duplicate
 	func(c *Config, rng *rand.Rand) { someRoute(c, rng).Upstream = []string{"a", "b", "none"}[rng.IntN(3)] },
 	func(c *Config, rng *rand.Rand) { someRoute(c, rng).TimeoutMs = float64(rng.IntN(4)) },
 	func(c *Config, rng *rand.Rand) { someTenant(c, rng).Keys = []string{fmt.Sprint("k", rng.IntN(14))} },
@@ -39,8 +39,8 @@
 func someRoute(c *Config, rng *rand.Rand) *Route   { return &c.Routes[rng.IntN(len(c.Routes))] }
 func someTenant(c *Config, rng *rand.Rand) *Tenant { return &c.Tenants[rng.IntN(len(c.Tenants))] }
 
-// A configuration is validated and encoded by its difference from one that has been
-// validated with the same result as on its own, whatever the difference is.
+// Incremental validation against a previous valid configuration gives the same errors and the
+// same rows as full validation, for any difference between the two.
 func TestValidateConfigByDifferenceEqualsFullValidation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -64,22 +64,22 @@
 			_, want := ParseConfig(data)
 			s, err := ValidateConfig(data, last)
 			if fmt.Sprint(err) != fmt.Sprint(want) {
-				t.Fatalf("by difference: %v; on its own: %v", err, want)
+				t.Fatalf("incremental validation: %v; full validation: %v", err, want)
 			}
 			if want != nil {
 				continue
 			}
 			revision, rows, err := configRows(data)
 			if err != nil || revision != s.Revision || !maps.EqualFunc(rows, s.Rows, bytes.Equal) {
-				t.Fatalf("%v: revision %d and %d, %d and %d rows", err, revision, s.Revision, len(rows), len(s.Rows))
+				t.Fatalf("%v: revisions %d and %d, %d and %d rows", err, revision, s.Revision, len(rows), len(s.Rows))
 			}
 			last, c = s, next
 		}
 	})
 }
 
-// Of a configuration with one changed entry all other rows are taken over, and only that
-// entry is decoded.
+// If one entry of a configuration changes, all other rows are reused and only that entry is
+// decoded.
 func TestBuildConfigRowsDecodesOnlyChanges(t *testing.T) {
 	c := &Config{Revision: 1, Upstreams: []Upstream{{Name: "a"}}}
 	for i := range 2000 {
@@ -105,8 +105,8 @@
 			shared++
 		}
 	}
-	if shared != len(second.Rows)-2 { // the changed route; the one service is decoded again
-		t.Errorf("%d of %d rows are taken over", shared, len(second.Rows))
+	if shared != len(second.Rows)-2 { // the changed route and the limits
+		t.Errorf("%d of %d rows are reused", shared, len(second.Rows))
 	}
 	data, err := cbor.Marshal(c)
 	if err != nil {
@@ -114,12 +114,12 @@
 	}
 	_, changed, err := buildRows(data, second, true)
 	if err != nil || len(changed.Routes) != 0 {
-		t.Errorf("%d routes of the same configuration are decoded, %v", len(changed.Routes), err)
+		t.Errorf("%d routes of an unchanged configuration were decoded, %v", len(changed.Routes), err)
 	}
 }
 
-// configRows encodes a configuration as rows without a previous one: the reference for
-// [BuildConfigRows].
+// configRows encodes a configuration as rows without reusing any. It is the reference
+// implementation for [BuildConfigRows].
 func configRows(data []byte) (revision uint64, rows map[string][]byte, err error) {
 	var c struct {
 		Revision  uint64            `cbor:"revision"`
--- a/api/connpool.go
+++ b/api/connpool.go
@@ -9,8 +9,8 @@
 	"example.org/elmspan/keys"
 )
 
-// Processes come and go: when the pool has maxConns connections or more, a new one closes
-// those that have not been used for maxIdle.
+// Addresses of processes change over time: when the pool holds maxConns connections or more,
+// opening another one closes those that have not been used for maxIdle.
 const (
 	maxConns = 32
 	maxIdle  = time.Minute
@@ -24,10 +24,10 @@
 
 	mu       sync.Mutex // guards the fields below
 	byAddr   map[string]*grpc.ClientConn
-	lastUsed map[string]time.Time // for the addresses of byAddr
+	lastUsed map[string]time.Time // by address; has the same keys as byAddr
 }
 
-// NewConnPool returns an empty pool. ring and opts are as for [Dial].
+// NewConnPool returns an empty pool. ring and opts are passed to [Dial].
 func NewConnPool(ring *keys.Keyring, opts ...grpc.DialOption) *ConnPool {
 	return &ConnPool{
 		ring:     ring,
@@ -38,8 +38,8 @@
 	}
 }
 
-// Conn returns the connection to an address; the first call makes it. It stays the pool's:
-// the caller does not close it. The errors are those of [Dial].
+// Conn returns the connection to an address and creates it on first use. The pool owns the
+// connection: the caller must not close it. Errors are those of [Dial].
 func (p *ConnPool) Conn(addr string) (*grpc.ClientConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +58,7 @@
 	return c, nil
 }
 
-// closeIdle makes room for a new connection. The caller holds mu.
+// closeIdle closes idle connections if the pool is full. The caller holds mu.
 func (p *ConnPool) closeIdle(now time.Time) {
 	for addr, used := range p.lastUsed {
 		if len(p.byAddr) >= maxConns && now.Sub(used) > maxIdle {
@@ -67,16 +67,16 @@
 	}
 }
 
-// remove closes a connection. The caller holds mu.
+// remove closes a connection and removes it from the pool. The caller holds mu.
 func (p *ConnPool) remove(addr string) {
 	if c := p.byAddr[addr]; c != nil {
-		_ = c.Close() // it fails only on a connection that is closed already
+		_ = c.Close() // fails only if the connection is closed already
 	}
 	delete(p.byAddr, addr)
 	delete(p.lastUsed, addr)
 }
 
-// Close closes all connections.
+// Close closes all connections of the pool.
 func (p *ConnPool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/api/connpool_test.go
+++ b/api/connpool_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/grpc"
 )
 
-// Connections to processes that are gone for good are closed after a while; those in use stay.
+// Idle connections to processes that no longer exist are closed; connections in use are kept.
 func TestConnPoolClosesIdleConnections(t *testing.T) {
 	now := time.Unix(0, 0)
 	pool := NewConnPool(nil)
@@ -16,7 +16,7 @@
 	defer pool.Close()
 	connTo := func(addr string) *grpc.ClientConn {
 		t.Helper()
-		c, err := pool.Conn(addr) // connects only when it is used
+		c, err := pool.Conn(addr) // connects on first use
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,6 +31,6 @@
 		}
 	}
 	if n := len(pool.byAddr); n > 3*maxConns || n != len(pool.lastUsed) {
-		t.Errorf("%d connections are kept, %d have a time of last use", n, len(pool.lastUsed))
+		t.Errorf("%d connections are open, %d have a time of last use", n, len(pool.lastUsed))
 	}
 }
--- a/api/control.go
+++ b/api/control.go
@@ -9,7 +9,7 @@
 // controlService is the name of the service on the wire.
 const controlService = "elmspan.Control"
 
-// The methods of Control, as they are called on the wire.
+// Names of Control's methods on the wire.
 const (
 	methodWatch     = "Watch"
 	methodReplace   = "Replace"
@@ -20,20 +20,21 @@
 	methodReadIndex = "Confirm"
 )
 
-// Control is served by each member of the control plane. Calls that only the leader can
-// answer are answered by other members with the leader's address.
+// Control is served by each member of the control plane. For calls that only the leader can
+// process, the other members return the leader's address.
 type Control interface {
-	// Watch is a blocking query: it answers when something is newer than the caller's versions.
+	// Watch is a blocking query: it returns once there is something newer than the caller's
+	// versions.
 	Watch(context.Context, *WatchRequest) (*WatchResponse, error)
-	// Replace proposes a configuration (compare and swap on its revision).
+	// Replace proposes a configuration (compare-and-swap on the revision).
 	Replace(context.Context, *ReplaceRequest) (*ControlResponse, error)
-	// Get reads the configuration, its history or the complete state.
+	// Get returns the configuration, its history or the complete state.
 	Get(context.Context, *GetRequest) (*ControlResponse, error)
-	// Join adds a member, or announces that one is leaving.
+	// Join adds a member or announces that a member is leaving.
 	Join(context.Context, *JoinRequest) (*ControlResponse, error)
 	// Deliver carries Raft messages.
 	Deliver(context.Context, *DeliverRequest) (*DeliverResponse, error)
-	// Fetch returns a chunk of an encoded delta that a Watch has announced.
+	// Fetch returns a chunk of an encoded delta that a Watch response has announced.
 	Fetch(context.Context, *FetchRequest) (*Chunk, error)
 	// ReadIndex confirms the leadership for a batch of linearizable reads.
 	ReadIndex(context.Context, *Empty) (*ReadIndexResponse, error)
--- a/api/control_test.go
+++ b/api/control_test.go
@@ -11,10 +11,10 @@
 	"google.golang.org/grpc/status"
 )
 
-// oldServer is a server of an earlier version, which can't decompress.
+// oldServer is a server of an earlier version, which does not support compression.
 type oldServer struct {
 	Control
-	calls int // that it could read
+	calls int // calls of Replace that were decoded
 }
 
 type compressionKey struct{}
@@ -37,7 +37,8 @@
 	return &ControlResponse{Status: 200}, nil
 }
 
-// During a rolling upgrade a Replace reaches a leader of an earlier version once.
+// During a rolling upgrade, a compressed Replace is repeated uncompressed for a leader of an
+// earlier version, which executes it exactly once.
 func TestReplaceReachesServersWithoutDecompression(t *testing.T) {
 	b := &oldServer{}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,6 +63,6 @@
 	}
 	r, err := CallReplace(t.Context(), conn, &ReplaceRequest{Base: 1, Config: []byte("configuration")})
 	if err != nil || r.Status != 200 || b.calls != 1 {
-		t.Errorf("%+v, %v, read %d times", r, err, b.calls)
+		t.Errorf("%+v, %v, %d calls executed", r, err, b.calls)
 	}
 }
--- a/api/dial.go
+++ b/api/dial.go
@@ -18,35 +18,35 @@
 	"example.org/elmspan/keys"
 )
 
-// userTimeout is how long sent data may stay unacknowledged before the connection is
-// closed (TCP_USER_TIMEOUT, RFC 5482). A machine without power or behind a network
-// partition answers nothing, and the kernel's retransmissions on an old connection come
-// ever more rarely. gRPC's own keep-alive can't be shorter than 10 s.
+// userTimeout is how long sent data may stay unacknowledged before the kernel closes the
+// connection (TCP_USER_TIMEOUT, RFC 5482). A machine without power or behind a network
+// partition does not respond, and the kernel's retransmissions back off exponentially. gRPC's
+// own keep-alive interval can't be shorter than 10 s.
 const userTimeout = 1500 * time.Millisecond
 
-// attemptDelay is how long an attempt to connect stays unanswered before another one
-// starts beside it (as in Happy Eyeballs, RFC 8305, but to one address). The opening packet
-// to a machine without power is lost, and the kernel sends it again only after a second,
-// though the machine may be back a moment later.
+// attemptDelay is how long a connection attempt may stay unanswered before another one is
+// started in parallel (as in Happy Eyeballs, RFC 8305, but to the same address). The SYN to a
+// machine without power is lost, and the kernel retransmits it only after 1 s, although the
+// machine may be reachable a moment later.
 const attemptDelay = 150 * time.Millisecond
 
-// Reconnection by gRPC after a failed attempt.
+// Parameters of gRPC's reconnection after a failed attempt.
 const (
 	minConnectTimeout = 500 * time.Millisecond
 	backoffBase       = 50 * time.Millisecond
 	backoffMax        = 400 * time.Millisecond
 	backoffMultiplier = 1.6
-	backoffJitter     = 0.3 // fraction of the delay, in both directions
+	backoffJitter     = 0.3 // fraction of the delay, added or subtracted
 )
 
-// userAgent is short, as it goes with each call.
+// userAgent is short because it is sent with each call.
 const userAgent = "e"
 
-// Dial returns a connection to a process. It connects when it is first used. With a key
-// ring the server needs a certificate of the same authority that names the IP address; nil:
-// no TLS. opts override the own options: with another dialer ([grpc.WithContextDialer]) no
-// socket is needed. An address that isn't an IP address with a port is an error where there
-// is a ring.
+// Dial returns a connection to a process, which is established on first use. If ring is not
+// nil, the server must present a certificate of the same certificate authority for its IP
+// address, and addr must be an IP address with a port. If ring is nil, TLS is not used. opts
+// override the default options; with another dialer ([grpc.WithContextDialer]) no socket is
+// needed.
 func Dial(addr string, ring *keys.Keyring, opts ...grpc.DialOption) (*grpc.ClientConn, error) {
 	creds := insecure.NewCredentials()
 	if ring != nil {
@@ -82,9 +82,9 @@
 	}
 }
 
-// WaitReady waits until a connection is ready, at most for the timeout and the context. It
-// reports whether it is. The attempt to connect goes on afterwards: a process that was not
-// reached in time may be ready at the next call.
+// WaitReady waits until a connection is ready, the timeout expires or the context ends, and
+// reports whether the connection is ready. The connection attempt continues afterwards, so a
+// process that was not reached in time may be ready at the next call.
 func WaitReady(ctx context.Context, c *grpc.ClientConn, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -101,10 +101,10 @@
 
 var dialer = net.Dialer{KeepAlive: -1, Control: setUserTimeout}
 
-// setUserTimeout sets TCP_USER_TIMEOUT on a socket. It has the form of [net.Dialer.Control].
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket. Its signature is that of [net.Dialer.Control].
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		// A system without the option works all the same, but notices a lost peer later.
+		// Systems without the option work too, but detect an unreachable peer later.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
@@ -115,9 +115,9 @@
 	})
 }
 
-// dialStaggered starts an attempt to connect, and another one after each attemptDelay. The
-// first that ends decides, with a connection or with an error; the others are cancelled,
-// and a connection that one of them still brings is closed.
+// dialStaggered starts a connection attempt, and another one after each attemptDelay. It
+// returns the result of the first attempt that ends, whether a connection or an error. It
+// cancels the others and closes connections that they still establish.
 func dialStaggered(ctx context.Context, attempt func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -136,7 +136,7 @@
 			case results <- result{c, err}:
 			case <-decided:
 				if err == nil {
-					_ = c.Close() // nothing was sent on it
+					_ = c.Close() // nothing has been sent on it
 				}
 			}
 		}()
--- a/api/dial_test.go
+++ b/api/dial_test.go
@@ -14,10 +14,10 @@
 	"google.golang.org/grpc"
 )
 
-// The kernel closes a connection whose peer acknowledges nothing any more, on the side that
-// dialed and on the side that accepted.
+// TCP_USER_TIMEOUT is set on both sides of a connection, so that the kernel closes it when the
+// peer stops acknowledging data.
 func TestUserTimeoutOnDialedAndAcceptedConnections(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute) // against a hang alone
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute) // only guards against a hang
 	defer cancel()
 	l, err := Listen(ctx, "127.0.0.1:0")
 	if err != nil {
@@ -47,14 +47,14 @@
 			t.Fatal(err)
 		}
 		if got != int(userTimeout.Milliseconds()) {
-			t.Errorf("%s: the timeout is %d ms", name, got)
+			t.Errorf("%s: TCP_USER_TIMEOUT is %d ms", name, got)
 		}
 	}
 }
 
-// The wait for a connection has a time-out of its own: a machine that accepts it and sends
-// nothing does not use up the time that the call has. (How long it waits:
-// [TestWaitReadyTimesOut].)
+// The wait for a connection has its own timeout: a machine that accepts the connection but
+// sends nothing does not use up the deadline of the call. [TestWaitReadyTimesOut] checks the
+// duration of the wait.
 func TestWaitReadyLeavesTheCallItsTime(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -89,17 +89,17 @@
 		}
 	}
 	if ctx.Err() != nil {
-		t.Error("an unresponsive machine used up the time of the call")
+		t.Error("an unresponsive machine used up the deadline of the call")
 	}
 }
 
-// For a machine that accepts a connection and sends nothing WaitReady waits for exactly the
-// time-out.
+// If the server accepts the connection but sends nothing, WaitReady returns false exactly at
+// the timeout.
 func TestWaitReadyTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := NewConnPool(nil, grpc.WithContextDialer(func(context.Context, string) (net.Conn, error) {
 			client, server := net.Pipe()
-			go func() { _, _ = io.Copy(io.Discard, server) }() // kept open, and never answered
+			go func() { _, _ = io.Copy(io.Discard, server) }() // the connection stays open without a response
 			return client, nil
 		}))
 		defer conns.Close()
@@ -112,13 +112,13 @@
 			begun := time.Now()
 			ready := WaitReady(t.Context(), conn, timeout)
 			if took := time.Since(begun); ready || took != timeout {
-				t.Errorf("%v after %v", ready, took)
+				t.Errorf("WaitReady returned %v after %v", ready, took)
 			}
 		}
 	})
 }
 
-// closeNotifier is a connection that tells when it is closed.
+// closeNotifier is a connection that closes a channel when it is closed.
 type closeNotifier struct {
 	net.Conn
 	closed chan struct{}
@@ -129,10 +129,10 @@
 	return c.Conn.Close()
 }
 
-// The opening packet to a machine without power is lost; once it is back a second attempt
-// reaches it, and a connection that the first may still bring is closed. (Found on a day on
-// which all machines lost power: two of three members were up for 0.6 s before they reached
-// each other. Fails where only one attempt is made.)
+// The SYN to a machine without power is lost. Once the machine is back, a second attempt
+// reaches it, and a connection that the first attempt still establishes is closed. With a
+// single attempt, two of three members that restarted after a power failure took 0.6 s to
+// reach each other.
 func TestSecondDialAttemptStartsAfterDelay(t *testing.T) { synctest.Test(t, testSecondDialAttempt) }
 
 func testSecondDialAttempt(t *testing.T) {
@@ -148,7 +148,7 @@
 	begun := time.Now()
 	got, err := dialStaggered(ctx, func(ctx context.Context) (net.Conn, error) {
 		if <-attempts == 1 {
-			<-ctx.Done() // no answer while the call lasts
+			<-ctx.Done() // no response until the call ends
 			return late, nil
 		}
 		return want, nil
@@ -157,14 +157,14 @@
 		t.Fatalf("%v, %v", got, err)
 	}
 	if took := time.Since(begun); took != attemptDelay {
-		t.Errorf("the second attempt began after %v", took)
+		t.Errorf("the second attempt started after %v", took)
 	}
 	<-late.closed
 }
 
-// A refused connection ends the call at once, without a second attempt, and no attempt
-// outlives the call. (In a bubble: on a machine that paused for attemptDelay a second
-// attempt began.)
+// A refused connection ends the call at once, without a second attempt, and no attempt outlives
+// the call. The test runs on the fake clock of synctest: on the real clock, a pause of the
+// machine for attemptDelay started a second attempt.
 func TestRefusedDialReturnsAtOnce(t *testing.T) { synctest.Test(t, testRefusedDial) }
 
 func testRefusedDial(t *testing.T) {
@@ -175,7 +175,7 @@
 		return nil, refused
 	}
 	if _, err := dialStaggered(t.Context(), refuse); !errors.Is(err, refused) || attempts != 1 {
-		t.Errorf("%v after %d attempts", err, attempts)
+		t.Errorf("error %v after %d attempts", err, attempts)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -14,7 +14,7 @@
 	"example.org/elmspan/raft"
 )
 
-// goldenRow is one row of a table of rows in a golden file.
+// goldenRow is one configuration row in a golden file.
 type goldenRow struct {
 	Key   string          `cbor:"key"`
 	Value cbor.RawMessage `cbor:"value"`
@@ -65,7 +65,7 @@
 	}
 }
 
-// goldenForms are the contents of the golden files, by their names.
+// goldenForms returns the decoded contents of the golden files by file name.
 func goldenForms() map[string]any {
 	peer := Peer{
 		Name: "n1", Addr: "10.0.0.1:9", Zone: "z1", StartID: 0x1122334455667788, Incarnation: 5, State: 1,
@@ -129,8 +129,8 @@
 	return data
 }
 
-// Each form that an earlier version (f96d826) encoded is decoded with the same meaning and
-// encoded to the same bytes: members and limiters of both versions work together.
+// Each message that an earlier version (f96d826) encoded is decoded to the same value and
+// encoded to the same bytes, so that members and limiters of both versions work together.
 func TestGoldenFormsKeepTheirBytes(t *testing.T) {
 	forms := goldenForms()
 	for name, want := range forms {
@@ -150,13 +150,13 @@
 		})
 	}
 	files, err := filepath.Glob(filepath.Join("testdata", "golden", "*.cbor"))
-	if err != nil || len(files) != len(forms)+1 { // and the rows of the configuration
-		t.Errorf("%d golden files of %d forms, %v", len(files), len(forms), err)
+	if err != nil || len(files) != len(forms)+1 { // config-rows.cbor has a test of its own
+		t.Errorf("%d golden files for %d messages, %v", len(files), len(forms), err)
 	}
 }
 
-// The rows of a configuration have the keys and the bytes that an earlier version gave them,
-// and are decoded as the entries that they come from.
+// The rows of a configuration have the same keys and bytes as in an earlier version, and are
+// decoded to the entries from which they were encoded.
 func TestGoldenConfigRows(t *testing.T) {
 	var want []goldenRow
 	if err := cbor.Unmarshal(goldenFile(t, "config-rows"), &want); err != nil {
@@ -190,12 +190,12 @@
 			found = *row.Limits == c.Limits
 		}
 		if !found {
-			t.Errorf("row %q is decoded as %+v", w.Key, row)
+			t.Errorf("row %q is decoded as %+v, which is not in the configuration", w.Key, row)
 		}
 	}
 }
 
-// A server's row is encoded and decoded as by an earlier version.
+// Server rows are encoded and decoded as in an earlier version.
 func TestGoldenServerRows(t *testing.T) {
 	draining := Server{
 		ID: "i-1", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8, State: Draining, WarmupMs: 500,
@@ -203,7 +203,7 @@
 	inService := Server{ID: "i-2", Upstream: "a", Addr: "10.1.0.1:80", Zone: "z1", Capacity: 8, State: InService}
 	for name, s := range map[string]Server{"server-row": draining, "server-row-in-service": inService} {
 		data := goldenFile(t, name)
-		warmAt := map[string]float64{"server-row": 4500.9}[name] // sent in whole milliseconds
+		warmAt := map[string]float64{"server-row": 4500.9}[name] // encoded in whole milliseconds
 		if got, err := EncodeServerRow(s, warmAt); err != nil || !bytes.Equal(got, data) {
 			t.Errorf("%s: %x (%v), want %x", name, got, err, data)
 		}
@@ -213,7 +213,7 @@
 	}
 }
 
-// The names of services and methods are part of the wire.
+// The names of services and methods are part of the wire protocol.
 func TestGoldenMethodNames(t *testing.T) {
 	s := grpc.NewServer()
 	s.RegisterService(&controlDesc, nil)
--- a/api/membership.go
+++ b/api/membership.go
@@ -6,7 +6,7 @@
 	"google.golang.org/grpc"
 )
 
-// The service and its method, as they are called on the wire.
+// Names of the service and its method on the wire.
 const (
 	membershipService = "elmspan.Membership"
 	methodHeartbeat   = "Beat"
@@ -14,42 +14,42 @@
 
 // Membership is served by every process.
 type Membership interface {
-	// Heartbeat tells that the caller is alive and exchanges what both know of others.
+	// Heartbeat reports that the caller is alive, and exchanges both sides' views of the peers.
 	Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error)
 }
 
-// Peer is what is known of one process of the system.
+// Peer is the known state of one process of the system.
 type Peer struct {
 	Name string `cbor:"1,keyasint"`
 	Addr string `cbor:"2,keyasint"` // internal address
 	Zone string `cbor:"3,keyasint"`
 	// StartID is chosen at random at each start of the process.
 	StartID uint64 `cbor:"4,keyasint"`
-	// Incarnation orders statements about the process: the higher one overrides the lower
-	// one. Only the process itself raises it, to refute what others say of it.
+	// Incarnation orders updates about the process: a higher one overrides a lower one. Only
+	// the process itself increments it, to refute what other processes report about it.
 	Incarnation uint64 `cbor:"5,keyasint"`
-	State       uint8  `cbor:"6,keyasint"` // as in package membership
-	Edge        bool   `cbor:"7,keyasint"` // it is a limiter
-	Core        bool   `cbor:"8,keyasint"` // it is a member of the control plane
+	State       uint8  `cbor:"6,keyasint"` // a state of package membership
+	Edge        bool   `cbor:"7,keyasint"` // the process is a limiter
+	Core        bool   `cbor:"8,keyasint"` // the process is a member of the control plane
 }
 
-// HeartbeatRequest is a heartbeat. See [membership.View] for the exchange that it begins.
+// HeartbeatRequest is a heartbeat. [membership.View] describes the exchange that it starts.
 type HeartbeatRequest struct {
 	From   Peer   `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"` // of the sender's view
-	// Peers have changed of late or, in the second round of an exchange, are all those in
-	// the RequestedBuckets.
+	// Peers are those that changed recently or, in the second round of an exchange, all peers
+	// of the RequestedBuckets.
 	Peers []Peer `cbor:"3,keyasint,omitempty"`
-	// RequestedBuckets has a bit for each bucket of the view whose peers the sender wants.
+	// RequestedBuckets has a bit for each bucket of the view whose peers the sender requests.
 	// 0: this is the first round.
 	RequestedBuckets uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// HeartbeatResponse answers a [HeartbeatRequest].
+// HeartbeatResponse is the response to a [HeartbeatRequest].
 type HeartbeatResponse struct {
-	Digest uint64 `cbor:"1,keyasint"` // of the receiver's view, with the request merged in
+	Digest uint64 `cbor:"1,keyasint"` // of the receiver's view after merging the request
 	Peers  []Peer `cbor:"2,keyasint,omitempty"`
-	// BucketDigests has a digest for each bucket of the view. Empty where the views are
+	// BucketDigests has a digest for each bucket of the view. It is empty if the views are
 	// equal, and in the second round.
 	BucketDigests []uint32 `cbor:"3,keyasint,omitempty"`
 }
--- a/api/operator.go
+++ b/api/operator.go
@@ -8,44 +8,45 @@
 
 // ReplaceRequest proposes a configuration to the leader.
 type ReplaceRequest struct {
-	// Base is the revision that the configuration replaces. Where the newest one is
-	// another, the request is rejected.
+	// Base is the revision that the configuration replaces. If it is not the newest revision,
+	// the request is rejected.
 	Base uint64 `cbor:"1,keyasint"`
-	// Config is the configuration in CBOR ([Config]), at most [MaxConfigBytes].
+	// Config is the configuration ([Config]) in CBOR, of at most [MaxConfigBytes] bytes.
 	Config []byte `cbor:"2,keyasint"`
 }
 
-// GetRequest asks for the newest configuration, or, by its fields, for something else.
+// GetRequest requests the newest configuration or, depending on its fields, other data.
 type GetRequest struct {
-	// Revision asks for that configuration of the history. 0: the newest.
+	// Revision requests that revision of the history. 0: the newest.
 	Revision uint64 `cbor:"1,keyasint,omitempty"`
-	// Versions asks for the revisions in the history, in [ControlResponse.Versions].
+	// Versions requests the list of revisions in the history, in [ControlResponse.Versions].
 	Versions bool `cbor:"2,keyasint,omitempty"`
-	// State asks for the complete replicated state, in [ControlResponse.Config], as
-	// [controlplane.Export] encodes it.
+	// State requests the complete replicated state, in [ControlResponse.Config], in the
+	// encoding of [controlplane.Export].
 	State bool `cbor:"3,keyasint,omitempty"`
 }
 
-// ControlResponse answers an operator's call, and a member's [JoinRequest].
+// ControlResponse is the response to calls of operators and to a member's [JoinRequest].
 type ControlResponse struct {
-	// Status is an HTTP status. 0: this member can't answer, and Leader may say who can.
+	// Status is an HTTP status. 0: this member can't process the call; Leader, if it is known,
+	// can.
 	Status int `cbor:"1,keyasint"`
-	// Reason says in one line why the call was rejected.
+	// Reason describes in one line why the call was rejected.
 	Reason string `cbor:"2,keyasint,omitempty"`
-	// Leader is the leader's internal address. Empty: it is not known.
+	// Leader is the leader's internal address. Empty: unknown.
 	Leader string `cbor:"3,keyasint,omitempty"`
-	// Config answers a [GetRequest]: a configuration in CBOR, or the state.
+	// Config is the result of a [GetRequest]: a configuration in CBOR, or the state.
 	Config []byte `cbor:"4,keyasint,omitempty"`
-	// Versions answers a [GetRequest] with Versions, the newest last.
+	// Versions is the result of a [GetRequest] with Versions set, in ascending order.
 	Versions []uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// CallReplace calls [Control.Replace], with the messages compressed.
+// CallReplace calls [Control.Replace] with compressed messages.
 func CallReplace(ctx context.Context, c *grpc.ClientConn, q *ReplaceRequest) (*ControlResponse, error) {
 	return invokeCompressed[ControlResponse](ctx, c, controlService, methodReplace, q)
 }
 
-// CallGet calls [Control.Get], with the messages compressed.
+// CallGet calls [Control.Get] with compressed messages.
 func CallGet(ctx context.Context, c *grpc.ClientConn, q *GetRequest) (*ControlResponse, error) {
 	return invokeCompressed[ControlResponse](ctx, c, controlService, methodGet, q)
 }
--- a/api/raft.go
+++ b/api/raft.go
@@ -8,14 +8,14 @@
 	"example.org/elmspan/raft"
 )
 
-// JoinRequest asks the leader to add a member, or says that a member is leaving as its
-// process is about to end.
+// JoinRequest asks the leader to add a member, or announces that a member is leaving because
+// its process is about to exit.
 type JoinRequest struct {
 	ID      raft.ID `cbor:"1,keyasint"`
 	Addr    string  `cbor:"2,keyasint"` // the member's internal address
 	Leaving bool    `cbor:"3,keyasint,omitempty"`
-	// Joint: the member understands joint consensus (changes of several voters at once).
-	// Members of earlier versions leave it out.
+	// Joint reports that the member supports joint consensus (changes of several voters at
+	// once). Members of earlier versions do not set it.
 	Joint bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -23,15 +23,16 @@
 type DeliverRequest struct {
 	Messages []raft.Message `cbor:"1,keyasint"`
 	From     raft.ID        `cbor:"2,keyasint,omitempty"`
-	// Addr is the sender's internal address: a member that has just joined knows no other.
+	// Addr is the sender's internal address. A member that has just joined knows no other
+	// address.
 	Addr string `cbor:"3,keyasint,omitempty"`
-	// Chunk stands in place of Messages that are too large for one call. It is sent only to
-	// a receiver that has said AcceptsChunks: an earlier version would take the call for an
-	// empty one.
+	// Chunk replaces Messages that are too large for one call. It is sent only to a receiver
+	// that has set AcceptsChunks: an earlier version would ignore it and treat the call as
+	// empty.
 	Chunk *MessageChunk `cbor:"4,keyasint,omitempty"`
 }
 
-// MessageChunk is a range of the bytes of a list of Raft messages in CBOR.
+// MessageChunk is a byte range of a list of Raft messages in CBOR.
 type MessageChunk struct {
 	Offset   int    `cbor:"1,keyasint"` // in bytes
 	Size     int    `cbor:"2,keyasint"` // of the complete list, in bytes
@@ -39,24 +40,26 @@
 	Data     []byte `cbor:"4,keyasint"`
 }
 
-// DeliverResponse answers a [DeliverRequest].
+// DeliverResponse is the response to a [DeliverRequest].
 type DeliverResponse struct {
-	// AcceptsChunks: this process reassembles chunked messages. Earlier versions leave it out.
+	// AcceptsChunks reports that this process reassembles chunked messages. Earlier versions do
+	// not set it.
 	AcceptsChunks bool `cbor:"1,keyasint,omitempty"`
-	// ReceivedBytes is how many bytes, from the beginning, this process has of the list that
-	// the request's chunk belongs to. The sender continues there.
+	// ReceivedBytes is the number of contiguous bytes, from the beginning, that this process
+	// has received of the list to which the request's chunk belongs. The sender continues at
+	// this offset.
 	ReceivedBytes int `cbor:"2,keyasint,omitempty"`
 }
 
-// ReadIndexResponse answers a member that asks the leader, for all reads that wait at that
-// member, whether it still leads (read index: Raft dissertation, 6.4).
+// ReadIndexResponse is the leader's response to a member that asks it to confirm its leadership
+// for all reads that are pending at that member (read index; Raft dissertation, section 6.4).
 type ReadIndexResponse struct {
-	// OK: a majority confirmed the leadership after the call came in.
+	// OK reports that a majority confirmed the leadership after the call was received.
 	OK bool `cbor:"1,keyasint,omitempty"`
-	// Index is committed, and at least as high as any index that was committed when the call
-	// came in. A member may answer the reads once it has applied it.
+	// Index is committed, and not below any index that was committed when the call was
+	// received. The member may answer the reads once it has applied this index.
 	Index uint64 `cbor:"2,keyasint,omitempty"`
-	// ServersVersion is that of the leader's server list, which is not in the log.
+	// ServersVersion is the version of the leader's server list, which is not in the log.
 	ServersVersion uint64 `cbor:"3,keyasint,omitempty"`
 	// ClockMs is the leader's time on the clock of the server list, in milliseconds.
 	ClockMs float64 `cbor:"4,keyasint,omitempty"`
--- a/api/rows.go
+++ b/api/rows.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// A configuration is distributed as a table of rows (package versioned), so that a limiter
-// gets only what changed. A row's key begins with its kind, its value is the entry's CBOR as
-// the operator sent it.
+// A configuration is distributed as a table of rows (package versioned), so that limiters
+// receive only the changes. The key of a row begins with its kind. The value is the entry's
+// CBOR as the operator sent it.
 const (
 	routeRow    = 'r' // followed by the host, a space and the prefix
 	tenantRow   = 't' // followed by the name
 	upstreamRow = 'u' // followed by the name
-	limitsRow   = "l" // the whole key
+	limitsRow   = "l" // the complete key
 )
 
-// RouteKey is the key of a route's row. Hosts that differ in case alone have the same key.
+// RouteKey returns the key of a route's row. Hosts that differ only in case have the same key.
 func RouteKey(host, prefix string) string {
 	return string(routeRow) + strings.ToLower(host) + " " + prefix
 }
 
-// ConfigRow is one decoded row of a configuration: one of the pointers is set.
+// ConfigRow is a decoded row of a configuration. Exactly one of the pointers is set.
 type ConfigRow struct {
-	// Removed: the entry is not in the configuration any more. It has only the fields that
-	// are in the row's key.
+	// Removed reports that the entry is no longer in the configuration. Only the fields that
+	// are part of the row's key are set.
 	Removed  bool
 	Route    *Route
 	Tenant   *Tenant
@@ -31,7 +31,7 @@
 	Limits   *RequestLimits
 }
 
-// ParseConfigRow decodes a row. A nil value is that of a removed row. The error is
+// ParseConfigRow decodes a row. A nil value stands for a removed row. The error is
 // [ErrMalformedRow].
 func ParseConfigRow(key string, value []byte) (ConfigRow, error) {
 	row := ConfigRow{Removed: value == nil}
@@ -45,16 +45,16 @@
 	return row, nil
 }
 
-// setKind sets the pointer for a key and returns it, for the value to be decoded into.
+// setKind sets the pointer that belongs to a key and returns it as the target for decoding.
 func (row *ConfigRow) setKind(key string) (entry any, err error) {
 	if key == "" {
-		return nil, fmt.Errorf("%w: an empty key", ErrMalformedRow)
+		return nil, fmt.Errorf("%w: key is empty", ErrMalformedRow)
 	}
 	switch name := key[1:]; key[0] {
 	case routeRow:
 		host, prefix, ok := strings.Cut(name, " ")
 		if !ok {
-			return nil, fmt.Errorf("%w: %q has no prefix", ErrMalformedRow, key)
+			return nil, fmt.Errorf("%w: key %q has no path prefix", ErrMalformedRow, key)
 		}
 		row.Route = &Route{Host: host, Prefix: prefix}
 		return row.Route, nil
@@ -68,5 +68,5 @@
 		row.Limits = &RequestLimits{}
 		return row.Limits, nil
 	}
-	return nil, fmt.Errorf("%w: %q is of no known kind", ErrMalformedRow, key)
+	return nil, fmt.Errorf("%w: key %q has an unknown kind", ErrMalformedRow, key)
 }
--- a/api/rpc.go
+++ b/api/rpc.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// unaryMethod describes a method of a service by the function that answers it.
+// unaryMethod returns the descriptor of a unary method that is handled by call.
 func unaryMethod[S, Q, R any](name string, call func(S, context.Context, *Q) (*R, error)) grpc.MethodDesc {
 	handler := func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		request := new(Q)
@@ -33,10 +33,10 @@
 	return response, nil
 }
 
-// invokeCompressed is invoke with the messages of both directions compressed: a
-// configuration of 1,400 routes takes half a second of a 5 Mbit/s link, and an eighth of
-// that when compressed. A server of an earlier version that can't decompress answers
-// Unimplemented before it has read anything, so the call is repeated uncompressed.
+// invokeCompressed is invoke with compression in both directions: a configuration of 1,400
+// routes takes half a second on a 5 Mbit/s link, and an eighth of that when compressed. Servers
+// of an earlier version do not support compression and return Unimplemented before they read
+// the request, so the call is repeated uncompressed.
 func invokeCompressed[R any](ctx context.Context, c *grpc.ClientConn, service, method string, request any) (*R, error) {
 	response, err := invoke[R](ctx, c, service, method, request, grpc.UseCompressor(gzip.Name))
 	if status.Code(err) == codes.Unimplemented {
@@ -46,7 +46,7 @@
 }
 
 func init() {
-	// The fastest level: bandwidth is what compression saves, and the processor is small (0.16 cores).
+	// The fastest level, because processes may have little CPU (0.16 cores).
 	if err := gzip.SetLevel(flate.BestSpeed); err != nil {
 		panic(err) // the level is a constant
 	}
--- a/api/server.go
+++ b/api/server.go
@@ -11,26 +11,27 @@
 	"example.org/elmspan/keys"
 )
 
-// What clients and servers have in common.
+// Parameters of both clients and servers.
 const (
-	// ioBufferBytes is small, as a process has hundreds of connections and most messages
-	// fit it.
+	// ioBufferBytes is small because a process has hundreds of connections and most messages
+	// fit.
 	ioBufferBytes = 4 << 10
-	// maxMessageBytes bounds a message: the largest configuration, and room for the rest.
+	// maxMessageBytes bounds the size of a message: the largest configuration plus 1 MiB for
+	// the other fields.
 	maxMessageBytes = MaxConfigBytes + 1<<20
-	// windowBytes is the flow-control window of streams and connections. It is fixed:
-	// gRPC's own estimate sends a ping, which is answered, with each message that comes,
-	// and nearly all messages are shorter than the smallest window. A megabyte fills a
-	// link of 70 Mbit/s with a round trip of 110 ms, and counts as memory only where one
-	// side sends faster than the other reads.
+	// windowBytes is the flow-control window of streams and connections. It is fixed because
+	// gRPC's bandwidth estimator sends a ping for each received message, and nearly all
+	// messages are smaller than the smallest window. 1 MiB fills a 70 Mbit/s link with a
+	// round-trip time of 110 ms, and occupies memory only if one side sends faster than the
+	// other reads.
 	windowBytes = 1 << 20
-	// maxStreams bounds the calls that one client has open on a connection.
+	// maxStreams bounds the concurrent calls of one client on a connection.
 	maxStreams = 1024
 )
 
-// NewServer returns a gRPC server for the system's own processes. With a key ring only
-// clients that have a certificate of the same authority are accepted; nil: no TLS, for
-// trusted networks.
+// NewServer returns a gRPC server for the system's own processes. If ring is not nil, clients
+// must present a certificate of the same certificate authority. If ring is nil, TLS is not
+// used, which is only suitable for trusted networks.
 func NewServer(ring *keys.Keyring) *grpc.Server {
 	creds := insecure.NewCredentials()
 	if ring != nil {
@@ -44,14 +45,14 @@
 		grpc.StaticConnWindowSize(windowBytes),
 		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.MaxConcurrentStreams(maxStreams),
-		// One goroutine answers one call after the other, with a stack that has grown once.
-		// A call that comes while it is busy gets a goroutine of its own.
+		// One goroutine processes calls one after the other, so that its stack grows only once.
+		// Calls that arrive while it is busy get a goroutine of their own.
 		grpc.NumStreamWorkers(1),
 	)
 }
 
-// Listen listens at the address at which other processes of the system reach this one.
-// Accepted connections have the same user timeout as dialed ones.
+// Listen listens on the internal address at which other processes of the system reach this one.
+// Accepted connections have the same TCP user timeout as dialed ones.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	lc := net.ListenConfig{KeepAlive: -1}
 	l, err := lc.Listen(ctx, "tcp", addr)
@@ -61,18 +62,18 @@
 	return userTimeoutListener{l.(*net.TCPListener)}, nil
 }
 
-// userTimeoutListener sets the user timeout on what it accepts: the option is not
-// inherited from the listening socket.
+// userTimeoutListener sets the TCP user timeout on accepted connections, which do not inherit
+// it from the listening socket.
 type userTimeoutListener struct{ *net.TCPListener }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and returns it with the TCP user timeout set.
 func (l userTimeoutListener) Accept() (net.Conn, error) {
 	c, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
 	if raw, err := c.SyscallConn(); err == nil {
-		// A connection that has ended meanwhile reports that when it is read.
+		// If the connection is closed already, the next read returns the error.
 		_ = setUserTimeout("", "", raw)
 	}
 	return c, nil
--- a/api/server_test.go
+++ b/api/server_test.go
@@ -11,7 +11,8 @@
 	"google.golang.org/grpc"
 )
 
-// relayFrames copies HTTP/2 and counts the frames by their types (RFC 9113, section 6).
+// relayFrames copies an HTTP/2 byte stream and counts the frames by type (RFC 9113, section 6).
+// preface is the length of the connection preface, which is copied first.
 func relayFrames(w io.Writer, r io.Reader, preface int64, count *[10]atomic.Int64) {
 	if _, err := io.CopyN(w, r, preface); err != nil {
 		return
@@ -34,18 +35,19 @@
 // serve runs a server until the test ends.
 func serve(t *testing.T, s *grpc.Server, l net.Listener) {
 	t.Helper()
-	go func() { _ = s.Serve(l) }() // it returns when the server is stopped
+	go func() { _ = s.Serve(l) }() // returns when the server is stopped
 	t.Cleanup(s.Stop)
 }
 
-// answeringMember answers heartbeats.
+// answeringMember responds to heartbeats.
 type answeringMember struct{}
 
 func (answeringMember) Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
 	return &HeartbeatResponse{Digest: 1}, nil
 }
 
-// A call costs the frames that carry it, and no pings that estimate the bandwidth.
+// Each call sends only one HEADERS frame and one DATA frame in each direction, and no pings of
+// gRPC's bandwidth estimator.
 func TestCallsSendNoPings(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -90,7 +92,7 @@
 		t.Errorf("%d pings in %d calls", n, calls)
 	}
 	if there[headers].Load() != calls || there[data].Load() != calls || back[data].Load() != calls {
-		t.Errorf("the relay saw %d headers and %d bodies of %d calls, and %d responses",
+		t.Errorf("the relay saw %d HEADERS and %d DATA frames in requests for %d calls, %d DATA frames in responses",
 			there[headers].Load(), there[data].Load(), calls, back[data].Load())
 	}
 }
--- a/api/servers.go
+++ b/api/servers.go
@@ -6,25 +6,25 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Server is one entry of the platform's server list, with the platform's names.
+// Server is an entry of the platform's server list, with the platform's field names.
 type Server struct {
-	ID       string `cbor:"member_id"` // names one life of the server; never used again
-	Upstream string `cbor:"upstream"`  // the service that it belongs to
+	ID       string `cbor:"member_id"` // identifies one run of the server; never reused
+	Upstream string `cbor:"upstream"`  // the service to which it belongs
 	Addr     string `cbor:"address"`
 	Zone     string `cbor:"zone"`
-	Revision string `cbor:"revision"` // of the software that it runs
-	Capacity int    `cbor:"capacity"` // requests that it runs at the same time
+	Revision string `cbor:"revision"` // of the server's software
+	Capacity int    `cbor:"capacity"` // concurrent requests that it can process
 	State    string `cbor:"oper_state"`
-	// WarmupMs is how long the server is still slow after its start, in milliseconds.
-	// 0: it is warm.
+	// WarmupMs is the remaining time of the server's slow start, in milliseconds. 0: it is
+	// warm.
 	WarmupMs float64 `cbor:"warmup_left_ms"`
 }
 
-// The states of a server ([Server.State]). Any other state counts as in service.
+// States of a server ([Server.State]). Any other state is treated as in service.
 const (
-	// InService is the state of a server that gets requests.
+	// InService is the state of a server that receives requests.
 	InService = "in_service"
-	// Draining is the state of a server that gets no new requests and finishes those that it has.
+	// Draining is the state of a server that finishes its requests and receives no new ones.
 	Draining = "draining"
 )
 
@@ -35,12 +35,12 @@
 	Zone     string  `cbor:"3,keyasint"`
 	Capacity int     `cbor:"4,keyasint"`
 	State    string  `cbor:"5,keyasint,omitempty"` // empty: in service
-	WarmAtMs float64 `cbor:"6,keyasint,omitempty"` // on the clock of the table
+	WarmAtMs float64 `cbor:"6,keyasint,omitempty"` // on the table's clock
 }
 
-// EncodeServerRow returns the value of a server's row. warmAtMs is when its slow start
-// ends, in milliseconds on the clock of the table ([WatchResponse.ClockMs]); 0: it has
-// ended. [Server.WarmupMs] and [Server.Revision] are not in the row.
+// EncodeServerRow returns the value of a server's row. warmAtMs is the end of its slow start,
+// in milliseconds on the table's clock ([WatchResponse.ClockMs]); 0: it has ended.
+// [Server.WarmupMs] and [Server.Revision] are not encoded.
 func EncodeServerRow(s Server, warmAtMs float64) ([]byte, error) {
 	row := serverRow{
 		Upstream: s.Upstream,
@@ -48,7 +48,7 @@
 		Zone:     s.Zone,
 		Capacity: s.Capacity,
 		State:    s.State,
-		WarmAtMs: float64(int64(warmAtMs)), // whole milliseconds are shorter
+		WarmAtMs: float64(int64(warmAtMs)), // integral values have a shorter encoding
 	}
 	if row.State == InService {
 		row.State = ""
@@ -60,8 +60,8 @@
 	return out, nil
 }
 
-// ParseServerRow decodes a server's row. id is the row's key, nowMs the present time on
-// the clock of the table, in milliseconds. The error is [ErrMalformedRow].
+// ParseServerRow decodes a server's row. id is the row's key. nowMs is the current time in
+// milliseconds on the table's clock. The error is [ErrMalformedRow].
 func ParseServerRow(id string, value []byte, nowMs float64) (Server, error) {
 	var row serverRow
 	if err := strictDecMode.Unmarshal(value, &row); err != nil {
--- a/api/validate.go
+++ b/api/validate.go
@@ -6,12 +6,11 @@
 	"strings"
 )
 
-// maxFieldErrors bounds the faults that are reported of one configuration.
+// maxFieldErrors bounds the number of errors that are reported for one configuration.
 const maxFieldErrors = 20
 
-// ParseConfig decodes a configuration and validates all that can be validated without
-// knowing the one before. The error says that it can't be decoded, or is that of
-// [Config.Validate].
+// ParseConfig decodes a configuration and validates everything that does not depend on the
+// previous configuration. It returns a decoding error or the error of [Config.Validate].
 func ParseConfig(data []byte) (*Config, error) {
 	c := &Config{}
 	if err := Unmarshal(data, c); err != nil {
@@ -20,8 +19,8 @@
 	return c, c.Validate()
 }
 
-// Validate returns the faults of a configuration, up to 20, each as a [FieldError] and on a
-// line of its own; nil if there are none.
+// Validate returns up to 20 validation errors, each a [FieldError] on a line of its own, or nil
+// if the configuration is valid.
 func (c *Config) Validate() error {
 	v := &validator{services: make(map[string]bool, len(c.Upstreams))}
 	if c.Revision == 0 {
@@ -33,9 +32,9 @@
 	return errors.Join(v.faults...)
 }
 
-// validator collects the faults of one configuration.
+// validator collects the validation errors of one configuration.
 type validator struct {
-	services map[string]bool // the names in upstream_table
+	services map[string]bool // names in upstream_table
 	faults   []error
 }
 
@@ -55,7 +54,7 @@
 }
 
 func (v *validator) routes(routes []Route) {
-	firsts := make(map[string]int, len(routes)) // by host and prefix
+	firsts := make(map[string]int, len(routes)) // index of the first route, by host and prefix
 	for i := range routes {
 		r := &routes[i]
 		field := fmt.Sprintf("route_table.%d (%s)", i, r.Name)
@@ -68,7 +67,7 @@
 	}
 }
 
-// The comparisons below are negated so that NaN, which CBOR can carry, is a fault too.
+// The comparisons below are negated so that NaN, which CBOR can encode, is rejected too.
 
 func (v *validator) route(field string, r *Route) {
 	if r.Host == "" {
@@ -121,7 +120,7 @@
 	}
 }
 
-// keys checks the keys of a tenant, and notes whose they are.
+// keys validates the API keys of a tenant and records the tenant as their owner.
 func (v *validator) keys(i int, t *Tenant, owners map[string]string) {
 	for k, key := range t.Keys {
 		if owner, ok := owners[key]; ok && owner != t.Name {
@@ -134,7 +133,7 @@
 	}
 }
 
-// The fields of tenants are named only where there is a fault: there are many tenants.
+// As there may be many tenants, their field names are formatted only for errors.
 
 func tenantField(i int, t *Tenant) string { return fmt.Sprintf("tenant_table.%d (%s)", i, t.Name) }
 
--- a/api/validate_test.go
+++ b/api/validate_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Each fault is reported with its field, and all of them at once.
+// Each validation error names its field, and all errors are reported together.
 func TestConfigValidateNamesEachField(t *testing.T) {
 	if err := validConfig().Validate(); err != nil {
 		t.Fatal(err)
@@ -51,17 +51,17 @@
 		}
 		var fault *FieldError
 		if err := c.Validate(); !errors.As(err, &fault) || fault.Field == "" || !strings.Contains(fault.Error(), want) {
-			t.Errorf("want %q in the first fault, %+v", want, fault)
+			t.Errorf("want %q in the first error, %+v", want, fault)
 		}
 	}
 	c := validConfig()
 	c.Routes[0].TimeoutMs, c.Routes[0].Upstream = 0, ""
 	if err := c.Validate(); strings.Count(err.Error(), "\n") != 1 {
-		t.Errorf("two faults in %q", err)
+		t.Errorf("want two errors, got %q", err)
 	}
 }
 
-// A configuration that is cut short, doubled or followed by more is rejected.
+// Truncated input and input with trailing data are rejected.
 func TestParseConfigRejectsIncompleteInput(t *testing.T) {
 	data, err := cbor.Marshal(validConfig())
 	if err != nil {
@@ -76,7 +76,7 @@
 		}
 	}
 	if _, err := ParseConfig(append(data, data...)); err == nil {
-		t.Error("two configurations were accepted as one")
+		t.Error("two concatenated configurations were accepted")
 	}
 }
 
@@ -94,12 +94,12 @@
 		if c.Revision == 0 || c.Validate() != nil {
 			t.Error("an invalid configuration was accepted")
 		}
-		// What is valid can be encoded as rows: a member of the control plane stops where it can't.
+		// A valid configuration can be encoded as rows: otherwise members of the control plane stop.
 		if rows, err := BuildConfigRows(b, nil); err != nil || rows.Revision != c.Revision {
 			t.Fatalf("%x is valid and can't be encoded as rows: %v", b, err)
 		}
 		if revision, _, err := configRows(b); err != nil || revision != c.Revision {
-			t.Errorf("a configuration was accepted whose rows can't be read: revision %d, %v", revision, err)
+			t.Errorf("the rows of an accepted configuration can't be decoded: revision %d, %v", revision, err)
 		}
 	})
 }
