--- a/discovery/client.go
+++ b/discovery/client.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	callTimeout  = time.Second // of the call for one page
+	callTimeout  = time.Second // for one page
 	maxPages     = 2000
 	maxPageBytes = 4 << 20
 )
 
-// A long list is read at a part of the platform's rate, and continues at the page where the
-// rate was exceeded all the same: read at once it would be rejected at the same page each
-// time, and never be complete.
+// A long list is read at a fraction of the platform's rate limit. If a page is rejected anyway,
+// reading continues with that page. Without pacing, every attempt would be rejected at the same
+// page and the list would never be complete.
 const (
-	// unpacedSeconds is up to how many seconds' worth of the rate is read at once.
+	// unpacedSeconds bounds the pages that are read without pacing, in seconds of the rate limit.
 	unpacedSeconds = 0.5
-	// pacedRateFraction is the part of the rate at which the rest is read. More leaves less to
-	// others that ask.
+	// pacedRateFraction is the fraction of the rate limit at which the remaining pages are read.
+	// A higher value leaves less for other clients of the platform.
 	pacedRateFraction = 0.8
-	// maxRateLimited is how many times in a row a paced page is asked for again.
+	// maxRateLimited bounds the consecutive retries of a paced page.
 	maxRateLimited = 8
-	// rateLimitedPause is the pause before that.
+	// rateLimitedPause is the delay before such a retry.
 	rateLimitedPause = 500 * time.Millisecond
 )
 
 // page is one page of the platform's list.
 type page struct {
 	Members []api.Server `cbor:"members"`
-	Next    *string      `cbor:"next_token"` // nil or empty: this is the last page
+	Next    *string      `cbor:"next_token"` // nil or empty: last page
 }
 
-// httpClient keeps one idle connection at most, and only while a list is read.
+// httpClient keeps at most one idle connection, and closes it soon after a list has been read.
 var httpClient = &http.Client{Transport: &http.Transport{
 	MaxIdleConns:       1,
 	IdleConnTimeout:    5 * time.Second,
@@ -49,12 +49,12 @@
 	WriteBufferSize:    1 << 10,
 }}
 
-// ListServers reads the complete list of the platform at an address (host:port), and returns it
-// with the number of pages. ratePerS is the platform's rate limit in calls per second; 0: none,
-// and nothing is paced. Entries without an id, an address or a service are left out.
+// ListServers reads the complete server list of the platform at an address (host:port), and
+// returns it with the number of pages. ratePerS is the platform's rate limit in calls per second;
+// 0: unlimited, without pacing. Entries without an ID, an address or a service are skipped.
 //
-// The error is [ErrRateLimited] or [ErrTooLarge], [context.Canceled] when the context ended in a
-// pause, or that of the call that failed.
+// The error is [ErrRateLimited], [ErrTooLarge], [context.Canceled] if the context ended during a
+// pause, or the error of the failed call.
 func ListServers(ctx context.Context, addr string, ratePerS float64) (list []api.Server, pages int, err error) {
 	r := pageReader{
 		ratePerS:  ratePerS,
@@ -64,11 +64,11 @@
 	return r.readAll()
 }
 
-// pageReader reads a list page by page.
+// pageReader reads the server list page by page.
 type pageReader struct {
 	ratePerS  float64
 	fetchPage func(token string) (*page, error)
-	sleep     func(time.Duration) bool // it reports whether all of the time has passed
+	sleep     func(time.Duration) bool // returns false if it was interrupted
 
 	pages int // read so far
 }
@@ -93,7 +93,7 @@
 	return nil, r.pages, fmt.Errorf("%w: more than %d pages", ErrTooLarge, maxPages)
 }
 
-// next reads the page of a token. A paced one that is rejected is asked for again.
+// next reads the page of a token. A paced page is retried if the platform rejects it.
 func (r *pageReader) next(token string) (*page, error) {
 	paced := r.ratePerS > 0 && float64(r.pages) >= unpacedSeconds*r.ratePerS
 	for rejected := 0; ; rejected++ {
@@ -114,7 +114,7 @@
 	}
 }
 
-// fetchPage calls the platform for one page. An empty token is the first page's.
+// fetchPage requests one page from the platform. An empty token selects the first page.
 func fetchPage(ctx context.Context, addr, token string) (*page, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // all that is wanted has been read
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("discovery: reading a page: %w", err)
@@ -143,9 +143,9 @@
 	case status == http.StatusTooManyRequests:
 		return nil, ErrRateLimited
 	case status != http.StatusOK:
-		return nil, fmt.Errorf("discovery: the platform answered with status %d", status)
+		return nil, fmt.Errorf("discovery: platform returned HTTP status %d", status)
 	case len(body) > maxPageBytes:
-		return nil, fmt.Errorf("%w: a page of more than %d bytes", ErrTooLarge, maxPageBytes)
+		return nil, fmt.Errorf("%w: page exceeds %d bytes", ErrTooLarge, maxPageBytes)
 	}
 	p := &page{}
 	if err := api.Unmarshal(body, p); err != nil {
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -10,12 +10,12 @@
 	"example.org/elmspan/api"
 )
 
-// platform is a platform on a clock of the test, with a rate limit in calls per second and a
-// burst of as many.
+// platform is a fake platform on a simulated clock, with a rate limit in calls per second and a
+// burst of one second's worth of calls.
 type platform struct {
 	pages    int
 	ratePerS float64
-	credit   float64 // calls that it accepts now
+	credit   float64 // number of calls that are accepted now
 	slept    time.Duration
 	calls    int
 	rejected int
@@ -32,7 +32,7 @@
 		return nil, ErrRateLimited
 	}
 	p.credit--
-	at, _ := strconv.Atoi(token) // no token is page 0
+	at, _ := strconv.Atoi(token) // an empty token is page 0
 	out := &page{Members: []api.Server{{ID: fmt.Sprint("i-", at), Addr: "10.0.0.1:80", Upstream: "u"}}}
 	if at+1 < p.pages {
 		next := strconv.Itoa(at + 1)
@@ -41,7 +41,7 @@
 	return out, nil
 }
 
-// rejecting answers like the platform, but rejects page 60 the given number of times.
+// rejecting returns a fetchPage that rejects page 60 the given number of times.
 func (p *platform) rejecting(times int) func(token string) (*page, error) {
 	return func(token string) (*page, error) {
 		if token == "60" && times > 0 {
@@ -58,15 +58,15 @@
 	return true
 }
 
-// readAll reads the list, paced for a rate limit.
+// readAll reads the list, with pacing for a rate limit.
 func (p *platform) readAll(ratePerS float64, fetch func(string) (*page, error)) ([]api.Server, int, error) {
 	r := pageReader{ratePerS: ratePerS, fetchPage: fetch, sleep: p.sleep}
 	return r.readAll()
 }
 
-// A long list is read within the platform's rate, time after time, and a short one at once.
-// (Found at 9,700 servers and 50 calls per second: each time the 51st page of 194 was
-// rejected, and no limiter ever served.)
+// A long list is read repeatedly within the platform's rate limit, and a short one without
+// delay. Without pacing, with 9,700 servers and 50 calls per second, page 51 of 194 was rejected
+// each time, and no limiter ever became ready.
 func TestLongListIsReadWithinTheRate(t *testing.T) {
 	for _, c := range []struct {
 		pages    int
@@ -97,8 +97,8 @@
 	}
 }
 
-// Where others use up the rate a long list continues at the page that was rejected, a bounded
-// number of times; a short one is left to the caller to ask for again.
+// If other clients use up the rate limit, a long list continues at the rejected page, with a
+// bounded number of retries. For a short list, retrying is left to the caller.
 func TestRateLimitedPlatform(t *testing.T) {
 	t.Run("long list", func(t *testing.T) {
 		p, rejections := newPlatform(100, 50, 40), 0
@@ -129,7 +129,7 @@
 	})
 }
 
-// Without a rate limit nothing is paced.
+// Without a rate limit, calls are not paced.
 func TestListWithoutRateIsNotPaced(t *testing.T) {
 	p := newPlatform(300, 1e9, 1e9)
 	if list, _, err := p.readAll(0, p.fetchPage); err != nil || len(list) != 300 || p.slept != 0 {
--- a/discovery/doc.go
+++ b/discovery/doc.go
@@ -1,11 +1,11 @@
-// Package discovery reads the platform's server list and keeps the list of endpoints that
-// follows from the answers.
+// Package discovery reads the platform's server list and maintains the list of endpoints that
+// results from the responses.
 //
-// [ListServers] asks the platform. Within the system one process does that for all, the leader
-// of the control plane; a limiter that has not reached the control plane for long asks
-// for itself, the more rarely the more limiters there are, so that the platform's rate limit
-// holds.
+// [ListServers] queries the platform. Normally only the leader of the control plane does so, on
+// behalf of all processes. A limiter that has not reached the control plane for a long time
+// queries the platform itself, at an interval that grows with the number of limiters so that
+// the platform's rate limit is not exceeded.
 //
-// The answers lag, and may come out of order or from two sources. [EndpointList] merges them,
-// and [OneWayStates] keeps a server from going back to an earlier state.
+// Responses may be stale, out of order or from two sources. [EndpointList] merges them, and
+// [OneWayStates] prevents a server from returning to an earlier state.
 package discovery
--- a/discovery/endpoints.go
+++ b/discovery/endpoints.go
@@ -2,27 +2,29 @@
 
 import "example.org/elmspan/api"
 
-// missesUntilRemoved is in how many answers in a row a server must be missing to count as
-// removed. One may slip from one page of the list to another between two calls.
+// missesUntilRemoved is the number of consecutive responses without a server after which it is
+// removed. A single response may omit a server that moved from one page of the list to another
+// between two calls.
 const missesUntilRemoved = 2
 
-// EndpointList is the list of servers that follows from the answers of the platform, merged one
-// after the other. The zero value is empty. It reads no clock, and is not safe for concurrent
-// use.
+// EndpointList is the list of servers that results from merging the platform's responses. The
+// zero value is an empty list. It reads no clock: callers pass the time. It is not safe for
+// concurrent use.
 type EndpointList struct {
 	states  OneWayStates
 	servers map[string]*endpoint // by id
 }
 
 type endpoint struct {
-	api.Server         // with WarmupMs 0: warmAtMs has it
-	warmAtMs   float64 // when its slow start ends, on the caller's clock
-	misses     int     // answers in a row that did not have it
+	api.Server         // WarmupMs is 0, in favor of warmAtMs
+	warmAtMs   float64 // end of the slow start, on the caller's clock
+	misses     int     // consecutive responses without the server
 }
 
-// Merge takes in an answer at a time on the caller's clock, in milliseconds. changed: the list
-// is another, apart from the time that slow starts have left. uncertain: a server is missing
-// for the first time, and another answer soon will tell whether it was removed.
+// Merge merges a response into the list. nowMs is the current time in milliseconds on the
+// caller's clock. changed reports that the list differs in more than the remaining time of slow
+// starts. uncertain reports that a server is missing for the first time: the caller should query
+// the platform again soon to find out whether it was removed.
 func (l *EndpointList) Merge(nowMs float64, answer []api.Server) (changed, uncertain bool) {
 	present := make(map[string]bool, len(answer))
 	for _, s := range answer {
@@ -47,8 +49,8 @@
 	return changed, uncertain
 }
 
-// update takes in a server of an answer, and reports whether the list has changed. The end of the
-// slow start is that of the first answer.
+// update merges a server of a response and reports whether the list has changed. The end of the
+// slow start is set by the first response that has the server.
 func (l *EndpointList) update(s api.Server, nowMs float64) bool {
 	warmAtMs := nowMs + s.WarmupMs
 	s.WarmupMs = 0
@@ -77,8 +79,8 @@
 	delete(l.servers, id)
 }
 
-// Add takes over a server from another list, with the end of its slow start on the caller's
-// clock, in milliseconds. One that was removed from this list is ignored.
+// Add adds a server from another list. warmAtMs is the end of its slow start, in milliseconds on
+// the caller's clock. A server that was removed from this list is ignored.
 func (l *EndpointList) Add(s api.Server, warmAtMs float64) {
 	if l.states.Apply(&s) {
 		s.WarmupMs = 0
@@ -86,8 +88,8 @@
 	}
 }
 
-// All is an iterator over the servers, in no order, with the end of each one's slow start on
-// the caller's clock, in milliseconds.
+// All iterates over the servers in unspecified order, with the end of each server's slow start
+// in milliseconds on the caller's clock.
 func (l *EndpointList) All(yield func(s api.Server, warmAtMs float64) bool) {
 	for _, e := range l.servers {
 		if !yield(e.Server, e.warmAtMs) {
@@ -96,5 +98,5 @@
 	}
 }
 
-// Len is the number of servers.
+// Len returns the number of servers.
 func (l *EndpointList) Len() int { return len(l.servers) }
--- a/discovery/endpoints_test.go
+++ b/discovery/endpoints_test.go
@@ -13,11 +13,11 @@
 	return api.Server{ID: id, Upstream: "s", Addr: "10.0.0.1:80", Zone: "z", Capacity: 2, State: state}
 }
 
-// inService and draining are servers in a state.
+// inService and draining return a server in that state.
 func inService(id string) api.Server { return server(id, api.InService) }
 func draining(id string) api.Server  { return server(id, api.Draining) }
 
-// states returns the state of each server of a list.
+// states returns the state of each server of a list, by ID.
 func states(l *EndpointList) map[string]string {
 	out := map[string]string{}
 	for s := range l.All {
@@ -26,10 +26,9 @@
 	return out
 }
 
-// A server that was seen draining is not in service again by an answer that is older, and one
-// that was removed does not come back; one that only slipped from a page does. (Found by the
-// users: a machine that was being drained got work again after the process that asks the
-// platform had died and come back.)
+// A stale response does not put a draining server back in service or bring a removed one back.
+// A server that is missing from a single response stays in the list. Without this, a draining
+// machine received requests again after the process that queries the platform had restarted.
 func TestRemovedServersStayRemoved(t *testing.T) {
 	var l EndpointList
 	steps := []struct {
@@ -56,14 +55,15 @@
 	}
 }
 
-// The stages of a server, in their order.
+// The stages of a server's life cycle, in order.
 const (
 	stageInService = iota
 	stageDraining
 	stageRemoved
 )
 
-// answersOfAPlatform returns the answers in their true order, and all ids.
+// answersOfAPlatform returns random responses in chronological order, and the final stage of each
+// server by ID.
 func answersOfAPlatform(rng *rand.Rand) (answers [][]api.Server, stages map[string]int) {
 	stages = map[string]int{}
 	for step := range 30 {
@@ -84,7 +84,7 @@
 	return answers, stages
 }
 
-// stageOf returns the stage that a list has a server in.
+// stageOf returns the stage of a server in a list.
 func stageOf(list map[string]string, id string) int {
 	state, ok := list[id]
 	if !ok {
@@ -93,16 +93,16 @@
 	return slices.Index([]string{api.InService, api.Draining}, state)
 }
 
-// Whatever the order of the answers, and whichever of two processes asked: in a list that
-// merges them the state of a server moves in one direction.
+// If responses are merged out of order, as from two processes that query the platform, the state
+// of each server in the merged list still moves only forward.
 func TestStatesMoveOneWay(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		answers, ids := answersOfAPlatform(rng)
 		var l EndpointList
-		furthest := map[string]int{} // the stages that were seen in the list
+		furthest := map[string]int{} // the latest stage observed in the list
 		for i := range answers {
-			l.Merge(float64(i), answers[max(0, i-rng.IntN(4))]) // some answers are late
+			l.Merge(float64(i), answers[max(0, i-rng.IntN(4))]) // some responses are stale
 			got := states(&l)
 			for id, stage := range furthest {
 				if now := stageOf(got, id); now < stage && stage != stageInService {
@@ -121,13 +121,13 @@
 	}
 }
 
-// The memory of any number of servers is bounded.
+// The number of remembered servers is bounded.
 func TestOneWayStatesAreBounded(t *testing.T) {
 	var o OneWayStates
 	for i := range 3 * maxRemembered {
 		o.MarkRemoved(fmt.Sprint(i))
 	}
 	if len(o.removed) > maxRemembered || len(o.order) > maxRemembered {
-		t.Errorf("%d, %d", len(o.removed), len(o.order))
+		t.Errorf("%d servers are remembered, %d in order of age", len(o.removed), len(o.order))
 	}
 }
--- a/discovery/errors.go
+++ b/discovery/errors.go
@@ -3,9 +3,9 @@
 import "errors"
 
 var (
-	// ErrRateLimited is returned when the platform's rate limit is exceeded (HTTP 429). The
-	// caller asks again later.
-	ErrRateLimited = errors.New("discovery: over the platform's rate limit")
-	// ErrTooLarge is returned for a list or a page that exceeds the bounds.
-	ErrTooLarge = errors.New("discovery: the server list is too large")
+	// ErrRateLimited is returned if the platform's rate limit is exceeded (HTTP 429). The
+	// caller should retry later.
+	ErrRateLimited = errors.New("discovery: platform rate limit exceeded")
+	// ErrTooLarge is returned for a list with too many pages or a page with too many bytes.
+	ErrTooLarge = errors.New("discovery: server list too large")
 )
--- a/discovery/states.go
+++ b/discovery/states.go
@@ -2,22 +2,22 @@
 
 import "example.org/elmspan/api"
 
-// maxRemembered bounds the servers that are remembered as draining or removed. The oldest are
-// forgotten: by then the platform's list has not had them for long.
+// maxRemembered bounds the number of draining or removed servers that are remembered. The oldest
+// are evicted: they have been missing from the platform's list for a long time by then.
 const maxRemembered = 8192
 
-// OneWayStates remembers which servers were seen draining or removed. The state of a server
-// moves in one direction: in service, draining, removed. Answers of the platform may be older
-// than others, and lists may come late or from a process that knows less: a state that was
-// seen is never taken back. An id names one life of a server and is not used again. The zero
-// value is ready for use. It is not safe for concurrent use.
+// OneWayStates records which servers have been observed as draining or removed. The state of a
+// server only moves forward: in service, draining, removed. As the platform's responses may be
+// stale, and lists may arrive late or from a process with less recent data, an observed state is
+// never reverted. An ID identifies one run of a server and is not reused. The zero value is ready
+// to use. It is not safe for concurrent use.
 type OneWayStates struct {
-	removed map[string]bool // has the servers seen draining; true: removed
+	removed map[string]bool // servers observed as draining (false) or removed (true)
 	order   []string        // the keys of removed, oldest first
 }
 
-// Apply sets the state of a server to the furthest that was seen, and remembers it. It tells
-// whether the server is there: false for one that was removed.
+// Apply advances the state of a server to the latest one observed, and records it. It returns
+// false if the server has been removed.
 func (o *OneWayStates) Apply(s *api.Server) bool {
 	removed, seen := o.removed[s.ID]
 	switch {
@@ -31,7 +31,7 @@
 	return true
 }
 
-// MarkRemoved remembers that a server was removed.
+// MarkRemoved records that a server has been removed.
 func (o *OneWayStates) MarkRemoved(id string) { o.remember(id, true) }
 
 func (o *OneWayStates) remember(id string, removed bool) {
--- a/telemetry/golden_test.go
+++ b/telemetry/golden_test.go
@@ -18,8 +18,8 @@
 	return data
 }
 
-// What an earlier release wrote of a process is read, written again to the same bytes, and
-// reported in the same words.
+// Usage files of an earlier release are decoded, encode to the same bytes, and give the same
+// report.
 func TestGoldenRecordings(t *testing.T) {
 	for name, wall := range map[string]float64{"a.1.json": 10.5, "b.2.json": 11.5} {
 		golden := readGolden(t, name)
@@ -28,10 +28,10 @@
 			t.Fatal(err)
 		}
 		if s.WallS != wall || s.PeakMB != 20.25 || s.Objects != 210000 {
-			t.Errorf("%s is read as %+v", name, s)
+			t.Errorf("%s is decoded as %+v", name, s)
 		}
 		if got, err := json.Marshal(s); err != nil || !bytes.Equal(got, golden) {
-			t.Errorf("%s is written as %s, %v, want %s", name, got, err, golden)
+			t.Errorf("%s is encoded as %s, %v, want %s", name, got, err, golden)
 		}
 	}
 	var report bytes.Buffer
@@ -39,12 +39,12 @@
 		t.Fatal(err)
 	}
 	if want := readGolden(t, "report.txt"); !bytes.Equal(report.Bytes(), want) {
-		t.Errorf("%s, want %s", report.Bytes(), want)
+		t.Errorf("report\n%s, want\n%s", report.Bytes(), want)
 	}
 }
 
-// Metrics are exposed as by an earlier release: names, labels, bounds, and the series that
-// takes what is beyond the limit of series.
+// Metrics are exposed as in an earlier release: names, labels, bucket bounds, and the series
+// that aggregates those beyond the limit.
 func TestGoldenExposition(t *testing.T) {
 	exposed := expose(t, fillMetrics(2050))
 	var got strings.Builder
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,8 +1,8 @@
-// Package telemetry keeps the metrics of one process and exposes them to Prometheus, and
-// records what a process uses: see [StartRecording].
+// Package telemetry collects the metrics of a process and exposes them to Prometheus, and
+// records a process's resource usage: see [StartRecording].
 //
-// A nil [Metrics] keeps none and costs next to nothing, so that the planes need not ask
-// whether metrics are on. All methods of Metrics may be called concurrently.
+// A nil [Metrics] collects nothing at almost no cost, so that callers need not check whether
+// metrics are enabled. All methods of Metrics are safe for concurrent use.
 package telemetry
 
 import (
@@ -19,10 +19,10 @@
 )
 
 const (
-	// maxSeries bounds the counters, as routes and services come from configurations. What is
-	// beyond it counts under the label value "other".
+	// maxSeries bounds the number of counter series, as labels hold names of routes and services
+	// from configurations. Series beyond the bound are aggregated under the label value "other".
 	maxSeries = 2048
-	// maxHistograms bounds the histograms likewise: each has a series for each bound.
+	// maxHistograms bounds the number of histograms, each of which has a series per bucket.
 	maxHistograms = maxSeries / 8
 
 	otherValue = "other"
@@ -32,13 +32,13 @@
 	writeTimeout  = 10 * time.Second
 )
 
-// histogramBounds are the upper bounds of a histogram's buckets in seconds: from half a
-// millisecond, with small steps around the latency targets of routes (50 ms to 1 s).
+// histogramBounds are the upper bounds of histogram buckets in seconds. They start at 0.5 ms
+// and are finer around the latency targets of routes (50 ms to 1 s).
 var histogramBounds = []float64{
 	.0005, .001, .0025, .005, .01, .025, .05, .075, .1, .15, .2, .3, .4, .5, .75, 1, 1.5, 2.5, 5, 10, 30,
 }
 
-// Metrics are the metrics of one process. Make them with [New].
+// Metrics holds the metrics of a process. Use [New] to create it.
 type Metrics struct {
 	set *metrics.Set
 
@@ -47,7 +47,7 @@
 	histograms map[string]*metrics.PrometheusHistogram // by series; guarded by mu
 }
 
-// New returns empty metrics.
+// New returns a Metrics without any series.
 func New() *Metrics {
 	return &Metrics{
 		set:        metrics.NewSet(),
@@ -56,10 +56,10 @@
 	}
 }
 
-// Label is a label's name and its value.
+// Label is the name and the value of a label.
 type Label struct{ Name, Value string }
 
-// series is the name of a series as Prometheus writes it.
+// series returns the name of a series in the Prometheus text format.
 func series(name string, labels []Label) string {
 	if len(labels) == 0 {
 		return name
@@ -76,7 +76,7 @@
 	return b.String()
 }
 
-// otherSeries is the series that all those of a name beyond the bound share.
+// otherSeries returns the series that aggregates a metric's series beyond the bound.
 func otherSeries(name string, labels []Label) string {
 	shared := make([]Label, len(labels))
 	for i, l := range labels {
@@ -93,7 +93,7 @@
 	m.counter(name, labels).Add(n)
 }
 
-// counter returns the counter of a series, or the shared one past the bound.
+// counter returns the counter of a series, or the aggregate one if the bound is reached.
 func (m *Metrics) counter(name string, labels []Label) *metrics.Counter {
 	key := series(name, labels)
 	m.mu.Lock()
@@ -109,7 +109,7 @@
 	return c
 }
 
-// Observe adds a duration to a histogram, in seconds.
+// Observe adds a duration, in seconds, to a histogram.
 func (m *Metrics) Observe(name string, d time.Duration, labels ...Label) {
 	if m == nil {
 		return
@@ -117,7 +117,7 @@
 	m.histogram(name, labels).Update(d.Seconds())
 }
 
-// histogram returns the histogram of a series, or the shared one past the bound.
+// histogram returns the histogram of a series, or the aggregate one if the bound is reached.
 func (m *Metrics) histogram(name string, labels []Label) *metrics.PrometheusHistogram {
 	key := series(name, labels)
 	m.mu.Lock()
@@ -133,16 +133,16 @@
 	return h
 }
 
-// Gauge shows what a function returns whenever the metrics are read. The function may be
-// called at any time and must not block.
+// Gauge registers a gauge whose value is read from a function whenever metrics are scraped. The
+// function may be called at any time and must not block.
 func (m *Metrics) Gauge(name string, value func() float64, labels ...Label) {
 	if m != nil {
 		m.set.GetOrCreateGauge(series(name, labels), value)
 	}
 }
 
-// Serve answers GET /metrics at a listener until the context ends, and then returns nil. It
-// closes the listener.
+// Serve serves GET /metrics on a listener until the context ends, and then returns nil. It closes
+// the listener.
 func (m *Metrics) Serve(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -156,7 +156,7 @@
 		IdleTimeout:       idleTimeout,
 		WriteTimeout:      writeTimeout,
 	}
-	stop := context.AfterFunc(ctx, func() { _ = srv.Close() }) // Serve returns what matters
+	stop := context.AfterFunc(ctx, func() { _ = srv.Close() }) // srv.Serve returns the error
 	defer stop()
 	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("telemetry: %w", err)
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// expose serves the metrics on loopback, reads them as Prometheus does, and ends the server,
-// which must be without an error.
+// expose serves the metrics on the loopback interface, scrapes them over HTTP and stops the
+// server, which must not return an error.
 func expose(t *testing.T, m *Metrics) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,8 @@
 	return string(text)
 }
 
-// fillMetrics has a counter, a histogram and a gauge, and a counter with this many series.
+// fillMetrics returns metrics with a counter, a histogram, a gauge, and another counter with the
+// given number of series.
 func fillMetrics(seriesOfOne int) *Metrics {
 	m := New()
 	m.Count("elmspan_requests_total", 2, Label{"route", `a"b`}, Label{"code", "200"})
@@ -52,8 +53,8 @@
 	return m
 }
 
-// Counters, histograms and gauges are exposed under their names; label values can't break out
-// of a line, and there are never more series than the bound.
+// Counters, histograms and gauges are exposed under their names. Label values are escaped, and
+// the number of series is bounded.
 func TestExposition(t *testing.T) {
 	m := fillMetrics(2 * maxSeries)
 	if len(m.counters) > maxSeries+1 {
@@ -74,7 +75,7 @@
 	}
 }
 
-// A process without metrics may call all methods.
+// All methods for recording may be called on nil Metrics.
 func TestNilMetricsKeepNothing(*testing.T) {
 	var off *Metrics
 	off.Count("x", 1)
--- a/telemetry/usage.go
+++ b/telemetry/usage.go
@@ -14,25 +14,25 @@
 	"time"
 )
 
-// Usage is what a process has used since some time. Its fields' names are those of the JSON
-// files that a [Recording] leaves.
+// Usage is the resource usage of a process over a period. The names of its fields are those in
+// the JSON files that a [Recording] writes.
 //
-// It is what a process knows of itself, by the kernel's getrusage(2) and the Go runtime. What
-// a bench can see of other processes by proc(5) is lab/controlbench's own Usage.
+// A process measures its own usage with getrusage(2) and the metrics of the Go runtime. The type
+// Usage of lab/controlbench is what a benchmark measures of other processes with proc(5).
 type Usage struct {
-	WallS     float64 // seconds of time; set by a Recording alone
-	UserS     float64 // processor seconds in the process's own code
-	KernelS   float64 // processor seconds in the kernel for it
-	Collector float64 // processor seconds of the garbage collector, by the runtime's own estimate
-	WakeUps   float64 // how often a thread waited for something and went on (voluntary context switches)
-	Collected float64 // cycles of the garbage collector
+	WallS     float64 // wall-clock seconds; set only by a Recording
+	UserS     float64 // CPU seconds in user mode
+	KernelS   float64 // CPU seconds in kernel mode
+	Collector float64 // CPU seconds of the garbage collector, as estimated by the runtime
+	WakeUps   float64 // voluntary context switches
+	Collected float64 // garbage collection cycles
 	Objects   float64 // objects allocated
 	AllocMB   float64 // 10^6 bytes allocated
-	HeapMB    float64 // 10^6 bytes live at the last collection; not a difference
-	PeakMB    float64 // 10^6 bytes resident at most, pages of the program's file included; not a difference
+	HeapMB    float64 // 10^6 bytes live after the last collection; not cumulative
+	PeakMB    float64 // 10^6 bytes of peak resident memory, with file-backed pages of the program; not cumulative
 }
 
-// The runtime's metrics that ReadUsage reads.
+// Runtime metrics that ReadUsage reads.
 const (
 	metricCollector = "/cpu/classes/gc/total:cpu-seconds"
 	metricHeapLive  = "/gc/heap/live:bytes"
@@ -41,7 +41,7 @@
 	metricCycles    = "/gc/cycles/total:gc-cycles"
 )
 
-// ReadUsage returns what this process has used since its start. What can't be read is 0.
+// ReadUsage returns the usage of this process since its start. Values that can't be read are 0.
 func ReadUsage() Usage {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// readRuntime returns metrics of the Go runtime by name. One that the runtime does not have
-// is 0.
+// readRuntime returns metrics of the Go runtime by name. Metrics that the runtime does not
+// support are missing from the result, so that they read as 0.
 func readRuntime(names ...string) map[string]float64 {
 	samples := make([]metrics.Sample, len(names))
 	for i, name := range names {
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Since is what was used since an earlier reading of the same process. HeapMB and PeakMB
-// remain those of the later one.
+// Since returns the usage since an earlier reading of the same process. HeapMB and PeakMB are not
+// cumulative and keep their later values.
 func (u Usage) Since(earlier Usage) Usage {
 	u.WallS -= earlier.WallS
 	u.UserS -= earlier.UserS
@@ -95,7 +95,7 @@
 	return u
 }
 
-// add adds what another process has used, all fields.
+// add adds all fields of the usage of another process.
 func (u *Usage) add(other Usage) {
 	u.WallS += other.WallS
 	u.UserS += other.UserS
@@ -109,7 +109,7 @@
 	u.PeakMB += other.PeakMB
 }
 
-// Recording is a CPU profile of this process that is being written.
+// Recording is a running recording of this process's CPU profile and usage.
 type Recording struct {
 	path  string // without the extension
 	out   *os.File
@@ -122,9 +122,9 @@
 	usageExtension   = ".json"
 )
 
-// StartRecording begins to write a CPU profile of this process to DIR/NAME.PID.pprof, for
-// `go tool pprof`. There can be one at a time. At its end what was used goes into a file
-// beside it, see [WriteUsageReport].
+// StartRecording starts writing a CPU profile of this process to DIR/NAME.PID.pprof, for
+// `go tool pprof`. Only one recording can run at a time. [Recording.Close] writes the usage to
+// DIR/NAME.PID.json, which [WriteUsageReport] reads.
 func StartRecording(dir, name string) (*Recording, error) {
 	path := filepath.Join(dir, fmt.Sprintf("%s.%d", strings.ReplaceAll(name, "/", "-"), os.Getpid()))
 	out, err := os.Create(path + profileExtension)
@@ -137,7 +137,7 @@
 	return &Recording{path: path, out: out, began: time.Now(), start: ReadUsage()}, nil
 }
 
-// Close ends the profile and writes what was used meanwhile.
+// Close ends the profile and writes the usage since the start of the recording.
 func (r *Recording) Close() error {
 	used := ReadUsage().Since(r.start)
 	used.WallS = time.Since(r.began).Seconds()
@@ -149,9 +149,9 @@
 	return errors.Join(err, r.out.Close())
 }
 
-// WriteUsageReport writes for a person the mean of what the processes used whose recordings
-// are in a folder. A process that was killed has left nothing there. No file at all is an
-// error, and so is one that can't be read.
+// WriteUsageReport writes a human-readable report with the mean usage of the processes whose
+// recordings are in a directory. A process that was killed has not written its usage and is not
+// included. It returns an error if there are no usage files or one can't be read.
 func WriteUsageReport(w io.Writer, dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*"+usageExtension))
 	if err != nil {
@@ -166,7 +166,7 @@
 		sum.add(u)
 	}
 	if sum.WallS <= 0 {
-		return fmt.Errorf("telemetry: no process below %s has written what it spent", dir)
+		return fmt.Errorf("telemetry: no usage recorded in %s", dir)
 	}
 	return sum.writeMeans(w, len(files))
 }
@@ -180,7 +180,7 @@
 	return u, err
 }
 
-// writeMeans writes the means of a sum over processes.
+// writeMeans writes the means of a sum over a number of processes.
 func (u *Usage) writeMeans(w io.Writer, processes int) error {
 	n := float64(processes)
 	percent := func(seconds float64) float64 { return 100 * seconds / u.WallS }
--- a/telemetry/usage_test.go
+++ b/telemetry/usage_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// record records an allocation of 1,000 objects of 1 KB, and checks that it is seen and that
-// there is one recording at a time.
+// record makes a recording while 1,000 objects of 1 KB are allocated, and checks that the usage
+// includes them and that a second concurrent recording is rejected.
 func record(t *testing.T, dir, name string) {
 	t.Helper()
 	r, err := StartRecording(dir, name)
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if _, err := StartRecording(dir, "meanwhile"); err == nil {
-		t.Error("two profiles at the same time")
+		t.Error("a second recording was started concurrently")
 	}
 	kept := make([][]byte, 1000)
 	for i := range kept {
@@ -27,12 +27,12 @@
 		t.Fatal(err)
 	}
 	if u := ReadUsage().Since(r.start); u.Objects < 1000 || u.AllocMB < 1 || u.PeakMB < 1 || len(kept) == 0 {
-		t.Errorf("of 1,000 objects of 1 KB it says %+v", u)
+		t.Errorf("usage %+v after allocating 1,000 objects of 1 KB", u)
 	}
 }
 
-// A recording leaves a profile and what was used; the report has the means of all in the
-// folder, and says of how many.
+// A recording writes a profile and a usage file. The report has the means over all usage files
+// in the directory and their number.
 func TestRecordings(t *testing.T) {
 	dir := t.TempDir()
 	record(t, dir, "a/gateway")
@@ -54,17 +54,17 @@
 		t.Fatal(err)
 	}
 	if err := WriteUsageReport(&report, dir); err == nil || !strings.Contains(err.Error(), "z.json") {
-		t.Errorf("of a file that can't be read: %v", err)
+		t.Errorf("error for a malformed usage file: %v", err)
 	}
 }
 
-// A folder without recordings has no report, and one that isn't there takes no recording.
+// A report on a directory without recordings and a recording into a missing directory both fail.
 func TestRecordingsThatAreMissing(t *testing.T) {
 	dir := t.TempDir()
 	if err := WriteUsageReport(&bytes.Buffer{}, dir); err == nil {
-		t.Error("a report of nothing")
+		t.Error("a report was written without any usage files")
 	}
 	if _, err := StartRecording(filepath.Join(dir, "none"), "a"); err == nil {
-		t.Error("a profile went into a folder that isn't there")
+		t.Error("a recording was started in a missing directory")
 	}
 }
