--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -98,7 +98,7 @@
 			Versions: []uint64{10, 11, 12},
 		},
 		"get-request":     &GetRequest{Revision: 10, Versions: true, State: true},
-		"join-request":    &JoinRequest{ID: 8, Addr: "10.0.0.8:9", Leaving: true, Joint: true},
+		"join-request":    &JoinRequest{ID: 8, Addr: "10.0.0.8:9", Leaving: true, SupportsJoint: true},
 		"deliver-request": &DeliverRequest{Messages: goldenMessages(), From: 7, Addr: "10.0.0.7:9"},
 		"deliver-request-chunk": &DeliverRequest{
 			From: 7, Addr: "10.0.0.7:9", Chunk: &MessageChunk{Offset: 5, Size: 11, Checksum: 77, Data: []byte("part")},
--- a/api/raft.go
+++ b/api/raft.go
@@ -14,9 +14,9 @@
 	ID      raft.ID `cbor:"1,keyasint"`
 	Addr    string  `cbor:"2,keyasint"` // the member's internal address
 	Leaving bool    `cbor:"3,keyasint,omitempty"`
-	// Joint reports that the member supports joint consensus (changes of several voters at
+	// SupportsJoint reports that the member supports joint consensus (changes of several voters at
 	// once). Members of earlier versions do not set it.
-	Joint bool `cbor:"4,keyasint,omitempty"`
+	SupportsJoint bool `cbor:"4,keyasint,omitempty"`
 }
 
 // DeliverRequest carries Raft messages.
--- a/controlplane/joiner.go
+++ b/controlplane/joiner.go
@@ -85,7 +85,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 	defer cancel()
-	request := &api.JoinRequest{ID: j.host.id, Addr: j.cfg.Addr, Joint: true}
+	request := &api.JoinRequest{ID: j.host.id, Addr: j.cfg.Addr, SupportsJoint: true}
 	response, err := api.CallJoin(ctx, conn, request)
 	return joinResult{response: response, err: err}
 }
--- a/controlplane/members.go
+++ b/controlplane/members.go
@@ -45,7 +45,7 @@
 	case known, q.Leaving:
 		return &api.ControlResponse{Status: http.StatusOK}, nil
 	}
-	joining := raft.Member{ID: q.ID, Addr: q.Addr, SupportsJoint: q.Joint}
+	joining := raft.Member{ID: q.ID, Addr: q.Addr, SupportsJoint: q.SupportsJoint}
 	err := node.ProposeMembers(append(slices.Clone(members), joining))
 	m.host.handleReady()
 	if err != nil {
