--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -91,7 +91,7 @@
 		"fetch-request":        &FetchRequest{Table: ServerTable, From: 899, To: 900, Offset: 16384},
 		"chunk":                &Chunk{Data: []byte("piece")},
 		"chunk-empty":          &Chunk{},
-		"read-index-response":  &ReadIndexResponse{OK: true, Index: 42, ServersVersion: 900, ClockMs: 99.5},
+		"read-index-response":  &ReadIndexResponse{Confirmed: true, Index: 42, ServersVersion: 900, ClockMs: 99.5},
 		"replace-request":      &ReplaceRequest{Base: 11, Config: []byte{0xa0}},
 		"control-response": &ControlResponse{
 			Status: 409, Reason: "another came first", Leader: "10.0.0.7:9", Config: []byte{0xa0},
--- a/api/raft.go
+++ b/api/raft.go
@@ -54,8 +54,8 @@
 // ReadIndexResponse is the leader's response to a member that asks it to confirm its leadership
 // for all reads that are pending at that member (read index; Raft dissertation, section 6.4).
 type ReadIndexResponse struct {
-	// OK reports that a majority confirmed the leadership after the call was received.
-	OK bool `cbor:"1,keyasint,omitempty"`
+	// Confirmed reports that a majority confirmed the leadership after the call was received.
+	Confirmed bool `cbor:"1,keyasint,omitempty"`
 	// Index is committed, and not below any index that was committed when the call was
 	// received. The member may answer the reads once it has applied this index.
 	Index uint64 `cbor:"2,keyasint,omitempty"`
--- a/controlplane/readindex.go
+++ b/controlplane/readindex.go
@@ -134,7 +134,7 @@
 	}
 	servers := &b.endpoints.servers
 	return &api.ReadIndexResponse{
-		OK:             true,
+		Confirmed:      true,
 		Index:          index,
 		ServersVersion: servers.table.Version(),
 		ClockMs:        servers.clockMs(),
@@ -165,7 +165,7 @@
 		return false
 	}
 	response := &batch.response
-	return response.OK &&
+	return response.Confirmed &&
 		b.waitFor(ctx, func() waitState { return b.applied(response.Index, response.ServersVersion) })
 }
 
--- a/controlplane/unreadable_state_test.go
+++ b/controlplane/unreadable_state_test.go
@@ -158,7 +158,7 @@
 // requireNoReadIndex requires that a member confirms no read index.
 func requireNoReadIndex(t *testing.T, core *Core) {
 	t.Helper()
-	if r, err := core.ReadIndex(t.Context(), &api.Empty{}); err != nil || r.OK {
+	if r, err := core.ReadIndex(t.Context(), &api.Empty{}); err != nil || r.Confirmed {
 		t.Errorf("read index confirmed: %+v, %v", r, err)
 	}
 }
