--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -95,9 +95,9 @@
 		"replace-request":      &ReplaceRequest{Base: 11, Config: []byte{0xa0}},
 		"control-response": &ControlResponse{
 			Status: 409, Reason: "another came first", Leader: "10.0.0.7:9", Config: []byte{0xa0},
-			Versions: []uint64{10, 11, 12},
+			Revisions: []uint64{10, 11, 12},
 		},
-		"get-request":     &GetRequest{Revision: 10, Versions: true, State: true},
+		"get-request":     &GetRequest{Revision: 10, Revisions: true, State: true},
 		"join-request":    &JoinRequest{ID: 8, Addr: "10.0.0.8:9", Leaving: true, SupportsJoint: true},
 		"deliver-request": &DeliverRequest{Messages: goldenMessages(), From: 7, Addr: "10.0.0.7:9"},
 		"deliver-request-chunk": &DeliverRequest{
--- a/api/operator.go
+++ b/api/operator.go
@@ -19,8 +19,8 @@
 type GetRequest struct {
 	// Revision requests that revision of the history. 0: the newest.
 	Revision uint64 `cbor:"1,keyasint,omitempty"`
-	// Versions requests the list of revisions in the history, in [ControlResponse.Versions].
-	Versions bool `cbor:"2,keyasint,omitempty"`
+	// Revisions requests the list of revisions in the history, in [ControlResponse.Revisions].
+	Revisions bool `cbor:"2,keyasint,omitempty"`
 	// State requests the complete replicated state, in [ControlResponse.Config], in the
 	// encoding of [controlplane.Export].
 	State bool `cbor:"3,keyasint,omitempty"`
@@ -37,8 +37,8 @@
 	Leader string `cbor:"3,keyasint,omitempty"`
 	// Config is the result of a [GetRequest]: a configuration in CBOR, or the state.
 	Config []byte `cbor:"4,keyasint,omitempty"`
-	// Versions is the result of a [GetRequest] with Versions set, in ascending order.
-	Versions []uint64 `cbor:"5,keyasint,omitempty"`
+	// Revisions is the result of a [GetRequest] with Revisions set, in ascending order.
+	Revisions []uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // CallReplace calls [Control.Replace] with compressed messages.
--- a/controlplane/configstore.go
+++ b/controlplane/configstore.go
@@ -56,8 +56,8 @@
 	}
 	var err error
 	switch {
-	case q.Versions:
-		r.Versions = state.Revisions()
+	case q.Revisions:
+		r.Revisions = state.Revisions()
 	case q.State:
 		r.Config, err = Export(&state)
 	case q.Revision != 0:
--- a/controlplane/export_test.go
+++ b/controlplane/export_test.go
@@ -44,7 +44,7 @@
 		replaceInTurn(t, cl, 4)
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
-		if r := cl.Get(ctx, &api.GetRequest{Versions: true}); !slices.Equal(r.Versions, []uint64{1, 2, 3, 4}) {
+		if r := cl.Get(ctx, &api.GetRequest{Revisions: true}); !slices.Equal(r.Revisions, []uint64{1, 2, 3, 4}) {
 			t.Errorf("revisions %+v", r)
 		}
 		requireConfigAt(ctx, t, cl, 2)
--- a/controlplane/operatorapi.go
+++ b/controlplane/operatorapi.go
@@ -111,7 +111,7 @@
 }
 
 func (o *operatorAPI) listRevisions(w http.ResponseWriter, r *http.Request) {
-	o.read(w, r, &api.GetRequest{Versions: true})
+	o.read(w, r, &api.GetRequest{Revisions: true})
 }
 
 func (o *operatorAPI) exportState(w http.ResponseWriter, r *http.Request) {
@@ -155,9 +155,9 @@
 // disconnected.
 func writeResult(w http.ResponseWriter, result *api.ControlResponse) {
 	switch {
-	case result.Status == http.StatusOK && result.Versions != nil:
+	case result.Status == http.StatusOK && result.Revisions != nil:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(result.Versions)
+		_ = json.NewEncoder(w).Encode(result.Revisions)
 	case result.Status == http.StatusOK:
 		if result.Config != nil {
 			w.Header().Set("Content-Type", "application/cbor")
