--- a/api/configrows.go
+++ b/api/configrows.go
@@ -112,13 +112,13 @@
 	readUpstream := func(raw []byte) (string, error) { return nameKeyOf(upstreamRow, raw) }
 
 	var err error
-	if rows.routes, err = rows.takeOver(entries.Routes, previous.routes, readRoute); err != nil {
+	if rows.routes, err = rows.addEntries(entries.Routes, previous.routes, readRoute); err != nil {
 		return nil, nil, fmt.Errorf("api: route_table: %w", err)
 	}
-	if rows.upstreams, err = rows.takeOver(entries.Upstreams, previous.upstreams, readUpstream); err != nil {
+	if rows.upstreams, err = rows.addEntries(entries.Upstreams, previous.upstreams, readUpstream); err != nil {
 		return nil, nil, fmt.Errorf("api: upstream_table: %w", err)
 	}
-	if rows.tenants, err = rows.takeOver(entries.Tenants, previous.tenants, readTenant); err != nil {
+	if rows.tenants, err = rows.addEntries(entries.Tenants, previous.tenants, readTenant); err != nil {
 		return nil, nil, fmt.Errorf("api: tenant_table: %w", err)
 	}
 	if len(entries.Limits) > 0 {
@@ -191,14 +191,14 @@
 	return string(kind) + entry.Name, err
 }
 
-// takeOver adds the rows of a table's entries and returns them in order. Keys of entries that
+// addEntries adds the rows of a table's entries and returns them in order. Keys of entries that
 // are also in previous are reused: the common prefix and suffix of both lists are copied, and
 // the entries between them are looked up by their bytes. read returns the key of an entry that
 // is not in previous.
-func (c *ConfigRows) takeOver(
+func (c *ConfigRows) addEntries(
 	entries []cbor.RawMessage, previous []encodedRow, read func(raw []byte) (key string, err error),
 ) ([]encodedRow, error) {
-	head, tail := commonEnds(entries, previous)
+	head, tail := commonPrefixAndSuffix(entries, previous)
 	out := make([]encodedRow, len(entries))
 	copy(out, previous[:head])
 	copy(out[len(out)-tail:], previous[len(previous)-tail:])
@@ -222,9 +222,9 @@
 	return out, nil
 }
 
-// commonEnds returns the lengths of the common prefix and the common suffix of entries and
-// previous. They do not overlap.
-func commonEnds(entries []cbor.RawMessage, previous []encodedRow) (head, tail int) {
+// commonPrefixAndSuffix returns the lengths of the common prefix and the common suffix of entries
+// and previous. They do not overlap.
+func commonPrefixAndSuffix(entries []cbor.RawMessage, previous []encodedRow) (head, tail int) {
 	shorter := min(len(entries), len(previous))
 	for head < shorter && bytes.Equal(entries[head], previous[head].raw) {
 		head++
--- a/api/configrows_test.go
+++ b/api/configrows_test.go
@@ -15,11 +15,11 @@
 
 // configChanges are random changes of a configuration, some of which make it invalid.
 var configChanges = []func(c *Config, rng *rand.Rand){
-	func(c *Config, rng *rand.Rand) { someRoute(c, rng).Host = fmt.Sprint("H", rng.IntN(14)) }, // may be a duplicate
-	func(c *Config, rng *rand.Rand) { someRoute(c, rng).Upstream = []string{"a", "b", "none"}[rng.IntN(3)] },
-	func(c *Config, rng *rand.Rand) { someRoute(c, rng).TimeoutMs = float64(rng.IntN(4)) },
-	func(c *Config, rng *rand.Rand) { someTenant(c, rng).Keys = []string{fmt.Sprint("k", rng.IntN(14))} },
-	func(c *Config, rng *rand.Rand) { someTenant(c, rng).Name = fmt.Sprint("t", rng.IntN(14)) },
+	func(c *Config, rng *rand.Rand) { pickRoute(c, rng).Host = fmt.Sprint("H", rng.IntN(14)) }, // may be a duplicate
+	func(c *Config, rng *rand.Rand) { pickRoute(c, rng).Upstream = []string{"a", "b", "none"}[rng.IntN(3)] },
+	func(c *Config, rng *rand.Rand) { pickRoute(c, rng).TimeoutMs = float64(rng.IntN(4)) },
+	func(c *Config, rng *rand.Rand) { pickTenant(c, rng).Keys = []string{fmt.Sprint("k", rng.IntN(14))} },
+	func(c *Config, rng *rand.Rand) { pickTenant(c, rng).Name = fmt.Sprint("t", rng.IntN(14)) },
 	func(c *Config, rng *rand.Rand) { c.Upstreams = c.Upstreams[:rng.IntN(len(c.Upstreams)+1)] },
 	func(c *Config, rng *rand.Rand) {
 		c.Upstreams = append(c.Upstreams, Upstream{Name: []string{"b", "c", ""}[rng.IntN(3)]})
@@ -36,8 +36,8 @@
 	func(c *Config, _ *rand.Rand) { c.Revision = 0 },
 }
 
-func someRoute(c *Config, rng *rand.Rand) *Route   { return &c.Routes[rng.IntN(len(c.Routes))] }
-func someTenant(c *Config, rng *rand.Rand) *Tenant { return &c.Tenants[rng.IntN(len(c.Tenants))] }
+func pickRoute(c *Config, rng *rand.Rand) *Route   { return &c.Routes[rng.IntN(len(c.Routes))] }
+func pickTenant(c *Config, rng *rand.Rand) *Tenant { return &c.Tenants[rng.IntN(len(c.Tenants))] }
 
 // Incremental validation against a previous valid configuration gives the same errors and the
 // same rows as full validation, for any difference between the two.
@@ -142,7 +142,7 @@
 		}
 		rows[RouteKey(r.Host, r.Prefix)] = raw
 	}
-	named := func(kind byte, raws []cbor.RawMessage) error {
+	addNamed := func(kind byte, raws []cbor.RawMessage) error {
 		for _, raw := range raws {
 			var x struct {
 				Name string `cbor:"name"`
@@ -154,7 +154,7 @@
 		}
 		return nil
 	}
-	if err := errors.Join(named(upstreamRow, c.Upstreams), named(tenantRow, c.Tenants)); err != nil {
+	if err := errors.Join(addNamed(upstreamRow, c.Upstreams), addNamed(tenantRow, c.Tenants)); err != nil {
 		return 0, nil, err
 	}
 	if len(c.Limits) > 0 {
--- a/api/control_test.go
+++ b/api/control_test.go
@@ -32,8 +32,8 @@
 func (*oldServer) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 func (*oldServer) HandleConn(context.Context, stats.ConnStats)                       {}
 
-func (b *oldServer) Replace(context.Context, *ReplaceRequest) (*ControlResponse, error) {
-	b.calls++
+func (s *oldServer) Replace(context.Context, *ReplaceRequest) (*ControlResponse, error) {
+	s.calls++
 	return &ControlResponse{Status: 200}, nil
 }
 
--- a/api/dial_test.go
+++ b/api/dial_test.go
@@ -109,9 +109,9 @@
 		}
 		for range 2 {
 			const timeout = 20 * time.Millisecond
-			begun := time.Now()
+			start := time.Now()
 			ready := WaitReady(t.Context(), conn, timeout)
-			if took := time.Since(begun); ready || took != timeout {
+			if took := time.Since(start); ready || took != timeout {
 				t.Errorf("WaitReady returned %v after %v", ready, took)
 			}
 		}
@@ -138,14 +138,14 @@
 func testSecondDialAttempt(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	here, there := net.Pipe()
-	defer func() { _ = there.Close() }()
-	late := closeNotifier{here, make(chan struct{})}
+	lateConn, conn := net.Pipe()
+	defer func() { _ = conn.Close() }()
+	late := closeNotifier{lateConn, make(chan struct{})}
 	attempts := make(chan int, 2)
 	attempts <- 1
 	attempts <- 2
-	want := closeNotifier{there, make(chan struct{})}
-	begun := time.Now()
+	want := closeNotifier{conn, make(chan struct{})}
+	start := time.Now()
 	got, err := dialStaggered(ctx, func(ctx context.Context) (net.Conn, error) {
 		if <-attempts == 1 {
 			<-ctx.Done() // no response until the call ends
@@ -156,7 +156,7 @@
 	if err != nil || got != want {
 		t.Fatalf("%v, %v", got, err)
 	}
-	if took := time.Since(begun); took != attemptDelay {
+	if took := time.Since(start); took != attemptDelay {
 		t.Errorf("the second attempt started after %v", took)
 	}
 	<-late.closed
--- a/api/server_test.go
+++ b/api/server_test.go
@@ -39,44 +39,44 @@
 	t.Cleanup(s.Stop)
 }
 
-// answeringMember responds to heartbeats.
-type answeringMember struct{}
+// heartbeatResponder responds to heartbeats.
+type heartbeatResponder struct{}
 
-func (answeringMember) Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
+func (heartbeatResponder) Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
 	return &HeartbeatResponse{Digest: 1}, nil
 }
 
 // Each call sends only one HEADERS frame and one DATA frame in each direction, and no pings of
 // gRPC's bandwidth estimator.
 func TestCallsSendNoPings(t *testing.T) {
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	serverListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := NewServer(nil)
-	RegisterMembership(s, answeringMember{})
-	serve(t, s, inner)
-	outer, err := net.Listen("tcp", "127.0.0.1:0")
+	RegisterMembership(s, heartbeatResponder{})
+	serve(t, s, serverListener)
+	relayListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = outer.Close() })
-	var there, back [10]atomic.Int64
+	t.Cleanup(func() { _ = relayListener.Close() })
+	var toServer, toClient [10]atomic.Int64
 	go func() {
-		a, err := outer.Accept()
+		a, err := relayListener.Accept()
 		if err != nil {
 			return
 		}
-		b, err := net.Dial("tcp", inner.Addr().String())
+		b, err := net.Dial("tcp", serverListener.Addr().String())
 		if err != nil {
 			_ = a.Close()
 			return
 		}
-		go relayFrames(a, b, 0, &back)
-		relayFrames(b, a, int64(len("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")), &there)
+		go relayFrames(a, b, 0, &toClient)
+		relayFrames(b, a, int64(len("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")), &toServer)
 		_ = b.Close()
 	}()
-	conn, err := Dial(outer.Addr().String(), nil)
+	conn, err := Dial(relayListener.Addr().String(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,11 +88,11 @@
 		}
 	}
 	const data, headers, ping = 0, 1, 6
-	if n := there[ping].Load() + back[ping].Load(); n != 0 {
+	if n := toServer[ping].Load() + toClient[ping].Load(); n != 0 {
 		t.Errorf("%d pings in %d calls", n, calls)
 	}
-	if there[headers].Load() != calls || there[data].Load() != calls || back[data].Load() != calls {
+	if toServer[headers].Load() != calls || toServer[data].Load() != calls || toClient[data].Load() != calls {
 		t.Errorf("the relay saw %d HEADERS and %d DATA frames in requests for %d calls, %d DATA frames in responses",
-			there[headers].Load(), there[data].Load(), calls, back[data].Load())
+			toServer[headers].Load(), toServer[data].Load(), calls, toClient[data].Load())
 	}
 }
--- a/api/validate_test.go
+++ b/api/validate_test.go
@@ -31,7 +31,7 @@
 	if err := validConfig().Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for want, spoil := range map[string]func(*Config){
+	for want, invalidate := range map[string]func(*Config){
 		"revision":                       func(c *Config) { c.Revision = 0 },
 		"route_table.0 (r).upstream":     func(c *Config) { c.Routes[0].Upstream = "z" },
 		"route_table.1 (s).traffic_spl":  func(c *Config) { c.Routes[1].TrafficSplit[1].Upstream = "z" },
@@ -45,7 +45,7 @@
 		"tenant_table.0 (t): rate_per_s": func(c *Config) { c.Tenants[0].Rate = -1 },
 	} {
 		c := validConfig()
-		spoil(c)
+		invalidate(c)
 		if err := c.Validate(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q in %v", want, err)
 		}
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -28,10 +28,10 @@
 	// pacedRateFraction is the fraction of the rate limit at which the remaining pages are read.
 	// A higher value leaves less for other clients of the platform.
 	pacedRateFraction = 0.8
-	// maxRateLimited bounds the consecutive retries of a paced page.
-	maxRateLimited = 8
-	// rateLimitedPause is the delay before such a retry.
-	rateLimitedPause = 500 * time.Millisecond
+	// maxPageRetries bounds the consecutive retries of a paced page.
+	maxPageRetries = 8
+	// pageRetryDelay is the delay before such a retry.
+	pageRetryDelay = 500 * time.Millisecond
 )
 
 // page is one page of the platform's list.
@@ -105,10 +105,10 @@
 			r.pages++
 			return p, nil
 		}
-		if !errors.Is(err, ErrRateLimited) || !paced || rejected >= maxRateLimited {
+		if !errors.Is(err, ErrRateLimited) || !paced || rejected >= maxPageRetries {
 			return nil, err
 		}
-		if !r.sleep(rateLimitedPause) {
+		if !r.sleep(pageRetryDelay) {
 			return nil, context.Canceled
 		}
 	}
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -15,23 +15,23 @@
 type platform struct {
 	pages    int
 	ratePerS float64
-	credit   float64 // number of calls that are accepted now
+	tokens   float64 // number of calls that are accepted now
 	slept    time.Duration
 	calls    int
 	rejected int
 }
 
-func newPlatform(pages int, ratePerS, credit float64) *platform {
-	return &platform{pages: pages, ratePerS: ratePerS, credit: credit}
+func newPlatform(pages int, ratePerS, tokens float64) *platform {
+	return &platform{pages: pages, ratePerS: ratePerS, tokens: tokens}
 }
 
 func (p *platform) fetchPage(token string) (*page, error) {
 	p.calls++
-	if p.credit < 1 {
+	if p.tokens < 1 {
 		p.rejected++
 		return nil, ErrRateLimited
 	}
-	p.credit--
+	p.tokens--
 	at, _ := strconv.Atoi(token) // an empty token is page 0
 	out := &page{Members: []api.Server{{ID: fmt.Sprint("i-", at), Addr: "10.0.0.1:80", Upstream: "u"}}}
 	if at+1 < p.pages {
@@ -54,7 +54,7 @@
 
 func (p *platform) sleep(d time.Duration) bool {
 	p.slept += d
-	p.credit = min(p.ratePerS, p.credit+p.ratePerS*d.Seconds())
+	p.tokens = min(p.ratePerS, p.tokens+p.ratePerS*d.Seconds())
 	return true
 }
 
--- a/discovery/endpoints.go
+++ b/discovery/endpoints.go
@@ -25,9 +25,9 @@
 // caller's clock. changed reports that the list differs in more than the remaining time of slow
 // starts. uncertain reports that a server is missing for the first time: the caller should query
 // the platform again soon to find out whether it was removed.
-func (l *EndpointList) Merge(nowMs float64, answer []api.Server) (changed, uncertain bool) {
-	present := make(map[string]bool, len(answer))
-	for _, s := range answer {
+func (l *EndpointList) Merge(nowMs float64, response []api.Server) (changed, uncertain bool) {
+	present := make(map[string]bool, len(response))
+	for _, s := range response {
 		if !l.states.Apply(&s) {
 			continue
 		}
--- a/discovery/endpoints_test.go
+++ b/discovery/endpoints_test.go
@@ -32,7 +32,7 @@
 func TestRemovedServersStayRemoved(t *testing.T) {
 	var l EndpointList
 	steps := []struct {
-		answer             []api.Server
+		response           []api.Server
 		want               string
 		changed, uncertain bool
 	}{
@@ -48,7 +48,7 @@
 		{[]api.Server{inService("b"), inService("c")}, "map[c:in_service]", false, false},
 	}
 	for i, s := range steps {
-		changed, uncertain := l.Merge(float64(i), s.answer)
+		changed, uncertain := l.Merge(float64(i), s.response)
 		if got := fmt.Sprint(states(&l)); got != s.want || changed != s.changed || uncertain != s.uncertain {
 			t.Fatalf("step %d: %s, changed %v, uncertain %v; want %+v", i, got, changed, uncertain, s)
 		}
@@ -62,26 +62,26 @@
 	stageRemoved
 )
 
-// answersOfAPlatform returns random responses in chronological order, and the final stage of each
+// randomResponses returns random responses in chronological order, and the final stage of each
 // server by ID.
-func answersOfAPlatform(rng *rand.Rand) (answers [][]api.Server, stages map[string]int) {
+func randomResponses(rng *rand.Rand) (responses [][]api.Server, stages map[string]int) {
 	stages = map[string]int{}
 	for step := range 30 {
 		if step < 10 {
 			stages[fmt.Sprint("s", step)] = stageInService
 		}
-		var answer []api.Server
+		var response []api.Server
 		for id, stage := range stages {
 			if rng.IntN(6) == 0 && stage < stageRemoved {
 				stages[id]++
 			}
 			if stages[id] < stageRemoved {
-				answer = append(answer, server(id, []string{api.InService, api.Draining}[stages[id]]))
+				response = append(response, server(id, []string{api.InService, api.Draining}[stages[id]]))
 			}
 		}
-		answers = append(answers, answer)
+		responses = append(responses, response)
 	}
-	return answers, stages
+	return responses, stages
 }
 
 // stageOf returns the stage of a server in a list.
@@ -98,23 +98,23 @@
 func TestStatesMoveOneWay(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		answers, ids := answersOfAPlatform(rng)
+		responses, ids := randomResponses(rng)
 		var l EndpointList
-		furthest := map[string]int{} // the latest stage observed in the list
-		for i := range answers {
-			l.Merge(float64(i), answers[max(0, i-rng.IntN(4))]) // some responses are stale
+		latest := map[string]int{} // the latest stage observed in the list
+		for i := range responses {
+			l.Merge(float64(i), responses[max(0, i-rng.IntN(4))]) // some responses are stale
 			got := states(&l)
-			for id, stage := range furthest {
+			for id, stage := range latest {
 				if now := stageOf(got, id); now < stage && stage != stageInService {
 					t.Fatalf("seed %d: %s went from stage %d to %q", seed, id, stage, got[id])
 				}
 			}
 			for id := range ids {
 				switch stage := stageOf(got, id); {
-				case stage == stageRemoved && furthest[id] != stageInService:
-					furthest[id] = stageRemoved
+				case stage == stageRemoved && latest[id] != stageInService:
+					latest[id] = stageRemoved
 				case stage == stageDraining:
-					furthest[id] = stageDraining
+					latest[id] = stageDraining
 				}
 			}
 		}
--- a/telemetry/golden_test.go
+++ b/telemetry/golden_test.go
@@ -49,8 +49,8 @@
 	exposed := expose(t, fillMetrics(2050))
 	var got strings.Builder
 	for line := range strings.Lines(exposed) {
-		ownOfMany := strings.HasPrefix(line, "elmspan_many") && !strings.Contains(line, `"other"`)
-		if strings.HasPrefix(line, "elmspan_") && !ownOfMany {
+		unaggregated := strings.HasPrefix(line, "elmspan_many") && !strings.Contains(line, `"other"`)
+		if strings.HasPrefix(line, "elmspan_") && !unaggregated {
 			got.WriteString(line)
 		}
 	}
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -42,12 +42,12 @@
 
 // fillMetrics returns metrics with a counter, a histogram, a gauge, and another counter with the
 // given number of series.
-func fillMetrics(seriesOfOne int) *Metrics {
+func fillMetrics(manySeries int) *Metrics {
 	m := New()
 	m.Count("elmspan_requests_total", 2, Label{"route", `a"b`}, Label{"code", "200"})
 	m.Observe("elmspan_request_duration_seconds", 120*time.Millisecond, Label{"route", "r"})
 	m.Gauge("elmspan_peers", func() float64 { return 7 })
-	for i := range seriesOfOne {
+	for i := range manySeries {
 		m.Count("elmspan_many", 1, Label{"route", fmt.Sprint(i)})
 	}
 	return m
@@ -77,8 +77,8 @@
 
 // All methods for recording may be called on nil Metrics.
 func TestNilMetricsKeepNothing(*testing.T) {
-	var off *Metrics
-	off.Count("x", 1)
-	off.Observe("x", 1)
-	off.Gauge("x", nil)
+	var disabled *Metrics
+	disabled.Count("x", 1)
+	disabled.Observe("x", 1)
+	disabled.Gauge("x", nil)
 }
