--- a/api/validate.go
+++ b/api/validate.go
@@ -29,18 +29,18 @@
 	v.upstreams(c.Upstreams)
 	v.routes(c.Routes)
 	v.tenants(c.Tenants)
-	return errors.Join(v.faults...)
+	return errors.Join(v.errs...)
 }
 
 // validator collects the validation errors of one configuration.
 type validator struct {
 	services map[string]bool // names in upstream_table
-	faults   []error
+	errs     []error
 }
 
 func (v *validator) report(field, format string, args ...any) {
-	if len(v.faults) < maxFieldErrors {
-		v.faults = append(v.faults, &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)})
+	if len(v.errs) < maxFieldErrors {
+		v.errs = append(v.errs, &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/api/validate_test.go
+++ b/api/validate_test.go
@@ -49,9 +49,9 @@
 		if err := c.Validate(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q in %v", want, err)
 		}
-		var fault *FieldError
-		if err := c.Validate(); !errors.As(err, &fault) || fault.Field == "" || !strings.Contains(fault.Error(), want) {
-			t.Errorf("want %q in the first error, %+v", want, fault)
+		var first *FieldError
+		if err := c.Validate(); !errors.As(err, &first) || first.Field == "" || !strings.Contains(first.Error(), want) {
+			t.Errorf("want %q in the first error, %+v", want, first)
 		}
 	}
 	c := validConfig()
--- a/telemetry/usage.go
+++ b/telemetry/usage.go
@@ -111,10 +111,10 @@
 
 // Recording is a running recording of this process's CPU profile and usage.
 type Recording struct {
-	path  string // without the extension
-	out   *os.File
-	began time.Time
-	start Usage
+	path      string // without the extension
+	out       *os.File
+	startedAt time.Time
+	start     Usage
 }
 
 const (
@@ -134,13 +134,13 @@
 	if err := pprof.StartCPUProfile(out); err != nil {
 		return nil, errors.Join(fmt.Errorf("telemetry: %w", err), out.Close())
 	}
-	return &Recording{path: path, out: out, began: time.Now(), start: ReadUsage()}, nil
+	return &Recording{path: path, out: out, startedAt: time.Now(), start: ReadUsage()}, nil
 }
 
 // Close ends the profile and writes the usage since the start of the recording.
 func (r *Recording) Close() error {
 	used := ReadUsage().Since(r.start)
-	used.WallS = time.Since(r.began).Seconds()
+	used.WallS = time.Since(r.startedAt).Seconds()
 	pprof.StopCPUProfile()
 	data, err := json.Marshal(used)
 	if err == nil {
