--- a/discovery/endpoints_test.go
+++ b/discovery/endpoints_test.go
@@ -13,11 +13,11 @@
 	return api.Server{ID: id, Upstream: "s", Addr: "10.0.0.1:80", Zone: "z", Capacity: 2, State: state}
 }
 
-// inService and draining are servers in a state.
+// inService and draining return a server in that state.
 func inService(id string) api.Server { return server(id, api.InService) }
 func draining(id string) api.Server  { return server(id, api.Draining) }
 
-// states returns the state of each server of a list.
+// states returns the state of each server of a list, by ID.
 func states(l *EndpointList) map[string]string {
 	out := map[string]string{}
 	for s := range l.All {
@@ -26,14 +26,13 @@
 	return out
 }
 
-// A server that was seen draining is not in service again by an answer that is older, and one
-// that was removed does not come back; one that only slipped from a page does. (Found by the
-// users: a machine that was being drained got work again after the process that asks the
-// platform had died and come back.)
+// A stale response does not put a draining server back in service or bring a removed one back.
+// A server that is missing from a single response stays in the list. Without this, a draining
+// machine received requests again after the process that queries the platform had restarted.
 func TestRemovedServersStayRemoved(t *testing.T) {
 	var l EndpointList
 	steps := []struct {
-		answer             []api.Server
+		response           []api.Server
 		want               string
 		changed, uncertain bool
 	}{
@@ -49,42 +48,43 @@
 		{[]api.Server{inService("b"), inService("c")}, "map[c:in_service]", false, false},
 	}
 	for i, s := range steps {
-		changed, uncertain := l.Merge(float64(i), s.answer)
+		changed, uncertain := l.Merge(float64(i), s.response)
 		if got := fmt.Sprint(states(&l)); got != s.want || changed != s.changed || uncertain != s.uncertain {
 			t.Fatalf("step %d: %s, changed %v, uncertain %v; want %+v", i, got, changed, uncertain, s)
 		}
 	}
 }
 
-// The stages of a server, in their order.
+// The stages of a server's life cycle, in order.
 const (
 	stageInService = iota
 	stageDraining
 	stageRemoved
 )
 
-// answersOfAPlatform returns the answers in their true order, and all ids.
-func answersOfAPlatform(rng *rand.Rand) (answers [][]api.Server, stages map[string]int) {
+// randomResponses returns random responses in chronological order, and the final stage of each
+// server by ID.
+func randomResponses(rng *rand.Rand) (responses [][]api.Server, stages map[string]int) {
 	stages = map[string]int{}
 	for step := range 30 {
 		if step < 10 {
 			stages[fmt.Sprint("s", step)] = stageInService
 		}
-		var answer []api.Server
+		var response []api.Server
 		for id, stage := range stages {
 			if rng.IntN(6) == 0 && stage < stageRemoved {
 				stages[id]++
 			}
 			if stages[id] < stageRemoved {
-				answer = append(answer, server(id, []string{api.InService, api.Draining}[stages[id]]))
+				response = append(response, server(id, []string{api.InService, api.Draining}[stages[id]]))
 			}
 		}
-		answers = append(answers, answer)
+		responses = append(responses, response)
 	}
-	return answers, stages
+	return responses, stages
 }
 
-// stageOf returns the stage that a list has a server in.
+// stageOf returns the stage of a server in a list.
 func stageOf(list map[string]string, id string) int {
 	state, ok := list[id]
 	if !ok {
@@ -93,41 +93,41 @@
 	return slices.Index([]string{api.InService, api.Draining}, state)
 }
 
-// Whatever the order of the answers, and whichever of two processes asked: in a list that
-// merges them the state of a server moves in one direction.
+// If responses are merged out of order, as from two processes that query the platform, the state
+// of each server in the merged list still moves only forward.
 func TestStatesMoveOneWay(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		answers, ids := answersOfAPlatform(rng)
+		responses, ids := randomResponses(rng)
 		var l EndpointList
-		furthest := map[string]int{} // the stages that were seen in the list
-		for i := range answers {
-			l.Merge(float64(i), answers[max(0, i-rng.IntN(4))]) // some answers are late
+		latest := map[string]int{} // the latest stage observed in the list
+		for i := range responses {
+			l.Merge(float64(i), responses[max(0, i-rng.IntN(4))]) // some responses are stale
 			got := states(&l)
-			for id, stage := range furthest {
+			for id, stage := range latest {
 				if now := stageOf(got, id); now < stage && stage != stageInService {
 					t.Fatalf("seed %d: %s went from stage %d to %q", seed, id, stage, got[id])
 				}
 			}
 			for id := range ids {
 				switch stage := stageOf(got, id); {
-				case stage == stageRemoved && furthest[id] != stageInService:
-					furthest[id] = stageRemoved
+				case stage == stageRemoved && latest[id] != stageInService:
+					latest[id] = stageRemoved
 				case stage == stageDraining:
-					furthest[id] = stageDraining
+					latest[id] = stageDraining
 				}
 			}
 		}
 	}
 }
 
-// The memory of any number of servers is bounded.
+// The number of remembered servers is bounded.
 func TestOneWayStatesAreBounded(t *testing.T) {
 	var o OneWayStates
 	for i := range 3 * maxRemembered {
 		o.MarkRemoved(fmt.Sprint(i))
 	}
 	if len(o.removed) > maxRemembered || len(o.order) > maxRemembered {
-		t.Errorf("%d, %d", len(o.removed), len(o.order))
+		t.Errorf("%d servers are remembered, %d in order of age", len(o.removed), len(o.order))
 	}
 }
