--- a/keys/authority.go
+++ b/keys/authority.go
@@ -1,11 +1,11 @@
-// Package keys makes and holds the keys by which the system's own processes authenticate
-// each other: an authority with certificates for mutual TLS, and a shared key that seals
-// the gossip messages between limiters.
+// Package keys generates and loads the keys with which the processes of the system
+// authenticate each other: a certificate authority (CA) and machine certificates for mutual
+// TLS, and a shared key that encrypts the gossip messages between limiters.
 //
-// An operator makes an authority with [InitAuthority] and a folder for each machine with
-// [Issue]. A process opens its machine's folder as a [Keyring], which has the TLS
+// An operator creates an authority with [InitAuthority] and a folder for each machine with
+// [Issue]. A process opens its machine's folder as a [Keyring], which provides the TLS
 // configurations and the [Sealer]. [Rotate] replaces the keys without a restart, in three
-// stages: all machines first trust the new ones, then use them, then drop the old ones.
+// stages: all machines first trust the new keys, then use them, then drop the old ones.
 // After each stage every machine's folder is issued again, and the processes reload it.
 package keys
 
@@ -33,13 +33,13 @@
 	caYears      = 10
 	maxNodeDays  = 3650
 	serialBits   = 120
-	// backdate is how long before it is made a certificate becomes valid: the clocks of
-	// machines differ.
+	// backdate is how long before its creation a certificate becomes valid, to tolerate
+	// clock skew between machines.
 	backdate = time.Hour
 )
 
-// InitAuthority makes an authority in a folder, which is made where there is none. Where
-// the folder has one already the error is [ErrAuthorityExists].
+// InitAuthority creates an authority in a folder, and the folder if it is missing. It fails
+// with [ErrAuthorityExists] if the folder already contains an authority.
 func InitAuthority(dir string, now time.Time) error {
 	if _, err := os.Stat(filepath.Join(dir, caKeyFile)); !errors.Is(err, fs.ErrNotExist) {
 		return errors.Join(ErrAuthorityExists, err)
@@ -55,22 +55,24 @@
 	if err != nil {
 		return err
 	}
-	// The CA's key is last: it marks a whole authority, see the check above.
+	// The CA key is written last: its presence marks a complete authority, see the check
+	// above.
 	return writeFiles(dir,
 		fileContent{gossipKeyFile, gossipKey},
 		fileContent{caFile, ca.certificate},
 		fileContent{caKeyFile, ca.key})
 }
 
-// Issue writes a machine's folder out from the authority's folder dir: the machine's
-// certificate for an IP address, valid for 1 to 3650 days, its key, and what it trusts.
+// Issue writes a machine's folder to out, using the authority in dir: the machine's
+// certificate for an IP address, valid for 1 to 3650 days, its private key, the trusted CA
+// certificates, and the gossip keys.
 func Issue(dir, out, name string, ip net.IP, days int, now time.Time) error {
 	if name == "" || ip == nil || days < 1 || days > maxNodeDays {
-		return fmt.Errorf("keys: a name, an address and 1 to 3650 days are needed, not %q, %v and %d", name, ip, days)
+		return fmt.Errorf("keys: need a name, an IP address and 1 to 3650 days; got %q, %v and %d", name, ip, days)
 	}
 	caPEM, err := os.ReadFile(filepath.Join(dir, caFile))
 	if err != nil {
-		return fmt.Errorf("keys: no authority; make one with 'elmspan keys init': %w", err)
+		return fmt.Errorf("keys: no authority found (create one with 'elmspan keys init'): %w", err)
 	}
 	gossipKeys, err := readFile(dir, gossipKeyFile)
 	if err != nil {
@@ -101,7 +103,7 @@
 // keyPair is a certificate and its private key, both in PEM.
 type keyPair struct{ certificate, key []byte }
 
-// newCA makes a CA certificate that signs itself.
+// newCA creates a self-signed CA certificate.
 func newCA(now time.Time) (keyPair, error) {
 	serial, err := newSerial()
 	if err != nil {
@@ -127,7 +129,7 @@
 	return sign(template, template, key, key)
 }
 
-// newNodeCertificate makes a certificate of a machine, for both ends of a connection.
+// newNodeCertificate creates a machine's certificate for client and server authentication.
 func newNodeCertificate(
 	ca *x509.Certificate, caKey any, name string, ip net.IP, now, notAfter time.Time,
 ) (keyPair, error) {
@@ -151,7 +153,7 @@
 	return sign(template, ca, key, caKey)
 }
 
-// sign makes the certificate of a key, signed with the parent's key.
+// sign creates the certificate for a key, signed with the parent's key.
 func sign(template, parent *x509.Certificate, key *ecdsa.PrivateKey, parentKey any) (keyPair, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, parentKey)
 	if err != nil {
@@ -164,7 +166,8 @@
 	return keyPair{encodeCertificate(der), keyPEM}, nil
 }
 
-// newSerial draws a serial number. Its highest bit is set, so that all have one length.
+// newSerial generates a random serial number. Its highest bit is set, so that all serial
+// numbers have the same length.
 func newSerial() (*big.Int, error) {
 	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
@@ -173,7 +176,7 @@
 	return n.SetBit(n, serialBits, 1), nil
 }
 
-// newGossipKey draws a gossip key and returns the line of it in [gossipKeyFile].
+// newGossipKey generates a gossip key and returns it as a line of [gossipKeyFile].
 func newGossipKey() ([]byte, error) {
 	k := make([]byte, gossipKeyBytes)
 	if _, err := rand.Read(k); err != nil {
--- a/keys/errors.go
+++ b/keys/errors.go
@@ -3,10 +3,10 @@
 import "errors"
 
 var (
-	// ErrAuthorityExists is returned by [InitAuthority] where the folder has an authority
-	// already: writing another over it would lock all machines out.
-	ErrAuthorityExists = errors.New("keys: there is an authority in this folder already")
+	// ErrAuthorityExists is returned by [InitAuthority] if the folder already contains an
+	// authority. Overwriting it would lock out all machines.
+	ErrAuthorityExists = errors.New("keys: the folder already contains an authority")
 	// ErrNotSealed is returned by [Sealer.Open] for a datagram that was not sealed with a
-	// trusted key, was changed on its way, or is a replay. The datagram is dropped.
-	ErrNotSealed = errors.New("keys: a datagram is not sealed by the system")
+	// trusted key, was modified in transit, or is a replay. The datagram is dropped.
+	ErrNotSealed = errors.New("keys: datagram not authentic or replayed")
 )
--- a/keys/files.go
+++ b/keys/files.go
@@ -13,22 +13,22 @@
 	"example.org/elmspan/internal/atomicfile"
 )
 
-// Files of an authority's folder, and of a machine's.
+// Files in the folders of authorities and machines.
 const (
-	caFile        = "ca.pem"    // in both: trusted CA certificates, the one in use first
-	gossipKeyFile = "words.key" // in both: gossip keys in hexadecimal, one a line, the one in use first
-	caKeyFile     = "ca.key"    // of an authority: the key of the first certificate
-	nextCAKeyFile = "next.key"  // of an authority between the first two stages of a rotation
-	// nextGossipKeyFile has the new gossip key, of an authority between the first two stages of a rotation.
+	caFile        = "ca.pem"    // both: trusted CA certificates, the active one first
+	gossipKeyFile = "words.key" // both: gossip keys in hexadecimal, one per line, the active one first
+	caKeyFile     = "ca.key"    // authority: private key of the first certificate
+	nextCAKeyFile = "next.key"  // authority, until the second stage of a rotation: key of the new CA
+	// nextGossipKeyFile is in an authority's folder from the first to the second stage of
+	// a rotation. It contains the new gossip key.
 	nextGossipKeyFile = "next-words.key"
-	certFile          = "node.pem" // of a machine
-	keyFile           = "node.key" // of a machine
+	certFile          = "node.pem" // machine: its certificate
+	keyFile           = "node.key" // machine: its private key
 )
 
 const (
-	filePerm   = 0o600
-	folderPerm = 0o700
-	// gossipKeyBytes is the length of a gossip key.
+	filePerm       = 0o600
+	folderPerm     = 0o700
 	gossipKeyBytes = 32
 
 	pemCertificate = "CERTIFICATE"
@@ -41,9 +41,8 @@
 	data []byte
 }
 
-// writeFiles replaces each file atomically, in the order given. When it returns without an
-// error all of them survive a loss of power. When it fails, the first ones may be new and
-// the others old.
+// writeFiles replaces each file atomically, in the given order. If it succeeds, all files
+// are durable. If it fails, a prefix of the files may have been replaced.
 func writeFiles(dir string, files ...fileContent) error {
 	for _, f := range files {
 		if err := atomicfile.WriteFile(filepath.Join(dir, f.name), f.data, filePerm); err != nil {
@@ -53,7 +52,6 @@
 	return nil
 }
 
-// readFile reads a file of a folder.
 func readFile(dir, name string) ([]byte, error) {
 	data, err := os.ReadFile(filepath.Join(dir, name))
 	if err != nil {
@@ -62,12 +60,12 @@
 	return data, nil
 }
 
-// encodeCertificate writes a certificate in DER as PEM.
+// encodeCertificate converts a certificate from DER to PEM.
 func encodeCertificate(der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: der})
 }
 
-// encodePrivateKey writes a key as PEM with PKCS #8 in it.
+// encodePrivateKey encodes a key as PKCS #8 in PEM.
 func encodePrivateKey(k *ecdsa.PrivateKey) ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(k)
 	if err != nil {
@@ -76,7 +74,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: pemPrivateKey, Bytes: der}), nil
 }
 
-// readPrivateKey reads a key in PEM with PKCS #8 in it.
+// readPrivateKey reads a file that contains a PKCS #8 private key in PEM.
 func readPrivateKey(path string) (any, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -84,7 +82,7 @@
 	}
 	block, _ := pem.Decode(data)
 	if block == nil {
-		return nil, fmt.Errorf("keys: %s holds no key", path)
+		return nil, fmt.Errorf("keys: %s contains no PEM block", path)
 	}
 	k, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
@@ -93,7 +91,7 @@
 	return k, nil
 }
 
-// splitPEM returns the blocks of a file, each as PEM of its own.
+// splitPEM returns the PEM blocks in data, each encoded separately.
 func splitPEM(data []byte) (blocks [][]byte) {
 	for {
 		var block *pem.Block
@@ -104,7 +102,7 @@
 	}
 }
 
-// parseCertificates reads the content of [caFile]. There is at least one certificate.
+// parseCertificates parses the content of [caFile]. It fails if there is no certificate.
 func parseCertificates(data []byte) ([]*x509.Certificate, error) {
 	var out []*x509.Certificate
 	for _, text := range splitPEM(data) {
@@ -116,23 +114,23 @@
 		out = append(out, c)
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("keys: %s holds no certificate", caFile)
+		return nil, fmt.Errorf("keys: %s contains no certificate", caFile)
 	}
 	return out, nil
 }
 
-// parseGossipKeys reads the content of [gossipKeyFile]. There is at least one key.
+// parseGossipKeys parses the content of [gossipKeyFile]. It fails if there is no key.
 func parseGossipKeys(data []byte) ([][]byte, error) {
 	var out [][]byte
 	for _, line := range strings.Fields(string(data)) {
 		k, err := hex.DecodeString(line)
 		if err != nil || len(k) != gossipKeyBytes {
-			return nil, fmt.Errorf("keys: %s: a line is no key of 32 bytes in hex", gossipKeyFile)
+			return nil, fmt.Errorf("keys: %s: invalid line: want 32 bytes in hexadecimal", gossipKeyFile)
 		}
 		out = append(out, k)
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("keys: %s holds no key", gossipKeyFile)
+		return nil, fmt.Errorf("keys: %s contains no key", gossipKeyFile)
 	}
 	return out, nil
 }
--- a/keys/golden_test.go
+++ b/keys/golden_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// The golden files were written by an earlier release at 2000-01-01, when the clock of a
-// synctest bubble starts: in a bubble their certificates are valid whenever the test runs.
+// The golden files were written by an earlier release with the date 2000-01-01, at which the
+// clock of a synctest bubble starts, so that in a bubble their certificates are always valid.
 
 const goldenDir = "testdata/golden"
 
@@ -29,7 +29,7 @@
 	return data
 }
 
-// copyGolden copies a golden folder to where it may be changed.
+// copyGolden copies a golden folder to a temporary folder, where it can be modified.
 func copyGolden(t *testing.T, name string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Keys that an earlier release wrote are read and encoded again to the same bytes.
+// Private keys written by an earlier release can be read and are re-encoded to the same bytes.
 func TestGoldenKeyFiles(t *testing.T) {
 	for _, name := range []string{"authority/ca.key", "node/node.key", "rotating/ca.key", "rotating/next.key"} {
 		k, err := readPrivateKey(filepath.Join(goldenDir, name))
@@ -55,16 +55,17 @@
 		}
 		key, ok := k.(*ecdsa.PrivateKey)
 		if !ok {
-			t.Fatalf("%s holds a %T", name, k)
+			t.Fatalf("%s contains a %T", name, k)
 		}
 		encoded, err := encodePrivateKey(key)
 		if golden := readGolden(t, name); err != nil || !bytes.Equal(encoded, golden) {
-			t.Errorf("%s is written as %q, %v, want %q", name, encoded, err, golden)
+			t.Errorf("%s is encoded as %q, %v, want %q", name, encoded, err, golden)
 		}
 	}
 }
 
-// A machine's folder is opened, with the certificate's end and the keys in it.
+// A machine's folder written by an earlier release can be opened, and its certificate has the
+// expected expiry and IP address.
 func TestGoldenNodeFolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ring, err := Open(filepath.Join(goldenDir, "node"))
@@ -72,20 +73,20 @@
 			t.Fatal(err)
 		}
 		if want := time.Now().AddDate(0, 0, 3650); !ring.Expires().Equal(want) {
-			t.Errorf("the certificate ends at %v, want %v", ring.Expires(), want)
+			t.Errorf("the certificate expires at %v, want %v", ring.Expires(), want)
 		}
-		if err := shake(t, ring, ring, net.ParseIP("10.1.0.13")); err != nil {
+		if err := handshake(t, ring, ring, net.ParseIP("10.1.0.13")); err != nil {
 			t.Error(err)
 		}
-		if shake(t, ring, ring, net.ParseIP("10.1.0.14")) == nil {
-			t.Error("a certificate for another address is taken")
+		if handshake(t, ring, ring, net.ParseIP("10.1.0.14")) == nil {
+			t.Error("a certificate for another address is accepted")
 		}
 	})
 }
 
-// An authority of an earlier release issues folders. What a machine trusts is copied
-// byte for byte; its certificate and key are drawn at random, so that only their fields
-// can be compared.
+// An authority created by an earlier release can issue machine folders. The trusted keys are
+// copied byte for byte; the machine's certificate and key are random, so only the fields of
+// the certificate can be compared.
 func TestGoldenAuthority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir, out := copyGolden(t, "authority"), t.TempDir()
@@ -103,19 +104,19 @@
 			t.Fatal(err)
 		}
 		ip := net.ParseIP("10.1.0.13")
-		if err := errors.Join(shake(t, ring, issued, ip), shake(t, issued, ring, ip)); err != nil {
+		if err := errors.Join(handshake(t, ring, issued, ip), handshake(t, issued, ring, ip)); err != nil {
 			t.Error(err)
 		}
 		had, has := ring.current.Load().certificate.Leaf, issued.current.Load().certificate.Leaf
 		if had.Subject.String() != has.Subject.String() || had.Issuer.String() != has.Issuer.String() ||
 			!had.NotBefore.Equal(has.NotBefore) || !had.NotAfter.Equal(has.NotAfter) || had.KeyUsage != has.KeyUsage ||
 			fmt.Sprint(had.ExtKeyUsage, had.IPAddresses) != fmt.Sprint(has.ExtKeyUsage, has.IPAddresses) {
-			t.Errorf("issued %v, before %v", has, had)
+			t.Errorf("issued %v, golden %v", has, had)
 		}
 	})
 }
 
-// A rotation that an earlier release began is gone on with.
+// A rotation that an earlier release began can be continued.
 func TestGoldenRotation(t *testing.T) {
 	dir := copyGolden(t, "rotating")
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -140,9 +141,9 @@
 	expectFile(t, dir, "words.key", []byte(lines[1]+"\n"))
 }
 
-// A second stage that is interrupted after any of its writes is gone on with by the next call, and
-// comes to the same files: no key is put back behind the one that it replaces. (Before, the order
-// of the certificates was swapped back, and no certificate could be issued from then on.)
+// If the second stage is interrupted after any of its writes, the next call completes it with the
+// same result: no new key is moved back behind the old one. A retry used to swap the certificates
+// back, after which no certificate could be issued.
 func TestInterruptedRotationIsGoneOnWith(t *testing.T) {
 	finished := copyGolden(t, "rotating")
 	if stage, err := Rotate(finished, time.Now()); err != nil || stage != StageInUse {
@@ -164,7 +165,7 @@
 		}
 		out := t.TempDir()
 		if err := Issue(dir, out, "n", net.ParseIP("10.1.0.13"), 1, time.Now()); err != nil {
-			t.Errorf("after %d writes no certificate is issued: %v", written, err)
+			t.Errorf("after %d writes no certificate can be issued: %v", written, err)
 		}
 		if stage, err := Rotate(dir, time.Now()); err != nil || stage != StageDropped {
 			t.Fatalf("%s, %v", stage, err)
@@ -189,8 +190,8 @@
 	}
 }
 
-// Datagrams that an earlier release sealed are opened, and sealed again to the same bytes:
-// the nonce is the number of the datagram in its sender's incarnation.
+// Datagrams sealed by an earlier release can be opened, and sealing their messages yields the
+// same bytes: the nonce is the sequence number of the datagram in its sender's incarnation.
 func TestGoldenSealedDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ring, err := Open(filepath.Join(goldenDir, "node"))
@@ -202,7 +203,7 @@
 			text := readGolden(t, fmt.Sprintf("datagram%d.txt", i+1))
 			golden := readGolden(t, fmt.Sprintf("datagram%d.bin", i+1))
 			if got, err := receiver.Open(nil, golden); err != nil || !bytes.Equal(got, text) {
-				t.Errorf("datagram %d holds %q, %v, want %q", i+1, got, err, text)
+				t.Errorf("datagram %d contains %q, %v, want %q", i+1, got, err, text)
 			}
 			if got, err := sender.Seal(nil, text); err != nil || !bytes.Equal(got, golden) {
 				t.Errorf("datagram %d is sealed as %x, %v, want %x", i+1, got, err, golden)
--- a/keys/keyring.go
+++ b/keys/keyring.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Keyring holds the keys of one machine's folder as they were when it was last read. It is
-// safe for concurrent use. TLS configurations that it has returned use the present keys at
-// each handshake.
+// Keyring holds the keys of one machine's folder as of the last [Keyring.Reload]. It is safe
+// for concurrent use. The TLS configurations that it returns use the current keys at each
+// handshake.
 type Keyring struct {
 	dir     string
-	current atomic.Pointer[keySet] // never nil in an open keyring; replaced whole, never changed
+	current atomic.Pointer[keySet] // never nil in an open keyring; replaced as a whole, never modified
 }
 
 // keySet is the content of a machine's folder.
 type keySet struct {
-	sum         [sha256.Size]byte // of all files
+	sum         [sha256.Size]byte // checksum of all files
 	certificate tls.Certificate
 	roots       *x509.CertPool
-	gossipKeys  [][]byte // at least one, the one in use first
+	gossipKeys  [][]byte // at least one; the first is the active one
 }
 
-// Open reads a machine's folder.
+// Open reads a machine's folder and returns its keyring.
 func Open(dir string) (*Keyring, error) {
 	r := &Keyring{dir: dir}
 	if _, err := r.Reload(); err != nil {
@@ -36,8 +36,8 @@
 	return r, nil
 }
 
-// Reload reads the folder again and reports whether it has changed. Files that can't be
-// used are an error and leave the keys of before in force.
+// Reload reads the folder again and reports whether it has changed. If a file is missing or
+// invalid, Reload fails and the previous keys stay in use.
 func (r *Keyring) Reload() (changed bool, err error) {
 	files := map[string][]byte{}
 	hash := sha256.New()
@@ -62,8 +62,8 @@
 	return true, nil
 }
 
-// parseKeySet reads a folder's files. The machine's certificate is valid now, under the
-// authority in the same folder.
+// parseKeySet parses the files of a machine's folder. It fails unless the machine's
+// certificate is currently valid and was issued by a CA in the same folder.
 func parseKeySet(files map[string][]byte) (*keySet, error) {
 	cas, err := parseCertificates(files[caFile])
 	if err != nil {
@@ -80,20 +80,20 @@
 		return nil, err
 	}
 	if err := verify([]*x509.Certificate{set.certificate.Leaf}, set.roots, nil); err != nil {
-		return nil, fmt.Errorf("keys: the machine's own certificate: %w", err)
+		return nil, fmt.Errorf("keys: machine certificate invalid: %w", err)
 	}
 	return set, nil
 }
 
-// Expires is when the machine's certificate ends.
+// Expires returns when the machine's certificate expires.
 func (r *Keyring) Expires() time.Time { return r.current.Load().certificate.Leaf.NotAfter }
 
-// ServerConfig is the TLS configuration of a process that is called: clients need a
-// certificate of the same authority.
+// ServerConfig returns a TLS configuration for servers. Clients must present a certificate
+// of the same authority.
 func (r *Keyring) ServerConfig() *tls.Config {
 	c := r.config()
-	// The roots of a tls.Config can't change, and ours do: VerifyConnection verifies the
-	// client against those that are trusted at the handshake.
+	// The root CAs of a tls.Config are fixed, while those of a keyring can change. So
+	// VerifyConnection verifies the client against the CAs trusted at the handshake.
 	c.ClientAuth = tls.RequireAnyClientCert
 	c.VerifyConnection = func(s tls.ConnectionState) error {
 		return verify(s.PeerCertificates, r.current.Load().roots, nil)
@@ -101,11 +101,12 @@
 	return c
 }
 
-// ClientConfig is the TLS configuration of a process that calls another one: the server
-// needs a certificate of the same authority for this IP address.
+// ClientConfig returns a TLS configuration for clients. The server must present a
+// certificate of the same authority for the given IP address.
 func (r *Keyring) ClientConfig(ip net.IP) *tls.Config {
 	c := r.config()
-	// As above: VerifyConnection does the verification that this switches off.
+	// VerifyConnection does the verification that InsecureSkipVerify disables, for the same
+	// reason as in ServerConfig.
 	c.InsecureSkipVerify = true
 	c.VerifyConnection = func(s tls.ConnectionState) error {
 		return verify(s.PeerCertificates, r.current.Load().roots, ip)
@@ -113,7 +114,7 @@
 	return c
 }
 
-// config is what both ends have in common.
+// config returns the TLS configuration that servers and clients have in common.
 func (r *Keyring) config() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -127,11 +128,11 @@
 	}
 }
 
-// verify returns nil where the first certificate was issued by one of the roots, and for
-// an IP address where one is given.
+// verify checks that the first certificate was issued by one of the roots and, unless ip is
+// nil, that it is valid for that IP address.
 func verify(chain []*x509.Certificate, roots *x509.CertPool, ip net.IP) error {
 	if len(chain) == 0 {
-		return errors.New("keys: no certificate")
+		return errors.New("keys: peer presented no certificate")
 	}
 	options := x509.VerifyOptions{Roots: roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
 	if _, err := chain[0].Verify(options); err != nil {
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -40,12 +40,12 @@
 	}
 }
 
-// shake has one machine call another and returns what both ends say.
-func shake(t *testing.T, client, server *Keyring, ip net.IP) error {
+// handshake connects a client to a server and returns the errors of both ends.
+func handshake(t *testing.T, client, server *Keyring, ip net.IP) error {
 	t.Helper()
 	a, b := net.Pipe()
-	end := time.Now().Add(5 * time.Minute) // against a hang alone
-	if err := errors.Join(a.SetDeadline(end), b.SetDeadline(end)); err != nil {
+	deadline := time.Now().Add(5 * time.Minute) // only to prevent a hang
+	if err := errors.Join(a.SetDeadline(deadline), b.SetDeadline(deadline)); err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan error, 1)
@@ -53,7 +53,7 @@
 		s := tls.Server(b, server.ServerConfig())
 		err := s.Handshake()
 		if err == nil {
-			_, err = s.Write([]byte("x")) // a client learns with the first byte that it was taken
+			_, err = s.Write([]byte("x")) // in TLS 1.3 only data from the server shows that it accepted the client
 		}
 		served <- errors.Join(err, b.Close())
 	}()
@@ -65,41 +65,41 @@
 	return errors.Join(err, a.Close(), <-served)
 }
 
-// Machines of one authority authenticate each other; one of another authority, or one that
-// answers for another address, is refused.
+// Machines of the same authority authenticate each other. A machine of another authority, or
+// a server with a certificate for another address, is rejected.
 func TestMutualTLSWithinOneAuthority(t *testing.T) {
 	t.Parallel()
 	ca, other := authority(t), authority(t)
 	_, a := machine(t, ca)
 	_, b := machine(t, ca)
 	_, x := machine(t, other)
-	if err := shake(t, a, b, loopback); err != nil {
+	if err := handshake(t, a, b, loopback); err != nil {
 		t.Error(err)
 	}
-	if shake(t, x, b, loopback) == nil {
-		t.Error("a other client is served")
+	if handshake(t, x, b, loopback) == nil {
+		t.Error("a client of another authority is accepted")
 	}
-	if shake(t, a, x, loopback) == nil {
-		t.Error("a other server is taken for the system's")
+	if handshake(t, a, x, loopback) == nil {
+		t.Error("a server of another authority is accepted")
 	}
-	if shake(t, a, b, net.ParseIP("127.0.0.2")) == nil {
-		t.Error("a certificate for another address is taken")
+	if handshake(t, a, b, net.ParseIP("127.0.0.2")) == nil {
+		t.Error("a certificate for another address is accepted")
 	}
 	if err := InitAuthority(ca, time.Now()); !errors.Is(err, ErrAuthorityExists) {
-		t.Errorf("an authority is written over: %v", err)
+		t.Errorf("an authority is overwritten: %v", err)
 	}
 }
 
-// Keys are rotated while all processes run: at every point, machines with the new folder
-// and those with the old one authenticate each other.
+// Keys are rotated while all processes run: at any time, machines with the folder of the new
+// stage and machines with that of the previous stage authenticate each other.
 func TestRotation(t *testing.T) {
 	t.Parallel()
 	ca := authority(t)
 	dirA, a := machine(t, ca)
 	dirB, b := machine(t, ca)
-	talk := func(when string) {
+	expectMutualTrust := func(when string) {
 		t.Helper()
-		if err := errors.Join(shake(t, a, b, loopback), shake(t, b, a, loopback)); err != nil {
+		if err := errors.Join(handshake(t, a, b, loopback), handshake(t, b, a, loopback)); err != nil {
 			t.Fatalf("%s: %v", when, err)
 		}
 		sealed, err := a.Sealer(1, 2).Seal(nil, []byte("message"))
@@ -121,26 +121,27 @@
 			if changed, err := []*Keyring{a, b}[i].Reload(); err != nil || !changed {
 				t.Fatal(changed, err)
 			}
-			talk(string(want) + dir)
+			expectMutualTrust(string(want) + dir)
 		}
 	}
 	old, err := Open(oldDir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if shake(t, old, b, loopback) == nil {
-		t.Error("the old keys are still taken")
+	if handshake(t, old, b, loopback) == nil {
+		t.Error("the old keys are still accepted")
 	}
 	if err := os.WriteFile(filepath.Join(dirB, keyFile), []byte("spoilt"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := b.Reload(); err == nil {
-		t.Error("a spoilt key is taken")
+		t.Error("a corrupt key is accepted")
 	}
-	talk("after a spoilt key on disk")
+	expectMutualTrust("after reading a corrupt key")
 }
 
-// Who has no key can't read, change or make a sealed datagram, or send it again much later.
+// Without a gossip key, nobody can read, modify or forge a sealed datagram, or replay it once
+// it is outside the replay window.
 func TestSealedDatagrams(t *testing.T) {
 	t.Parallel()
 	ca := authority(t)
@@ -153,24 +154,24 @@
 		t.Fatalf("%x, %v", first, err)
 	}
 	for i := range first {
-		spoilt := bytes.Clone(first)
-		spoilt[i] ^= 1
-		if _, err := to.Open(nil, spoilt); err == nil {
-			t.Fatalf("byte %d is changed and nobody sees it", i)
+		corrupt := bytes.Clone(first)
+		corrupt[i] ^= 1
+		if _, err := to.Open(nil, corrupt); err == nil {
+			t.Fatalf("a datagram with byte %d changed is accepted", i)
 		}
 		if _, err := to.Open(nil, first[:i]); err == nil {
-			t.Fatalf("cut after %d bytes and nobody sees it", i)
+			t.Fatalf("a datagram truncated to %d bytes is accepted", i)
 		}
 	}
 	if len(to.senders) != 0 {
-		t.Error("a sender without a key is remembered")
+		t.Error("state is kept for a sender without a key")
 	}
 	other, err := x.Sealer(1, 1).Seal(nil, []byte("message"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := to.Open(nil, other); err == nil {
-		t.Error("a datagram of another authority is opened")
+		t.Error("a datagram sealed with another key is accepted")
 	}
 	for range 2 * replayWindow {
 		sealed, err := from.Seal(nil, []byte("message"))
@@ -182,6 +183,6 @@
 		}
 	}
 	if _, err := to.Open(nil, first); err == nil {
-		t.Error("an old datagram is opened again")
+		t.Error("a replayed datagram is accepted")
 	}
 }
--- a/keys/rotate.go
+++ b/keys/rotate.go
@@ -14,26 +14,26 @@
 	"example.org/elmspan/internal/atomicfile"
 )
 
-// Stage is a step of a rotation of keys. Its text is shown to the operator.
+// Stage is a stage of a key rotation. Its text is shown to the operator.
 type Stage string
 
-// The stages, in their order. After each, every machine's folder is issued again and every
-// process has reloaded it before the next begins: at any time two machines then trust what
-// the other one uses.
+// The stages, in order. After each stage, every machine's folder must be issued again and
+// every process must have reloaded it before the next stage begins. Then at any time, each
+// machine trusts the keys that any other one uses.
 const (
-	StageAdded   Stage = "added"   // new keys are trusted beside the old ones
-	StageInUse   Stage = "in use"  // new keys are used, old ones still trusted
-	StageDropped Stage = "dropped" // old keys are not trusted any more
+	StageAdded   Stage = "added"   // new keys are trusted in addition to the old ones
+	StageInUse   Stage = "in use"  // new keys are used, old ones are still trusted
+	StageDropped Stage = "dropped" // old keys are no longer trusted
 )
 
-// trustedKeys are the trusted keys in an authority's folder: one of each kind, or two
-// during a rotation, the one in use first.
+// trustedKeys holds the trusted keys in an authority's folder: one of each kind, or two
+// during a rotation, the active one first.
 type trustedKeys struct {
 	certificates [][]byte // each in PEM
 	gossipKeys   []string // each in hexadecimal
 }
 
-// Rotate takes a rotation one stage further, or begins one, and returns the stage that was
+// Rotate advances a rotation by one stage, or begins one, and returns the stage that was
 // reached.
 func Rotate(dir string, now time.Time) (Stage, error) {
 	caPEM, err := readFile(dir, caFile)
@@ -63,15 +63,15 @@
 func (t *trustedKeys) validate() error {
 	certificates, gossipKeys := len(t.certificates), len(t.gossipKeys)
 	if certificates < 1 || certificates > 2 || gossipKeys != certificates {
-		return fmt.Errorf("keys: %s holds %d certificates and %s %d keys: this is no authority's folder",
+		return fmt.Errorf("keys: not a valid authority folder: %s contains %d certificates and %s %d keys",
 			caFile, certificates, gossipKeyFile, gossipKeys)
 	}
 	return nil
 }
 
-// addNewKeys makes keys that are trusted beside those in use. The new CA's key is written
-// last: it marks that the other files have the new keys. Where it is missing, the next call
-// drops what an interrupted one has added.
+// addNewKeys generates new keys and adds them to the trusted ones. The new CA key is written
+// last: its presence marks that the other files contain the new keys. If it is missing, the
+// next call drops the keys that an interrupted call has added.
 func addNewKeys(dir string, trusted *trustedKeys, caPEM []byte, now time.Time) error {
 	ca, err := newCA(now)
 	if err != nil {
@@ -88,20 +88,21 @@
 		fileContent{nextCAKeyFile, ca.key})
 }
 
-// useNewKeys puts the new keys first. Which are new is told by the files that addNewKeys has
-// written, not by their place: a call that was interrupted may have moved some of them. The
-// new CA's key is removed before the new gossip key: it marks that this is still to be done.
+// useNewKeys moves the new keys to the front. It identifies them by the files that addNewKeys
+// has written, not by their position: an interrupted call may have moved some of them. The
+// new CA key is removed before the new gossip key, as its presence marks that this stage is
+// still incomplete.
 func useNewKeys(dir string, trusted *trustedKeys, nextCAKey []byte) error {
 	gossipKey, err := nextGossipKey(dir, trusted, nextCAKey)
 	if err != nil {
 		return err
 	}
-	isNewCertificate := func(certificate []byte) bool { return keyFits(certificate, nextCAKey) }
-	certificates, found := movedFirst(trusted.certificates, isNewCertificate)
+	isNewCertificate := func(certificate []byte) bool { return keyMatches(certificate, nextCAKey) }
+	certificates, found := moveToFront(trusted.certificates, isNewCertificate)
 	if !found {
-		return fmt.Errorf("keys: %s fits no certificate in %s", nextCAKeyFile, caFile)
+		return fmt.Errorf("keys: %s matches no certificate in %s", nextCAKeyFile, caFile)
 	}
-	gossipKeys, found := movedFirst(trusted.gossipKeys, func(k string) bool { return k == gossipKey })
+	gossipKeys, found := moveToFront(trusted.gossipKeys, func(k string) bool { return k == gossipKey })
 	if !found {
 		return fmt.Errorf("keys: the key in %s is not in %s", nextGossipKeyFile, gossipKeyFile)
 	}
@@ -118,8 +119,9 @@
 	return removeFile(dir, nextGossipKeyFile)
 }
 
-// nextGossipKey returns the new gossip key. An earlier release did not write it apart: where it
-// has begun the rotation, the new one is the last, and is written down before anything is moved.
+// nextGossipKey returns the new gossip key. An earlier release did not write it to a file of its
+// own. If that release began the rotation, the new key is the last one, and nextGossipKey writes
+// it to its file before any key is moved.
 func nextGossipKey(dir string, trusted *trustedKeys, nextCAKey []byte) (string, error) {
 	data, err := readFile(dir, nextGossipKeyFile)
 	if err == nil {
@@ -128,21 +130,23 @@
 	if !errors.Is(err, fs.ErrNotExist) {
 		return "", err
 	}
-	if keyFits(trusted.certificates[0], nextCAKey) {
-		return trusted.gossipKeys[0], nil // an earlier release was interrupted; each key is trusted by all
+	if keyMatches(trusted.certificates[0], nextCAKey) {
+		// The earlier release was interrupted in this stage. All machines trust both keys.
+		return trusted.gossipKeys[0], nil
 	}
 	key := trusted.gossipKeys[len(trusted.gossipKeys)-1]
 	return key, writeFiles(dir, fileContent{nextGossipKeyFile, []byte(key + "\n")})
 }
 
-// keyFits reports whether a private key belongs to a certificate, both in PEM.
-func keyFits(certificate, key []byte) bool {
+// keyMatches reports whether a private key belongs to a certificate, both in PEM.
+func keyMatches(certificate, key []byte) bool {
 	_, err := tls.X509KeyPair(certificate, key)
 	return err == nil
 }
 
-// movedFirst returns the elements with the first that matches before all others.
-func movedFirst[T any](elements []T, matches func(T) bool) (moved []T, found bool) {
+// moveToFront returns the elements with the first matching one moved to the front, and whether
+// there is a match.
+func moveToFront[T any](elements []T, matches func(T) bool) (moved []T, found bool) {
 	i := slices.IndexFunc(elements, matches)
 	if i < 0 {
 		return elements, false
@@ -151,7 +155,7 @@
 	return append(moved, elements[i+1:]...), true
 }
 
-// removeFile removes a file of a folder, if it is there.
+// removeFile removes a file from a folder. It succeeds if there is no such file.
 func removeFile(dir, name string) error {
 	err := atomicfile.Remove(filepath.Join(dir, name))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -160,7 +164,7 @@
 	return nil
 }
 
-// dropOldKeys leaves the keys in use alone.
+// dropOldKeys removes all but the active keys.
 func dropOldKeys(dir string, trusted *trustedKeys) error {
 	err := writeFiles(dir,
 		fileContent{caFile, trusted.certificates[0]},
--- a/keys/seal.go
+++ b/keys/seal.go
@@ -13,9 +13,10 @@
 //
 //	"S1" | sender u64 | incarnation u64 | number u64 | message and tag, AES-256-GCM
 //
-// with integers in big-endian order. The first four fields are authenticated too. Each
-// incarnation of a sender has a key of its own, derived from the shared gossip key, so
-// that the number, which counts its datagrams from 1, is a nonce that never repeats.
+// with integers in big-endian order. The first four fields are authenticated as additional
+// data. The number is a sequence number that starts at 1 in each incarnation of a sender.
+// Each incarnation has a key of its own, derived from the shared gossip key, so the number
+// serves as a nonce that never repeats.
 const (
 	sealMagic         = "S1"
 	sealHeaderBytes   = len(sealMagic) + 3*8
@@ -29,47 +30,48 @@
 	keyContext = "elmspan words "
 )
 
-// SealOverhead is how many bytes longer than its message a sealed datagram is.
+// SealOverhead is the number of bytes that sealing adds to a message.
 const SealOverhead = sealHeaderBytes + tagBytes
 
 const (
-	// maxSenders is how many incarnations of senders are remembered. Past it all are
-	// forgotten, and with them which of their numbers have been seen.
+	// maxSenders limits the sender incarnations for which state is kept. When the limit is
+	// reached, the state of all is discarded, including their highest numbers.
 	maxSenders = 8192
-	// replayWindow is how far a number may be behind the highest one seen: datagrams
-	// arrive out of order.
+	// replayWindow is how far a number may be behind the highest one received, since
+	// datagrams may arrive out of order.
 	replayWindow = 64
 )
 
-// Sealer seals gossip messages and opens sealed datagrams. It is not safe for concurrent
-// use: a process has one for sending and one for receiving.
+// Sealer encrypts and authenticates gossip messages as sealed datagrams, and opens sealed
+// datagrams. It is not safe for concurrent use: a process has one for sending and one for
+// receiving.
 type Sealer struct {
 	ring    *Keyring
 	self    senderID
-	number  uint64                     // of the last datagram sealed
-	current *keySet                    // that sealing and the AEADs of senders are derived from
-	sealing cipher.AEAD                // of self, by the gossip key in use
-	senders map[senderID]*senderStatus // those of which a datagram was authentic
+	number  uint64                     // number of the last datagram sealed
+	current *keySet                    // key set from which sealing and the senders' AEADs are derived
+	sealing cipher.AEAD                // AEAD of self, derived from the active gossip key
+	senders map[senderID]*senderStatus // senders of authentic datagrams
 }
 
-// senderID is one incarnation of a sender. An incarnation is drawn at random at each start
-// of a process, so that no key is used again with the same numbers.
+// senderID identifies one incarnation of a sender. The incarnation is chosen at random at
+// each start of a process, so that no derived key is used twice with the same numbers.
 type senderID struct{ id, incarnation uint64 }
 
-// senderStatus is what is known of one incarnation of a sender.
+// senderStatus is the state kept for one incarnation of a sender.
 type senderStatus struct {
-	aeads   []cipher.AEAD // by gossip key, in the order of the key set; nil: to be derived
-	highest uint64        // number of an authentic datagram
+	aeads   []cipher.AEAD // one per gossip key, in the order of the key set; nil if not yet derived
+	highest uint64        // highest number of an authentic datagram
 }
 
-// Sealer returns a sealer for one incarnation of a sender.
+// Sealer returns a sealer that sends as the given incarnation of the sender self.
 func (r *Keyring) Sealer(self, incarnation uint64) *Sealer {
 	return &Sealer{ring: r, self: senderID{self, incarnation}, senders: map[senderID]*senderStatus{}}
 }
 
 // Seal appends the sealed datagram of a message to a buffer.
 func (s *Sealer) Seal(out, message []byte) ([]byte, error) {
-	if err := s.followKeyring(); err != nil {
+	if err := s.refreshKeys(); err != nil {
 		return nil, err
 	}
 	s.number++
@@ -82,14 +84,14 @@
 	return s.sealing.Seal(out, nonce(s.number), message, header), nil
 }
 
-// Open appends the message of a datagram to a buffer. The error is [ErrNotSealed] where
-// the datagram is not authentic, or its number is more than the replay window behind the
-// highest one of its sender.
+// Open appends the message of a datagram to a buffer. It fails with [ErrNotSealed] if the
+// datagram is not authentic, or if its number is more than replayWindow behind the highest
+// one of its sender.
 func (s *Sealer) Open(out, datagram []byte) ([]byte, error) {
 	if len(datagram) < SealOverhead || string(datagram[:len(sealMagic)]) != sealMagic {
 		return nil, ErrNotSealed
 	}
-	if err := s.followKeyring(); err != nil {
+	if err := s.refreshKeys(); err != nil {
 		return nil, err
 	}
 	header, sealed := datagram[:sealHeaderBytes], datagram[sealHeaderBytes:]
@@ -111,7 +113,7 @@
 	for _, aead := range sender.aeads {
 		message, err := aead.Open(out, nonce(number), sealed, header)
 		if err != nil {
-			continue // another trusted key may be the one
+			continue // it may be sealed with another trusted key
 		}
 		if !known {
 			s.remember(id, sender)
@@ -122,8 +124,8 @@
 	return nil, ErrNotSealed
 }
 
-// followKeyring drops what was derived from keys that have changed.
-func (s *Sealer) followKeyring() error {
+// refreshKeys discards all derived keys if the keyring has been reloaded.
+func (s *Sealer) refreshKeys() error {
 	current := s.ring.current.Load()
 	if s.current == current {
 		return nil
@@ -139,8 +141,8 @@
 	return nil
 }
 
-// remember keeps the status of a sender. It is called after a datagram was found authentic
-// alone, so that nobody without a key can fill the table.
+// remember stores the status of a sender. It must be called only after a datagram was
+// authenticated, so that nobody without a key can fill the table.
 func (s *Sealer) remember(id senderID, status *senderStatus) {
 	if len(s.senders) >= maxSenders {
 		clear(s.senders)
@@ -162,7 +164,8 @@
 	return nil
 }
 
-// newAEAD derives the key of one incarnation of a sender (HKDF, RFC 5869).
+// newAEAD returns the AEAD of one incarnation of a sender, whose key it derives from the
+// gossip key (HKDF, RFC 5869).
 func newAEAD(gossipKey []byte, sender senderID) (cipher.AEAD, error) {
 	info := binary.BigEndian.AppendUint64([]byte(keyContext), sender.id)
 	info = binary.BigEndian.AppendUint64(info, sender.incarnation)
@@ -177,7 +180,7 @@
 	return cipher.NewGCM(block)
 }
 
-// nonce is four zero bytes and the number of a datagram.
+// nonce returns the nonce of a datagram: four zero bytes followed by its number.
 func nonce(number uint64) []byte {
 	return binary.BigEndian.AppendUint64(make([]byte, nonceBytes-8, nonceBytes), number)
 }
