--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,11 +1,12 @@
-// Package atomicfile changes files so that the change survives a loss of power: a file is
-// replaced in whole or not at all, and its name is durable when the call returns.
+// Package atomicfile changes files atomically and durably: a file is replaced entirely or
+// not at all, and the change survives a power failure once the call has returned.
 //
-// A file's own sync does not make its name durable (see fsync(2)), and a rename that is
-// durable before the bytes are leaves an empty file under the right name. So the bytes are
-// synced first, then the file is renamed, then the folder is synced.
+// Syncing a file does not make its directory entry durable (see fsync(2)), and if a rename
+// becomes durable before the file's contents, a power failure leaves an empty file under the
+// final name. So the contents are synced first, then the file is renamed, and then the
+// directory is synced.
 //
-// All errors are those of package os, some of them joined.
+// All errors are those of package os, some of them joined or wrapped.
 package atomicfile
 
 import (
@@ -17,10 +18,10 @@
 	"syscall"
 )
 
-// WriteFile replaces the contents of a file, which is made if it is missing, and sets its
-// mode. When it returns without an error, the new contents survive a loss of power; after
-// an error the file holds the old contents or the new ones. A symbolic link is followed.
-// What is no regular file (a pipe, a terminal) is written to as it is.
+// WriteFile replaces the contents of a file, or creates it, and sets its mode. If it
+// succeeds, the new contents survive a power failure. If it fails, the file has either the
+// old contents or the new ones. Symbolic links are followed. A file that is not regular (a
+// pipe, a terminal) is written to directly.
 func WriteFile(path string, data []byte, mode fs.FileMode) error {
 	if target, err := filepath.EvalSymlinks(path); err == nil {
 		path = target
@@ -38,14 +39,14 @@
 		err = os.Rename(temp.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(temp.Name()) // best effort: the first error is returned
+		_ = os.Remove(temp.Name()) // best effort: the original error is returned
 		return err
 	}
 	return SyncDir(dir)
 }
 
-// MkdirAll makes a folder and its missing parents, each of them durable. It does nothing if
-// the folder is there.
+// MkdirAll durably creates a directory and its missing parents. It does nothing if the
+// directory exists.
 func MkdirAll(path string, mode fs.FileMode) error {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return nil
@@ -62,7 +63,7 @@
 	return SyncDir(parent)
 }
 
-// Remove removes a file durably: it does not come back after a loss of power.
+// Remove removes a file durably: it does not reappear after a power failure.
 func Remove(path string) error {
 	if err := os.Remove(path); err != nil {
 		return err
@@ -70,19 +71,19 @@
 	return SyncDir(filepath.Dir(path))
 }
 
-// SyncDir makes the names in a folder durable: those made, renamed and removed. It does
-// nothing on a file system that can't sync a folder.
+// SyncDir makes a directory's entries durable, including renames and removals. It does
+// nothing on file systems that can't sync directories.
 func SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	err = dir.Sync()
-	if errors.Is(err, syscall.EINVAL) { // the file system can't sync a folder
+	if errors.Is(err, syscall.EINVAL) { // the file system can't sync directories
 		err = nil
 	}
 	if err = errors.Join(err, dir.Close()); err != nil {
-		return fmt.Errorf("syncing folder %s: %w", path, err)
+		return fmt.Errorf("sync directory %s: %w", path, err)
 	}
 	return nil
 }
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -28,10 +28,10 @@
 		t.Errorf("%v, %v", info, err)
 	}
 	if _, err := os.Readlink(link); err != nil {
-		t.Errorf("the link is no link any more: %v", err)
+		t.Errorf("the symbolic link was replaced: %v", err)
 	}
 	if names, _ := os.ReadDir(dir); len(names) != 2 {
-		t.Errorf("left over: %v", names)
+		t.Errorf("temporary files were left behind: %v", names)
 	}
 	if err := Remove(path); err != nil {
 		t.Error(err)
@@ -51,7 +51,7 @@
 	deep := filepath.Join(t.TempDir(), "x", "y")
 	file := filepath.Join(deep, "b")
 	if err := WriteFile(file, nil, mode); err == nil {
-		t.Error("written into a folder that isn't there")
+		t.Error("a file was written into a missing directory")
 	}
 	for range 2 {
 		if err := MkdirAll(deep, 0o700); err != nil {
@@ -62,6 +62,6 @@
 		t.Error(err)
 	}
 	if err := MkdirAll(filepath.Join(file, "c"), 0o700); err == nil {
-		t.Error("a folder was made in a file")
+		t.Error("a directory was created below a file")
 	}
 }
--- a/internal/atomicfile/syncdata_linux.go
+++ b/internal/atomicfile/syncdata_linux.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// SyncData makes the bytes and the length of a file durable, but not its times: where a
-// file is written in place, that saves a transaction of the file system.
+// SyncData makes the contents and the length of a file durable, but not its timestamps.
+// When a file is overwritten in place, this saves a file system transaction.
 func SyncData(f *os.File) error {
 	for {
 		err := syscall.Fdatasync(int(f.Fd()))
--- a/internal/atomicfile/syncdata_other.go
+++ b/internal/atomicfile/syncdata_other.go
@@ -4,5 +4,5 @@
 
 import "os"
 
-// SyncData makes the bytes and the length of a file durable.
+// SyncData makes the contents and the length of a file durable.
 func SyncData(f *os.File) error { return f.Sync() }
