--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -12,7 +12,7 @@
 		shortest := 50 * time.Millisecond
 		for range 8 {
 			if p := b.Next(); p < shortest || p >= shortest*3/2 {
-				t.Errorf("round %d: a pause of %v where the shortest is %v", round, p, shortest)
+				t.Errorf("round %d: pause %v, want at least %v and less than 1.5 times that", round, p, shortest)
 			}
 			shortest = min(2*shortest, time.Second)
 		}
@@ -26,11 +26,11 @@
 	for seed := range uint64(callers) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		if d := Jitter(time.Second, rng); d < 0 || d >= time.Second {
-			t.Errorf("%v is not within the span", d)
+			t.Errorf("jitter %v is outside the span", d)
 		}
 		seen[New(time.Second, time.Second, rng).Next()] = true
 	}
 	if len(seen) < 45 {
-		t.Errorf("%d callers have %d pauses", callers, len(seen))
+		t.Errorf("%d callers have only %d distinct pauses", callers, len(seen))
 	}
 }
