--- a/internal/compression/compression.go
+++ b/internal/compression/compression.go
@@ -1,7 +1,7 @@
-// Package compression makes bytes shorter where that pays. The packed form is one byte that
-// says how the rest is encoded, and the rest: the bytes as they are, or compressed with
+// Package compression compresses data if that makes it shorter. The packed form is one byte
+// that identifies the encoding, followed by the data, either uncompressed or compressed with
 // deflate (RFC 1951) at its fastest level. It is stored on disk and sent between processes.
-// The functions keep nothing between calls and may be called concurrently.
+// The functions are stateless and safe for concurrent use.
 package compression
 
 import (
@@ -13,18 +13,18 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// minSize is the size in bytes from which compression is tried.
+// minSize is the minimum size in bytes for which compression is tried.
 const minSize = 512
 
-// The encodings, as the first byte says.
+// Values of the first byte.
 const (
 	encodingPlain byte = iota
 	encodingDeflate
 )
 
-// ErrCorrupt reports bytes that Compress did not make, that are cut off, or that hold more
-// than was allowed.
-var ErrCorrupt = errors.New("compression: bytes can't be unpacked")
+// ErrCorrupt reports a packed form that is invalid or truncated, or whose data exceeds the
+// allowed size.
+var ErrCorrupt = errors.New("compression: packed data invalid or too large")
 
 // Compress returns the packed form of data, which is at most one byte longer.
 func Compress(data []byte) ([]byte, error) {
@@ -40,7 +40,7 @@
 	return append([]byte{encodingPlain}, data...), nil
 }
 
-// deflate returns the packed form of data with deflate, whether or not it is shorter.
+// deflate returns the deflate-encoded packed form of data, even if it is not shorter.
 func deflate(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	out.WriteByte(encodingDeflate)
@@ -54,11 +54,12 @@
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	return bytes.Clone(out.Bytes()), nil // without the unused rest of the buffer
+	return bytes.Clone(out.Bytes()), nil // drops the unused capacity of the buffer
 }
 
-// NewReader returns a reader of the data in a packed form. It ends after maxBytes bytes. It
-// fails with [ErrCorrupt] if the encoding is unknown; later errors are those of deflate.
+// NewReader returns a reader of the data in a packed form. The reader returns EOF after at
+// most maxBytes bytes. NewReader fails with [ErrCorrupt] if the encoding is unknown; errors
+// of the reader are those of deflate.
 func NewReader(packed []byte, maxBytes int64) (io.Reader, error) {
 	if len(packed) == 0 || packed[0] > encodingDeflate {
 		return nil, ErrCorrupt
@@ -70,8 +71,8 @@
 	return io.LimitReader(r, maxBytes), nil
 }
 
-// Decompress returns the data in a packed form. It fails with [ErrCorrupt] if that is
-// damaged, or holds more than maxBytes bytes.
+// Decompress returns the data in a packed form. It fails with [ErrCorrupt] if the packed form
+// is damaged or contains more than maxBytes bytes of data.
 func Decompress(packed []byte, maxBytes int64) ([]byte, error) {
 	r, err := NewReader(packed, maxBytes+1)
 	if err != nil {
--- a/internal/compression/compression_test.go
+++ b/internal/compression/compression_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Any data comes back as it was, and nothing that is longer than allowed does. Arbitrary
-// bytes are decompressed without a crash.
+// Compressed data is decompressed to the original, unless it exceeds the allowed size.
+// Decompressing arbitrary bytes does not panic.
 func FuzzCompressedDataComesBack(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte("short"))
@@ -22,9 +22,9 @@
 		}
 		if len(data) > 0 {
 			if _, err := Decompress(packed, int64(len(data)-1)); err == nil {
-				t.Fatal("longer than allowed")
+				t.Fatal("data longer than allowed was returned")
 			}
 		}
-		_, _ = Decompress(data, 1<<16) // returns, whatever the bytes are
+		_, _ = Decompress(data, 1<<16) // must not panic
 	})
 }
--- a/internal/compression/golden_test.go
+++ b/internal/compression/golden_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The files in testdata/golden were packed by the program at commit f96d826. They are
-// never written again: stored snapshots and messages of earlier programs hold such bytes.
+// The files in testdata/golden were packed by the code at commit f96d826. They must not be
+// regenerated: snapshots stored and messages sent by earlier releases contain such bytes.
 var goldenFiles = map[string][]byte{
 	"empty.packed":          {},
 	"short.packed":          []byte("a short text stays as it is"),
@@ -17,7 +17,7 @@
 	"incompressible.packed": incompressible(600),
 }
 
-// incompressible makes n bytes that deflate can't make shorter.
+// incompressible returns n bytes that deflate cannot compress.
 func incompressible(n int) []byte {
 	data := make([]byte, n)
 	x := uint32(1)
