--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,13 +1,13 @@
-// Package datagram has UDP sockets that are polled and never waited for.
+// Package datagram provides non-blocking UDP sockets for callers that poll them.
 //
 // A socket of package net wakes the process for each datagram that arrives: a thread of the
-// runtime returns from epoll, looks for work, reads, reads again in vain and waits anew. A
-// caller that polls its socket at times of its own anyway reads everything that has arrived
-// since in one go, for one wake-up.
+// runtime returns from epoll, looks for work, reads, reads again without a result, and waits
+// again. A caller that polls its socket on a schedule of its own instead reads all datagrams
+// that have arrived since, with a single wake-up.
 //
-// The calls never block, so they go to the kernel without notice to the Go runtime. With
-// it, each first call after a pause would wake the runtime's monitor, a thread that then
-// looks around every 20 us: five wake-ups in place of one.
+// As the system calls never block, they are made without notifying the Go runtime.
+// Otherwise, each first call after a pause would wake the runtime's monitor thread (sysmon),
+// which then polls every 20 us: five wake-ups instead of one.
 package datagram
 
 import (
@@ -21,21 +21,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNoDatagram reports that no datagram has arrived.
-var ErrNoDatagram = errors.New("datagram: nothing has come")
+// ErrNoDatagram reports that no datagram is waiting to be received.
+var ErrNoDatagram = errors.New("datagram: no datagram available")
 
 // Socket is a UDP socket. It is not safe for concurrent use.
 type Socket struct {
 	fd    int
 	local netip.AddrPort
-	// The address of the peer, as the kernel has it, of the last Send or Receive. They are
-	// fields so that neither call allocates. An IPv6 address has space for an IPv4 one too,
-	// so Receive uses addr6 for both.
+	// Buffers for the peer address of the last Send or Receive, in the kernel's format. They
+	// are fields so that neither call allocates. As an IPv4 address fits into the buffer for
+	// an IPv6 address, Receive uses addr6 for both.
 	addr6 unix.RawSockaddrInet6
 	addr4 unix.RawSockaddrInet4
 }
 
-// Listen opens a socket at an address; port 0 is any port that is free.
+// Listen opens a socket bound to an address. Port 0 selects a free port.
 func Listen(local netip.AddrPort) (*Socket, error) {
 	family := unix.AF_INET6
 	if local.Addr().Unmap().Is4() {
@@ -46,16 +46,16 @@
 		return nil, fmt.Errorf("datagram: socket: %w", err)
 	}
 	if err := unix.Bind(fd, sockaddr(local)); err != nil {
-		return nil, errors.Join(fmt.Errorf("datagram: %v: %w", local, err), unix.Close(fd))
+		return nil, errors.Join(fmt.Errorf("datagram: bind to %v: %w", local, err), unix.Close(fd))
 	}
 	bound, err := unix.Getsockname(fd)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("datagram: %w", err), unix.Close(fd))
+		return nil, errors.Join(fmt.Errorf("datagram: getsockname: %w", err), unix.Close(fd))
 	}
 	return &Socket{fd: fd, local: addrPort(bound)}, nil
 }
 
-// sockaddr is an address in the form of package unix.
+// sockaddr converts an address to the type of package unix.
 func sockaddr(a netip.AddrPort) unix.Sockaddr {
 	if ip := a.Addr().Unmap(); ip.Is4() {
 		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: ip.As4()}
@@ -63,7 +63,7 @@
 	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
 }
 
-// addrPort is the reverse of sockaddr; zero for any other kind of address.
+// addrPort is the inverse of sockaddr. It returns the zero value for other address families.
 func addrPort(a unix.Sockaddr) netip.AddrPort {
 	switch a := a.(type) {
 	case *unix.SockaddrInet4:
@@ -74,17 +74,17 @@
 	return netip.AddrPort{}
 }
 
-// Addr returns the address of the socket.
+// Addr returns the local address of the socket.
 func (s *Socket) Addr() netip.AddrPort { return s.local }
 
-// portInNetworkOrder converts a port to the byte order of the network, as the kernel has
-// it, and back.
+// portInNetworkOrder converts a port between host byte order and network byte order, which
+// the kernel uses.
 func portInNetworkOrder(port uint16) uint16 {
 	return binary.NativeEndian.Uint16([]byte{byte(port >> 8), byte(port)})
 }
 
-// Send sends one datagram. One for which the kernel has no space now is dropped, like one
-// that the network loses.
+// Send sends one datagram. If the kernel has no buffer space for it, the datagram is dropped
+// and an error is returned.
 func (s *Socket) Send(b []byte, to netip.AddrPort) error {
 	addr, size := unsafe.Pointer(&s.addr6), unsafe.Sizeof(s.addr6)
 	if ip := to.Addr().Unmap(); ip.Is4() {
@@ -97,13 +97,14 @@
 		uintptr(s.fd), uintptr(unsafe.Pointer(unsafe.SliceData(b))), uintptr(len(b)),
 		unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, uintptr(addr), size)
 	if errno != 0 {
-		return fmt.Errorf("datagram: %v: %w", to, errno)
+		return fmt.Errorf("datagram: send to %v: %w", to, errno)
 	}
 	return nil
 }
 
-// Receive reads the next datagram that has arrived and returns its length and sender. What
-// is longer than the buffer is cut off. It fails with [ErrNoDatagram] if there is none.
+// Receive reads the next datagram that has arrived and returns its length and sender. A
+// datagram that is longer than the buffer is truncated. Receive fails with [ErrNoDatagram] if
+// no datagram has arrived.
 func (s *Socket) Receive(b []byte) (n int, from netip.AddrPort, err error) {
 	for {
 		size := uint32(unsafe.Sizeof(s.addr6))
@@ -113,16 +114,16 @@
 		switch errno {
 		case 0:
 			return int(n), s.lastSender(), nil
-		case unix.EINTR: // read again
+		case unix.EINTR: // retry
 		case unix.EAGAIN:
 			return 0, from, ErrNoDatagram
 		default:
-			return 0, from, fmt.Errorf("datagram: %w", errno)
+			return 0, from, fmt.Errorf("datagram: receive: %w", errno)
 		}
 	}
 }
 
-// lastSender is the sender of the datagram that was received last.
+// lastSender returns the sender of the last datagram received.
 func (s *Socket) lastSender() netip.AddrPort {
 	if s.addr6.Family == unix.AF_INET {
 		addr4 := (*unix.RawSockaddrInet4)(unsafe.Pointer(&s.addr6))
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Datagrams are received in the order of their arrival, and nothing waits for them: on
-// loopback they have arrived when Send returns. Neither Send nor Receive allocates.
+// Datagrams are received in the order of arrival, without blocking: on loopback they have
+// arrived when Send returns. Neither Send nor Receive allocates.
 func TestDatagramsAreReceivedInOrderWithoutWaiting(t *testing.T) {
 	for _, addr := range []string{"127.0.0.1:0", "[::1]:0"} {
 		t.Run(addr, func(t *testing.T) { sendAndReceive(t, netip.MustParseAddrPort(addr)) })
@@ -18,7 +18,7 @@
 	sender, receiver := listen(t, addr), listen(t, addr)
 	buf := make([]byte, 8)
 	if _, _, err := receiver.Receive(buf); !errors.Is(err, ErrNoDatagram) {
-		t.Fatalf("before anything was sent: %v", err)
+		t.Fatalf("Receive before any datagram was sent: %v", err)
 	}
 	for i := range 20 {
 		if err := sender.Send([]byte{byte(i)}, receiver.Addr()); err != nil {
@@ -32,10 +32,10 @@
 		}
 	}
 	if _, _, err := receiver.Receive(buf); !errors.Is(err, ErrNoDatagram) {
-		t.Errorf("after everything was read: %v", err)
+		t.Errorf("Receive after all datagrams were read: %v", err)
 	}
 	sendToItself := func() {
-		_ = sender.Send(buf, sender.Addr()) // what is counted are the allocations
+		_ = sender.Send(buf, sender.Addr()) // only the allocations matter here
 		_, _, _ = sender.Receive(buf)
 	}
 	if n := testing.AllocsPerRun(100, sendToItself); n != 0 {
@@ -45,17 +45,18 @@
 		t.Error("a datagram longer than the maximum was sent")
 	}
 	if _, err := Listen(sender.Addr()); err == nil {
-		t.Error("two sockets have the same address")
+		t.Error("two sockets are bound to the same address")
 	}
 }
 
-// listen opens a socket until the test ends. It skips the test where there is no IPv6.
+// listen opens a socket that is closed at the end of the test. It skips the test if IPv6 is
+// required but unavailable.
 func listen(t *testing.T, addr netip.AddrPort) *Socket {
 	t.Helper()
 	s, err := Listen(addr)
 	if err != nil {
 		if addr.Addr().Is6() {
-			t.Skip("no IPv6 here:", err)
+			t.Skip("IPv6 is unavailable:", err)
 		}
 		t.Fatal(err)
 	}
