--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// initialized returns the packages that a program initializes, in their order.
+// initialized returns the packages that a program initializes, in order of initialization.
 func initialized(t *testing.T, command string) (packages []string) {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "program")
@@ -19,7 +19,7 @@
 	}
 	cmd := exec.Command(program, "--help")
 	cmd.Env = append(os.Environ(), "GODEBUG=inittrace=1")
-	out, _ := cmd.CombinedOutput() // how it ends is of no account
+	out, _ := cmd.CombinedOutput() // the exit status is irrelevant
 	for line := range strings.Lines(string(out)) {
 		if words := strings.Fields(line); len(words) > 1 && words[0] == "init" {
 			packages = append(packages, words[1])
@@ -28,8 +28,8 @@
 	return packages
 }
 
-// SIGHUP is caught as soon as signals can be caught at all: no package of this project or of another one is initialized
-// between os/signal and this one, in each program that reads its settings again.
+// SIGHUP is caught as early as possible: in each program that reloads its settings, only packages of the standard
+// library are initialized between os/signal and this package.
 func TestCaughtAsSoonAsSignalsCanBe(t *testing.T) {
 	t.Parallel()
 	self := reflect.TypeFor[probe]().PkgPath()
@@ -48,5 +48,5 @@
 	}
 }
 
-// probe shows the path of this package.
+// probe is used to determine the import path of this package.
 type probe struct{}
