--- a/internal/loglimit/loglimit.go
+++ b/internal/loglimit/loglimit.go
@@ -1,5 +1,5 @@
-// Package loglimit rate-limits warnings and errors that repeat, so that one fault does not
-// fill the log. It is a [slog.Handler] in front of another one.
+// Package loglimit provides a [slog.Handler] that rate-limits repeated warnings and errors, so
+// that a persistent fault does not flood the log, and forwards the others to another handler.
 package loglimit
 
 import (
@@ -10,25 +10,25 @@
 )
 
 const (
-	// burst is how many records with the same message are passed on in an interval.
+	// burst is the maximum number of records with the same message forwarded per interval.
 	burst = 3
-	// maxMessages bounds how many messages are counted at the same time.
+	// maxMessages limits the number of distinct messages that are tracked at the same time.
 	maxMessages = 256
-	// suppressedKey is the attribute with the number of records left out since the last
-	// one with the same message.
+	// suppressedKey is the key of the attribute with the number of records suppressed since
+	// the last forwarded one with the same message.
 	suppressedKey = "left_out"
 )
 
-// Handler passes records on to another handler. Of the warnings and errors with the same
-// level and message it passes the first three of each interval. The first one of an
-// interval has the number of those left out before it as the attribute "left_out". Records
-// below warning are all passed on.
+// Handler forwards records to another handler. Of the warnings and errors with the same level
+// and message, it forwards the first three in each interval. If records were suppressed
+// before the first one of an interval, their number is added to it as the attribute
+// "left_out". Records below level warning are always forwarded.
 type Handler struct {
 	slog.Handler
 	limiter *limiter
 }
 
-// New returns a handler in front of another one. Nothing is limited if the interval is 0.
+// New returns a handler that forwards records to next. An interval of 0 disables the limit.
 func New(next slog.Handler, interval time.Duration, clock func() time.Time) *Handler {
 	return &Handler{next, &limiter{interval: interval, clock: clock, messages: map[string]*messageCount{}}}
 }
@@ -59,7 +59,7 @@
 	return &Handler{h.Handler.WithGroup(name), h.limiter}
 }
 
-// limiter counts records by message.
+// limiter counts records by level and message.
 type limiter struct {
 	interval time.Duration
 	clock    func() time.Time
@@ -71,11 +71,11 @@
 // messageCount counts the records with one message.
 type messageCount struct {
 	intervalStart time.Time
-	inInterval    int // records since then
-	suppressed    int // records since the last one that was passed on
+	inInterval    int // records since intervalStart
+	suppressed    int // records suppressed since the last forwarded one
 }
 
-// allow reports whether a record is passed on, and how many were suppressed before it.
+// allow reports whether a record may be forwarded, and how many were suppressed before it.
 func (l *limiter) allow(message string) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 	c := l.messages[message]
 	if c == nil {
 		if len(l.messages) >= maxMessages {
-			clear(l.messages) // some messages are then logged more often
+			clear(l.messages) // some messages may then exceed the limit
 		}
 		c = &messageCount{intervalStart: now}
 		l.messages[message] = c
--- a/internal/loglimit/loglimit_test.go
+++ b/internal/loglimit/loglimit_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A fault that repeats is logged three times an interval, at the next time with the number
-// of records left out. Other messages are not held up by it.
+// A repeated warning is logged three times per interval, and the first one of the next interval
+// has the number of suppressed records. Other messages are not affected.
 func TestRepeatedFaultsAreLimited(t *testing.T) {
 	const interval = 10 * time.Second
 	var out bytes.Buffer
@@ -23,10 +23,10 @@
 	}
 	log.Error("other")
 	if n := strings.Count(out.String(), "down"); n != 3 {
-		t.Errorf("%d of 100 logged", n)
+		t.Errorf("%d of 100 repeated warnings were logged, want 3", n)
 	}
 	if n := strings.Count(out.String(), "fine"); n != 100 {
-		t.Errorf("%d of 100 that are no fault", n)
+		t.Errorf("%d of 100 info records were logged, want all", n)
 	}
 	out.Reset()
 	now = now.Add(interval + time.Second)
@@ -39,6 +39,6 @@
 		log.Warn(fmt.Sprint("m", i))
 	}
 	if n := len(log.Handler().(*Handler).limiter.messages); n > maxMessages {
-		t.Errorf("%d messages are remembered", n)
+		t.Errorf("%d messages are tracked", n)
 	}
 }
