--- a/internal/persistentmap/persistentmap_test.go
+++ b/internal/persistentmap/persistentmap_test.go
@@ -25,7 +25,7 @@
 		}
 		for i, v := range versions {
 			if got := maps.Collect(v.All); !maps.Equal(got, want[i]) || v.Len() != len(want[i]) {
-				t.Fatalf("version %d holds %v (%d), not %v", i, got, v.Len(), want[i])
+				t.Fatalf("version %d contains %v (Len %d), want %v", i, got, v.Len(), want[i])
 			}
 			for key := range maxKey + 1 {
 				got, ok := v.Get(key)
@@ -37,7 +37,7 @@
 	})
 }
 
-// change makes one random change to a builder and to a plain map.
+// change applies the same random change to a builder and to its model.
 func change(t *rapid.T, b *Builder[int, int], model map[int]int) {
 	key := rapid.IntRange(0, maxKey).Draw(t, "key")
 	if rapid.Bool().Draw(t, "delete") {
