--- a/operators/access.go
+++ b/operators/access.go
@@ -12,46 +12,48 @@
 	"time"
 )
 
-// busyRetryAfter is the Retry-After, in seconds, of a call past the limit of calls in flight.
+// busyRetryAfter is the Retry-After header, in seconds, sent when the limit of concurrent calls is
+// reached.
 const busyRetryAfter = "0.2"
 
-// Limits bound what the interface does. A field that is 0 sets no limit.
+// Limits are the rate and concurrency limits of the operator interface. 0 means no limit.
 type Limits struct {
-	CallsPerS float64 // calls a second of one caller, by its IP address; the burst is two seconds of it
-	InFlight  int     // calls of all callers at once
+	CallsPerS float64 // calls per second per caller IP address; the burst is two seconds' worth
+	InFlight  int     // concurrent calls of all callers
 }
 
-// AccessControl is the middleware before the operator interface. Its fields are set before
-// [AccessControl.Handler] is called, once, and not changed after.
+// AccessControl is the HTTP middleware of the operator interface. Its exported fields must be set
+// before [AccessControl.Handler] is called and must not change afterwards. Handler must be called
+// only once.
 type AccessControl struct {
-	Registry *Registry // nil: everybody may make every call
+	Registry *Registry // nil: every caller may make every call
 	Limits   Limits
-	Log      *slog.Logger     // of the audit lines and the refusals
-	Now      func() time.Time // the time of day, for tokens that expire
+	Log      *slog.Logger     // receives audit entries and rejected calls
+	Now      func() time.Time // the wall clock, to check token expiry
 
 	limiter *rateLimiter // set by Handler
 
 	mu       sync.Mutex
-	inFlight int // calls past all checks that are not answered yet; guarded by mu
+	inFlight int // calls that passed all checks and are not answered yet; guarded by mu
 }
 
 type callerKey struct{}
 
-// Caller is the name of the operator who makes the call of a context. It is empty where
-// there is no operators file.
+// Caller returns the name of the operator whose call ctx belongs to. It is empty if no
+// operators file is configured.
 func Caller(ctx context.Context) string {
 	name, _ := ctx.Value(callerKey{}).(string)
 	return name
 }
 
-// Handler returns next behind the access control. It answers
-//   - 429 to a caller above its rate,
-//   - 401 to a call without a valid token, 403 where the role does not allow the call,
-//   - 503 where too many calls are in flight.
+// Handler wraps next with the access control. It responds with
+//   - 429 if the caller exceeds its rate limit,
+//   - 401 if the call has no valid token, 403 if the operator's role does not allow the call,
+//   - 503 if too many calls are in flight.
 //
-// The rate is checked first, so that guessing tokens is limited too. Only calls that pass
-// all checks count as in flight. Each call that may change something is logged when it is
-// answered.
+// The rate limit is checked first, so that it also limits attempts to guess tokens. Only calls
+// that pass all checks count as in flight. Each call that may change the configuration is
+// written to the audit log after its response.
 func (a *AccessControl) Handler(next http.Handler) http.Handler {
 	a.limiter = newRateLimiter(a.Limits.CallsPerS)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -65,15 +67,15 @@
 		name, err := a.authorize(r, role)
 		if err != nil {
 			a.Log.Warn("operator refused", "call", r.URL.Path, "from", address, "who", name, "error", err)
-			refuse(w, err)
+			rejectUnauthorized(w, err)
 			return
 		}
-		if !a.enter() {
+		if !a.acquire() {
 			w.Header().Set("Retry-After", busyRetryAfter)
 			http.Error(w, "too many calls in hand", http.StatusServiceUnavailable)
 			return
 		}
-		defer a.leave()
+		defer a.release()
 		recorder := &statusRecorder{ResponseWriter: w, status: http.StatusOK}
 		next.ServeHTTP(recorder, r.WithContext(context.WithValue(r.Context(), callerKey{}, name)))
 		if role == RoleChange {
@@ -83,7 +85,7 @@
 	})
 }
 
-// callerAddress is the IP address that a call comes from.
+// callerAddress returns the IP address of the caller.
 func callerAddress(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -92,8 +94,8 @@
 	return host
 }
 
-// requiredRole is the role that a call needs: methods other than GET and HEAD may change
-// something.
+// requiredRole returns the role that a call needs. Every method except GET and HEAD may change
+// the configuration.
 func requiredRole(r *http.Request) Role {
 	if r.Method == http.MethodGet || r.Method == http.MethodHead {
 		return RoleRead
@@ -101,8 +103,8 @@
 	return RoleChange
 }
 
-// authorize returns the name of the operator who makes a call. The error is one of
-// [ErrNoToken], [ErrUnknownToken] and [ErrRoleNotAllowed]; the name is known with the last.
+// authorize authenticates a call, checks the operator's role and returns the operator's name. The
+// error is [ErrNoToken], [ErrUnknownToken] or [ErrRoleNotAllowed]; only the last comes with a name.
 func (a *AccessControl) authorize(r *http.Request, required Role) (name string, err error) {
 	if a.Registry == nil {
 		return "", nil
@@ -121,8 +123,8 @@
 	return o.Name, nil
 }
 
-// refuse answers a call that is not authorized.
-func refuse(w http.ResponseWriter, err error) {
+// rejectUnauthorized responds to a call that authorize rejected.
+func rejectUnauthorized(w http.ResponseWriter, err error) {
 	status := http.StatusUnauthorized
 	if errors.Is(err, ErrRoleNotAllowed) {
 		status = http.StatusForbidden
@@ -132,8 +134,8 @@
 	http.Error(w, err.Error(), status)
 }
 
-// enter counts a call as in flight. It reports false where the limit is reached.
-func (a *AccessControl) enter() bool {
+// acquire counts a call as in flight. It returns false if the limit is reached.
+func (a *AccessControl) acquire() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.Limits.InFlight > 0 && a.inFlight >= a.Limits.InFlight {
@@ -143,24 +145,24 @@
 	return true
 }
 
-// leave ends what enter began.
-func (a *AccessControl) leave() {
+// release ends a call that acquire counted.
+func (a *AccessControl) release() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.inFlight--
 }
 
-// statusRecorder keeps the status of an answer for the audit line.
+// statusRecorder records the status code of a response for the audit log.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
 }
 
-// WriteHeader keeps the status and passes it on.
+// WriteHeader records the status code and forwards it.
 func (w *statusRecorder) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap is for [http.ResponseController].
+// Unwrap lets [http.ResponseController] reach the underlying writer.
 func (w *statusRecorder) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/operators/certificate.go
+++ b/operators/certificate.go
@@ -6,21 +6,20 @@
 	"sync/atomic"
 )
 
-// Certificate is the TLS certificate of the operator interface as it was when it was last
-// read.
+// Certificate is the TLS certificate of the operator interface. It can be reloaded while in use.
 type Certificate struct {
 	certFile, keyFile string
-	pair              atomic.Pointer[tls.Certificate] // replaced whole, never changed
+	pair              atomic.Pointer[tls.Certificate] // replaced as a whole, never modified
 }
 
-// OpenCertificate reads a certificate with its chain, and its key, both in PEM.
+// OpenCertificate reads a certificate chain and its private key, both in PEM.
 func OpenCertificate(certFile, keyFile string) (*Certificate, error) {
 	c := &Certificate{certFile: certFile, keyFile: keyFile}
 	return c, c.Reload()
 }
 
-// Reload reads the files again. Files that can't be used are an error and leave the
-// certificate of before in force.
+// Reload reads the files again. If they are unusable it returns an error and the previous
+// certificate stays in use.
 func (c *Certificate) Reload() error {
 	pair, err := tls.LoadX509KeyPair(c.certFile, c.keyFile)
 	if err != nil {
@@ -30,8 +29,8 @@
 	return nil
 }
 
-// Config is the configuration of a listener: TLS 1.3, with the certificate as it is at
-// each handshake.
+// Config returns the TLS configuration of a listener. It requires TLS 1.3, and each handshake uses
+// the certificate that was loaded last.
 func (c *Certificate) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
--- a/operators/errors.go
+++ b/operators/errors.go
@@ -2,13 +2,13 @@
 
 import "errors"
 
-// Why a call is refused. The texts are the bodies of the answers: [AccessControl.Handler]
-// answers 401 to the first two and 403 to the third.
+// Reasons to reject a call. The texts are sent as response bodies: [AccessControl.Handler]
+// responds with 401 to the first two and with 403 to the third.
 var (
-	// ErrNoToken: the call has no Authorization header with a bearer token.
+	// ErrNoToken means that the call has no Authorization header with a bearer token.
 	ErrNoToken = errors.New("a token is needed: Authorization: Bearer TOKEN")
-	// ErrUnknownToken: no operator has this token, or it has expired.
+	// ErrUnknownToken means that the token belongs to no operator or has expired.
 	ErrUnknownToken = errors.New("the token is not known, or has expired")
-	// ErrRoleNotAllowed: the operator is known and its role does not include the call.
+	// ErrRoleNotAllowed means that the operator is authenticated but its role does not allow the call.
 	ErrRoleNotAllowed = errors.New("the token's role does not allow this call")
 )
--- a/operators/file.go
+++ b/operators/file.go
@@ -16,13 +16,12 @@
 	filePerm   = 0o600
 )
 
-// operatorsFile is the TOML document on disk.
+// operatorsFile is the TOML document stored on disk.
 type operatorsFile struct {
 	Operators []Operator `toml:"operator"`
 }
 
-// Parse reads the text of an operators file. The error holds all faults that are found,
-// one a line.
+// Parse decodes and validates an operators file. The error lists all problems, one per line.
 func Parse(data []byte) ([]Operator, error) {
 	var f operatorsFile
 	meta, err := toml.Decode(string(data), &f)
@@ -31,14 +30,13 @@
 	}
 	var errs []error
 	for _, key := range meta.Undecoded() {
-		errs = append(errs, fmt.Errorf("%s: there is no such setting", key))
+		errs = append(errs, fmt.Errorf("%s: unknown setting", key))
 	}
 	errs = append(errs, validateAll(f.Operators)...)
 	return f.Operators, errors.Join(errs...)
 }
 
-// validateAll returns the faults of the entries, among them names and tokens that stand
-// in the file twice.
+// validateAll returns the problems of all entries, including duplicate names and tokens.
 func validateAll(list []Operator) []error {
 	var errs []error
 	names, tokens := map[string]bool{}, map[string]bool{}
@@ -48,17 +46,17 @@
 			errs = append(errs, fmt.Errorf("operator %d: %w", number, err))
 		}
 		if names[o.Name] {
-			errs = append(errs, fmt.Errorf("operator %d: %s stands there twice", number, o.Name))
+			errs = append(errs, fmt.Errorf("operator %d: duplicate name %s", number, o.Name))
 		}
 		if tokens[o.Token] {
-			errs = append(errs, fmt.Errorf("operator %d: it has another one's token", number))
+			errs = append(errs, fmt.Errorf("operator %d: duplicate token_sha256", number))
 		}
 		names[o.Name], tokens[o.Token] = true, true
 	}
 	return errs
 }
 
-// Load reads and checks the file at a path. Where there is none the error is
+// Load reads and validates the operators file at path. If there is no file, the error wraps
 // [io/fs.ErrNotExist].
 func Load(path string) ([]Operator, error) {
 	data, err := os.ReadFile(path)
@@ -72,8 +70,8 @@
 	return list, nil
 }
 
-// Save replaces the file at a path atomically. Once it has returned without an error the
-// new file survives a loss of power. A list that [Parse] would not accept is not written.
+// Save atomically replaces the operators file at path. After it returns without an error the new
+// file survives a power failure. A list that [Parse] would reject is not written.
 func Save(path string, list []Operator) error {
 	var text bytes.Buffer
 	text.WriteString(fileHeader)
--- a/operators/golden_test.go
+++ b/operators/golden_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// readGolden returns a file that an earlier release wrote.
+// readGolden returns the contents of a file written by an earlier release.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -22,7 +22,8 @@
 	return data
 }
 
-// A file that an earlier release wrote is read, and written again to the same bytes.
+// An operators file written by an earlier release can be read, and saving it yields the same
+// bytes.
 func TestGoldenOperatorsFile(t *testing.T) {
 	golden := readGolden(t, "operators.toml")
 	list, err := Parse(golden)
@@ -39,31 +40,31 @@
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(path); err != nil || !bytes.Equal(got, golden) {
-		t.Errorf("written again:\n%s\n%v, want\n%s", got, err, golden)
+		t.Errorf("saved again:\n%s\n%v, want\n%s", got, err, golden)
 	}
 }
 
-// The tokens of a file that an earlier release wrote authenticate their operators until
-// they expire.
+// The tokens of an operators file written by an earlier release authenticate their operators
+// until they expire.
 func TestGoldenTokens(t *testing.T) {
 	registry, err := Open(filepath.Join("testdata", "golden", "operators.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	expires := time.Date(2027, 1, 2, 3, 4, 5, 0, time.UTC) // of ci
+	expires := time.Date(2027, 1, 2, 3, 4, 5, 0, time.UTC) // of the token of ci
 	tokens := strings.Fields(string(readGolden(t, "tokens.txt")))
 	for i, name := range []string{"ops@example", "ci"} {
 		o, ok := registry.Authenticate(expires.Add(-time.Second), tokens[i])
 		if !ok || o.Name != name {
-			t.Errorf("the token of %s belongs to %+v, %v", name, o, ok)
+			t.Errorf("the token of %s authenticates %+v, %v", name, o, ok)
 		}
 		if _, ok := registry.Authenticate(expires, tokens[i]); ok != (name != "ci") {
-			t.Errorf("the token of %s at the end of ci's: %v", name, ok)
+			t.Errorf("the token of %s is accepted when that of ci expires: %v", name, ok)
 		}
 	}
 }
 
-// The audit line of a change is the one of earlier releases, but for its time.
+// The audit log line of a change is the same as in earlier releases, apart from its time.
 func TestGoldenAuditLine(t *testing.T) {
 	registry, err := Open(filepath.Join("testdata", "golden", "operators.toml"))
 	if err != nil {
--- a/operators/operators.go
+++ b/operators/operators.go
@@ -1,16 +1,16 @@
-// Package operators controls access to the operator interface: who may call it, how
-// often, and how many calls may run at once.
+// Package operators controls access to the operator interface: authentication, roles, a rate
+// limit per caller and a limit on concurrent calls.
 //
 // An operator is a person or a program with a bearer token. The operators file holds the
-// SHA-256 of each token, never the token. [Registry] is such a file as it is on disk now;
-// [AccessControl] is the HTTP middleware that authenticates a call, checks the operator's
-// role, enforces the limits and logs each change with the operator who made it.
+// SHA-256 of each token, never the token itself. [Registry] holds the contents of the file and can
+// reload it. [AccessControl] is the HTTP middleware that authenticates a call, checks the
+// operator's role, enforces the limits and logs each change with the operator who made it.
 // [Certificate] is the TLS certificate of the interface.
 //
-// Without an operators file everybody who reaches the port may make every call, and only
-// the limits apply.
+// Without an operators file anyone who can reach the port may make every call, and only the limits
+// apply.
 //
-// All types are safe for concurrent use once they are made.
+// Registry, AccessControl and Certificate are safe for concurrent use once they are set up.
 package operators
 
 import (
@@ -24,42 +24,42 @@
 	"time"
 )
 
-// Role is what an operator may do. Its text stands in the operators file.
+// Role determines which calls an operator may make. Its value is stored in the operators file.
 type Role string
 
-// The roles. Each includes those before it.
+// The roles. Each includes the permissions of those before it.
 const (
-	// RoleRead may make every call that changes nothing. Configurations contain the
-	// tenants' keys, which this role can read.
+	// RoleRead allows all read-only calls. It can read the tenants' API keys, since they are part
+	// of the configuration.
 	RoleRead Role = "read"
-	// RoleChange may replace the configuration as well.
+	// RoleChange also allows replacing the configuration.
 	RoleChange Role = "change"
 )
 
-// allows reports whether the role includes the required one.
+// allows reports whether r includes the required role.
 func (r Role) allows(required Role) bool {
 	return r == required || r == RoleChange && required == RoleRead
 }
 
 // Operator is one entry of the operators file.
 type Operator struct {
-	// Name appears in logs: 1 to 64 letters, digits and the characters ._@- with a letter
-	// or a digit first. Names in a file are unique.
+	// Name appears in logs. It has 1 to 64 characters, letters, digits and ._@-, and starts with a
+	// letter or a digit. It is unique in the file.
 	Name string `toml:"name"`
 	Role Role   `toml:"role"`
-	// Token is the SHA-256 of the token in hexadecimal, unique in a file.
+	// Token is the SHA-256 of the token in hexadecimal. It is unique in the file.
 	Token string `toml:"token_sha256"`
-	// Expires is when the token stops being accepted. Zero: never.
+	// Expires is the time from which the token is rejected. Zero means that it never expires.
 	Expires time.Time `toml:"expires,omitempty"`
 }
 
-// tokenBytes is how many random bytes a token has.
+// tokenBytes is the number of random bytes in a token.
 const tokenBytes = 32
 
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@-]{0,63}$`)
 
-// New makes an operator with a random token. The token is returned here only: the
-// operator holds its hash.
+// New returns an operator with a random token, and the token. The token can't be recovered later,
+// because the operator stores only its hash.
 func New(name string, role Role, expires time.Time) (o Operator, token string, err error) {
 	random := make([]byte, tokenBytes)
 	if _, err := rand.Read(random); err != nil {
@@ -70,28 +70,29 @@
 	return o, token, o.validate()
 }
 
-// hashToken returns the form of a token that the file holds.
+// hashToken returns the hash of a token as it is stored in the file.
 func hashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// validate returns all faults of an entry, joined.
+// validate returns all problems of an entry, joined into one error.
 func (o *Operator) validate() error {
 	var errs []error
 	if !validName.MatchString(o.Name) {
-		errs = append(errs, fmt.Errorf("name %q: letters, digits and ._@-, 64 at most", o.Name))
+		errs = append(errs, fmt.Errorf(
+			"name %q: must be 1 to 64 letters, digits and ._@-, starting with a letter or digit", o.Name))
 	}
 	if o.Role != RoleRead && o.Role != RoleChange {
-		errs = append(errs, fmt.Errorf("role %q: one of %s, %s", o.Role, RoleRead, RoleChange))
+		errs = append(errs, fmt.Errorf("role %q: must be one of %s, %s", o.Role, RoleRead, RoleChange))
 	}
 	if b, err := hex.DecodeString(o.Token); err != nil || len(b) != sha256.Size {
-		errs = append(errs, errors.New("token_sha256: 64 hexadecimal digits are needed"))
+		errs = append(errs, errors.New("token_sha256: must be 64 hexadecimal digits"))
 	}
 	return errors.Join(errs...)
 }
 
-// expired reports whether the token is no longer accepted at a time.
+// expired reports whether the token has expired at the given time.
 func (o *Operator) expired(now time.Time) bool {
 	return !o.Expires.IsZero() && !now.Before(o.Expires)
 }
--- a/operators/operators_test.go
+++ b/operators/operators_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// newOperator returns an operator with its token.
+// newOperator returns an operator and its token.
 func newOperator(t *testing.T, name string, role Role, expires time.Time) (Operator, string) {
 	t.Helper()
 	o, token, err := New(name, role, expires)
@@ -24,7 +24,7 @@
 	return o, token
 }
 
-// newRegistry is the registry of a file with these operators.
+// newRegistry saves operators to a file and opens it.
 func newRegistry(t *testing.T, list ...Operator) (path string, registry *Registry) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "operators.toml")
@@ -38,8 +38,8 @@
 	return path, registry
 }
 
-// A call with no token, a wrong one or an expired one is unauthenticated. A reader changes
-// nothing. Each change is logged with who made it, and no token is logged.
+// Calls without a token, with an unknown one or with an expired one get 401. RoleRead can't make
+// changes. Each change is logged with the operator who made it, and no token is logged.
 func TestAccessByTokenAndRole(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	reader, readToken := newOperator(t, "ops@example", RoleRead, time.Time{})
@@ -67,7 +67,7 @@
 		{"GET", "Bearer " + readToken + "x", 401, ""},
 		{"GET", "Token " + readToken, 401, ""},
 		{"GET", "Bearer " + oldToken, 401, ""},
-		{"GET", "Bearer " + reader.Token, 401, ""}, // the hash opens nothing
+		{"GET", "Bearer " + reader.Token, 401, ""}, // the stored hash is not accepted as a token
 		{"GET", "Bearer " + readToken, 412, "ops@example"},
 		{"GET", "bearer " + ciToken, 412, "ci"},
 		{"POST", "Bearer " + readToken, 403, ""},
@@ -83,25 +83,25 @@
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, r)
 		if w.Code != c.status || who != c.who {
-			t.Errorf("%s %q: %d by %q, want %d by %q", c.method, c.auth, w.Code, who, c.status, c.who)
+			t.Errorf("%s %q: status %d, operator %q; want %d, %q", c.method, c.auth, w.Code, who, c.status, c.who)
 		}
 		if w.Code == 401 && w.Header().Get("WWW-Authenticate") == "" {
-			t.Error("a refused caller is not shown how to authenticate")
+			t.Error("401 response without a WWW-Authenticate header")
 		}
 	}
 	text := log.String()
 	if n := strings.Count(text, "msg=audit"); n != 1 || !strings.Contains(text, "who=ci") ||
 		!strings.Contains(text, "base=6") || !strings.Contains(text, "status=412") {
-		t.Errorf("the log says:\n%s", text)
+		t.Errorf("unexpected log:\n%s", text)
 	}
 	for _, secret := range []string{readToken, ciToken, oldToken, ci.Token} {
 		if strings.Contains(text, secret) {
-			t.Error("a token is in the log")
+			t.Error("the log contains a token or its hash")
 		}
 	}
 }
 
-// The file is reloaded while it is used; one with faults changes nothing.
+// Reload picks up changes of the file. An invalid file leaves the previous operators in use.
 func TestRegistryReload(t *testing.T) {
 	a, token := newOperator(t, "a", RoleRead, time.Time{})
 	path, registry := newRegistry(t, a)
@@ -115,11 +115,11 @@
 	_, err := registry.Reload()
 	for _, fault := range []string{`"a b"`, `"all"`, "token_sha256", "shoe"} {
 		if err == nil || !strings.Contains(err.Error(), fault) {
-			t.Errorf("%v does not name %s", err, fault)
+			t.Errorf("error %v does not mention %s", err, fault)
 		}
 	}
 	if _, ok := registry.Authenticate(time.Now(), token); !ok {
-		t.Error("a file with faults took the token away")
+		t.Error("an invalid file revoked the token")
 	}
 	b, _ := newOperator(t, "b", RoleChange, time.Time{})
 	if err := Save(path, []Operator{b}); err != nil {
@@ -129,15 +129,15 @@
 		t.Errorf("changed %v, %v", changed, err)
 	}
 	if _, ok := registry.Authenticate(time.Now(), token); ok {
-		t.Error("a token that was taken away is known")
+		t.Error("a removed token is still accepted")
 	}
 	if err := Save(path, []Operator{b, b}); err == nil {
-		t.Error("the same operator was written twice")
+		t.Error("a list with a duplicate operator was saved")
 	}
 }
 
-// limitedInterface is an interface with limits; calls of /wait are in flight until they are
-// released.
+// limitedInterface is an operator interface with limits. Calls to /wait stay in flight until a
+// value is sent on release.
 type limitedInterface struct {
 	access           *AccessControl
 	handler          http.Handler
@@ -166,34 +166,36 @@
 	return w.Code, w.Header().Get("Retry-After")
 }
 
-// refusedOf makes calls at once and counts those refused with a time to come back.
-func (i *limitedInterface) refusedOf(calls int, from string) (refused int) {
+// countRateLimited makes a number of calls at the same instant and counts those that got 429 with a
+// Retry-After header.
+func (i *limitedInterface) countRateLimited(calls int, from string) (limited int) {
 	for range calls {
 		if status, retryAfter := i.call(from, "/"); status == 429 && retryAfter != "" {
-			refused++
+			limited++
 		}
 	}
-	return refused
+	return limited
 }
 
-// One caller can't use up the interface for the others. Time is a synctest bubble's.
+// The rate limit of one caller does not affect others. The test runs on the fake clock of
+// synctest.
 func TestRateLimitOfOneCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limited := newLimitedInterface(Limits{CallsPerS: 5, InFlight: 2})
-		if n := limited.refusedOf(30, "10.0.0.1"); n != 20 { // the burst is two seconds of the rate
-			t.Errorf("%d of 30 calls at once were refused", n)
+		if n := limited.countRateLimited(30, "10.0.0.1"); n != 20 { // the burst is two seconds of the rate
+			t.Errorf("%d of 30 calls at once were rate limited, want 20", n)
 		}
 		time.Sleep(time.Second)
-		if n := limited.refusedOf(30, "10.0.0.1"); n != 25 {
-			t.Errorf("%d of 30 calls a second later were refused", n)
+		if n := limited.countRateLimited(30, "10.0.0.1"); n != 25 {
+			t.Errorf("%d of 30 calls a second later were rate limited, want 25", n)
 		}
 		if status, _ := limited.call("10.0.0.2", "/"); status != 200 {
-			t.Errorf("another caller is answered %d", status)
+			t.Errorf("another caller got status %d, want 200", status)
 		}
 	})
 }
 
-// The number of callers with a token bucket is bounded.
+// The number of token buckets is bounded, whatever the number of callers.
 func TestCallersWithABucketAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := newLimitedInterface(Limits{CallsPerS: 5}).access.limiter
@@ -201,12 +203,12 @@
 			limiter.take(fmt.Sprint(i))
 		}
 		if n := len(limiter.buckets); n > maxCallers+1 {
-			t.Errorf("%d callers have a bucket", n)
+			t.Errorf("%d token buckets", n)
 		}
 	})
 }
 
-// A call past the limit of calls in flight is refused.
+// A call above the limit of concurrent calls gets 503 with a Retry-After header.
 func TestLimitOfCallsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limited := newLimitedInterface(Limits{CallsPerS: 5, InFlight: 2})
@@ -215,7 +217,7 @@
 			<-limited.entered
 		}
 		if status, retryAfter := limited.call("10.2.0.1", "/"); status != 503 || retryAfter == "" {
-			t.Errorf("a third call in flight is answered %d", status)
+			t.Errorf("a third concurrent call got status %d, want 503", status)
 		}
 		limited.release <- struct{}{}
 		limited.release <- struct{}{}
@@ -230,7 +232,7 @@
 		if err != nil {
 			return
 		}
-		for _, o := range list { // what is read can be written and read again
+		for _, o := range list { // accepted entries are valid, so they can be saved and read again
 			if err := o.validate(); err != nil {
 				t.Error(err)
 			}
--- a/operators/ratelimit.go
+++ b/operators/ratelimit.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// maxCallers is how many callers have a token bucket of their own. While it is
-	// reached, all others share the bucket under the empty name.
+	// maxCallers is the maximum number of callers with their own token bucket, which bounds
+	// memory. While it is reached, all further callers share the bucket with the empty key.
 	maxCallers = 1024
-	// burstSeconds is the burst of a caller, in seconds of its rate.
+	// burstSeconds is the burst allowed to a caller, in seconds at its rate.
 	burstSeconds = 2.0
 )
 
-// rateLimiter keeps a token bucket for each caller. It is safe for concurrent use.
+// rateLimiter has a token bucket for each caller. It is safe for concurrent use.
 type rateLimiter struct {
-	rate  float64 // calls a second of one caller; 0: no limit
+	rate  float64 // calls per second per caller; 0: no limit
 	start time.Time
 
 	mu      sync.Mutex
 	buckets map[string]*callerBucket // by caller; guarded by mu
 }
 
-// callerBucket is the balance of one caller in calls, as of a time since the limiter's start.
+// callerBucket is the token bucket of one caller.
 type callerBucket struct {
-	balance float64
-	updated time.Duration
+	balance float64       // calls, as of updated
+	updated time.Duration // since the limiter's start
 }
 
 func newRateLimiter(callsPerS float64) *rateLimiter {
 	return &rateLimiter{rate: callsPerS, start: time.Now(), buckets: map[string]*callerBucket{}}
 }
 
-// take counts a call of a caller. A result above 0 is how many seconds later the call
-// would be allowed; the call is then refused and not counted.
+// take takes one call from the bucket of a caller. If the bucket is empty it takes nothing and
+// returns the number of seconds until the call would be allowed; otherwise it returns 0.
 func (l *rateLimiter) take(caller string) (waitSeconds float64) {
 	if l.rate <= 0 {
 		return 0
@@ -54,8 +54,8 @@
 	return 0
 }
 
-// bucketOf returns the bucket of a caller, a full one where there was none. The caller
-// holds mu.
+// bucketOf returns the bucket of a caller and creates a full one if there is none. mu must be
+// held.
 func (l *rateLimiter) bucketOf(caller string, now time.Duration, burst float64) *callerBucket {
 	if b := l.buckets[caller]; b != nil {
 		return b
@@ -74,8 +74,8 @@
 	return b
 }
 
-// dropFull removes the buckets that are full again: they are equal to new ones. The
-// caller holds mu.
+// dropFull removes the buckets that are full, since they are equivalent to new ones. mu must be
+// held.
 func (l *rateLimiter) dropFull(now time.Duration, burst float64) {
 	for caller, b := range l.buckets {
 		if l.refilled(b, now, burst) >= burst {
@@ -84,7 +84,7 @@
 	}
 }
 
-// refilled is the balance of a bucket at a time.
+// refilled returns the balance of a bucket at the time now.
 func (l *rateLimiter) refilled(b *callerBucket, now time.Duration, burst float64) float64 {
 	return bucket.Refill(b.balance, (now - b.updated).Seconds(), l.rate, burst)
 }
--- a/operators/registry.go
+++ b/operators/registry.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Registry is an operators file as it was when it was last read.
+// Registry holds the contents of an operators file. It can be reloaded while in use.
 type Registry struct {
 	path string
-	list atomic.Pointer[[]Operator] // never nil in an open registry; replaced whole, never changed
+	list atomic.Pointer[[]Operator] // not nil after Open; replaced as a whole, never modified
 }
 
-// Open reads the file at a path.
+// Open reads the operators file at path.
 func Open(path string) (*Registry, error) {
 	r := &Registry{path: path}
 	if _, err := r.Reload(); err != nil {
@@ -22,8 +22,8 @@
 	return r, nil
 }
 
-// Reload reads the file again and reports whether it has changed. A file with faults is
-// an error and leaves the operators of before in force.
+// Reload reads the file again and reports whether its operators have changed. If the file is
+// invalid it returns an error and the previous operators stay in use.
 func (r *Registry) Reload() (changed bool, err error) {
 	list, err := Load(r.path)
 	if err != nil {
@@ -33,9 +33,9 @@
 	return old == nil || !slices.Equal(*old, list), nil
 }
 
-// Authenticate returns the operator who has a token. ok is false where nobody has it or it
-// has expired at the given time. Every entry is compared, each in constant time, so that
-// the time taken reveals nothing about the tokens.
+// Authenticate returns the operator that a token belongs to. ok is false if the token is unknown or
+// has expired at the time now. The token is compared with every entry, each in constant time, so
+// that the duration reveals nothing about the tokens.
 func (r *Registry) Authenticate(now time.Time, token string) (o Operator, ok bool) {
 	sum := []byte(hashToken(token))
 	for _, entry := range *r.list.Load() {
--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -24,8 +24,8 @@
 func parseNode(text []byte) (any, error)   { return Parse(text) }
 func parseTuning(text []byte) (any, error) { return ParseTuning(text) }
 
-// Files that an earlier release accepted are accepted, and mean the same: what was decoded
-// then, written as TOML under the names of the settings, is what is decoded now.
+// Files that an earlier release accepted are still accepted and decode to the same values. The
+// golden .decoded files hold the values that it decoded, encoded as TOML.
 func TestGoldenFilesMeanTheSame(t *testing.T) {
 	for name, parse := range map[string]func([]byte) (any, error){
 		"node-full": parseNode, "node-edge": parseNode, "tuning-set": parseTuning, "tuning-empty": parseTuning,
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		if want := readGolden(t, name+".decoded"); !bytes.Equal(got.Bytes(), want) {
-			t.Errorf("%s means\n%s, want\n%s", name, got.Bytes(), want)
+			t.Errorf("%s decodes to\n%s, want\n%s", name, got.Bytes(), want)
 		}
 	}
 	n, err := Parse(readGolden(t, "node-full.toml"))
@@ -53,27 +53,27 @@
 	}
 }
 
-// Faults that an earlier release found are found, in the same words. Each line of the
-// golden files is a text in the file, what replaces it, and the error.
+// Invalid files are rejected with exactly the error texts in the golden files. Each line of a
+// golden file has a text in the valid file, its replacement, and the error that results.
 func TestGoldenFaults(t *testing.T) {
 	for _, c := range []struct {
-		faults, sound string
+		faults, valid string
 		parse         func([]byte) (any, error)
 	}{
 		{"node-faults.txt", "node-full.toml", parseNode},
 		{"tuning-faults.txt", "tuning-set.toml", parseTuning},
 	} {
-		sound := string(readGolden(t, c.sound))
+		valid := string(readGolden(t, c.valid))
 		lines := bufio.NewScanner(bytes.NewReader(readGolden(t, c.faults)))
 		for lines.Scan() {
 			var before, after, want string
 			if _, err := fmt.Sscanf(lines.Text(), "%q -> %q: %q", &before, &after, &want); err != nil {
 				t.Fatalf("%s: %v", lines.Text(), err)
 			}
-			if !strings.Contains(sound, before) {
-				t.Errorf("%s has no %q", c.sound, before)
+			if !strings.Contains(valid, before) {
+				t.Errorf("%s does not contain %q", c.valid, before)
 			}
-			if _, err := c.parse([]byte(strings.Replace(sound, before, after, 1))); fmt.Sprint(err) != want {
+			if _, err := c.parse([]byte(strings.Replace(valid, before, after, 1))); fmt.Sprint(err) != want {
 				t.Errorf("%q for %q: %v, want %s", after, before, err, want)
 			}
 		}
--- a/settings/node.go
+++ b/settings/node.go
@@ -1,14 +1,14 @@
-// Package settings reads and validates what a process is configured with.
+// Package settings reads and validates the configuration files of a process.
 //
-// [Node] is the node file, which describes the machine and the figures of the rules that the
-// system is held to. Its path is in the environment variable [NodeFileEnv]. Unknown fields are
-// ignored, so that new ones may come.
+// [Node] is the node file. It describes the machine and the time bounds and tolerances that the
+// system must meet. Its path is in the environment variable [NodeFileEnv]. Unknown fields are
+// ignored, so that new fields can be added.
 //
-// [Tuning] is the optional tuning file. It belongs to this program alone: an unknown field in
-// it is an error. docs/tuning.md lists its settings.
+// [Tuning] is the optional tuning file. Only this program reads it, so an unknown field is an
+// error. docs/tuning.md lists its settings.
 //
-// A field of the wrong type or with an impossible value is an error that names it as it is
-// written in the file. All faults of a file are reported at once, one a line.
+// A field with the wrong type or an invalid value is an error that contains the name of the field
+// as written in the file. All invalid values of a file are reported at once, one per line.
 package settings
 
 import (
@@ -17,46 +17,47 @@
 	"time"
 )
 
-// NodeFileEnv is the environment variable with the path of the node file.
+// NodeFileEnv is the name of the environment variable that holds the path of the node file.
 const NodeFileEnv = "ELMSPAN_NODE_FILE"
 
-// The roles that a process may serve.
+// The roles that a process can serve.
 const (
-	RoleEdge    = "edge"    // clients: the data plane
-	RoleControl = "control" // operators, and the control plane
+	RoleEdge    = "edge"    // the data plane, which serves client requests
+	RoleControl = "control" // the control plane and the operator interface
 )
 
-// Node is the node file. A field without a default is needed; where zero is accepted its
-// meaning is given. Fields marked "for tools" are read by the emulator and the checker, not by
-// the product.
+// Node is the node file. Fields without a documented default are required. Where zero is a valid
+// value its meaning is documented. Fields marked "For tools" are read only by the emulator and the
+// checker.
 type Node struct {
 	// Name identifies the process in membership and gossip.
 	Name string `toml:"node_name"`
-	// Role is a label. Two processes of a machine share Name; the one that does not serve
-	// clients is known as Name/Role. Default: empty.
+	// Role is a label that tells apart two processes on a machine, which have the same Name: the
+	// one that does not serve clients is identified by Name/Role. Default: empty.
 	Role string `toml:"role"`
-	// ServedRoles are RoleEdge, RoleControl or both.
+	// ServedRoles contains RoleEdge, RoleControl or both.
 	ServedRoles []string `toml:"served_roles"`
-	// IP is the machine's address, on which other processes of the system reach this one.
+	// IP is the address of the machine at which other processes of the system reach this one.
 	IP string `toml:"ip"`
-	// Zone is where the machine is. Servers of the same zone are preferred.
-	// Default: empty, which is a zone like any other.
+	// Zone is the availability zone of the machine. Servers in the same zone are preferred.
+	// Default: empty, which is treated like any other zone.
 	Zone string `toml:"zone"`
 	// Region is not used.
 	Region string `toml:"region"`
-	// InternalPorts are the first and the last port for calls between processes, two ports at
-	// least. All machines have the same first one. See InternalAddr.
+	// InternalPorts are the first and the last port of the range for calls between processes. The
+	// range has at least two ports, and its first port is the same on all machines. See
+	// InternalAddr.
 	InternalPorts []int `toml:"internal_port_range"`
-	// SeedPeers are addresses by which other processes are found, one at least: the control
-	// ports of machines with RoleControl. See SeedAddrs.
+	// SeedPeers are the addresses used to discover other processes: the control ports of machines
+	// with RoleControl. At least one is required. See SeedAddrs.
 	SeedPeers []string `toml:"seed_peers"`
-	// Bootstrap makes a machine with an empty disk a first voter, if this is the system's first
-	// start: where there are several seeds, all others are asked whether it is. Default: false,
-	// the machine joins a system that runs.
+	// Bootstrap makes a machine with an empty disk one of the initial voters if the system starts
+	// for the first time. With several seeds, all others are asked whether it does. Default:
+	// false, the machine joins a running system.
 	Bootstrap bool `toml:"bootstrap"`
-	// QuorumMember asks for a Raft member on this machine. See CoreMember. Default: false.
+	// QuorumMember requests a Raft member on this machine. See CoreMember. Default: false.
 	QuorumMember bool `toml:"quorum_member"`
-	// DataDir is the folder of the member's store. Default: empty, there is no member.
+	// DataDir is the folder of the Raft member's storage. Default: empty, no Raft member is run.
 	DataDir string `toml:"data_dir"`
 	// ActiveContracts are not used.
 	ActiveContracts []string `toml:"active_contracts"`
@@ -70,76 +71,81 @@
 	Cloud     Cloud     `toml:"cloud_api"`
 }
 
-// Listeners are the addresses, each with its port, of what the roles serve. One that no served
-// role needs may be empty.
+// Listeners are the addresses, with port, on which the roles listen. An address may be empty if the
+// process does not serve the role that uses it.
 type Listeners struct {
-	Front   string `toml:"front_port"`   // RoleEdge: requests of clients
-	Ready   string `toml:"ready_port"`   // RoleEdge: readiness checks of the platform
+	Front   string `toml:"front_port"`   // RoleEdge: client requests
+	Ready   string `toml:"ready_port"`   // RoleEdge: the platform's readiness checks
 	Control string `toml:"control_port"` // RoleControl: the operator interface
 }
 
-// Limits are what the machine offers. 0 is the default of each: no limit is known.
+// Limits are the resources of the machine. The default of each is 0: the limit is unknown.
 type Limits struct {
-	// CPUShare is in cores. A part of it bounds gossip, see LinkTuning. 0: no bound.
+	// CPUShare is the processor time available, in cores. A fraction of it bounds the cost of
+	// sending gossip, see LinkTuning. 0: no bound.
 	CPUShare float64 `toml:"cpu_share"`
-	// MemoryMB is in 10^6 bytes. Not used.
+	// MemoryMB, in 10^6 bytes, is not used.
 	MemoryMB int64 `toml:"memory_mb"`
-	// MaxFDs are file descriptors, 300 at least. It bounds the connections to servers. 0: 1024.
+	// MaxFDs is the maximum number of file descriptors, at least 300. It bounds the connections to
+	// servers. 0 means 1024.
 	MaxFDs int `toml:"max_fds"`
-	// DiskMB is in 10^6 bytes. Not used.
+	// DiskMB, in 10^6 bytes, is not used.
 	DiskMB int64 `toml:"disk_mb"`
-	// LinkMbps is in 10^6 bits a second. Long bodies are paced below it, and gossip bounded by
-	// a part of it, see LinkTuning. 0: neither.
+	// LinkMbps is the network bandwidth in 10^6 bits per second. Long bodies are paced below it,
+	// and gossip is bounded by a fraction of it, see LinkTuning. 0: neither.
 	LinkMbps float64 `toml:"link_speed_mbps"`
 }
 
-// Tolerance is what may be lost at once while all rules are kept.
+// Tolerance is the number of simultaneous failures that the system must tolerate.
 type Tolerance struct {
-	// Machines are machines of the control plane, 0 to 10: there are 2*Machines+1 voters, three
-	// at least.
+	// Machines is the number of control plane machines that may fail at once, 0 to 10. There are
+	// 2*Machines+1 voters, but at least three.
 	Machines int `toml:"machine_failures"`
 }
 
-// Timing are the figures of the rules that the system is held to. None may be negative.
+// Timing holds the time bounds and tolerances that the system must meet. None may be negative.
 type Timing struct {
 	// ContactMs, in milliseconds, is not used. Default: 0.
 	ContactMs float64 `toml:"contact_ms"`
 	// AckTimeoutMs, in milliseconds, is not used. Default: 0.
 	AckTimeoutMs float64 `toml:"ack_timeout_ms"`
-	// DrainMs, in milliseconds, is the rule's bound on draining. For tools.
+	// DrainMs, in milliseconds, is the maximum duration of a drain. For tools.
 	DrainMs float64 `toml:"drain_ms"`
-	// GraceS, in seconds, is how long after the signal to end the process is killed.
+	// GraceS, in seconds, is the time from the termination signal until the process is killed.
 	GraceS float64 `toml:"grace_s"`
-	// ConfigApplyMs, in milliseconds, is how soon a configuration must be in force. For tools.
+	// ConfigApplyMs, in milliseconds, is the time within which a new configuration must take
+	// effect. For tools.
 	ConfigApplyMs float64 `toml:"config_apply_ms"`
-	// StrictRevocation has a tenant's key rejected no later than RevokeMs after a configuration
-	// without it: a gateway without a lease answers every request with 503. Default: false, it
-	// goes on with the configuration that it has.
+	// StrictRevocation guarantees that a tenant's key is rejected within RevokeMs after a
+	// configuration removed it: a gateway without a lease responds to every request with 503.
+	// Default: false, such a gateway keeps using its last configuration.
 	StrictRevocation bool `toml:"strict_revocation"`
-	// RevokeMs, in milliseconds, is needed with StrictRevocation. Default: 0.
+	// RevokeMs, in milliseconds, is required with StrictRevocation. Default: 0.
 	RevokeMs float64 `toml:"revoke_ms"`
 	// QuotaWindowS, in seconds, is the window in which a tenant's requests are counted against its
-	// quota: what other gateways admitted is paid back as far as that. Default: 0, which is 5.
+	// quota. It bounds how far requests admitted by other gateways are paid back. Default: 0,
+	// which means 5.
 	QuotaWindowS float64 `toml:"quota_window_s"`
-	// QuotaOvershoot (a part of the rate) and QuotaSlack (requests) are how quotas are checked. For
-	// tools. Default: 0.
+	// QuotaOvershoot (a fraction of the rate) and QuotaSlack (a number of requests) are the excess
+	// that checks of quotas allow. For tools. Default: 0.
 	QuotaOvershoot float64 `toml:"quota_overshoot"`
 	QuotaSlack     float64 `toml:"quota_slack"`
-	// RetryRatio is how many retries there may be for each request, over all limiters.
-	// Default: 0, the limiter's own ratio holds.
+	// RetryRatio is the maximum number of retries per request, over all limiters.
+	// Default: 0, the limiter's built-in ratio applies.
 	RetryRatio float64 `toml:"retry_budget_ratio"`
 	// RetryWindowS, in seconds, is not used. Default: 0.
 	RetryWindowS float64 `toml:"retry_window_s"`
-	// RetrySlack is how many retries there may be beside the ratio, over all limiters.
-	// Default: 0, the limiter's own bound holds.
+	// RetrySlack is the number of retries allowed in addition to the ratio, over all limiters.
+	// Default: 0, the limiter's built-in bound applies.
 	RetrySlack float64 `toml:"retry_budget_slack"`
 }
 
-// Cloud is the platform's interface, which lists the servers.
+// Cloud is the platform's API, which lists the servers.
 type Cloud struct {
-	// Address is an IP address and port.
+	// Address is the IP address and port of the API.
 	Address string `toml:"address"`
-	// RatePerS is how many requests a second the platform takes from all processes; above 0.
+	// RatePerS is the number of requests per second that the platform accepts from all processes
+	// together. It must be above 0.
 	RatePerS float64 `toml:"rate_per_s"`
 	// MaxLagMs, in milliseconds, is not used. Default: 0.
 	MaxLagMs float64 `toml:"max_lag_ms"`
@@ -151,9 +157,9 @@
 // CoreMember reports whether this process runs a Raft member of the control plane.
 func (n *Node) CoreMember() bool { return n.Serves(RoleControl) && n.QuorumMember && n.DataDir != "" }
 
-// InternalAddr is where other processes of the system reach this one: the first of the
-// internal ports, or the second for a process without RoleControl, as two processes may share
-// a machine. The settings must have been validated.
+// InternalAddr returns the address at which other processes of the system reach this one. It has
+// the first of the internal ports, or the second for a process without RoleControl, because a
+// machine may run one process of each kind. n must have been validated.
 func (n *Node) InternalAddr() string {
 	port := n.InternalPorts[0]
 	if !n.Serves(RoleControl) {
@@ -162,7 +168,7 @@
 	return netip.AddrPortFrom(netip.MustParseAddr(n.IP), uint16(port)).String()
 }
 
-// SeedAddrs are the internal addresses of the seeds, sorted, each once. The settings must have
+// SeedAddrs returns the internal addresses of the seeds, sorted and without duplicates. n must have
 // been validated.
 func (n *Node) SeedAddrs() []string {
 	var out []string
@@ -174,5 +180,5 @@
 	return slices.Compact(out)
 }
 
-// Millis turns the settings' milliseconds into a duration.
+// Millis converts a setting in milliseconds to a duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/settings/node_test.go
+++ b/settings/node_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// validNode is a node file without faults.
+// validNode is a valid node file, with one unknown field.
 const validNode = `
 node_name = "edge-a-1"
 role = "gateway"
@@ -34,7 +34,8 @@
 rate_per_s = 54.0
 `
 
-// A valid file is accepted; two processes of a machine have an internal port each.
+// A valid file is accepted. Two processes on a machine, with and without RoleControl, have different
+// internal ports.
 func TestValidNodeFile(t *testing.T) {
 	n, err := Parse([]byte(validNode))
 	if err != nil {
@@ -42,15 +43,16 @@
 	}
 	if !n.CoreMember() || n.InternalAddr() != "10.1.0.13:7560" ||
 		strings.Join(n.SeedAddrs(), " ") != "10.1.0.13:7560 10.2.0.13:7560" {
-		t.Errorf("core %v, %s, %v", n.CoreMember(), n.InternalAddr(), n.SeedAddrs())
+		t.Errorf("CoreMember %v, InternalAddr %s, SeedAddrs %v", n.CoreMember(), n.InternalAddr(), n.SeedAddrs())
 	}
 	n.ServedRoles = []string{"edge"}
 	if n.CoreMember() || n.InternalAddr() != "10.1.0.13:7561" {
-		t.Errorf("two processes of a machine share the port %s", n.InternalAddr())
+		t.Errorf("without RoleControl the internal address is %s", n.InternalAddr())
 	}
 }
 
-// Each fault is named by its field, and all of them at once.
+// The error for an invalid value is one line with the name of the field, and all invalid values are
+// reported at once.
 func TestFaultsOfANodeFile(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`node_name = "edge-a-1"`, ``, "node_name"},
@@ -82,7 +84,7 @@
 	}
 	twoFaults := strings.NewReplacer("drain_ms = 3000", "", "grace_s = 6", "").Replace(validNode)
 	if _, err := Parse([]byte(twoFaults)); strings.Count(err.Error(), "\n") != 1 {
-		t.Errorf("two faults: %v", err)
+		t.Errorf("two invalid values: %v, want two lines", err)
 	}
 }
 
@@ -90,7 +92,7 @@
 	f.Add([]byte(validNode))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if n, err := Parse(b); err == nil {
-			n.InternalAddr() // what was accepted can be used
+			n.InternalAddr() // must not panic on an accepted file
 			n.SeedAddrs()
 		}
 	})
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -8,7 +8,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Read reads and validates the node file at a path.
+// Read reads and validates the node file at path.
 func Read(path string) (*Node, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -21,8 +21,7 @@
 	return n, nil
 }
 
-// Parse reads and validates the text of a node file. The error holds all faults that are
-// found, one a line.
+// Parse decodes and validates a node file. The error lists all invalid values, one per line.
 func Parse(data []byte) (*Node, error) {
 	n := &Node{}
 	if _, err := toml.Decode(string(data), n); err != nil {
@@ -31,7 +30,7 @@
 	return n, n.validate()
 }
 
-// ReadTuning reads and validates the tuning file at a path. An empty path is the defaults.
+// ReadTuning reads and validates the tuning file at path. If path is empty it returns the defaults.
 func ReadTuning(path string) (*Tuning, error) {
 	if path == "" {
 		return DefaultTuning(), nil
@@ -47,8 +46,8 @@
 	return t, nil
 }
 
-// ParseTuning reads and validates the text of a tuning file. The error holds all faults that
-// are found, one a line. What is left out has its default.
+// ParseTuning decodes and validates a tuning file. The error lists all invalid values, one per
+// line. Settings that are not in the file have their defaults.
 func ParseTuning(data []byte) (*Tuning, error) {
 	t := DefaultTuning()
 	meta, err := toml.Decode(string(data), t)
@@ -57,13 +56,13 @@
 	}
 	var errs []error
 	for _, key := range meta.Undecoded() {
-		errs = append(errs, fmt.Errorf("%s: there is no such setting", key))
+		errs = append(errs, fmt.Errorf("%s: unknown setting", key))
 	}
 	return t, errors.Join(append(errs, t.validate()...)...)
 }
 
-// syntaxError puts an error of the decoder on one line, with the line in the file and the
-// setting before the fault.
+// syntaxError formats a decoder error as one line, with the line number and the last key before the
+// error.
 func syntaxError(err error) error {
 	var pe toml.ParseError
 	if errors.As(err, &pe) {
--- a/settings/tree_test.go
+++ b/settings/tree_test.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// hasNoSource reports whether a folder is passed over: hidden ones, build outputs, records.
+// hasNoSource reports whether the walk skips a folder: hidden folders, build output, the journal and
+// test data.
 func hasNoSource(folder string) bool {
 	return strings.HasPrefix(folder, ".") || slices.Contains([]string{"target", "journal", "testdata"}, folder)
 }
 
-// The tree at the head of docs/design.md names every folder with Go source, and
-// no other.
+// The tree at the head of docs/design.md lists exactly the folders with Go source.
 func TestTreeOfTheDesignIsTrue(t *testing.T) {
 	page, err := os.ReadFile("../docs/design.md")
 	if err != nil {
@@ -45,6 +45,6 @@
 	found = slices.Compact(found)
 	slices.Sort(named)
 	if !slices.Equal(named, found) {
-		t.Errorf("docs/design.md names\n%v\nthere are\n%v", named, found)
+		t.Errorf("folders in docs/design.md\n%v\nfolders with Go source\n%v", named, found)
 	}
 }
--- a/settings/tuning_test.go
+++ b/settings/tuning_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Every fault of a tuning file is named with its setting; what is left out has its default.
+// The error for an invalid tuning file contains the name of the setting. Settings that are not in
+// the file have their defaults.
 func TestTuning(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevel = \"loud\"":                      "log.level",
@@ -21,7 +22,7 @@
 		"[log]\nlevel = \"x\"\n[upstream]\nidle_s = 0": "upstream.idle_s",
 	} {
 		if _, err := ParseTuning([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("%q: %v, want an error with %s", text, err, want)
 		}
 	}
 	got, err := ParseTuning([]byte("[log]\nformat = \"json\""))
@@ -30,8 +31,8 @@
 	}
 }
 
-// Each field of the tuning file has an entry in the table, in the same order, and each entry
-// has a field and says everything.
+// The table describes exactly the fields of the tuning file, in the same order, and no description
+// is empty.
 func TestEveryTunableIsDescribed(t *testing.T) {
 	var fields []string
 	tables := reflect.TypeFor[Tuning]()
@@ -44,7 +45,7 @@
 	var described []string
 	for _, d := range tunables {
 		described = append(described, d.name)
-		if d.takes == "" || d.meaning == "" || d.tradeOff == "" {
+		if d.allowed == "" || d.meaning == "" || d.tradeOff == "" {
 			t.Errorf("%s: %+v", d.name, d)
 		}
 	}
@@ -53,7 +54,7 @@
 	}
 }
 
-// The reference page is the one that the code makes.
+// docs/tuning.md matches the page that WriteReference generates.
 func TestReferencePage(t *testing.T) {
 	var page strings.Builder
 	if err := WriteReference(&page); err != nil {
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -7,91 +7,91 @@
 )
 
 const (
-	// minFDs are what a limiter needs beside its connections to servers.
-	minFDs              = 300
-	maxPort             = 65535
-	maxToleratedMachine = 10
+	// minFDs is the number of file descriptors that a limiter needs in addition to its
+	// connections to servers.
+	minFDs             = 300
+	maxPort            = 65535
+	maxMachineFailures = 10
 )
 
-// faults collects the faults of a node file.
-type faults struct{ errs []error }
+// errorCollector collects the errors found in a node file.
+type errorCollector struct{ errs []error }
 
-// add adds a fault of a field, which is named as in the file.
-func (f *faults) add(field, format string, args ...any) {
-	f.errs = append(f.errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...)))
+// add adds an error for a field, named as in the file.
+func (c *errorCollector) add(field, format string, args ...any) {
+	c.errs = append(c.errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...)))
 }
 
-// checkAddrPort adds a fault where a field is not an IP address and port.
-func (f *faults) checkAddrPort(field, text string) {
+// checkAddrPort adds an error if the value of a field is not an IP address and port.
+func (c *errorCollector) checkAddrPort(field, text string) {
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		f.add(field, "%q is no address and port", text)
+		c.add(field, "%q is not an IP address and port", text)
 	}
 }
 
-// validate returns all faults, joined.
+// validate returns all errors, joined.
 func (n *Node) validate() error {
-	f := &faults{}
-	n.validateIdentity(f)
-	n.validateAddresses(f)
-	n.validateMachine(f)
-	n.Timing.validate(f)
-	return errors.Join(f.errs...)
+	c := &errorCollector{}
+	n.validateIdentity(c)
+	n.validateAddresses(c)
+	n.validateMachine(c)
+	n.Timing.validate(c)
+	return errors.Join(c.errs...)
 }
 
-// validateIdentity checks what the process is.
-func (n *Node) validateIdentity(f *faults) {
+// validateIdentity checks the name and the roles of the process.
+func (n *Node) validateIdentity(c *errorCollector) {
 	if n.Name == "" {
-		f.add("node_name", "is missing")
+		c.add("node_name", "is missing")
 	}
 	if len(n.ServedRoles) == 0 {
-		f.add("served_roles", "is empty")
+		c.add("served_roles", "is empty")
 	}
 	for _, role := range n.ServedRoles {
 		if role != RoleEdge && role != RoleControl {
-			f.add("served_roles", "%q is neither edge nor control", role)
+			c.add("served_roles", "%q is neither edge nor control", role)
 		}
 	}
 }
 
-// validateAddresses checks where the process is reached, and where it reaches others.
-func (n *Node) validateAddresses(f *faults) {
+// validateAddresses checks the process's own addresses, the seeds and the platform's API.
+func (n *Node) validateAddresses(c *errorCollector) {
 	if _, err := netip.ParseAddr(n.IP); err != nil {
-		f.add("ip", "%q is no address", n.IP)
+		c.add("ip", "%q is not an IP address", n.IP)
 	}
 	if p := n.InternalPorts; len(p) != 2 || p[0] < 1 || p[1] > maxPort || p[0]+1 > p[1] {
-		f.add("internal_port_range", "%v is no range of two ports or more", p)
+		c.add("internal_port_range", "%v is not a range of at least two ports", p)
 	}
 	if len(n.SeedPeers) == 0 {
-		f.add("seed_peers", "is empty")
+		c.add("seed_peers", "is empty")
 	}
 	for i, seed := range n.SeedPeers {
-		f.checkAddrPort(fmt.Sprintf("seed_peers.%d", i), seed)
+		c.checkAddrPort(fmt.Sprintf("seed_peers.%d", i), seed)
 	}
 	if n.Serves(RoleEdge) {
-		f.checkAddrPort("listeners.front_port", n.Listeners.Front)
-		f.checkAddrPort("listeners.ready_port", n.Listeners.Ready)
+		c.checkAddrPort("listeners.front_port", n.Listeners.Front)
+		c.checkAddrPort("listeners.ready_port", n.Listeners.Ready)
 	}
 	if n.Serves(RoleControl) {
-		f.checkAddrPort("listeners.control_port", n.Listeners.Control)
+		c.checkAddrPort("listeners.control_port", n.Listeners.Control)
 	}
-	f.checkAddrPort("cloud_api.address", n.Cloud.Address)
+	c.checkAddrPort("cloud_api.address", n.Cloud.Address)
 	if n.Cloud.RatePerS <= 0 {
-		f.add("cloud_api.rate_per_s", "%v: must be above 0", n.Cloud.RatePerS)
+		c.add("cloud_api.rate_per_s", "%v: must be above 0", n.Cloud.RatePerS)
 	}
 }
 
-// validateMachine checks what the machine offers and how many may be lost.
-func (n *Node) validateMachine(f *faults) {
+// validateMachine checks the machine's resources and the number of tolerated machine failures.
+func (n *Node) validateMachine(c *errorCollector) {
 	if !n.Limits.valid() {
-		f.add("request_limits", "%+v can't hold a limiter", n.Limits)
+		c.add("request_limits", "%+v: must not be negative or NaN, and max_fds must be 0 or at least 300", n.Limits)
 	}
-	if m := n.Tolerance.Machines; m < 0 || m > maxToleratedMachine {
-		f.add("fault_tolerance.machine_failures", "%d: from 0 to 10", m)
+	if m := n.Tolerance.Machines; m < 0 || m > maxMachineFailures {
+		c.add("fault_tolerance.machine_failures", "%d: must be from 0 to 10", m)
 	}
 }
 
-// valid reports whether a limiter can run within the limits. A link speed that is not a number
-// is not valid.
+// valid reports whether a limiter can run within the limits. A LinkMbps of NaN is not valid.
 func (l *Limits) valid() bool {
 	if l.CPUShare < 0 || l.MemoryMB < 0 || l.DiskMB < 0 || l.MaxFDs < 0 {
 		return false
@@ -99,12 +99,12 @@
 	return l.LinkMbps >= 0 && (l.MaxFDs == 0 || l.MaxFDs >= minFDs)
 }
 
-// validate checks that no figure is negative, and that those that are needed are above 0.
-func (t *Timing) validate(f *faults) {
-	for _, figure := range []struct {
-		name   string
-		value  float64
-		needed bool
+// validate checks that no value is negative and that required values are above 0.
+func (t *Timing) validate(c *errorCollector) {
+	for _, field := range []struct {
+		name     string
+		value    float64
+		required bool
 	}{
 		{"drain_ms", t.DrainMs, true},
 		{"grace_s", t.GraceS, true},
@@ -119,8 +119,8 @@
 		{"retry_window_s", t.RetryWindowS, false},
 		{"retry_budget_slack", t.RetrySlack, false},
 	} {
-		if figure.value < 0 || figure.needed && figure.value == 0 {
-			f.add("timing_bounds."+figure.name, "%v: must be above 0", figure.value)
+		if field.value < 0 || field.required && field.value == 0 {
+			c.add("timing_bounds."+field.name, "%v: must be above 0", field.value)
 		}
 	}
 }
