--- a/settings/tunables.go
+++ b/settings/tunables.go
@@ -52,8 +52,8 @@
 	},
 	{
 		name: "metrics.address", defaultValue: "", allowed: allowAddress,
-		meaning: "Address and port where Prometheus scrapes /metrics. Empty: no metrics are collected. Restrict " +
-			"access to the monitoring system.",
+		meaning: "Address and port where Prometheus scrapes /metrics. Empty: no metrics are collected. Only the " +
+			"monitoring system should be able to reach it.",
 		tradeOff: "Set: dashboards and alerts are possible. Empty: saves the processor time and memory of metrics.",
 	},
 	{
@@ -78,8 +78,8 @@
 	},
 	{
 		name: "link.fill", defaultValue: "0.94", allowed: "0.1..1",
-		meaning: "Fraction of the machine's bandwidth (link_speed_mbps) that long bodies may fill, together with all " +
-			"other data written.",
+		meaning: "Fraction of the bandwidth (link_speed_mbps) that long bodies may fill, with all other data " +
+			"written.",
 		tradeOff: "Raise: long bodies are sent faster. Lower: more is left for traffic that can't be counted, such " +
 			"as packet headers and retransmissions, and short responses wait less.",
 	},
