--- a/settings/node.go
+++ b/settings/node.go
@@ -109,7 +109,8 @@
 	ContactMs float64 `toml:"contact_ms"`
 	// AckTimeoutMs, in milliseconds, is not used. Default: 0.
 	AckTimeoutMs float64 `toml:"ack_timeout_ms"`
-	// DrainMs, in milliseconds, is the maximum duration of a drain. For tools.
+	// DrainMs, in milliseconds, is the time within which a server must stop getting requests after
+	// the platform lists it as draining. For tools.
 	DrainMs float64 `toml:"drain_ms"`
 	// GraceS, in seconds, is the time from the termination signal until the process is killed.
 	GraceS float64 `toml:"grace_s"`
@@ -126,7 +127,7 @@
 	// quota. It bounds how far requests admitted by other gateways are paid back. Default: 0,
 	// which means 5.
 	QuotaWindowS float64 `toml:"quota_window_s"`
-	// QuotaOvershoot (a fraction of the rate) and QuotaSlack (a number of requests) are the excess
+	// QuotaOvershoot (a fraction of the quota) and QuotaSlack (a number of requests) are the excess
 	// that checks of quotas allow. For tools. Default: 0.
 	QuotaOvershoot float64 `toml:"quota_overshoot"`
 	QuotaSlack     float64 `toml:"quota_slack"`
