--- a/internal/connpool/host_test.go
+++ b/internal/connpool/host_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// Applying a whole list takes linear time. Quadratic time took 2.2 s at 9,700 servers.
+// Applying a whole list takes linear time. An implementation in quadratic time took 2.2 s
+// for 9,700 servers.
 func BenchmarkList9700(b *testing.B) {
 	for b.Loop() {
 		p := New[string](10, time.Second, time.Second)
--- a/internal/connpool/idleage.go
+++ b/internal/connpool/idleage.go
@@ -7,13 +7,13 @@
 )
 
 // Exchanges are counted in groups, by how long the connection was idle beforehand. Group 0
-// covers idle times below minIdleAge; the upper bound doubles with each further group, and
+// covers idle times below minIdleTime; the upper bound doubles with each further group, and
 // the last group is unbounded. New connections have a group of their own.
 const (
-	minIdleAge = 25 * time.Millisecond
-	idleGroups = 8
-	newGroup   = idleGroups // the group of new connections
-	allGroups  = idleGroups + 1
+	minIdleTime = 25 * time.Millisecond
+	idleGroups  = 8
+	newGroup    = idleGroups // the group of new connections
+	allGroups   = idleGroups + 1
 )
 
 // Parameters for evaluating the counts.
@@ -37,28 +37,28 @@
 
 // idleGroup returns the group of a connection with the given idle time.
 func idleGroup(idle time.Duration) int {
-	return min(idleGroups-1, bits.Len64(uint64(max(0, idle)/minIdleAge)))
+	return min(idleGroups-1, bits.Len64(uint64(max(0, idle)/minIdleTime)))
 }
 
 // minIdle returns the lower bound of the idle times in a group. The group must be at least 1.
-func minIdle(group int) time.Duration { return minIdleAge << (group - 1) }
+func minIdle(group int) time.Duration { return minIdleTime << (group - 1) }
 
 // wasIdle reports whether the connections of a group were idle long enough that the server
 // may have dropped them, which would explain an immediate failure.
 func wasIdle(group int) bool { return group >= 1 && group < idleGroups }
 
-// idleAges counts, by idle time, how many connections failed at the next request. It
+// idleTimeStats counts, by idle time, how many connections failed at the next request. It
 // protects against servers and intermediate proxies that drop kept-alive connections long
 // before the configured timeout. Only the next request detects this, and it may already
 // have been executed. Guarded by Pool.mu.
-type idleAges struct {
+type idleTimeStats struct {
 	exchanges, failures [allGroups]float64 // decayed counts
 	updatedAt           time.Time          // time of the last decay
 	limit               time.Duration      // longest idle time with an acceptable failure rate
 }
 
 // add records the outcome of an exchange on a connection of the given group.
-func (a *idleAges) add(now time.Time, group int, failed bool) {
+func (a *idleTimeStats) add(now time.Time, group int, failed bool) {
 	a.decay(now)
 	a.exchanges[group]++
 	if failed {
@@ -69,7 +69,7 @@
 
 // decay reduces the weight of older counts, so that a group that the limit excludes is
 // eventually tried again.
-func (a *idleAges) decay(now time.Time) {
+func (a *idleTimeStats) decay(now time.Time) {
 	factor := math.Exp(-float64(now.Sub(a.updatedAt)) / float64(decayTime))
 	for group := range a.exchanges {
 		a.exchanges[group] *= factor
@@ -79,13 +79,13 @@
 }
 
 // failureRate returns the fraction of the exchanges of a group that failed.
-func (a *idleAges) failureRate(group int) float64 {
+func (a *idleTimeStats) failureRate(group int) float64 {
 	return a.failures[group] / (a.exchanges[group] + priorExchanges)
 }
 
 // updateLimit sets the limit to the lower bound of the first group whose failure rate is
 // too high. Group 0 is treated like new connections and is never excluded.
-func (a *idleAges) updateLimit() {
+func (a *idleTimeStats) updateLimit() {
 	a.limit = unlimited
 	acceptable := a.failureRate(newGroup) + maxExcessFailures
 	for group := 1; group < idleGroups; group++ {
@@ -111,5 +111,5 @@
 func (c *Conn[K]) RecordExchange(group int, failed bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	c.pool.ages.add(time.Now(), group, failed)
+	c.pool.idleStats.add(time.Now(), group, failed)
 }
--- a/internal/connpool/idleage_test.go
+++ b/internal/connpool/idleage_test.go
@@ -10,7 +10,7 @@
 func TestFailuresLimitTheIdleAge(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	a := &idleAges{updatedAt: now}
+	a := &idleTimeStats{updatedAt: now}
 	a.updateLimit()
 	if a.limit != unlimited {
 		t.Fatalf("limit %v before any exchange", a.limit)
@@ -40,7 +40,7 @@
 func TestFailuresOfNewConnectionsAreNoReasonForALimit(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
-	a := &idleAges{updatedAt: now}
+	a := &idleTimeStats{updatedAt: now}
 	for i := range 90 {
 		failed := i%3 == 0
 		a.add(now, newGroup, failed)
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -49,10 +49,10 @@
 	hosts map[K]*Host[K]
 	// byAddr maps each address to the host that was last announced there. It makes the
 	// processing of a list of n servers O(n) rather than O(n²).
-	byAddr map[string]*Host[K]
-	open   int // connections that are open or being opened
-	ages   idleAges
-	stale  staleGuard
+	byAddr    map[string]*Host[K]
+	open      int // connections that are open or being opened
+	idleStats idleTimeStats
+	stale     staleGuard
 }
 
 // Host is one process of a server at one address.
@@ -76,7 +76,7 @@
 		dialTimeout: dialTimeout,
 		hosts:       map[K]*Host[K]{},
 		byAddr:      map[string]*Host[K]{},
-		ages:        idleAges{updatedAt: time.Now(), limit: unlimited},
+		idleStats:   idleTimeStats{updatedAt: time.Now(), limit: unlimited},
 	}
 }
 
@@ -104,8 +104,8 @@
 func (p *Pool[K]) replaceHost(old, h *Host[K]) {
 	p.retire(old)
 	// Another server that is still registered at this address no longer exists. No request
-	// for it may reach the new server, on connections that are open or being opened. Any
-	// earlier server at the address was displaced when that one was registered.
+	// for it may reach the new server, on connections that are open or being opened. Servers
+	// registered at the address even earlier were displaced when other was registered.
 	if other := p.byAddr[h.Addr]; other != nil && other.ID != h.ID {
 		other.displaced = true
 		p.retire(other)
@@ -193,8 +193,9 @@
 // This order lets surplus connections time out.
 func (p *Pool[K]) Get(h *Host[K]) *Conn[K] { return p.get(h, unlimited) }
 
-// GetForNonIdempotent is like [Pool.Get], for a request that must not be executed twice. It
-// returns no connection that the server may have silently dropped, see [Pool.RecordStale].
+// GetForNonIdempotent is like [Pool.Get], for a request that must not be executed twice. For a
+// while after stale connections were recorded, see [Pool.RecordStale], it returns none that has
+// been idle for as long as those.
 func (p *Pool[K]) GetForNonIdempotent(h *Host[K]) *Conn[K] {
 	p.mu.Lock()
 	maxIdle := p.stale.maxIdle(time.Now())
@@ -225,9 +226,9 @@
 
 // usable reports whether an idle connection may carry a request.
 func (p *Pool[K]) usable(c *Conn[K]) bool {
-	timeout := min(p.IdleTimeout, p.ages.limit)
+	timeout := min(p.IdleTimeout, p.idleStats.limit)
 	if c.KeepAlive > 0 {
-		timeout = min(c.safeKeepAlive(), p.ages.limit)
+		timeout = min(c.safeKeepAlive(), p.idleStats.limit)
 	}
 	return time.Since(c.IdleSince) < timeout && c.Reusable()
 }
@@ -314,8 +315,8 @@
 func (p *Pool[K]) sweepOnce() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ages.decay(time.Now())
-	p.ages.updateLimit()
+	p.idleStats.decay(time.Now())
+	p.idleStats.updateLimit()
 	for _, h := range p.hosts {
 		kept := h.idle[:0]
 		for _, c := range h.idle {
--- a/internal/connpool/stale.go
+++ b/internal/connpool/stale.go
@@ -9,9 +9,9 @@
 // When a server or an intermediate proxy silently drops an idle connection, the next request
 // on it gets a reset, and the sender can't know whether the request was executed. A
 // non-idempotent request has then failed. Therefore, after two such connections in short
-// succession, observed locally or reported by other limiters, non-idempotent requests get
-// only new connections or ones with a shorter idle time for a while. Other requests can be
-// retried, and only idleAges applies to them.
+// succession, observed locally or reported by other limiters (gateway processes like this
+// one), non-idempotent requests get only new connections or ones with a shorter idle time for
+// a while. Other requests can be retried, and only idleTimeStats applies to them.
 //
 // A single stale connection is not enough: occasionally a server resets a connection for
 // another reason, and among many limiters there is always one that has just observed that.
@@ -62,7 +62,8 @@
 	g.until = now.Add(guardDuration)
 }
 
-// maxIdle returns the idle time from which on a connection must not be used.
+// maxIdle returns the limit of the idle time: a connection that has been idle for that long
+// or longer must not be used.
 func (g *staleGuard) maxIdle(now time.Time) time.Duration {
 	if now.After(g.until) {
 		return unlimited
--- a/internal/connpool/stale_test.go
+++ b/internal/connpool/stale_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const longIdle = 30 * minIdleAge
+const longIdle = 30 * minIdleTime
 
 // After stale connections were recorded, non-idempotent requests get no connections with
 // such idle times for a while; other requests do.
@@ -15,7 +15,7 @@
 	withStoppedClock(t, func(t *testing.T) {
 		p, h := poolWithServer(t, 3)
 		c := connect(t, p, h)
-		staleGroup := idleGroup(10 * minIdleAge)
+		staleGroup := idleGroup(10 * minIdleTime)
 		putIdle(p, c, longIdle)
 		if p.GetForNonIdempotent(h) != c {
 			t.Fatal("not returned, although no stale connection was recorded")
@@ -37,7 +37,7 @@
 		if p.Get(h) != c {
 			t.Error("an idempotent request gets no connection")
 		}
-		putIdle(p, c, 2*minIdleAge)
+		putIdle(p, c, 2*minIdleTime)
 		if p.GetForNonIdempotent(h) != c {
 			t.Error("a connection with a shorter idle time was not returned")
 		}
@@ -69,8 +69,8 @@
 			}
 			defer closeQuietly(serverConns[i])
 		}
-		p.RecordStale(idleGroup(10*minIdleAge), Self)
-		p.RecordStale(idleGroup(10*minIdleAge), Self)
+		p.RecordStale(idleGroup(10*minIdleTime), Self)
+		p.RecordStale(idleGroup(10*minIdleTime), Self)
 		putIdle(p, conns[0], longIdle)
 		p.Put(conns[1])
 		closeQuietly(serverConns[1])
