--- a/internal/loglimit/loglimit.go
+++ b/internal/loglimit/loglimit.go
@@ -10,12 +10,14 @@
 )
 
 const (
-	// burst is the maximum number of records with the same message forwarded per interval.
+	// burst is the maximum number of records with the same level and message that are
+	// forwarded per interval.
 	burst = 3
-	// maxMessages limits the number of distinct messages that are tracked at the same time.
+	// maxMessages limits the number of combinations of level and message that are tracked at
+	// the same time.
 	maxMessages = 256
 	// suppressedKey is the key of the attribute with the number of records suppressed since
-	// the last forwarded one with the same message.
+	// the last forwarded one with the same level and message.
 	suppressedKey = "left_out"
 )
 
@@ -64,29 +66,30 @@
 	interval time.Duration
 	clock    func() time.Time
 
-	mu       sync.Mutex // guards messages and the counts in it
-	messages map[string]*messageCount
+	mu       sync.Mutex               // guards messages and the counts in it
+	messages map[string]*messageCount // by level followed by message
 }
 
-// messageCount counts the records with one message.
+// messageCount counts the records with one level and message.
 type messageCount struct {
 	intervalStart time.Time
 	inInterval    int // records since intervalStart
 	suppressed    int // records suppressed since the last forwarded one
 }
 
-// allow reports whether a record may be forwarded, and how many were suppressed before it.
-func (l *limiter) allow(message string) (suppressed int, ok bool) {
+// allow reports whether a record with the given key in messages may be forwarded, and how many
+// with that key were suppressed before it.
+func (l *limiter) allow(key string) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
-	c := l.messages[message]
+	c := l.messages[key]
 	if c == nil {
 		if len(l.messages) >= maxMessages {
 			clear(l.messages) // some messages may then exceed the limit
 		}
 		c = &messageCount{intervalStart: now}
-		l.messages[message] = c
+		l.messages[key] = c
 	}
 	if now.Sub(c.intervalStart) >= l.interval {
 		c.intervalStart, c.inInterval = now, 0
--- a/keys/golden_test.go
+++ b/keys/golden_test.go
@@ -144,7 +144,7 @@
 // If the second stage is interrupted after any of its writes, the next call completes it with the
 // same result: no new key is moved back behind the old one. A retry used to swap the certificates
 // back, after which no certificate could be issued.
-func TestInterruptedRotationIsGoneOnWith(t *testing.T) {
+func TestInterruptedRotationIsResumed(t *testing.T) {
 	finished := copyGolden(t, "rotating")
 	if stage, err := Rotate(finished, time.Now()); err != nil || stage != StageInUse {
 		t.Fatalf("%s, %v", stage, err)
--- a/keys/rotate.go
+++ b/keys/rotate.go
@@ -71,7 +71,8 @@
 
 // addNewKeys generates new keys and adds them to the trusted ones. The new CA key is written
 // last: its presence marks that the other files contain the new keys. If it is missing, the
-// next call drops the keys that an interrupted call has added.
+// next call of Rotate drops the keys that an interrupted call has added, or fails if only the
+// certificate was added.
 func addNewKeys(dir string, trusted *trustedKeys, caPEM []byte, now time.Time) error {
 	ca, err := newCA(now)
 	if err != nil {
@@ -131,7 +132,8 @@
 		return "", err
 	}
 	if keyMatches(trusted.certificates[0], nextCAKey) {
-		// The earlier release was interrupted in this stage. All machines trust both keys.
+		// The earlier release was interrupted in this stage and may or may not have moved its
+		// new gossip key. The active one can stay, as all machines trust both.
 		return trusted.gossipKeys[0], nil
 	}
 	key := trusted.gossipKeys[len(trusted.gossipKeys)-1]
--- a/keys/seal.go
+++ b/keys/seal.go
@@ -38,7 +38,7 @@
 	// reached, the state of all is discarded, including their highest numbers.
 	maxSenders = 8192
 	// replayWindow is how far a number may be behind the highest one received, since
-	// datagrams may arrive out of order.
+	// datagrams may arrive out of order. Replays within the window are not detected.
 	replayWindow = 64
 )
 
@@ -124,7 +124,8 @@
 	return nil, ErrNotSealed
 }
 
-// refreshKeys discards all derived keys if the keyring has been reloaded.
+// refreshKeys replaces the sealing key and discards the keys derived for senders if the
+// keyring has been reloaded.
 func (s *Sealer) refreshKeys() error {
 	current := s.ring.current.Load()
 	if s.current == current {
