--- a/api/bootstrap.go
+++ b/api/bootstrap.go
@@ -14,17 +14,18 @@
 	methodHistory    = "Past"
 )
 
-// Bootstrap is served by each machine that may become one of the initial voters of a cluster.
+// Bootstrap is served by every process: a machine that bootstraps calls all its seeds, also those
+// without a member of the control plane.
 type Bootstrap interface {
-	// History reports whether this machine's member may have been part of an existing cluster.
+	// History reports whether this machine's member may have participated in an existing cluster.
 	History(context.Context, *Empty) (*HistoryResponse, error)
 }
 
 // HistoryResponse is the response to a machine that starts with an empty disk.
 type HistoryResponse struct {
-	// MayHaveParticipated reports whether the member in this process may have taken part in a
-	// cluster. The caller may have been a voter of that cluster before it lost its disk, so it
-	// must not bootstrap a new one.
+	// MayHaveParticipated reports whether the responder's member may have participated in a
+	// cluster. If so, the caller must not bootstrap a new one: it may have been a voter of that
+	// cluster before it lost its disk.
 	MayHaveParticipated bool `cbor:"1,keyasint,omitempty"`
 }
 
--- a/api/configrows.go
+++ b/api/configrows.go
@@ -7,9 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ConfigRows is a configuration encoded as rows. It also keeps the order of the entries: the
-// next configuration usually differs in a few of them, and reuses the rows of those whose
-// bytes are equal. It is immutable once built.
+// ConfigRows is a configuration encoded as rows. It also keeps the entries in the operator's
+// order: the next configuration usually differs only in a few entries, and comparing the entries
+// in order finds the rows that it can reuse. It is immutable once built.
 type ConfigRows struct {
 	Revision uint64
 	Rows     map[string][]byte // by key; values may be shared with other versions and must not be modified
@@ -64,7 +64,7 @@
 }
 
 // validAfter reports whether a configuration is valid, given that previous is valid and that
-// changed contains the entries that differ. It returns false if the configuration is invalid or
+// changed contains the entries that [buildRows] selects for validation. It returns false if the configuration is invalid or
 // if the changed entries alone can't decide it.
 func (c *ConfigRows) validAfter(previous *ConfigRows, changed *Config) bool {
 	if len(c.Rows) != len(c.routes)+len(c.upstreams)+len(c.tenants)+c.limitsRows() {
@@ -133,7 +133,9 @@
 	return rows, changed, nil
 }
 
-// decodeTables decodes the tables that are always validated completely into a configuration.
+// decodeTables decodes into a configuration all entries of the upstream table, the limits and, if
+// tenants is set, all entries of the tenant table. Unlike routes, these entries are not validated
+// one at a time.
 func (c *ConfigRows) decodeTables(into *Config, tenants bool) (err error) {
 	if into.Upstreams, err = decodeRows[Upstream](c.upstreams); err != nil {
 		return fmt.Errorf("api: upstream_table: %w", err)
--- a/api/control.go
+++ b/api/control.go
@@ -24,7 +24,7 @@
 // process, the other members return the leader's address.
 type Control interface {
 	// Watch is a blocking query: it returns once there is something newer than the caller's
-	// versions.
+	// versions or the request's WaitMs have passed.
 	Watch(context.Context, *WatchRequest) (*WatchResponse, error)
 	// Replace proposes a configuration (compare-and-swap on the revision).
 	Replace(context.Context, *ReplaceRequest) (*ControlResponse, error)
--- a/api/errors.go
+++ b/api/errors.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// ErrMalformedRow is returned by [ParseConfigRow] and [ParseServerRow] for a row that is not
-// valid in the table. The receiver should request the complete table.
+// ErrMalformedRow is returned by [ParseConfigRow] and [ParseServerRow] for a row whose
+// key or value is invalid. The receiver of the row should request the complete table.
 var ErrMalformedRow = errors.New("api: malformed row")
 
 // FieldError is a validation error of one field of a configuration. [Config.Validate] joins
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// goldenForms returns the decoded contents of the golden files by file name.
-func goldenForms() map[string]any {
+// goldenValues returns the decoded contents of the golden files by file name.
+func goldenValues() map[string]any {
 	peer := Peer{
 		Name: "n1", Addr: "10.0.0.1:9", Zone: "z1", StartID: 0x1122334455667788, Incarnation: 5, State: 1,
 		Edge: true, Core: true,
@@ -129,11 +129,11 @@
 	return data
 }
 
-// Each message that an earlier version (f96d826) encoded is decoded to the same value and
+// Each value that an earlier version (f96d826) encoded is decoded to the same value and
 // encoded to the same bytes, so that members and limiters of both versions work together.
 func TestGoldenFormsKeepTheirBytes(t *testing.T) {
-	forms := goldenForms()
-	for name, want := range forms {
+	values := goldenValues()
+	for name, want := range values {
 		t.Run(name, func(t *testing.T) {
 			data := goldenFile(t, name)
 			got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
@@ -150,8 +150,8 @@
 		})
 	}
 	files, err := filepath.Glob(filepath.Join("testdata", "golden", "*.cbor"))
-	if err != nil || len(files) != len(forms)+1 { // config-rows.cbor has a test of its own
-		t.Errorf("%d golden files for %d messages, %v", len(files), len(forms), err)
+	if err != nil || len(files) != len(values)+1 { // config-rows.cbor has a test of its own
+		t.Errorf("%d golden files for %d values, %v", len(files), len(values), err)
 	}
 }
 
--- a/api/raft.go
+++ b/api/raft.go
@@ -59,7 +59,7 @@
 	// Index is committed, and not below any index that was committed when the call was
 	// received. The member may answer the reads once it has applied this index.
 	Index uint64 `cbor:"2,keyasint,omitempty"`
-	// ServersVersion is the version of the leader's server list, which is not in the log.
+	// ServersVersion is the version of the leader's server list, which is not in the Raft log.
 	ServersVersion uint64 `cbor:"3,keyasint,omitempty"`
 	// ClockMs is the leader's time on the clock of the server list, in milliseconds.
 	ClockMs float64 `cbor:"4,keyasint,omitempty"`
--- a/api/rpc.go
+++ b/api/rpc.go
@@ -10,7 +10,8 @@
 	"google.golang.org/grpc/status"
 )
 
-// unaryMethod returns the descriptor of a unary method that is handled by call.
+// unaryMethod returns the descriptor of a unary method that is handled by call. Interceptors of
+// the server are not run.
 func unaryMethod[S, Q, R any](name string, call func(S, context.Context, *Q) (*R, error)) grpc.MethodDesc {
 	handler := func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		request := new(Q)
--- a/api/server_test.go
+++ b/api/server_test.go
@@ -46,8 +46,8 @@
 	return &HeartbeatResponse{Digest: 1}, nil
 }
 
-// Each call sends only one HEADERS frame and one DATA frame in each direction, and no pings of
-// gRPC's bandwidth estimator.
+// Each request is one HEADERS frame and one DATA frame, and each response has one DATA frame.
+// Neither side sends the pings of gRPC's bandwidth estimator.
 func TestCallsSendNoPings(t *testing.T) {
 	serverListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/api/validate_test.go
+++ b/api/validate_test.go
@@ -94,12 +94,12 @@
 		if c.Revision == 0 || c.Validate() != nil {
 			t.Error("an invalid configuration was accepted")
 		}
-		// A valid configuration can be encoded as rows: otherwise members of the control plane stop.
+		// A valid configuration can be encoded as rows: members of the control plane stop otherwise.
 		if rows, err := BuildConfigRows(b, nil); err != nil || rows.Revision != c.Revision {
 			t.Fatalf("%x is valid and can't be encoded as rows: %v", b, err)
 		}
 		if revision, _, err := configRows(b); err != nil || revision != c.Revision {
-			t.Errorf("the rows of an accepted configuration can't be decoded: revision %d, %v", revision, err)
+			t.Errorf("the reference encoding of an accepted configuration failed: revision %d, %v", revision, err)
 		}
 	})
 }
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -23,7 +23,8 @@
 // reading continues with that page. Without pacing, every attempt would be rejected at the same
 // page and the list would never be complete.
 const (
-	// unpacedSeconds bounds the pages that are read without pacing, in seconds of the rate limit.
+	// unpacedSeconds bounds the number of pages that are read without pacing: as many as the
+	// rate limit allows in this time.
 	unpacedSeconds = 0.5
 	// pacedRateFraction is the fraction of the rate limit at which the remaining pages are read.
 	// A higher value leaves less for other clients of the platform.
--- a/discovery/endpoints.go
+++ b/discovery/endpoints.go
@@ -3,8 +3,8 @@
 import "example.org/elmspan/api"
 
 // missesUntilRemoved is the number of consecutive responses without a server after which it is
-// removed. A single response may omit a server that moved from one page of the list to another
-// between two calls.
+// removed, unless it was draining: then the first one suffices. A single response may omit a
+// server that moved from one page of the list to another between two calls.
 const missesUntilRemoved = 2
 
 // EndpointList is the list of servers that results from merging the platform's responses. The
@@ -16,15 +16,15 @@
 }
 
 type endpoint struct {
-	api.Server         // WarmupMs is 0, in favor of warmAtMs
+	api.Server         // WarmupMs is always 0; see warmAtMs
 	warmAtMs   float64 // end of the slow start, on the caller's clock
 	misses     int     // consecutive responses without the server
 }
 
 // Merge merges a response into the list. nowMs is the current time in milliseconds on the
-// caller's clock. changed reports that the list differs in more than the remaining time of slow
-// starts. uncertain reports that a server is missing for the first time: the caller should query
-// the platform again soon to find out whether it was removed.
+// caller's clock. changed reports whether the list has changed; the remaining time of slow starts
+// does not count. uncertain reports whether the list still has a server that is missing from the
+// response: the caller should query the platform again soon to find out whether it was removed.
 func (l *EndpointList) Merge(nowMs float64, response []api.Server) (changed, uncertain bool) {
 	present := make(map[string]bool, len(response))
 	for _, s := range response {
--- a/discovery/endpoints_test.go
+++ b/discovery/endpoints_test.go
@@ -27,8 +27,8 @@
 }
 
 // A stale response does not put a draining server back in service or bring a removed one back.
-// A server that is missing from a single response stays in the list. Without this, a draining
-// machine received requests again after the process that queries the platform had restarted.
+// A server in service that is missing from a single response stays in the list. Without this, a
+// draining machine received requests again after the process that queries the platform had restarted.
 func TestRemovedServersStayRemoved(t *testing.T) {
 	var l EndpointList
 	steps := []struct {
@@ -98,7 +98,7 @@
 func TestStatesMoveOneWay(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		responses, ids := randomResponses(rng)
+		responses, finalStages := randomResponses(rng)
 		var l EndpointList
 		latest := map[string]int{} // the latest stage observed in the list
 		for i := range responses {
@@ -109,7 +109,7 @@
 					t.Fatalf("seed %d: %s went from stage %d to %q", seed, id, stage, got[id])
 				}
 			}
-			for id := range ids {
+			for id := range finalStages {
 				switch stage := stageOf(got, id); {
 				case stage == stageRemoved && latest[id] != stageInService:
 					latest[id] = stageRemoved
--- a/discovery/states.go
+++ b/discovery/states.go
@@ -12,7 +12,7 @@
 // never reverted. An ID identifies one run of a server and is not reused. The zero value is ready
 // to use. It is not safe for concurrent use.
 type OneWayStates struct {
-	removed map[string]bool // servers observed as draining (false) or removed (true)
+	removed map[string]bool // by ID; false: the server was observed as draining, true: it was removed
 	order   []string        // the keys of removed, oldest first
 }
 
--- a/telemetry/golden_test.go
+++ b/telemetry/golden_test.go
@@ -18,8 +18,8 @@
 	return data
 }
 
-// Usage files of an earlier release are decoded, encode to the same bytes, and give the same
-// report.
+// Usage files of an earlier release are decoded, are encoded to the same bytes, and result in the
+// same report.
 func TestGoldenRecordings(t *testing.T) {
 	for name, wall := range map[string]float64{"a.1.json": 10.5, "b.2.json": 11.5} {
 		golden := readGolden(t, name)
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -156,7 +156,7 @@
 		IdleTimeout:       idleTimeout,
 		WriteTimeout:      writeTimeout,
 	}
-	stop := context.AfterFunc(ctx, func() { _ = srv.Close() }) // srv.Serve returns the error
+	stop := context.AfterFunc(ctx, func() { _ = srv.Close() }) // srv.Serve returns ErrServerClosed
 	defer stop()
 	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("telemetry: %w", err)
--- a/telemetry/usage.go
+++ b/telemetry/usage.go
@@ -18,7 +18,7 @@
 // the JSON files that a [Recording] writes.
 //
 // A process measures its own usage with getrusage(2) and the metrics of the Go runtime. The type
-// Usage of lab/controlbench is what a benchmark measures of other processes with proc(5).
+// Usage of lab/controlbench holds what a benchmark measures of other processes with proc(5).
 type Usage struct {
 	WallS     float64 // wall-clock seconds; set only by a Recording
 	UserS     float64 // CPU seconds in user mode
@@ -29,7 +29,7 @@
 	Objects   float64 // objects allocated
 	AllocMB   float64 // 10^6 bytes allocated
 	HeapMB    float64 // 10^6 bytes live after the last collection; not cumulative
-	PeakMB    float64 // 10^6 bytes of peak resident memory, with file-backed pages of the program; not cumulative
+	PeakMB    float64 // 1000 KiB of peak resident memory, including file-backed pages of the program; not cumulative
 }
 
 // Runtime metrics that ReadUsage reads.
