--- a/api/config.go
+++ b/api/config.go
@@ -32,8 +32,8 @@
 	Upstream string `cbor:"upstream"`
 	// TrafficSplit distributes the requests over several services by weight.
 	TrafficSplit []WeightedUpstream `cbor:"traffic_split"`
-	// Retries is the maximum number of servers to which one client attempt may be sent.
-	Retries int `cbor:"retry_count"`
+	// MaxAttempts is the maximum number of servers to which one client attempt may be sent.
+	MaxAttempts int `cbor:"retry_count"`
 	// Anonymous: requests need no API key.
 	Anonymous bool `cbor:"anonymous"`
 }
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -26,7 +26,7 @@
 		Routes: []Route{
 			{
 				Name: "r", Host: "Example.org", Prefix: "/x/", Type: Idempotent, TimeoutMs: 1500.5, TargetMs: 80,
-				Priority: 3, Upstream: "a", Retries: 2, Anonymous: true,
+				Priority: 3, Upstream: "a", MaxAttempts: 2, Anonymous: true,
 			},
 			{
 				Name: "s", Host: "*", Prefix: "/x/y/", Type: Download, TimeoutMs: 100,
--- a/api/validate.go
+++ b/api/validate.go
@@ -79,8 +79,8 @@
 	if !(r.TimeoutMs > 0) {
 		v.report(field+".timeout_ms", "%v: must be above 0", r.TimeoutMs)
 	}
-	if r.Retries < 0 {
-		v.report(field+".retry_count", "%d is below 0", r.Retries)
+	if r.MaxAttempts < 0 {
+		v.report(field+".retry_count", "%d is below 0", r.MaxAttempts)
 	}
 	if len(r.TrafficSplit) > 0 {
 		v.trafficSplit(field+".traffic_split", r.TrafficSplit)
--- a/api/validate_test.go
+++ b/api/validate_test.go
@@ -13,7 +13,7 @@
 		Revision:  3,
 		Upstreams: []Upstream{{Name: "a"}, {Name: "b"}},
 		Routes: []Route{
-			{Name: "r", Host: "h", Prefix: "/x/", Type: Idempotent, TimeoutMs: 100, Upstream: "a", Retries: 2},
+			{Name: "r", Host: "h", Prefix: "/x/", Type: Idempotent, TimeoutMs: 100, Upstream: "a", MaxAttempts: 2},
 			{
 				Name: "s", Host: "h", Prefix: "/x/y/", TimeoutMs: 100,
 				TrafficSplit: []WeightedUpstream{{"a", 90}, {"b", 10}},
--- a/dataplane/delta_test.go
+++ b/dataplane/delta_test.go
@@ -74,7 +74,7 @@
 	for i := range routes {
 		c.Routes = append(c.Routes, api.Route{
 			Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/4), Prefix: fmt.Sprintf("/p%d/", i),
-			Type: api.Idempotent, TimeoutMs: 1000, Upstream: "a", Retries: 1,
+			Type: api.Idempotent, TimeoutMs: 1000, Upstream: "a", MaxAttempts: 1,
 		})
 	}
 	return c
--- a/dataplane/fixtures_test.go
+++ b/dataplane/fixtures_test.go
@@ -143,7 +143,7 @@
 	route := func(prefix string, kind string, targetMs float64, retries int, anonymous bool) api.Route {
 		return api.Route{
 			Host: "h", Prefix: prefix, Type: kind, TimeoutMs: timeoutMs, TargetMs: targetMs, Upstream: "s",
-			Retries: retries, Anonymous: anonymous,
+			MaxAttempts: retries, Anonymous: anonymous,
 		}
 	}
 	return &api.Config{
--- a/dataplane/forwarder.go
+++ b/dataplane/forwarder.go
@@ -81,14 +81,14 @@
 		f.guarded.mu.Unlock()
 		return nil, refuseMalformed(400, "an Attempt-Id is needed")
 	}
-	run := &lifecycle{forwarder: f, request: r, ended: make(chan *upstreamAttempt, max(1, r.route.Retries))}
+	run := &lifecycle{forwarder: f, request: r, ended: make(chan *upstreamAttempt, max(1, r.route.MaxAttempts))}
 	run.state = l.StartRequest(limiter.Request{
 		Service:     r.service,
 		Route:       r.route.Name,
 		Bulk:        r.isDownload(),
 		Idempotent:  r.route.IsIdempotent(),
 		Buffered:    r.stream == nil,
-		MaxAttempts: r.route.Retries,
+		MaxAttempts: r.route.MaxAttempts,
 		ArrivedMs:   f.clock.sinceStartMs(r.arrived),
 		DeadlineMs:  f.clock.sinceStartMs(r.deadline),
 		TargetMs:    inMs(r.route.latencyTarget),
--- a/lab/controlbench/added.go
+++ b/lab/controlbench/added.go
@@ -140,14 +140,14 @@
 func (b *bench) addMeasuredRoute() {
 	b.config.Upstreams = append(b.config.Upstreams, upstream(addedService))
 	b.config.Routes = append(b.config.Routes, api.Route{
-		Name:      "added",
-		Host:      addedHost,
-		Prefix:    "/",
-		Type:      api.Idempotent,
-		TimeoutMs: 1000,
-		TargetMs:  300,
-		Retries:   2,
-		Upstream:  addedService,
+		Name:        "added",
+		Host:        addedHost,
+		Prefix:      "/",
+		Type:        api.Idempotent,
+		TimeoutMs:   1000,
+		TargetMs:    300,
+		MaxAttempts: 2,
+		Upstream:    addedService,
 	})
 	b.config.Tenants = append(b.config.Tenants, api.Tenant{
 		Name:  "added",
--- a/lab/controlbench/config.go
+++ b/lab/controlbench/config.go
@@ -53,13 +53,13 @@
 // newRoute is a route whose requests two services share.
 func (b *bench) newRoute(i int) api.Route {
 	return api.Route{
-		Name:      fmt.Sprintf("r-%05d", i),
-		Host:      fmt.Sprintf("host%d.example", i%hosts),
-		Prefix:    fmt.Sprintf("/p%d/%x/", i/hosts, b.rng.Uint32()),
-		Type:      api.Idempotent,
-		TimeoutMs: 1000,
-		TargetMs:  300,
-		Retries:   2,
+		Name:        fmt.Sprintf("r-%05d", i),
+		Host:        fmt.Sprintf("host%d.example", i%hosts),
+		Prefix:      fmt.Sprintf("/p%d/%x/", i/hosts, b.rng.Uint32()),
+		Type:        api.Idempotent,
+		TimeoutMs:   1000,
+		TargetMs:    300,
+		MaxAttempts: 2,
 		TrafficSplit: []api.WeightedUpstream{
 			{Upstream: serviceName(i, b.spec.Services), Weight: 50},
 			{Upstream: serviceName(i+1, b.spec.Services), Weight: 50},
--- a/lab/controlbench/hollow/hollow.go
+++ b/lab/controlbench/hollow/hollow.go
@@ -306,7 +306,7 @@
 	}
 	for i := range routes {
 		c.Routes = append(c.Routes, api.Route{Name: fmt.Sprintf("r-%05d", i), Host: fmt.Sprintf("host%d.example", i%200),
-			Prefix: fmt.Sprintf("/p%d/%x/", i/200, uint32(i)*2654435761), Type: api.Idempotent, TimeoutMs: 1000, TargetMs: 300, Retries: 2,
+			Prefix: fmt.Sprintf("/p%d/%x/", i/200, uint32(i)*2654435761), Type: api.Idempotent, TimeoutMs: 1000, TargetMs: 300, MaxAttempts: 2,
 			TrafficSplit: []api.WeightedUpstream{{Upstream: service(i), Weight: 50}, {Upstream: service(i + 1), Weight: 50}}})
 	}
 	for i := range tenants {
--- a/lab/emulator/operator.go
+++ b/lab/emulator/operator.go
@@ -121,14 +121,14 @@
 // route is a class's route, with what its path begins with before the class's name. Called under the mutex.
 func (o *operator) route(k *scenario.Class, prefix string) api.Route {
 	return api.Route{
-		Name:      "r-" + prefix + k.Name,
-		Host:      hostName,
-		Prefix:    "/" + prefix + k.Name + "/",
-		Type:      k.Type,
-		TimeoutMs: k.DeadlineMs * o.timeout,
-		TargetMs:  k.TargetMs,
-		Upstream:  k.Service,
-		Retries:   checker.RouteRetries,
+		Name:        "r-" + prefix + k.Name,
+		Host:        hostName,
+		Prefix:      "/" + prefix + k.Name + "/",
+		Type:        k.Type,
+		TimeoutMs:   k.DeadlineMs * o.timeout,
+		TargetMs:    k.TargetMs,
+		Upstream:    k.Service,
+		MaxAttempts: checker.RouteRetries,
 	}
 }
 
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -22,7 +22,7 @@
 		Revision:  7,
 		Upstreams: []api.Upstream{{Name: "s"}},
 		Routes: []api.Route{{
-			Name: "r", Host: m.ip, Prefix: "/", Type: api.Idempotent, TimeoutMs: 5000, Upstream: "s", Retries: 2,
+			Name: "r", Host: m.ip, Prefix: "/", Type: api.Idempotent, TimeoutMs: 5000, Upstream: "s", MaxAttempts: 2,
 		}},
 		Tenants: []api.Tenant{{Name: "t", Keys: []string{"k"}}},
 	})
