--- a/api/config.go
+++ b/api/config.go
@@ -16,7 +16,8 @@
 // Route forwards requests for a host and a path prefix to a service.
 type Route struct {
 	Name string `cbor:"name"`
-	// Host is compared with the request's Host header, ignoring case.
+	// Host is compared with the request's Host header, ignoring case. If it does not match, it is
+	// compared with the header without the port.
 	Host string `cbor:"host_match"`
 	// Prefix begins and ends with a slash. The longest matching prefix of a host wins.
 	Prefix string `cbor:"path_prefix"`
@@ -26,13 +27,15 @@
 	TimeoutMs float64 `cbor:"timeout_ms"`
 	// TargetMs is the latency target, in milliseconds.
 	TargetMs float64 `cbor:"target_latency_ms"`
-	// Priority is the priority of the route's requests; 0 is the highest.
+	// Priority is the priority of the route's requests; 0 is the highest. The data plane does not
+	// use it.
 	Priority int `cbor:"priority"`
 	// Upstream names the service. It is used if TrafficSplit is empty.
 	Upstream string `cbor:"upstream"`
 	// TrafficSplit distributes the requests over several services by weight.
 	TrafficSplit []WeightedUpstream `cbor:"traffic_split"`
-	// MaxAttempts is the maximum number of servers to which one client attempt may be sent.
+	// MaxAttempts is the maximum number of attempts at servers for one request from a client,
+	// including the first. 0 counts as 1.
 	MaxAttempts int `cbor:"retry_count"`
 	// Anonymous: requests need no API key.
 	Anonymous bool `cbor:"anonymous"`
@@ -46,7 +49,8 @@
 	Weight float64 `cbor:"weight"`
 }
 
-// Upstream is a service.
+// Upstream is a service. Routes and servers refer to it by name. The data plane does not use the
+// other fields.
 type Upstream struct {
 	Name string `cbor:"name"`
 	// HealthCheck is the path of health checks.
@@ -70,7 +74,8 @@
 type Tenant struct {
 	Name string   `cbor:"name"`
 	Keys []string `cbor:"api_keys"` // no key is empty or shared with another tenant
-	// Priority takes precedence over the route's priority; 0 is the highest.
+	// Priority takes precedence over the route's priority; 0 is the highest. The data plane does
+	// not use it.
 	Priority int `cbor:"priority"`
 	// Rate is the quota in requests per second. 0: unlimited.
 	Rate float64 `cbor:"rate_per_s"`
@@ -78,8 +83,8 @@
 	Burst float64 `cbor:"burst_size"`
 }
 
-// Route types whose requests may be repeated ([Route.Type]). Requests of any other type run at
-// most once per client attempt.
+// Route types whose requests may be repeated ([Route.Type]). A request of any other type
+// runs at most once, unless the client itself sends it again.
 const (
 	Idempotent = "idempotent"
 	Download   = "download" // large responses, otherwise like Idempotent
--- a/api/configrows.go
+++ b/api/configrows.go
@@ -64,8 +64,8 @@
 }
 
 // validAfter reports whether a configuration is valid, given that previous is valid and that
-// changed contains the entries that [buildRows] selects for validation. It returns false if the configuration is invalid or
-// if the changed entries alone can't decide it.
+// changed contains the entries that [buildRows] selects for validation. It returns false if the
+// configuration is invalid or if these entries alone can't decide it.
 func (c *ConfigRows) validAfter(previous *ConfigRows, changed *Config) bool {
 	if len(c.Rows) != len(c.routes)+len(c.upstreams)+len(c.tenants)+c.limitsRows() {
 		return false // two entries have the same key
--- a/api/control_test.go
+++ b/api/control_test.go
@@ -40,12 +40,12 @@
 // During a rolling upgrade, a compressed Replace is repeated uncompressed for a leader of an
 // earlier version, which executes it exactly once.
 func TestReplaceReachesServersWithoutDecompression(t *testing.T) {
-	b := &oldServer{}
+	old := &oldServer{}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := grpc.NewServer(grpc.StatsHandler(b), grpc.UnaryInterceptor(
+	s := grpc.NewServer(grpc.StatsHandler(old), grpc.UnaryInterceptor(
 		func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
 			if *ctx.Value(compressionKey{}).(*bool) {
 				return nil, status.Error(codes.Unimplemented,
@@ -53,7 +53,7 @@
 			}
 			return handle(ctx, req)
 		}))
-	RegisterControl(s, b)
+	RegisterControl(s, old)
 	serve(t, s, l)
 	conns := NewConnPool(nil)
 	t.Cleanup(conns.Close)
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	r, err := CallReplace(t.Context(), conn, &ReplaceRequest{Base: 1, Config: []byte("configuration")})
-	if err != nil || r.Status != 200 || b.calls != 1 {
-		t.Errorf("%+v, %v, %d calls executed", r, err, b.calls)
+	if err != nil || r.Status != 200 || old.calls != 1 {
+		t.Errorf("%+v, %v, %d calls executed", r, err, old.calls)
 	}
 }
