--- a/operators/access.go
+++ b/operators/access.go
@@ -18,7 +18,7 @@
 
 // Limits are the rate and concurrency limits of the operator interface. 0 means no limit.
 type Limits struct {
-	CallsPerS float64 // calls per second per caller IP address; the burst is two seconds' worth
+	CallsPerS float64 // calls per second per caller IP address; bursts are limited to burstSeconds
 	InFlight  int     // concurrent calls of all callers
 }
 
@@ -52,8 +52,8 @@
 //   - 503 if too many calls are in flight.
 //
 // The rate limit is checked first, so that it also limits attempts to guess tokens. Only calls
-// that pass all checks count as in flight. Each call that may change the configuration is
-// written to the audit log after its response.
+// that pass all checks count as in flight. Of these, each call that may change the configuration
+// is written to the audit log after its response.
 func (a *AccessControl) Handler(next http.Handler) http.Handler {
 	a.limiter = newRateLimiter(a.Limits.CallsPerS)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/operators/ratelimit.go
+++ b/operators/ratelimit.go
@@ -12,7 +12,8 @@
 	// maxCallers is the maximum number of callers with their own token bucket, which bounds
 	// memory. While it is reached, all further callers share the bucket with the empty key.
 	maxCallers = 1024
-	// burstSeconds is the burst allowed to a caller, in seconds at its rate.
+	// burstSeconds is the burst allowed to a caller, in seconds at its rate. The burst is at least
+	// one call.
 	burstSeconds = 2.0
 )
 
--- a/settings/node.go
+++ b/settings/node.go
@@ -7,8 +7,12 @@
 // [Tuning] is the optional tuning file. Only this program reads it, so an unknown field is an
 // error. docs/tuning.md lists its settings.
 //
+// A gateway is the data plane of a process that serves [RoleEdge]. Its limiter enforces quotas and
+// selects servers, and exchanges gossip with the limiters of the other gateways.
+//
 // A field with the wrong type or an invalid value is an error that contains the name of the field
-// as written in the file. All invalid values of a file are reported at once, one per line.
+// as written in the file. All invalid values of a file are reported at once, one per line; a syntax
+// error or a wrong type is reported alone.
 package settings
 
 import (
@@ -32,8 +36,8 @@
 type Node struct {
 	// Name identifies the process in membership and gossip.
 	Name string `toml:"node_name"`
-	// Role is a label that tells apart two processes on a machine, which have the same Name: the
-	// one that does not serve clients is identified by Name/Role. Default: empty.
+	// Role distinguishes two processes on one machine, which have the same Name: the process
+	// without RoleEdge is identified by Name/Role. It is unrelated to ServedRoles. Default: empty.
 	Role string `toml:"role"`
 	// ServedRoles contains RoleEdge, RoleControl or both.
 	ServedRoles []string `toml:"served_roles"`
@@ -52,8 +56,8 @@
 	// with RoleControl. At least one is required. See SeedAddrs.
 	SeedPeers []string `toml:"seed_peers"`
 	// Bootstrap makes a machine with an empty disk one of the initial voters if the system starts
-	// for the first time. With several seeds, all others are asked whether it does. Default:
-	// false, the machine joins a running system.
+	// for the first time. If there are several seeds, the machine first asks all others whether
+	// this is a first start. Default: false, the machine joins a running system.
 	Bootstrap bool `toml:"bootstrap"`
 	// QuorumMember requests a Raft member on this machine. See CoreMember. Default: false.
 	QuorumMember bool `toml:"quorum_member"`
@@ -123,21 +127,21 @@
 	StrictRevocation bool `toml:"strict_revocation"`
 	// RevokeMs, in milliseconds, is required with StrictRevocation. Default: 0.
 	RevokeMs float64 `toml:"revoke_ms"`
-	// QuotaWindowS, in seconds, is the window in which a tenant's requests are counted against its
-	// quota. It bounds how far requests admitted by other gateways are paid back. Default: 0,
-	// which means 5.
+	// QuotaWindowS, in seconds, is the window of the quota rule: in any interval of this length a
+	// tenant may use its rate times the length, plus its burst. It also bounds the debt of a
+	// tenant's token bucket for requests that other gateways admitted. Default: 0, which means 5.
 	QuotaWindowS float64 `toml:"quota_window_s"`
 	// QuotaOvershoot (a fraction of the quota) and QuotaSlack (a number of requests) are the excess
 	// that checks of quotas allow. For tools. Default: 0.
 	QuotaOvershoot float64 `toml:"quota_overshoot"`
 	QuotaSlack     float64 `toml:"quota_slack"`
-	// RetryRatio is the maximum number of retries per request, over all limiters.
-	// Default: 0, the limiter's built-in ratio applies.
+	// RetryRatio is the maximum number of retries per request, over all limiters. The limiter's
+	// built-in ratio applies if it is lower or if RetryRatio is 0, the default.
 	RetryRatio float64 `toml:"retry_budget_ratio"`
 	// RetryWindowS, in seconds, is not used. Default: 0.
 	RetryWindowS float64 `toml:"retry_window_s"`
-	// RetrySlack is the number of retries allowed in addition to the ratio, over all limiters.
-	// Default: 0, the limiter's built-in bound applies.
+	// RetrySlack is the number of retries allowed in addition to the ratio, over all limiters. The
+	// limiter's built-in bound applies if it is lower or if RetrySlack is 0, the default.
 	RetrySlack float64 `toml:"retry_budget_slack"`
 }
 
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -25,7 +25,7 @@
 func Parse(data []byte) (*Node, error) {
 	n := &Node{}
 	if _, err := toml.Decode(string(data), n); err != nil {
-		return nil, syntaxError(err)
+		return nil, formatDecodeError(err)
 	}
 	return n, n.validate()
 }
@@ -52,7 +52,7 @@
 	t := DefaultTuning()
 	meta, err := toml.Decode(string(data), t)
 	if err != nil {
-		return nil, syntaxError(err)
+		return nil, formatDecodeError(err)
 	}
 	var errs []error
 	for _, key := range meta.Undecoded() {
@@ -61,9 +61,9 @@
 	return t, errors.Join(append(errs, t.validate()...)...)
 }
 
-// syntaxError formats a decoder error as one line, with the line number and the last key before the
-// error.
-func syntaxError(err error) error {
+// formatDecodeError formats a syntax error as one line, with the line number and the last key before
+// the error. Other errors, such as a wrong type, are returned unchanged.
+func formatDecodeError(err error) error {
 	var pe toml.ParseError
 	if errors.As(err, &pe) {
 		return fmt.Errorf("line %d: %s: %s", pe.Position.Line, pe.LastKey, pe.Message)
--- a/settings/tuning.go
+++ b/settings/tuning.go
@@ -21,7 +21,7 @@
 type LogTuning struct {
 	Level   string  `toml:"level"`    // debug, info, warn or error
 	Format  string  `toml:"format"`   // text or json
-	RepeatS float64 `toml:"repeat_s"` // seconds; 0: repeated messages are all logged
+	RepeatS float64 `toml:"repeat_s"` // period of suppressing repeats, in seconds; 0: none is suppressed
 }
 
 // MetricsTuning configures the metrics endpoint.
@@ -43,7 +43,8 @@
 // Connect returns the timeout for connecting to a server.
 func (t *UpstreamTuning) Connect() time.Duration { return Millis(t.ConnectMs) }
 
-// Idle returns the time for which an idle connection to a server is kept.
+// Idle returns the time for which an idle connection is kept if the server's Keep-Alive header
+// gives no timeout.
 func (t *UpstreamTuning) Idle() time.Duration { return Millis(1000 * t.IdleS) }
 
 // LinkTuning configures how the machine's bandwidth and processor are shared. Each field is a
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// minFDs is the number of file descriptors that a limiter needs in addition to its
-	// connections to servers.
+	// minFDs is the number of file descriptors that a gateway needs in addition to its connections
+	// to clients and servers.
 	minFDs             = 300
 	maxPort            = 65535
 	maxMachineFailures = 10
@@ -91,7 +91,8 @@
 	}
 }
 
-// valid reports whether a limiter can run within the limits. A LinkMbps of NaN is not valid.
+// valid reports whether a gateway can run within the limits. Of the NaN values only a LinkMbps of
+// NaN is rejected.
 func (l *Limits) valid() bool {
 	if l.CPUShare < 0 || l.MemoryMB < 0 || l.DiskMB < 0 || l.MaxFDs < 0 {
 		return false
@@ -99,7 +100,8 @@
 	return l.LinkMbps >= 0 && (l.MaxFDs == 0 || l.MaxFDs >= minFDs)
 }
 
-// validate checks that no value is negative and that required values are above 0.
+// validate checks that no value is negative and that required values are above 0. The error text
+// is the same for both, although 0 is allowed for values that are not required.
 func (t *Timing) validate(c *errorCollector) {
 	for _, field := range []struct {
 		name     string
