--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -1,6 +1,6 @@
-// Package pages reads the repository's pages (README.md, CONTRIBUTING.md and docs/)
-// for what they say of the code: names in backquotes and lines of code blocks. Tests
-// hold the pages to the code with it; no program uses it.
+// Package pages extracts code references from the repository's documentation pages
+// (README.md, CONTRIBUTING.md and docs/): code spans and lines of code blocks. Only
+// tests use it, to check the documentation against the code.
 package pages
 
 import (
@@ -15,29 +15,30 @@
 	"github.com/alecthomas/kong"
 )
 
-// renames is the folder of the lists of old names, which name what is no longer there.
-const renames = "docs/renames"
+// renamesDir holds the lists of renamed identifiers. Read skips it, because the lists
+// contain names that no longer exist.
+const renamesDir = "docs/renames"
 
-// Mention is a piece of code that a page names.
+// Mention is a code span or a line of a code block on a page.
 type Mention struct {
-	Page string // path from the root of the repository, with slashes
-	Line int    // from 1
-	Text string // without the backquotes or the indent
+	Page string // slash-separated path relative to the repository root
+	Line int    // 1-based
+	Text string // without backquotes and indentation
 }
 
-// String says where the mention stands.
+// String returns the mention with its page and line.
 func (m Mention) String() string { return fmt.Sprintf("%s:%d: `%s`", m.Page, m.Line, m.Text) }
 
-// Fields are the parts of the text between blanks, without quotation marks.
+// Fields splits the text at white space and quotation marks, which are dropped.
 func (m Mention) Fields() []string {
 	return strings.Fields(strings.NewReplacer(`"`, " ", `'`, " ").Replace(m.Text))
 }
 
-// Read returns what the pages of the repository at root name, page by page. Pages on
-// decisions and incidents are among them: their paths and tests are today's. The lists
-// of old names are not.
+// Read returns the mentions on all pages of the repository at root, page by page. It
+// includes the decision records and incident reports, whose paths and test names are
+// kept up to date, and excludes the lists of renamed identifiers.
 func Read(root string) ([]Mention, error) {
-	files, err := list(root)
+	files, err := listPages(root)
 	if err != nil {
 		return nil, fmt.Errorf("pages: %w", err)
 	}
@@ -52,8 +53,8 @@
 	return mentions, nil
 }
 
-// list returns the paths of the pages, from the root on.
-func list(root string) ([]string, error) {
+// listPages returns the paths of the pages relative to root.
+func listPages(root string) ([]string, error) {
 	files := []string{"README.md", "CONTRIBUTING.md"}
 	err := filepath.WalkDir(filepath.Join(root, "docs"), func(path string, _ fs.DirEntry, err error) error {
 		if err != nil {
@@ -64,7 +65,7 @@
 			return err
 		}
 		name := filepath.ToSlash(relative)
-		if name == renames {
+		if name == renamesDir {
 			return fs.SkipDir
 		}
 		if strings.HasSuffix(name, ".md") {
@@ -76,18 +77,18 @@
 }
 
 var (
-	span  = regexp.MustCompile("`([^`]+)`")
-	fence = regexp.MustCompile("^\\s*```")
+	codeSpan  = regexp.MustCompile("`([^`]+)`")
+	codeFence = regexp.MustCompile("^\\s*```")
 )
 
-// Parse returns what one page names: each span in backquotes, which may go over the end
-// of a line, and each line of a code block, fenced or indented by four blanks.
+// Parse returns the mentions on one page: each code span, which may extend over several
+// lines, and each line of a code block, fenced or indented by four spaces.
 func Parse(page, text string) []Mention {
 	var mentions []Mention
-	var prose strings.Builder // the page with its code blocks blanked
+	var prose strings.Builder // the page with the lines of its code blocks emptied
 	fenced := false
 	for i, line := range strings.Split(text, "\n") {
-		isFence := fence.MatchString(line)
+		isFence := codeFence.MatchString(line)
 		switch {
 		case isFence:
 			fenced = !fenced
@@ -98,38 +99,39 @@
 		}
 		prose.WriteByte('\n')
 	}
-	rest := prose.String()
-	for _, at := range span.FindAllStringSubmatchIndex(rest, -1) {
-		line := 1 + strings.Count(rest[:at[0]], "\n")
-		mentions = append(mentions, Mention{page, line, strings.Join(strings.Fields(rest[at[2]:at[3]]), " ")})
+	proseText := prose.String()
+	for _, loc := range codeSpan.FindAllStringSubmatchIndex(proseText, -1) {
+		line := 1 + strings.Count(proseText[:loc[0]], "\n")
+		mentions = append(mentions, Mention{page, line, strings.Join(strings.Fields(proseText[loc[2]:loc[3]]), " ")})
 	}
 	return mentions
 }
 
-// Commands returns the uses of a program among the mentions: for each the fields after
-// the program's name, up to the end of that command. `go run ./cmd/NAME` is one too.
+// Commands returns the invocations of a program in the mentions, including
+// `go run ./cmd/NAME`, each with its arguments up to the end of the shell command.
 func Commands(mentions []Mention, program string) []Command {
 	var commands []Command
 	for _, m := range mentions {
 		fields := m.Fields()
 		for i, word := range fields {
-			begins := i == 0 || fields[i-1] == "&&" || fields[i-1] == "run" || strings.Contains(fields[i-1], "=")
-			if begins && slices.Contains([]string{program, "target/" + program, "./cmd/" + program}, word) {
-				commands = append(commands, Command{m, untilEnd(fields[i+1:])})
+			startsCommand := i == 0 || fields[i-1] == "&&" || fields[i-1] == "run" || strings.Contains(fields[i-1], "=")
+			if startsCommand && slices.Contains([]string{program, "target/" + program, "./cmd/" + program}, word) {
+				commands = append(commands, Command{m, cutAtShellOperator(fields[i+1:])})
 			}
 		}
 	}
 	return commands
 }
 
-// Command is a use of a program on a page.
+// Command is an invocation of a program on a page.
 type Command struct {
 	Mention
 	Args []string
 }
 
-// untilEnd returns the fields up to a sign of the shell that ends a command.
-func untilEnd(fields []string) []string {
+// cutAtShellOperator returns the fields before the first one with a shell character
+// that ends the command.
+func cutAtShellOperator(fields []string) []string {
 	for i, word := range fields {
 		if strings.ContainsAny(word, "&|;>#") {
 			return fields[:i]
@@ -138,8 +140,8 @@
 	return fields
 }
 
-// Check returns an error where a command's arguments name a command or a flag that the
-// program's command line does not have. Values are not looked at.
+// Check returns an error if the arguments contain a subcommand or a flag that the
+// program's command line does not define. It does not check values.
 func (c Command) Check(commandLine *kong.Application) error {
 	node := commandLine.Node
 	for _, arg := range c.Args {
@@ -147,13 +149,13 @@
 		flag, _, _ = strings.Cut(flag, "=")
 		switch {
 		case isFlag && !hasFlag(node, strings.Trim(flag, "[]")):
-			return fmt.Errorf("%v: no flag --%s", c.Mention, flag)
+			return fmt.Errorf("%v: unknown flag --%s", c.Mention, flag)
 		case isFlag || len(node.Children) == 0:
-			// A value, or what a leaf command is given.
+			// A flag, or an argument of a command without subcommands.
 		default:
-			child := childOf(node, arg)
+			child := findChild(node, arg)
 			if child == nil {
-				return fmt.Errorf("%v: no command %s", c.Mention, arg)
+				return fmt.Errorf("%v: unknown command %s", c.Mention, arg)
 			}
 			node = child
 		}
@@ -172,7 +174,7 @@
 	return false
 }
 
-func childOf(node *kong.Node, name string) *kong.Node {
+func findChild(node *kong.Node, name string) *kong.Node {
 	for _, child := range node.Children {
 		if child.Name == name || child.Type == kong.ArgumentNode {
 			return child
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -24,17 +24,17 @@
 	}
 }
 
-// tree is what the repository holds.
+// tree lists the paths and the tests of the repository.
 type tree struct {
-	paths []string            // of files and folders, from the root on, with slashes
-	tests map[string][]string // names of tests, fuzz targets and benchmarks, by folder
+	paths []string            // of files and directories, slash-separated, relative to the root
+	tests map[string][]string // names of tests, fuzz targets and benchmarks by directory
 }
 
 var testFunction = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w*)\(`)
 
 func readTree(t *testing.T) *tree {
 	t.Helper()
-	all := &tree{tests: map[string][]string{}}
+	repo := &tree{tests: map[string][]string{}}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -47,7 +47,7 @@
 			return err
 		}
 		name := filepath.ToSlash(relative)
-		all.paths = append(all.paths, name)
+		repo.paths = append(repo.paths, name)
 		if !strings.HasSuffix(name, "_test.go") {
 			return nil
 		}
@@ -56,35 +56,35 @@
 			return err
 		}
 		for _, m := range testFunction.FindAllSubmatch(source, -1) {
-			folder := filepath.ToSlash(filepath.Dir(relative))
-			all.tests[folder] = append(all.tests[folder], string(m[1]))
+			dir := filepath.ToSlash(filepath.Dir(relative))
+			repo.tests[dir] = append(repo.tests[dir], string(m[1]))
 		}
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	all.paths = append(all.paths, "journal")
-	return all
+	repo.paths = append(repo.paths, "journal")
+	return repo
 }
 
 var testName = regexp.MustCompile(`^(?:([\w/-]+)\.)?((?:Test|Fuzz|Benchmark)[A-Z]\w*)(\.\.\.)?$`)
 
-// hasTest reports whether a word names a test that is there; words that name none count
-// as such. A package before the name is the end of its folder's path, and three dots
-// after it stand for all tests that begin so.
-func (all *tree) hasTest(word string) bool {
+// hasTest reports whether the test that a word names exists, and returns true for a word
+// that is not a test name. A package prefix matches the end of a directory path, and a
+// trailing "..." matches any test whose name starts with the given one.
+func (repo *tree) hasTest(word string) bool {
 	m := testName.FindStringSubmatch(word)
 	if m == nil {
 		return true
 	}
-	in, name, begins := m[1], m[2], m[3] != ""
-	for folder, tests := range all.tests {
-		if in != "" && folder != in && !strings.HasSuffix(folder, "/"+in) {
+	packagePath, name, isPrefix := m[1], m[2], m[3] != ""
+	for dir, tests := range repo.tests {
+		if packagePath != "" && dir != packagePath && !strings.HasSuffix(dir, "/"+packagePath) {
 			continue
 		}
 		if slices.ContainsFunc(tests, func(test string) bool {
-			return test == name || begins && strings.HasPrefix(test, name)
+			return test == name || isPrefix && strings.HasPrefix(test, name)
 		}) {
 			return true
 		}
@@ -98,44 +98,45 @@
 	placeholder = regexp.MustCompile(`\b[A-Z]{2,}\b`)
 )
 
-// built are the folders that the deploy files' builds write into.
-var built = []string{"bin", "target"}
+// buildDirs are the output directories of the builds in the deployment files.
+var buildDirs = []string{"bin", "target"}
 
-// numbered are folders of docs whose pages are named by their numbers.
-var numbered = []string{"decisions", "incidents"}
+// numberedDirs are the directories under docs whose page names start with a number.
+var numberedDirs = []string{"decisions", "incidents"}
 
-// pageNumber is a path of a page up to its number.
-var pageNumber = regexp.MustCompile(`(^|/)(decisions|incidents)/\d{4}$`)
+// numberedPage matches a page path that is cut off after the page number.
+var numberedPage = regexp.MustCompile(`(^|/)(decisions|incidents)/\d{4}$`)
 
-// isPath reports whether a word is the path of something in the repository: it begins
-// with a top-level entry of it, or is that of a source file in a folder.
-func (all *tree) isPath(word string) bool {
+// isPath reports whether a word has the form of a repository path: it is a Go file name,
+// or it contains a slash and starts with a top-level entry or a numbered directory or
+// has the extension of a source file.
+func (repo *tree) isPath(word string) bool {
 	if !pathName.MatchString(word) || testName.MatchString(word) || strings.HasPrefix(word, "_") {
-		return false // _test.go is the end of a name
+		return false // _test.go is a file name suffix
 	}
-	first, rest, folders := strings.Cut(word, "/")
-	if slices.Contains(built, first) || first == ".." { // ../given is not the repository's
+	first, rest, hasSlash := strings.Cut(word, "/")
+	if slices.Contains(buildDirs, first) || first == ".." { // ../given is outside the repository
 		return false
 	}
-	if !folders {
+	if !hasSlash {
 		return strings.HasSuffix(word, ".go")
 	}
-	return slices.Contains(all.paths, first) || rest != "" && sourceFile.MatchString(word) ||
-		slices.Contains(numbered, first)
+	return slices.Contains(repo.paths, first) || rest != "" && sourceFile.MatchString(word) ||
+		slices.Contains(numberedDirs, first)
 }
 
-// hasPath reports whether a path exists. Of a page's name its number is enough; capitals
-// stand for any name.
-func (all *tree) hasPath(path string) bool {
+// hasPath reports whether a path exists. A numbered page may be given by its number
+// alone, and a word in capitals is a placeholder that matches any name.
+func (repo *tree) hasPath(path string) bool {
 	pattern := strings.TrimSuffix(path, "/")
-	if pageNumber.MatchString(pattern) {
+	if numberedPage.MatchString(pattern) {
 		pattern += "*"
 	}
-	if !strings.HasSuffix(pattern, ".md") { // pages have names in capitals
+	if !strings.HasSuffix(pattern, ".md") { // page names such as README.md are not placeholders
 		pattern = placeholder.ReplaceAllString(pattern, "*")
 	}
-	return slices.ContainsFunc(all.paths, func(known string) bool {
-		// A path may begin at any folder: dataplane/quota, quota/share.go, share.go.
+	return slices.ContainsFunc(repo.paths, func(known string) bool {
+		// A path may be relative to any directory: dataplane/quota, quota/share.go, share.go.
 		for {
 			if ok, err := filepath.Match(pattern, known); ok && err == nil {
 				return true
@@ -149,71 +150,72 @@
 	})
 }
 
-// Every path and every test that a page names is there.
+// Every path and every test that a page mentions exists.
 func TestPagesNameWhatIsThere(t *testing.T) {
-	all := readTree(t)
+	repo := readTree(t)
 	mentions, err := Read(root)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(mentions) < 1000 {
-		t.Fatalf("only %d names were found on the pages", len(mentions))
+		t.Fatalf("found only %d mentions on the pages, want at least 1000", len(mentions))
 	}
 	checked := 0
 	for _, m := range mentions {
 		for _, word := range m.Fields() {
 			word = strings.TrimSuffix(strings.TrimPrefix(strings.Trim(word, ",;:()"), "./"), "/...")
-			if !all.hasTest(word) {
-				t.Errorf("%v: no test %s", m, word)
+			if !repo.hasTest(word) {
+				t.Errorf("%v: test %s does not exist", m, word)
 			}
-			if all.isPath(word) {
+			if repo.isPath(word) {
 				checked++
-				if !all.hasPath(word) {
-					t.Errorf("%v: no path %s", m, word)
+				if !repo.hasPath(word) {
+					t.Errorf("%v: path %s does not exist", m, word)
 				}
 			}
 		}
 	}
 	if checked < 300 {
-		t.Errorf("only %d paths were checked", checked)
+		t.Errorf("checked only %d paths, want at least 300", checked)
 	}
 }
 
-// The check finds what is not there, and takes nothing for a path that is none.
+// The check reports paths and tests that do not exist, and does not treat other words
+// as paths.
 func TestWhatIsNotThereIsFound(t *testing.T) {
-	all := readTree(t)
+	repo := readTree(t)
 	for _, word := range []string{
 		"raft/nowhere.go", "nowhere.go", "docs/nowhere.md", "agreement/node.go", "decisions/0999",
 		"docs/days/nowhere/NAME.toml",
 	} {
-		if !all.isPath(word) || all.hasPath(word) {
-			t.Errorf("%s passes", word)
+		if !repo.isPath(word) || repo.hasPath(word) {
+			t.Errorf("%s: missing path was not reported", word)
 		}
 	}
 	for _, word := range []string{
 		"docs/design.md", "pages.go", "decisions/0008", "docs/incidents/0018", "docs/days/mixed/NAME.toml",
 		"docs/incidents/",
 	} {
-		if !all.isPath(word) || !all.hasPath(word) {
-			t.Errorf("%s does not pass", word)
+		if !repo.isPath(word) || !repo.hasPath(word) {
+			t.Errorf("%s: existing path was not recognized", word)
 		}
 	}
 	for _, word := range []string{
 		"elmspan.Control/Watch", "data_dir/log", "target/elmspan", "/v1/Status", "node.toml",
 	} {
-		if all.isPath(word) {
-			t.Errorf("%s is taken for a path", word)
+		if repo.isPath(word) {
+			t.Errorf("%s: treated as a path", word)
 		}
 	}
-	for word, there := range map[string]bool{
+	for word, want := range map[string]bool{
 		"TestNowhere":                     false,
 		"raft.TestWhatIsNotThereIsFound":  false,
 		"pages.TestWhatIsNotThereIsFound": true,
 		"internal/pages.TestWhat...":      true,
 		"Testing":                         true,
 	} {
-		if all.hasTest(word) != there {
-			t.Errorf("%s: found %v", word, !there)
+		if repo.hasTest(word) != want {
+			t.Errorf("%s: hasTest returned %v", word, !want)
 		}
 	}
 }
--- a/internal/pages/renames_test.go
+++ b/internal/pages/renames_test.go
@@ -8,20 +8,21 @@
 	"testing"
 )
 
-// maxRenames bounds how often one test may have been renamed.
+// maxRenames bounds the number of successive renames of a test, so that a cycle in the
+// lists ends the search.
 const maxRenames = 10
 
 var testWord = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)\w*`)
 
-// readRenames returns the present names of renamed tests by the old ones, from the lists
-// in docs/renames. A test that was split has several.
+// readRenames maps the old name of each renamed test to its new names, as listed in
+// docs/renames. A test that was split has several new names.
 func readRenames(t *testing.T) map[string][]string {
 	t.Helper()
-	lists, err := filepath.Glob(filepath.Join(root, filepath.FromSlash(renames), "*.tsv"))
+	lists, err := filepath.Glob(filepath.Join(root, filepath.FromSlash(renamesDir), "*.tsv"))
 	if err != nil || len(lists) == 0 {
-		t.Fatalf("%d lists of old names, %v", len(lists), err)
+		t.Fatalf("found %d lists of renamed identifiers, error %v", len(lists), err)
 	}
-	present := map[string][]string{}
+	newNames := map[string][]string{}
 	for _, list := range lists {
 		data, err := os.ReadFile(list)
 		if err != nil {
@@ -30,36 +31,37 @@
 		for line := range strings.Lines(string(data)) {
 			columns := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
 			if len(columns) != 3 {
-				t.Errorf("%s: %q has %d columns, not 3", list, line, len(columns))
+				t.Errorf("%s: %q has %d columns, want 3", list, line, len(columns))
 				continue
 			}
 			if columns[0] == "test" {
 				old := testWord.FindString(columns[1])
-				present[old] = append(present[old], testWord.FindAllString(columns[2], -1)...)
+				newNames[old] = append(newNames[old], testWord.FindAllString(columns[2], -1)...)
 			}
 		}
 	}
-	return present
+	return newNames
 }
 
-// survives reports whether a test is there, under its name or the ones that it was given.
-func survives(name string, tests map[string]bool, present map[string][]string, depth int) bool {
+// testExists reports whether a test exists under its own name, or whether all tests that
+// it was renamed to or split into exist. It follows at most depth successive renames.
+func testExists(name string, tests map[string]bool, newNames map[string][]string, depth int) bool {
 	if tests[name] {
 		return true
 	}
-	if depth == 0 || len(present[name]) == 0 {
+	if depth == 0 || len(newNames[name]) == 0 {
 		return false
 	}
-	for _, next := range present[name] {
-		if next == name || !survives(next, tests, present, depth-1) {
+	for _, next := range newNames[name] {
+		if next == name || !testExists(next, tests, newNames, depth-1) {
 			return false
 		}
 	}
 	return true
 }
 
-// No test of commit f96d826 was dropped: each is there, or docs/renames leads from its
-// name to tests that are.
+// Every test of commit f96d826 still exists, under its own name or under the names that
+// docs/renames gives for it.
 func TestNoTestWasDropped(t *testing.T) {
 	data, err := os.ReadFile("testdata/tests-f96d826.txt")
 	if err != nil {
@@ -72,25 +74,25 @@
 			count++
 		}
 	}
-	present, before := readRenames(t), 0
+	newNames, listed := readRenames(t), 0
 	for line := range strings.Lines(string(data)) {
-		folder, name, ok := strings.Cut(strings.TrimSpace(line), "\t")
+		dir, name, ok := strings.Cut(strings.TrimSpace(line), "\t")
 		if !ok {
-			t.Fatalf("%q is no folder and test", line)
+			t.Fatalf("%q: want a directory and a test name, separated by a tab", line)
 		}
-		before++
-		if !survives(name, tests, present, maxRenames) {
-			t.Errorf("%s of %s is not there, and docs/renames does not say what became of it", name, folder)
+		listed++
+		if !testExists(name, tests, newNames, maxRenames) {
+			t.Errorf("test %s of %s does not exist, and docs/renames does not lead to existing tests", name, dir)
 		}
 	}
-	if before < 400 || count < before {
-		t.Errorf("%d test functions, there were %d", count, before)
+	if listed < 400 || count < listed {
+		t.Errorf("%d test functions now, %d listed for f96d826 (want at least 400, and no fewer now)", count, listed)
 	}
 }
 
-func TestSurvivesFollowsEveryRename(t *testing.T) {
+func TestTestExistsFollowsEveryRename(t *testing.T) {
 	tests := map[string]bool{"TestA": true, "TestB": true}
-	present := map[string][]string{
+	newNames := map[string][]string{
 		"TestOnce":  {"TestA"},
 		"TestTwice": {"TestOnce"},
 		"TestSplit": {"TestA", "TestB"},
@@ -101,8 +103,8 @@
 		"TestA": true, "TestOnce": true, "TestTwice": true, "TestSplit": true,
 		"TestHalf": false, "TestRound": false, "TestGone": false,
 	} {
-		if survives(name, tests, present, maxRenames) != want {
-			t.Errorf("%s: %v", name, !want)
+		if testExists(name, tests, newNames, maxRenames) != want {
+			t.Errorf("%s: testExists returned %v", name, !want)
 		}
 	}
 }
